--- a/cmd/fernctl/fleet.go
+++ b/cmd/fernctl/fleet.go
@@ -100,7 +100,7 @@
 		fmt.Fprintf(out, "refused while capacity was free %.3f, of it by other rules than shares %.3f; overdriven %.3f of the time\n", o.Shadow, o.Gate, o.Overdriven)
 		for i, n := range r.Causes {
 			if n > 0 {
-				fmt.Fprintf(out, "refused by %v: %d, %d of them while capacity was free\n", logic.Cause(i), n, r.ShadowCauses[i])
+				fmt.Fprintf(out, "refused by %v: %d, %d of them while capacity was free\n", logic.ShedCause(i), n, r.ShadowCauses[i])
 			}
 		}
 		fmt.Fprintf(out, "seconds from the end of each trouble to %.0f%% of service: %v\n", 95.0, o.Recovery)
--- a/cmd/fernctl/rollout.go
+++ b/cmd/fernctl/rollout.go
@@ -143,11 +143,11 @@
 	for _, count := range status.Counts[1:] {
 		fmt.Fprintf(w, "version %v: %d proxies\n", count.Version, count.Proxies)
 	}
-	printLaggards(w, status.Refusals, status.Behind)
+	printLaggards(w, status.Rejections, status.Laggards)
 }
 
 // printLaggards tells who lacks a version, and why: with a reason where it was refused.
-func printLaggards(w io.Writer, refusals []distribution.Refusal, behind []distribution.Laggard) {
+func printLaggards(w io.Writer, refusals []distribution.Rejection, behind []distribution.Laggard) {
 	refused := make(map[string]bool)
 	for _, r := range refusals {
 		refused[r.Follower] = true
@@ -186,7 +186,7 @@
 	if done(progress) {
 		return nil
 	}
-	printLaggards(c.Root().Writer, progress.Refused, progress.Behind)
+	printLaggards(c.Root().Writer, progress.Rejections, progress.Laggards)
 	return errFaults
 }
 
@@ -204,7 +204,7 @@
 		case err == nil:
 			progress := status.Progress(version)
 			last, failed = &progress, nil
-			if done(last) || len(last.Refused) > 0 {
+			if done(last) || len(last.Rejections) > 0 {
 				return last, nil
 			}
 		case ctx.Err() == nil || last == nil:
--- a/cmd/fernctl/rollout_test.go
+++ b/cmd/fernctl/rollout_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := node.New(node.Config{Name: "source", Epoch: 1, Keep: func(*distribution.Update) error { return nil }})
+	n := node.New(node.Config{Name: "source", Epoch: 1, Persist: func(*distribution.Update) error { return nil }})
 	server := httpapi.NewServer(n)
 	served := make(chan struct{})
 	go func() {
@@ -66,7 +66,7 @@
 	expect(t, 1, "1 of 1 proxies", "rollout", "wait", "-timeout", "300ms", "-proxies", "2", "-from", address, "service-a", version)
 	follower(t, address, "p2", distribution.Position{Resource: "service-a"})
 	expect(t, 1, "p2 has none yet", "rollout", "wait", "-timeout", "300ms", "-from", address, "service-a", version)
-	follower(t, address, "p2", distribution.Position{Resource: "service-a", Refused: distribution.Version{Epoch: 1, Revision: 1}, Reason: "no zone"})
+	follower(t, address, "p2", distribution.Position{Resource: "service-a", Rejected: distribution.Version{Epoch: 1, Revision: 1}, Reason: "no zone"})
 	expect(t, 1, "p2 refuses version 1.1: no zone", "rollout", "wait", "-from", address, "service-a", version)
 	expect(t, 1, "1 of 2 proxies have the latest version, 1.1", "rollout", "status", "-from", address, "service-a")
 	expect(t, 1, `"refusals":[{"follower":"p2"`, "rollout", "status", "-json", "-from", address, "service-a")
--- a/cmd/fernctl/scale_latency.go
+++ b/cmd/fernctl/scale_latency.go
@@ -59,5 +59,5 @@
 	if err := asJSON(&text, r); err != nil {
 		return err
 	}
-	return durable.Replace(name, text.Bytes(), 0o644, true)
+	return durable.WriteFile(name, text.Bytes(), 0o644, true)
 }
--- a/cmd/fernlanding/main.go
+++ b/cmd/fernlanding/main.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return usageError{err}
 	}
-	sidecar.Tune(app)
+	sidecar.ApplyRuntimeLimits(app)
 	s, err := sidecar.New(app, log)
 	if err != nil {
 		return err
--- a/cmd/fernlanding/relays_test.go
+++ b/cmd/fernlanding/relays_test.go
@@ -324,8 +324,8 @@
 	if served := f.ask("one", requests); served != requests || f.one.Requests() != before {
 		t.Errorf("%d of %d served, %d by the backend whose drain is in force", served, requests, f.one.Requests()-before)
 	}
-	if s := f.stats(first); s.WholeUpdates != 1 || s.DeltaUpdates != 2 {
-		t.Errorf("the first relay sent %d whole lists and %d changes, want 1 and 2", s.WholeUpdates, s.DeltaUpdates)
+	if s := f.stats(first); s.FullUpdates != 1 || s.DeltaUpdates != 2 {
+		t.Errorf("the first relay sent %d whole lists and %d changes, want 1 and 2", s.FullUpdates, s.DeltaUpdates)
 	}
 
 	first.kill()
@@ -335,8 +335,8 @@
 	})
 	f.inForce(second.direct, "one", f.put("one", "a", f.one, "serving"))
 	f.reaches("one", f.one)
-	if s := f.stats(second); s.WholeUpdates != 0 || s.DeltaUpdates != 1 || s.Sessions != 1 {
-		t.Errorf("the second relay sent %d whole lists and %d changes in %d sessions, want 0, 1 and 1", s.WholeUpdates, s.DeltaUpdates, s.Sessions)
+	if s := f.stats(second); s.FullUpdates != 0 || s.DeltaUpdates != 1 || s.Sessions != 1 {
+		t.Errorf("the second relay sent %d whole lists and %d changes in %d sessions, want 0, 1 and 1", s.FullUpdates, s.DeltaUpdates, s.Sessions)
 	}
 
 	f.reloadsKeepConnections(second)
--- a/cmd/fernrelay/main.go
+++ b/cmd/fernrelay/main.go
@@ -84,7 +84,7 @@
 	}
 	defer dir.Close()
 	traffic := new(httpapi.Traffic)
-	source := node.New(node.Config{Name: "source", Limits: limits(c), Keep: dir.Keep, Epoch: dir.Epoch(), Traffic: traffic})
+	source := node.New(node.Config{Name: "source", Limits: limits(c), Persist: dir.Save, Epoch: dir.Epoch(), Traffic: traffic})
 	if err := dir.Load(source.Load); err != nil {
 		return err
 	}
--- a/cmd/simhost/serve.go
+++ b/cmd/simhost/serve.go
@@ -28,7 +28,7 @@
 	now       int64
 	inBatch   bool
 	instances map[string]*instance
-	rosters   [rosters][]logic.Server
+	rosters   [rosters][]logic.Endpoint
 	listed    [rosters]bool
 	out       *bufio.Writer
 	enc       *json.Encoder
@@ -162,7 +162,7 @@
 	if err != nil {
 		return fmt.Errorf("new_instance: options.%w", err)
 	}
-	bal, err := logic.New(site.Logic, *n.Salt)
+	bal, err := logic.New(site.Balancer, *n.Salt)
 	if err != nil {
 		return fmt.Errorf("new_instance: %w", err)
 	}
@@ -178,15 +178,15 @@
 	if m.How == nil || *m.How < 0 || *m.How > 3 {
 		return errors.New("membership: how is missing or unknown")
 	}
-	kind := logic.ListKind(*m.How)
-	if kind == logic.Failed {
-		in.bal.List(s.now, in.host, kind, nil)
+	kind := logic.UpdateKind(*m.How)
+	if kind == logic.UpdateFailed {
+		in.bal.UpdateEndpoints(s.now, in.host, kind, nil)
 		return nil
 	}
 	if m.Roster == nil || *m.Roster < 0 || *m.Roster >= rosters || !s.listed[*m.Roster] {
 		return errors.New("membership: roster_id is missing or unknown")
 	}
-	in.bal.List(s.now, in.host, kind, s.rosters[*m.Roster])
+	in.bal.UpdateEndpoints(s.now, in.host, kind, s.rosters[*m.Roster])
 	return nil
 }
 
@@ -199,7 +199,7 @@
 		return errors.New("job_in: ticket, band or give_up_at_us is missing")
 	}
 	in.bal.Request(s.now, in.host, logic.Request{ID: *j.Ticket, Class: *j.Band, Tenant: j.Owner, Key: j.Key,
-		GiveUp: *j.GiveUp})
+		ClientDeadline: *j.GiveUp})
 	return nil
 }
 
@@ -216,7 +216,7 @@
 		return fmt.Errorf("completed: unknown verdict %d", *c.Verdict)
 	}
 	in.bal.Outcome(s.now, in.host, logic.Outcome{ID: *c.Ticket, Attempt: *c.Go, Status: status,
-		Took: c.Took, Closed: c.Terminal})
+		Latency: c.Took, RequestDone: c.Terminal})
 	return nil
 }
 
@@ -228,7 +228,7 @@
 	if t.Ticket == nil {
 		return errors.New("withdrawn: ticket is missing")
 	}
-	in.bal.Withdrawn(s.now, in.host, *t.Ticket)
+	in.bal.Cancel(s.now, in.host, *t.Ticket)
 	return nil
 }
 
@@ -240,7 +240,7 @@
 	if c.Ticket == nil {
 		return errors.New("established: ticket is missing")
 	}
-	in.bal.Started(s.now, *c.Ticket)
+	in.bal.ResponseStarted(s.now, *c.Ticket)
 	return nil
 }
 
--- a/cmd/simhost/serve_test.go
+++ b/cmd/simhost/serve_test.go
@@ -159,11 +159,11 @@
 	enc := json.NewEncoder(&out)
 	enc.SetEscapeHTML(false)
 	h := &host{who: "proxy_1", out: enc}
-	h.Send("aa", "backend-x", 7)
-	h.Refuse("aa", 250000)
+	h.Forward("aa", "backend-x", 7)
+	h.Shed("aa", 250000)
 	h.Fail("aa")
 	h.SetTimer(500000, "sweep")
-	h.Watch()
+	h.WatchEndpoints()
 	h.Log(`share <1 "low"`)
 	want := `{"place":{"who":"proxy_1","ticket":"aa","timeout_us":7,"backend":"backend-x"}}
 {"overload_reply":{"who":"proxy_1","ticket":"aa","stay_away_us":250000}}
--- a/cmd/simhost/wire.go
+++ b/cmd/simhost/wire.go
@@ -87,13 +87,13 @@
 }
 
 var statuses = map[int]logic.Status{
-	200: logic.OK, 500: logic.Error, 503: logic.FullUp, 504: logic.TimedOut, 502: logic.ConnectFailed,
-	598: logic.Reset, 499: logic.Cancelled, 410: logic.Moot,
+	200: logic.OK, 500: logic.Error, 503: logic.Overloaded, 504: logic.TimedOut, 502: logic.ConnectFailed,
+	598: logic.Reset, 499: logic.Canceled, 410: logic.NotSent,
 }
 
 // servers turns a roster's elements into the library's servers.
-func (l *ledger) servers() ([]logic.Server, error) {
-	out := make([]logic.Server, 0, len(*l.Elements))
+func (l *ledger) servers() ([]logic.Endpoint, error) {
+	out := make([]logic.Endpoint, 0, len(*l.Elements))
 	for i, e := range *l.Elements {
 		if e.Backend == nil || e.State == nil || e.DC == nil {
 			return nil, fmt.Errorf("elements[%d]: backend, dc or state is missing", i)
@@ -101,10 +101,10 @@
 		if *e.State < 0 || *e.State > 2 {
 			return nil, fmt.Errorf("elements[%d].state: unknown state %d", i, *e.State)
 		}
-		s := logic.Server{ID: *e.Backend, Zone: *e.DC, Cell: e.Pack,
-			State: logic.State(*e.State), Size: 1, Launched: e.Launched}
+		s := logic.Endpoint{ID: *e.Backend, Zone: *e.DC, Cell: e.Pack,
+			State: logic.State(*e.State), Weight: 1, StartedAt: e.Launched}
 		if e.Power != nil {
-			s.Size = *e.Power
+			s.Weight = *e.Power
 		}
 		out = append(out, s)
 	}
@@ -163,11 +163,11 @@
 // An error of writing shows again when the batch is flushed, so it is not looked at here.
 func (h *host) write(a action) { _ = h.out.Encode(a) }
 
-func (h *host) Send(id, server string, timeout int64) {
+func (h *host) Forward(id, server string, timeout int64) {
 	h.write(action{Place: &place{h.who, id, timeout, server}})
 }
 
-func (h *host) Refuse(id string, after int64) {
+func (h *host) Shed(id string, after int64) {
 	h.write(action{OverloadReply: &overloadReply{h.who, id, after}})
 }
 
@@ -177,6 +177,6 @@
 	h.write(action{Schedule: &schedule{h.who, delay, token}})
 }
 
-func (h *host) Watch() { h.write(action{Subscribe: &subscribe{h.who, true}}) }
+func (h *host) WatchEndpoints() { h.write(action{Subscribe: &subscribe{h.who, true}}) }
 
 func (h *host) Log(line string) { h.write(action{Emit: &emit{h.who, line}}) }
--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return err
 	}
-	sidecar.Tune(app) // as the program does
+	sidecar.ApplyRuntimeLimits(app) // as the program does
 	s, err := sidecar.New(app, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	if err != nil {
 		return err
--- a/internal/catalogue/dir/write.go
+++ b/internal/catalogue/dir/write.go
@@ -166,5 +166,5 @@
 	if target, err := filepath.EvalSymlinks(name); err == nil {
 		name = target
 	}
-	return durable.Replace(name, data, info.Mode().Perm(), true)
+	return durable.WriteFile(name, data, info.Mode().Perm(), true)
 }
--- a/internal/check/chain.go
+++ b/internal/check/chain.go
@@ -111,8 +111,8 @@
 	rule := s.Rules[s.Class(t.Class)]
 	resent := rule.Resend != config.Never
 	e := &edge{d: d, route: route, to: node{t.Service, t.Class}, limit: d.App.Limit(&d.App.Routes[route], t), budget: 1, causes: causes, may: resent, rule: rule}
-	if resent && s.Logic.MaxAttempts > 1 {
-		e.budget += min(s.Logic.BudgetShare, float64(s.Logic.MaxAttempts-1))
+	if resent && s.Balancer.MaxAttempts > 1 {
+		e.budget += min(s.Balancer.RetryBudgetRatio, float64(s.Balancer.MaxAttempts-1))
 	}
 	return e
 }
@@ -269,7 +269,7 @@
 func (c *chain) window(e *edge) {
 	s := e.d.App.Service(e.to.service)
 	rule := s.Rules[s.Class(e.to.class)]
-	if rule.Repeat != logic.Keyed {
+	if rule.Repeat != logic.IdempotentByKey {
 		return
 	}
 	if outer := c.outer(e); outer.time > rule.Window {
@@ -286,10 +286,10 @@
 	}
 	c.repeated[n] = nil
 	for _, e := range c.g.in[n] {
-		if e.rule.Repeat == logic.Keyed {
+		if e.rule.Repeat == logic.IdempotentByKey {
 			continue
 		}
-		if e.rule.Repeat == logic.Safe && e.may {
+		if e.rule.Repeat == logic.Idempotent && e.may {
 			c.repeated[n] = e
 			break
 		}
@@ -311,10 +311,10 @@
 		}
 		at := []string{"routes", strconv.Itoa(e.route + 1)}
 		switch {
-		case e.rule.Repeat == logic.Unsafe:
+		case e.rule.Repeat == logic.NonIdempotent:
 			c.bad(e.d, rules.RepeatChain, at, e.to.String(), fmt.Sprintf("%s may send %s, which causes it, again", by.d.App.Name, by.to), by.at())
 			return
-		case e.rule.Repeat == logic.Keyed && e.rule.Group != logic.GroupAll && several(e.d.App.Service(e.to.service), e.rule.Group):
+		case e.rule.Repeat == logic.IdempotentByKey && e.rule.Group != logic.DedupTier && several(e.d.App.Service(e.to.service), e.rule.Group):
 			c.bad(e.d, rules.ScopeChain, at, e.to.String()+" of scope "+config.GroupName(e.rule.Group), fmt.Sprintf("%s may send %s, which causes it, again", by.d.App.Name, by.to), by.at())
 			return
 		}
@@ -322,18 +322,18 @@
 }
 
 // groupOf names the group of backends that drop each other's repeats which an endpoint is in.
-func groupOf(cell int, zone string, g logic.Group) string {
+func groupOf(cell int, zone string, g logic.DedupScope) string {
 	switch g {
-	case logic.GroupZone:
+	case logic.DedupZone:
 		return zone
-	case logic.GroupCell:
+	case logic.DedupCell:
 		return strconv.Itoa(cell)
 	}
 	return ""
 }
 
 // several tells whether a service has, or may have, more than one group of backends that drop each other's repeats.
-func several(s *config.Service, g logic.Group) bool {
+func several(s *config.Service, g logic.DedupScope) bool {
 	if s.Source.Kind != config.Static {
 		return true
 	}
--- a/internal/check/fleet.go
+++ b/internal/check/fleet.go
@@ -295,7 +295,7 @@
 // recalledFor is the longest window of the classes whose group of backends an endpoint leaves.
 func recalledFor(s *config.Service, old endpoint, e membership.Endpoint) (longest time.Duration) {
 	for _, r := range s.Rules {
-		if r.Repeat == logic.Keyed && groupOf(old.cell, old.zone, r.Group) != groupOf(e.Cell, e.Zone, r.Group) {
+		if r.Repeat == logic.IdempotentByKey && groupOf(old.cell, old.zone, r.Group) != groupOf(e.Cell, e.Zone, r.Group) {
 			longest = max(longest, r.Window)
 		}
 	}
--- a/internal/check/mutants_test.go
+++ b/internal/check/mutants_test.go
@@ -649,6 +649,6 @@
 			t.Errorf("mutant %d: accepted, and not loaded: %s: %v", seed, d.File, err)
 			continue
 		}
-		s.Discard()
+		s.Close()
 	}
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -27,7 +27,7 @@
 		}
 		for n, t := range targets {
 			used[[2]string{t.Service, t.Class}], used[[2]string{t.Service}] = true, true
-			if _, rule, ok := a.class(t); ok && n < len(r.To) && rule.Repeat == logic.Keyed && rule.Resend != Never {
+			if _, rule, ok := a.class(t); ok && n < len(r.To) && rule.Repeat == logic.IdempotentByKey && rule.Resend != Never {
 				if limit := a.Limit(r, t); limit > rule.Window {
 					at.Bad(rules.KeyedWindow, "timeout", "its requests may take %v, class %s of %s is recalled for %v", limit, t.Class, t.Service, rule.Window)
 				}
@@ -50,6 +50,6 @@
 }
 
 // GroupName is the word for a scope.
-func GroupName(g logic.Group) string {
-	return [...]string{logic.GroupAll: "service", logic.GroupZone: "zone", logic.GroupCell: "cell"}[g]
+func GroupName(g logic.DedupScope) string {
+	return [...]string{logic.DedupTier: "service", logic.DedupZone: "zone", logic.DedupCell: "cell"}[g]
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -96,7 +96,7 @@
 	Name   string
 	Owner  string // the team that owns it; may be empty
 	Source Source
-	settings.Site
+	settings.Deployment
 	Rules        []Rule           // of its classes, in their order; none on the platform
 	Codes        Codes            // of the sidecar's own answers
 	ColdMultiple float64          // of its present capacity that a cold backend bears
@@ -112,10 +112,10 @@
 // Rule is what a class's owner states about running a request again. Logic.Classes has what the module is told, which
 // differs where Resend is narrower than the repeat rule.
 type Rule struct {
-	Repeat   logic.Repeat
-	Group    logic.Group   // of Keyed: who drops repeats between them
-	Window   time.Duration // of Keyed: for how long
-	Key      string        // of Keyed: the field that carries the key, in canonical form
+	Repeat   logic.Idempotency
+	Group    logic.DedupScope // of Keyed: who drops repeats between them
+	Window   time.Duration    // of Keyed: for how long
+	Key      string           // of Keyed: the field that carries the key, in canonical form
 	Resend   Resend
 	Early    bool     // taken in early data (RFC 8470)
 	Formerly []string // names that the class had
@@ -212,7 +212,7 @@
 // class's deadline.
 func (a *App) Limit(r *Route, t Target) time.Duration {
 	s := a.Service(t.Service)
-	d := time.Duration(s.Logic.Classes[s.Class(t.Class)].Deadline) * time.Microsecond
+	d := time.Duration(s.Balancer.Classes[s.Class(t.Class)].Deadline) * time.Microsecond
 	if r.Timeout > 0 {
 		d = min(d, r.Timeout)
 	}
@@ -221,7 +221,7 @@
 
 // Longest is the longest deadline of all classes of a service.
 func (s *Service) Longest() (d time.Duration) {
-	for _, c := range s.Logic.Classes {
+	for _, c := range s.Balancer.Classes {
 		d = max(d, time.Duration(c.Deadline)*time.Microsecond)
 	}
 	return d
@@ -296,6 +296,6 @@
 }
 
 // RepeatName is the word for a repeat rule.
-func RepeatName(r logic.Repeat) string {
-	return [...]string{logic.Safe: "safe", logic.Keyed: "keyed", logic.Unsafe: "unsafe"}[r]
+func RepeatName(r logic.Idempotency) string {
+	return [...]string{logic.Idempotent: "safe", logic.IdempotentByKey: "keyed", logic.NonIdempotent: "unsafe"}[r]
 }
--- a/internal/config/decode_class.go
+++ b/internal/config/decode_class.go
@@ -30,7 +30,7 @@
 		c.Done()
 		v.Classes = append(v.Classes, names[i])
 		v.Rules = append(v.Rules, r)
-		v.Logic.Classes = append(v.Logic.Classes, k)
+		v.Balancer.Classes = append(v.Balancer.Classes, k)
 	}
 	if len(names) == 0 {
 		s.Bad(rules.Missing, "classes", "one class at least expected")
@@ -39,19 +39,19 @@
 
 // class reads one class: what the module is told of it, and what its owner states.
 func (x *decoder) class(c doc.Scope) (k logic.Class, r Rule) {
-	k = logic.Class{Aim: micros(c.Span("objective", 500*time.Millisecond, minTime, MaxDeadline)),
-		Deadline:  micros(c.Span("deadline", 2*time.Second, minTime, MaxDeadline)),
-		Worth:     c.Number("worth", 1, 0, 1e9),
-		LateWorth: c.Number("late_worth", 0.5, 0, 1),
-		ByArrival: c.Flag("in_order"),
+	k = logic.Class{LatencyObjective: micros(c.Span("objective", 500*time.Millisecond, minTime, MaxDeadline)),
+		Deadline:           micros(c.Span("deadline", 2*time.Second, minTime, MaxDeadline)),
+		PriorityWeight:     c.Number("worth", 1, 0, 1e9),
+		LatePriorityFactor: c.Number("late_worth", 0.5, 0, 1),
+		Ordered:            c.Flag("in_order"),
 	}
-	if k.Aim > k.Deadline {
+	if k.LatencyObjective > k.Deadline {
 		c.Bad(rules.Objective, "objective", "the deadline (%v) expected at most", time.Duration(k.Deadline)*time.Microsecond)
 	}
 	r = x.repeat(c)
-	k.Repeat, k.Group, k.Window = r.Repeat, r.Group, micros(r.Window)
+	k.Idempotency, k.DedupScope, k.DedupWindow = r.Repeat, r.Group, micros(r.Window)
 	if r.Resend == Never { // the module sends again what is proven not to have run, and nothing else
-		k.Repeat, k.Group, k.Window = logic.Unsafe, logic.GroupAll, 0
+		k.Idempotency, k.DedupScope, k.DedupWindow = logic.NonIdempotent, logic.DedupTier, 0
 	}
 	return k, r
 }
@@ -61,7 +61,7 @@
 	x.repeatRule(c, &r)
 	x.deduplication(c, &r)
 	if x.version < 2 {
-		if r.Repeat == logic.Keyed {
+		if r.Repeat == logic.IdempotentByKey {
 			r.Key = DefaultKey
 		}
 		return r
@@ -82,14 +82,14 @@
 	}
 	switch c.Word("repeat", "safe", "safe", "keyed", "unsafe") {
 	case "safe":
-		r.Repeat, r.Resend, r.Early = logic.Safe, Any, true
+		r.Repeat, r.Resend, r.Early = logic.Idempotent, Any, true
 	case "keyed":
-		r.Repeat, r.Resend = logic.Keyed, InScope
+		r.Repeat, r.Resend = logic.IdempotentByKey, InScope
 		if !c.Has("dedup_window") {
 			c.Bad(rules.Missing, "dedup_window", "how long its servers recall a key is expected of a keyed class")
 		}
 	case "unsafe":
-		r.Repeat = logic.Unsafe
+		r.Repeat = logic.NonIdempotent
 	}
 }
 
@@ -98,14 +98,14 @@
 	r.Window = c.Span("dedup_window", 0, 0, time.Hour)
 	switch c.Word("dedup_scope", "cell", "cell", "zone", "service") {
 	case "zone":
-		r.Group = logic.GroupZone
+		r.Group = logic.DedupZone
 	case "cell":
-		r.Group = logic.GroupCell
+		r.Group = logic.DedupCell
 	}
-	if r.Repeat == logic.Keyed {
+	if r.Repeat == logic.IdempotentByKey {
 		return
 	}
-	r.Group, r.Window = logic.GroupAll, 0
+	r.Group, r.Window = logic.DedupTier, 0
 	for _, f := range []string{"dedup_window", "dedup_scope", "key"} {
 		if c.Has(f) && (f != "key" || x.version >= 2) {
 			c.Bad(rules.KeyedFields, f, "only keyed classes are deduplicated")
@@ -116,7 +116,7 @@
 // key reads the field that carries the key of a keyed class.
 func (x *decoder) key(c doc.Scope, r *Rule) {
 	key := textproto.CanonicalMIMEHeaderKey(c.Text("key", ""))
-	if r.Repeat != logic.Keyed {
+	if r.Repeat != logic.IdempotentByKey {
 		return
 	}
 	r.Key = key
@@ -140,11 +140,11 @@
 	word := c.Word("resend", usual, "never", "scope", "any")
 	allowed := map[string]Resend{"never": Never, "scope": InScope, "any": Any}[word]
 	switch {
-	case r.Repeat == logic.Unsafe && allowed != Never:
+	case r.Repeat == logic.NonIdempotent && allowed != Never:
 		c.Bad(rules.UnsafeResend, "resend", `"never" expected of an unsafe class`)
-	case r.Repeat == logic.Keyed && allowed == Any:
+	case r.Repeat == logic.IdempotentByKey && allowed == Any:
 		c.Bad(rules.KeyedScope, "resend", `"scope" or "never" expected of a keyed class`)
-	case r.Repeat == logic.Safe && allowed == InScope:
+	case r.Repeat == logic.Idempotent && allowed == InScope:
 		c.Bad(rules.KeyedFields, "resend", `"any" or "never" expected of a safe class: it has no scope`)
 	default:
 		r.Resend = allowed
@@ -153,7 +153,7 @@
 		c.Bad(rules.Hedge, "hedge", "one attempt at a time expected")
 	}
 	if c.Has("early_data") {
-		if r.Early = c.Flag("early_data"); r.Early && r.Repeat != logic.Safe {
+		if r.Early = c.Flag("early_data"); r.Early && r.Repeat != logic.Idempotent {
 			c.Bad(rules.UnsafeEarly, "early_data", "false expected of a class that is not safe")
 		}
 	}
--- a/internal/config/decode_route.go
+++ b/internal/config/decode_route.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		at := scopes[numbers[re.Rule]]
-		var sh *route.Shadowed
+		var sh *route.ShadowedError
 		if errors.As(e, &sh) {
 			by := scopes[numbers[sh.By]]
 			x.Faults = append(x.Faults, Fault{Place: at.V.Place, Rule: rules.RouteDead, Field: at.Path,
--- a/internal/config/decode_service.go
+++ b/internal/config/decode_service.go
@@ -64,16 +64,16 @@
 	if len(v.Zones) == 0 {
 		v.Zones = []string{zone}
 	}
-	l := &v.Logic
+	l := &v.Balancer
 	*l = logic.Settings{Zones: len(v.Zones), Zone: slices.Index(v.Zones, zone),
-		Siblings: int(s.Whole("siblings", 1, 1, 1<<20)), Ordinal: int(s.Whole("ordinal", 0, 0, 1<<20)),
-		Stage: int(s.Whole("tier", 0, 0, 64)), MaxAttempts: int(s.Whole("attempts", 3, 1, 16)),
-		OrderSettle:   micros(s.Span("order_settle", 0, 0, MaxDeadline)),
-		FullMayRun:    s.Flag("full_may_run"),
-		MaxRetryAfter: micros(s.Span("retry_after", time.Second, 0, MaxDeadline)),
-		DrainGrace:    micros(s.Span("drain_grace", MaxDrainGrace, 0, time.Minute)),
-		Cold:          micros(s.Span("cold", 0, 0, 10*time.Minute)), StartCapacity: s.Number("start_capacity", 1, 0.01, 1),
-		SizeHints: s.Flag("weighted"), Lag: micros(v.DialTimeout),
+		Replicas: int(s.Whole("siblings", 1, 1, 1<<20)), ReplicaIndex: int(s.Whole("ordinal", 0, 0, 1<<20)),
+		Tier: int(s.Whole("tier", 0, 0, 64)), MaxAttempts: int(s.Whole("attempts", 3, 1, 16)),
+		OrderingDelay:       micros(s.Span("order_settle", 0, 0, MaxDeadline)),
+		RejectionMayHaveRun: s.Flag("full_may_run"),
+		MaxRetryAfter:       micros(s.Span("retry_after", time.Second, 0, MaxDeadline)),
+		DrainGrace:          micros(s.Span("drain_grace", MaxDrainGrace, 0, time.Minute)),
+		SlowStartWindow:     micros(s.Span("cold", 0, 0, 10*time.Minute)), SlowStartMinCapacity: s.Number("start_capacity", 1, 0.01, 1),
+		WeightedEndpoints: s.Flag("weighted"), MaxSendDelay: micros(v.DialTimeout),
 	}
 	if l.Zone < 0 {
 		s.Bad(rules.UnknownZone, "zone", "one of zones expected: %s", strings.Join(v.Zones, ", "))
@@ -89,9 +89,9 @@
 // retryBudget reads how many further attempts the service may get.
 func (x *decoder) retryBudget(s doc.Scope, v *Service) {
 	b := s.Sub("retry_budget")
-	v.Logic.BudgetSpan = micros(b.Span("span", 10*time.Second, 100*time.Millisecond, 10*time.Minute))
-	v.Logic.BudgetFree = b.Number("free", 5, 0, 1e6)
-	v.Logic.BudgetShare = b.Number("share", 0.1, 0, 10)
+	v.Balancer.RetryBudgetWindow = micros(b.Span("span", 10*time.Second, 100*time.Millisecond, 10*time.Minute))
+	v.Balancer.RetryBudgetMin = b.Number("free", 5, 0, 1e6)
+	v.Balancer.RetryBudgetRatio = b.Number("share", 0.1, 0, 10)
 	b.Done()
 }
 
@@ -103,10 +103,10 @@
 		Named(t, "", names[i])
 		v.Tenants = append(v.Tenants, names[i])
 		before := len(s.Faults)
-		one := logic.Tenant{Portion: t.Number("portion", 1, 0, 1), Quota: t.Number("quota", 0, 0, 1e9)}
-		v.Logic.Tenants = append(v.Logic.Tenants, one)
+		one := logic.Tenant{CapacityFraction: t.Number("portion", 1, 0, 1), Quota: t.Number("quota", 0, 0, 1e9)}
+		v.Balancer.Tenants = append(v.Balancer.Tenants, one)
 		if len(s.Faults) == before {
-			portions += one.Portion
+			portions += one.CapacityFraction
 		}
 		t.Done()
 	}
--- a/internal/config/decode_source.go
+++ b/internal/config/decode_source.go
@@ -103,7 +103,7 @@
 	}
 	s.Take("endpoints")
 	if s.Flag("subscribe") {
-		v.Logic.Subscribe, v.Logic.AskEvery = true, micros(askInterval)
+		v.Balancer.WatchEndpoints, v.Balancer.PollInterval = true, micros(askInterval)
 	}
 }
 
@@ -129,7 +129,7 @@
 
 // endpoint reads one backend that stands in the file; its name is its address where it has none.
 func (x *decoder) endpoint(e doc.Scope, v *Service) membership.Endpoint {
-	one := membership.Endpoint{Name: e.Text("name", ""), Address: address(e, "address", false), Zone: e.Text("zone", v.Zones[max(0, v.Logic.Zone)]),
+	one := membership.Endpoint{Name: e.Text("name", ""), Address: address(e, "address", false), Zone: e.Text("zone", v.Zones[max(0, v.Balancer.Zone)]),
 		Cell: int(e.Whole("cell", 0, 0, 1<<30)), Weight: e.Number("weight", 1, 0, 1e6)}
 	if e.Word("status", "serving", "serving", "draining") == "draining" {
 		one.Status = membership.Draining
--- a/internal/config/decode_target.go
+++ b/internal/config/decode_target.go
@@ -34,14 +34,14 @@
 
 // split reads the sides of a split and their weights.
 func (x *decoder) split(s doc.Scope, r *Route, sides []doc.Scope) {
-	var weights []route.Side
+	var weights []route.Arm
 	for _, side := range sides {
 		t := x.target(side, int(side.Whole("weight", 0, 0, route.MaxWeight)))
 		if !side.Has("weight") {
 			side.Bad(rules.Missing, "weight", "0 to %d expected", route.MaxWeight)
 		}
 		side.Done()
-		r.To, weights = append(r.To, t), append(weights, route.Side{Name: t.Service, Weight: t.Weight})
+		r.To, weights = append(r.To, t), append(weights, route.Arm{Name: t.Service, Weight: t.Weight})
 	}
 	if _, err := route.NewSplit("", weights); err != nil {
 		s.Bad(rules.SplitWeights, "split", "%v", err)
@@ -62,7 +62,7 @@
 			x.checkAgreement(s, r.To[first], t)
 		}
 		x.checkTimeout(s, r, t, k)
-		if rule.Repeat == logic.Keyed && len(r.To) > 1 && r.Sticky != "" && r.Sticky != rule.Key && i == first {
+		if rule.Repeat == logic.IdempotentByKey && len(r.To) > 1 && r.Sticky != "" && r.Sticky != rule.Key && i == first {
 			s.Bad(rules.SplitScope, "sticky_header", "class %s of %s is keyed: one key may come with two values of %s", t.Class, t.Service, r.Sticky)
 		}
 	}
@@ -78,7 +78,7 @@
 		return
 	}
 	told := func(r Rule) bool { return r.Key != "" && r.Window > 0 }
-	if a.Repeat == logic.Keyed && told(a) && told(b) {
+	if a.Repeat == logic.IdempotentByKey && told(a) && told(b) {
 		sameScope(s, first, a, other, b)
 	}
 }
@@ -88,7 +88,7 @@
 	if deadline := time.Duration(k.Deadline) * time.Microsecond; r.Timeout > deadline {
 		s.Bad(rules.LimitDeadline, "timeout", "the deadline of class %s (%v) expected at most", t.Class, deadline)
 	}
-	if aim := time.Duration(k.Aim) * time.Microsecond; r.Timeout > 0 && r.Timeout < aim {
+	if aim := time.Duration(k.LatencyObjective) * time.Microsecond; r.Timeout > 0 && r.Timeout < aim {
 		s.Bad(rules.LimitObjective, "timeout", "the objective of class %s of %s (%v) expected at least", t.Class, t.Service, aim)
 	}
 }
@@ -116,12 +116,12 @@
 	t := x.target(m, 0)
 	m.Done()
 	for _, to := range r.To {
-		if _, rule, ok := x.app.class(to); ok && rule.Repeat != logic.Safe {
+		if _, rule, ok := x.app.class(to); ok && rule.Repeat != logic.Idempotent {
 			s.Bad(rules.Mirror, "mirror", "the route's class is %s: a copy of its requests would let an effect happen twice", RepeatName(rule.Repeat))
 			break
 		}
 	}
-	if _, rule, ok := x.app.class(t); ok && rule.Repeat != logic.Safe {
+	if _, rule, ok := x.app.class(t); ok && rule.Repeat != logic.Idempotent {
 		s.Bad(rules.Mirror, "mirror", "class %s of %s is %s: copies go to safe classes alone", t.Class, t.Service, RepeatName(rule.Repeat))
 	}
 	r.Mirror = &t
@@ -169,7 +169,7 @@
 func (a *App) class(t Target) (logic.Class, Rule, bool) {
 	if v := a.Service(t.Service); v != nil {
 		if i := v.Class(t.Class); i >= 0 {
-			return v.Logic.Classes[i], v.Rules[i], true
+			return v.Balancer.Classes[i], v.Rules[i], true
 		}
 	}
 	return logic.Class{}, Rule{}, false
--- a/internal/config/decode_test.go
+++ b/internal/config/decode_test.go
@@ -99,13 +99,13 @@
 	if !tariff.Trusted || tariff.Source.Kind != Static || len(tariff.Source.Endpoints) != 2 || tariff.Source.Endpoints[1].Weight != 2 {
 		t.Errorf("got %+v", tariff)
 	}
-	if k := tariff.Logic.Classes[0]; k.Repeat != logic.Safe || k.Aim != 200_000 || k.Deadline != 1_500_000 {
+	if k := tariff.Balancer.Classes[0]; k.Idempotency != logic.Idempotent || k.LatencyObjective != 200_000 || k.Deadline != 1_500_000 {
 		t.Errorf("got %+v", k)
 	}
-	if k := billing.Logic.Classes[billing.Class("rate")]; k.Repeat != logic.Keyed || k.Group != logic.GroupCell || k.Window != 7_500_000 {
+	if k := billing.Balancer.Classes[billing.Class("rate")]; k.Idempotency != logic.IdempotentByKey || k.DedupScope != logic.DedupCell || k.DedupWindow != 7_500_000 {
 		t.Errorf("got %+v", k)
 	}
-	if billing.Logic.Zone != 1 || billing.Source.Address != "127.0.0.1:8500" || billing.Tenants[0] != "acme" || billing.Logic.Tenants[0].Quota != 100 {
+	if billing.Balancer.Zone != 1 || billing.Source.Address != "127.0.0.1:8500" || billing.Tenants[0] != "acme" || billing.Balancer.Tenants[0].Quota != 100 {
 		t.Errorf("got %+v", billing)
 	}
 	r := a.Routes[0]
@@ -249,7 +249,7 @@
 	}
 	s := a.Services[0]
 	if a.Wording != Platform || a.Listeners[0].Address != "127.0.0.1:0" || a.Seed != 0x8c1f30d27a5be964 ||
-		a.Process != (Process{1, 192, 512}) || s.Source.Address != "127.0.0.1:1" || s.Known.Index != 4 || s.Classes[0] != "look" ||
+		a.Process != (Process{1, 192, 512}) || s.Source.Address != "127.0.0.1:1" || s.Known.Version != 4 || s.Classes[0] != "look" ||
 		s.PassAll || s.Trusted {
 		t.Errorf("got %+v, %+v", a, s)
 	}
@@ -312,7 +312,7 @@
 				}
 			}
 			for _, s := range a.Services {
-				if _, err := logic.New(s.Logic, 1); err != nil {
+				if _, err := logic.New(s.Balancer, 1); err != nil {
 					t.Fatalf("settings that the module does not take: %v", err)
 				}
 			}
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -84,7 +84,7 @@
 	}
 	for _, s := range app.Services {
 		for i, c := range s.Classes {
-			if s.Rules[i].Repeat != logic.Keyed {
+			if s.Rules[i].Repeat != logic.IdempotentByKey {
 				continue
 			}
 			class, _ := root.At("services", s.Name, "classes", c)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	s := &Service{Name: PlatformService, Site: *site, MaxBody: 64 << 10, MaxAnswer: 1 << 20,
+	s := &Service{Name: PlatformService, Deployment: *site, MaxBody: 64 << 10, MaxAnswer: 1 << 20,
 		Source: Source{Kind: Catalog, Address: raw.Discovery}}
 	if len(raw.Known) > 0 && string(raw.Known) != "null" {
 		if s.Known, err = membership.Parse(raw.Known); err != nil {
--- a/internal/config/testdata_test.go
+++ b/internal/config/testdata_test.go
@@ -168,7 +168,7 @@
 		t.Errorf("%s: %s: %v", at, f.Name, err)
 		return
 	}
-	s.Discard()
+	s.Close()
 }
 
 // A file over the bound is refused before it is read, and one just under it for what it says.
--- a/internal/core/listed_test.go
+++ b/internal/core/listed_test.go
@@ -17,30 +17,30 @@
 		for _, pools := range []int{1, 10} {
 			b.Run(fmt.Sprintf("servers=%d/pools=%d", n, pools), func(b *testing.B) {
 				var all []*core.Pool
-				list := &membership.List{Index: 1, Full: true}
+				list := &membership.List{Version: 1, Full: true}
 				for i := range n {
 					list.Endpoints = append(list.Endpoints, membership.Endpoint{Name: fmt.Sprintf("server-%d", i), Address: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Cell: i % 8, Weight: 1})
 				}
 				for range pools {
-					p, err := core.New(core.Config{Settings: logic.Settings{Siblings: 1, Zones: 1, MaxAttempts: 3, StartCapacity: 1, Classes: []logic.Class{{Aim: 1e6, Deadline: 2e6, Worth: 1}}},
+					p, err := core.New(core.Config{Settings: logic.Settings{Replicas: 1, Zones: 1, MaxAttempts: 3, SlowStartMinCapacity: 1, Classes: []logic.Class{{LatencyObjective: 1e6, Deadline: 2e6, PriorityWeight: 1}}},
 						Seed: 1, Zones: []string{""}, Upstream: upstream.New(upstream.Config{}), Clock: core.NewClock(), Log: slog.New(slog.DiscardHandler)})
 					if err != nil {
 						b.Fatal(err)
 					}
-					p.Listed(list)
+					p.UpdateEndpoints(list)
 					all = append(all, p)
 				}
 				change := &membership.List{Endpoints: make([]membership.Endpoint, 1)}
 				i := 0
 				for b.Loop() {
-					change.Index = int64(i + 2)
+					change.Version = int64(i + 2)
 					e := list.Endpoints[i/2*7%n]
 					if e.Weight = 2; i%20 == 0 {
 						e.Status = membership.Deleted
 					}
 					change.Endpoints[0] = e
 					for _, p := range all {
-						p.Listed(change)
+						p.UpdateEndpoints(change)
 					}
 					i++
 				}
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -61,9 +61,9 @@
 	Upstream Upstream
 	Clock    Clock
 	Log      *slog.Logger
-	// SameID is how long a request waits for the end of an earlier one under its id. A caller that has given up an attempt may send the
+	// DuplicateIDWait is how long a request waits for the end of an earlier one under its id. A caller that has given up an attempt may send the
 	// request again before this pool has seen it leave. 0: it is rejected at once.
-	SameID time.Duration
+	DuplicateIDWait time.Duration
 }
 
 // New returns a pool with no list. Its time stands still until Run.
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return &Pool{clock: cfg.Clock, upstream: cfg.Upstream, zones: newZones(cfg.Zones), log: cfg.Log, sameID: cfg.SameID, lag: cfg.Settings.Lag, classes: cfg.Settings.Classes,
+	return &Pool{clock: cfg.Clock, upstream: cfg.Upstream, zones: newZones(cfg.Zones), log: cfg.Log, sameID: cfg.DuplicateIDWait, lag: cfg.Settings.MaxSendDelay, classes: cfg.Settings.Classes,
 		asked: make(chan struct{}, 1), listed: make(chan struct{}), traced: make(chan struct{}, 1), bal: bal, reqs: map[string]*Request{},
 		alarm: time.NewTimer(farAway)}, nil
 }
@@ -97,12 +97,12 @@
 		case <-p.alarm.C:
 			p.play(func() { p.alarmAt = 0 })
 		case now := <-sweep.C:
-			p.upstream.Sweep(now)
+			p.upstream.CloseExpired(now)
 		case <-ctx.Done():
 			p.Close()
 			p.play(func() {
 				for _, r := range p.reqs {
-					p.withdraw(r, Answer{Verdict: Aborted})
+					p.cancelLocked(r, Answer{Verdict: Canceled})
 				}
 			})
 			p.callers.Wait()
@@ -135,7 +135,7 @@
 	for len(p.unsent) > 0 {
 		a := p.unsent[0]
 		p.unsent = p.unsent[1:]
-		p.outcome(a, Result{Status: logic.Moot})
+		p.outcome(a, AttemptResult{Status: logic.NotSent})
 	}
 }
 
@@ -149,41 +149,41 @@
 		if t.req == nil {
 			p.bal.Timer(now, (*host)(p), t.token)
 		} else {
-			p.withdraw(t.req, Answer{Verdict: Expired}) // the module has not ended it in its time
+			p.cancelLocked(t.req, Answer{Verdict: Expired}) // the module has not ended it in its time
 		}
 		p.settle()
 	}
 }
 
-// Cached takes the list as it was last known, maybe long ago.
-func (p *Pool) Cached(list *membership.List) { p.list(logic.Cached, list) }
+// UpdateFromCache takes the list as it was last known, maybe long ago.
+func (p *Pool) UpdateFromCache(list *membership.List) { p.list(logic.CachedSnapshot, list) }
 
-// Recalled takes the list as an earlier process knew it: see logic.Recalled.
-func (p *Pool) Recalled(list *membership.List) { p.list(logic.Recalled, list) }
+// RestoreEndpoints takes the list as an earlier process knew it: see logic.Recalled.
+func (p *Pool) RestoreEndpoints(list *membership.List) { p.list(logic.RestoredSnapshot, list) }
 
-// Listed implements membership.Sink.
-func (p *Pool) Listed(list *membership.List) {
+// UpdateEndpoints implements membership.Sink.
+func (p *Pool) UpdateEndpoints(list *membership.List) {
 	if list.Full {
-		p.list(logic.Full, list)
+		p.list(logic.Snapshot, list)
 	} else {
 		p.list(logic.Delta, list)
 	}
 }
 
-// Missed implements membership.Sink.
-func (p *Pool) Missed() {
-	p.play(func() { p.bal.List(p.clock.Now(), (*host)(p), logic.Failed, nil) })
+// UpdateFailed implements membership.Sink.
+func (p *Pool) UpdateFailed() {
+	p.play(func() { p.bal.UpdateEndpoints(p.clock.Now(), (*host)(p), logic.UpdateFailed, nil) })
 }
 
 // list applies a list, to the connections first and then to the module.
-func (p *Pool) list(kind logic.ListKind, list *membership.List) {
+func (p *Pool) list(kind logic.UpdateKind, list *membership.List) {
 	p.play(func() {
-		p.upstream.Apply(kind != logic.Delta, list.Endpoints)
-		p.bal.List(p.clock.Now(), (*host)(p), kind, p.zones.servers(list.Endpoints))
+		p.upstream.UpdateEndpoints(kind != logic.Delta, list.Endpoints)
+		p.bal.UpdateEndpoints(p.clock.Now(), (*host)(p), kind, p.zones.servers(list.Endpoints))
 		select {
 		case <-p.listed:
 		default:
-			if kind == logic.Full || len(list.Endpoints) > 0 {
+			if kind == logic.Snapshot || len(list.Endpoints) > 0 {
 				close(p.listed)
 			}
 		}
@@ -193,8 +193,8 @@
 // Ready is closed when the pool has a list.
 func (p *Pool) Ready() <-chan struct{} { return p.listed }
 
-// Asked tells when the module wants a subscription to the list opened.
-func (p *Pool) Asked() <-chan struct{} { return p.asked }
+// WatchRequested tells when the module wants a subscription to the list opened.
+func (p *Pool) WatchRequested() <-chan struct{} { return p.asked }
 
 // Clock is the pool's time.
 func (p *Pool) Clock() Clock { return p.clock }
@@ -210,7 +210,7 @@
 	}
 	if p.closed {
 		p.mu.Unlock()
-		return Answer{Verdict: NotTaken}
+		return Answer{Verdict: NotAdmitted}
 	}
 	if p.reqs[r.ID] != nil { // two under one id could not be told apart
 		p.mu.Unlock()
@@ -233,7 +233,7 @@
 			break
 		}
 		p.mu.Unlock()
-		res := a.way.Carry(a)
+		res := a.way.RoundTrip(a)
 		p.mu.Lock()
 		p.outcome(a, res)
 	}
@@ -254,7 +254,7 @@
 	gone := earlier.gone
 	p.mu.Unlock()
 	defer p.mu.Lock()
-	timeout := time.NewTimer(min(p.sameID, time.Until(p.clock.Time(r.GiveUp))))
+	timeout := time.NewTimer(min(p.sameID, time.Until(p.clock.Time(r.ClientDeadline))))
 	defer timeout.Stop()
 	select {
 	case <-gone:
@@ -276,33 +276,33 @@
 // take hands a request to the module. It has until GiveUp to end it.
 func (p *Pool) take(r *Request) {
 	if p.cutoff > 0 {
-		r.GiveUp = min(r.GiveUp, p.cutoff)
+		r.ClientDeadline = min(r.ClientDeadline, p.cutoff)
 	}
 	p.reqs[r.ID] = r
-	r.time = timer{at: r.GiveUp + expireAfter.Microseconds(), req: r}
+	r.time = timer{at: r.ClientDeadline + expireAfter.Microseconds(), req: r}
 	heap.Push(&p.timers, &r.time)
 	p.bal.Request(p.clock.Now(), (*host)(p), r.Request)
 }
 
-// Withdraw ends a request that nobody waits for any more, and its attempt. It may come before Do.
-func (p *Pool) Withdraw(r *Request) {
+// Cancel ends a request that nobody waits for any more, and its attempt. It may come before Do.
+func (p *Pool) Cancel(r *Request) {
 	p.play(func() {
 		if p.reqs[r.ID] == r {
-			p.withdraw(r, Answer{Verdict: Aborted})
+			p.cancelLocked(r, Answer{Verdict: Canceled})
 		} else if !r.over {
-			r.over, r.answer = true, Answer{Verdict: Aborted}
+			r.over, r.answer = true, Answer{Verdict: Canceled}
 		}
 	})
 }
 
-func (p *Pool) withdraw(r *Request, ans Answer) {
+func (p *Pool) cancelLocked(r *Request, ans Answer) {
 	if r.over {
 		return
 	}
 	p.end(r, ans)
-	p.bal.Withdrawn(p.clock.Now(), (*host)(p), r.ID)
+	p.bal.Cancel(p.clock.Now(), (*host)(p), r.ID)
 	if r.out != nil {
-		r.out.Stop()
+		r.out.Cancel()
 	}
 }
 
@@ -312,9 +312,9 @@
 		return
 	}
 	if r.over, r.answer = true, ans; ans.Verdict == Failed {
-		r.answer.Reply, r.last = r.last, nil
+		r.answer.Response, r.last = r.last, nil
 	}
-	r.last.Done()
+	r.last.Close()
 	r.last = nil
 	r.tell()
 	p.forget(r)
@@ -333,8 +333,8 @@
 	}
 }
 
-// Hurry is for SIGTERM: all requests end by cutoff, since the process may be killed soon after.
-func (p *Pool) Hurry(cutoff time.Time) {
+// LimitDeadlines is for SIGTERM: all requests end by cutoff, since the process may be killed soon after.
+func (p *Pool) LimitDeadlines(cutoff time.Time) {
 	at := p.clock.At(cutoff)
 	p.play(func() {
 		p.cutoff = at
@@ -365,32 +365,32 @@
 }
 
 // outcome tells the module how an attempt ended; a served request has its answer first.
-func (p *Pool) outcome(a *Attempt, res Result) {
+func (p *Pool) outcome(a *Attempt, res AttemptResult) {
 	r := a.Request
 	if r.out == a {
 		r.out = nil
 	}
-	if res.Fault && p.bal.Doubts(a.server) {
-		res.Fault = false // it may be another service that finds fault, and with what was not meant for it
+	if res.InvalidRequest && p.bal.Unverified(a.server) {
+		res.InvalidRequest = false // it may be another service that finds fault, and with what was not meant for it
 	}
 	switch {
 	case r.over:
-		res.Reply.Done() // nobody waits for it
-	case res.Fault:
-		p.end(r, Answer{Verdict: Rejected, Reply: res.Reply})
+		res.Response.Close() // nobody waits for it
+	case res.InvalidRequest:
+		p.end(r, Answer{Verdict: Rejected, Response: res.Response})
 	case res.Status == logic.OK:
-		p.end(r, Answer{Verdict: Served, Reply: res.Reply})
-	case res.Reply != nil:
-		r.last.Done()
-		r.last = res.Reply
+		p.end(r, Answer{Verdict: Served, Response: res.Response})
+	case res.Response != nil:
+		r.last.Close()
+		r.last = res.Response
 	}
-	if res.Fault {
+	if res.InvalidRequest {
 		// The client's fault is no evidence against the backend, and another would say the same.
-		res.Status = logic.Moot
+		res.Status = logic.NotSent
 	}
 	now := p.clock.Now()
-	p.bal.Outcome(now, (*host)(p), logic.Outcome{ID: r.ID, Attempt: a.number, Status: res.Status, Took: now - a.sent,
-		Closed: r.over})
+	p.bal.Outcome(now, (*host)(p), logic.Outcome{ID: r.ID, Attempt: a.number, Status: res.Status, Latency: now - a.sent,
+		RequestDone: r.over})
 	p.forget(r)
 }
 
@@ -399,25 +399,25 @@
 
 var errNoRequest = errors.New("unknown request")
 
-// Send implements logic.Host.
-func (h *host) Send(id, server string, timeout int64) {
+// Forward implements logic.Host.
+func (h *host) Forward(id, server string, timeout int64) {
 	r := h.reqs[id]
 	if r == nil {
 		h.log.Error("send", "id", id, "error", errNoRequest)
 		return
 	}
 	now := h.clock.Now()
-	until := r.GiveUp
+	until := r.ClientDeadline
 	if timeout != 0 {
 		until = min(until, now+timeout)
 	}
 	a := &Attempt{Request: r, server: server, number: r.sends, sent: now, Deadline: h.clock.Time(until)}
-	if r.sends > 0 && h.lag > 0 && h.classes[r.Class].Repeat == logic.Keyed { // it may rest on what its backend recalls
-		a.Begin = h.clock.Time(now + h.lag)
+	if r.sends > 0 && h.lag > 0 && h.classes[r.Class].Idempotency == logic.IdempotentByKey { // it may rest on what its backend recalls
+		a.SendBy = h.clock.Time(now + h.lag)
 	}
 	r.sends++
 	if !r.over && r.out == nil { // never two attempts of a request at once
-		a.way = h.upstream.Open(server)
+		a.way = h.upstream.RoundTripper(server)
 	}
 	if a.way == nil {
 		h.unsent = append(h.unsent, a)
@@ -427,11 +427,11 @@
 	r.tell()
 }
 
-// Refuse implements logic.Host.
-func (h *host) Refuse(id string, after int64) {
+// Shed implements logic.Host.
+func (h *host) Shed(id string, after int64) {
 	if r := h.reqs[id]; r != nil {
-		h.tracer.causes[h.bal.Cause()]++
-		(*Pool)(h).end(r, Answer{Verdict: Refused, After: after})
+		h.tracer.causes[h.bal.ShedCause()]++
+		(*Pool)(h).end(r, Answer{Verdict: Shed, RetryAfter: after})
 	}
 }
 
@@ -447,8 +447,8 @@
 	heap.Push(&h.timers, &timer{at: h.clock.Now() + delay, token: token})
 }
 
-// Watch implements logic.Host. Where the list is pushed the watch stands anyway.
-func (h *host) Watch() {
+// WatchEndpoints implements logic.Host. Where the list is pushed the watch stands anyway.
+func (h *host) WatchEndpoints() {
 	select {
 	case h.asked <- struct{}{}:
 	default:
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -15,30 +15,30 @@
 
 // scripted is an upstream with one backend. Each attempt's end is what its function says.
 type scripted struct {
-	carry func(*Attempt) Result
+	carry func(*Attempt) AttemptResult
 	begun chan *Attempt
 }
 
-func newScripted(carry func(*Attempt) Result) *scripted {
+func newScripted(carry func(*Attempt) AttemptResult) *scripted {
 	return &scripted{carry: carry, begun: make(chan *Attempt, 100)}
 }
 
-func (s *scripted) Apply(bool, []membership.Endpoint) {}
-func (s *scripted) Sweep(time.Time)                   {}
-func (s *scripted) Open(string) Way                   { return s }
-func (s *scripted) Carry(a *Attempt) Result           { s.begun <- a; return s.carry(a) }
+func (s *scripted) UpdateEndpoints(bool, []membership.Endpoint) {}
+func (s *scripted) CloseExpired(time.Time)                      {}
+func (s *scripted) RoundTripper(string) RoundTripper            { return s }
+func (s *scripted) RoundTrip(a *Attempt) AttemptResult          { s.begun <- a; return s.carry(a) }
 
 type breaker chan struct{}
 
-func (b breaker) Break() { close(b) }
+func (b breaker) Cancel() { close(b) }
 
 // hang waits until the attempt is stopped.
-func hang(a *Attempt) Result {
+func hang(a *Attempt) AttemptResult {
 	b := make(breaker)
-	if a.Hook(b) {
+	if a.SetCanceler(b) {
 		<-b
 	}
-	return Result{Status: logic.Cancelled}
+	return AttemptResult{Status: logic.Canceled}
 }
 
 func startPool(t *testing.T, up Upstream) *Pool {
@@ -49,11 +49,11 @@
 // startPoolWaiting starts a pool whose requests wait for the end of one under the same id.
 func startPoolWaiting(t *testing.T, up Upstream, sameID time.Duration) *Pool {
 	t.Helper()
-	class := logic.Class{Aim: 4e6, Deadline: 8e6, Worth: 1}
+	class := logic.Class{LatencyObjective: 4e6, Deadline: 8e6, PriorityWeight: 1}
 	unsafe := class
-	unsafe.Repeat = logic.Unsafe
-	p, err := New(Config{Settings: logic.Settings{Siblings: 1, Zones: 1, MaxAttempts: 3, StartCapacity: 1,
-		Classes: []logic.Class{class, unsafe}}, Seed: 1, Upstream: up, Clock: NewClock(), Log: slog.New(slog.DiscardHandler), SameID: sameID})
+	unsafe.Idempotency = logic.NonIdempotent
+	p, err := New(Config{Settings: logic.Settings{Replicas: 1, Zones: 1, MaxAttempts: 3, SlowStartMinCapacity: 1,
+		Classes: []logic.Class{class, unsafe}}, Seed: 1, Upstream: up, Clock: NewClock(), Log: slog.New(slog.DiscardHandler), DuplicateIDWait: sameID})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,12 +61,12 @@
 	var run sync.WaitGroup
 	run.Go(func() { p.Run(ctx) })
 	t.Cleanup(func() { stop(); run.Wait() })
-	p.Listed(&membership.List{Full: true, Endpoints: []membership.Endpoint{{Name: "a"}}})
+	p.UpdateEndpoints(&membership.List{Full: true, Endpoints: []membership.Endpoint{{Name: "a"}}})
 	return p
 }
 
 func newRequest(p *Pool, id string, class int, left time.Duration) *Request {
-	return &Request{Request: logic.Request{ID: id, Class: class, Tenant: -1, GiveUp: p.clock.At(time.Now().Add(left))}}
+	return &Request{Request: logic.Request{ID: id, Class: class, Tenant: -1, ClientDeadline: p.clock.At(time.Now().Add(left))}}
 }
 
 // do hands a request over from a goroutine of its own.
@@ -97,16 +97,16 @@
 	wait(t, "attempt", up.begun)
 	wait(t, "attempt", up.begun)
 	cutoff := time.Now().Add(3 * time.Second)
-	p.Hurry(cutoff)
+	p.LimitDeadlines(cutoff)
 	p.mu.Lock()
-	if soon.time.at != soon.GiveUp+expireAfter.Microseconds() || late.time.at != p.clock.At(cutoff) {
+	if soon.time.at != soon.ClientDeadline+expireAfter.Microseconds() || late.time.at != p.clock.At(cutoff) {
 		t.Errorf("ends at %d and %d", soon.time.at, late.time.at)
 	}
 	p.mu.Unlock()
-	p.Withdraw(soon)
-	p.Withdraw(late)
+	p.Cancel(soon)
+	p.Cancel(late)
 	for _, a := range answers {
-		if ans := wait(t, "answer", a); ans.Verdict != Aborted {
+		if ans := wait(t, "answer", a); ans.Verdict != Canceled {
 			t.Errorf("got %+v", ans)
 		}
 	}
@@ -117,18 +117,20 @@
 
 // The client may go before its request is handed over, while it waits, or when it has its answer.
 func TestWithdrawalAtAnyTime(t *testing.T) {
-	up := newScripted(func(*Attempt) Result { return Result{Status: logic.OK, Reply: &Reply{Code: 200, Body: []byte("ok")}} })
+	up := newScripted(func(*Attempt) AttemptResult {
+		return AttemptResult{Status: logic.OK, Response: &Response{StatusCode: 200, Body: []byte("ok")}}
+	})
 	p := startPool(t, up)
 	r := newRequest(p, "1", 0, patience)
-	p.Withdraw(r)
-	if ans := p.Do(r); ans.Verdict != Aborted || len(up.begun) != 0 {
+	p.Cancel(r)
+	if ans := p.Do(r); ans.Verdict != Canceled || len(up.begun) != 0 {
 		t.Errorf("withdrawn before: got %+v, %d attempts", ans, len(up.begun))
 	}
 	r = newRequest(p, "1", 0, patience)
-	if ans := p.Do(r); ans.Verdict != Served || string(ans.Reply.Body) != "ok" {
+	if ans := p.Do(r); ans.Verdict != Served || string(ans.Response.Body) != "ok" {
 		t.Errorf("got %+v", ans)
 	}
-	p.Withdraw(r)
+	p.Cancel(r)
 	if s := p.Stats(); s != (Stats{}) {
 		t.Errorf("left behind: %+v", s)
 	}
@@ -146,12 +148,12 @@
 // A pool that has closed says so before it has taken anything, and goes on with what it has.
 func TestAClosedPoolTakesNothing(t *testing.T) {
 	release := make(chan struct{})
-	up := newScripted(func(*Attempt) Result { <-release; return Result{Status: logic.OK} })
+	up := newScripted(func(*Attempt) AttemptResult { <-release; return AttemptResult{Status: logic.OK} })
 	p := startPool(t, up)
 	first := do(p, newRequest(p, "1", 1, patience))
 	wait(t, "attempt", up.begun)
 	p.Close()
-	if ans := p.Do(newRequest(p, "2", 1, patience)); ans.Verdict != NotTaken {
+	if ans := p.Do(newRequest(p, "2", 1, patience)); ans.Verdict != NotAdmitted {
 		t.Errorf("got %+v", ans)
 	}
 	close(release)
@@ -167,10 +169,10 @@
 func TestManyAtOnce(t *testing.T) {
 	n := make(chan int, 1)
 	n <- 0
-	up := &scripted{begun: make(chan *Attempt, 100000), carry: func(*Attempt) Result {
+	up := &scripted{begun: make(chan *Attempt, 100000), carry: func(*Attempt) AttemptResult {
 		i := <-n
 		n <- i + 1
-		return Result{Status: []logic.Status{logic.OK, logic.OK, logic.OK, logic.Error, logic.FullUp, logic.Reset}[i%6]}
+		return AttemptResult{Status: []logic.Status{logic.OK, logic.OK, logic.OK, logic.Error, logic.Overloaded, logic.Reset}[i%6]}
 	}}
 	p := startPool(t, up)
 	var all sync.WaitGroup
@@ -179,7 +181,7 @@
 			for j := range 200 {
 				r := newRequest(p, string(rune('a'+i))+string(rune('0'+j)), i%2, patience)
 				if j%9 == 0 {
-					all.Go(func() { p.Withdraw(r) })
+					all.Go(func() { p.Cancel(r) })
 				}
 				p.Do(r)
 			}
@@ -193,17 +195,17 @@
 
 // A keyed repeat rests on what its backend recalls: it is told by when it has to leave. A first try has until its end.
 func TestAKeyedRepeatHasATimeToBegin(t *testing.T) {
-	up := newScripted(func(*Attempt) Result { return Result{Status: logic.Error} })
-	p, err := New(Config{Settings: logic.Settings{Siblings: 1, Zones: 1, MaxAttempts: 2, StartCapacity: 1, Lag: 1e6,
-		Classes: []logic.Class{{Aim: 4e6, Deadline: 8e6, Worth: 1, Repeat: logic.Keyed, Window: 8e6}}}, Seed: 1, Upstream: up, Clock: NewClock(),
+	up := newScripted(func(*Attempt) AttemptResult { return AttemptResult{Status: logic.Error} })
+	p, err := New(Config{Settings: logic.Settings{Replicas: 1, Zones: 1, MaxAttempts: 2, SlowStartMinCapacity: 1, MaxSendDelay: 1e6,
+		Classes: []logic.Class{{LatencyObjective: 4e6, Deadline: 8e6, PriorityWeight: 1, Idempotency: logic.IdempotentByKey, DedupWindow: 8e6}}}, Seed: 1, Upstream: up, Clock: NewClock(),
 		Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Listed(&membership.List{Full: true, Endpoints: []membership.Endpoint{{Name: "a"}}})
+	p.UpdateEndpoints(&membership.List{Full: true, Endpoints: []membership.Endpoint{{Name: "a"}}})
 	p.Do(newRequest(p, "1", 0, patience))
 	first, second := wait(t, "first try", up.begun), wait(t, "repeat", up.begun)
-	if !first.Begin.IsZero() || second.Begin.IsZero() || second.Begin.After(time.Now().Add(time.Second)) {
-		t.Errorf("first %v, repeat %v", first.Begin, second.Begin)
+	if !first.SendBy.IsZero() || second.SendBy.IsZero() || second.SendBy.After(time.Now().Add(time.Second)) {
+		t.Errorf("first %v, repeat %v", first.SendBy, second.SendBy)
 	}
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -17,7 +17,7 @@
 	Body          []byte
 
 	answer Answer
-	last   *Reply // of an attempt that failed
+	last   *Response // of an attempt that failed
 	over   bool
 	sends  int
 	out    *Attempt      // the one that is out
@@ -32,25 +32,25 @@
 
 // The kinds of final answer. A front words each in its protocol.
 const (
-	Served   Verdict = iota // with a backend's reply, unchanged
-	Refused                 // by the module: trying again is harmless
-	Failed                  // no such promise; Reply is what the last attempt brought, if anything
-	Expired                 // the same, since the time is up
-	Rejected                // makes no sense, whoever gets it: with a backend's reply, or else it is a bad request
-	Aborted                 // nobody waits for it, or the pool has ended: no answer is owed
-	NotTaken                // the pool has closed and knew nothing of it: another may take it
+	Served      Verdict = iota // with a backend's reply, unchanged
+	Shed                       // by the module: trying again is harmless
+	Failed                     // no such promise; Reply is what the last attempt brought, if anything
+	Expired                    // the same, since the time is up
+	Rejected                   // makes no sense, whoever gets it: with a backend's reply, or else it is a bad request
+	Canceled                   // nobody waits for it, or the pool has ended: no answer is owed
+	NotAdmitted                // the pool has closed and knew nothing of it: another may take it
 )
 
-// Reply is a backend's answer, whole.
-type Reply struct {
-	Code    int     // a status of RFC 9110, section 15
-	Header  []Field // what goes on to the client; nothing that concerns one connection or the framing
-	Body    []byte
-	Release func() // gives back what the body holds of the process's memory; nil if it is not counted
+// Response is a backend's answer, whole.
+type Response struct {
+	StatusCode int     // a status of RFC 9110, section 15
+	Header     []Field // what goes on to the client; nothing that concerns one connection or the framing
+	Body       []byte
+	Release    func() // gives back what the body holds of the process's memory; nil if it is not counted
 }
 
-// Done is for whoever had the reply last. A nil reply is fine.
-func (r *Reply) Done() {
+// Close is for whoever had the reply last. A nil reply is fine.
+func (r *Response) Close() {
 	if r != nil && r.Release != nil {
 		r.Release()
 		r.Release = nil
@@ -59,7 +59,7 @@
 
 // Answer is the one final answer to a request.
 type Answer struct {
-	Verdict Verdict
-	Reply   *Reply // may be nil; who gets the Answer calls its Done
-	After   int64  // of Refused: come again after this, in microseconds; 0 for no word
+	Verdict    Verdict
+	Response   *Response // may be nil; who gets the Answer calls its Done
+	RetryAfter int64     // of Refused: come again after this, in microseconds; 0 for no word
 }
--- a/internal/core/sameid_test.go
+++ b/internal/core/sameid_test.go
@@ -26,13 +26,13 @@
 func TestARequestWaitsForAnEarlierOneWhoseClientHasLeft(t *testing.T) {
 	attempts := make(chan int, 1)
 	attempts <- 0
-	up := newScripted(func(a *Attempt) Result {
+	up := newScripted(func(a *Attempt) AttemptResult {
 		n := 1 + <-attempts
 		attempts <- n
 		if n == 1 {
 			return hang(a)
 		}
-		return Result{Status: logic.OK, Reply: &Reply{Code: 200}}
+		return AttemptResult{Status: logic.OK, Response: &Response{StatusCode: 200}}
 	})
 	p := startPoolWaiting(t, up, patience)
 	first := newRequest(p, "1", 0, patience)
@@ -40,8 +40,8 @@
 	wait(t, "first attempt", up.begun)
 	secondAnswer := do(p, newRequest(p, "1", 0, patience))
 	awaited(t, p, "1")
-	p.Withdraw(first)
-	if ans := wait(t, "first answer", firstAnswer); ans.Verdict != Aborted {
+	p.Cancel(first)
+	if ans := wait(t, "first answer", firstAnswer); ans.Verdict != Canceled {
 		t.Errorf("the first got %+v", ans)
 	}
 	if ans := wait(t, "second answer", secondAnswer); ans.Verdict != Served {
@@ -66,7 +66,7 @@
 		if len(up.begun) != 0 {
 			t.Errorf("%s: it was sent", name)
 		}
-		p.Withdraw(first)
+		p.Cancel(first)
 		wait(t, "first answer", firstAnswer)
 	}
 }
@@ -81,7 +81,7 @@
 	if ans := wait(t, "second answer", do(p, newRequest(p, "1", 0, 50*time.Millisecond))); ans.Verdict != Rejected {
 		t.Errorf("got %+v", ans)
 	}
-	p.Withdraw(first)
+	p.Cancel(first)
 	wait(t, "first answer", firstAnswer)
 }
 
@@ -95,9 +95,9 @@
 	second := newRequest(p, "1", 0, patience)
 	secondAnswer := do(p, second)
 	awaited(t, p, "1")
-	p.Withdraw(second)
-	p.Withdraw(first)
-	if ans := wait(t, "second answer", secondAnswer); ans.Verdict != Aborted || len(up.begun) != 0 {
+	p.Cancel(second)
+	p.Cancel(first)
+	if ans := wait(t, "second answer", secondAnswer); ans.Verdict != Canceled || len(up.begun) != 0 {
 		t.Errorf("got %+v, %d further attempts", ans, len(up.begun))
 	}
 	wait(t, "first answer", firstAnswer)
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -10,23 +10,23 @@
 
 const (
 	traceEvery = 500 * time.Millisecond
-	// MostTrace is how long a pool traces for one request of an operator's, at most.
-	MostTrace = 10 * time.Minute
+	// MaxTraceDuration is how long a pool traces for one request of an operator's, at most.
+	MaxTraceDuration = 10 * time.Minute
 )
 
 // tracer counts refusals by cause while a trace is on.
 type tracer struct {
 	until  time.Time
-	causes [logic.Causes]int
+	causes [logic.ShedCauses]int
 }
 
 // Trace has the pool log what its module holds to be so, twice a second, for some time: the tier's count and what cut it
 // last, each class's, the multiple of the shares, and refusals by cause. A trace that is on goes on until the later end.
 func (p *Pool) Trace(span time.Duration) {
-	until := time.Now().Add(min(span, MostTrace))
+	until := time.Now().Add(min(span, MaxTraceDuration))
 	p.play(func() {
 		if time.Now().After(p.tracer.until) {
-			p.tracer.causes = [logic.Causes]int{}
+			p.tracer.causes = [logic.ShedCauses]int{}
 		}
 		if until.After(p.tracer.until) {
 			p.tracer.until = until
@@ -45,8 +45,8 @@
 		p.mu.Unlock()
 		return false
 	}
-	f, causes := p.bal.Figures(), p.tracer.causes
-	p.tracer.causes = [logic.Causes]int{}
+	f, causes := p.bal.Stats(), p.tracer.causes
+	p.tracer.causes = [logic.ShedCauses]int{}
 	p.mu.Unlock()
 	var classes, refused []string
 	for _, c := range f.Classes {
@@ -54,18 +54,18 @@
 	}
 	for i, n := range causes {
 		if n > 0 {
-			refused = append(refused, fmt.Sprintf("%v %d", logic.Cause(i), n))
+			refused = append(refused, fmt.Sprintf("%v %d", logic.ShedCause(i), n))
 		}
 	}
-	p.log.Info("trace", "tier", word(f.Tier), "classes", strings.Join(classes, "; "), "share", f.Share, "spill", f.Spill,
-		"failed", f.Errors, "ready", f.Ready, "refused", strings.Join(refused, ", "))
+	p.log.Info("trace", "tier", word(f.Tier), "classes", strings.Join(classes, "; "), "share", f.QuotaMultiple, "spill", f.SpilloverWeight,
+		"failed", f.ErrorRate, "ready", f.ReadyEndpoints, "refused", strings.Join(refused, ", "))
 	return true
 }
 
 // word is a count, the calls out, and what cut it last.
-func word(r logic.RuleFigures) string {
-	if r.Cut.By == logic.NoEvidence {
-		return fmt.Sprintf("%d of %.1f", r.Out, r.Count)
+func word(r logic.LimitStats) string {
+	if r.LastCut.Evidence == logic.NoEvidence {
+		return fmt.Sprintf("%d of %.1f", r.InFlight, r.Limit)
 	}
-	return fmt.Sprintf("%d of %.1f cut by %v %d/%d from %.1f", r.Out, r.Count, r.Cut.By, r.Cut.Bad, r.Cut.Of, r.Cut.From)
+	return fmt.Sprintf("%d of %.1f cut by %v %d/%d from %.1f", r.InFlight, r.Limit, r.LastCut.Evidence, r.LastCut.Bad, r.LastCut.Total, r.LastCut.From)
 }
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -28,12 +28,14 @@
 
 // A trace tells counts and refusals by cause, twice a second, and ends by itself; another may follow it.
 func TestATraceTellsWhatRefuses(t *testing.T) {
-	p := startPool(t, newScripted(func(*Attempt) Result { return Result{Status: logic.OK, Reply: &Reply{Code: 200}} }))
+	p := startPool(t, newScripted(func(*Attempt) AttemptResult {
+		return AttemptResult{Status: logic.OK, Response: &Response{StatusCode: 200}}
+	}))
 	got := make(lines, 100)
 	p.play(func() { p.log = slog.New(got) })
 	for range 2 {
 		p.Trace(2 * traceEvery)
-		if ans := p.Do(newRequest(p, "late", 0, time.Microsecond)); ans.Verdict != Refused {
+		if ans := p.Do(newRequest(p, "late", 0, time.Microsecond)); ans.Verdict != Shed {
 			t.Fatalf("got %+v", ans)
 		}
 		if line := wait(t, "trace", got); !strings.Contains(line, "tier=0 of ") || !strings.Contains(line, "refused=time left 1") {
@@ -50,7 +52,7 @@
 	}
 	p.Trace(time.Hour)
 	p.mu.Lock()
-	if left := time.Until(p.tracer.until); left > MostTrace {
+	if left := time.Until(p.tracer.until); left > MaxTraceDuration {
 		t.Errorf("a trace of %v", left)
 	}
 	p.mu.Unlock()
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -30,10 +30,10 @@
 }
 
 // servers turns entries into the module's. Its clock shows Unix time (see Clock), so SinceMs needs no shift.
-func (z zones) servers(entries []membership.Endpoint) []logic.Server {
-	out := make([]logic.Server, 0, len(entries))
+func (z zones) servers(entries []membership.Endpoint) []logic.Endpoint {
+	out := make([]logic.Endpoint, 0, len(entries))
 	for _, e := range entries {
-		s := logic.Server{ID: e.Name, Zone: z.number(e.Zone), Cell: e.Cell, Size: e.Weight, Launched: e.SinceMs * 1000}
+		s := logic.Endpoint{ID: e.Name, Zone: z.number(e.Zone), Cell: e.Cell, Weight: e.Weight, StartedAt: e.SinceMs * 1000}
 		switch e.Status {
 		case membership.Serving:
 			s.State = logic.Ready
--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -92,14 +92,14 @@
 	Items    []Item  `json:"items,omitempty"`
 }
 
-// Whole tells whether the update has all items of the resource, in place of what stood.
-func (u *Update) Whole() bool { return u.From.IsZero() }
+// Full tells whether the update has all items of the resource, in place of what stood.
+func (u *Update) Full() bool { return u.From.IsZero() }
 
 // Position is what a follower has of a resource.
 type Position struct {
 	Resource string  `json:"resource"`
 	InForce  Version `json:"in_force,omitzero"` // zero: none yet
-	Refused  Version `json:"refused,omitzero"`  // a later version that it has not put in force; zero: none
+	Rejected Version `json:"refused,omitzero"`  // a later version that it has not put in force; zero: none
 	Reason   string  `json:"reason,omitempty"`  // of that
 }
 
@@ -127,18 +127,18 @@
 // FollowResponse is the answer to a FollowRequest. A session that the relay does not know is answered with status 410
 // instead, and the follower begins anew with all its positions.
 type FollowResponse struct {
-	Session     string   `json:"session"`
-	SourceAgeMs int64    `json:"source_age_ms"` // since the relay last heard from the source; 0 at the source
-	Cut         bool     `json:"cut,omitempty"` // the relay, or one above it, hears from no upstream: another may
-	Updates     []Update `json:"updates,omitempty"`
+	Session      string   `json:"session"`
+	SourceAgeMs  int64    `json:"source_age_ms"` // since the relay last heard from the source; 0 at the source
+	Disconnected bool     `json:"cut,omitempty"` // the relay, or one above it, hears from no upstream: another may
+	Updates      []Update `json:"updates,omitempty"`
 }
 
 // ResourceStatus is how far a resource is in force over a number of proxies.
 type ResourceStatus struct {
-	Resource string         `json:"resource"`
-	Counts   []VersionCount `json:"counts"`             // of proxies, by the version in force, latest first
-	Refusals []Refusal      `json:"refusals,omitempty"` // MaxLaggards of them at most
-	Behind   []Laggard      `json:"behind,omitempty"`   // whose version is not the latest; MaxLaggards of them at most
+	Resource   string         `json:"resource"`
+	Counts     []VersionCount `json:"counts"`             // of proxies, by the version in force, latest first
+	Rejections []Rejection    `json:"refusals,omitempty"` // MaxLaggards of them at most
+	Laggards   []Laggard      `json:"behind,omitempty"`   // whose version is not the latest; MaxLaggards of them at most
 }
 
 // VersionCount is how many proxies have a version in force.
@@ -147,8 +147,8 @@
 	Proxies int     `json:"proxies"`
 }
 
-// Refusal is a proxy that did not put a version in force.
-type Refusal struct {
+// Rejection is a proxy that did not put a version in force.
+type Rejection struct {
 	Follower string  `json:"follower"`
 	Version  Version `json:"version"`
 	Reason   string  `json:"reason"`
--- a/internal/distribution/due.go
+++ b/internal/distribution/due.go
@@ -8,22 +8,22 @@
 	since   time.Time
 }
 
-// Due is one update that a follower can get.
-type Due struct {
+// PendingUpdate is one update that a follower can get.
+type PendingUpdate struct {
 	Resource string
 	From     Version
 }
 
-// Due is what a follower can get now, and whether it is to be held back, and until when. What is due in part is due as a
+// Pending is what a follower can get now, and whether it is to be held back, and until when. What is due in part is due as a
 // whole: everything goes together. A read that is not answered now waits from here on.
-func (s *Sessions) Due(session *Session, store *Store, now time.Time) (due []Due, until time.Time) {
+func (s *Sessions) Pending(session *Session, store *Store, now time.Time) (due []PendingUpdate, until time.Time) {
 	urgent := false
 	for i := range session.positions {
 		p := &session.positions[i]
 		if !store.Version(p.resource.name).After(p.has()) {
 			continue
 		}
-		due = append(due, Due{p.resource.name, p.inForce})
+		due = append(due, PendingUpdate{p.resource.name, p.inForce})
 		urgent = urgent || p.has().IsZero() || store.Urgent(p.resource.name, p.has())
 	}
 	if len(due) == 0 {
@@ -42,8 +42,8 @@
 	return due, time.Time{}
 }
 
-// Answered says that a read of a session has ended.
-func (s *Sessions) Answered(session *Session) {
+// ReadEnded says that a read of a session has ended.
+func (s *Sessions) ReadEnded(session *Session) {
 	session.waiting = false
 	session.dueSince = time.Time{}
 }
@@ -53,9 +53,9 @@
 	s.held = append(s.held, heldBack{session, now})
 }
 
-// Changed says that a resource has a new version, and returns the sessions whose reads can be answered now. Its time is in
+// ResourceChanged says that a resource has a new version, and returns the sessions whose reads can be answered now. Its time is in
 // the number of the resource's followers.
-func (s *Sessions) Changed(name string, urgent bool, now time.Time) []*Session {
+func (s *Sessions) ResourceChanged(name string, urgent bool, now time.Time) []*Session {
 	f := s.followed[name]
 	if f == nil {
 		return nil
@@ -77,9 +77,9 @@
 	return wake
 }
 
-// Release returns the sessions whose reads have been held back long enough, and when the next will have been; zero: none
+// ReleaseCoalesced returns the sessions whose reads have been held back long enough, and when the next will have been; zero: none
 // is held back.
-func (s *Sessions) Release(now time.Time) (wake []*Session, next time.Time) {
+func (s *Sessions) ReleaseCoalesced(now time.Time) (wake []*Session, next time.Time) {
 	n := 0
 	for ; n < len(s.held); n++ {
 		h := s.held[n]
--- a/internal/distribution/follow/follower.go
+++ b/internal/distribution/follow/follower.go
@@ -43,10 +43,10 @@
 
 // Subscriber takes what is followed. Its calls come one at a time and in order, all from Run.
 type Subscriber interface {
-	// Updated puts an update in force; an error refuses it: what stood stays in force, and the error's text is reported.
-	Updated(distribution.Update) error
-	// Missed takes the news that no relay has answered for some time. What stood stays in force.
-	Missed()
+	// ApplyUpdate puts an update in force; an error refuses it: what stood stays in force, and the error's text is reported.
+	ApplyUpdate(distribution.Update) error
+	// UpdateFailed takes the news that no relay has answered for some time. What stood stays in force.
+	UpdateFailed()
 }
 
 // Transport calls relays.
@@ -72,19 +72,19 @@
 
 // Health is what a Follower says of itself.
 type Health struct {
-	Relay     string        // that it reads from; empty before the first answer
-	Silent    time.Time     // since when no relay has answered; zero while one does
-	Heard     time.Time     // the last answer
-	SourceAge time.Duration // how long before Heard the source was last heard
-	Cut       bool          // the relay, or one above it, hears from no upstream
+	Relay        string        // that it reads from; empty before the first answer
+	SilentSince  time.Time     // since when no relay has answered; zero while one does
+	LastAnswer   time.Time     // the last answer
+	SourceAge    time.Duration // how long before Heard the source was last heard
+	Disconnected bool          // the relay, or one above it, hears from no upstream
 }
 
 // Stats count since the start.
 type Stats struct {
 	BytesIn, BytesOut       int64 // on all connections
 	MessagesIn, MessagesOut int64 // answers and requests
-	Updates, WholeUpdates   int64 // that were put in force; of them, whole resources
-	Refused                 int64 // updates that were not put in force
+	Updates, FullUpdates    int64 // that were put in force; of them, whole resources
+	Rejected                int64 // updates that were not put in force
 	Sessions                int64 // that were begun, each with all positions
 	Switches                int64 // from one relay to another
 }
@@ -275,7 +275,7 @@
 		}
 		return err
 	}
-	err := sub.subscriber.Updated(*u)
+	err := sub.subscriber.ApplyUpdate(*u)
 
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -284,14 +284,14 @@
 	}
 	f.dirty[u.Resource] = true
 	if err != nil {
-		f.stats.Refused++
-		sub.position.Refused, sub.position.Reason = u.Version, reason(err)
+		f.stats.Rejected++
+		sub.position.Rejected, sub.position.Reason = u.Version, reason(err)
 		f.cfg.Log.Warn("distribution", "resource", u.Resource, "version", u.Version.String(), "refused", err)
 		return nil
 	}
 	f.stats.Updates++
-	if u.Whole() {
-		f.stats.WholeUpdates++
+	if u.Full() {
+		f.stats.FullUpdates++
 	}
 	sub.position = distribution.Position{Resource: u.Resource, InForce: u.Version}
 	return nil
@@ -302,7 +302,7 @@
 	if !u.Version.After(stands) {
 		return fmt.Errorf("%s: version %v found, one after %v expected", u.Resource, u.Version, stands)
 	}
-	if !u.Whole() && u.From != stands {
+	if !u.Full() && u.From != stands {
 		return &distribution.BaseError{Resource: u.Resource, Stands: stands, From: u.From}
 	}
 	return nil
@@ -327,13 +327,13 @@
 	}
 	f.mu.Unlock()
 	for _, sub := range subs {
-		sub.subscriber.Missed()
+		sub.subscriber.UpdateFailed()
 	}
 }
 
 // busy is how long an error asks to wait; 0: it does not.
 func busy(err error) time.Duration {
-	var b *httpapi.BusyError
+	var b *httpapi.OverloadedError
 	if errors.As(err, &b) {
 		return b.RetryAfter
 	}
--- a/internal/distribution/follow/follower_test.go
+++ b/internal/distribution/follow/follower_test.go
@@ -102,12 +102,12 @@
 	})
 }
 
-func (f *fixture) Updated(u distribution.Update) error {
+func (f *fixture) ApplyUpdate(u distribution.Update) error {
 	f.updates <- u
 	return f.refuse
 }
 
-func (f *fixture) Missed() { f.missed <- true }
+func (f *fixture) UpdateFailed() { f.missed <- true }
 
 // next is the next call.
 func (f *fixture) next() call {
@@ -216,13 +216,13 @@
 	f.read().ok(distribution.Update{Resource: "r", From: version(1), Version: version(2)})
 	next := f.read()
 	p := f.told["r"]
-	if p.InForce != version(1) || p.Refused != version(2) || p.Reason != strings.Repeat("ü", distribution.MaxReasonBytes/2) {
+	if p.InForce != version(1) || p.Rejected != version(2) || p.Reason != strings.Repeat("ü", distribution.MaxReasonBytes/2) {
 		t.Errorf("%+v", p)
 	}
 	if err := next.req.Validate(); err != nil {
 		t.Error(err)
 	}
-	if s := f.Stats(); s.Refused != 1 || s.Updates != 0 {
+	if s := f.Stats(); s.Rejected != 1 || s.Updates != 0 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -341,7 +341,7 @@
 func TestBusyRelay(t *testing.T) {
 	f := start(t, version(1), "a", "b")
 	first := f.read()
-	first.fail(&httpapi.BusyError{RetryAfter: time.Hour})
+	first.fail(&httpapi.OverloadedError{RetryAfter: time.Hour})
 	second := f.read()
 	if second.address == first.address {
 		t.Errorf("%s asked again at once", second.address)
@@ -351,7 +351,7 @@
 	if third := f.read(); third.address != second.address {
 		t.Errorf("%s asked, which is busy", third.address)
 	}
-	if h := f.Health(); h.Silent.IsZero() || h.Relay != second.address {
+	if h := f.Health(); h.SilentSince.IsZero() || h.Relay != second.address {
 		t.Errorf("%+v", h)
 	}
 }
--- a/internal/distribution/follow/reader.go
+++ b/internal/distribution/follow/reader.go
@@ -146,7 +146,7 @@
 // heard takes that a relay has answered.
 func (r *reader) heard(choice int, req *request, response *distribution.FollowResponse) {
 	r.choosing.Lock()
-	r.choice, r.cut = choice, response.Cut
+	r.choice, r.cut = choice, response.Disconnected
 	r.choosing.Unlock()
 
 	r.mu.Lock()
@@ -163,7 +163,7 @@
 		r.relay = req.address
 	}
 	r.session = response.Session
-	r.health = Health{Relay: req.address, Heard: now, SourceAge: time.Duration(response.SourceAgeMs) * time.Millisecond, Cut: response.Cut}
+	r.health = Health{Relay: req.address, LastAnswer: now, SourceAge: time.Duration(response.SourceAgeMs) * time.Millisecond, Disconnected: response.Disconnected}
 	r.missedAt, r.saidAt = time.Time{}, time.Time{}
 	if len(r.unreported) > 0 { // what else is to be said goes with the next read
 		r.reportSoon()
@@ -182,10 +182,10 @@
 		r.picker.failedNow(r.current, now, busy(err), r.cfg.Rand)
 	}
 	r.mu.Lock()
-	if r.health.Silent.IsZero() {
-		r.health.Silent = now
+	if r.health.SilentSince.IsZero() {
+		r.health.SilentSince = now
 	}
-	heard := r.health.Heard
+	heard := r.health.LastAnswer
 	r.mu.Unlock()
 	if heard.IsZero() {
 		heard = r.began
--- a/internal/distribution/httpapi/client.go
+++ b/internal/distribution/httpapi/client.go
@@ -25,13 +25,13 @@
 	maxRetryAfter = time.Hour // beyond which what a relay asks for is no wait
 )
 
-// BusyError is a relay that turns a call away for now.
-type BusyError struct {
+// OverloadedError is a relay that turns a call away for now.
+type OverloadedError struct {
 	RetryAfter time.Duration // 0: not told
 	Reason     string
 }
 
-func (e *BusyError) Error() string { return "turned away: " + e.Reason }
+func (e *OverloadedError) Error() string { return "turned away: " + e.Reason }
 
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
@@ -179,7 +179,7 @@
 			return conflict
 		}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return &BusyError{retryAfter(resp.Header.Get("Retry-After")), fmt.Sprintf("status %d: %.200s", resp.StatusCode, reason)}
+		return &OverloadedError{retryAfter(resp.Header.Get("Retry-After")), fmt.Sprintf("status %d: %.200s", resp.StatusCode, reason)}
 	}
 	return fmt.Errorf("status %d: %.200s", resp.StatusCode, reason)
 }
--- a/internal/distribution/httpapi/handler.go
+++ b/internal/distribution/httpapi/handler.go
@@ -28,12 +28,12 @@
 // writeTimeout is within which a follower takes an answer, or its connection ends.
 const writeTimeout = 10 * time.Second
 
-// Answer is a FollowResponse whose updates are encoded: many followers share each.
-type Answer struct {
-	Session   string
-	SourceAge time.Duration
-	Cut       bool
-	Updates   [][]byte // each an Update as JSON
+// EncodedResponse is a FollowResponse whose updates are encoded: many followers share each.
+type EncodedResponse struct {
+	Session      string
+	SourceAge    time.Duration
+	Disconnected bool
+	Updates      [][]byte // each an Update as JSON
 }
 
 // Errors that a Service answers, beside those of package distribution.
@@ -46,13 +46,13 @@
 // Service is a source or relay.
 type Service interface {
 	// Follow answers a blocking read. Done is called when the answer has been written, or could not be.
-	Follow(ctx context.Context, req *distribution.FollowRequest) (answer *Answer, done func(), err error)
+	Follow(ctx context.Context, req *distribution.FollowRequest) (answer *EncodedResponse, done func(), err error)
 	Put(req *distribution.PutRequest) (distribution.Version, error)
 	Status(resource string) distribution.ResourceStatus
 	Resource(name string) *distribution.Update // nil: there is none
 	Stats() distribution.Stats
-	// Cut tells whether a relay, or one above it, hears from no upstream.
-	Cut() bool
+	// Disconnected tells whether a relay, or one above it, hears from no upstream.
+	Disconnected() bool
 }
 
 // Handler serves a Service.
@@ -86,12 +86,12 @@
 }
 
 // appendHead is an answer's JSON; its updates, if any, follow, and the end after them.
-func appendHead(to []byte, a *Answer) []byte {
+func appendHead(to []byte, a *EncodedResponse) []byte {
 	to = append(to, `{"session":`...)
 	to = strconv.AppendQuote(to, a.Session) // letters and digits
 	to = append(to, `,"source_age_ms":`...)
 	to = strconv.AppendInt(to, a.SourceAge.Milliseconds(), 10)
-	if a.Cut {
+	if a.Disconnected {
 		to = append(to, `,"cut":true`...)
 	}
 	if len(a.Updates) == 0 {
@@ -162,7 +162,7 @@
 }
 
 func (h *handler) ready(w http.ResponseWriter, _ *http.Request) {
-	if h.service.Cut() {
+	if h.service.Disconnected() {
 		refuse(w, http.StatusServiceUnavailable, "cut off from the source")
 		return
 	}
@@ -227,7 +227,7 @@
 // fail answers an error.
 func fail(w http.ResponseWriter, err error) {
 	var conflict *distribution.ConflictError
-	var busy *BusyError
+	var busy *OverloadedError
 	switch {
 	case errors.As(err, &conflict):
 		data, _ := json.Marshal(conflict)
--- a/internal/distribution/httpapi/httpapi_test.go
+++ b/internal/distribution/httpapi/httpapi_test.go
@@ -17,11 +17,11 @@
 
 // scripted answers all calls as it is told.
 type scripted struct {
-	answer *Answer
+	answer *EncodedResponse
 	err    error
 }
 
-func (s *scripted) Follow(context.Context, *distribution.FollowRequest) (*Answer, func(), error) {
+func (s *scripted) Follow(context.Context, *distribution.FollowRequest) (*EncodedResponse, func(), error) {
 	return s.answer, func() {}, s.err
 }
 func (s *scripted) Put(*distribution.PutRequest) (distribution.Version, error) {
@@ -31,7 +31,7 @@
 	return distribution.ResourceStatus{Resource: resource}
 }
 func (s *scripted) Resource(string) *distribution.Update { return nil }
-func (s *scripted) Cut() bool                            { return s.err != nil }
+func (s *scripted) Disconnected() bool                   { return s.err != nil }
 func (s *scripted) Stats() distribution.Stats            { return distribution.Stats{Name: "relay"} }
 
 // start serves a service, and returns its address and how many bytes went.
@@ -71,8 +71,8 @@
 	if _, err := c.Follow(ctx, address, heartbeat()); !errors.Is(err, distribution.ErrUnknownSession) {
 		t.Errorf("%v", err)
 	}
-	service.err = &BusyError{RetryAfter: 7 * time.Second, Reason: "full"}
-	var busy *BusyError
+	service.err = &OverloadedError{RetryAfter: 7 * time.Second, Reason: "full"}
+	var busy *OverloadedError
 	if _, err := c.Follow(ctx, address, heartbeat()); !errors.As(err, &busy) || busy.RetryAfter != 7*time.Second {
 		t.Errorf("%v", err)
 	}
@@ -101,15 +101,15 @@
 // Updates go as they were encoded, and a heartbeat is small.
 func TestAnswers(t *testing.T) {
 	update := []byte(`{"resource":"r","version":"1.2","items":[{"key":"a","value":"<&>"}]}`)
-	service := &scripted{answer: &Answer{Session: "s1", SourceAge: 3 * time.Second, Cut: true, Updates: [][]byte{update, update}}}
+	service := &scripted{answer: &EncodedResponse{Session: "s1", SourceAge: 3 * time.Second, Disconnected: true, Updates: [][]byte{update, update}}}
 	address, traffic := start(t, service, 10)
 	c := NewClient(nil)
 	defer c.Close()
 	r, err := c.Follow(context.Background(), address, heartbeat())
-	if err != nil || r.Session != "s1" || r.SourceAgeMs != 3_000 || !r.Cut || len(r.Updates) != 2 || string(r.Updates[1].Items[0].Value) != `"<&>"` {
+	if err != nil || r.Session != "s1" || r.SourceAgeMs != 3_000 || !r.Disconnected || len(r.Updates) != 2 || string(r.Updates[1].Items[0].Value) != `"<&>"` {
 		t.Errorf("%+v, %v", r, err)
 	}
-	service.answer = &Answer{Session: "s1"}
+	service.answer = &EncodedResponse{Session: "s1"}
 	in, out := traffic.In.Load(), traffic.Out.Load()
 	if r, err = c.Follow(context.Background(), address, heartbeat()); err != nil || len(r.Updates) > 0 {
 		t.Errorf("%+v, %v", r, err)
--- a/internal/distribution/node/bench_test.go
+++ b/internal/distribution/node/bench_test.go
@@ -124,8 +124,8 @@
 		addStats(b, client, &after, relays[1:]...)
 		moved := float64(after.Sessions - before.Sessions)
 		b.ReportMetric(moved, "moved")
-		b.ReportMetric(float64(after.WholeUpdates-before.WholeUpdates), "whole-updates")
-		b.ReportMetric(float64(after.RefusedSessions-before.RefusedSessions)/moved, "turned-away/moved")
+		b.ReportMetric(float64(after.FullUpdates-before.FullUpdates), "whole-updates")
+		b.ReportMetric(float64(after.RejectedSessions-before.RejectedSessions)/moved, "turned-away/moved")
 		b.ReportMetric(float64(after.BytesIn-before.BytesIn)/moved, "B-in/moved")
 	}
 }
@@ -136,8 +136,8 @@
 		s := benchStats(b, client, relay)
 		sum.Sessions += s.Sessions
 		sum.WaitingReads += s.WaitingReads
-		sum.WholeUpdates += s.WholeUpdates
-		sum.RefusedSessions += s.RefusedSessions
+		sum.FullUpdates += s.FullUpdates
+		sum.RejectedSessions += s.RejectedSessions
 		sum.BytesIn += s.BytesIn
 	}
 }
@@ -249,12 +249,12 @@
 // countDown counts updates.
 type countDown struct{ left *sync.WaitGroup }
 
-func (c countDown) Updated(distribution.Update) error {
+func (c countDown) ApplyUpdate(distribution.Update) error {
 	c.left.Done()
 	return nil
 }
 
-func (countDown) Missed() {}
+func (countDown) UpdateFailed() {}
 
 func benchPut(b *testing.B, address, resource string, items ...distribution.Item) {
 	c := httpapi.NewClient(nil)
--- a/internal/distribution/node/failure_test.go
+++ b/internal/distribution/node/failure_test.go
@@ -124,20 +124,20 @@
 	newest  chan distribution.Version
 }
 
-func (s *slowProxy) Updated(u distribution.Update) error {
+func (s *slowProxy) ApplyUpdate(u distribution.Update) error {
 	s.once.Do(func() { close(s.begun) })
 	<-s.release
 	s.newest <- u.Version
 	return nil
 }
 
-func (s *slowProxy) Missed() {}
+func (s *slowProxy) UpdateFailed() {}
 
 // Changes of a burst go together; an urgent one goes at once, with what waits.
 func TestUrgentAndCoalesced(t *testing.T) {
 	limits := distribution.DefaultSessionLimits()
 	limits.Coalesce = time.Hour // nothing but an urgent item ends the wait
-	n := New(Config{Name: "source", Epoch: 1, Limits: limits, Keep: func(*distribution.Update) error { return nil }})
+	n := New(Config{Name: "source", Epoch: 1, Limits: limits, Persist: func(*distribution.Update) error { return nil }})
 	source := serve(t, n, n, "")
 	p := startProxy(t, "p1", resource, source.address)
 	p.awaitVersion(put(t, source.address, resource, item("b1", "1"), item("b2", "1")))
@@ -187,7 +187,7 @@
 	bad := put(t, source.address, resource, item("bad", "1"))
 	eventually(t, "the refusal at the source", func() bool {
 		progress := statusOf(source, resource, bad)
-		return len(progress.Refused) == 1 && progress.Refused[0] == distribution.Refusal{Follower: "p1", Version: bad, Reason: "key bad makes no sense"} &&
+		return len(progress.Rejections) == 1 && progress.Rejections[0] == distribution.Rejection{Follower: "p1", Version: bad, Reason: "key bad makes no sense"} &&
 			progress.InForce == 1 && progress.Proxies == 2
 	})
 	p.mu.Lock()
@@ -247,8 +247,8 @@
 		t.Fatal(err)
 	}
 	died := errors.New("died")
-	n := New(Config{Name: "source", Epoch: d.Epoch(), Keep: func(u *distribution.Update) error {
-		if err := d.Keep(u); err != nil || u.Resource == resource {
+	n := New(Config{Name: "source", Epoch: d.Epoch(), Persist: func(u *distribution.Update) error {
+		if err := d.Save(u); err != nil || u.Resource == resource {
 			return err
 		}
 		return died
@@ -307,13 +307,13 @@
 func TestTooManySessions(t *testing.T) {
 	limits := distribution.DefaultSessionLimits()
 	limits.Sessions = 1
-	n := New(Config{Name: "source", Limits: limits, Keep: func(*distribution.Update) error { return nil }})
+	n := New(Config{Name: "source", Limits: limits, Persist: func(*distribution.Update) error { return nil }})
 	source := serve(t, n, n, "")
 	startProxy(t, "p1", resource, source.address).awaitHeard()
 	c := httpapi.NewClient(nil)
 	defer c.Close()
 	_, err := c.Follow(context.Background(), source.address, &distribution.FollowRequest{Follower: "p2", Kind: distribution.KindProxy, HoldMs: 100})
-	var busy *httpapi.BusyError
+	var busy *httpapi.OverloadedError
 	if !errors.As(err, &busy) || busy.RetryAfter != sessionRetryAfter {
 		t.Errorf("%v", err)
 	}
@@ -328,7 +328,7 @@
 
 func (p *proxy) awaitHeard() {
 	p.t.Helper()
-	eventually(p.t, "an answer", func() bool { return !p.Health().Heard.IsZero() })
+	eventually(p.t, "an answer", func() bool { return !p.Health().LastAnswer.IsZero() })
 }
 
 // A relay falls silent without its connections breaking: the read is given up and the other relay asked. With all silent
@@ -353,7 +353,7 @@
 	p.awaitVersion(put(t, source.address, resource, item("b1", "2")))
 	links[1-used].silence()
 	p.await("the news that no relay answers", func() bool { return p.missed > 0 })
-	if p.Health().Silent.IsZero() {
+	if p.Health().SilentSince.IsZero() {
 		t.Error("no relay answers, and the health does not say so")
 	}
 }
@@ -386,7 +386,7 @@
 		t.Errorf("reads from %s, %s is cut off", h.Relay, addresses[used])
 	}
 	links[1-used].silence()
-	eventually(t, "the news that all relays are cut off", func() bool { return p.Health().Cut })
+	eventually(t, "the news that all relays are cut off", func() bool { return p.Health().Disconnected })
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.at != last || p.whole != 1 {
@@ -401,7 +401,7 @@
 	silent.silence()
 	c := httpapi.NewClient(nil)
 	defer c.Close()
-	var busy *httpapi.BusyError
+	var busy *httpapi.OverloadedError
 	if err := c.Ready(context.Background(), startRelay(t, "cut-off", "", silent.address).address); !errors.As(err, &busy) {
 		t.Errorf("cut off from the start: %v", err)
 	}
@@ -489,7 +489,7 @@
 	for _, p := range all {
 		p.awaitVersion(second)
 	}
-	if s := source.Stats(); s.Encodings != 2 || s.WholeUpdates != proxies || s.DeltaUpdates != proxies {
-		t.Errorf("%d encodings, %d whole updates, %d changes; 2, %d, %d expected", s.Encodings, s.WholeUpdates, s.DeltaUpdates, proxies, proxies)
+	if s := source.Stats(); s.Encodings != 2 || s.FullUpdates != proxies || s.DeltaUpdates != proxies {
+		t.Errorf("%d encodings, %d whole updates, %d changes; 2, %d, %d expected", s.Encodings, s.FullUpdates, s.DeltaUpdates, proxies, proxies)
 	}
 }
--- a/internal/distribution/node/node.go
+++ b/internal/distribution/node/node.go
@@ -42,8 +42,8 @@
 	Name       string
 	StoreBytes int64 // 0: DefaultStoreBytes
 	Limits     distribution.SessionLimits
-	// Keep makes a write durable before it is in force: the resource as it is to be. Nil: not a source.
-	Keep func(*distribution.Update) error
+	// Persist makes a write durable before it is in force: the resource as it is to be. Nil: not a source.
+	Persist func(*distribution.Update) error
 	// Epoch is that of a source's writes.
 	Epoch uint64
 	// Traffic counts the bytes of followers' connections; nil: nobody does.
@@ -155,11 +155,11 @@
 func (n *Node) Resource(name string) *distribution.Update {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.store.Whole(name)
+	return n.store.Snapshot(name)
 }
 
-// Cut implements httpapi.Service.
-func (n *Node) Cut() bool {
+// Disconnected implements httpapi.Service.
+func (n *Node) Disconnected() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cut()
@@ -176,7 +176,7 @@
 	s.StoreBytes = n.store.Bytes()
 	s.CacheBytes = n.cache.bytes
 	counters := n.sessions.Counters()
-	s.CoalescedUpdates, s.RefusedUpdates = counters.Coalesced, counters.Refused
+	s.CoalescedUpdates, s.RejectedUpdates = counters.Coalesced, counters.Rejected
 	s.WaitingReads = n.waiting
 	s.BytesIn, s.BytesOut = n.traffic.In.Load(), n.traffic.Out.Load()
 	s.SourceAgeMs = n.age().Milliseconds()
--- a/internal/distribution/node/nodetest/nodetest.go
+++ b/internal/distribution/node/nodetest/nodetest.go
@@ -39,7 +39,7 @@
 // Source starts a source that keeps its writes in memory, until the test ends.
 func Source(t testing.TB) *Node {
 	t.Helper()
-	n := node.New(node.Config{Name: "source", Epoch: 1, Keep: func(*distribution.Update) error { return nil }})
+	n := node.New(node.Config{Name: "source", Epoch: 1, Persist: func(*distribution.Update) error { return nil }})
 	return start(t, n, n, "127.0.0.1:0")
 }
 
--- a/internal/distribution/node/read.go
+++ b/internal/distribution/node/read.go
@@ -29,7 +29,7 @@
 }
 
 // Follow implements httpapi.Service.
-func (n *Node) Follow(ctx context.Context, req *distribution.FollowRequest) (*httpapi.Answer, func(), error) {
+func (n *Node) Follow(ctx context.Context, req *distribution.FollowRequest) (*httpapi.EncodedResponse, func(), error) {
 	done := func() {}
 	if req.Session == "" {
 		select {
@@ -49,12 +49,12 @@
 
 func (n *Node) turnAway(reason string, retryAfter time.Duration) error {
 	n.mu.Lock()
-	n.stats.RefusedSessions++
+	n.stats.RejectedSessions++
 	n.mu.Unlock()
-	return &httpapi.BusyError{RetryAfter: retryAfter, Reason: reason}
+	return &httpapi.OverloadedError{RetryAfter: retryAfter, Reason: reason}
 }
 
-func (n *Node) follow(ctx context.Context, req *distribution.FollowRequest) (*httpapi.Answer, error) {
+func (n *Node) follow(ctx context.Context, req *distribution.FollowRequest) (*httpapi.EncodedResponse, error) {
 	began := n.now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -66,7 +66,7 @@
 	switch {
 	case req.Session == "": // answered at once, so that the follower knows its session
 		return n.wait(ctx, session, began)
-	case req.HoldMs == 0 || session.Gone(): // a report beside a read, or a session that was left
+	case req.HoldMs == 0 || session.Ended(): // a report beside a read, or a session that was left
 		return n.answer(session, nil), nil
 	}
 	return n.wait(ctx, session, n.holdUntil(session, began, time.Duration(req.HoldMs)*time.Millisecond))
@@ -92,11 +92,11 @@
 
 func (n *Node) session(req *distribution.FollowRequest, now time.Time) (*distribution.Session, error) {
 	if req.Session != "" {
-		session, err := n.sessions.Take(req, now)
+		session, err := n.sessions.Resume(req, now)
 		if errors.Is(err, distribution.ErrUnknownSession) {
 			n.stats.UnknownSessions++
 		}
-		if err == nil && session.Gone() {
+		if err == nil && session.Ended() {
 			n.ended(session)
 		}
 		return session, err
@@ -107,8 +107,8 @@
 		n.ended(replaced)
 	}
 	if err != nil {
-		n.stats.RefusedSessions++
-		return nil, &httpapi.BusyError{RetryAfter: sessionRetryAfter, Reason: err.Error()}
+		n.stats.RejectedSessions++
+		return nil, &httpapi.OverloadedError{RetryAfter: sessionRetryAfter, Reason: err.Error()}
 	}
 	return session, nil
 }
@@ -117,13 +117,13 @@
 func (n *Node) complete(req *distribution.FollowRequest) bool {
 	for i := range req.Positions {
 		name := req.Positions[i].Resource
-		if n.sessions.Complete(name, n.store.Version(name)) {
+		if n.sessions.InForce(name, n.store.Version(name)) {
 			return true
 		}
 	}
 	for i := range req.Statuses {
 		name := req.Statuses[i].Resource
-		if n.sessions.Complete(name, n.store.Version(name)) {
+		if n.sessions.InForce(name, n.store.Version(name)) {
 			return true
 		}
 	}
@@ -149,13 +149,13 @@
 }
 
 // wait answers a read with what is due, or with nothing once its hold is over. The lock is held, but while it waits.
-func (n *Node) wait(ctx context.Context, session *distribution.Session, until time.Time) (*httpapi.Answer, error) {
+func (n *Node) wait(ctx context.Context, session *distribution.Session, until time.Time) (*httpapi.EncodedResponse, error) {
 	w := n.begin(session)
 	mine := w.read
 	var timer *time.Timer
 	for {
 		now := n.now()
-		due, _ := n.sessions.Due(session, n.store, now)
+		due, _ := n.sessions.Pending(session, n.store, now)
 		if len(due) > 0 || !now.Before(until) || w.hurried {
 			n.finish(session, w, now)
 			w.updated, w.hurried = len(due) > 0, false
@@ -168,7 +168,7 @@
 		}
 		err := n.sleep(ctx, w, timer)
 		switch {
-		case session.Gone():
+		case session.Ended():
 			return nil, distribution.ErrUnknownSession
 		case w.read != mine:
 			w.signal() // it may have been the later read's
@@ -196,7 +196,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-n.closed:
-		return &httpapi.BusyError{Reason: "closing"}
+		return &httpapi.OverloadedError{Reason: "closing"}
 	}
 }
 
@@ -226,7 +226,7 @@
 
 // finish ends a session's read.
 func (n *Node) finish(session *distribution.Session, w *waiter, now time.Time) {
-	n.sessions.Answered(session)
+	n.sessions.ReadEnded(session)
 	if !w.urgent.IsZero() {
 		n.stats.UrgentHeldUs = max(n.stats.UrgentHeldUs, now.Sub(w.urgent).Microseconds())
 		w.urgent = time.Time{}
@@ -234,8 +234,8 @@
 }
 
 // answer encodes what is due.
-func (n *Node) answer(session *distribution.Session, due []distribution.Due) *httpapi.Answer {
-	a := &httpapi.Answer{Session: session.ID, SourceAge: n.age(), Cut: n.cut()}
+func (n *Node) answer(session *distribution.Session, due []distribution.PendingUpdate) *httpapi.EncodedResponse {
+	a := &httpapi.EncodedResponse{Session: session.ID, SourceAge: n.age(), Disconnected: n.cut()}
 	size := 0
 	for _, d := range due {
 		if size >= responseBytes {
@@ -245,7 +245,7 @@
 		size += len(encoded)
 		a.Updates = append(a.Updates, encoded)
 		if whole {
-			n.stats.WholeUpdates++
+			n.stats.FullUpdates++
 		} else {
 			n.stats.DeltaUpdates++
 		}
@@ -255,7 +255,7 @@
 }
 
 // encode is an update as JSON, shared by all followers that get the same.
-func (n *Node) encode(d distribution.Due) (encoded []byte, whole bool) {
+func (n *Node) encode(d distribution.PendingUpdate) (encoded []byte, whole bool) {
 	key := cacheKey{d.Resource, d.From, n.store.Version(d.Resource)}
 	if e, found := n.cache.get(key); found {
 		return e.data, e.whole
@@ -266,6 +266,6 @@
 		return nil, false
 	}
 	n.stats.Encodings++
-	n.cache.put(key, cached{data, update.Whole()})
-	return data, update.Whole()
+	n.cache.put(key, cached{data, update.Full()})
+	return data, update.Full()
 }
--- a/internal/distribution/node/relay.go
+++ b/internal/distribution/node/relay.go
@@ -84,16 +84,16 @@
 // cutOff tells whether no upstream has answered yet, or for some time, or the one that does is cut off. The node's lock is held.
 func (r *Relay) cutOff() bool {
 	h := r.follower.Health()
-	return h.Heard.IsZero() || h.Cut || !h.Silent.IsZero() && r.now().Sub(h.Silent) >= cutAfter
+	return h.LastAnswer.IsZero() || h.Disconnected || !h.SilentSince.IsZero() && r.now().Sub(h.SilentSince) >= cutAfter
 }
 
 // sourceAge is since when the source was last heard. The node's lock is held.
 func (r *Relay) sourceAge() time.Duration {
 	h := r.follower.Health()
-	if h.Heard.IsZero() {
+	if h.LastAnswer.IsZero() {
 		return r.now().Sub(r.began)
 	}
-	return max(0, r.now().Sub(h.Heard)) + h.SourceAge
+	return max(0, r.now().Sub(h.LastAnswer)) + h.SourceAge
 }
 
 // upstreamStats fills in the counters of the relay's own reads. The node's lock is held.
@@ -114,7 +114,7 @@
 		select {
 		case <-ticker.C:
 			r.unfollow()
-			if cut := r.Cut(); cut != wasCut {
+			if cut := r.Disconnected(); cut != wasCut {
 				wasCut = cut
 				r.hurry()
 			}
@@ -135,7 +135,7 @@
 func (r *Relay) report() {
 	r.mu.Lock()
 	var statuses []distribution.ResourceStatus
-	for _, name := range r.sessions.TakeChanged() {
+	for _, name := range r.sessions.DrainChanged() {
 		statuses = append(statuses, r.sessions.Status(name, r.store.Version(name)))
 	}
 	r.mu.Unlock()
@@ -154,7 +154,7 @@
 	for name, cancel := range r.cancels {
 		since, idle := r.idle[name]
 		switch {
-		case r.sessions.Follows(name):
+		case r.sessions.IsFollowed(name):
 			delete(r.idle, name)
 		case !idle:
 			r.idle[name] = now
@@ -170,8 +170,8 @@
 // relayed takes what a relay follows.
 type relayed struct{ relay *Relay }
 
-// Updated implements follow.Subscriber.
-func (s *relayed) Updated(u distribution.Update) error { return s.relay.Apply(&u) }
+// ApplyUpdate implements follow.Subscriber.
+func (s *relayed) ApplyUpdate(u distribution.Update) error { return s.relay.Apply(&u) }
 
-// Missed implements follow.Subscriber: what stands is served on, and its age is told.
-func (s *relayed) Missed() {}
+// UpdateFailed implements follow.Subscriber: what stands is served on, and its age is told.
+func (s *relayed) UpdateFailed() {}
--- a/internal/distribution/node/socket_test.go
+++ b/internal/distribution/node/socket_test.go
@@ -105,7 +105,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := New(Config{Name: "source", Keep: d.Keep, Epoch: d.Epoch()})
+	n := New(Config{Name: "source", Persist: d.Save, Epoch: d.Epoch()})
 	if err := d.Load(n.Load); err != nil {
 		t.Fatal(err)
 	}
@@ -164,7 +164,7 @@
 	return end
 }
 
-func (p *proxy) Updated(u distribution.Update) error {
+func (p *proxy) ApplyUpdate(u distribution.Update) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	defer p.changed()
@@ -176,7 +176,7 @@
 			return fmt.Errorf("key %s makes no sense", item.Key)
 		}
 	}
-	if u.Whole() {
+	if u.Full() {
 		p.whole++
 		clear(p.items)
 	} else {
@@ -193,7 +193,7 @@
 	return nil
 }
 
-func (p *proxy) Missed() {
+func (p *proxy) UpdateFailed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.missed++
--- a/internal/distribution/node/write.go
+++ b/internal/distribution/node/write.go
@@ -23,7 +23,7 @@
 	}
 	now := n.now()
 	urgent := n.store.Urgent(u.Resource, had)
-	for _, session := range n.sessions.Changed(u.Resource, urgent, now) {
+	for _, session := range n.sessions.ResourceChanged(u.Resource, urgent, now) {
 		w := n.readers[session]
 		if urgent && w.urgent.IsZero() {
 			w.urgent = now
@@ -39,7 +39,7 @@
 	if n.armed {
 		return
 	}
-	wake, next := n.sessions.Release(now)
+	wake, next := n.sessions.ReleaseCoalesced(now)
 	n.signal(wake)
 	if !next.IsZero() {
 		n.armed = true
@@ -64,7 +64,7 @@
 
 // Put implements httpapi.Service.
 func (n *Node) Put(req *distribution.PutRequest) (distribution.Version, error) {
-	if n.cfg.Keep == nil {
+	if n.cfg.Persist == nil {
 		return distribution.Version{}, httpapi.ErrNotSource
 	}
 	n.writing.Lock()
@@ -87,7 +87,7 @@
 	if update == nil {
 		return stands, nil
 	}
-	if err := n.cfg.Keep(whole); err != nil {
+	if err := n.cfg.Persist(whole); err != nil {
 		return distribution.Version{}, fmt.Errorf("%s: not written: %w", req.Resource, err)
 	}
 	n.mu.Lock()
--- a/internal/distribution/sessions.go
+++ b/internal/distribution/sessions.go
@@ -16,14 +16,14 @@
 
 // SessionLimits bound what a relay keeps of its followers.
 type SessionLimits struct {
-	Sessions  int           // at a time
-	Coalesce  time.Duration // that an update without an urgent item is held back, to be sent with others
-	LeastIdle time.Duration // a session ends when it has not read for 3 holds, and this at least
+	Sessions int           // at a time
+	Coalesce time.Duration // that an update without an urgent item is held back, to be sent with others
+	MinIdle  time.Duration // a session ends when it has not read for 3 holds, and this at least
 }
 
 // DefaultSessionLimits are those of a relay.
 func DefaultSessionLimits() SessionLimits {
-	return SessionLimits{Sessions: 20_000, Coalesce: 50 * time.Millisecond, LeastIdle: 3 * time.Second}
+	return SessionLimits{Sessions: 20_000, Coalesce: 50 * time.Millisecond, MinIdle: 3 * time.Second}
 }
 
 // idleHolds is after how many holds without a read a session ends.
@@ -45,7 +45,7 @@
 // SessionCounters count since the start.
 type SessionCounters struct {
 	Coalesced int64 // updates that were answered together with an earlier one of the same resource
-	Refused   int64 // updates that proxies did not put in force
+	Rejected  int64 // updates that proxies did not put in force
 }
 
 // Session is one follower of a relay.
@@ -108,9 +108,9 @@
 	return opened, replaced, nil
 }
 
-// Take takes what a follower with a session says. A session that is left ends, so that whatever its follower said before and
+// Resume takes what a follower with a session says. A session that is left ends, so that whatever its follower said before and
 // comes later is not counted.
-func (s *Sessions) Take(req *FollowRequest, now time.Time) (*Session, error) {
+func (s *Sessions) Resume(req *FollowRequest, now time.Time) (*Session, error) {
 	session := s.byID[req.Session]
 	if session == nil || session.Follower != req.Follower || session.Kind != req.Kind {
 		return nil, ErrUnknownSession
@@ -124,7 +124,7 @@
 
 func (s *Sessions) take(session *Session, req *FollowRequest, now time.Time) error {
 	if req.HoldMs > 0 || session.end.IsZero() {
-		idle := max(idleHolds*time.Duration(req.HoldMs)*time.Millisecond, s.limits.LeastIdle)
+		idle := max(idleHolds*time.Duration(req.HoldMs)*time.Millisecond, s.limits.MinIdle)
 		session.end = now.Add(idle)
 	}
 	for _, name := range req.Unfollowed {
@@ -162,12 +162,12 @@
 		}
 		f.count(to.InForce, 1)
 		f.refuse(session, to)
-		if !to.Refused.IsZero() && to.Refused != p.refused {
-			s.counters.Refused++
+		if !to.Rejected.IsZero() && to.Rejected != p.refused {
+			s.counters.Rejected++
 		}
 		s.changed[f.name] = true
 	}
-	p.inForce, p.refused = to.InForce, to.Refused
+	p.inForce, p.refused = to.InForce, to.Rejected
 	return nil
 }
 
@@ -217,8 +217,8 @@
 	delete(s.byName, session.Follower)
 }
 
-// Gone tells whether the session has ended.
-func (s *Session) Gone() bool { return s.gone }
+// Ended tells whether the session has ended.
+func (s *Session) Ended() bool { return s.gone }
 
 // Expire ends the sessions whose followers have not read for too long, and returns them.
 func (s *Sessions) Expire(now time.Time) []*Session {
--- a/internal/distribution/sessions_test.go
+++ b/internal/distribution/sessions_test.go
@@ -40,45 +40,45 @@
 	store, s := NewStore(testStoreBytes), NewSessions(DefaultSessionLimits())
 	update(t, store, at(1, 1), set("a", "1"))
 	session := open(t, s, "s1", opening("p1", KindProxy, has("r", at(1, 1))), began)
-	if due, until := s.Due(session, store, began); len(due) > 0 || !until.IsZero() {
+	if due, until := s.Pending(session, store, began); len(due) > 0 || !until.IsZero() {
 		t.Fatalf("nothing new: %v, %v", due, until)
 	}
 
 	update(t, store, at(1, 2), set("a", "2"))
-	if wake := s.Changed("r", false, began); len(wake) > 0 {
+	if wake := s.ResourceChanged("r", false, began); len(wake) > 0 {
 		t.Error("woken at once")
 	}
 	later := began.Add(s.limits.Coalesce / 2)
 	update(t, store, at(1, 3), set("a", "3"))
-	if wake := s.Changed("r", false, later); len(wake) > 0 || s.Counters().Coalesced != 1 {
+	if wake := s.ResourceChanged("r", false, later); len(wake) > 0 || s.Counters().Coalesced != 1 {
 		t.Errorf("woken %d, %d coalesced", len(wake), s.Counters().Coalesced)
 	}
-	if wake, next := s.Release(later); len(wake) > 0 || !next.Equal(began.Add(s.limits.Coalesce)) {
+	if wake, next := s.ReleaseCoalesced(later); len(wake) > 0 || !next.Equal(began.Add(s.limits.Coalesce)) {
 		t.Errorf("woken %d, next %v", len(wake), next)
 	}
 	end := began.Add(s.limits.Coalesce)
-	if wake, next := s.Release(end); len(wake) != 1 || !next.IsZero() {
+	if wake, next := s.ReleaseCoalesced(end); len(wake) != 1 || !next.IsZero() {
 		t.Errorf("woken %d, next %v", len(wake), next)
 	}
-	if due, _ := s.Due(session, store, end); len(due) != 1 || due[0].From != at(1, 1) {
+	if due, _ := s.Pending(session, store, end); len(due) != 1 || due[0].From != at(1, 1) {
 		t.Errorf("due %v", due)
 	}
-	s.Answered(session)
+	s.ReadEnded(session)
 
 	read := &FollowRequest{Follower: "p1", Kind: KindProxy, Session: "s1", HoldMs: testHoldMs, Positions: []Position{has("r", at(1, 3))}}
-	if _, err := s.Take(read, end); err != nil {
+	if _, err := s.Resume(read, end); err != nil {
 		t.Fatal(err)
 	}
-	s.Due(session, store, end)
+	s.Pending(session, store, end)
 	update(t, store, at(1, 4), set("a", "4"))
-	s.Changed("r", false, end)
+	s.ResourceChanged("r", false, end)
 	urgent := set("a", "5")
 	urgent.Urgent = true
 	update(t, store, at(1, 5), urgent)
-	if wake := s.Changed("r", true, end); len(wake) != 1 {
+	if wake := s.ResourceChanged("r", true, end); len(wake) != 1 {
 		t.Errorf("urgent: woken %d", len(wake))
 	}
-	if due, _ := s.Due(session, store, end); len(due) != 1 {
+	if due, _ := s.Pending(session, store, end); len(due) != 1 {
 		t.Errorf("urgent: due %v", due)
 	}
 }
@@ -90,25 +90,25 @@
 	store, s := NewStore(testStoreBytes), NewSessions(limits)
 	update(t, store, at(1, 1), set("a", "1"))
 	update(t, store, at(1, 2), set("a", "2"))
-	refused := Position{Resource: "r", InForce: at(1, 1), Refused: at(1, 2), Reason: "no sense"}
+	refused := Position{Resource: "r", InForce: at(1, 1), Rejected: at(1, 2), Reason: "no sense"}
 	session := open(t, s, "s1", opening("p1", KindProxy, refused), began)
-	if due, _ := s.Due(session, store, began); len(due) > 0 {
+	if due, _ := s.Pending(session, store, began); len(due) > 0 {
 		t.Errorf("due %v", due)
 	}
 	status := s.Status("r", at(1, 2))
 	progress := status.Progress(at(1, 2))
-	if progress.Done() || len(progress.Refused) != 1 || progress.Refused[0] != (Refusal{"p1", at(1, 2), "no sense"}) {
+	if progress.Done() || len(progress.Rejections) != 1 || progress.Rejections[0] != (Rejection{"p1", at(1, 2), "no sense"}) {
 		t.Errorf("%+v", status)
 	}
 	update(t, store, at(1, 3), set("a", "3"))
-	if due, _ := s.Due(session, store, began); len(due) != 1 || due[0].From != at(1, 1) {
+	if due, _ := s.Pending(session, store, began); len(due) != 1 || due[0].From != at(1, 1) {
 		t.Errorf("due %v", due)
 	}
-	if _, err := s.Take(&FollowRequest{Follower: "p1", Kind: KindProxy, Session: "s1", Positions: []Position{has("r", at(1, 3))}}, began); err != nil {
+	if _, err := s.Resume(&FollowRequest{Follower: "p1", Kind: KindProxy, Session: "s1", Positions: []Position{has("r", at(1, 3))}}, began); err != nil {
 		t.Fatal(err)
 	}
 	status = s.Status("r", at(1, 3))
-	if progress := status.Progress(at(1, 3)); !progress.Done() || len(status.Refusals) > 0 {
+	if progress := status.Progress(at(1, 3)); !progress.Done() || len(status.Rejections) > 0 {
 		t.Errorf("%+v", status)
 	}
 }
@@ -123,11 +123,11 @@
 		t.Errorf("%v", err)
 	}
 	again := open(t, s, "s4", opening("p1", KindProxy, has("r", at(1, 2))), began) // one follower, one session
-	if !first.Gone() || again.Gone() || s.Len() != 2 {
+	if !first.Ended() || again.Ended() || s.Len() != 2 {
 		t.Error("the earlier session of a follower has not ended")
 	}
 	for _, req := range []*FollowRequest{{Follower: "p1", Kind: KindProxy, Session: "s1"}, {Follower: "p2", Kind: KindProxy, Session: "s4"}} {
-		if _, err := s.Take(req, began); !errors.Is(err, ErrUnknownSession) {
+		if _, err := s.Resume(req, began); !errors.Is(err, ErrUnknownSession) {
 			t.Errorf("%+v: %v", req, err)
 		}
 	}
@@ -135,7 +135,7 @@
 	if ended := s.Expire(last.Add(-1)); len(ended) > 0 {
 		t.Errorf("%d ended too early", len(ended))
 	}
-	if ended := s.Expire(last); len(ended) != 2 || s.Len() != 0 || s.Follows("r") || len(s.byName) > 0 {
+	if ended := s.Expire(last); len(ended) != 2 || s.Len() != 0 || s.IsFollowed("r") || len(s.byName) > 0 {
 		t.Errorf("%d ended, %d left", len(ended), s.Len())
 	}
 }
@@ -147,7 +147,7 @@
 	var err error
 	for i := 0; err == nil && i <= 2*MaxResources; i++ {
 		req := &FollowRequest{Follower: "p1", Kind: KindProxy, Session: "s1", Positions: []Position{has(fmt.Sprint("r", i), at(1, 1))}}
-		_, err = s.Take(req, began)
+		_, err = s.Resume(req, began)
 	}
 	if !errors.Is(err, ErrFull) || len(s.followed) != MaxResources {
 		t.Errorf("%v, %d resources", err, len(s.followed))
@@ -164,8 +164,8 @@
 	open(t, s, "s1", opening("p1", KindProxy, has("r", at(1, 2))), began)
 	relay := open(t, s, "s2", opening("relay", KindRelay, has("r", at(1, 2))), began)
 	for _, behind := range []int{3, 1} {
-		report := ResourceStatus{Resource: "r", Counts: []VersionCount{{at(1, 2), 10}, {at(1, 1), behind}}, Behind: []Laggard{{"p9", at(1, 1)}}}
-		if _, err := s.Take(&FollowRequest{Follower: "relay", Kind: KindRelay, Session: "s2", Statuses: []ResourceStatus{report}}, began); err != nil {
+		report := ResourceStatus{Resource: "r", Counts: []VersionCount{{at(1, 2), 10}, {at(1, 1), behind}}, Laggards: []Laggard{{"p9", at(1, 1)}}}
+		if _, err := s.Resume(&FollowRequest{Follower: "relay", Kind: KindRelay, Session: "s2", Statuses: []ResourceStatus{report}}, began); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -176,8 +176,8 @@
 	if want := []VersionCount{{at(1, 3), 0}, {at(1, 2), 11}, {at(1, 1), 1}}; !slices.Equal(status.Counts, want) {
 		t.Errorf("%v, %v expected", status.Counts, want)
 	}
-	if want := []Laggard{{"p9", at(1, 1)}, {"p1", at(1, 2)}}; !slices.Equal(status.Behind, want) {
-		t.Errorf("%v, %v expected", status.Behind, want)
+	if want := []Laggard{{"p9", at(1, 1)}, {"p1", at(1, 2)}}; !slices.Equal(status.Laggards, want) {
+		t.Errorf("%v, %v expected", status.Laggards, want)
 	}
 	s.Close(relay)
 	status = s.Status("r", at(1, 2))
@@ -195,8 +195,8 @@
 			part.Counts = append(part.Counts, VersionCount{at(1, uint64(p*MaxCounts+i+1)), 1})
 		}
 		for i := range MaxLaggards {
-			part.Refusals = append(part.Refusals, Refusal{fmt.Sprintf("p%d-%d", p, i), at(1, 5), "no"})
-			part.Behind = append(part.Behind, Laggard{fmt.Sprintf("p%d-%d", p, i), at(1, 1)})
+			part.Rejections = append(part.Rejections, Rejection{fmt.Sprintf("p%d-%d", p, i), at(1, 5), "no"})
+			part.Laggards = append(part.Laggards, Laggard{fmt.Sprintf("p%d-%d", p, i), at(1, 1)})
 		}
 		parts = append(parts, part)
 	}
@@ -277,7 +277,7 @@
 func (m *relayModel) pass(d time.Duration) {
 	end := m.now.Add(d)
 	for {
-		wake, next := m.sessions.Release(m.now)
+		wake, next := m.sessions.ReleaseCoalesced(m.now)
 		m.wake(wake)
 		if next.IsZero() || next.After(end) {
 			break
@@ -309,7 +309,7 @@
 			r.news = m.now
 		}
 	}
-	m.wake(m.sessions.Changed("r", item.Urgent, m.now))
+	m.wake(m.sessions.ResourceChanged("r", item.Urgent, m.now))
 	for _, r := range m.readers {
 		if r.reading && item.Urgent {
 			m.t.Fatalf("%s still waits after an urgent change", r.name)
@@ -325,7 +325,7 @@
 	req := opening(r.name, KindProxy, has("r", r.at))
 	if r.session != nil {
 		req.Session = r.session.ID
-		session, err := m.sessions.Take(req, m.now)
+		session, err := m.sessions.Resume(req, m.now)
 		if err != nil {
 			r.session = nil
 			return
@@ -349,11 +349,11 @@
 
 // answer ends a read if something is due.
 func (m *relayModel) answer(r *reader) {
-	due, _ := m.sessions.Due(r.session, m.store, m.now)
+	due, _ := m.sessions.Pending(r.session, m.store, m.now)
 	if len(due) == 0 {
 		return
 	}
-	m.sessions.Answered(r.session)
+	m.sessions.ReadEnded(r.session)
 	r.reading, r.news = false, time.Time{}
 	if m.random.IntN(5) == 0 { // lost
 		r.session = nil
@@ -395,7 +395,7 @@
 			m.t.Fatalf("%s: version %v, %v expected", r.name, r.at, m.store.Version("r"))
 		}
 	}
-	if !m.sessions.Complete("r", m.store.Version("r")) {
+	if !m.sessions.InForce("r", m.store.Version("r")) {
 		m.t.Fatal("in force everywhere, and not known to be")
 	}
 }
--- a/internal/distribution/statedir/statedir.go
+++ b/internal/distribution/statedir/statedir.go
@@ -60,8 +60,8 @@
 // begin writes the next epoch.
 func (d *Dir) begin(clock int64) error {
 	name := filepath.Join(d.path, epochFile)
-	durable.Tidy(name)
-	data, err := durable.Read(name, maxEpoch)
+	durable.RemoveStaged(name)
+	data, err := durable.ReadFile(name, maxEpoch)
 	if err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
@@ -73,7 +73,7 @@
 	}
 	d.epoch = max(last+1, uint64(max(clock, 0)))
 	text := strconv.FormatUint(d.epoch, 10) + "\n"
-	if err := durable.Replace(name, []byte(text), fileMode, true); err != nil {
+	if err := durable.WriteFile(name, []byte(text), fileMode, true); err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
 	return nil
@@ -85,13 +85,13 @@
 // Close lets another process have the folder.
 func (d *Dir) Close() error { return d.lock.Close() }
 
-// Keep writes a whole resource in place of what was kept of it.
-func (d *Dir) Keep(u *distribution.Update) error {
+// Save writes a whole resource in place of what was kept of it.
+func (d *Dir) Save(u *distribution.Update) error {
 	data, err := json.Marshal(u)
 	if err != nil {
 		return err
 	}
-	return durable.Replace(d.file(u.Resource), data, fileMode, true)
+	return durable.WriteFile(d.file(u.Resource), data, fileMode, true)
 }
 
 // file is where a resource is kept; its name can be too long for a file's.
@@ -107,7 +107,7 @@
 		return fmt.Errorf("state: %w", err)
 	}
 	for _, name := range names {
-		durable.Tidy(name)
+		durable.RemoveStaged(name)
 		if err := d.load(name, f); err != nil {
 			return fmt.Errorf("state: %s: %w", name, err)
 		}
@@ -116,7 +116,7 @@
 }
 
 func (d *Dir) load(name string, f func(*distribution.Update) error) error {
-	data, err := durable.Read(name, maxResource)
+	data, err := durable.ReadFile(name, maxResource)
 	if err != nil {
 		return err
 	}
@@ -139,7 +139,7 @@
 	if err := u.Validate(); err != nil {
 		return nil, err
 	}
-	if !u.Whole() {
+	if !u.Full() {
 		return nil, fmt.Errorf("from: %v found, a whole resource expected", u.From)
 	}
 	return u, nil
--- a/internal/distribution/statedir/statedir_test.go
+++ b/internal/distribution/statedir/statedir_test.go
@@ -43,7 +43,7 @@
 	names := []string{"service-a", "../service b", strings.Repeat("ü", distribution.MaxNameBytes/2)}
 	for _, name := range names {
 		for revision := range uint64(2) {
-			if err := d.Keep(whole(name, revision+1)); err != nil {
+			if err := d.Save(whole(name, revision+1)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -102,7 +102,7 @@
 	f.Add([]byte(`{"resource":"r","version":"1.2","items":[{"key":"a","value":1}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		u, err := Decode(data)
-		if err == nil && (!u.Whole() || u.Validate() != nil) {
+		if err == nil && (!u.Full() || u.Validate() != nil) {
 			t.Errorf("%+v", u)
 		}
 	})
--- a/internal/distribution/stats.go
+++ b/internal/distribution/stats.go
@@ -13,12 +13,12 @@
 	MessagesIn       int64  `json:"messages_in"`        // reads and writes
 	MessagesOut      int64  `json:"messages_out"`       // their answers
 	Puts             int64  `json:"puts"`               // that changed a resource
-	WholeUpdates     int64  `json:"whole_updates"`      // sent
+	FullUpdates      int64  `json:"whole_updates"`      // sent
 	DeltaUpdates     int64  `json:"delta_updates"`      // sent
 	Encodings        int64  `json:"encodings"`          // of updates, each shared by all followers that get the same
 	CoalescedUpdates int64  `json:"coalesced_updates"`  // that went together with an earlier one
-	RefusedUpdates   int64  `json:"refused_updates"`    // by followers
-	RefusedSessions  int64  `json:"refused_sessions"`   // turned away over a bound
+	RejectedUpdates  int64  `json:"refused_updates"`    // by followers
+	RejectedSessions int64  `json:"refused_sessions"`   // turned away over a bound
 	UnknownSessions  int64  `json:"unknown_sessions"`   // answered 410
 	EndedSessions    int64  `json:"ended_sessions"`     // that did not read any more
 	UrgentHeldUs     int64  `json:"urgent_held_us"`     // the longest time that an urgent item was held, microseconds
--- a/internal/distribution/status.go
+++ b/internal/distribution/status.go
@@ -15,10 +15,10 @@
 		for _, c := range part.Counts {
 			counts[c.Version] += c.Proxies
 		}
-		merged.Refusals = append(merged.Refusals, part.Refusals...)
-		for _, l := range part.Behind {
+		merged.Rejections = append(merged.Rejections, part.Rejections...)
+		for _, l := range part.Laggards {
 			if latest.After(l.InForce) {
-				merged.Behind = append(merged.Behind, l)
+				merged.Laggards = append(merged.Laggards, l)
 			}
 		}
 	}
@@ -32,8 +32,8 @@
 	}
 	slices.SortFunc(merged.Counts, func(a, b VersionCount) int { return b.Version.Compare(a.Version) })
 	merged.Counts = boundCounts(merged.Counts)
-	merged.Refusals = boundRefusals(merged.Refusals)
-	merged.Behind = boundLaggards(merged.Behind)
+	merged.Rejections = boundRefusals(merged.Rejections)
+	merged.Laggards = boundLaggards(merged.Laggards)
 	return merged
 }
 
@@ -51,12 +51,12 @@
 }
 
 // boundRefusals keeps those of the latest versions, one for each follower.
-func boundRefusals(refusals []Refusal) []Refusal {
-	slices.SortFunc(refusals, func(a, b Refusal) int {
+func boundRefusals(refusals []Rejection) []Rejection {
+	slices.SortFunc(refusals, func(a, b Rejection) int {
 		return cmp.Or(strings.Compare(a.Follower, b.Follower), b.Version.Compare(a.Version))
 	})
-	refusals = slices.CompactFunc(refusals, func(a, b Refusal) bool { return a.Follower == b.Follower })
-	slices.SortStableFunc(refusals, func(a, b Refusal) int { return b.Version.Compare(a.Version) })
+	refusals = slices.CompactFunc(refusals, func(a, b Rejection) bool { return a.Follower == b.Follower })
+	slices.SortStableFunc(refusals, func(a, b Rejection) int { return b.Version.Compare(a.Version) })
 	return refusals[:min(len(refusals), MaxLaggards)]
 }
 
@@ -73,8 +73,8 @@
 // Progress is how far a version is in force, out of a status.
 type Progress struct {
 	InForce, Proxies int // of all that follow the resource, those that have the version or a later one
-	Refused          []Refusal
-	Behind           []Laggard
+	Rejections       []Rejection
+	Laggards         []Laggard
 }
 
 // Progress is how far a version is in force.
@@ -86,14 +86,14 @@
 			p.InForce += c.Proxies
 		}
 	}
-	for _, r := range s.Refusals {
+	for _, r := range s.Rejections {
 		if !version.After(r.Version) {
-			p.Refused = append(p.Refused, r)
+			p.Rejections = append(p.Rejections, r)
 		}
 	}
-	for _, l := range s.Behind {
+	for _, l := range s.Laggards {
 		if version.After(l.InForce) {
-			p.Behind = append(p.Behind, l)
+			p.Laggards = append(p.Laggards, l)
 		}
 	}
 	return p
--- a/internal/distribution/store.go
+++ b/internal/distribution/store.go
@@ -164,13 +164,13 @@
 // room tells whether a resource can take changes.
 func (s *Store) room(name string, r *resource, u *Update) error {
 	live, size := r.live, int64(0)
-	if u.Whole() {
+	if u.Full() {
 		live = 0
 	}
 	for i := range u.Items {
 		item := &u.Items[i]
 		e, found := r.items[item.Key]
-		stands := found && !e.item.Deleted && !u.Whole()
+		stands := found && !e.item.Deleted && !u.Full()
 		switch {
 		case !stands && !item.Deleted:
 			live++
@@ -203,7 +203,7 @@
 	if !u.Version.After(r.version) {
 		return false, nil
 	}
-	if !u.Whole() && u.From != r.version {
+	if !u.Full() && u.From != r.version {
 		return false, &BaseError{u.Resource, r.version, u.From}
 	}
 	if err := s.room(u.Resource, r, u); err != nil {
@@ -211,10 +211,10 @@
 	}
 	s.resources[u.Resource] = r
 	items := u.Items
-	if u.Whole() {
+	if u.Full() {
 		items = r.news(&PutRequest{Items: u.Items, Replace: true})
 	}
-	s.bytes += r.change(items, u.Version, u.Whole())
+	s.bytes += r.change(items, u.Version, u.Full())
 	return true, nil
 }
 
@@ -315,8 +315,8 @@
 	return i, !step.gap && from.Epoch == step.to.Epoch
 }
 
-// Whole is a resource with all its items, sorted by key, or nil.
-func (s *Store) Whole(name string) *Update {
+// Snapshot is a resource with all its items, sorted by key, or nil.
+func (s *Store) Snapshot(name string) *Update {
 	r := s.resources[name]
 	if r == nil {
 		return nil
--- a/internal/distribution/store_test.go
+++ b/internal/distribution/store_test.go
@@ -41,7 +41,7 @@
 // contents are a resource's items by key.
 func contents(s *Store, name string) map[string]string {
 	m := make(map[string]string)
-	if whole := s.Whole(name); whole != nil {
+	if whole := s.Snapshot(name); whole != nil {
 		for _, i := range whole.Items {
 			m[i.Key] = string(i.Value)
 		}
@@ -72,13 +72,13 @@
 	s := NewStore(testStoreBytes)
 	write(t, s, &PutRequest{Resource: "r", Items: []Item{set("a", "1"), set("b", "1")}}, at(1, 1))
 	u := write(t, s, &PutRequest{Resource: "r", Replace: true, Items: []Item{set("b", "1"), set("c", "1")}}, at(1, 2))
-	if u.Whole() || len(u.Items) != 2 || u.Items[0].Key != "c" || !u.Items[1].Deleted || u.Items[1].Key != "a" {
+	if u.Full() || len(u.Items) != 2 || u.Items[0].Key != "c" || !u.Items[1].Deleted || u.Items[1].Key != "a" {
 		t.Errorf("%+v", u)
 	}
 	if !s.Urgent("r", at(1, 1)) {
 		t.Error("a deletion by replacement takes a backend out: urgent expected")
 	}
-	if since := s.Since("r", at(1, 1)); since.Whole() || len(since.Items) != 2 {
+	if since := s.Since("r", at(1, 1)); since.Full() || len(since.Items) != 2 {
 		t.Errorf("%+v", since)
 	}
 }
@@ -88,10 +88,10 @@
 	s := NewStore(testStoreBytes)
 	write(t, s, &PutRequest{Resource: "r", Items: []Item{set("a", "1")}}, at(1, 5))
 	write(t, s, &PutRequest{Resource: "r", Items: []Item{set("a", "2")}}, at(2, 6)) // after a restart
-	if u := s.Since("r", at(1, 5)); u == nil || u.Whole() {
+	if u := s.Since("r", at(1, 5)); u == nil || u.Full() {
 		t.Errorf("from a known version: %+v", u)
 	}
-	if u := s.Since("r", at(1, 8)); u == nil || !u.Whole() {
+	if u := s.Since("r", at(1, 8)); u == nil || !u.Full() {
 		t.Errorf("from a lost version: %+v", u)
 	}
 
@@ -102,10 +102,10 @@
 			t.Fatal(err)
 		}
 	}
-	if u := relay.Since("r", at(1, 3)); u == nil || u.Whole() {
+	if u := relay.Since("r", at(1, 3)); u == nil || u.Full() {
 		t.Errorf("from before a whole reading: %+v", u)
 	}
-	if u := relay.Since("r", at(1, 5)); u == nil || !u.Whole() {
+	if u := relay.Since("r", at(1, 5)); u == nil || !u.Full() {
 		t.Errorf("from within a whole reading: %+v", u)
 	}
 }
@@ -162,7 +162,7 @@
 	if len(r.items) > historyKeys || len(r.history) > historyKeys || r.inHist > historyKeys || s.Bytes() != 0 {
 		t.Errorf("%d items, %d steps of %d keys, %d bytes", len(r.items), len(r.history), r.inHist, s.Bytes())
 	}
-	if u := s.Since("r", at(1, 1)); !u.Whole() {
+	if u := s.Since("r", at(1, 1)); !u.Full() {
 		t.Errorf("from a forgotten version: %+v", u)
 	}
 }
@@ -178,13 +178,13 @@
 	if u == nil {
 		return
 	}
-	if !u.Version.After(r.at) || !u.Whole() && u.From != r.at {
+	if !u.Version.After(r.at) || !u.Full() && u.From != r.at {
 		t.Fatalf("at %v: update from %v to %v", r.at, u.From, u.Version)
 	}
 	if err := u.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	if u.Whole() {
+	if u.Full() {
 		clear(r.items)
 	}
 	for _, i := range u.Items {
@@ -295,7 +295,7 @@
 	write(m.t, m.source, put, at(m.epoch, m.revision))
 	m.truth[m.source.Version("r")] = contents(m.source, "r")
 	if m.random.IntN(4) > 0 { // else lost at the next restart
-		m.kept = m.source.Whole("r")
+		m.kept = m.source.Snapshot("r")
 	}
 }
 
--- a/internal/distribution/tally.go
+++ b/internal/distribution/tally.go
@@ -9,7 +9,7 @@
 	sessions map[*Session]struct{}
 	proxies  int
 	counts   map[Version]int             // of proxies of this relay
-	refused  map[*Session]Refusal        // of proxies of this relay
+	refused  map[*Session]Rejection      // of proxies of this relay
 	reports  map[*Session]ResourceStatus // of the relays behind this one
 }
 
@@ -28,14 +28,14 @@
 }
 
 func (f *followed) refuse(session *Session, p *Position) {
-	if p.Refused.IsZero() {
+	if p.Rejected.IsZero() {
 		delete(f.refused, session)
 		return
 	}
 	if f.refused == nil {
-		f.refused = make(map[*Session]Refusal)
+		f.refused = make(map[*Session]Rejection)
 	}
-	f.refused[session] = Refusal{session.Follower, p.Refused, p.Reason}
+	f.refused[session] = Rejection{session.Follower, p.Rejected, p.Reason}
 }
 
 // report takes the status that a relay reports of the followers behind it.
@@ -54,11 +54,11 @@
 	s.changed[f.name] = true
 }
 
-// Follows tells whether somebody follows a resource.
-func (s *Sessions) Follows(name string) bool { return s.followed[name] != nil }
+// IsFollowed tells whether somebody follows a resource.
+func (s *Sessions) IsFollowed(name string) bool { return s.followed[name] != nil }
 
-// TakeChanged returns the resources whose status has changed since the last call, sorted.
-func (s *Sessions) TakeChanged() []string {
+// DrainChanged returns the resources whose status has changed since the last call, sorted.
+func (s *Sessions) DrainChanged() []string {
 	names := make([]string, 0, len(s.changed))
 	for name := range s.changed {
 		names = append(names, name)
@@ -68,8 +68,8 @@
 	return names
 }
 
-// Complete tells whether all proxies that follow a resource have its latest version in force, as far as is known here.
-func (s *Sessions) Complete(name string, latest Version) bool {
+// InForce tells whether all proxies that follow a resource have its latest version in force, as far as is known here.
+func (s *Sessions) InForce(name string, latest Version) bool {
 	f := s.followed[name]
 	if f == nil {
 		return true
@@ -107,7 +107,7 @@
 		status.Counts = append(status.Counts, VersionCount{v, n})
 	}
 	for _, refusal := range f.refused {
-		status.Refusals = append(status.Refusals, refusal)
+		status.Rejections = append(status.Rejections, refusal)
 	}
 	if f.counts[latest] == f.proxies {
 		return status
@@ -118,7 +118,7 @@
 		}
 		at, _ := session.find(f)
 		if p := &session.positions[at]; latest.After(p.inForce) {
-			status.Behind = append(status.Behind, Laggard{session.Follower, p.inForce})
+			status.Laggards = append(status.Laggards, Laggard{session.Follower, p.inForce})
 		}
 	}
 	return status
--- a/internal/distribution/validate.go
+++ b/internal/distribution/validate.go
@@ -75,8 +75,8 @@
 	if len(p.Reason) > MaxReasonBytes {
 		return fmt.Errorf("reason: %d bytes found, %d at most expected", len(p.Reason), MaxReasonBytes)
 	}
-	if !p.Refused.IsZero() && !p.Refused.After(p.InForce) {
-		return fmt.Errorf("refused: version %v found, one after that in force (%v) expected", p.Refused, p.InForce)
+	if !p.Rejected.IsZero() && !p.Rejected.After(p.InForce) {
+		return fmt.Errorf("refused: version %v found, one after that in force (%v) expected", p.Rejected, p.InForce)
 	}
 	return nil
 }
@@ -110,10 +110,10 @@
 	}
 	// Changes may delete as many items as the resource can have and bring as many.
 	most := MaxItems
-	if !u.Whole() {
+	if !u.Full() {
 		most = 2 * MaxItems
 	}
-	return validItems(u.Items, most, !u.Whole())
+	return validItems(u.Items, most, !u.Full())
 }
 
 // Validate says what is wrong with a write, in one line, or nil.
@@ -140,10 +140,10 @@
 			return fmt.Errorf("counts[%d]: version %v found, one before %v expected", i, c.Version, s.Counts[i-1].Version)
 		}
 	}
-	if err := validCount("refusals", len(s.Refusals), MaxLaggards); err != nil {
+	if err := validCount("refusals", len(s.Rejections), MaxLaggards); err != nil {
 		return err
 	}
-	for i, r := range s.Refusals {
+	for i, r := range s.Rejections {
 		if err := validName("follower", r.Follower); err != nil {
 			return fmt.Errorf("refusals[%d]: %w", i, err)
 		}
@@ -151,10 +151,10 @@
 			return fmt.Errorf("refusals[%d]: reason: %d bytes found, %d at most expected", i, len(r.Reason), MaxReasonBytes)
 		}
 	}
-	if err := validCount("behind", len(s.Behind), MaxLaggards); err != nil {
+	if err := validCount("behind", len(s.Laggards), MaxLaggards); err != nil {
 		return err
 	}
-	for i, l := range s.Behind {
+	for i, l := range s.Laggards {
 		if err := validName("follower", l.Follower); err != nil {
 			return fmt.Errorf("behind[%d]: %w", i, err)
 		}
--- a/internal/distribution/validate_test.go
+++ b/internal/distribution/validate_test.go
@@ -67,12 +67,12 @@
 		"positions: 8193 found, 8192 at most expected":                            &FollowRequest{Follower: "p", Kind: KindProxy, Positions: make([]Position, MaxResources+1)},
 		"positions[0]: resource: name of 129 bytes found":                         &FollowRequest{Follower: "p", Kind: KindProxy, Positions: []Position{{Resource: long}}},
 		"positions[0]: reason: 257 bytes found":                                   &FollowRequest{Follower: "p", Kind: KindProxy, Positions: []Position{{Resource: "r", Reason: long + long[:128]}}},
-		"positions[0]: refused: version 1.1 found, one after that in force (1.1)": &FollowRequest{Follower: "p", Kind: KindProxy, Positions: []Position{{Resource: "r", InForce: at(1, 1), Refused: at(1, 1)}}},
+		"positions[0]: refused: version 1.1 found, one after that in force (1.1)": &FollowRequest{Follower: "p", Kind: KindProxy, Positions: []Position{{Resource: "r", InForce: at(1, 1), Rejected: at(1, 1)}}},
 		"leave: found without a session":                                          &FollowRequest{Follower: "p", Kind: KindProxy, Leave: true},
 		"unfollowed[0]: resource: control character":                              &FollowRequest{Follower: "p", Kind: KindProxy, Unfollowed: []string{"a\nb"}},
 		"statuses: 1 found of a proxy, none expected":                             &FollowRequest{Follower: "p", Kind: KindProxy, Statuses: []ResourceStatus{{Resource: "r"}}},
 		"statuses[0]: counts[1]: version 1.2 found, one before 1.1 expected":      &FollowRequest{Follower: "p", Kind: KindRelay, Statuses: []ResourceStatus{{Resource: "r", Counts: []VersionCount{{at(1, 1), 1}, {at(1, 2), 1}}}}},
-		"statuses[0]: behind: 21 found, 20 at most expected":                      &FollowRequest{Follower: "p", Kind: KindRelay, Statuses: []ResourceStatus{{Resource: "r", Behind: make([]Laggard, MaxLaggards+1)}}},
+		"statuses[0]: behind: 21 found, 20 at most expected":                      &FollowRequest{Follower: "p", Kind: KindRelay, Statuses: []ResourceStatus{{Resource: "r", Laggards: make([]Laggard, MaxLaggards+1)}}},
 		"session: 0 bytes found":                                                  &FollowResponse{},
 		"source_age_ms: -1 found":                                                 &FollowResponse{Session: "s", SourceAgeMs: -1},
 		"updates[0]: version: 1.1 found, one after 1.1 expected":                  &FollowResponse{Session: "s", Updates: []Update{{Resource: "r", From: at(1, 1), Version: at(1, 1)}}},
@@ -85,7 +85,7 @@
 		"resource: \"\\xff\" found, UTF-8 expected":                               &PutRequest{Resource: "\xff"},
 		"counts[0]: -1 proxies found, 0 or more expected":                         &ResourceStatus{Resource: "r", Counts: []VersionCount{{at(1, 1), -1}}},
 		"counts: 1025 found, 1024 at most expected":                               &ResourceStatus{Resource: "r", Counts: make([]VersionCount, MaxCounts+1)},
-		"refusals[0]: reason: 257 bytes found, 256 at most expected":              &ResourceStatus{Resource: "r", Refusals: []Refusal{{Follower: "p", Reason: strings.Repeat("x", MaxReasonBytes+1)}}},
+		"refusals[0]: reason: 257 bytes found, 256 at most expected":              &ResourceStatus{Resource: "r", Rejections: []Rejection{{Follower: "p", Reason: strings.Repeat("x", MaxReasonBytes+1)}}},
 	} {
 		if err := message.Validate(); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v found, %q expected", err, want)
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -10,9 +10,9 @@
 	"path/filepath"
 )
 
-// Replace puts a file in the place of another, or where none is. Its folder has to be there. With sync the new one outlives
+// WriteFile puts a file in the place of another, or where none is. Its folder has to be there. With sync the new one outlives
 // the machine's crash too, as far as the disk keeps its word; without, that of the process alone.
-func Replace(name string, data []byte, perm fs.FileMode, sync bool) error {
+func WriteFile(name string, data []byte, perm fs.FileMode, sync bool) error {
 	staged, err := Stage(name, data, perm, sync)
 	if err != nil {
 		return err
@@ -55,8 +55,8 @@
 // Discard removes the file.
 func (s *Staged) Discard() { _ = os.Remove(s.from) }
 
-// Read reads a file of no more bytes than most; a longer one is an error. A file that is not there is nil.
-func Read(name string, most int64) ([]byte, error) {
+// ReadFile reads a file of no more bytes than most; a longer one is an error. A file that is not there is nil.
+func ReadFile(name string, most int64) ([]byte, error) {
 	f, err := os.Open(name)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -75,8 +75,8 @@
 	return data, nil
 }
 
-// Tidy removes what Replace has left behind of a file where its process was killed.
-func Tidy(name string) {
+// RemoveStaged removes what Replace has left behind of a file where its process was killed.
+func RemoveStaged(name string) {
 	left, _ := filepath.Glob(filepath.Join(filepath.Dir(name), "."+filepath.Base(name)+".new-*"))
 	for _, l := range left {
 		_ = os.Remove(l)
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -11,31 +11,31 @@
 func TestReplaceAndRead(t *testing.T) {
 	dir := t.TempDir()
 	name := filepath.Join(dir, "a.json")
-	if data, err := Read(name, 10); data != nil || err != nil {
+	if data, err := ReadFile(name, 10); data != nil || err != nil {
 		t.Errorf("no file: %q, %v", data, err)
 	}
 	for _, text := range []string{"first", "second", ""} {
-		if err := Replace(name, []byte(text), 0o600, true); err != nil {
+		if err := WriteFile(name, []byte(text), 0o600, true); err != nil {
 			t.Fatal(err)
 		}
-		if data, err := Read(name, 6); err != nil || string(data) != text || data == nil {
+		if data, err := ReadFile(name, 6); err != nil || string(data) != text || data == nil {
 			t.Errorf("%q, %v; %q expected", data, err, text)
 		}
 	}
 	if err := os.WriteFile(filepath.Join(dir, ".a.json.new-123"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	Tidy(name)
+	RemoveStaged(name)
 	if left, err := os.ReadDir(dir); err != nil || len(left) != 1 {
 		t.Errorf("left: %v, %v", left, err)
 	}
-	if err := Replace(name, []byte("1234567"), 0o600, false); err != nil {
+	if err := WriteFile(name, []byte("1234567"), 0o600, false); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Read(name, 6); err == nil || !strings.Contains(err.Error(), "more than 6 bytes") {
+	if _, err := ReadFile(name, 6); err == nil || !strings.Contains(err.Error(), "more than 6 bytes") {
 		t.Errorf("too long: %v", err)
 	}
-	if err := Replace(filepath.Join(dir, "none", "b"), nil, 0o600, true); err == nil || strings.Contains(err.Error(), "\n") {
+	if err := WriteFile(filepath.Join(dir, "none", "b"), nil, 0o600, true); err == nil || strings.Contains(err.Error(), "\n") {
 		t.Errorf("no folder: %v", err)
 	}
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -164,11 +164,11 @@
 		e.say("service", append(at, "service"), "%s", rt.To[0].Service)
 		return rt.To[0]
 	}
-	var sides []route.Side
+	var sides []route.Arm
 	var parts []string
 	total := 0
 	for _, t := range rt.To {
-		sides = append(sides, route.Side{Name: t.Service, Weight: t.Weight})
+		sides = append(sides, route.Arm{Name: t.Service, Weight: t.Weight})
 		total += t.Weight
 	}
 	for _, t := range rt.To {
@@ -184,7 +184,7 @@
 	}
 	split, err := route.NewSplit(rt.Name, sides)
 	if value := first(header[by]); err == nil && value != "" {
-		n := split.For(value)
+		n := split.ForKey(value)
 		e.say("service", append(at, "split"), "%s, by the hash of %s: %s (of %s); a key that went elsewhere before goes there while it is recalled",
 			rt.To[n].Service, by, value, strings.Join(parts, ", "))
 		return rt.To[n]
@@ -210,10 +210,10 @@
 	s := e.d.App.Service(t.Service)
 	in := words("services", s.Name)
 	class := append(in[:2:2], "classes", t.Class)
-	k, rule := s.Logic.Classes[s.Class(t.Class)], e.rule(t)
+	k, rule := s.Balancer.Classes[s.Class(t.Class)], e.rule(t)
 	e.say("class", class, "%s", t.Class)
 	e.pool(s, in)
-	if rule.Repeat == logic.Keyed && first(header[rule.Key]) == "" {
+	if rule.Repeat == logic.IdempotentByKey && first(header[rule.Key]) == "" {
 		e.say("key", append(class[:4:4], "key"), "%s", rule.Key)
 		return e.ends(http.StatusBadRequest, "a keyed class needs one %s", rule.Key)
 	}
@@ -268,20 +268,20 @@
 	} else {
 		e.say("time limit", from, "%v", limit)
 	}
-	e.say("objective", append(class[:4:4], "objective"), "%v", time.Duration(s.Logic.Classes[s.Class(t.Class)].Aim)*time.Microsecond)
+	e.say("objective", append(class[:4:4], "objective"), "%v", time.Duration(s.Balancer.Classes[s.Class(t.Class)].LatencyObjective)*time.Microsecond)
 }
 
 func (e *explainer) attempts(s *config.Service, in, class []string, rule config.Rule) {
-	l := s.Logic
+	l := s.Balancer
 	e.say("attempts", append(in[:2:2], "attempts"), "%d at most, one at a time", l.MaxAttempts)
-	e.say("retry budget", append(in[:2:2], "retry_budget"), "in any %v further attempts are at most %g + %g x requests", time.Duration(l.BudgetSpan)*time.Microsecond, l.BudgetFree, l.BudgetShare)
+	e.say("retry budget", append(in[:2:2], "retry_budget"), "in any %v further attempts are at most %g + %g x requests", time.Duration(l.RetryBudgetWindow)*time.Microsecond, l.RetryBudgetMin, l.RetryBudgetRatio)
 	e.say("repeat rule", append(class[:4:4], "repeat"), "%s", config.RepeatName(rule.Repeat))
 }
 
 // again says when a request may be sent again, and to whom.
 func (e *explainer) again(s *config.Service, class []string, rule config.Rule) {
 	full := "found no room, "
-	if s.Logic.FullMayRun {
+	if s.Balancer.RejectionMayHaveRun {
 		full = ""
 	}
 	never := "after an attempt that is proven not to have run (" + full + "no connection): to any backend that is not draining"
@@ -289,7 +289,7 @@
 	case config.Never:
 		e.say("sent again", append(class[:4:4], "resend"), "%s; never once it may have run", never)
 	case config.InScope:
-		scope := map[logic.Group]string{logic.GroupAll: "any backend of the service", logic.GroupZone: "a backend of the same zone", logic.GroupCell: "a backend of the same pod"}[rule.Group]
+		scope := map[logic.DedupScope]string{logic.DedupTier: "any backend of the service", logic.DedupZone: "a backend of the same zone", logic.DedupCell: "a backend of the same pod"}[rule.Group]
 		e.say("sent again", append(class[:4:4], "dedup_scope"), "%s; once it may have run: to %s, which drops its repeats by %s", never, scope, rule.Key)
 		e.say("until", append(class[:4:4], "dedup_window"), "%v after its first send, and within its time limit", rule.Window)
 	default:
@@ -300,10 +300,10 @@
 func (e *explainer) refusals(s *config.Service, in, class []string, k logic.Class) {
 	codes := s.Codes.Usual()
 	hint := "without a time to come back"
-	if l := s.Logic.MaxRetryAfter; l > 0 {
+	if l := s.Balancer.MaxRetryAfter; l > 0 {
 		hint = fmt.Sprintf("with a Retry-After of %v at most", time.Duration(l)*time.Microsecond)
 	}
-	e.say("refused", append(in[:2:2], "retry_after"), "%d %s, at once: when the pool is empty or full, its worth (%g) is below what is served, or its body finds no room", codes.Refused, hint, k.Worth)
+	e.say("refused", append(in[:2:2], "retry_after"), "%d %s, at once: when the pool is empty or full, its worth (%g) is below what is served, or its body finds no room", codes.Refused, hint, k.PriorityWeight)
 	e.say("failed", append(in[:2:2], "answers"), "%d when it may have run and no answer came, %d when its time is up", codes.Failed, codes.Expired)
 	if len(s.Tenants) > 0 {
 		e.say("tenants", append(in[:2:2], "tenants"), "%s; a tenant beyond its quota is refused first", strings.Join(s.Tenants, ", "))
--- a/internal/fleet/backend.go
+++ b/internal/fleet/backend.go
@@ -180,7 +180,7 @@
 		return
 	}
 	if b.state != logic.Ready || b.slots >= b.kind.Slots && len(b.waiting) >= b.kind.Waiting {
-		f.after(turnAway, func() { a.end(logic.FullUp) })
+		f.after(turnAway, func() { a.end(logic.Overloaded) })
 		return
 	}
 	b.settle()
--- a/internal/fleet/coldstart/coldstart.go
+++ b/internal/fleet/coldstart/coldstart.go
@@ -107,7 +107,7 @@
 
 // copyOf is one copy of the fleet.
 type copyOf struct {
-	reads *start.Reads
+	reads *start.PollScheduler
 	life  int
 	call  int // the one that is awaited
 	has   bool
@@ -179,7 +179,7 @@
 		told = p.d.Copies
 	}
 	*c = copyOf{life: c.life + 1, has: known, ready: -1,
-		reads: start.NewReads(start.ReadsConfig{Copies: told}, rand.New(rand.NewPCG(p.d.Seed, uint64(i+2)<<8+uint64(c.life))))}
+		reads: start.NewPollScheduler(start.PollConfig{Replicas: told}, rand.New(rand.NewPCG(p.d.Seed, uint64(i+2)<<8+uint64(c.life))))}
 	if known {
 		c.ready = now
 	}
@@ -188,7 +188,7 @@
 
 // next has a copy make its next call.
 func (p *play) next(i int, now time.Duration, call start.Call) {
-	p.at(now+call.After, i, func(now time.Duration) { p.ask(i, now, call) })
+	p.at(now+call.Delay, i, func(now time.Duration) { p.ask(i, now, call) })
 }
 
 // ended takes a call's end.
@@ -205,7 +205,7 @@
 func (p *play) ask(i int, now time.Duration, call start.Call) {
 	second := int(now / time.Second)
 	p.calls[second]++
-	if call.Whole {
+	if call.Full {
 		p.reads[second]++
 		p.result.Reads++
 	}
@@ -216,13 +216,13 @@
 	down := func(t time.Duration) bool { return p.d.Down > 0 && t >= p.d.Down && t < p.d.Down+p.d.For }
 	if down(now) {
 		p.result.Refused++
-		reply(now, start.Busy, p.d.RetryAfter)
+		reply(now, start.Rejected, p.d.RetryAfter)
 		return
 	}
-	late := now + call.Hold + call.Patience
-	if !call.Whole {
+	late := now + call.Hold + call.Timeout
+	if !call.Full {
 		if end := now + call.Hold; p.d.Down > 0 && now < p.d.Down && end >= p.d.Down { // watches end when the service goes down
-			reply(p.d.Down, start.Busy, p.d.RetryAfter)
+			reply(p.d.Down, start.Rejected, p.d.RetryAfter)
 		} else {
 			reply(end, start.Answered, 0)
 		}
@@ -232,18 +232,18 @@
 	each := time.Duration(float64(time.Second) / p.d.Rate)
 	if p.free[s] = max(p.free[s], now); p.free[s]-now > time.Duration(p.d.Queue)*each {
 		p.result.Refused++
-		reply(now, start.Busy, p.d.RetryAfter)
+		reply(now, start.Rejected, p.d.RetryAfter)
 		return
 	}
 	p.free[s] += each
 	if done := p.free[s]; down(done) {
-		reply(p.d.Down, start.Busy, p.d.RetryAfter)
+		reply(p.d.Down, start.Rejected, p.d.RetryAfter)
 	} else if done <= late {
 		reply(done, start.Answered, 0)
 	} else {
 		p.at(late, i, func(now time.Duration) {
 			p.result.GivenUp++
-			p.ended(i, now, start.GivenUp, 0)
+			p.ended(i, now, start.TimedOut, 0)
 		})
 	}
 }
--- a/internal/fleet/copy.go
+++ b/internal/fleet/copy.go
@@ -94,7 +94,7 @@
 	q.copy, q.came = c, f.now
 	c.calls[q.id] = q
 	f.at(q.giveUp, func() { c.withdraw(q) })
-	c.bal.Request(f.now, c.host(), logic.Request{ID: q.id, Class: q.op.class, Tenant: q.op.tenant, Key: q.key, GiveUp: q.giveUp})
+	c.bal.Request(f.now, c.host(), logic.Request{ID: q.id, Class: q.op.class, Tenant: q.op.tenant, Key: q.key, ClientDeadline: q.giveUp})
 }
 
 // withdraw ends a request that nobody waits for any more.
@@ -102,12 +102,12 @@
 	if q.over || c.dead {
 		return
 	}
-	c.bal.Withdrawn(c.f.now, c.host(), q.id)
+	c.bal.Cancel(c.f.now, c.host(), q.id)
 	if !q.over {
 		c.end(q, answer{status: failed})
 	}
 	if a := q.out; a != nil {
-		a.giveUp(logic.Cancelled)
+		a.giveUp(logic.Canceled)
 	}
 }
 
@@ -143,7 +143,7 @@
 		c.end(q, answer{status: served})
 	}
 	c.bal.Outcome(c.f.now, c.host(), logic.Outcome{ID: q.id, Attempt: a.number, Status: status,
-		Took: c.f.now - a.sent, Closed: q.over})
+		Latency: c.f.now - a.sent, RequestDone: q.over})
 	c.forget(q)
 }
 
@@ -167,7 +167,7 @@
 }
 
 // list tells the copy of backends.
-func (c *copyOf) list(kind logic.ListKind, entries []logic.Server) {
+func (c *copyOf) list(kind logic.UpdateKind, entries []logic.Endpoint) {
 	if c.dead {
 		return
 	}
@@ -178,14 +178,14 @@
 			c.since[e.ID] = c.f.now
 		}
 	}
-	c.bal.List(c.f.now, c.host(), kind, entries)
+	c.bal.UpdateEndpoints(c.f.now, c.host(), kind, entries)
 }
 
 // host is a copy as the module sees it.
 type host copyOf
 
-// Send implements logic.Host.
-func (h *host) Send(id, server string, timeout int64) {
+// Forward implements logic.Host.
+func (h *host) Forward(id, server string, timeout int64) {
 	c, f := (*copyOf)(h), h.f
 	q, b := c.calls[id], f.byID[server]
 	if q == nil || q.over || q.out != nil || b == nil || b.tier != c.tier {
@@ -213,8 +213,8 @@
 	}
 }
 
-// Refuse implements logic.Host.
-func (h *host) Refuse(id string, after int64) {
+// Shed implements logic.Host.
+func (h *host) Shed(id string, after int64) {
 	c := (*copyOf)(h)
 	q := c.calls[id]
 	if q == nil {
@@ -242,8 +242,8 @@
 	})
 }
 
-// Watch implements logic.Host. Lists are pushed here.
-func (h *host) Watch() {}
+// WatchEndpoints implements logic.Host. Lists are pushed here.
+func (h *host) WatchEndpoints() {}
 
 // Log implements logic.Host.
 func (h *host) Log(string) {}
@@ -251,20 +251,20 @@
 // settings are what a copy of a tier is told.
 func (f *fleet) settings(tier, index, siblings int) logic.Settings {
 	d := f.day
-	s := logic.Settings{Stage: tier, Siblings: siblings, Ordinal: index, Zones: 1, MaxAttempts: 5,
-		MaxRetryAfter: 2_000_000, DrainGrace: drainGrace, StartCapacity: d.Tiers[tier].ColdFrom * 0.9,
-		Cold: int64(math.Ceil(float64(d.Tiers[tier].Warm.micros()) * 1.1))}
+	s := logic.Settings{Tier: tier, Replicas: siblings, ReplicaIndex: index, Zones: 1, MaxAttempts: 5,
+		MaxRetryAfter: 2_000_000, DrainGrace: drainGrace, SlowStartMinCapacity: d.Tiers[tier].ColdFrom * 0.9,
+		SlowStartWindow: int64(math.Ceil(float64(d.Tiers[tier].Warm.micros()) * 1.1))}
 	for _, c := range d.Classes {
-		s.Classes = append(s.Classes, logic.Class{Aim: c.Aim.micros(), Deadline: c.Deadline.micros(), Worth: 1,
-			LateWorth: c.Late, Window: c.Window.micros(), Group: logic.GroupCell,
-			Repeat: map[string]logic.Repeat{"safe": logic.Safe, "keyed": logic.Keyed, "unsafe": logic.Unsafe}[c.Repeat]})
+		s.Classes = append(s.Classes, logic.Class{LatencyObjective: c.Aim.micros(), Deadline: c.Deadline.micros(), PriorityWeight: 1,
+			LatePriorityFactor: c.Late, DedupWindow: c.Window.micros(), DedupScope: logic.DedupCell,
+			Idempotency: map[string]logic.Idempotency{"safe": logic.Idempotent, "keyed": logic.IdempotentByKey, "unsafe": logic.NonIdempotent}[c.Repeat]})
 	}
 	total := 0.0
 	for _, t := range d.Tenants {
 		total += t.Share
 	}
 	for _, t := range d.Tenants {
-		s.Tenants = append(s.Tenants, logic.Tenant{Portion: t.Share / total, Quota: t.Share / total * d.Quota * f.capacity})
+		s.Tenants = append(s.Tenants, logic.Tenant{CapacityFraction: t.Share / total, Quota: t.Share / total * d.Quota * f.capacity})
 	}
 	return s
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -125,13 +125,13 @@
 func (f *fleet) fresh(tier, index, siblings int) *copyOf {
 	c := f.newCopy(tier, index, siblings)
 	c.late = int64(float64(f.day.Network.Notice.micros()) * (0.5 + f.way.Float64()))
-	var entries []logic.Server
+	var entries []logic.Endpoint
 	for _, b := range f.backends[tier] {
-		if !b.dead && b.state != logic.Gone {
+		if !b.dead && b.state != logic.Removed {
 			entries = append(entries, b.entry())
 		}
 	}
-	c.list(logic.Full, entries)
+	c.list(logic.Snapshot, entries)
 	return c
 }
 
@@ -156,8 +156,8 @@
 	return n
 }
 
-func (b *backend) entry() logic.Server {
-	return logic.Server{ID: b.id, Cell: b.cell, State: b.state, Size: 1, Launched: b.launched}
+func (b *backend) entry() logic.Endpoint {
+	return logic.Endpoint{ID: b.id, Cell: b.cell, State: b.state, Weight: 1, StartedAt: b.launched}
 }
 
 // tell has every copy before a backend's tier learn of its state, each in its time.
@@ -169,7 +169,7 @@
 	e.State = state
 	for _, c := range f.all {
 		if c.tier == b.tier && !c.dead {
-			f.after(c.late, func() { c.list(logic.Delta, []logic.Server{e}) })
+			f.after(c.late, func() { c.list(logic.Delta, []logic.Endpoint{e}) })
 		}
 	}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -150,11 +150,11 @@
 			c, b := f.front[0], f.backends[0][0]
 			c.calls["x"] = &call{id: "x", op: &op{}, copy: c}
 			b.state = logic.Draining
-			c.list(logic.Delta, []logic.Server{b.entry()})
+			c.list(logic.Delta, []logic.Endpoint{b.entry()})
 			f.now += drainGrace + 1
-			(*host)(c).Send("x", b.id, 1)
+			(*host)(c).Forward("x", b.id, 1)
 		}},
-		{"a Send that cannot be", func(f *fleet, job func(int) *job) { (*host)(f.front[0]).Send("none", f.backends[0][0].id, 1) }},
+		{"a Send that cannot be", func(f *fleet, job func(int) *job) { (*host)(f.front[0]).Forward("none", f.backends[0][0].id, 1) }},
 		{"a cold backend was pushed over", func(f *fleet, job func(int) *job) {
 			b := f.backends[0][0]
 			b.launched, f.now = 1, 1
--- a/internal/fleet/measure.go
+++ b/internal/fleet/measure.go
@@ -23,8 +23,8 @@
 	Shadow                               int     // by the first tier, while capacity stood free in all tiers
 	ShadowWorth                          float64 // what these tries were worth
 	GateWorth                            float64 // the same without those that a tenant's share refused
-	Causes                               [logic.Causes]int
-	ShadowCauses                         [logic.Causes]int
+	Causes                               [logic.ShedCauses]int
+	ShadowCauses                         [logic.ShedCauses]int
 	overTime, lookTime                   int
 	worth, got                           []float64 // by slots of arrival
 }
@@ -84,14 +84,14 @@
 	if f.now < f.warmup {
 		return
 	}
-	g, cause := &f.figures, c.bal.Cause()
+	g, cause := &f.figures, c.bal.ShedCause()
 	g.Refusals++
 	g.Causes[cause]++
 	shadow := c.tier == 0 && f.leastFree() >= freeBar
 	if shadow {
 		g.Shadow++
 		g.ShadowWorth += q.op.worth
-		if cause != logic.ByTenant {
+		if cause != logic.ByTenantQuota {
 			g.GateWorth += q.op.worth
 		}
 		g.ShadowCauses[cause]++
--- a/internal/fleet/plot/plot.go
+++ b/internal/fleet/plot/plot.go
@@ -62,13 +62,13 @@
 func Why(d *fleet.Day, x fleet.Refusal) string {
 	what := x.Cause.String()
 	switch {
-	case x.Cause == logic.ByClass:
+	case x.Cause == logic.ByClassLimit:
 		what += " of " + d.Classes[x.Class].Name
-	case x.Cause == logic.ByTenant && x.Tenant >= 0:
-		return fmt.Sprintf("%s of %s, at %.2f of its share", what, d.Tenants[x.Tenant].Name, x.Figure.Count)
+	case x.Cause == logic.ByTenantQuota && x.Tenant >= 0:
+		return fmt.Sprintf("%s of %s, at %.2f of its share", what, d.Tenants[x.Tenant].Name, x.Figure.Limit)
 	}
-	if cut := x.Figure.Cut; cut.By != logic.NoEvidence {
-		what += fmt.Sprintf(", cut at %.1fs by %v, %d of %d, %.1f to %.1f", float64(cut.At)/second, cut.By, cut.Bad, cut.Of, cut.From, cut.To)
+	if cut := x.Figure.LastCut; cut.Evidence != logic.NoEvidence {
+		what += fmt.Sprintf(", cut at %.1fs by %v, %d of %d, %.1f to %.1f", float64(cut.At)/second, cut.Evidence, cut.Bad, cut.Total, cut.From, cut.To)
 	}
 	return what
 }
@@ -82,19 +82,19 @@
 	}
 	top := 1.0
 	for _, x := range all {
-		top = max(top, float64(x.Figures.Tier.Out), shown(x.Figures.Tier.Count))
+		top = max(top, float64(x.Figures.Tier.InFlight), shown(x.Figures.Tier.Limit))
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "s\tcount\tout\tshare\tfail\tfree\tover\trefused\tshadow\t out # and room :")
 	for _, x := range all {
 		f := x.Figures
-		out := int(float64(f.Tier.Out) / top * wide)
-		room := int(shown(f.Tier.Count)/top*wide) - out
-		count := fmt.Sprintf("%.1f", f.Tier.Count)
-		if f.Tier.Count > most {
+		out := int(float64(f.Tier.InFlight) / top * wide)
+		room := int(shown(f.Tier.Limit)/top*wide) - out
+		count := fmt.Sprintf("%.1f", f.Tier.Limit)
+		if f.Tier.Limit > most {
 			count, room = "none", wide-out
 		}
-		fmt.Fprintf(t, "%d\t%s\t%d\t%.2f\t%.0f%%\t%.0f%%\t%d\t%d\t%d\t %-*s %s\n", x.At/second, count, f.Tier.Out, f.Share, 100*f.Errors,
+		fmt.Fprintf(t, "%d\t%s\t%d\t%.2f\t%.0f%%\t%.0f%%\t%d\t%d\t%d\t %-*s %s\n", x.At/second, count, f.Tier.InFlight, f.QuotaMultiple, 100*f.ErrorRate,
 			100*x.Free, x.Over, x.refused, x.shadow, wide, strings.Repeat("#", max(0, out))+strings.Repeat(":", max(0, room)), x.why)
 	}
 	return t.Flush()
@@ -123,8 +123,8 @@
 		name, color string
 		at          func(row) float64
 	}{
-		{"count", "#1f6fb4", func(x row) float64 { return shown(x.Figures.Tier.Count) }},
-		{"calls out", "#2a9d4a", func(x row) float64 { return float64(x.Figures.Tier.Out) }},
+		{"count", "#1f6fb4", func(x row) float64 { return shown(x.Figures.Tier.Limit) }},
+		{"calls out", "#2a9d4a", func(x row) float64 { return float64(x.Figures.Tier.InFlight) }},
 		{"cores free in the tier", "#999999", func(x row) float64 { return x.Can }},
 		{"backends overdriven", "#8844aa", func(x row) float64 { return float64(x.Over) }},
 		{"refused a second, in the shadow", "#cc3322", func(x row) float64 { return float64(x.shadow) }},
--- a/internal/fleet/trace.go
+++ b/internal/fleet/trace.go
@@ -19,7 +19,7 @@
 	At      int64 // microseconds
 	Tier    int
 	Copy    int // its number in the tier
-	Figures logic.Figures
+	Figures logic.Stats
 	Free    float64 // part of its tier's capacity that stands free
 	Over    int     // backends of its tier that are slowed by crowds
 	Can     float64 // cores of its tier that are free
@@ -32,9 +32,9 @@
 	Copy   int
 	Class  int
 	Tenant int
-	Cause  logic.Cause
-	Figure logic.RuleFigures // of the rule that refused, where it has a count
-	Free   float64           // least part of any tier that stood free
+	Cause  logic.ShedCause
+	Figure logic.LimitStats // of the rule that refused, where it has a count
+	Free   float64          // least part of any tier that stood free
 	Shadow bool
 }
 
@@ -55,25 +55,25 @@
 		if c.dead || c.tier == 0 && f.front[c.index] != c {
 			continue
 		}
-		f.trace.Samples = append(f.trace.Samples, Sample{At: f.now, Tier: c.tier, Copy: c.index, Figures: c.bal.Figures(),
+		f.trace.Samples = append(f.trace.Samples, Sample{At: f.now, Tier: c.tier, Copy: c.index, Figures: c.bal.Stats(),
 			Free: f.free[c.tier], Over: over[c.tier], Can: cores[c.tier]})
 	}
 }
 
-func (f *fleet) note(c *copyOf, q *call, cause logic.Cause, shadow bool) {
+func (f *fleet) note(c *copyOf, q *call, cause logic.ShedCause, shadow bool) {
 	if len(f.trace.Refusals) >= mostNotes {
 		f.trace.Left++
 		return
 	}
 	r := Refusal{At: f.now, Tier: c.tier, Copy: c.index, Class: q.op.class, Tenant: q.op.tenant, Cause: cause,
 		Free: f.leastFree(), Shadow: shadow}
-	switch g := c.bal.Figures(); cause {
-	case logic.ByTier:
+	switch g := c.bal.Stats(); cause {
+	case logic.ByTierLimit:
 		r.Figure = g.Tier
-	case logic.ByClass:
+	case logic.ByClassLimit:
 		r.Figure = g.Classes[q.op.class]
-	case logic.ByTenant:
-		r.Figure.Count = g.Share
+	case logic.ByTenantQuota:
+		r.Figure.Limit = g.QuotaMultiple
 	}
 	f.trace.Refusals = append(f.trace.Refusals, r)
 }
--- a/internal/fleet/trouble.go
+++ b/internal/fleet/trouble.go
@@ -98,7 +98,7 @@
 			f.after(lookEvery, check)
 			return
 		}
-		b.state = logic.Gone
+		b.state = logic.Removed
 		f.tell(b)
 		f.after(goneAfter, func() { f.remove(b) }) // attempts may be on their way
 	}
@@ -119,7 +119,7 @@
 
 func (f *fleet) kill(b *backend) {
 	b.die()
-	f.announce(b, logic.Gone)
+	f.announce(b, logic.Removed)
 }
 
 func (f *fleet) revive(b *backend) {
--- a/internal/front/http1/clients.go
+++ b/internal/front/http1/clients.go
@@ -13,10 +13,10 @@
 
 // Quota is the clients' part of the process's descriptors.
 type Quota interface {
-	// Take counts a connection in, if there is room or others can make some.
-	Take() bool
-	// Give counts a connection out.
-	Give()
+	// Acquire counts a connection in, if there is room or others can make some.
+	Acquire() bool
+	// Release counts a connection out.
+	Release()
 }
 
 const (
@@ -106,7 +106,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for tries := 0; !l.quota.Take(); tries++ {
+	for tries := 0; !l.quota.Acquire(); tries++ {
 		if tries == evictTries || !l.evict() {
 			return nil
 		}
@@ -138,8 +138,8 @@
 	return false
 }
 
-// Shed closes one connection that carries no request, and is false if there is none.
-func (f *Front) Shed() bool {
+// CloseIdleConnection closes one connection that carries no request, and is false if there is none.
+func (f *Front) CloseIdleConnection() bool {
 	f.clients.mu.Lock()
 	defer f.clients.mu.Unlock()
 	return f.clients.evict()
@@ -159,7 +159,7 @@
 func (l *clients) remove(c *clientConn) {
 	l.rest(c, nil)
 	delete(l.conns, c)
-	l.quota.Give()
+	l.quota.Release()
 }
 
 // state follows what net/http makes of a connection. A request is open from StateActive, when its head has
--- a/internal/front/http1/crossings_test.go
+++ b/internal/front/http1/crossings_test.go
@@ -50,29 +50,29 @@
 	for {
 		select {
 		case <-g.gate:
-			return core.Answer{Verdict: core.Served, Reply: &core.Reply{Code: http.StatusOK, Body: []byte(r.ID), Release: g.release}}
+			return core.Answer{Verdict: core.Served, Response: &core.Response{StatusCode: http.StatusOK, Body: []byte(r.ID), Release: g.release}}
 		case x := <-g.left:
 			if x == r {
 				g.gone <- r.ID
-				return core.Answer{Verdict: core.Aborted}
+				return core.Answer{Verdict: core.Canceled}
 			}
 			g.left <- x
 		}
 	}
 }
 
-func (g *gated) Withdraw(r *core.Request) { g.left <- r }
+func (g *gated) Cancel(r *core.Request) { g.left <- r }
 
 // Resolve takes every request, by its path.
-func (g *gated) Resolve(r *http.Request) (front.Dest, *front.Fault) {
-	return front.Dest{Pool: g, ID: strings.TrimPrefix(r.URL.Path, "/"), Tenant: -1, Target: r.RequestURI, Wait: time.Minute, MaxBody: 64 << 10}, nil
+func (g *gated) Resolve(r *http.Request) (front.Destination, *front.RequestError) {
+	return front.Destination{Pool: g, ID: strings.TrimPrefix(r.URL.Path, "/"), Tenant: -1, Target: r.RequestURI, Timeout: time.Minute, MaxBody: 64 << 10}, nil
 }
 
 // plenty is a quota without a limit.
 type plenty struct{}
 
-func (plenty) Take() bool { return true }
-func (plenty) Give()      {}
+func (plenty) Acquire() bool { return true }
+func (plenty) Release()      {}
 
 // stalling is a listener whose process can be too busy to accept.
 type stalling struct {
@@ -102,7 +102,7 @@
 // serving is a front before a pool.
 func serving(t *testing.T, l net.Listener, pool *gated) *Front {
 	t.Helper()
-	f := New(Config{Listener: l, Resolver: pool, Healthy: func() bool { return true }, Longest: time.Minute, Quota: plenty{},
+	f := New(Config{Listener: l, Resolver: pool, IsHealthy: func() bool { return true }, MaxTimeout: time.Minute, Quota: plenty{},
 		Log: slog.New(slog.DiscardHandler)})
 	ended := make(chan error, 1)
 	go func() { ended <- f.Serve() }()
--- a/internal/front/http1/front.go
+++ b/internal/front/http1/front.go
@@ -40,12 +40,12 @@
 
 // Config is what a front is made of.
 type Config struct {
-	Listener net.Listener
-	Resolver front.Resolver
-	Healthy  func() bool   // whether what is behind can serve
-	Longest  time.Duration // that any request may take
-	Quota    Quota         // of open connections
-	Log      *slog.Logger
+	Listener   net.Listener
+	Resolver   front.Resolver
+	IsHealthy  func() bool   // whether what is behind can serve
+	MaxTimeout time.Duration // that any request may take
+	Quota      Quota         // of open connections
+	Log        *slog.Logger
 }
 
 // Front takes requests from clients and hands them to the pools that the resolver names.
@@ -63,7 +63,7 @@
 	f := &Front{cfg: cfg, clients: newClients(cfg.Listener, cfg.Quota)}
 	f.server = &http.Server{
 		Handler: f, ReadHeaderTimeout: headPatience, IdleTimeout: idlePatience, MaxHeaderBytes: maxHead,
-		WriteTimeout: headPatience + cfg.Longest + writeLeeway,
+		WriteTimeout: headPatience + cfg.MaxTimeout + writeLeeway,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, clientKey{}, c)
 		},
@@ -124,11 +124,11 @@
 		dest, fault := f.cfg.Resolver.Resolve(r)
 		if fault == nil && tries == 1 {
 			if n := r.ContentLength; dest.Memory != nil && n > 0 && n <= dest.MaxBody {
-				if !dest.Memory.Take(n) {
-					f.turnAway(w, front.Fault{Status: http.StatusServiceUnavailable, Why: "no memory is left for the body", After: dest.Full})
+				if !dest.Memory.Acquire(n) {
+					f.turnAway(w, front.RequestError{Status: http.StatusServiceUnavailable, Reason: "no memory is left for the body", RetryAfter: dest.MemoryRetryAfter})
 					return
 				}
-				defer dest.Memory.Give(n)
+				defer dest.Memory.Release(n)
 			}
 			body, fault = f.body(w, r, conn, &dest)
 		}
@@ -140,7 +140,7 @@
 			dest.Mirror = nil // has its copy
 		}
 		ans := f.pass(r, came, &dest, body)
-		if ans.Verdict != core.NotTaken || tries == mostTries {
+		if ans.Verdict != core.NotAdmitted || tries == mostTries {
 			if conn.answer() {
 				w.Header().Set("Connection", "close")
 			}
@@ -152,24 +152,24 @@
 }
 
 // pass hands a request to its pool and waits for the answer.
-func (f *Front) pass(r *http.Request, came time.Time, dest *front.Dest, body []byte) core.Answer {
+func (f *Front) pass(r *http.Request, came time.Time, dest *front.Destination, body []byte) core.Answer {
 	req := &core.Request{
 		Request: logic.Request{ID: dest.ID, Class: dest.Class, Tenant: dest.Tenant, Key: dest.Key,
-			GiveUp: dest.Pool.Clock().At(came.Add(dest.Wait))},
+			ClientDeadline: dest.Pool.Clock().At(came.Add(dest.Timeout))},
 		Method: r.Method, Target: dest.Target, Host: r.Host, Header: passOn(r.Header, dest.Header), Body: body,
 	}
 	if f.bound.Load() {
-		req.Lines, req.Spare = f.clients.lines()
+		req.ClientConnections, req.IdleClientConnections = f.clients.lines()
 	}
 	if dest.Mirror != nil {
 		dest.Mirror(req)
 	}
-	defer context.AfterFunc(r.Context(), func() { dest.Pool.Withdraw(req) })() // the client has gone
+	defer context.AfterFunc(r.Context(), func() { dest.Pool.Cancel(req) })() // the client has gone
 	return dest.Pool.Do(req)
 }
 
 func (f *Front) health(w http.ResponseWriter) {
-	if f.cfg.Healthy() && !f.draining.Load() {
+	if f.cfg.IsHealthy() && !f.draining.Load() {
 		w.WriteHeader(http.StatusOK)
 		return
 	}
@@ -178,20 +178,20 @@
 }
 
 // turnAway answers a request that makes no sense. What follows it may not be the next one.
-func (f *Front) turnAway(w http.ResponseWriter, fault front.Fault) {
+func (f *Front) turnAway(w http.ResponseWriter, fault front.RequestError) {
 	// What is left of a body is drained on the way out; it may never come.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(faultLinger))
 	h := w.Header()
 	if fault.Allow != "" {
 		h.Set("Allow", fault.Allow)
 	}
-	f.write(w, &core.Reply{Code: fault.Status, Header: []core.Field{{Name: "Content-Type", Value: "text/plain"}}, Body: []byte(fault.Why + "\n")}, fault.After, true)
+	f.write(w, &core.Response{StatusCode: fault.Status, Header: []core.Field{{Name: "Content-Type", Value: "text/plain"}}, Body: []byte(fault.Reason + "\n")}, fault.RetryAfter, true)
 }
 
 // word puts a verdict that comes without a backend's reply into a status.
 func word(v core.Verdict) int {
 	switch v {
-	case core.Refused, core.NotTaken:
+	case core.Shed, core.NotAdmitted:
 		return http.StatusServiceUnavailable
 	case core.Expired:
 		return http.StatusGatewayTimeout
@@ -202,17 +202,17 @@
 }
 
 func (f *Front) reply(w http.ResponseWriter, ans core.Answer) {
-	defer ans.Reply.Done()
-	if ans.Verdict == core.Aborted {
+	defer ans.Response.Close()
+	if ans.Verdict == core.Canceled {
 		panic(http.ErrAbortHandler) // a return would answer 200
 	}
-	if ans.Reply == nil {
-		ans.Reply = &core.Reply{Code: word(ans.Verdict)}
+	if ans.Response == nil {
+		ans.Response = &core.Response{StatusCode: word(ans.Verdict)}
 	}
-	f.write(w, ans.Reply, time.Duration(ans.After)*time.Microsecond, ans.Verdict == core.Rejected)
+	f.write(w, ans.Response, time.Duration(ans.RetryAfter)*time.Microsecond, ans.Verdict == core.Rejected)
 }
 
-func (f *Front) write(w http.ResponseWriter, reply *core.Reply, after time.Duration, last bool) {
+func (f *Front) write(w http.ResponseWriter, reply *core.Response, after time.Duration, last bool) {
 	h := w.Header()
 	h["Content-Type"] = nil // not to be guessed
 	for _, f := range reply.Header {
@@ -221,13 +221,13 @@
 	if last || f.closing.Load() {
 		h["Connection"] = []string{"close"}
 	}
-	if bodyAllowed(reply.Code) && h["Content-Length"] == nil { // a reply to HEAD gives the length of a body that it lacks
+	if bodyAllowed(reply.StatusCode) && h["Content-Length"] == nil { // a reply to HEAD gives the length of a body that it lacks
 		h["Content-Length"] = []string{strconv.Itoa(len(reply.Body))}
 	}
 	if after > 0 {
 		h["Retry-After"] = []string{strconv.FormatFloat(after.Seconds(), 'f', 3, 64)}
 	}
-	w.WriteHeader(reply.Code)
+	w.WriteHeader(reply.StatusCode)
 	if len(reply.Body) > 0 {
 		_, _ = w.Write(reply.Body) // a client that has gone is no fault
 	}
@@ -239,23 +239,23 @@
 }
 
 // check looks at what makes no sense whatever the request is for.
-func (f *Front) check(r *http.Request) *front.Fault {
+func (f *Front) check(r *http.Request) *front.RequestError {
 	if !r.ProtoAtLeast(1, 1) { // in these net/http drops a Transfer-Encoding unseen
-		return &front.Fault{Status: http.StatusHTTPVersionNotSupported, Why: "HTTP/1.1 is spoken here"}
+		return &front.RequestError{Status: http.StatusHTTPVersionNotSupported, Reason: "HTTP/1.1 is spoken here"}
 	}
 	if len(r.TransferEncoding) > 0 { // with a Content-Length beside it the body may hide another request
-		return &front.Fault{Status: http.StatusLengthRequired, Why: "a body needs Content-Length alone"}
+		return &front.RequestError{Status: http.StatusLengthRequired, Reason: "a body needs Content-Length alone"}
 	}
 	return nil
 }
 
 // body reads a body of known length. It grows with what comes: a length alone costs no memory.
-func (f *Front) body(w http.ResponseWriter, r *http.Request, conn *clientConn, dest *front.Dest) ([]byte, *front.Fault) {
+func (f *Front) body(w http.ResponseWriter, r *http.Request, conn *clientConn, dest *front.Destination) ([]byte, *front.RequestError) {
 	switch {
 	case r.ContentLength > dest.MaxBody:
-		return nil, &front.Fault{Status: http.StatusRequestEntityTooLarge, Why: "the body is too large"}
-	case r.ContentLength > 0 && dest.Bodiless:
-		return nil, &front.Fault{Status: http.StatusBadRequest, Why: "a body on a GET"}
+		return nil, &front.RequestError{Status: http.StatusRequestEntityTooLarge, Reason: "the body is too large"}
+	case r.ContentLength > 0 && dest.NoBody:
+		return nil, &front.RequestError{Status: http.StatusBadRequest, Reason: "a body on a GET"}
 	case r.ContentLength == 0:
 		return nil, nil
 	}
@@ -270,7 +270,7 @@
 	// While the answer is awaited net/http reads on, to see a client that goes; that has no deadline.
 	_ = c.SetReadDeadline(time.Time{})
 	if err != nil {
-		return nil, &front.Fault{Status: http.StatusBadRequest, Why: "the body broke off"}
+		return nil, &front.RequestError{Status: http.StatusBadRequest, Reason: "the body broke off"}
 	}
 	return body.Bytes(), nil
 }
--- a/internal/membership/blocking/blocking.go
+++ b/internal/membership/blocking/blocking.go
@@ -51,12 +51,12 @@
 type Source struct {
 	cfg    Config
 	client *http.Client
-	teller *staleness.Teller
+	teller *staleness.Notifier
 }
 
 // New returns a source.
 func New(cfg Config) *Source {
-	return &Source{cfg: cfg, teller: staleness.NewTeller("health reads", cfg.Log),
+	return &Source{cfg: cfg, teller: staleness.NewNotifier("health reads", cfg.Log),
 		client: &http.Client{Transport: &http.Transport{DialContext: cfg.Dial, MaxConnsPerHost: 2, DisableCompression: true}}}
 }
 
@@ -84,13 +84,13 @@
 		}
 		var fresh bool
 		if err == nil {
-			fresh, err = s.teller.Whole(sink, entries)
+			fresh, err = s.teller.Update(sink, entries)
 		}
 		if err != nil {
 			s.teller.Failed()
 			if s.cfg.Log.Warn("health reads: the last list stands", "error", err); !missed {
 				missed = true
-				sink.Missed()
+				sink.UpdateFailed()
 			}
 			if !sleep.For(ctx, rand.N(wait)) {
 				return
--- a/internal/membership/blocking/blocking_test.go
+++ b/internal/membership/blocking/blocking_test.go
@@ -63,8 +63,8 @@
 	news  chan struct{}
 }
 
-func (k *kept) Missed() {}
-func (k *kept) Listed(l *membership.List) {
+func (k *kept) UpdateFailed() {}
+func (k *kept) UpdateEndpoints(l *membership.List) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.lists++
@@ -133,8 +133,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told, err := reconcile.New(reconcile.Config{}).Whole(time.Now(), reconcile.Snapshot{Count: -1, Entries: entries})
-	if err != nil || len(told.List.Endpoints) != 3 || len(told.Skipped) != 4 {
+	told, err := reconcile.New(reconcile.Config{}).ApplySnapshot(time.Now(), reconcile.Snapshot{Count: -1, Entries: entries})
+	if err != nil || len(told.List.Endpoints) != 3 || len(told.Invalid) != 4 {
 		t.Fatalf("%+v, %v", told, err)
 	}
 	for i, want := range []membership.Endpoint{
@@ -159,7 +159,7 @@
 		if err != nil {
 			return
 		}
-		if _, err := reconcile.New(reconcile.Config{}).Whole(time.Time{}, reconcile.Snapshot{Count: -1, Entries: entries}); err != nil {
+		if _, err := reconcile.New(reconcile.Config{}).ApplySnapshot(time.Time{}, reconcile.Snapshot{Count: -1, Entries: entries}); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/internal/membership/cache/cache.go
+++ b/internal/membership/cache/cache.go
@@ -32,11 +32,11 @@
 	source string
 }
 
-// In returns the place in a folder of the list of a service that comes from a source, in whatever words tell two sources
+// NewStore returns the place in a folder of the list of a service that comes from a source, in whatever words tell two sources
 // apart. The folder is made at the first writing.
-func In(dir, service, source string) *Store {
+func NewStore(dir, service, source string) *Store {
 	s := &Store{path: filepath.Join(dir, "list-"+service+".json"), source: source}
-	durable.Tidy(s.path)
+	durable.RemoveStaged(s.path)
 	return s
 }
 
@@ -70,7 +70,7 @@
 // Load returns the list and how long ago its source last confirmed it. Without a file that can be used the list is nil; an
 // error says why it can't, in one line. most is the age from which on a list is not used.
 func (s *Store) Load(now time.Time, most time.Duration) (*membership.List, time.Duration, error) {
-	data, err := durable.Read(s.path, MaxFile)
+	data, err := durable.ReadFile(s.path, MaxFile)
 	if err != nil || data == nil {
 		return nil, 0, wrap(err)
 	}
@@ -117,7 +117,7 @@
 	if len(c.Endpoints) > maxEntries || len(c.Endpoints) == 0 || c.Index < 0 {
 		return nil, time.Time{}, fmt.Errorf("list: %d endpoints of version %d found, 1 to %d and no negative version expected", len(c.Endpoints), c.Index, maxEntries)
 	}
-	list := &membership.List{Index: c.Index, Full: true}
+	list := &membership.List{Version: c.Index, Full: true}
 	seen := make(map[string]bool, len(c.Endpoints))
 	for i, e := range c.Endpoints {
 		if err := e.check(); err != nil {
@@ -154,7 +154,7 @@
 
 // encode is a file of a whole list.
 func encode(list *membership.List, source string, confirmed time.Time) ([]byte, error) {
-	c := content{Index: list.Index}
+	c := content{Index: list.Version}
 	for _, e := range list.Endpoints {
 		c.Endpoints = append(c.Endpoints, entry{e.Name, e.Address, e.Zone, e.Cell, e.Status == membership.Draining, e.Weight, e.SinceMs})
 	}
@@ -181,8 +181,8 @@
 	return staged, wrap(err)
 }
 
-// Drop removes the file. What is said to be gone must not come back with an earlier list.
-func (s *Store) Drop() error {
+// Remove removes the file. What is said to be gone must not come back with an earlier list.
+func (s *Store) Remove() error {
 	if err := os.Remove(s.path); err != nil && !os.IsNotExist(err) {
 		return wrap(err)
 	}
--- a/internal/membership/cache/cache_test.go
+++ b/internal/membership/cache/cache_test.go
@@ -20,7 +20,7 @@
 var zero = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 
 func sample() *membership.List {
-	return &membership.List{Index: 7, Full: true, Endpoints: []membership.Endpoint{
+	return &membership.List{Version: 7, Full: true, Endpoints: []membership.Endpoint{
 		{Name: "a", Address: "127.0.0.1:1", Zone: "z", Cell: 2, Weight: 1.5, SinceMs: 5},
 		{Name: "b", Address: "[::1]:2", Status: membership.Draining}}}
 }
@@ -39,12 +39,12 @@
 // A list comes back as it was, for as long as it is young enough, its source is the same, and the clock has not stepped back.
 func TestAListOutlivesItsProcess(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "made")
-	s := In(dir, "rating", "here")
+	s := NewStore(dir, "rating", "here")
 	if list, _, err := s.Load(zero, time.Hour); list != nil || err != nil {
 		t.Errorf("no file: %v, %v", list, err)
 	}
 	save(t, s, sample(), zero)
-	list, age, err := In(dir, "rating", "here").Load(zero.Add(time.Minute), time.Hour)
+	list, age, err := NewStore(dir, "rating", "here").Load(zero.Add(time.Minute), time.Hour)
 	if err != nil || age != time.Minute || !reflect.DeepEqual(list, sample()) {
 		t.Errorf("%+v, %v, %v", list, age, err)
 	}
@@ -57,17 +57,17 @@
 		{"here", zero.Add(-time.Second), "confirmed 1s from now, a time in the past expected"},
 		{"there", zero, `source: "here" found, "there" expected`},
 	} {
-		if list, _, err := In(dir, "rating", c.source).Load(c.at, time.Hour); list != nil || err == nil || !strings.Contains(err.Error(), c.want) {
+		if list, _, err := NewStore(dir, "rating", c.source).Load(c.at, time.Hour); list != nil || err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s at %v: %v, %v", c.source, c.at, list, err)
 		}
 	}
-	if err := s.Drop(); err != nil {
+	if err := s.Remove(); err != nil {
 		t.Fatal(err)
 	}
 	if list, _, err := s.Load(zero, time.Hour); list != nil || err != nil {
 		t.Errorf("dropped: %v, %v", list, err)
 	}
-	if err := s.Drop(); err != nil {
+	if err := s.Remove(); err != nil {
 		t.Errorf("dropped twice: %v", err)
 	}
 }
@@ -108,7 +108,7 @@
 		{again(&membership.List{Endpoints: []membership.Endpoint{{Name: "a", Address: "a:1"}, {Name: "a", Address: "a:2"}}}), `"a" is there twice`},
 		{strings.Repeat(" ", MaxFile+1), "that many at most expected"},
 	} {
-		s := In(t.TempDir(), "x", "here")
+		s := NewStore(t.TempDir(), "x", "here")
 		if err := os.WriteFile(s.path, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -144,8 +144,8 @@
 	read func() // whole returns
 }
 
-func (p *pool) Listed(l *membership.List) { p.list.Store(l) }
-func (p *pool) Missed()                   {}
+func (p *pool) UpdateEndpoints(l *membership.List) { p.list.Store(l) }
+func (p *pool) UpdateFailed()                      {}
 func (p *pool) whole() *membership.List {
 	l := p.list.Load()
 	if p.read != nil {
@@ -155,7 +155,7 @@
 }
 
 func whole(n int64, names ...string) *membership.List {
-	l := &membership.List{Index: n, Full: true}
+	l := &membership.List{Version: n, Full: true}
 	for _, name := range names {
 		l.Endpoints = append(l.Endpoints, membership.Endpoint{Name: name, Address: "127.0.0.1:1"})
 	}
@@ -182,8 +182,8 @@
 // the end, and one that has not changed is written again for its time alone.
 func TestKeeperWritesWhatStands(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, p := In(t.TempDir(), "x", ""), &pool{}
-		k := NewKeeper(p, s, p.whole, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		s, p := NewStore(t.TempDir(), "x", ""), &pool{}
+		k := NewRecorder(p, s, p.whole, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() { defer close(ended); k.Run(ctx) }()
@@ -196,21 +196,21 @@
 			}
 		}
 		step(time.Minute, "none")
-		k.Listed(whole(1, "a", "b"))
+		k.UpdateEndpoints(whole(1, "a", "b"))
 		step(0, "none")
 		step(settle+time.Millisecond, "[a b]")
-		k.Listed(whole(2, "b"))
+		k.UpdateEndpoints(whole(2, "b"))
 		step(0, "none")
 		step(settle+time.Millisecond, "[b]")
 		for range 30 {
-			k.Listed(&membership.List{Index: 2})
+			k.UpdateEndpoints(&membership.List{Version: 2})
 			p.list.Store(whole(2, "b"))
 			step(time.Second, "[b]")
 			if _, age, _ := s.Load(time.Now(), time.Hour); age > confirmEvery+2*time.Second {
 				t.Errorf("last confirmed %v ago", age)
 			}
 		}
-		k.Listed(whole(3, "c"))
+		k.UpdateEndpoints(whole(3, "c"))
 		stop()
 		<-ended
 		step(0, "[c]")
@@ -219,16 +219,16 @@
 
 // A list that takes something out while an older one is being written is not overwritten by that.
 func TestNoOlderListIsWrittenBack(t *testing.T) {
-	s, p := In(t.TempDir(), "x", ""), &pool{}
-	k := NewKeeper(p, s, p.whole, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	k.Listed(whole(1, "a", "b"))
+	s, p := NewStore(t.TempDir(), "x", ""), &pool{}
+	k := NewRecorder(p, s, p.whole, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	k.UpdateEndpoints(whole(1, "a", "b"))
 	k.write()
 	if got := names(t, s); got != "[a b]" {
 		t.Fatal(got)
 	}
-	k.Listed(&membership.List{Index: 2, Endpoints: []membership.Endpoint{{Name: "c", Address: "127.0.0.1:1"}}})
+	k.UpdateEndpoints(&membership.List{Version: 2, Endpoints: []membership.Endpoint{{Name: "c", Address: "127.0.0.1:1"}}})
 	p.list.Store(whole(2, "a", "b", "c"))
-	p.read = func() { p.read = nil; k.Listed(whole(3, "b", "c")) } // the writer holds what stood before
+	p.read = func() { p.read = nil; k.UpdateEndpoints(whole(3, "b", "c")) } // the writer holds what stood before
 	k.write()
 	if got := names(t, s); got != "none" {
 		t.Errorf("%s is written back", got)
@@ -236,8 +236,8 @@
 	if k.write(); names(t, s) != "[b c]" {
 		t.Errorf("%s after it", names(t, s))
 	}
-	k.Retire()
-	k.Listed(whole(4, "d"))
+	k.Stop()
+	k.UpdateEndpoints(whole(4, "d"))
 	if k.write(); names(t, s) != "[b c]" {
 		t.Errorf("a retired keeper has left %s", names(t, s))
 	}
--- a/internal/membership/cache/keeper.go
+++ b/internal/membership/cache/keeper.go
@@ -17,9 +17,9 @@
 	confirmEvery = 10 * time.Second
 )
 
-// Keeper is a Sink before another: it keeps what goes through it in a Store, without the next one having to wait for a disk.
+// Recorder is a Sink before another: it keeps what goes through it in a Store, without the next one having to wait for a disk.
 // Run does the writing.
-type Keeper struct {
+type Recorder struct {
 	next  membership.Sink
 	store *Store
 	whole func() *membership.List // the whole list as it stands behind next; nil: there is none
@@ -34,18 +34,18 @@
 	retired   bool      // another keeps the list
 }
 
-// NewKeeper returns a Keeper over what the store has.
-func NewKeeper(next membership.Sink, store *Store, whole func() *membership.List, log *slog.Logger) *Keeper {
-	return &Keeper{next: next, store: store, whole: whole, log: log, fresh: make(chan struct{}, 1)}
+// NewRecorder returns a Keeper over what the store has.
+func NewRecorder(next membership.Sink, store *Store, whole func() *membership.List, log *slog.Logger) *Recorder {
+	return &Recorder{next: next, store: store, whole: whole, log: log, fresh: make(chan struct{}, 1)}
 }
 
-// Listed implements membership.Sink. The next one is told first, since a drain must not wait for a disk.
-func (k *Keeper) Listed(l *membership.List) {
-	k.next.Listed(l)
+// UpdateEndpoints implements membership.Sink. The next one is told first, since a drain must not wait for a disk.
+func (k *Recorder) UpdateEndpoints(l *membership.List) {
+	k.next.UpdateEndpoints(l)
 	k.mu.Lock()
 	if takesOut(l) {
 		if k.outs++; !k.dropped && !k.retired {
-			k.dropped = k.report(k.store.Drop())
+			k.dropped = k.report(k.store.Remove())
 		}
 	}
 	k.confirmed = time.Now()
@@ -53,22 +53,22 @@
 	k.wake()
 }
 
-func (k *Keeper) wake() {
+func (k *Recorder) wake() {
 	select {
 	case k.fresh <- struct{}{}:
 	default:
 	}
 }
 
-// Retire has it touch the store no more: another keeps the list from here on.
-func (k *Keeper) Retire() {
+// Stop has it touch the store no more: another keeps the list from here on.
+func (k *Recorder) Stop() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.retired = true
 }
 
-// Missed implements membership.Sink.
-func (k *Keeper) Missed() { k.next.Missed() }
+// UpdateFailed implements membership.Sink.
+func (k *Recorder) UpdateFailed() { k.next.UpdateFailed() }
 
 // takesOut tells whether a list may take a backend out. A whole one may, by what it lacks.
 func takesOut(l *membership.List) bool {
@@ -76,7 +76,7 @@
 }
 
 // Run writes lists until the context ends, and then the last one.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Recorder) Run(ctx context.Context) {
 	defer k.write()
 	timer := time.NewTimer(settle)
 	defer timer.Stop()
@@ -110,7 +110,7 @@
 }
 
 // kept tells whether the store has a file that is not known to be wrong.
-func (k *Keeper) kept() bool {
+func (k *Recorder) kept() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return !k.dropped
@@ -118,7 +118,7 @@
 
 // write writes the list as it stands, if the source has said anything since the last writing. A list that takes something out
 // meanwhile does not wait for the disk; what was written of the one before is then thrown away.
-func (k *Keeper) write() {
+func (k *Recorder) write() {
 	k.mu.Lock()
 	confirmed, outs, retired := k.confirmed, k.outs, k.retired
 	k.mu.Unlock()
@@ -146,7 +146,7 @@
 }
 
 // report says in the log what has failed, once until something succeeds.
-func (k *Keeper) report(err error) (ok bool) {
+func (k *Recorder) report(err error) (ok bool) {
 	if err != nil && !k.broken {
 		k.log.Warn("the last list is not kept", "error", err)
 	}
--- a/internal/membership/catalog/ask.go
+++ b/internal/membership/catalog/ask.go
@@ -59,7 +59,7 @@
 // ask is Run with Subscribe.
 func (d *Client) ask(ctx context.Context, sink membership.Sink) {
 	ctx, cancel := context.WithCancel(ctx)
-	a := &asking{Client: d, ctx: ctx, sink: sink, ends: make(chan asked), overdue: time.NewTimer(0), index: -1, late: wholeOverdue, waiting: d.cfg.First}
+	a := &asking{Client: d, ctx: ctx, sink: sink, ends: make(chan asked), overdue: time.NewTimer(0), index: -1, late: wholeOverdue, waiting: d.cfg.AwaitFirstRequest}
 	a.resetRetry()
 	defer a.calls.Wait()
 	defer cancel()
@@ -67,12 +67,12 @@
 	// A copy that begins with a list begins with a watch from it. The whole list and then a watch are two calls in the same moment, which a service
 	// before which many start does not take: it turns the watch away, and what changes before the next counts as told early.
 	if a.waiting {
-		a.index = d.cfg.Known
+		a.index = d.cfg.KnownVersion
 		a.overdue.Stop()
 	}
 	for {
 		select {
-		case <-d.cfg.Asked:
+		case <-d.cfg.WatchRequested:
 			if a.waiting { // otherwise a call is open
 				a.call()
 			}
@@ -132,7 +132,7 @@
 	a.resetRetry()
 	// Changes up to a version that stands already are no news, nor is a whole list from before the one that stands was asked for. Any
 	// other whole list is: a service that starts anew counts anew.
-	if e.list.Index >= a.index || e.list.Full && e.number > a.taken {
+	if e.list.Version >= a.index || e.list.Full && e.number > a.taken {
 		a.take(e)
 	}
 	if a.watch == 0 && (a.index >= 0 || newest) {
@@ -147,18 +147,18 @@
 	a.log.Warn("discovery", "error", err)
 	a.stale.Failed()
 	outcome, retryAfter := judge(err)
-	if outcome == start.Busy {
+	if outcome == start.Rejected {
 		a.retry.refuse(time.Now(), retryAfter)
 	} else {
 		a.index = -1
 	}
 	a.overdue.Stop()
-	a.waiting = outcome != start.Busy
-	a.sink.Missed()
+	a.waiting = outcome != start.Rejected
+	a.sink.UpdateFailed()
 	switch {
-	case outcome == start.Busy:
+	case outcome == start.Rejected:
 		a.overdue.Reset(time.Until(a.retry.due(false)))
-	case a.taken == 0 && !a.cfg.First:
+	case a.taken == 0 && !a.cfg.AwaitFirstRequest:
 		a.overdue.Reset(firstAgain)
 	}
 }
@@ -169,9 +169,9 @@
 // take hands an answer on.
 func (a *asking) take(e asked) {
 	if a.index >= 0 || e.list.Full || e.from < 0 { // otherwise a doubt about the version stays
-		a.index = e.list.Index
+		a.index = e.list.Version
 	}
 	a.taken = e.number
-	a.sink.Listed(e.list)
-	a.stale.Confirmed(e.list.Index, 0)
+	a.sink.UpdateEndpoints(e.list)
+	a.stale.Confirmed(e.list.Version, 0)
 }
--- a/internal/membership/catalog/catalog.go
+++ b/internal/membership/catalog/catalog.go
@@ -43,19 +43,19 @@
 
 // Config is what a Client is told.
 type Config struct {
-	Address   string          // of the discovery, host:port
-	Subscribe bool            // the list is asked for, at the module's word; otherwise it is pushed and the watch stands by itself
-	First     bool            // with Subscribe: the module's word is needed at the start too
-	Asked     <-chan struct{} // with Subscribe: the module's word
-	Rand      *rand.Rand      // draws how long watches and retries wait; for Run alone; nil: one of its own
+	Address           string          // of the discovery, host:port
+	Subscribe         bool            // the list is asked for, at the module's word; otherwise it is pushed and the watch stands by itself
+	AwaitFirstRequest bool            // with Subscribe: the module's word is needed at the start too
+	WatchRequested    <-chan struct{} // with Subscribe: the module's word
+	Rand              *rand.Rand      // draws how long watches and retries wait; for Run alone; nil: one of its own
 	// Reads, where given, decides when to call: the list service is shared by many copies, which is not so where an agent
 	// on the copy's own machine answers. Not with Subscribe.
-	Reads  *start.Reads
-	Known  int64                                                                // with Reads, or Subscribe and First: the version of the list that the copy begins with; negative: it has none, or it is in doubt
-	Age    time.Duration                                                        // with Known: how old it is
-	Urgent func() bool                                                          // with Reads: the copy can't serve, or its backends die, until there is a newer list
-	Dial   func(ctx context.Context, network, address string) (net.Conn, error) // nil: the usual one
-	Log    *slog.Logger
+	Scheduler    *start.PollScheduler
+	KnownVersion int64                                                                // with Reads, or Subscribe and First: the version of the list that the copy begins with; negative: it has none, or it is in doubt
+	KnownAge     time.Duration                                                        // with Known: how old it is
+	Urgent       func() bool                                                          // with Reads: the copy can't serve, or its backends die, until there is a newer list
+	Dial         func(ctx context.Context, network, address string) (net.Conn, error) // nil: the usual one
+	Log          *slog.Logger
 }
 
 // New returns a client of a discovery.
@@ -94,7 +94,7 @@
 func (d *Client) Run(ctx context.Context, sink membership.Sink) {
 	defer d.client.CloseIdleConnections()
 	switch {
-	case d.cfg.Reads != nil:
+	case d.cfg.Scheduler != nil:
 		d.pace(ctx, sink)
 	case d.cfg.Subscribe:
 		d.ask(ctx, sink)
@@ -106,8 +106,8 @@
 // fetch is call, with an answer refused whose changes lead to an older version than the one they follow.
 func (d *Client) fetch(ctx context.Context, from int64, hold, patience time.Duration) (*membership.List, error) {
 	list, err := d.call(ctx, from, hold, patience)
-	if err == nil && !list.Full && list.Index < from {
-		return nil, fmt.Errorf("%w: version went back from %d to %d", errSense, from, list.Index)
+	if err == nil && !list.Full && list.Version < from {
+		return nil, fmt.Errorf("%w: version went back from %d to %d", errSense, from, list.Version)
 	}
 	return list, err
 }
@@ -119,11 +119,11 @@
 	case err == nil:
 		return start.Answered, 0
 	case errors.As(err, &busy):
-		return start.Busy, busy.after
+		return start.Rejected, busy.after
 	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled):
-		return start.GivenUp, 0
+		return start.TimedOut, 0
 	}
-	return start.Broken, 0
+	return start.Failed, 0
 }
 
 // busyError is an answer that turns a call away.
--- a/internal/membership/catalog/contract_test.go
+++ b/internal/membership/catalog/contract_test.go
@@ -48,10 +48,10 @@
 }
 
 func TestContract(t *testing.T) {
-	for name, reads := range map[string]func() *start.Reads{
-		"of its own": func() *start.Reads { return nil },
-		"shared": func() *start.Reads {
-			return start.NewReads(start.ReadsConfig{Copies: 10, Hold: 300 * time.Millisecond, Patience: 300 * time.Millisecond, Watch: 300 * time.Millisecond},
+	for name, reads := range map[string]func() *start.PollScheduler{
+		"of its own": func() *start.PollScheduler { return nil },
+		"shared": func() *start.PollScheduler {
+			return start.NewPollScheduler(start.PollConfig{Replicas: 10, Hold: 300 * time.Millisecond, FullTimeout: 300 * time.Millisecond, WatchTimeout: 300 * time.Millisecond},
 				rand.New(rand.NewPCG(1, 1)))
 		},
 	} {
@@ -62,7 +62,7 @@
 					t.Fatal(err)
 				}
 				t.Cleanup(d.Close)
-				return New(Config{Address: d.Addr(), Log: slog.New(slog.DiscardHandler), Reads: reads(), Known: -1, Urgent: func() bool { return true }}), registry{d}
+				return New(Config{Address: d.Addr(), Log: slog.New(slog.DiscardHandler), Scheduler: reads(), KnownVersion: -1, Urgent: func() bool { return true }}), registry{d}
 			})
 		})
 	}
@@ -71,8 +71,8 @@
 // listed takes lists.
 type listed chan *membership.List
 
-func (l listed) Listed(x *membership.List) { l <- x }
-func (l listed) Missed()                   {}
+func (l listed) UpdateEndpoints(x *membership.List) { l <- x }
+func (l listed) UpdateFailed()                      {}
 
 // A list service that has lost all its members does not make a copy ready that has no list; a state that is older than what
 // the copy has is read as a whole; one that asks to be left alone is.
@@ -111,8 +111,8 @@
 		d.Put(standin.Member{Name: "a", Address: "127.0.0.1:1"}, standin.Member{Name: "b", Address: "127.0.0.1:2"})
 	}
 	d.SetMode(standin.ListEmpty)
-	src := New(Config{Address: d.Addr(), Log: slog.New(slog.DiscardHandler), Known: -1, Urgent: func() bool { return true },
-		Reads: start.NewReads(start.ReadsConfig{Hold: 50 * time.Millisecond}, rand.New(rand.NewPCG(1, 1)))})
+	src := New(Config{Address: d.Addr(), Log: slog.New(slog.DiscardHandler), KnownVersion: -1, Urgent: func() bool { return true },
+		Scheduler: start.NewPollScheduler(start.PollConfig{Hold: 50 * time.Millisecond}, rand.New(rand.NewPCG(1, 1)))})
 	ctx, stop := context.WithCancel(context.Background())
 	lists, ended := make(listed, 100), make(chan struct{})
 	go func() { defer close(ended); src.Run(ctx, lists) }()
@@ -179,7 +179,7 @@
 	go func() { defer close(ended); src.Run(ctx, lists) }()
 	select {
 	case l := <-lists:
-		if l.Index != 7 || !src.Health().Silent.IsZero() {
+		if l.Version != 7 || !src.Health().SilentSince.IsZero() {
 			t.Errorf("%+v, %+v", l, src.Health())
 		}
 	case <-time.After(5 * time.Second):
--- a/internal/membership/catalog/overload_test.go
+++ b/internal/membership/catalog/overload_test.go
@@ -80,7 +80,7 @@
 func resumes(addr string, seed uint64) *Client {
 	word := make(chan struct{}, 1)
 	word <- struct{}{}
-	return New(Config{Address: addr, Subscribe: true, First: true, Known: 0, Asked: word,
+	return New(Config{Address: addr, Subscribe: true, AwaitFirstRequest: true, KnownVersion: 0, WatchRequested: word,
 		Rand: rand.New(rand.NewPCG(seed, 1)), Log: slog.New(slog.DiscardHandler)})
 }
 
--- a/internal/membership/catalog/pace.go
+++ b/internal/membership/catalog/pace.go
@@ -22,9 +22,9 @@
 
 // pace is Run with Reads.
 func (d *Client) pace(ctx context.Context, sink membership.Sink) {
-	p := &paced{Client: d, sink: sink, began: time.Now(), index: d.cfg.Known, had: d.cfg.Known >= 0}
-	next := d.cfg.Reads.First(p.began, p.had, d.cfg.Age)
-	timer := time.NewTimer(next.After)
+	p := &paced{Client: d, sink: sink, began: time.Now(), index: d.cfg.KnownVersion, had: d.cfg.KnownVersion >= 0}
+	next := d.cfg.Scheduler.First(p.began, p.had, d.cfg.KnownAge)
+	timer := time.NewTimer(next.Delay)
 	defer timer.Stop()
 	for {
 		select {
@@ -37,19 +37,19 @@
 			return
 		}
 		next = p.ended(list, err)
-		timer.Reset(next.After)
+		timer.Reset(next.Delay)
 	}
 }
 
 // ask makes a call as package start wants it.
 func (p *paced) ask(ctx context.Context, next start.Call) (*membership.List, error) {
 	p.calls++
-	if !next.Whole {
-		return p.fetch(ctx, p.index, next.Hold, next.Patience)
+	if !next.Full {
+		return p.fetch(ctx, p.index, next.Hold, next.Timeout)
 	}
-	list, err := p.fetch(ctx, -1, next.Hold, next.Patience)
+	list, err := p.fetch(ctx, -1, next.Hold, next.Timeout)
 	if err == nil && !list.Full {
-		return nil, fmt.Errorf("%w: changes up to version %d in place of the whole list", errSense, list.Index)
+		return nil, fmt.Errorf("%w: changes up to version %d in place of the whole list", errSense, list.Version)
 	}
 	return list, err
 }
@@ -60,26 +60,26 @@
 		return p.failed(err)
 	}
 	if list.Full && len(list.Endpoints) == 0 {
-		p.cfg.Reads.Emptied(time.Now())
+		p.cfg.Scheduler.EmptyList(time.Now())
 	}
 	p.answered(list)
-	return p.cfg.Reads.Next(time.Now(), start.Answered, p.urgent(), 0)
+	return p.cfg.Scheduler.Next(time.Now(), start.Answered, p.urgent(), 0)
 }
 
 // answered hands an answer on, unless it is an empty list and the first: a copy that took this for its list would say that it can
 // serve, and refuse all that comes.
 func (p *paced) answered(list *membership.List) {
 	before := p.index
-	p.index = list.Index
+	p.index = list.Version
 	switch {
 	case p.had:
-		p.sink.Listed(list)
+		p.sink.UpdateEndpoints(list)
 	case len(list.Endpoints) > 0:
 		p.had = true
 		p.log.Info("first list", "after", time.Since(p.began).Round(time.Millisecond), "calls", p.calls, "endpoints", len(list.Endpoints))
-		p.sink.Listed(list)
-	case list.Index != before:
-		p.log.Warn("the list is empty; not ready", "version", list.Index, "calls", p.calls)
+		p.sink.UpdateEndpoints(list)
+	case list.Version != before:
+		p.log.Warn("the list is empty; not ready", "version", list.Version, "calls", p.calls)
 	}
 	p.stale.Confirmed(p.index, 0)
 }
@@ -87,13 +87,13 @@
 // failed takes a call that was not answered with sense, and returns the next one.
 func (p *paced) failed(err error) start.Call {
 	if errors.Is(err, errSense) {
-		p.cfg.Reads.Doubt()
+		p.cfg.Scheduler.RequireFull()
 	}
 	p.stale.Failed()
-	p.sink.Missed()
+	p.sink.UpdateFailed()
 	outcome, after := judge(err)
-	next := p.cfg.Reads.Next(time.Now(), outcome, p.urgent(), after)
-	p.log.Warn("discovery", "error", err, "list", p.had, "calls", p.calls, "next", next.After.Round(time.Millisecond), "whole", next.Whole, "why", next.Why)
+	next := p.cfg.Scheduler.Next(time.Now(), outcome, p.urgent(), after)
+	p.log.Warn("discovery", "error", err, "list", p.had, "calls", p.calls, "next", next.Delay.Round(time.Millisecond), "whole", next.Full, "why", next.Reason)
 	return next
 }
 
--- a/internal/membership/catalog/push.go
+++ b/internal/membership/catalog/push.go
@@ -30,8 +30,8 @@
 		if list == nil {
 			return
 		}
-		index = list.Index
-		sink.Listed(list)
+		index = list.Version
+		sink.UpdateEndpoints(list)
 		d.stale.Confirmed(index, 0)
 	}
 }
@@ -132,12 +132,12 @@
 func (r *retrying) failed(err error) {
 	outcome, retryAfter := judge(err)
 	switch outcome {
-	case start.Busy:
+	case start.Rejected:
 		r.retry.refuse(time.Now(), retryAfter)
-	case start.Broken:
+	case start.Failed:
 		r.retry.fail()
 	}
-	if outcome != start.Busy {
+	if outcome != start.Rejected {
 		r.index = -1
 	}
 	r.stale.Failed()
--- a/internal/membership/catalog/push_test.go
+++ b/internal/membership/catalog/push_test.go
@@ -80,7 +80,7 @@
 	})
 	lists := make(listed, 10)
 	follow(t, pushed(addr), lists)
-	if l := next(t, lists, "the list of the call that waited"); l.Index != 1 {
+	if l := next(t, lists, "the list of the call that waited"); l.Version != 1 {
 		t.Errorf("%+v", l)
 	}
 }
--- a/internal/membership/catalog/refusals_test.go
+++ b/internal/membership/catalog/refusals_test.go
@@ -95,7 +95,7 @@
 	t.Helper()
 	word := make(chan struct{}, 10)
 	d := asks(addr)
-	d.cfg.Asked = word
+	d.cfg.WatchRequested = word
 	lists := make(listed, 10)
 	follow(t, d, words{lists, word})
 	next(t, lists, "the first list")
