--- a/internal/membership/catalog/silence_test.go
+++ b/internal/membership/catalog/silence_test.go
@@ -41,7 +41,7 @@
 
 // asks is a client of a service that all copies ask; its module never says when to.
 func asks(addr string) *Client {
-	return New(Config{Address: addr, Subscribe: true, Asked: make(chan struct{}), Rand: rand.New(rand.NewPCG(1, 1)), Log: slog.New(slog.DiscardHandler)})
+	return New(Config{Address: addr, Subscribe: true, WatchRequested: make(chan struct{}), Rand: rand.New(rand.NewPCG(1, 1)), Log: slog.New(slog.DiscardHandler)})
 }
 
 // next is the next list; none in a long time fails the test.
@@ -81,12 +81,12 @@
 			<-r.Context().Done()
 		}
 	})
-	d := New(Config{Address: addr, Subscribe: true, Asked: make(chan struct{}), Log: slog.New(slog.DiscardHandler)})
+	d := New(Config{Address: addr, Subscribe: true, WatchRequested: make(chan struct{}), Log: slog.New(slog.DiscardHandler)})
 	d.hold, d.patience = func() time.Duration { return 50 * time.Millisecond }, time.Minute
 	lists := make(listed, 10)
 	follow(t, d, lists)
 	next(t, lists, "the first list")
-	if l := next(t, lists, "the change that the silent watch missed"); l.Index != 2 || l.Endpoints[0].Status != membership.Draining {
+	if l := next(t, lists, "the change that the silent watch missed"); l.Version != 2 || l.Endpoints[0].Status != membership.Draining {
 		t.Errorf("after the silence came %+v", l)
 	}
 }
@@ -117,11 +117,11 @@
 	})
 	lists := make(listed, 10)
 	follow(t, asks(addr), lists)
-	if l := next(t, lists, "the list of the call whose turn came late"); l.Index != 1 {
+	if l := next(t, lists, "the list of the call whose turn came late"); l.Version != 1 {
 		t.Errorf("first came %+v", l)
 	}
 	close(heard)
-	if l := next(t, lists, "the list of the call beside it"); l.Index != 2 || l.Endpoints[0].Status != membership.Draining {
+	if l := next(t, lists, "the list of the call beside it"); l.Version != 2 || l.Endpoints[0].Status != membership.Draining {
 		t.Errorf("then came %+v", l)
 	}
 }
@@ -170,7 +170,7 @@
 		}
 	}
 	close(over)
-	if l := next(t, lists, "the watch's change"); l.Index != 3 {
+	if l := next(t, lists, "the watch's change"); l.Version != 3 {
 		t.Errorf("after version 2 came %+v", l)
 	}
 }
@@ -227,10 +227,10 @@
 	})
 	word := make(chan struct{}, 2) // of the module: at the start, and after the doubt
 	word <- struct{}{}
-	d := New(Config{Address: addr, Subscribe: true, First: true, Known: 7, Asked: word, Rand: rand.New(rand.NewPCG(1, 1)), Log: slog.New(slog.DiscardHandler)})
+	d := New(Config{Address: addr, Subscribe: true, AwaitFirstRequest: true, KnownVersion: 7, WatchRequested: word, Rand: rand.New(rand.NewPCG(1, 1)), Log: slog.New(slog.DiscardHandler)})
 	lists := make(listed, 10)
 	follow(t, d, words{lists, word})
-	if l := next(t, lists, "the whole list"); l.Index != 1 {
+	if l := next(t, lists, "the whole list"); l.Version != 1 {
 		t.Errorf("first came %+v", l)
 	}
 }
@@ -241,7 +241,7 @@
 	word chan<- struct{}
 }
 
-func (s words) Missed() { s.word <- struct{}{} }
+func (s words) UpdateFailed() { s.word <- struct{}{} }
 
 // A copy that begins with no list asks again after a call that failed: its module knows of none, and does not ask.
 func TestWithNoListTheFirstCallIsRepeated(t *testing.T) {
--- a/internal/membership/contract/contract.go
+++ b/internal/membership/contract/contract.go
@@ -75,17 +75,17 @@
 	s.news = make(chan struct{})
 }
 
-// Listed implements membership.Sink.
-func (s *sink) Listed(l *membership.List) {
+// UpdateEndpoints implements membership.Sink.
+func (s *sink) UpdateEndpoints(l *membership.List) {
 	s.enter()
 	s.leave(func() {
 		if !s.first && !l.Full {
 			s.faults = append(s.faults, "the first list is not whole")
 		}
-		if s.first && !l.Full && l.Index <= s.last {
-			s.faults = append(s.faults, fmt.Sprintf("a change of version %d after %d", l.Index, s.last))
+		if s.first && !l.Full && l.Version <= s.last {
+			s.faults = append(s.faults, fmt.Sprintf("a change of version %d after %d", l.Version, s.last))
 		}
-		s.first, s.last = true, l.Index
+		s.first, s.last = true, l.Version
 		if l.Full {
 			clear(s.all)
 		}
@@ -97,8 +97,8 @@
 	})
 }
 
-// Missed implements membership.Sink.
-func (s *sink) Missed() {
+// UpdateFailed implements membership.Sink.
+func (s *sink) UpdateFailed() {
 	s.enter()
 	s.leave(func() {})
 }
@@ -212,7 +212,7 @@
 	s.until("after a burst", want...)
 	reg.Delete("b1", "b2", "b3")
 	s.until("three in one step", want[3:]...)
-	if h := src.Health(); h.Index == 0 || !h.Silent.IsZero() || h.Skipped != 0 {
+	if h := src.Health(); h.Version == 0 || !h.SilentSince.IsZero() || h.Invalid != 0 {
 		t.Errorf("health: %+v", h)
 	}
 	s.check()
@@ -238,11 +238,11 @@
 		s.until(what+": the first list", a, b)
 		reg.Break(n)
 		late := time.Now().Add(patience)
-		for src.Health().Silent.IsZero() && time.Now().Before(late) {
+		for src.Health().SilentSince.IsZero() && time.Now().Before(late) {
 			time.Sleep(time.Millisecond) // health has no channel
 		}
 		h := src.Health()
-		if h.Silent.IsZero() || h.Age(time.Now()) <= 0 {
+		if h.SilentSince.IsZero() || h.Age(time.Now()) <= 0 {
 			t.Errorf("%s: the source does not count as silent: %+v", what, h)
 		}
 		s.mu.Lock()
--- a/internal/membership/file/file.go
+++ b/internal/membership/file/file.go
@@ -30,7 +30,7 @@
 type Source struct {
 	path   string
 	log    *slog.Logger
-	teller *staleness.Teller
+	teller *staleness.Notifier
 	last   os.FileInfo
 	read   time.Time
 	said   string // the fault that was logged last
@@ -40,7 +40,7 @@
 // "since"}]}. An entry that makes no sense is skipped and named once; a file that is none changes nothing.
 func New(path string, log *slog.Logger) *Source {
 	log = log.With("file", path)
-	return &Source{path: path, log: log, teller: staleness.NewTeller("list in a file", log)}
+	return &Source{path: path, log: log, teller: staleness.NewNotifier("list in a file", log)}
 }
 
 // Health implements membership.Source.
@@ -66,7 +66,7 @@
 	if err == nil && s.last != nil && os.SameFile(info, s.last) && info.Size() == s.last.Size() && info.ModTime().Equal(s.last.ModTime()) &&
 		s.read.Sub(info.ModTime()) > racy {
 		if s.said == "" {
-			s.teller.Still()
+			s.teller.Confirm()
 		}
 		return
 	}
@@ -80,7 +80,7 @@
 		if err.Error() != s.said {
 			s.said = err.Error()
 			s.log.Warn("list in a file: the last one stands", "error", err)
-			sink.Missed()
+			sink.UpdateFailed()
 		}
 		return
 	}
@@ -105,7 +105,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = s.teller.Whole(sink, entries)
+	_, err = s.teller.Update(sink, entries)
 	return err
 }
 
--- a/internal/membership/file/file_test.go
+++ b/internal/membership/file/file_test.go
@@ -112,8 +112,8 @@
 // kept notes lists.
 type kept struct{ lists []string }
 
-func (k *kept) Missed() { k.lists = append(k.lists, "missed") }
-func (k *kept) Listed(l *membership.List) {
+func (k *kept) UpdateFailed() { k.lists = append(k.lists, "missed") }
+func (k *kept) UpdateEndpoints(l *membership.List) {
 	var words []string
 	for _, e := range l.Endpoints {
 		words = append(words, e.Name+[...]string{"", "~", "-"}[e.Status])
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -27,18 +27,18 @@
 
 // List is the whole list of backends, or what has changed in it since the version before.
 type List struct {
-	Index     int64 // the version
+	Version   int64 // the version
 	Full      bool
 	Endpoints []Endpoint
 }
 
-// Same tells whether two whole lists name the same backends, whatever their version.
-func Same(a, b *List) bool { return a.Full == b.Full && slices.Equal(a.Endpoints, b.Endpoints) }
+// Equal tells whether two whole lists name the same backends, whatever their version.
+func Equal(a, b *List) bool { return a.Full == b.Full && slices.Equal(a.Endpoints, b.Endpoints) }
 
 // Sink takes what a source yields, in order, and one call at a time.
 type Sink interface {
-	// Listed takes a list. Nothing new goes to a backend that it drains or lacks once Listed has returned.
-	Listed(*List)
-	// Missed takes the news that a call failed or a subscription broke. The old list stands.
-	Missed()
+	// UpdateEndpoints takes a list. Nothing new goes to a backend that it drains or lacks once Listed has returned.
+	UpdateEndpoints(*List)
+	// UpdateFailed takes the news that a call failed or a subscription broke. The old list stands.
+	UpdateFailed()
 }
--- a/internal/membership/parse.go
+++ b/internal/membership/parse.go
@@ -60,7 +60,7 @@
 	if raw.Index == nil || raw.Snapshot == nil || raw.Endpoints == nil {
 		return nil, errors.New("index, snapshot or endpoints is missing")
 	}
-	list := &List{Index: *raw.Index, Full: *raw.Snapshot}
+	list := &List{Version: *raw.Index, Full: *raw.Snapshot}
 	for i, e := range *raw.Endpoints {
 		out, err := e.endpoint()
 		if err != nil {
--- a/internal/membership/reconcile/reconcile.go
+++ b/internal/membership/reconcile/reconcile.go
@@ -50,8 +50,8 @@
 	Deleted  bool
 }
 
-// Batch is changes that come together, all of a revision's in one batch.
-type Batch struct {
+// Delta is changes that come together, all of a revision's in one batch.
+type Delta struct {
 	Cluster  string
 	Revision int64 // up to which there are no others
 	Events   []Event
@@ -73,24 +73,24 @@
 type Config struct {
 	Prefix  string // of all keys, with its last slash
 	Service string
-	// Restored is how long a registry of the same cluster must keep to a lower revision before it is taken for one that
+	// RestoreAfter is how long a registry of the same cluster must keep to a lower revision before it is taken for one that
 	// was restored from a backup, and its list for true; 0: never, an operator's Accept alone does that.
-	Restored time.Duration
+	RestoreAfter time.Duration
 }
 
-// Told is what a pool is told.
-type Told struct {
+// Result is what a pool is told.
+type Result struct {
 	List *membership.List // nil: nothing
-	// Lost is how many serving endpoints went in this step, Before how many there were. Whoever gets it says so where it
+	// Removed is how many serving endpoints went in this step, Before how many there were. Whoever gets it says so where it
 	// is more than half.
-	Lost, Before int
-	Skipped      []Skipped // entries that make no sense, each named once
+	Removed, Before int
+	Invalid         []InvalidEntry // entries that make no sense, each named once
 }
 
-// Skipped is an entry that is left out, or stands as draining with its last good state.
-type Skipped struct {
+// InvalidEntry is an entry that is left out, or stands as draining with its last good state.
+type InvalidEntry struct {
 	Key string
-	Why error
+	Err error
 }
 
 // held is what a Book knows of a key.
@@ -101,8 +101,8 @@
 	next     membership.Endpoint // of one that waits for another key's name: what it will be
 }
 
-// Book is one service's entries as last known. It is not safe for concurrent use.
-type Book struct {
+// Reconciler is one service's entries as last known. It is not safe for concurrent use.
+type Reconciler struct {
 	cfg      Config
 	cluster  string
 	revision int64
@@ -117,19 +117,19 @@
 }
 
 // New returns a Book without entries.
-func New(cfg Config) *Book {
-	return &Book{cfg: cfg, keys: map[string]*held{}, owner: map[string]string{}, waiting: map[string]string{}}
+func New(cfg Config) *Reconciler {
+	return &Reconciler{cfg: cfg, keys: map[string]*held{}, owner: map[string]string{}, waiting: map[string]string{}}
 }
 
 // Revision is that up to which all is known; 0 before the first list.
-func (b *Book) Revision() int64 { return b.revision }
+func (b *Reconciler) Revision() int64 { return b.revision }
 
 // List is the whole list as it stands; nil before the first.
-func (b *Book) List() *membership.List {
+func (b *Reconciler) List() *membership.List {
 	if !b.read {
 		return nil
 	}
-	l := &membership.List{Index: b.revision, Full: true}
+	l := &membership.List{Version: b.revision, Full: true}
 	for _, key := range slices.Sorted(maps.Keys(b.keys)) {
 		if h := b.keys[key]; h.good {
 			l.Endpoints = append(l.Endpoints, h.endpoint)
@@ -138,8 +138,8 @@
 	return l
 }
 
-// Skipped is how many entries make no sense now.
-func (b *Book) Skipped() (n int) {
+// Invalid is how many entries make no sense now.
+func (b *Reconciler) Invalid() (n int) {
 	for _, h := range b.keys {
 		if h.bad != nil {
 			n++
@@ -148,28 +148,28 @@
 	return n
 }
 
-// Accept is an operator's word that the next whole list holds, whatever its revision and cluster.
-func (b *Book) Accept() { b.accept = true }
+// AcceptNext is an operator's word that the next whole list holds, whatever its revision and cluster.
+func (b *Reconciler) AcceptNext() { b.accept = true }
 
-// Whole takes a whole reading. An error says why it is no news: then nothing has changed.
-func (b *Book) Whole(now time.Time, s Snapshot) (Told, error) {
+// ApplySnapshot takes a whole reading. An error says why it is no news: then nothing has changed.
+func (b *Reconciler) ApplySnapshot(now time.Time, s Snapshot) (Result, error) {
 	switch {
 	case len(s.Entries) > MaxEntries:
-		return Told{}, ErrTooMany
+		return Result{}, ErrTooMany
 	case s.Count >= 0 && s.Count != int64(len(s.Entries)):
-		return Told{}, fmt.Errorf("%w: %d and %d", ErrCount, s.Count, len(s.Entries))
+		return Result{}, fmt.Errorf("%w: %d and %d", ErrCount, s.Count, len(s.Entries))
 	}
 	if b.read && !b.accept {
 		if s.Cluster != b.cluster {
-			return Told{}, fmt.Errorf("%w: %s, not %s", ErrCluster, s.Cluster, b.cluster)
+			return Result{}, fmt.Errorf("%w: %s, not %s", ErrCluster, s.Cluster, b.cluster)
 		}
 		if s.Revision < b.revision && !b.restored(now, s.Revision) {
-			return Told{}, fmt.Errorf("%w: %d, not %d", ErrOlder, s.Revision, b.revision)
+			return Result{}, fmt.Errorf("%w: %d, not %d", ErrOlder, s.Revision, b.revision)
 		}
 	}
 	b.accept, b.lowSince, b.low = false, time.Time{}, 0
 	old := b.keys
-	told := Told{Before: b.up}
+	told := Result{Before: b.up}
 	served := make(map[string]bool, b.up)
 	for _, h := range old {
 		if h.serves() {
@@ -193,37 +193,37 @@
 			delete(served, e.Name)
 		}
 	}
-	told.Lost = len(served)
+	told.Removed = len(served)
 	return told, nil
 }
 
 // restored tells whether a lower revision has been kept to for so long that it is the truth now.
-func (b *Book) restored(now time.Time, revision int64) bool {
-	if b.cfg.Restored <= 0 {
+func (b *Reconciler) restored(now time.Time, revision int64) bool {
+	if b.cfg.RestoreAfter <= 0 {
 		return false
 	}
 	if b.lowSince.IsZero() || revision < b.low || now.Before(b.lowSince) {
 		b.lowSince = now
 	}
 	b.low = revision
-	return now.Sub(b.lowSince) >= b.cfg.Restored
+	return now.Sub(b.lowSince) >= b.cfg.RestoreAfter
 }
 
-// Changes takes a batch of changes. Those of revisions already known are duplicates and no news. An error says why none
+// ApplyDelta takes a batch of changes. Those of revisions already known are duplicates and no news. An error says why none
 // of it is, and that a whole reading is needed.
-func (b *Book) Changes(_ time.Time, t Batch) (Told, error) {
+func (b *Reconciler) ApplyDelta(_ time.Time, t Delta) (Result, error) {
 	if t.Cluster != b.cluster {
-		return Told{}, fmt.Errorf("%w: %s, not %s", ErrCluster, t.Cluster, b.cluster)
+		return Result{}, fmt.Errorf("%w: %s, not %s", ErrCluster, t.Cluster, b.cluster)
 	}
 	for i, e := range t.Events {
 		if e.Revision > t.Revision || i > 0 && e.Revision < t.Events[i-1].Revision {
-			return Told{}, fmt.Errorf("%w: %d in a batch of %d", ErrNoOrder, e.Revision, t.Revision)
+			return Result{}, fmt.Errorf("%w: %d in a batch of %d", ErrNoOrder, e.Revision, t.Revision)
 		}
 	}
 	if t.Revision < b.revision {
-		return Told{}, nil // late
+		return Result{}, nil // late
 	}
-	told := Told{Before: b.up}
+	told := Result{Before: b.up}
 	served := map[string]bool{}
 	changed := map[string]membership.Endpoint{} // by name, as it stands after the batch
 	for _, e := range t.Events {
@@ -238,21 +238,21 @@
 	b.revision = t.Revision
 	b.lowSince = time.Time{}
 	if len(changed) > 0 {
-		told.List = &membership.List{Index: b.revision}
+		told.List = &membership.List{Version: b.revision}
 		for _, name := range slices.Sorted(maps.Keys(changed)) {
 			told.List.Endpoints = append(told.List.Endpoints, changed[name])
 		}
 	}
 	for name := range served {
 		if e := changed[name]; e.Status != membership.Serving {
-			told.Lost++
+			told.Removed++
 		}
 	}
 	return told, nil
 }
 
 // event applies one change, and notes which names it changes.
-func (b *Book) event(e Event, changed map[string]membership.Endpoint) *Skipped {
+func (b *Reconciler) event(e Event, changed map[string]membership.Endpoint) *InvalidEntry {
 	old := b.keys[e.Key]
 	if old != nil && old.serves() {
 		b.up--
@@ -263,7 +263,7 @@
 		changed[old.endpoint.Name] = membership.Endpoint{Name: old.endpoint.Name, Status: membership.Deleted}
 	}
 	delete(b.keys, e.Key)
-	var skipped *Skipped
+	var skipped *InvalidEntry
 	if !e.Deleted {
 		skipped = b.put(e.Entry, old)
 	}
@@ -277,7 +277,7 @@
 }
 
 // inherit gives a name that has become free to the first key that waits for it.
-func (b *Book) inherit(name string, changed map[string]membership.Endpoint) {
+func (b *Reconciler) inherit(name string, changed map[string]membership.Endpoint) {
 	first := ""
 	for key, of := range b.waiting {
 		if of == name && (first == "" || key < first) {
@@ -303,7 +303,7 @@
 
 // put enters a key. One whose value makes no sense is skipped; one that made sense before keeps its last good state, as
 // draining. It is named when it turns bad, not each time it is read.
-func (b *Book) put(e Entry, old *held) *Skipped {
+func (b *Reconciler) put(e Entry, old *held) *InvalidEntry {
 	endpoint, err := b.parse(e)
 	if err == nil {
 		if owner := b.owner[endpoint.Name]; owner != "" && owner != e.Key {
@@ -331,14 +331,14 @@
 	if err == nil || old != nil && old.bad != nil && old.bad.Error() == err.Error() {
 		return nil
 	}
-	return &Skipped{e.Key, err}
+	return &InvalidEntry{e.Key, err}
 }
 
 func (h *held) serves() bool { return h.good && h.endpoint.Status == membership.Serving }
 
-func (t *Told) skip(s *Skipped) {
+func (t *Result) skip(s *InvalidEntry) {
 	if s != nil {
-		t.Skipped = append(t.Skipped, *s)
+		t.Invalid = append(t.Invalid, *s)
 	}
 }
 
@@ -354,7 +354,7 @@
 }
 
 // parse reads an entry.
-func (b *Book) parse(e Entry) (out membership.Endpoint, err error) {
+func (b *Reconciler) parse(e Entry) (out membership.Endpoint, err error) {
 	rest, ok := strings.CutPrefix(e.Key, b.cfg.Prefix+b.cfg.Service+"/")
 	if !ok || rest == "" || strings.Contains(rest, "/") || len(rest) > maxName {
 		return out, errPattern
--- a/internal/membership/reconcile/reconcile_test.go
+++ b/internal/membership/reconcile/reconcile_test.go
@@ -15,8 +15,8 @@
 
 var start = time.Unix(1_000_000_000, 0)
 
-func book(restored time.Duration) *Book {
-	return New(Config{Prefix: "/app/", Service: "s", Restored: restored})
+func book(restored time.Duration) *Reconciler {
+	return New(Config{Prefix: "/app/", Service: "s", RestoreAfter: restored})
 }
 
 func entry(name, address, more string) Entry {
@@ -37,7 +37,7 @@
 	if l == nil {
 		return "nothing"
 	}
-	words := []string{fmt.Sprintf("%d", l.Index)}
+	words := []string{fmt.Sprintf("%d", l.Version)}
 	if l.Full {
 		words = append(words, "whole")
 	}
@@ -47,7 +47,7 @@
 	return strings.Join(words, " ")
 }
 
-func expect(t *testing.T, what, want string, told Told, err error) {
+func expect(t *testing.T, what, want string, told Result, err error) {
 	t.Helper()
 	if got := say(told.List); got != want || err != nil {
 		t.Errorf("%s: got %q, %v; want %q", what, got, err, want)
@@ -58,7 +58,7 @@
 func TestWhatIsNoNews(t *testing.T) {
 	a, b, c := entry("a", "h:1", ""), entry("b", "h:2", ""), entry("c", "h:3", "")
 	bk := book(0)
-	told, err := bk.Whole(start, whole(10, a, b))
+	told, err := bk.ApplySnapshot(start, whole(10, a, b))
 	expect(t, "first", "10 whole a b", told, err)
 	cut := whole(12, a)
 	cut.Count = 2
@@ -70,25 +70,25 @@
 		{"older", whole(9, c), ErrOlder}, {"cut short", cut, ErrCount}, {"another cluster", Snapshot{"d", 12, 1, []Entry{c}}, ErrCluster},
 		{"too many", Snapshot{"c", 12, -1, make([]Entry, MaxEntries+1)}, ErrTooMany},
 	} {
-		if told, err := bk.Whole(start, x.s); !errors.Is(err, x.want) || told.List != nil {
+		if told, err := bk.ApplySnapshot(start, x.s); !errors.Is(err, x.want) || told.List != nil {
 			t.Errorf("%s: got %v, %v", x.what, say(told.List), err)
 		}
 	}
-	if _, err := bk.Changes(start, Batch{"d", 12, nil}); !errors.Is(err, ErrCluster) {
+	if _, err := bk.ApplyDelta(start, Delta{"d", 12, nil}); !errors.Is(err, ErrCluster) {
 		t.Errorf("got %v", err)
 	}
 	for _, events := range [][]Event{{put(14, c)}, {put(12, c), gone(11, "a")}} {
-		if _, err := bk.Changes(start, Batch{"c", 13, events}); !errors.Is(err, ErrNoOrder) {
+		if _, err := bk.ApplyDelta(start, Delta{"c", 13, events}); !errors.Is(err, ErrNoOrder) {
 			t.Errorf("got %v", err)
 		}
 	}
-	told, err = bk.Changes(start, Batch{"c", 10, []Event{gone(10, "a")}})
+	told, err = bk.ApplyDelta(start, Delta{"c", 10, []Event{gone(10, "a")}})
 	expect(t, "known already", "nothing", told, err)
-	told, err = bk.Changes(start, Batch{"c", 8, []Event{gone(8, "a")}})
+	told, err = bk.ApplyDelta(start, Delta{"c", 8, []Event{gone(8, "a")}})
 	expect(t, "late", "nothing", told, err)
-	told, err = bk.Changes(start, Batch{"c", 12, []Event{put(11, c), gone(12, "a")}})
+	told, err = bk.ApplyDelta(start, Delta{"c", 12, []Event{put(11, c), gone(12, "a")}})
 	expect(t, "news", "12 a- c", told, err)
-	told, err = bk.Changes(start, Batch{"c", 20, nil})
+	told, err = bk.ApplyDelta(start, Delta{"c", 20, nil})
 	expect(t, "progress", "nothing", told, err)
 	if bk.Revision() != 20 {
 		t.Errorf("at %d", bk.Revision())
@@ -100,26 +100,26 @@
 func TestARestoredRegistry(t *testing.T) {
 	a, b := entry("a", "h:1", ""), entry("b", "h:2", "")
 	bk := book(0)
-	_, _ = bk.Whole(start, whole(100, a))
+	_, _ = bk.ApplySnapshot(start, whole(100, a))
 	for i := range 100 {
-		if _, err := bk.Whole(start.Add(time.Duration(i)*time.Hour), whole(50, b)); !errors.Is(err, ErrOlder) {
+		if _, err := bk.ApplySnapshot(start.Add(time.Duration(i)*time.Hour), whole(50, b)); !errors.Is(err, ErrOlder) {
 			t.Fatalf("got %v", err)
 		}
 	}
-	bk.Accept()
-	told, err := bk.Whole(start, whole(50, b))
+	bk.AcceptNext()
+	told, err := bk.ApplySnapshot(start, whole(50, b))
 	expect(t, "at a word", "50 whole b", told, err)
-	if _, err := bk.Whole(start, whole(49, b)); !errors.Is(err, ErrOlder) {
+	if _, err := bk.ApplySnapshot(start, whole(49, b)); !errors.Is(err, ErrOlder) {
 		t.Errorf("the word held twice: %v", err)
 	}
-	bk.Accept()
-	told, err = bk.Whole(start, Snapshot{"d", 3, 1, []Entry{a}})
+	bk.AcceptNext()
+	told, err = bk.ApplySnapshot(start, Snapshot{"d", 3, 1, []Entry{a}})
 	expect(t, "another cluster at a word", "3 whole a", told, err)
 
 	bk = book(time.Minute)
-	_, _ = bk.Whole(start, whole(100, a))
+	_, _ = bk.ApplySnapshot(start, whole(100, a))
 	at := func(s time.Duration, revision int64) error {
-		_, err := bk.Whole(start.Add(s*time.Second), whole(revision, b))
+		_, err := bk.ApplySnapshot(start.Add(s*time.Second), whole(revision, b))
 		return err
 	}
 	for _, x := range []struct {
@@ -151,27 +151,27 @@
 		{entry(strings.Repeat("x", 300), "h:1", ""), "pattern"},
 	} {
 		bk := book(0)
-		told, err := bk.Whole(start, whole(1, entry("a", "h:1", ""), x.e))
+		told, err := bk.ApplySnapshot(start, whole(1, entry("a", "h:1", ""), x.e))
 		expect(t, x.want, "1 whole a", told, err)
-		if len(told.Skipped) != 1 || !strings.Contains(told.Skipped[0].Why.Error(), x.want) || len(told.Skipped[0].Why.Error()) > 500 || bk.Skipped() != 1 {
-			t.Errorf("%s: got %v", x.want, told.Skipped)
+		if len(told.Invalid) != 1 || !strings.Contains(told.Invalid[0].Err.Error(), x.want) || len(told.Invalid[0].Err.Error()) > 500 || bk.Invalid() != 1 {
+			t.Errorf("%s: got %v", x.want, told.Invalid)
 		}
-		if told, _ := bk.Whole(start, whole(2, entry("a", "h:1", ""), x.e)); len(told.Skipped) != 0 {
+		if told, _ := bk.ApplySnapshot(start, whole(2, entry("a", "h:1", ""), x.e)); len(told.Invalid) != 0 {
 			t.Errorf("%s: named twice", x.want)
 		}
 		bk = book(0)
-		_, _ = bk.Whole(start, whole(1, entry("a", "h:1", ""), entry("x", "h:9", "")))
+		_, _ = bk.ApplySnapshot(start, whole(1, entry("a", "h:1", ""), entry("x", "h:9", "")))
 		if x.e.Key != "/app/s/x" {
 			continue
 		}
-		told, err = bk.Changes(start, Batch{"c", 2, []Event{put(2, x.e)}})
+		told, err = bk.ApplyDelta(start, Delta{"c", 2, []Event{put(2, x.e)}})
 		expect(t, x.want, "2 x~", told, err)
-		if told.Lost != 1 || told.Before != 2 {
-			t.Errorf("lost %d of %d", told.Lost, told.Before)
+		if told.Removed != 1 || told.Before != 2 {
+			t.Errorf("lost %d of %d", told.Removed, told.Before)
 		}
-		told, err = bk.Whole(start, whole(3, entry("a", "h:1", ""), x.e))
+		told, err = bk.ApplySnapshot(start, whole(3, entry("a", "h:1", ""), x.e))
 		expect(t, x.want, "3 whole a x~", told, err)
-		told, err = bk.Changes(start, Batch{"c", 4, []Event{put(4, entry("x", "h:9", ""))}})
+		told, err = bk.ApplyDelta(start, Delta{"c", 4, []Event{put(4, entry("x", "h:9", ""))}})
 		expect(t, x.want, "4 x", told, err)
 	}
 }
@@ -179,14 +179,14 @@
 // A name that two keys claim is the first one's; when that goes, the other has it.
 func TestANameTwice(t *testing.T) {
 	bk := book(0)
-	told, err := bk.Whole(start, whole(1, entry("a", "h:1", `,"name":"n"`), entry("b", "h:2", `,"name":"n"`)))
+	told, err := bk.ApplySnapshot(start, whole(1, entry("a", "h:1", `,"name":"n"`), entry("b", "h:2", `,"name":"n"`)))
 	expect(t, "both", "1 whole n", told, err)
-	told, err = bk.Changes(start, Batch{"c", 2, []Event{gone(2, "a")}})
+	told, err = bk.ApplyDelta(start, Delta{"c", 2, []Event{gone(2, "a")}})
 	expect(t, "the first goes", "2 n", told, err)
-	if told.List.Endpoints[0].Address != "h:2" || bk.Skipped() != 0 {
+	if told.List.Endpoints[0].Address != "h:2" || bk.Invalid() != 0 {
 		t.Errorf("got %+v", told.List.Endpoints)
 	}
-	told, err = bk.Changes(start, Batch{"c", 4, []Event{gone(3, "b"), put(4, entry("b", "h:3", `,"since":7`))}})
+	told, err = bk.ApplyDelta(start, Delta{"c", 4, []Event{gone(3, "b"), put(4, entry("b", "h:3", `,"since":7`))}})
 	expect(t, "deleted and made again", "4 b n-", told, err)
 	if told.List.Endpoints[0].SinceMs != 7 {
 		t.Errorf("got %+v", told.List.Endpoints)
@@ -200,15 +200,15 @@
 	for i := range 10 {
 		all = append(all, entry(fmt.Sprint(i), "h:1", ""))
 	}
-	_, _ = bk.Whole(start, whole(1, all...))
-	told, _ := bk.Changes(start, Batch{"c", 3, []Event{gone(2, "1"), put(3, entry("2", "h:1", `,"status":"draining"`))}})
-	if told.Lost != 2 || told.Before != 10 {
-		t.Errorf("lost %d of %d", told.Lost, told.Before)
+	_, _ = bk.ApplySnapshot(start, whole(1, all...))
+	told, _ := bk.ApplyDelta(start, Delta{"c", 3, []Event{gone(2, "1"), put(3, entry("2", "h:1", `,"status":"draining"`))}})
+	if told.Removed != 2 || told.Before != 10 {
+		t.Errorf("lost %d of %d", told.Removed, told.Before)
 	}
-	told, err := bk.Whole(start, whole(4))
+	told, err := bk.ApplySnapshot(start, whole(4))
 	expect(t, "all", "4 whole", told, err)
-	if told.Lost != 8 || told.Before != 8 {
-		t.Errorf("lost %d of %d", told.Lost, told.Before)
+	if told.Removed != 8 || told.Before != 8 {
+		t.Errorf("lost %d of %d", told.Removed, told.Before)
 	}
 }
 
@@ -245,7 +245,7 @@
 	*testing.T
 	seed     uint64
 	rnd      *rand.Rand
-	book     *Book
+	book     *Reconciler
 	truth    map[string]Entry // what the registry holds
 	revision int64
 	log      []Event // changes that have not been told yet
@@ -269,7 +269,7 @@
 // read tells the pool the whole.
 func (r *randomRun) read() {
 	r.Helper()
-	told, err := r.book.Whole(start, Snapshot{"c", r.revision, int64(len(r.truth)), slices.Collect(maps.Values(r.truth))})
+	told, err := r.book.ApplySnapshot(start, Snapshot{"c", r.revision, int64(len(r.truth)), slices.Collect(maps.Values(r.truth))})
 	if err != nil {
 		r.Fatalf("seed %d: %v", r.seed, err)
 	}
@@ -279,7 +279,7 @@
 // tell tells the pool the changes.
 func (r *randomRun) tell() {
 	r.Helper()
-	told, err := r.book.Changes(start, Batch{"c", r.revision, r.log})
+	told, err := r.book.ApplyDelta(start, Delta{"c", r.revision, r.log})
 	if err != nil {
 		r.Fatal(err)
 	}
@@ -289,13 +289,13 @@
 // tellAgain tells the same changes a second time, which are no news.
 func (r *randomRun) tellAgain() {
 	r.Helper()
-	told, err := r.book.Changes(start, Batch{"c", r.revision, r.log})
+	told, err := r.book.ApplyDelta(start, Delta{"c", r.revision, r.log})
 	if err != nil || told.List != nil {
 		r.Fatalf("seed %d: a duplicate is news: %s, %v", r.seed, say(told.List), err)
 	}
 }
 
-func (r *randomRun) apply(told Told) {
+func (r *randomRun) apply(told Result) {
 	if told.List == nil {
 		return
 	}
@@ -347,11 +347,11 @@
 			for i := range n {
 				all = append(all, entry(fmt.Sprint(i), "h:1", ""))
 			}
-			_, _ = bk.Whole(start, whole(1, all...))
+			_, _ = bk.ApplySnapshot(start, whole(1, all...))
 			revision := int64(1)
 			for b.Loop() {
 				revision++
-				told, err := bk.Changes(start, Batch{"c", revision, []Event{put(revision, entry(fmt.Sprint(revision%int64(n)), "h:2", ""))}})
+				told, err := bk.ApplyDelta(start, Delta{"c", revision, []Event{put(revision, entry(fmt.Sprint(revision%int64(n)), "h:2", ""))}})
 				if err != nil || len(told.List.Endpoints) != 1 {
 					b.Fatal(err)
 				}
@@ -365,7 +365,7 @@
 	f.Add("/app/s/", []byte(`null`), "/app/s/b/c", []byte(`[]`))
 	f.Fuzz(func(t *testing.T, k1 string, v1 []byte, k2 string, v2 []byte) {
 		bk := book(0)
-		told, err := bk.Whole(start, whole(1, Entry{k1, v1}, Entry{k2, v2}))
+		told, err := bk.ApplySnapshot(start, whole(1, Entry{k1, v1}, Entry{k2, v2}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -374,7 +374,7 @@
 				t.Fatalf("%+v", e)
 			}
 		}
-		if _, err := bk.Changes(start, Batch{"c", 2, []Event{put(2, Entry{k1, v2}), {Entry{Key: k2}, 2, true}}}); err != nil {
+		if _, err := bk.ApplyDelta(start, Delta{"c", 2, []Event{put(2, Entry{k1, v2}), {Entry{Key: k2}, 2, true}}}); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/internal/membership/relayed/contract_test.go
+++ b/internal/membership/relayed/contract_test.go
@@ -103,7 +103,7 @@
 		relay := nodetest.Relay(t, "relay", "127.0.0.1:0", source.Address)
 		gate := nodetest.NewGate(t, relay.Address)
 		lists := NewLists(slog.New(slog.DiscardHandler))
-		lists.Use(runFollower(t, gate.Address))
+		lists.SetFollower(runFollower(t, gate.Address))
 		return NewSource(lists, "s"), &registry{t: t, source: source, relay: relay, gate: gate, broken: -1}
 	})
 }
--- a/internal/membership/relayed/list.go
+++ b/internal/membership/relayed/list.go
@@ -45,9 +45,9 @@
 
 	mu        sync.Mutex // held while sinks are told
 	sinks     []membership.Sink
-	book      *reconcile.Book      // its revisions count accepted updates: a version of distribution has two parts
-	inForce   distribution.Version // zero: none yet
-	confirmed time.Time            // when that was put in force; before, when the list began
+	book      *reconcile.Reconciler // its revisions count accepted updates: a version of distribution has two parts
+	inForce   distribution.Version  // zero: none yet
+	confirmed time.Time             // when that was put in force; before, when the list began
 	refused   int64
 	refusedAt time.Time // of the last update refused, if none has been accepted since; else zero
 }
@@ -81,7 +81,7 @@
 	defer l.mu.Unlock()
 	l.sinks = append(l.sinks, sink)
 	if stands := l.book.List(); stands != nil {
-		sink.Listed(stands)
+		sink.UpdateEndpoints(stands)
 	}
 }
 
@@ -92,8 +92,8 @@
 	l.sinks = slices.DeleteFunc(l.sinks, func(s membership.Sink) bool { return s == sink })
 }
 
-// Updated implements follow.Subscriber. Once it has returned without an error, the update is in force.
-func (l *list) Updated(u distribution.Update) error {
+// ApplyUpdate implements follow.Subscriber. Once it has returned without an error, the update is in force.
+func (l *list) ApplyUpdate(u distribution.Update) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	told, err := l.reconcile(&u)
@@ -108,47 +108,47 @@
 		return nil
 	}
 	for _, sink := range l.sinks {
-		sink.Listed(told.List)
+		sink.UpdateEndpoints(told.List)
 	}
 	return nil
 }
 
-// Missed implements follow.Subscriber.
-func (l *list) Missed() {
+// UpdateFailed implements follow.Subscriber.
+func (l *list) UpdateFailed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, sink := range l.sinks {
-		sink.Missed()
+		sink.UpdateFailed()
 	}
 }
 
 // reconcile takes an update into the book, or says why it makes no sense as a whole: then nothing has changed.
-func (l *list) reconcile(u *distribution.Update) (reconcile.Told, error) {
+func (l *list) reconcile(u *distribution.Update) (reconcile.Result, error) {
 	if want := Resource(l.name); u.Resource != want {
-		return reconcile.Told{}, fmt.Errorf("%w: %.128q found, %q expected", errResource, u.Resource, want)
+		return reconcile.Result{}, fmt.Errorf("%w: %.128q found, %q expected", errResource, u.Resource, want)
 	}
 	if !u.Version.After(l.inForce) {
-		return reconcile.Told{}, fmt.Errorf("%w: %s found, %s stands", errVersion, u.Version, l.inForce)
+		return reconcile.Result{}, fmt.Errorf("%w: %s found, %s stands", errVersion, u.Version, l.inForce)
 	}
-	if u.Whole() {
+	if u.Full() {
 		return l.whole(u)
 	}
 	return l.changes(u)
 }
 
 // whole takes an update that has the whole list.
-func (l *list) whole(u *distribution.Update) (reconcile.Told, error) {
+func (l *list) whole(u *distribution.Update) (reconcile.Result, error) {
 	entries := make([]reconcile.Entry, len(u.Items))
 	for i := range u.Items {
 		if u.Items[i].Deleted {
-			return reconcile.Told{}, fmt.Errorf("%w: %.128q", errDeleted, u.Items[i].Key)
+			return reconcile.Result{}, fmt.Errorf("%w: %.128q", errDeleted, u.Items[i].Key)
 		}
 		entries[i] = entry(&u.Items[i])
 	}
 	if err := sensible(entries, l.now()); err != nil {
-		return reconcile.Told{}, err
+		return reconcile.Result{}, err
 	}
-	return l.book.Whole(l.now(), snapshot(l.book.Revision()+1, entries))
+	return l.book.ApplySnapshot(l.now(), snapshot(l.book.Revision()+1, entries))
 }
 
 // sensible refuses a whole list of entries none of which makes sense: it is something else, published by mistake. An
@@ -158,11 +158,11 @@
 		return nil
 	}
 	scratch := reconcile.New(reconcile.Config{})
-	told, err := scratch.Whole(now, snapshot(1, entries))
+	told, err := scratch.ApplySnapshot(now, snapshot(1, entries))
 	if err != nil || len(told.List.Endpoints) > 0 {
 		return err
 	}
-	return fmt.Errorf("%w: %.128q: %w", errSenseless, told.Skipped[0].Key, told.Skipped[0].Why)
+	return fmt.Errorf("%w: %.128q: %w", errSenseless, told.Invalid[0].Key, told.Invalid[0].Err)
 }
 
 func snapshot(revision int64, entries []reconcile.Entry) reconcile.Snapshot {
@@ -170,15 +170,15 @@
 }
 
 // changes takes an update that has what has changed since the version in force.
-func (l *list) changes(u *distribution.Update) (reconcile.Told, error) {
+func (l *list) changes(u *distribution.Update) (reconcile.Result, error) {
 	if u.From.Compare(l.inForce) != 0 {
-		return reconcile.Told{}, fmt.Errorf("%w: %s found, %s stands", errBase, u.From, l.inForce)
+		return reconcile.Result{}, fmt.Errorf("%w: %s found, %s stands", errBase, u.From, l.inForce)
 	}
-	batch := reconcile.Batch{Revision: l.book.Revision() + 1}
+	batch := reconcile.Delta{Revision: l.book.Revision() + 1}
 	for i := range u.Items {
 		batch.Events = append(batch.Events, reconcile.Event{Entry: entry(&u.Items[i]), Revision: batch.Revision, Deleted: u.Items[i].Deleted})
 	}
-	return l.book.Changes(l.now(), batch)
+	return l.book.ApplyDelta(l.now(), batch)
 }
 
 // entry is an item as an entry of a registry.
@@ -187,12 +187,12 @@
 }
 
 // report logs what an operator should look at in an update that has been accepted.
-func (l *list) report(told reconcile.Told) {
-	for _, skipped := range told.Skipped {
-		l.log.Warn("relayed list: an entry makes no sense", "entry", skipped.Key, "error", skipped.Why)
+func (l *list) report(told reconcile.Result) {
+	for _, skipped := range told.Invalid {
+		l.log.Warn("relayed list: an entry makes no sense", "entry", skipped.Key, "error", skipped.Err)
 	}
-	if told.Lost*2 > told.Before {
-		l.log.Warn("relayed list: more than half of the servers went in one step", "lost", told.Lost, "of", told.Before)
+	if told.Removed*2 > told.Before {
+		l.log.Warn("relayed list: more than half of the servers went in one step", "lost", told.Removed, "of", told.Before)
 	}
 }
 
@@ -204,23 +204,23 @@
 
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	h := membership.Health{Index: l.book.Revision(), Skipped: l.book.Skipped(), Refused: l.refused}
+	h := membership.Health{Version: l.book.Revision(), Invalid: l.book.Invalid(), Rejected: l.refused}
 	confirmed, old := l.confirmed, true
 	if follower != nil {
 		relays := follower.Health()
-		heard := relays.Heard.Add(-relays.SourceAge) // from the source
+		heard := relays.LastAnswer.Add(-relays.SourceAge) // from the source
 		if heard.After(confirmed) {
 			confirmed = heard
 		}
-		old = !relays.Silent.IsZero() || relays.Heard.IsZero() || l.now().Sub(heard) > maxSourceAge
+		old = !relays.SilentSince.IsZero() || relays.LastAnswer.IsZero() || l.now().Sub(heard) > maxSourceAge
 	}
 	switch {
-	case h.Index == 0:
-		h.Silent = l.confirmed
+	case h.Version == 0:
+		h.SilentSince = l.confirmed
 	case !l.refusedAt.IsZero():
-		h.Silent = l.refusedAt
+		h.SilentSince = l.refusedAt
 	case old:
-		h.Silent = confirmed
+		h.SilentSince = confirmed
 	}
 	return h
 }
--- a/internal/membership/relayed/list_test.go
+++ b/internal/membership/relayed/list_test.go
@@ -36,7 +36,7 @@
 }
 
 func newFakeFollower() *fakeFollower {
-	return &fakeFollower{begun: make(chan subscribed, 10), ended: make(chan string, 10), health: follow.Health{Heard: time.Now()}}
+	return &fakeFollower{begun: make(chan subscribed, 10), ended: make(chan string, 10), health: follow.Health{LastAnswer: time.Now()}}
 }
 
 func (f *fakeFollower) Subscribe(resource string, has distribution.Version, to follow.Subscriber) (cancel func()) {
@@ -64,8 +64,8 @@
 
 func newSink() *sink { return &sink{make(chan string, 10), make(chan struct{}, 10)} }
 
-func (s *sink) Listed(l *membership.List) {
-	words := []string{fmt.Sprint(l.Index)}
+func (s *sink) UpdateEndpoints(l *membership.List) {
+	words := []string{fmt.Sprint(l.Version)}
 	if l.Full {
 		words = append(words, "whole")
 	}
@@ -75,7 +75,7 @@
 	s.told <- strings.Join(words, " ")
 }
 
-func (s *sink) Missed() { s.missed <- struct{}{} }
+func (s *sink) UpdateFailed() { s.missed <- struct{}{} }
 
 // next takes what must come from a channel.
 func next[T any](t *testing.T, what string, c <-chan T) T {
@@ -164,14 +164,14 @@
 
 func begin(t *testing.T) (*Lists, *fakeFollower) {
 	lists, f := NewLists(slog.New(slog.DiscardHandler)), newFakeFollower()
-	lists.Use(f)
+	lists.SetFollower(f)
 	return lists, f
 }
 
 func put(t *testing.T, to follow.Subscriber, updates ...distribution.Update) {
 	t.Helper()
 	for _, u := range updates {
-		if err := to.Updated(u); err != nil {
+		if err := to.ApplyUpdate(u); err != nil {
 			t.Errorf("%s: %v", u.Version, err)
 		}
 	}
@@ -192,7 +192,7 @@
 	put(t, sub.to, change(7, 9, item("d"), drained("a")), change(9, 20, deleted("a"), senseless("b")))
 	to.expect(t, "2 a~ d")
 	to.expect(t, "3 a- b~")
-	if h := src.Health(); h.Index != 3 || h.Skipped != 2 || h.Refused != 0 || !h.Silent.IsZero() {
+	if h := src.Health(); h.Version != 3 || h.Invalid != 2 || h.Rejected != 0 || !h.SilentSince.IsZero() {
 		t.Errorf("health %+v", h)
 	}
 	put(t, sub.to, whole(21, item("d")))
@@ -218,17 +218,17 @@
 		{whole(7, item("c")), errVersion}, {change(7, 6, item("c")), errVersion}, {change(6, 8, item("c")), errBase}, {other, errResource},
 		{whole(8, deleted("a")), errDeleted}, {whole(8, senseless("a"), senseless("b")), errSenseless},
 	} {
-		if err := sub.to.Updated(x.u); !errors.Is(err, x.want) {
+		if err := sub.to.ApplyUpdate(x.u); !errors.Is(err, x.want) {
 			t.Errorf("%+v: %v, want %v", x.u, err, x.want)
 		}
 		to.expectNothing(t)
 	}
-	if h := src.Health(); h.Refused != 6 || h.Silent.IsZero() || h.Index != 1 {
+	if h := src.Health(); h.Rejected != 6 || h.SilentSince.IsZero() || h.Version != 1 {
 		t.Errorf("health %+v", h)
 	}
 	put(t, sub.to, change(7, 9, deleted("a")))
 	to.expect(t, "2 a-")
-	if h := src.Health(); !h.Silent.IsZero() {
+	if h := src.Health(); !h.SilentSince.IsZero() {
 		t.Errorf("health %+v", h)
 	}
 }
@@ -252,7 +252,7 @@
 	stopOne()
 	put(t, sub.to, change(9, 10, deleted("a")))
 	two.expect(t, "4 a-")
-	sub.to.Missed()
+	sub.to.UpdateFailed()
 	next(t, "word that it was missed", two.missed)
 	one.expectNothing(t)
 	stopTwo()
@@ -277,13 +277,13 @@
 	run(t, src, to)
 	put(t, next(t, "subscription", f.begun).to, whole(7, item("a")))
 	to.expect(t, "1 whole a")
-	lists.Use(nil)
+	lists.SetFollower(nil)
 	next(t, "end of the subscription", f.ended)
-	if h := src.Health(); h.Silent.IsZero() {
+	if h := src.Health(); h.SilentSince.IsZero() {
 		t.Errorf("health without a follower: %+v", h)
 	}
 	g := newFakeFollower()
-	lists.Use(g)
+	lists.SetFollower(g)
 	sub := next(t, "subscription", g.begun)
 	if sub.has != version(7) {
 		t.Errorf("resumes at %s", sub.has)
@@ -316,11 +316,11 @@
 		now  time.Duration
 		age  time.Duration
 	}{
-		{"fresh", follow.Health{Heard: at}, time.Second, 0},
-		{"at rest for an hour", follow.Health{Heard: at.Add(time.Hour)}, time.Hour + time.Second, 0},
-		{"silent relays", follow.Health{Heard: at.Add(time.Hour), Silent: at.Add(time.Hour + time.Second)}, 2 * time.Hour, time.Hour},
-		{"relays without their source", follow.Health{Heard: at.Add(time.Hour), SourceAge: time.Minute}, time.Hour, time.Minute},
-		{"relays that have just lost it", follow.Health{Heard: at.Add(time.Hour), SourceAge: time.Second}, time.Hour, 0},
+		{"fresh", follow.Health{LastAnswer: at}, time.Second, 0},
+		{"at rest for an hour", follow.Health{LastAnswer: at.Add(time.Hour)}, time.Hour + time.Second, 0},
+		{"silent relays", follow.Health{LastAnswer: at.Add(time.Hour), SilentSince: at.Add(time.Hour + time.Second)}, 2 * time.Hour, time.Hour},
+		{"relays without their source", follow.Health{LastAnswer: at.Add(time.Hour), SourceAge: time.Minute}, time.Hour, time.Minute},
+		{"relays that have just lost it", follow.Health{LastAnswer: at.Add(time.Hour), SourceAge: time.Second}, time.Hour, 0},
 		{"a follower that has heard nothing", follow.Health{}, time.Hour, time.Hour},
 	} {
 		f.set(x.h)
--- a/internal/membership/relayed/lists.go
+++ b/internal/membership/relayed/lists.go
@@ -38,9 +38,9 @@
 	return &Lists{log: log, now: time.Now, lists: map[string]*list{}}
 }
 
-// Use follows the lists with another follower; nil: with none. The one before must have ended. Each list goes on from the
+// SetFollower follows the lists with another follower; nil: with none. The one before must have ended. Each list goes on from the
 // version that is in force.
-func (l *Lists) Use(f Follower) {
+func (l *Lists) SetFollower(f Follower) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.follower = f
--- a/internal/membership/source.go
+++ b/internal/membership/source.go
@@ -21,16 +21,16 @@
 
 // Health is what a source says of itself.
 type Health struct {
-	Index   int64     // of the list that stands; 0 before the first
-	Silent  time.Time // since when nothing that makes sense was heard; zero while it speaks
-	Skipped int       // entries that make no sense now
-	Refused int64     // answers so far that were no news
+	Version     int64     // of the list that stands; 0 before the first
+	SilentSince time.Time // since when nothing that makes sense was heard; zero while it speaks
+	Invalid     int       // entries that make no sense now
+	Rejected    int64     // answers so far that were no news
 }
 
 // Age is how long a source has been silent at a time; 0 while it speaks.
 func (h Health) Age(now time.Time) time.Duration {
-	if h.Silent.IsZero() {
+	if h.SilentSince.IsZero() {
 		return 0
 	}
-	return max(0, now.Sub(h.Silent))
+	return max(0, now.Sub(h.SilentSince))
 }
--- a/internal/membership/staleness/staleness.go
+++ b/internal/membership/staleness/staleness.go
@@ -18,7 +18,7 @@
 // New returns the health of a source that begins now, and has heard nothing.
 func New() *Tracker {
 	now := time.Now()
-	return &Tracker{last: now, h: membership.Health{Silent: now}}
+	return &Tracker{last: now, h: membership.Health{SilentSince: now}}
 }
 
 // Confirmed notes that something that made sense was heard, with the version that stands.
@@ -26,15 +26,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.last = time.Now()
-	s.h.Index, s.h.Skipped, s.h.Silent = index, skipped, time.Time{}
+	s.h.Version, s.h.Invalid, s.h.SilentSince = index, skipped, time.Time{}
 }
 
 // Failed notes that what was heard, or its absence, is no news.
 func (s *Tracker) Failed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.h.Refused++; s.h.Silent.IsZero() {
-		s.h.Silent = s.last
+	if s.h.Rejected++; s.h.SilentSince.IsZero() {
+		s.h.SilentSince = s.last
 	}
 }
 
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -14,12 +14,12 @@
 	"slices"
 )
 
-// WantFor is how long a party that was turned away counts as in want, in microseconds. It asks again with its next
+// StarvedFor is how long a party that was turned away counts as in want, in microseconds. It asks again with its next
 // request; one that does not has no use for what others hold.
-const WantFor = 1_000_000
+const StarvedFor = 1_000_000
 
-// Ledger keeps the books. It is not safe for concurrent use.
-type Ledger struct {
+// Allocator keeps the books. It is not safe for concurrent use.
+type Allocator struct {
 	total   int64
 	parties map[string]*party
 	order   []*party // as they were entered: every walk has this order
@@ -37,19 +37,19 @@
 func (p *party) lent() int64 { return max(0, p.held-p.floor) }
 
 // New returns a ledger over a total in whatever unit, with no parties.
-func New(total int64) (*Ledger, error) {
+func New(total int64) (*Allocator, error) {
 	if total <= 0 {
 		return nil, fmt.Errorf("total: %d, more than 0 expected", total)
 	}
-	return &Ledger{total: total, parties: map[string]*party{}}, nil
+	return &Allocator{total: total, parties: map[string]*party{}}, nil
 }
 
 // ErrFloors says that the floors together pass the total.
 var ErrFloors = errors.New("the floors pass the total")
 
-// Set gives all floors anew, in order. What parties hold they keep, those too that have no floor any more, until they
+// SetFloors gives all floors anew, in order. What parties hold they keep, those too that have no floor any more, until they
 // give it back. Floors that together pass the total are an error (ErrFloors) and change nothing.
-func (l *Ledger) Set(names []string, floors []int64) error {
+func (l *Allocator) SetFloors(names []string, floors []int64) error {
 	sum := int64(0)
 	for i, f := range floors {
 		if f < 0 {
@@ -77,7 +77,7 @@
 }
 
 // tidy forgets parties that are not named and hold nothing.
-func (l *Ledger) tidy(names []string) {
+func (l *Allocator) tidy(names []string) {
 	named := map[string]bool{}
 	for _, n := range names {
 		named[n] = true
@@ -95,13 +95,13 @@
 }
 
 // Total is what there is.
-func (l *Ledger) Total() int64 { return l.total }
+func (l *Allocator) Total() int64 { return l.total }
 
-// Held is what all parties hold together.
-func (l *Ledger) Held() int64 { return l.held }
+// InUse is what all parties hold together.
+func (l *Allocator) InUse() int64 { return l.held }
 
-// HeldBy is what a party holds.
-func (l *Ledger) HeldBy(name string) int64 {
+// InUseBy is what a party holds.
+func (l *Allocator) InUseBy(name string) int64 {
 	if p := l.parties[name]; p != nil {
 		return p.held
 	}
@@ -109,15 +109,15 @@
 }
 
 // reserved is what no one can be lent: the floors, and what is held above them.
-func (l *Ledger) reserved() (n int64) {
+func (l *Allocator) reserved() (n int64) {
 	for _, p := range l.order {
 		n += max(p.floor, p.held)
 	}
 	return n
 }
 
-// Take gives a party n more, or nothing and false.
-func (l *Ledger) Take(now int64, name string, n int64) bool {
+// Acquire gives a party n more, or nothing and false.
+func (l *Allocator) Acquire(now int64, name string, n int64) bool {
 	p := l.parties[name]
 	if p == nil || n <= 0 || n > l.total {
 		return false
@@ -131,15 +131,15 @@
 	return true
 }
 
-// Deny says that a party goes without what Take did not give it, whatever others could give back: it is in want.
-func (l *Ledger) Deny(now int64, name string) {
+// MarkStarved says that a party goes without what Take did not give it, whatever others could give back: it is in want.
+func (l *Allocator) MarkStarved(now int64, name string) {
 	if p := l.parties[name]; p != nil {
-		p.until = now + WantFor
+		p.until = now + StarvedFor
 	}
 }
 
 // may tells whether a party can have n more.
-func (l *Ledger) may(now int64, p *party, n int64) bool {
+func (l *Allocator) may(now int64, p *party, n int64) bool {
 	if l.held+n > l.total {
 		return false
 	}
@@ -154,12 +154,12 @@
 }
 
 // wants tells whether a party is in want.
-func (l *Ledger) wants(now int64, p *party) bool {
+func (l *Allocator) wants(now int64, p *party) bool {
 	return now < p.until && (p.held < p.floor || p.lent() < l.fair(now, p))
 }
 
 // others tells whether any other party is in want.
-func (l *Ledger) others(now int64, p *party) bool {
+func (l *Allocator) others(now int64, p *party) bool {
 	for _, q := range l.order {
 		if q != p && l.wants(now, q) {
 			return true
@@ -169,7 +169,7 @@
 }
 
 // fair is a party's part of all that can be lent, shared evenly among those that have some or want some.
-func (l *Ledger) fair(now int64, p *party) int64 {
+func (l *Allocator) fair(now int64, p *party) int64 {
 	left, n := l.total, int64(0)
 	for _, q := range l.order {
 		left -= q.floor
@@ -180,16 +180,16 @@
 	return max(0, left) / max(1, n)
 }
 
-// Debt is what a party holds beyond its floor.
-type Debt struct {
-	Name string
-	Over bool // beyond its fair part too, or while the one in want has not its floor
+// Excess is what a party holds beyond its floor.
+type Excess struct {
+	Name      string
+	Overdrawn bool // beyond its fair part too, or while the one in want has not its floor
 }
 
-// Debtors are the others that hold something beyond their floors where name could have more of it, those first that
+// Excesses are the others that hold something beyond their floors where name could have more of it, those first that
 // hold most.
 // What they keep idle is to be given back; what is in use only where they are Over, and by keeping nothing new.
-func (l *Ledger) Debtors(now int64, name string) (debts []Debt) {
+func (l *Allocator) Excesses(now int64, name string) (debts []Excess) {
 	p := l.parties[name]
 	if p == nil || p.held >= p.floor && l.others(now, p) && p.lent() >= l.fair(now, p) {
 		return nil // it would get nothing of what others give back
@@ -202,20 +202,20 @@
 	}
 	slices.SortStableFunc(who, func(a, b *party) int { return cmp.Compare(b.lent(), a.lent()) })
 	for _, q := range who {
-		debts = append(debts, Debt{q.name, q.lent() > l.fair(now, q) || p.held < p.floor})
+		debts = append(debts, Excess{q.name, q.lent() > l.fair(now, q) || p.held < p.floor})
 	}
 	return debts
 }
 
-// Owes tells whether a party holds more than its fair part while another is in want: what it holds idle is to be
+// Overdrawn tells whether a party holds more than its fair part while another is in want: what it holds idle is to be
 // given back.
-func (l *Ledger) Owes(now int64, name string) bool {
+func (l *Allocator) Overdrawn(now int64, name string) bool {
 	p := l.parties[name]
 	return p != nil && p.lent() > 0 && l.others(now, p) && (p.lent() > l.fair(now, p) || l.underFloor(now, p))
 }
 
 // underFloor tells whether another party is in want of its floor.
-func (l *Ledger) underFloor(now int64, p *party) bool {
+func (l *Allocator) underFloor(now int64, p *party) bool {
 	for _, q := range l.order {
 		if q != p && now < q.until && q.held < q.floor {
 			return true
@@ -224,8 +224,8 @@
 	return false
 }
 
-// Give takes n back from a party; more than it holds counts as all.
-func (l *Ledger) Give(name string, n int64) {
+// Release takes n back from a party; more than it holds counts as all.
+func (l *Allocator) Release(name string, n int64) {
 	p := l.parties[name]
 	if p == nil || n <= 0 {
 		return
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-func ledger(t *testing.T, total int64, floors ...int64) *Ledger {
+func ledger(t *testing.T, total int64, floors ...int64) *Allocator {
 	t.Helper()
 	l, err := New(total)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := l.Set(names(len(floors)), floors); err != nil {
+	if err := l.SetFloors(names(len(floors)), floors); err != nil {
 		t.Fatal(err)
 	}
 	return l
@@ -27,11 +27,11 @@
 }
 
 // take takes one at a time until there is no more, and returns how many that was.
-func take(l *Ledger, now int64, name string) (n int) {
-	for l.Take(now, name, 1) {
+func take(l *Allocator, now int64, name string) (n int) {
+	for l.Acquire(now, name, 1) {
 		n++
 	}
-	l.Deny(now, name)
+	l.MarkStarved(now, name)
 	return n
 }
 
@@ -44,32 +44,32 @@
 		t.Fatalf("alone, b got %d of the 10 and 60 that it could have", n)
 	}
 	for _, turn := range []struct{ poor, rich string }{{"c", "b"}, {"b", "c"}} {
-		before := l.HeldBy(turn.poor)
+		before := l.InUseBy(turn.poor)
 		got := take(l, now, turn.poor)
 		if before+int64(got) < 10 {
 			t.Fatalf("%s got %d, less than its floor", turn.poor, got)
 		}
-		if d := l.Debtors(now, turn.poor); len(d) != 1 || d[0] != (Debt{turn.rich, true}) || !l.Owes(now, turn.rich) {
+		if d := l.Excesses(now, turn.poor); len(d) != 1 || d[0] != (Excess{turn.rich, true}) || !l.Overdrawn(now, turn.rich) {
 			t.Fatalf("debtors of %s: %v", turn.poor, d)
 		}
 		for l.lentOver(turn.rich) { // its requests end one by one, and it asks for more all the time
-			l.Give(turn.rich, 1)
-			if l.Take(now, turn.rich, 1) && l.lentOver(turn.rich) {
+			l.Release(turn.rich, 1)
+			if l.Acquire(now, turn.rich, 1) && l.lentOver(turn.rich) {
 				t.Fatalf("%s got more while %s is in want", turn.rich, turn.poor)
 			}
-			if !l.Take(now, turn.poor, 1) {
+			if !l.Acquire(now, turn.poor, 1) {
 				t.Fatalf("%s did not get what was given back", turn.poor)
 			}
-			l.Deny(now, turn.poor) // it wants still more
+			l.MarkStarved(now, turn.poor) // it wants still more
 		}
 		take(l, now, turn.poor)
-		if a, b := l.HeldBy(turn.rich), l.HeldBy(turn.poor); a != 40 || b != 40 {
+		if a, b := l.InUseBy(turn.rich), l.InUseBy(turn.poor); a != 40 || b != 40 {
 			t.Errorf("then %s holds %d and %s %d", turn.rich, a, turn.poor, b)
 		}
-		l.Give(turn.rich, l.HeldBy(turn.rich)) // it falls idle
-		now += WantFor
-		if take(l, now, turn.poor); l.HeldBy(turn.poor) != 70 {
-			t.Errorf("alone again, %s holds %d", turn.poor, l.HeldBy(turn.poor))
+		l.Release(turn.rich, l.InUseBy(turn.rich)) // it falls idle
+		now += StarvedFor
+		if take(l, now, turn.poor); l.InUseBy(turn.poor) != 70 {
+			t.Errorf("alone again, %s holds %d", turn.poor, l.InUseBy(turn.poor))
 		}
 	}
 	if n := take(l, now, "a"); n != 20 {
@@ -78,7 +78,7 @@
 }
 
 // lentOver tells whether a party holds more than its fair part of what is lent.
-func (l *Ledger) lentOver(name string) bool {
+func (l *Allocator) lentOver(name string) bool {
 	p := l.parties[name]
 	return p.lent() > l.fair(0, p)
 }
@@ -99,28 +99,28 @@
 		now := int64(0)
 		for range 2000 {
 			i := rnd.IntN(len(who))
-			now += rnd.Int64N(WantFor / 4)
-			before, n := l.HeldBy(who[i]), 1+rnd.Int64N(5)
+			now += rnd.Int64N(StarvedFor / 4)
+			before, n := l.InUseBy(who[i]), 1+rnd.Int64N(5)
 			switch rnd.IntN(4) {
 			case 0, 1, 2:
-				ok := l.Take(now, who[i], n)
+				ok := l.Acquire(now, who[i], n)
 				if !ok {
-					l.Deny(now, who[i])
+					l.MarkStarved(now, who[i])
 				}
 				if !ok && before+n <= floors[i] {
 					t.Fatalf("%s holds %d of its floor %d and got no %d more: %+v", who[i], before, floors[i], n, l)
-				} else if ok != (l.HeldBy(who[i]) == before+n) {
+				} else if ok != (l.InUseBy(who[i]) == before+n) {
 					t.Fatal("the books are wrong")
 				}
 			case 3:
-				l.Give(who[i], n)
+				l.Release(who[i], n)
 			}
 			sum := int64(0)
 			for _, w := range who {
-				sum += l.HeldBy(w)
+				sum += l.InUseBy(w)
 			}
-			if sum != l.Held() || sum > total {
-				t.Fatalf("%d held, %d by the books, of %d", sum, l.Held(), total)
+			if sum != l.InUse() || sum > total {
+				t.Fatalf("%d held, %d by the books, of %d", sum, l.InUse(), total)
 			}
 		}
 	}
@@ -130,36 +130,36 @@
 func TestNewFloors(t *testing.T) {
 	l := ledger(t, 100, 10, 10)
 	take(l, 0, "a")
-	if err := l.Set([]string{"b", "c"}, []int64{60, 40}); err != nil {
+	if err := l.SetFloors([]string{"b", "c"}, []int64{60, 40}); err != nil {
 		t.Fatal(err)
 	}
-	if l.HeldBy("a") != 90 || l.Take(0, "a", 1) {
-		t.Errorf("a holds %d and may have more", l.HeldBy("a"))
+	if l.InUseBy("a") != 90 || l.Acquire(0, "a", 1) {
+		t.Errorf("a holds %d and may have more", l.InUseBy("a"))
 	}
-	if n := take(l, 0, "b") + take(l, 0, "c"); n != 10 || l.Held() != 100 {
-		t.Errorf("%d more taken, %d held", n, l.Held())
+	if n := take(l, 0, "b") + take(l, 0, "c"); n != 10 || l.InUse() != 100 {
+		t.Errorf("%d more taken, %d held", n, l.InUse())
 	}
-	if d := l.Debtors(0, "c"); len(d) != 1 || d[0] != (Debt{"a", true}) {
+	if d := l.Excesses(0, "c"); len(d) != 1 || d[0] != (Excess{"a", true}) {
 		t.Errorf("debtors: %v", d)
 	}
-	l.Give("a", 90)
-	if n, m := take(l, 0, "b"), take(l, 0, "c"); l.HeldBy("b") != 60 || l.HeldBy("c") != 40 {
+	l.Release("a", 90)
+	if n, m := take(l, 0, "b"), take(l, 0, "c"); l.InUseBy("b") != 60 || l.InUseBy("c") != 40 {
 		t.Errorf("then %d and %d more", n, m)
 	}
-	if err := l.Set([]string{"b", "c"}, []int64{60, 41}); !errors.Is(err, ErrFloors) {
+	if err := l.SetFloors([]string{"b", "c"}, []int64{60, 41}); !errors.Is(err, ErrFloors) {
 		t.Errorf("got %v", err)
 	}
-	if err := l.Set([]string{"b"}, []int64{-1}); err == nil {
+	if err := l.SetFloors([]string{"b"}, []int64{-1}); err == nil {
 		t.Error("a negative floor is no error")
 	}
-	if l.Give("c", 1000); l.HeldBy("c") != 0 {
-		t.Errorf("c holds %d", l.HeldBy("c"))
+	if l.Release("c", 1000); l.InUseBy("c") != 0 {
+		t.Errorf("c holds %d", l.InUseBy("c"))
 	}
-	l.Set([]string{"b"}, []int64{60})
+	l.SetFloors([]string{"b"}, []int64{60})
 	if len(l.parties) != 1 || len(l.order) != 1 {
 		t.Errorf("%d parties left", len(l.parties))
 	}
-	if l.Take(0, "nobody", 1) || l.Take(0, "b", 0) || l.Take(0, "b", 1e9) {
+	if l.Acquire(0, "nobody", 1) || l.Acquire(0, "b", 0) || l.Acquire(0, "b", 1e9) {
 		t.Error("taken")
 	}
 }
@@ -168,10 +168,10 @@
 	for _, n := range []int{2, 20} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			l, _ := New(1000)
-			_ = l.Set(names(n), make([]int64, n))
+			_ = l.SetFloors(names(n), make([]int64, n))
 			for b.Loop() {
-				l.Take(0, "a", 1)
-				l.Give("a", 1)
+				l.Acquire(0, "a", 1)
+				l.Release("a", 1)
 			}
 		})
 	}
--- a/internal/rig/actor/followers.go
+++ b/internal/rig/actor/followers.go
@@ -188,10 +188,10 @@
 	version distribution.Version
 }
 
-// Updated implements follow.Subscriber. It believes what it is told, so that the history shows what that was.
-func (s *subscription) Updated(u distribution.Update) error {
+// ApplyUpdate implements follow.Subscriber. It believes what it is told, so that the history shows what that was.
+func (s *subscription) ApplyUpdate(u distribution.Update) error {
 	items := map[string]string{}
-	if !u.Whole() {
+	if !u.Full() {
 		items = maps.Clone(s.items)
 	}
 	for _, item := range u.Items {
@@ -211,8 +211,8 @@
 	return nil
 }
 
-// Missed implements follow.Subscriber.
-func (s *subscription) Missed() {
+// UpdateFailed implements follow.Subscriber.
+func (s *subscription) UpdateFailed() {
 	s.tell(history.Event{Kind: history.Log, Who: s.follower, Resource: s.resource, Why: "no relay answers"})
 }
 
--- a/internal/rig/rollout/check/check.go
+++ b/internal/rig/rollout/check/check.go
@@ -365,9 +365,9 @@
 	for v, n := range want {
 		same = same && got[v] == n
 	}
-	if !same || len(e.Report.Refusals) > 0 || len(want) == 1 && len(e.Report.Behind) > 0 {
+	if !same || len(e.Report.Rejections) > 0 || len(want) == 1 && len(e.Report.Laggards) > 0 {
 		out = append(out, Verdict{Check: Status, At: e.At, What: fmt.Sprintf("%s: the last report is of %v, %d refusals and %d behind; in force are %v",
-			e.Resource, got, len(e.Report.Refusals), len(e.Report.Behind), want)})
+			e.Resource, got, len(e.Report.Rejections), len(e.Report.Laggards), want)})
 	}
 	return out
 }
--- a/internal/rig/rollout/naive_test.go
+++ b/internal/rig/rollout/naive_test.go
@@ -74,7 +74,7 @@
 func (r *naiveResource) apply(u distribution.Update) {
 	before := r.whole(u.Resource)
 	r.before = &before
-	if u.Whole() {
+	if u.Full() {
 		r.items, r.log = map[string]distribution.Item{}, nil
 	} else {
 		r.log = append(r.log, u)
@@ -260,7 +260,7 @@
 func (n *naiveNode) apply(u distribution.Update) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if r := n.resource(u.Resource); u.Version.After(r.version) && (u.Whole() || u.From == r.version) {
+	if r := n.resource(u.Resource); u.Version.After(r.version) && (u.Full() || u.From == r.version) {
 		r.apply(u)
 		n.notify()
 	}
@@ -324,8 +324,8 @@
 	for _, p := range q.Positions {
 		r := n.resources[p.Resource]
 		has := p.InForce
-		if p.Refused.After(has) {
-			has = p.Refused
+		if p.Rejected.After(has) {
+			has = p.Rejected
 		}
 		back := n.bug == bugBack && n.upstream != nil && q.Kind == distribution.KindProxy
 		if back && has == r.version && r.before != nil && time.Since(r.came) > naiveHold/2 && !r.before.Version.IsZero() {
@@ -340,7 +340,7 @@
 		switch {
 		case n.bug == bugWhole:
 			u = r.whole(p.Resource)
-		case n.bug == bugDropItem && !u.Whole() && len(u.Items) > 1 && q.Kind == distribution.KindProxy:
+		case n.bug == bugDropItem && !u.Full() && len(u.Items) > 1 && q.Kind == distribution.KindProxy:
 			u.Items = u.Items[1:]
 		}
 		out = append(out, u)
@@ -389,7 +389,7 @@
 			for _, c := range f.statuses[resource].Counts {
 				counts[c.Version] += c.Proxies
 			}
-			out.Refusals = append(out.Refusals, f.statuses[resource].Refusals...)
+			out.Rejections = append(out.Rejections, f.statuses[resource].Rejections...)
 			continue
 		}
 		p, follows := f.positions[resource]
@@ -400,8 +400,8 @@
 			p.InForce = n.resource(resource).version
 		}
 		counts[p.InForce]++
-		if p.Refused.After(p.InForce) {
-			out.Refusals = append(out.Refusals, distribution.Refusal{Follower: name, Version: p.Refused, Reason: p.Reason})
+		if p.Rejected.After(p.InForce) {
+			out.Rejections = append(out.Rejections, distribution.Rejection{Follower: name, Version: p.Rejected, Reason: p.Reason})
 		}
 	}
 	for v, c := range counts {
@@ -526,12 +526,12 @@
 		f.node.apply(u)
 		return
 	}
-	err := f.subs[u.Resource].Updated(u)
+	err := f.subs[u.Resource].ApplyUpdate(u)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := f.positions[u.Resource]
 	if err != nil {
-		p.Refused, p.Reason = u.Version, err.Error()
+		p.Rejected, p.Reason = u.Version, err.Error()
 	} else {
 		p = distribution.Position{Resource: u.Resource, InForce: u.Version}
 	}
--- a/internal/route/pins.go
+++ b/internal/route/pins.go
@@ -1,11 +1,11 @@
 package route
 
-// Pins remembers which side of a split a keyed request went to, for as long as that side recalls its duplicates: a
+// Assignments remembers which side of a split a keyed request went to, for as long as that side recalls its duplicates: a
 // retry of the client's under the same key must go there, whatever the weights say by then. It is bounded; what had
 // to be forgotten too early is owned up to, so that a retry that might go astray can be refused instead.
 //
 // Times are in microseconds of one clock. A Pins is not safe for concurrent use.
-type Pins struct {
+type Assignments struct {
 	most  int
 	sides map[uint64]pin
 	queue []queued // in the order in which pins were made; the first at head
@@ -23,14 +23,14 @@
 	until int64
 }
 
-// NewPins returns a memory of at most most keys.
-func NewPins(most int) *Pins { return &Pins{most: most, sides: map[uint64]pin{}} }
+// NewAssignments returns a memory of at most most keys.
+func NewAssignments(most int) *Assignments { return &Assignments{most: most, sides: map[uint64]pin{}} }
 
 // Len is the number of keys held.
-func (p *Pins) Len() int { return len(p.sides) }
+func (p *Assignments) Len() int { return len(p.sides) }
 
-// Get returns the side that key (see Hash) is pinned to.
-func (p *Pins) Get(now int64, key uint64) (side string, ok bool) {
+// Lookup returns the side that key (see Hash) is pinned to.
+func (p *Assignments) Lookup(now int64, key uint64) (side string, ok bool) {
 	found, ok := p.sides[key]
 	if !ok || found.until <= now {
 		return "", false
@@ -38,11 +38,11 @@
 	return found.side, true
 }
 
-// Sure tells whether a key that Get does not know has surely gone nowhere that still recalls it.
-func (p *Pins) Sure(now int64) bool { return now >= p.lost }
+// Complete tells whether a key that Get does not know has surely gone nowhere that still recalls it.
+func (p *Assignments) Complete(now int64) bool { return now >= p.lost }
 
-// Put pins a key to a side until then. A pin that stands keeps its side; its time becomes longer if need be.
-func (p *Pins) Put(now int64, key uint64, side string, until int64) {
+// Assign pins a key to a side until then. A pin that stands keeps its side; its time becomes longer if need be.
+func (p *Assignments) Assign(now int64, key uint64, side string, until int64) {
 	p.expire(now)
 	old, ok := p.sides[key]
 	if ok && old.until > now {
@@ -62,14 +62,14 @@
 }
 
 // expire forgets the oldest pins whose time is over.
-func (p *Pins) expire(now int64) {
+func (p *Assignments) expire(now int64) {
 	for p.head < len(p.queue) && p.queue[p.head].until <= now {
 		p.pop()
 	}
 }
 
 // drop forgets the oldest pin, whose time is not over.
-func (p *Pins) drop() {
+func (p *Assignments) drop() {
 	for p.head < len(p.queue) {
 		if q := p.queue[p.head]; p.pop() {
 			p.lost = max(p.lost, q.until)
@@ -79,7 +79,7 @@
 }
 
 // pop takes the first entry of the queue; it is false if a later one has taken its place.
-func (p *Pins) pop() bool {
+func (p *Assignments) pop() bool {
 	q := p.queue[p.head]
 	p.head++
 	if p.head > len(p.queue)/2 && p.head > 64 {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -168,7 +168,7 @@
 		var dead []int
 		if err != nil {
 			for _, e := range err.(interface{ Unwrap() []error }).Unwrap() {
-				var s *Shadowed
+				var s *ShadowedError
 				if !errors.As(e, &s) {
 					t.Errorf("%s: %v", name, e)
 				}
--- a/internal/route/shadow.go
+++ b/internal/route/shadow.go
@@ -26,17 +26,17 @@
 			}
 		}
 		if all {
-			errs = append(errs, &RuleError{j, &Shadowed{By: by}})
+			errs = append(errs, &RuleError{j, &ShadowedError{By: by}})
 		}
 	}
 	return errs
 }
 
-// Shadowed is the fault of a rule that no request can reach.
-type Shadowed struct{ By int } // the last of the earlier rules that take its requests, from 0
+// ShadowedError is the fault of a rule that no request can reach.
+type ShadowedError struct{ By int } // the last of the earlier rules that take its requests, from 0
 
 // Error implements error.
-func (s *Shadowed) Error() string {
+func (s *ShadowedError) Error() string {
 	return fmt.Sprintf("can't be reached: route %d takes all its requests before", s.By+1)
 }
 
--- a/internal/route/split.go
+++ b/internal/route/split.go
@@ -9,8 +9,8 @@
 // MaxWeight is the largest weight of one side of a split.
 const MaxWeight = 1_000_000
 
-// Side is one side of a split.
-type Side struct {
+// Arm is one side of a split.
+type Arm struct {
 	Name   string // of a service; the draw hangs on it and not on the order
 	Weight int    // against those of the other sides; 0 gets nothing
 }
@@ -20,12 +20,12 @@
 // alone, as many as the change requires.
 type Split struct {
 	salt  string
-	sides []Side
+	sides []Arm
 	total int
 }
 
 // NewSplit returns a split; those with different salts deal keys out independently of each other.
-func NewSplit(salt string, sides []Side) (*Split, error) {
+func NewSplit(salt string, sides []Arm) (*Split, error) {
 	s := &Split{salt: salt, sides: sides}
 	seen := map[string]bool{}
 	for _, side := range sides {
@@ -44,8 +44,8 @@
 	return s, nil
 }
 
-// For returns the number of the side that a key goes to.
-func (s *Split) For(key string) int {
+// ForKey returns the number of the side that a key goes to.
+func (s *Split) ForKey(key string) int {
 	best, most := -1, math.Inf(-1)
 	for i, side := range s.sides {
 		if side.Weight == 0 {
@@ -60,8 +60,8 @@
 	return best
 }
 
-// Draw returns the side that a random number falls to, for requests with no key.
-func (s *Split) Draw(random uint64) int {
+// Pick returns the side that a random number falls to, for requests with no key.
+func (s *Split) Pick(random uint64) int {
 	left := int(random % uint64(s.total))
 	for i, side := range s.sides {
 		if left -= side.Weight; left < 0 {
--- a/internal/route/split_test.go
+++ b/internal/route/split_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func split(t *testing.T, sides ...Side) *Split {
+func split(t *testing.T, sides ...Arm) *Split {
 	t.Helper()
 	s, err := NewSplit("s", sides)
 	if err != nil {
@@ -19,14 +19,14 @@
 
 // Each side gets its part, and the order of the sides is nothing.
 func TestKeysFallByWeight(t *testing.T) {
-	s := split(t, Side{"a", 90}, Side{"b", 9}, Side{"c", 1}, Side{"none", 0})
-	turned := split(t, Side{"c", 1}, Side{"none", 0}, Side{"b", 9}, Side{"a", 90})
+	s := split(t, Arm{"a", 90}, Arm{"b", 9}, Arm{"c", 1}, Arm{"none", 0})
+	turned := split(t, Arm{"c", 1}, Arm{"none", 0}, Arm{"b", 9}, Arm{"a", 90})
 	var got [4]int
 	for i := range keys {
 		k := fmt.Sprint("key-", i)
-		n := s.For(k)
+		n := s.ForKey(k)
 		got[n]++
-		if s.sides[n] != turned.sides[turned.For(k)] {
+		if s.sides[n] != turned.sides[turned.ForKey(k)] {
 			t.Fatalf("%s hangs on the order of the sides", k)
 		}
 	}
@@ -41,12 +41,12 @@
 // A canary's weight rises: keys move to it alone, as many as that takes.
 func TestKeysMoveOnlyAsMuchAsWeightsRequire(t *testing.T) {
 	for _, c := range []struct{ from, to int }{{1, 5}, {5, 50}, {50, 50}, {50, 0}, {0, 100}} {
-		before := split(t, Side{"a", 100}, Side{"b", c.from}, Side{"c", 30})
-		after := split(t, Side{"a", 100}, Side{"b", c.to}, Side{"c", 30})
+		before := split(t, Arm{"a", 100}, Arm{"b", c.from}, Arm{"c", 30})
+		after := split(t, Arm{"a", 100}, Arm{"b", c.to}, Arm{"c", 30})
 		moved := 0
 		for i := range keys {
 			k := fmt.Sprint(i)
-			x, y := before.For(k), after.For(k)
+			x, y := before.ForKey(k), after.ForKey(k)
 			if x == y {
 				continue
 			}
@@ -64,16 +64,16 @@
 }
 
 func TestDrawsFallByWeight(t *testing.T) {
-	s := split(t, Side{"a", 2}, Side{"none", 0}, Side{"b", 1})
+	s := split(t, Arm{"a", 2}, Arm{"none", 0}, Arm{"b", 1})
 	for r, want := range []int{0, 0, 2, 0, 0, 2} {
-		if got := s.Draw(uint64(r)); got != want {
+		if got := s.Pick(uint64(r)); got != want {
 			t.Errorf("%d: got %d, want %d", r, got, want)
 		}
 	}
 }
 
 func TestSplitsThatMakeNoSenseAreErrors(t *testing.T) {
-	for _, sides := range [][]Side{nil, {{"a", 0}}, {{"a", -1}, {"b", 2}}, {{"a", 1}, {"a", 1}}, {{"a", MaxWeight + 1}}} {
+	for _, sides := range [][]Arm{nil, {{"a", 0}}, {{"a", -1}, {"b", 2}}, {{"a", 1}, {"a", 1}}, {{"a", MaxWeight + 1}}} {
 		if _, err := NewSplit("", sides); err == nil {
 			t.Errorf("%v is no error", sides)
 		}
@@ -81,45 +81,45 @@
 }
 
 func TestPinsHoldAndEnd(t *testing.T) {
-	p := NewPins(100)
-	p.Put(0, 1, "a", 10)
-	p.Put(5, 1, "b", 20) // the side stands, the time grows
-	if side, ok := p.Get(19, 1); !ok || side != "a" {
+	p := NewAssignments(100)
+	p.Assign(0, 1, "a", 10)
+	p.Assign(5, 1, "b", 20) // the side stands, the time grows
+	if side, ok := p.Lookup(19, 1); !ok || side != "a" {
 		t.Errorf("got %q, %v", side, ok)
 	}
-	if _, ok := p.Get(20, 1); ok {
+	if _, ok := p.Lookup(20, 1); ok {
 		t.Error("held beyond its time")
 	}
-	p.Put(20, 1, "b", 30)
-	if side, _ := p.Get(21, 1); side != "b" || !p.Sure(21) {
+	p.Assign(20, 1, "b", 30)
+	if side, _ := p.Lookup(21, 1); side != "b" || !p.Complete(21) {
 		t.Errorf("got %q", side)
 	}
 	for i := range int64(10_000) { // what has ended leaves nothing behind
-		p.Put(100+i, uint64(i), "a", 110+i)
+		p.Assign(100+i, uint64(i), "a", 110+i)
 	}
-	if p.Len() > 11 || len(p.queue) > 200 || !p.Sure(10_000) {
+	if p.Len() > 11 || len(p.queue) > 200 || !p.Complete(10_000) {
 		t.Errorf("%d pins, a queue of %d", p.Len(), len(p.queue))
 	}
 }
 
 // Over its bound the memory forgets the oldest, and says until when it can't be relied on.
 func TestPinsOwnUpToWhatTheyForgot(t *testing.T) {
-	p := NewPins(10)
+	p := NewAssignments(10)
 	for i := range uint64(15) {
-		p.Put(0, i, "a", 1000+int64(i))
+		p.Assign(0, i, "a", 1000+int64(i))
 	}
-	if p.Len() != 10 || p.Sure(1003) || !p.Sure(1004) {
-		t.Errorf("%d pins, sure %v then %v", p.Len(), p.Sure(1003), p.Sure(1004))
+	if p.Len() != 10 || p.Complete(1003) || !p.Complete(1004) {
+		t.Errorf("%d pins, sure %v then %v", p.Len(), p.Complete(1003), p.Complete(1004))
 	}
-	if _, ok := p.Get(0, 4); ok {
+	if _, ok := p.Lookup(0, 4); ok {
 		t.Error("the oldest stay")
 	}
-	if _, ok := p.Get(0, 5); !ok {
+	if _, ok := p.Lookup(0, 5); !ok {
 		t.Error("a younger one was forgotten")
 	}
 	for i := range int64(1000) { // renewals of one key
-		p.Put(0, 7, "a", 2000+i)
-		p.Put(0, 8, "a", 2000+i)
+		p.Assign(0, 7, "a", 2000+i)
+		p.Assign(0, 8, "a", 2000+i)
 	}
 	if len(p.queue)-p.head > 41 {
 		t.Errorf("a queue of %d", len(p.queue)-p.head)
--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/hollow/hollow.go
@@ -127,7 +127,7 @@
 		for _, v := range app.Services {
 			p.services = append(p.services, v.Name)
 		}
-		how := sidecar.Hollow{Dial: newDialer(s.From, &f.meter).dial,
+		how := sidecar.HollowOptions{Dial: newDialer(s.From, &f.meter).dial,
 			InForce: func(service string, list *membership.List) { f.listed(p, service, list) }}
 		p.sidecar, err = sidecar.NewHollow(app, slog.New(slog.DiscardHandler), how)
 		return err
--- a/internal/scale/hollow/load.go
+++ b/internal/scale/hollow/load.go
@@ -132,7 +132,7 @@
 	service := p.services[turn/uint64(len(w.proxies))%uint64(len(p.services))]
 	began := time.Now()
 	clock := p.sidecar.Clock()
-	request := &core.Request{Request: logic.Request{ID: strconv.FormatUint(w.number, 16), Tenant: noTenant, GiveUp: clock.Now() + callWait.Microseconds()}}
+	request := &core.Request{Request: logic.Request{ID: strconv.FormatUint(w.number, 16), Tenant: noTenant, ClientDeadline: clock.Now() + callWait.Microseconds()}}
 	served := false
 	err := guard(func() error {
 		answer, err := p.sidecar.Call(service, request)
@@ -140,7 +140,7 @@
 			return fmt.Errorf("call: %w", err)
 		}
 		served = answer.Verdict == core.Served
-		answer.Reply.Done()
+		answer.Response.Close()
 		return nil
 	})
 	took := time.Since(began)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,12 +11,12 @@
 	"fernlanding/logic"
 )
 
-// Site is what the settings object says: the module's part and the names and figures of the sockets.
-type Site struct {
-	Logic   logic.Settings
-	Classes []string // names, in the order of Logic.Classes
-	Tenants []string // names, in the order of Logic.Tenants
-	Zones   []string
+// Deployment is what the settings object says: the module's part and the names and figures of the sockets.
+type Deployment struct {
+	Balancer logic.Settings
+	Classes  []string // names, in the order of Logic.Classes
+	Tenants  []string // names, in the order of Logic.Tenants
+	Zones    []string
 
 	DialTimeout time.Duration // a connection that is not up by then has failed
 	IdleClose   time.Duration // a backend closes a connection that has been idle this long
@@ -69,17 +69,17 @@
 }
 
 // Decode reads a settings object. What the module needs is checked here; CheckSockets checks the rest.
-func Decode(data []byte) (*Site, error) {
+func Decode(data []byte) (*Deployment, error) {
 	var o object
 	if err := json.Unmarshal(data, &o); err != nil {
 		return nil, err
 	}
-	site := &Site{Zones: o.Zones,
+	site := &Deployment{Zones: o.Zones,
 		DialTimeout: time.Duration(o.Limits.DialTimeout) * time.Microsecond,
 		IdleClose:   time.Duration(o.Limits.IdleClose) * time.Microsecond,
 	}
 	var err error
-	if site.Logic, err = o.logic(); err != nil {
+	if site.Balancer, err = o.logic(); err != nil {
 		return nil, err
 	}
 	for _, p := range o.Profiles {
@@ -93,7 +93,7 @@
 
 // CheckSockets tells what a proxy on real sockets lacks: names to know classes and tenants by, and the
 // figures of its connections.
-func (s *Site) CheckSockets() error {
+func (s *Deployment) CheckSockets() error {
 	if s.DialTimeout <= 0 {
 		return errors.New("limits.dial_timeout_us: not positive")
 	}
@@ -119,21 +119,21 @@
 
 // logic turns the object into the module's settings.
 func (o *object) logic() (logic.Settings, error) {
-	repeats := map[string]logic.Repeat{
-		"idempotent": logic.Safe, "deduplicated": logic.Keyed, "at_most_once": logic.Unsafe,
+	repeats := map[string]logic.Idempotency{
+		"idempotent": logic.Idempotent, "deduplicated": logic.IdempotentByKey, "at_most_once": logic.NonIdempotent,
 	}
-	groups := map[string]logic.Group{
-		"": logic.GroupAll, "all": logic.GroupAll, "zone": logic.GroupZone, "cell": logic.GroupCell,
+	groups := map[string]logic.DedupScope{
+		"": logic.DedupTier, "all": logic.DedupTier, "zone": logic.DedupZone, "cell": logic.DedupCell,
 	}
 	s := logic.Settings{
-		Stage: o.Stage, Siblings: o.Siblings, Ordinal: o.Ordinal, Zone: o.Zone, Zones: len(o.Zones),
-		Subscribe: o.Membership == "subscribe", SizeHints: o.Weights != "" && o.Weights != "off",
-		MaxAttempts: o.Limits.TryLimit, FullMayRun: o.Contract.BusyNoProof,
-		OrderSettle: o.Contract.OrderSettle, Lag: max(0, o.Limits.DialTimeout),
-		BudgetSpan: o.Contract.RatioSpan, BudgetFree: o.Contract.Spare, BudgetShare: o.Contract.ResendRatio,
-		DrainGrace: o.Contract.DrainGrace,
-		AskEvery:   o.Contract.AskEvery, StartCapacity: o.Contract.StartCapacity, Cold: o.Contract.Cold,
-		ByWork: o.CountedBy == "work",
+		Tier: o.Stage, Replicas: o.Siblings, ReplicaIndex: o.Ordinal, Zone: o.Zone, Zones: len(o.Zones),
+		WatchEndpoints: o.Membership == "subscribe", WeightedEndpoints: o.Weights != "" && o.Weights != "off",
+		MaxAttempts: o.Limits.TryLimit, RejectionMayHaveRun: o.Contract.BusyNoProof,
+		OrderingDelay: o.Contract.OrderSettle, MaxSendDelay: max(0, o.Limits.DialTimeout),
+		RetryBudgetWindow: o.Contract.RatioSpan, RetryBudgetMin: o.Contract.Spare, RetryBudgetRatio: o.Contract.ResendRatio,
+		DrainGrace:   o.Contract.DrainGrace,
+		PollInterval: o.Contract.AskEvery, SlowStartMinCapacity: o.Contract.StartCapacity, SlowStartWindow: o.Contract.Cold,
+		PriorityPerWork: o.CountedBy == "work",
 	}
 	if o.Membership != "automatic" && o.Membership != "subscribe" {
 		return s, fmt.Errorf("membership_mode: unknown word %q", o.Membership)
@@ -150,12 +150,12 @@
 		if !ok {
 			return s, fmt.Errorf("profiles[%d].dedup_scope: unknown word %q", i, p.Scope)
 		}
-		s.Classes = append(s.Classes, logic.Class{Aim: p.Objective, Deadline: p.GiveUp, Worth: p.Worth,
-			LateWorth: p.LateShare, Repeat: repeat, Group: group, Window: p.Window,
-			ByArrival: p.ByArrival})
+		s.Classes = append(s.Classes, logic.Class{LatencyObjective: p.Objective, Deadline: p.GiveUp, PriorityWeight: p.Worth,
+			LatePriorityFactor: p.LateShare, Idempotency: repeat, DedupScope: group, DedupWindow: p.Window,
+			Ordered: p.ByArrival})
 	}
 	for _, t := range o.Tenants {
-		s.Tenants = append(s.Tenants, logic.Tenant{Portion: t.Portion, Quota: t.Quota})
+		s.Tenants = append(s.Tenants, logic.Tenant{CapacityFraction: t.Portion, Quota: t.Quota})
 	}
 	return s, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -24,9 +24,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := site.Logic
-	if !s.FullMayRun || s.OrderSettle != 7 || s.BudgetSpan != 5_000_000 || s.BudgetShare != 0.05 ||
-		s.BudgetFree != 3 || !s.Classes[0].ByArrival || s.Classes[0].Group != logic.GroupCell {
+	s := site.Balancer
+	if !s.RejectionMayHaveRun || s.OrderingDelay != 7 || s.RetryBudgetWindow != 5_000_000 || s.RetryBudgetRatio != 0.05 ||
+		s.RetryBudgetMin != 3 || !s.Classes[0].Ordered || s.Classes[0].DedupScope != logic.DedupCell {
 		t.Errorf("got %+v", s)
 	}
 	if site.Classes[0] != "put" || site.Tenants[0] != "acme" || site.DialTimeout != 200*time.Millisecond {
--- a/internal/sidecar/app_test.go
+++ b/internal/sidecar/app_test.go
@@ -275,7 +275,7 @@
 		}(),
 		func() *config.App {
 			a := decode(t, 200, to("s"), s)
-			a.Services[0].Logic.MaxAttempts = 0
+			a.Services[0].Balancer.MaxAttempts = 0
 			return a
 		}(),
 		{Wording: config.Platform},
@@ -365,7 +365,7 @@
 		key := fmt.Sprint("new", i)
 		resp, _ := ask(t, p, "POST", "/rate", "Idempotency-Key: "+key)
 		want := 200
-		if before.For(key) != after.For(key) {
+		if before.ForKey(key) != after.ForKey(key) {
 			want = 503
 			moved++
 		}
--- a/internal/sidecar/codes.go
+++ b/internal/sidecar/codes.go
@@ -15,17 +15,17 @@
 // Do implements front.Pool.
 func (c coded) Do(r *core.Request) core.Answer {
 	ans := c.Pool.Do(r)
-	if ans.Reply != nil {
+	if ans.Response != nil {
 		return ans
 	}
 	switch ans.Verdict {
-	case core.Refused:
-		ans.Reply = &core.Reply{Code: c.codes.Refused}
+	case core.Shed:
+		ans.Response = &core.Response{StatusCode: c.codes.Refused}
 	case core.Expired:
-		ans.Reply = &core.Reply{Code: c.codes.Expired}
-	case core.Rejected, core.Aborted, core.NotTaken: // the client's fault, nobody's to answer, or another pool's
+		ans.Response = &core.Response{StatusCode: c.codes.Expired}
+	case core.Rejected, core.Canceled, core.NotAdmitted: // the client's fault, nobody's to answer, or another pool's
 	default:
-		ans.Reply = &core.Reply{Code: c.codes.Failed}
+		ans.Response = &core.Response{StatusCode: c.codes.Failed}
 	}
 	return ans
 }
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -14,9 +14,9 @@
 	"fernlanding/logic"
 )
 
-// Hollow says how a sidecar runs that has the control half alone: its configuration is in force, its sources follow their
+// HollowOptions says how a sidecar runs that has the control half alone: its configuration is in force, its sources follow their
 // lists and its pools decide, but it has neither listeners nor connections to backends.
-type Hollow struct {
+type HollowOptions struct {
 	// Dial opens the connections to list services; nil: the usual way.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// InForce, where given, is called when a service's pool has put a list in force, on the goroutine of its source.
@@ -24,7 +24,7 @@
 }
 
 // NewHollow returns a sidecar without listeners. Run follows its lists until the context ends.
-func NewHollow(app *config.App, log *slog.Logger, how Hollow) (*Sidecar, error) {
+func NewHollow(app *config.App, log *slog.Logger, how HollowOptions) (*Sidecar, error) {
 	return open(app, log, &how)
 }
 
@@ -41,7 +41,7 @@
 func (s *Sidecar) Clock() core.Clock { return s.with.clock }
 
 // dial is how connections to list services are opened; nil: the usual way.
-func (h *Hollow) dial() func(ctx context.Context, network, address string) (net.Conn, error) {
+func (h *HollowOptions) dial() func(ctx context.Context, network, address string) (net.Conn, error) {
 	if h == nil {
 		return nil
 	}
@@ -49,7 +49,7 @@
 }
 
 // sink is what takes the lists of a service.
-func (h *Hollow) sink(service string, next membership.Sink) membership.Sink {
+func (h *HollowOptions) sink(service string, next membership.Sink) membership.Sink {
 	if h == nil || h.InForce == nil {
 		return next
 	}
@@ -57,7 +57,7 @@
 }
 
 // upstream is what carries the attempts of a pool out.
-func (h *Hollow) upstream(real *upstream.Upstream) core.Upstream {
+func (h *HollowOptions) upstream(real *upstream.Upstream) core.Upstream {
 	if h == nil {
 		return real
 	}
@@ -71,9 +71,9 @@
 	inForce func(service string, list *membership.List)
 }
 
-// Listed implements membership.Sink.
-func (t told) Listed(l *membership.List) {
-	t.Sink.Listed(l)
+// UpdateEndpoints implements membership.Sink.
+func (t told) UpdateEndpoints(l *membership.List) {
+	t.Sink.UpdateEndpoints(l)
 	t.inForce(t.service, l)
 }
 
@@ -81,9 +81,9 @@
 // real one and opens no connection.
 type instant struct{ *upstream.Upstream }
 
-// Open implements core.Upstream.
-func (u instant) Open(server string) core.Way {
-	if u.Upstream.Open(server) == nil {
+// RoundTripper implements core.Upstream.
+func (u instant) RoundTripper(server string) core.RoundTripper {
+	if u.Upstream.RoundTripper(server) == nil {
 		return nil
 	}
 	return answered{}
@@ -92,7 +92,7 @@
 // answered is the way to a backend that has answered already.
 type answered struct{}
 
-// Carry implements core.Way.
-func (answered) Carry(*core.Attempt) core.Result {
-	return core.Result{Status: logic.OK, Reply: &core.Reply{Code: http.StatusOK}}
+// RoundTrip implements core.Way.
+func (answered) RoundTrip(*core.Attempt) core.AttemptResult {
+	return core.AttemptResult{Status: logic.OK, Response: &core.Response{StatusCode: http.StatusOK}}
 }
--- a/internal/sidecar/platform.go
+++ b/internal/sidecar/platform.go
@@ -22,14 +22,14 @@
 
 // platform resolves requests as the platform words them: one service, the class by Request-Class.
 type platform struct {
-	site    *settings.Site
+	site    *settings.Deployment
 	maxBody int64
 	pool    front.Pool
 	classes map[string]int
 	tenants map[string]int
 }
 
-func newPlatform(site *settings.Site, maxBody int64, pool front.Pool) *platform {
+func newPlatform(site *settings.Deployment, maxBody int64, pool front.Pool) *platform {
 	return &platform{site, maxBody, pool, numbers(site.Classes), numbers(site.Tenants)}
 }
 
@@ -53,22 +53,22 @@
 }
 
 // twice is the fault of a head in which a field stands more than once that would then have two meanings.
-func twice(h http.Header) *front.Fault {
+func twice(h http.Header) *front.RequestError {
 	for _, name := range single {
 		if len(h[name]) > 1 {
-			return &front.Fault{Status: http.StatusBadRequest, Why: name + " is given twice"}
+			return &front.RequestError{Status: http.StatusBadRequest, Reason: name + " is given twice"}
 		}
 	}
 	return nil
 }
 
 // resolve says as what a request goes on.
-func (p *platform) resolve(r *http.Request) (front.Dest, *front.Fault) {
-	bad := func(status int, why string) (front.Dest, *front.Fault) {
-		return front.Dest{}, &front.Fault{Status: status, Why: why}
+func (p *platform) resolve(r *http.Request) (front.Destination, *front.RequestError) {
+	bad := func(status int, why string) (front.Destination, *front.RequestError) {
+		return front.Destination{}, &front.RequestError{Status: status, Reason: why}
 	}
 	if fault := twice(r.Header); fault != nil {
-		return front.Dest{}, fault
+		return front.Destination{}, fault
 	}
 	class, ok := p.classes[field(r.Header, "Request-Class")]
 	if !ok {
@@ -82,14 +82,14 @@
 	if id == "" || len(id) > maxID {
 		return bad(http.StatusBadRequest, "no Request-Id, or a long one")
 	}
-	k, method := p.site.Logic.Classes[class], http.MethodPost
-	if k.Repeat == logic.Safe {
+	k, method := p.site.Balancer.Classes[class], http.MethodPost
+	if k.Idempotency == logic.Idempotent {
 		method = http.MethodGet
 	}
 	if r.Method != method {
-		return front.Dest{}, &front.Fault{Status: http.StatusMethodNotAllowed, Why: "wrong method for the class", Allow: method}
+		return front.Destination{}, &front.RequestError{Status: http.StatusMethodNotAllowed, Reason: "wrong method for the class", Allow: method}
 	}
-	if keyed := field(r.Header, "Idempotency-Key") != ""; keyed != (k.Repeat == logic.Keyed) {
+	if keyed := field(r.Header, "Idempotency-Key") != ""; keyed != (k.Idempotency == logic.IdempotentByKey) {
 		return bad(http.StatusBadRequest, "Idempotency-Key does not fit the class")
 	}
 	ms, err := strconv.ParseInt(field(r.Header, "Request-Timeout-Ms"), 10, 64)
@@ -101,7 +101,7 @@
 		tenant = -1 // not told
 	}
 	wait := min(time.Duration(k.Deadline)*time.Microsecond, time.Duration(min(ms, 1e9))*time.Millisecond)
-	return front.Dest{Pool: p.pool, ID: id, Class: class, Tenant: tenant, Key: rest[strings.LastIndexByte(rest, '/')+1:],
-		Target: r.RequestURI, Wait: wait - min(answerMargin, wait/marginPart),
-		MaxBody: p.maxBody, Bodiless: method == http.MethodGet}, nil
+	return front.Destination{Pool: p.pool, ID: id, Class: class, Tenant: tenant, Key: rest[strings.LastIndexByte(rest, '/')+1:],
+		Target: r.RequestURI, Timeout: wait - min(answerMargin, wait/marginPart),
+		MaxBody: p.maxBody, NoBody: method == http.MethodGet}, nil
 }
--- a/internal/sidecar/process.go
+++ b/internal/sidecar/process.go
@@ -14,8 +14,8 @@
 	roomyGC    = 400 // percent of what lives, before the next collection
 )
 
-// Tune has the runtime heed what the process may use. It concerns the whole process and is for its main package.
-func Tune(app *config.App) {
+// ApplyRuntimeLimits has the runtime heed what the process may use. It concerns the whole process and is for its main package.
+func ApplyRuntimeLimits(app *config.App) {
 	p := app.Process
 	if p.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(p.MemoryMB * memoryPart * (1 << 20)))
--- a/internal/sidecar/relays.go
+++ b/internal/sidecar/relays.go
@@ -50,11 +50,11 @@
 	r.remote.reset(cfg.Configuration)
 	if len(cfg.Relays) == 0 {
 		r.follower = nil
-		r.lists.Use(nil)
+		r.lists.SetFollower(nil)
 		return
 	}
 	r.follower = follow.New(follow.Config{Name: cfg.Name, Kind: distribution.KindProxy, Relays: cfg.Relays, Dial: r.dial, Log: r.log})
-	r.lists.Use(r.follower)
+	r.lists.SetFollower(r.follower)
 	if cfg.Configuration != "" {
 		r.follower.Subscribe(ConfigurationResource(cfg.Configuration), r.remote.version(), r.remote)
 	}
--- a/internal/sidecar/relays_test.go
+++ b/internal/sidecar/relays_test.go
@@ -84,8 +84,8 @@
 	if b.Requests() != served {
 		t.Error("a backend whose drain is in force got a request")
 	}
-	if s := f.Stats(); p.follower() != f || s.Sessions != 1 || s.WholeUpdates != 2 {
-		t.Errorf("%d sessions and %d whole lists, want 1 and 2", s.Sessions, s.WholeUpdates)
+	if s := f.Stats(); p.follower() != f || s.Sessions != 1 || s.FullUpdates != 2 {
+		t.Errorf("%d sessions and %d whole lists, want 1 and 2", s.Sessions, s.FullUpdates)
 	}
 }
 
@@ -116,8 +116,8 @@
 	if a.Requests() != served || b.Requests() != 1 {
 		t.Errorf("the change did not hold: %d and %d requests", a.Requests()-served, b.Requests())
 	}
-	if s := p.follower().Stats(); s.WholeUpdates != 0 || s.Updates != 1 {
-		t.Errorf("%d whole lists of %d updates, want 0 of 1", s.WholeUpdates, s.Updates)
+	if s := p.follower().Stats(); s.FullUpdates != 0 || s.Updates != 1 {
+		t.Errorf("%d whole lists of %d updates, want 0 of 1", s.FullUpdates, s.Updates)
 	}
 
 	second.Kill()
@@ -155,7 +155,7 @@
 	inForce(t, relay, "one", version)
 	served := a.Requests()
 	asks(t, p, "/one", 200)
-	if s := p.follower().Stats(); a.Requests() != served || b.Requests() != 1 || s.WholeUpdates != 1 {
-		t.Errorf("%d and %d requests, %d whole lists", a.Requests()-served, b.Requests(), s.WholeUpdates)
+	if s := p.follower().Stats(); a.Requests() != served || b.Requests() != 1 || s.FullUpdates != 1 {
+		t.Errorf("%d and %d requests, %d whole lists", a.Requests()-served, b.Requests(), s.FullUpdates)
 	}
 }
--- a/internal/sidecar/remote_configuration.go
+++ b/internal/sidecar/remote_configuration.go
@@ -61,8 +61,8 @@
 	c.halted = halted
 }
 
-// Updated implements follow.Subscriber.
-func (c *remoteConfiguration) Updated(u distribution.Update) error {
+// ApplyUpdate implements follow.Subscriber.
+func (c *remoteConfiguration) ApplyUpdate(u distribution.Update) error {
 	c.mu.Lock()
 	fragments, halted := c.fragments, c.halted
 	c.mu.Unlock()
@@ -85,13 +85,13 @@
 	return nil
 }
 
-// Missed implements follow.Subscriber. What is in force stays.
-func (c *remoteConfiguration) Missed() {}
+// UpdateFailed implements follow.Subscriber. What is in force stays.
+func (c *remoteConfiguration) UpdateFailed() {}
 
 // changed are the fragments after an update.
 func changed(fragments map[string][]byte, u *distribution.Update) (map[string][]byte, error) {
 	after := map[string][]byte{}
-	if !u.Whole() {
+	if !u.Full() {
 		maps.Copy(after, fragments)
 	}
 	for _, item := range u.Items {
@@ -141,7 +141,7 @@
 	}
 	data, err := json.Marshal(kept)
 	if err == nil {
-		err = durable.Replace(configurationFile(dir), data, 0o600, false)
+		err = durable.WriteFile(configurationFile(dir), data, 0o600, false)
 	}
 	if err != nil {
 		c.log.Warn("the configuration is not kept", "error", err)
@@ -168,7 +168,7 @@
 // load reads the kept configuration; nil: there is none of that name.
 func (c *remoteConfiguration) load(file *config.App) (*config.App, error) {
 	path := configurationFile(file.StateDir)
-	data, err := durable.Read(path, maxKept)
+	data, err := durable.ReadFile(path, maxKept)
 	if err != nil || data == nil {
 		return nil, err
 	}
--- a/internal/sidecar/remote_configuration_test.go
+++ b/internal/sidecar/remote_configuration_test.go
@@ -68,12 +68,12 @@
 			return false
 		}
 		if refused.IsZero() {
-			return len(status.Refusals) == 0
+			return len(status.Rejections) == 0
 		}
-		if len(status.Refusals) != 1 || status.Refusals[0].Version != refused {
+		if len(status.Rejections) != 1 || status.Rejections[0].Version != refused {
 			return false
 		}
-		reason = status.Refusals[0].Reason
+		reason = status.Rejections[0].Reason
 		return true
 	})
 	return reason
@@ -95,7 +95,7 @@
 	second := publish(t, source, two)
 	awaitConfiguration(t, relay, second, distribution.Version{})
 	asks(t, p, "/s1", 200)
-	whole := p.follower().Stats().WholeUpdates
+	whole := p.follower().Stats().FullUpdates
 
 	for what, broken := range map[string]string{
 		"field":        strings.Replace(two, "[services.s1.classes]", "[services.s1.clases]", 1),
@@ -114,8 +114,8 @@
 	awaitConfiguration(t, relay, back, distribution.Version{})
 	asks(t, p, "/s0", 200)
 	asks(t, p, "/s1", 404)
-	if s := p.follower().Stats(); s.WholeUpdates != whole || s.Sessions != 1 {
-		t.Errorf("%d whole updates more and %d sessions, want 0 and 1", s.WholeUpdates-whole, s.Sessions)
+	if s := p.follower().Stats(); s.FullUpdates != whole || s.Sessions != 1 {
+		t.Errorf("%d whole updates more and %d sessions, want 0 and 1", s.FullUpdates-whole, s.Sessions)
 	}
 }
 
--- a/internal/sidecar/service.go
+++ b/internal/sidecar/service.go
@@ -45,7 +45,7 @@
 type service struct {
 	cfg    *config.Service // does not change; where the list comes from does
 	starts int             // of the sidecar lately
-	hollow *Hollow         // nil: not in a hollow sidecar
+	hollow *HollowOptions  // nil: not in a hollow sidecar
 	rnd    *rand.Rand      // nil: the list service is not shared, and calls to it need no spreading; only plug draws from it
 	waits  *rand.Rand      // where the list is asked for at the module's word; drawn from by the one source that runs
 	pool   *core.Pool
@@ -63,7 +63,7 @@
 	from   config.Source
 	unplug context.CancelFunc
 	source sync.WaitGroup
-	keeper *cache.Keeper // of the present source's list; nil: it is not kept
+	keeper *cache.Recorder // of the present source's list; nil: it is not kept
 	over   bool
 }
 
@@ -74,13 +74,13 @@
 	sockets  *shares
 	memory   *shares // nil on the platform
 	memoryMB float64
-	starts   int           // of this sidecar lately, this one not included, as far as is known
-	sameID   time.Duration // that a request waits for the end of one under its id
-	paced    bool          // lists come from a service that all copies share, and not from an agent on this machine
-	stateDir string        // where lists are kept; empty: nowhere
-	listAge  time.Duration // from which on one that was kept is not begun with; 0: none is kept
-	relays   *relays       // that lists come from where a service says so
-	hollow   *Hollow       // nil: a sidecar with listeners and connections
+	starts   int            // of this sidecar lately, this one not included, as far as is known
+	sameID   time.Duration  // that a request waits for the end of one under its id
+	paced    bool           // lists come from a service that all copies share, and not from an agent on this machine
+	stateDir string         // where lists are kept; empty: nowhere
+	listAge  time.Duration  // from which on one that was kept is not begun with; 0: none is kept
+	relays   *relays        // that lists come from where a service says so
+	hollow   *HollowOptions // nil: a sidecar with listeners and connections
 }
 
 // newService makes a service; it stands still until start.
@@ -93,23 +93,23 @@
 	if with.paced {
 		s.rnd = rand.New(rand.NewPCG(seed, pacedStream))
 	}
-	uc := upstream.Config{DialTimeout: cfg.DialTimeout, IdleClose: cfg.IdleClose, Rest: upstream.RestSpoilt,
-		Quota: descriptors{with.sockets, cfg.Name}, MaxAnswer: cfg.MaxAnswer, PassAll: cfg.PassAll, Paced: with.paced,
-		Once: func(class int) bool { return cfg.Logic.Classes[class].Repeat == logic.Unsafe }}
+	uc := upstream.Config{DialTimeout: cfg.DialTimeout, IdleClose: cfg.IdleClose, ReuseDelay: upstream.UntrustedReuseDelay,
+		Quota: descriptors{with.sockets, cfg.Name}, MaxResponse: cfg.MaxAnswer, PassAllStatuses: cfg.PassAll, LimitDials: with.paced,
+		IsNonIdempotent: func(class int) bool { return cfg.Balancer.Classes[class].Idempotency == logic.NonIdempotent }}
 	if cfg.Trusted {
-		uc.Rest = 0
+		uc.ReuseDelay = 0
 	}
 	if with.memory != nil {
-		uc.Memory, uc.Free, uc.Hold = memory{with.memory, cfg.Name}, countedIn, true
+		uc.Memory, uc.UncountedBody, uc.HoldUntilRelease = memory{with.memory, cfg.Name}, countedIn, true
 	} else {
-		uc.Memory, uc.Free = make(slots, max(leastLarge, int(with.memoryMB)/largeMB)), platformIn
+		uc.Memory, uc.UncountedBody = make(slots, max(leastLarge, int(with.memoryMB)/largeMB)), platformIn
 	}
 	s.up = upstream.New(uc)
-	settings := cfg.Logic
+	settings := cfg.Balancer
 	settings.ColdEvenly = with.paced
 	var err error
 	s.pool, err = core.New(core.Config{Settings: settings, Seed: seed, Zones: cfg.Zones, Upstream: with.hollow.upstream(s.up), Clock: with.clock,
-		Log: with.log.With("service", cfg.Name), SameID: with.sameID})
+		Log: with.log.With("service", cfg.Name), DuplicateIDWait: with.sameID})
 	if err != nil {
 		return nil, err
 	}
@@ -130,7 +130,7 @@
 
 // store is where a source's list is kept.
 func (s *service) store(from config.Source) *cache.Store {
-	return cache.In(s.listDir, s.cfg.Name, fmt.Sprintf("%d %s %s", from.Kind, from.Address, from.As))
+	return cache.NewStore(s.listDir, s.cfg.Name, fmt.Sprintf("%d %s %s", from.Kind, from.Address, from.As))
 }
 
 // recall has the service begin with the list that an earlier process kept.
@@ -143,7 +143,7 @@
 	if list == nil {
 		return
 	}
-	log.Info("list from before", "confirmed", age.Round(time.Millisecond), "version", list.Index, "endpoints", len(list.Endpoints))
+	log.Info("list from before", "confirmed", age.Round(time.Millisecond), "version", list.Version, "endpoints", len(list.Endpoints))
 	s.recalled, s.age = list, age
 	s.roster.recalled(list)
 }
@@ -175,15 +175,15 @@
 	first := s.unplug == nil && s.cfg.Known != nil // with no list at all nobody says when to ask
 	known := int64(-1)
 	if same := reflect.DeepEqual(from, s.cfg.Source); first && same { // the versions of two sources do not compare
-		known = s.cfg.Known.Index
+		known = s.cfg.Known.Version
 	} else if s.unplug == nil && s.recalled != nil && same {
-		known = s.recalled.Index
+		known = s.recalled.Version
 	}
 	s.from = from
 	ctx, unplug := context.WithCancel(context.Background())
 	s.unplug = unplug
 	if from.Kind == config.Static {
-		s.roster.Listed(&membership.List{Full: true, Endpoints: from.Endpoints})
+		s.roster.UpdateEndpoints(&membership.List{Full: true, Endpoints: from.Endpoints})
 		return
 	}
 	log = log.With("service", s.cfg.Name)
@@ -196,20 +196,20 @@
 	case config.Relay:
 		source = relayed.NewSource(s.lists, from.As)
 	default:
-		cc := catalog.Config{Address: from.Address, Subscribe: s.cfg.Logic.Subscribe, First: first, Known: known, Asked: s.pool.Asked(), Rand: s.waits, Dial: s.hollow.dial(), Log: log}
+		cc := catalog.Config{Address: from.Address, Subscribe: s.cfg.Balancer.WatchEndpoints, AwaitFirstRequest: first, KnownVersion: known, WatchRequested: s.pool.WatchRequested(), Rand: s.waits, Dial: s.hollow.dial(), Log: log}
 		if s.rnd != nil && !cc.Subscribe {
-			copies := s.cfg.Logic.Siblings
+			copies := s.cfg.Balancer.Replicas
 			if copies == 1 {
 				copies = 0 // not told
 			}
-			cc.Reads, cc.Age, cc.Urgent = pace.NewReads(pace.ReadsConfig{Copies: copies, Starts: s.starts}, s.rnd), s.age, s.urgent
+			cc.Scheduler, cc.KnownAge, cc.Urgent = pace.NewPollScheduler(pace.PollConfig{Replicas: copies, RecentStarts: s.starts}, s.rnd), s.age, s.urgent
 		}
 		source = catalog.New(cc)
 		s.starts = 0 // a later source, after a reload, is no start
 	}
 	sink := s.hollow.sink(s.cfg.Name, s.roster)
 	if s.listDir != "" && keeps(from) {
-		keeper := cache.NewKeeper(sink, s.store(from), s.roster.list, log)
+		keeper := cache.NewRecorder(sink, s.store(from), s.roster.list, log)
 		s.keeper, sink = keeper, keeper
 		s.source.Go(func() { keeper.Run(ctx) })
 	}
@@ -252,7 +252,7 @@
 		s.stop()
 	}
 	s.parts.Wait()
-	s.up.Apply(true, nil) // closes what is idle
+	s.up.UpdateEndpoints(true, nil) // closes what is idle
 }
 
 // drain takes nothing new, and ends when the last request has, at the latest after the longest deadline.
@@ -260,7 +260,7 @@
 	s.pool.Close()
 	s.mu.Lock()
 	if s.keeper != nil {
-		s.keeper.Retire() // a successor of the same name keeps its own
+		s.keeper.Stop() // a successor of the same name keeps its own
 	}
 	s.mu.Unlock()
 	left, cancel := context.WithTimeout(ctx, s.cfg.Longest()+time.Second)
@@ -313,29 +313,29 @@
 	all   map[string]membership.Endpoint
 }
 
-// Listed implements membership.Sink.
-func (r *roster) Listed(l *membership.List) {
+// UpdateEndpoints implements membership.Sink.
+func (r *roster) UpdateEndpoints(l *membership.List) {
 	r.take(l)
-	r.pool.Listed(l)
+	r.pool.UpdateEndpoints(l)
 }
 
-// Missed implements membership.Sink.
-func (r *roster) Missed() { r.pool.Missed() }
+// UpdateFailed implements membership.Sink.
+func (r *roster) UpdateFailed() { r.pool.UpdateFailed() }
 
 func (r *roster) cached(l *membership.List) {
 	r.take(l)
-	r.pool.Cached(l)
+	r.pool.UpdateFromCache(l)
 }
 
 func (r *roster) recalled(l *membership.List) {
 	r.take(l)
-	r.pool.Recalled(l)
+	r.pool.RestoreEndpoints(l)
 }
 
 func (r *roster) take(l *membership.List) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.index = l.Index; l.Full {
+	if r.index = l.Version; l.Full {
 		clear(r.all)
 	}
 	for _, e := range l.Endpoints {
@@ -352,7 +352,7 @@
 	if len(r.all) == 0 {
 		return nil
 	}
-	l := &membership.List{Index: r.index, Full: true}
+	l := &membership.List{Version: r.index, Full: true}
 	for _, name := range slices.Sorted(maps.Keys(r.all)) {
 		l.Endpoints = append(l.Endpoints, r.all[name])
 	}
--- a/internal/sidecar/shares.go
+++ b/internal/sidecar/shares.go
@@ -16,7 +16,7 @@
 	clock core.Clock
 
 	mu     sync.Mutex
-	ledger *quota.Ledger
+	ledger *quota.Allocator
 	shed   map[string]func() bool // has a party give back one of what it keeps idle; called with no lock held
 	given  chan struct{}          // closed, and made anew, when something is given back that somebody waits for
 }
@@ -36,14 +36,14 @@
 	if parts.Total != s.ledger.Total() {
 		return fmt.Errorf("%d in all, %d since the start", parts.Total, s.ledger.Total())
 	}
-	return s.ledger.Set(parts.Names, parts.Floors)
+	return s.ledger.SetFloors(parts.Names, parts.Floors)
 }
 
 // held is what all parties hold, and what one does.
 func (s *shares) held(party string) (all, one int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.Held(), s.ledger.HeldBy(party)
+	return s.ledger.InUse(), s.ledger.InUseBy(party)
 }
 
 // shedBy names what has a party give back; nil: nothing.
@@ -70,7 +70,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger.Deny(s.clock.Now(), party)
+	s.ledger.MarkStarved(s.clock.Now(), party)
 	return false
 }
 
@@ -79,12 +79,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	if s.ledger.Take(now, party, n) {
+	if s.ledger.Acquire(now, party, n) {
 		return true, nil
 	}
-	for _, d := range s.ledger.Debtors(now, party) {
+	for _, d := range s.ledger.Excesses(now, party) {
 		// A client's idle connection is no mere cache: its close may cross a request.
-		if shed := s.shed[d.Name]; shed != nil && (d.Over || d.Name != config.Clients) {
+		if shed := s.shed[d.Name]; shed != nil && (d.Overdrawn || d.Name != config.Clients) {
 			idle = append(idle, shed)
 		}
 	}
@@ -94,7 +94,7 @@
 func (s *shares) give(party string, n int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger.Give(party, n)
+	s.ledger.Release(party, n)
 	if s.given != nil {
 		close(s.given)
 		s.given = nil
@@ -117,17 +117,17 @@
 	party string
 }
 
-// Take counts a connection in.
-func (d descriptors) Take() bool { return d.of.take(d.party, 1) }
+// Acquire counts a connection in.
+func (d descriptors) Acquire() bool { return d.of.take(d.party, 1) }
 
-// Give counts a connection out.
-func (d descriptors) Give() { d.of.give(d.party, 1) }
+// Release counts a connection out.
+func (d descriptors) Release() { d.of.give(d.party, 1) }
 
-// Owes tells that kept connections are to be given back.
-func (d descriptors) Owes() bool {
+// Overdrawn tells that kept connections are to be given back.
+func (d descriptors) Overdrawn() bool {
 	d.of.mu.Lock()
 	defer d.of.mu.Unlock()
-	return d.of.ledger.Owes(d.of.clock.Now(), d.party)
+	return d.of.ledger.Overdrawn(d.of.clock.Now(), d.party)
 }
 
 // memory is a service's part of the process's memory for bodies.
@@ -136,11 +136,11 @@
 	party string
 }
 
-// Take implements front.Memory.
-func (m memory) Take(n int64) bool { return m.of.take(m.party, n) }
+// Acquire implements front.Memory.
+func (m memory) Acquire(n int64) bool { return m.of.take(m.party, n) }
 
-// Give implements front.Memory and the upstream's.
-func (m memory) Give(n int64) { m.of.give(m.party, n) }
+// Release implements front.Memory and the upstream's.
+func (m memory) Release(n int64) { m.of.give(m.party, n) }
 
 // Reserve waits for n bytes until the context ends.
 func (m memory) Reserve(ctx context.Context, n int64) error {
@@ -170,5 +170,5 @@
 	}
 }
 
-// Give gives a slot back.
-func (s slots) Give(int64) { <-s }
+// Release gives a slot back.
+func (s slots) Release(int64) { <-s }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -62,7 +62,7 @@
 // New opens the listeners; clients are served from Run on.
 func New(app *config.App, log *slog.Logger) (*Sidecar, error) { return open(app, log, nil) }
 
-func open(app *config.App, log *slog.Logger, hollow *Hollow) (*Sidecar, error) {
+func open(app *config.App, log *slog.Logger, hollow *HollowOptions) (*Sidecar, error) {
 	remote := &remoteConfiguration{log: log}
 	app = remote.recall(app)
 	s := &Sidecar{log: log, ended: make(chan struct{}), remind: notReadyEvery, services: map[string]*service{}, leaving: map[*service]bool{},
@@ -89,8 +89,8 @@
 		}
 	}
 	if app.StateDir != "" {
-		s.record = record.In(app.StateDir)
-		if s.with.starts, err = s.record.Begin(time.Now()); err != nil {
+		s.record = record.Open(app.StateDir)
+		if s.with.starts, err = s.record.RecordStart(time.Now()); err != nil {
 			log.Warn("earlier starts are not known", "error", strings.ReplaceAll(err.Error(), "\n", "; "))
 		}
 	}
@@ -125,12 +125,12 @@
 		longest = app.Services[0].Longest()
 	}
 	for i, l := range app.Listeners {
-		s.fronts = append(s.fronts, http1.New(http1.Config{Listener: open[i], Resolver: &resolver{s, l.Name}, Healthy: s.healthy,
-			Longest: longest, Quota: descriptors{s.with.sockets, config.Clients}, Log: s.log}))
+		s.fronts = append(s.fronts, http1.New(http1.Config{Listener: open[i], Resolver: &resolver{s, l.Name}, IsHealthy: s.healthy,
+			MaxTimeout: longest, Quota: descriptors{s.with.sockets, config.Clients}, Log: s.log}))
 	}
 	s.with.sockets.shedBy(config.Clients, func() bool {
 		for _, f := range s.fronts {
-			if f.Shed() {
+			if f.CloseIdleConnection() {
 				return true
 			}
 		}
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// Discard closes the listeners of a sidecar that is not to run.
-func (s *Sidecar) Discard() {
+// Close closes the listeners of a sidecar that is not to run.
+func (s *Sidecar) Close() {
 	for _, f := range s.fronts {
 		f.Close()
 	}
@@ -230,7 +230,7 @@
 			v.plug(app.Service(name).Source, s.log)
 			continue
 		}
-		s.with.sockets.shedBy(name, v.up.Shed)
+		s.with.sockets.shedBy(name, v.up.CloseOldestIdle)
 		if s.started {
 			v.start(s.log)
 		}
@@ -341,10 +341,10 @@
 	told, window := time.Now(), min(longest, killAfter)+killLeeway
 	cutoff := told.Add(window)
 	for _, v := range s.services {
-		v.pool.Hurry(cutoff)
+		v.pool.LimitDeadlines(cutoff)
 	}
 	for v := range s.leaving {
-		v.pool.Hurry(cutoff)
+		v.pool.LimitDeadlines(cutoff)
 	}
 	s.mu.Unlock()
 	var fronts sync.WaitGroup
@@ -367,7 +367,7 @@
 	began, said := time.Now(), time.Now()
 	look := time.NewTicker(readyPoll)
 	defer look.Stop()
-	lasted := time.NewTimer(record.Stable)
+	lasted := time.NewTimer(record.StableAfter)
 	defer lasted.Stop()
 	for {
 		select {
@@ -381,7 +381,7 @@
 			}
 		case <-lasted.C:
 			if s.record != nil {
-				if err := s.record.Lasted(); err != nil {
+				if err := s.record.Clear(); err != nil {
 					s.log.Warn("record of starts", "error", err)
 				}
 			}
@@ -410,6 +410,6 @@
 }
 
 // Resolve implements front.Resolver.
-func (r *resolver) Resolve(req *http.Request) (front.Dest, *front.Fault) {
+func (r *resolver) Resolve(req *http.Request) (front.Destination, *front.RequestError) {
 	return r.of.world.Load().resolve(r.listener, req)
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -743,9 +743,9 @@
 	all.Wait()
 	for i := range 5000 {
 		e := membership.Endpoint{Name: fmt.Sprint("s", i), Address: "127.0.0.1:1", Zone: fmt.Sprint("z", i)}
-		p.tier().pool.Listed(&membership.List{Index: int64(i), Endpoints: []membership.Endpoint{e}})
+		p.tier().pool.UpdateEndpoints(&membership.List{Version: int64(i), Endpoints: []membership.Endpoint{e}})
 		e.Status = membership.Deleted
-		p.tier().pool.Listed(&membership.List{Index: int64(i), Endpoints: []membership.Endpoint{e}})
+		p.tier().pool.UpdateEndpoints(&membership.List{Version: int64(i), Endpoints: []membership.Endpoint{e}})
 	}
 	if s := p.tier().pool.Stats(); s != (core.Stats{Zones: 1}) || p.tier().up.Stats().Backends != 1 {
 		t.Errorf("left behind: %+v, %+v", s, p.tier().up.Stats())
--- a/internal/sidecar/start_test.go
+++ b/internal/sidecar/start_test.go
@@ -92,7 +92,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s.Discard(); s.services["a"].starts != life {
+		if s.Close(); s.services["a"].starts != life {
 			t.Errorf("life %d: %d earlier starts", life, s.services["a"].starts)
 		}
 	}
--- a/internal/sidecar/world.go
+++ b/internal/sidecar/world.go
@@ -92,13 +92,13 @@
 	}
 	if p.Sticky != "" {
 		if v := field(r.Header, p.Sticky); v != "" {
-			return p.split.For(v)
+			return p.split.ForKey(v)
 		}
 	}
 	if key != "" {
-		return p.split.For(key)
+		return p.split.ForKey(key)
 	}
-	return p.split.Draw(rand.Uint64())
+	return p.split.Pick(rand.Uint64())
 }
 
 // moved tells whether an earlier split would have sent a request elsewhere than to a service of this name.
@@ -130,7 +130,7 @@
 // pinned is the memory of keyed requests; it outlives configurations.
 type pinned struct {
 	mu   sync.Mutex
-	pins *route.Pins
+	pins *route.Assignments
 }
 
 // newWorld makes a configuration ready to hold, after old (nil: none).
@@ -139,11 +139,11 @@
 	if old != nil {
 		w.pins, w.mirrors = old.pins, old.mirrors
 	} else {
-		w.pins, w.mirrors = &pinned{pins: route.NewPins(mostPins)}, make(chan struct{}, mostMirrors)
+		w.pins, w.mirrors = &pinned{pins: route.NewAssignments(mostPins)}, make(chan struct{}, mostMirrors)
 	}
 	if app.Wording == config.Platform {
 		v := services[config.PlatformService]
-		w.platform = newPlatform(&v.cfg.Site, v.cfg.MaxBody, v.pool)
+		w.platform = newPlatform(&v.cfg.Deployment, v.cfg.MaxBody, v.pool)
 		return w, nil
 	}
 	tenants := map[string]map[string]int{}
@@ -157,17 +157,17 @@
 		if v.cfg.Codes != (config.Codes{}) {
 			pool = coded{v.pool, v.cfg.Codes.Usual()}
 		}
-		return side{name: t.Service, pool: pool, class: class, rule: v.cfg.Logic.Classes[class], owner: v.cfg.Rules[class],
+		return side{name: t.Service, pool: pool, class: class, rule: v.cfg.Balancer.Classes[class], owner: v.cfg.Rules[class],
 			maxBody: v.cfg.MaxBody,
 			tenants: tenants[t.Service], memory: memory{with.memory, t.Service}}
 	}
 	paths := make([]*path, len(app.Routes))
 	for i, r := range app.Routes {
 		p := &path{Route: r}
-		var weights []route.Side
+		var weights []route.Arm
 		for _, t := range r.To {
 			p.sides = append(p.sides, sideOf(t))
-			weights = append(weights, route.Side{Name: t.Service, Weight: t.Weight})
+			weights = append(weights, route.Arm{Name: t.Service, Weight: t.Weight})
 		}
 		if len(r.To) > 1 {
 			var err error
@@ -199,15 +199,15 @@
 }
 
 // resolve says where a request of a listener goes.
-func (w *world) resolve(listener string, r *http.Request) (front.Dest, *front.Fault) {
+func (w *world) resolve(listener string, r *http.Request) (front.Destination, *front.RequestError) {
 	if w.platform != nil {
 		return w.platform.resolve(r)
 	}
-	bad := func(status int, why string) (front.Dest, *front.Fault) {
-		return front.Dest{}, &front.Fault{Status: status, Why: why}
+	bad := func(status int, why string) (front.Destination, *front.RequestError) {
+		return front.Destination{}, &front.RequestError{Status: status, Reason: why}
 	}
 	if fault := twice(r.Header); fault != nil {
-		return front.Dest{}, fault
+		return front.Destination{}, fault
 	}
 	rawPath, query, hasQuery := strings.Cut(r.RequestURI, "?")
 	t := w.byListener[listener]
@@ -219,7 +219,7 @@
 		return bad(http.StatusNotFound, "no route")
 	}
 	p := t.routes[n]
-	dest := front.Dest{ID: field(r.Header, "Request-Id"), Target: r.RequestURI, Tenant: -1, Full: againLater}
+	dest := front.Destination{ID: field(r.Header, "Request-Id"), Target: r.RequestURI, Tenant: -1, MemoryRetryAfter: againLater}
 	if len(dest.ID) > maxID {
 		return bad(http.StatusBadRequest, "a long Request-Id")
 	}
@@ -241,7 +241,7 @@
 		return dest, fault
 	}
 	k := &s.rule
-	if name := s.owner.Key; s.owner.Repeat == logic.Keyed && (len(r.Header[name]) != 1 || r.Header[name][0] == "") {
+	if name := s.owner.Key; s.owner.Repeat == logic.IdempotentByKey && (len(r.Header[name]) != 1 || r.Header[name][0] == "") {
 		return bad(http.StatusBadRequest, "a keyed class needs one "+name)
 	}
 	if early := r.Header["Early-Data"]; !s.owner.Early && len(early) > 0 {
@@ -260,14 +260,14 @@
 		}
 		wait = min(wait, time.Duration(min(ms, 1e9))*time.Millisecond)
 	}
-	dest.Wait = wait - min(answerMargin, wait/marginPart)
+	dest.Timeout = wait - min(answerMargin, wait/marginPart)
 	dest.Pool, dest.Class, dest.Memory, dest.MaxBody = s.pool, s.class, s.memory, s.maxBody
 	if name := field(r.Header, "Tenant"); name != "" {
 		if n, ok := s.tenants[name]; ok {
 			dest.Tenant = n
 		}
 	}
-	if k.ByArrival {
+	if k.Ordered {
 		dest.Key = rawPath[strings.LastIndexByte(rawPath, '/')+1:]
 	}
 	if p.copy != nil {
@@ -277,8 +277,8 @@
 }
 
 // choose picks the side of a request. A keyed one goes where its key went before, while that side recalls it.
-func (w *world) choose(p *path, r *http.Request) (side, *front.Fault) {
-	keyed := p.sides[0].owner.Repeat == logic.Keyed // all sides agree on it, and on the key's field from version 2 on
+func (w *world) choose(p *path, r *http.Request) (side, *front.RequestError) {
+	keyed := p.sides[0].owner.Repeat == logic.IdempotentByKey // all sides agree on it, and on the key's field from version 2 on
 	name := p.sides[0].owner.Key
 	if name == "" {
 		name = config.DefaultKey
@@ -293,21 +293,21 @@
 }
 
 // choose returns the side that a keyed request's key is pinned to, and pins it to side n if it is to none.
-func (m *pinned) choose(p *path, n int, hash uint64, now int64, moved func(name string) bool) (side, *front.Fault) {
+func (m *pinned) choose(p *path, n int, hash uint64, now int64, moved func(name string) bool) (side, *front.RequestError) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	to, known := m.pins.Get(now, hash)
+	to, known := m.pins.Lookup(now, hash)
 	if known {
 		n = slices.IndexFunc(p.sides, func(s side) bool { return s.name == to })
 	}
-	if n < 0 || !known && !m.pins.Sure(now) && moved(p.sides[n].name) {
+	if n < 0 || !known && !m.pins.Complete(now) && moved(p.sides[n].name) {
 		// Its record is with another service, or may be. That one is not this route's any more; elsewhere its effect
 		// might happen twice.
-		return side{}, &front.Fault{Status: http.StatusServiceUnavailable, After: againLater,
-			Why: "another service may hold the record of this key; it is forgotten after its window"}
+		return side{}, &front.RequestError{Status: http.StatusServiceUnavailable, RetryAfter: againLater,
+			Reason: "another service may hold the record of this key; it is forgotten after its window"}
 	}
 	s := p.sides[n]
-	m.pins.Put(now, hash, s.name, now+s.recall())
+	m.pins.Assign(now, hash, s.name, now+s.recall())
 	return s, nil
 }
 
@@ -328,6 +328,6 @@
 	}
 	go func() {
 		defer func() { <-w.mirrors }()
-		to.pool.Do(c).Reply.Done()
+		to.pool.Do(c).Response.Close()
 	}()
 }
--- a/internal/start/dials.go
+++ b/internal/start/dials.go
@@ -11,19 +11,19 @@
 	mostDialRest  = 2 * time.Second
 )
 
-// Dials bounds the connections that one copy opens at once to one backend. A backend that has just started, or that does not
+// DialLimiter bounds the connections that one copy opens at once to one backend. A backend that has just started, or that does not
 // answer, gets few: a hundred copies that each open one for every waiting request fill its queue of connections before it
 // has accepted the first. It is not safe for concurrent use.
-type Dials struct {
+type DialLimiter struct {
 	most int // at once; 0 stands for unprovenDials
 	open int // on their way
 	rest time.Duration
 	till time.Time // none before
 }
 
-// May tells whether another connection may be opened now, and counts it; otherwise how long it is at least until one may,
+// Allow tells whether another connection may be opened now, and counts it; otherwise how long it is at least until one may,
 // or 0 where that depends on those that are on their way.
-func (d *Dials) May(now time.Time) (ok bool, wait time.Duration) {
+func (d *DialLimiter) Allow(now time.Time) (ok bool, wait time.Duration) {
 	if now.Before(d.till) {
 		return false, d.till.Sub(now)
 	}
@@ -34,9 +34,9 @@
 	return true, 0
 }
 
-// Ended takes the news that a connection has come up, or has not. One that was given up for reasons of the caller's own
+// Done takes the news that a connection has come up, or has not. One that was given up for reasons of the caller's own
 // (its request has ended) says nothing of the backend: up and failed are both false.
-func (d *Dials) Ended(now time.Time, up, failed bool) {
+func (d *DialLimiter) Done(now time.Time, up, failed bool) {
 	d.open--
 	switch {
 	case up:
@@ -48,8 +48,8 @@
 	}
 }
 
-// Forget is for a backend that has started anew: what was learned of it does not hold, and what is on its way does not count.
-func (d *Dials) Forget() { *d = Dials{} }
+// Reset is for a backend that has started anew: what was learned of it does not hold, and what is on its way does not count.
+func (d *DialLimiter) Reset() { *d = DialLimiter{} }
 
-// Proven tells whether connections come up as far as is known.
-func (d *Dials) Proven() bool { return d.most >= provenDials }
+// Established tells whether connections come up as far as is known.
+func (d *DialLimiter) Established() bool { return d.most >= provenDials }
--- a/internal/start/record/record.go
+++ b/internal/start/record/record.go
@@ -17,8 +17,8 @@
 	file    = "starts.json"
 	version = 1
 
-	// Stable is how long a copy has to live for its starts to be forgotten.
-	Stable = 2 * time.Minute
+	// StableAfter is how long a copy has to live for its starts to be forgotten.
+	StableAfter = 2 * time.Minute
 	// Window is how long a start is remembered.
 	Window = 10 * time.Minute
 
@@ -35,12 +35,12 @@
 // Record is a folder's record of starts.
 type Record struct{ dir string }
 
-// In returns the record in a folder, which is made where it is missing.
-func In(dir string) *Record { return &Record{dir} }
+// Open returns the record in a folder, which is made where it is missing.
+func Open(dir string) *Record { return &Record{dir} }
 
-// Begin notes a start and returns how many there have been lately without a life that lasted. An error says what could not
+// RecordStart notes a start and returns how many there have been lately without a life that lasted. An error says what could not
 // be read or written; the count holds as far as it goes.
-func (r *Record) Begin(now time.Time) (lately int, err error) {
+func (r *Record) RecordStart(now time.Time) (lately int, err error) {
 	all, err := r.read()
 	var kept []int64
 	for _, at := range all {
@@ -57,11 +57,11 @@
 	return lately, errors.Join(err, r.write(kept))
 }
 
-// Lasted forgets the starts: this life has lasted.
-func (r *Record) Lasted() error { return r.write(nil) }
+// Clear forgets the starts: this life has lasted.
+func (r *Record) Clear() error { return r.write(nil) }
 
 func (r *Record) read() ([]int64, error) {
-	data, err := durable.Read(r.path(), maxFile)
+	data, err := durable.ReadFile(r.path(), maxFile)
 	if err != nil || data == nil {
 		return nil, wrap(err)
 	}
@@ -104,7 +104,7 @@
 	}
 	if err == nil {
 		// Not synced: it has to outlive the process, and hundreds that start together would wait for the disk.
-		err = durable.Replace(r.path(), data, 0o600, false)
+		err = durable.WriteFile(r.path(), data, 0o600, false)
 	}
 	return wrap(err)
 }
--- a/internal/start/record/record_test.go
+++ b/internal/start/record/record_test.go
@@ -13,7 +13,7 @@
 
 func begin(t *testing.T, dir string, at time.Time) int {
 	t.Helper()
-	n, err := In(dir).Begin(at)
+	n, err := Open(dir).RecordStart(at)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 		t.Errorf("%d starts of long ago count", n)
 	}
 	begin(t, dir, zero.Add(Window+time.Second))
-	if err := In(dir).Lasted(); err != nil {
+	if err := Open(dir).Clear(); err != nil {
 		t.Fatal(err)
 	}
 	if n := begin(t, dir, zero.Add(Window+2*time.Second)); n != 0 {
@@ -60,7 +60,7 @@
 		if err := os.WriteFile(filepath.Join(dir, file), []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		n, err := In(dir).Begin(zero)
+		n, err := Open(dir).RecordStart(zero)
 		if n != 0 || err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%.40q: %d, %v", c.text, n, err)
 		}
@@ -72,7 +72,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "file"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if n, err := In(filepath.Join(dir, "file")).Begin(zero); n != 0 || err == nil {
+	if n, err := Open(filepath.Join(dir, "file")).RecordStart(zero); n != 0 || err == nil {
 		t.Errorf("a file for a folder: %d, %v", n, err)
 	}
 }
--- a/internal/upstream/http1/begin_test.go
+++ b/internal/upstream/http1/begin_test.go
@@ -67,9 +67,9 @@
 			go func() { status <- a.run().Status }()
 			wait(t, "request at the gate", c.at)
 			entries[0].Address = b.Addr
-			p.Apply(false, entries)
+			p.UpdateEndpoints(false, entries)
 			close(c.gate)
-			if s := wait(t, "outcome", status); s != logic.Moot {
+			if s := wait(t, "outcome", status); s != logic.NotSent {
 				t.Errorf("got %v", s)
 			}
 			wait(t, "close", b.Closed)
@@ -88,10 +88,10 @@
 	dial := p.dialer
 	p.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		nc, err := dial(ctx, network, addr)
-		a.Begin = time.Now().Add(-1)
+		a.SendBy = time.Now().Add(-1)
 		return nc, err
 	}
-	if res := a.run(); res.Status != logic.Moot {
+	if res := a.run(); res.Status != logic.NotSent {
 		t.Errorf("got %v", res.Status)
 	}
 	wait(t, "close", b.Closed)
@@ -120,8 +120,8 @@
 	if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	a.Stop()
-	if s := wait(t, "outcome", status); s != logic.Moot {
+	a.Cancel()
+	if s := wait(t, "outcome", status); s != logic.NotSent {
 		t.Errorf("got %v", s)
 	}
 }
--- a/internal/upstream/http1/exchange.go
+++ b/internal/upstream/http1/exchange.go
@@ -28,37 +28,37 @@
 	answerStall = 500 * time.Millisecond
 )
 
-// Break ends reads and writes on the connection; it is then closed, never used again.
-func (c *conn) Break() { _ = c.SetDeadline(time.Unix(1, 0)) }
+// Cancel ends reads and writes on the connection; it is then closed, never used again.
+func (c *conn) Cancel() { _ = c.SetDeadline(time.Unix(1, 0)) }
 
 // exchange writes the request and reads the answer; keep tells whether the connection can serve again.
-func (w *way) exchange(a *core.Attempt, c *conn) (res core.Result, keep bool) {
+func (w *way) exchange(a *core.Attempt, c *conn) (res core.AttemptResult, keep bool) {
 	_ = c.SetDeadline(a.Deadline)
-	if !a.Hook(c) {
-		return core.Result{Status: logic.Moot}, false
+	if !a.SetCanceler(c) {
+		return core.AttemptResult{Status: logic.NotSent}, false
 	}
 	defer func() {
-		if !a.Unhook() {
+		if !a.ClearCanceler() {
 			keep = false
 		}
 	}()
 	if err := w.send(a, c, c.encode(a)); err != nil {
 		// The last byte was not written, so the backend cannot have begun.
-		if errors.Is(err, errMoved) || a.Stopped() {
-			return core.Result{Status: logic.Moot}, false // no fault of the backend's
+		if errors.Is(err, errMoved) || a.Canceled() {
+			return core.AttemptResult{Status: logic.NotSent}, false // no fault of the backend's
 		}
-		return core.Result{Status: logic.ConnectFailed}, false
+		return core.AttemptResult{Status: logic.ConnectFailed}, false
 	}
 	res, keep, err := w.read(a, c)
 	switch {
 	case err == nil:
 		return res, keep
-	case a.Late():
-		return core.Result{Status: logic.TimedOut}, false
-	case a.Stopped():
-		return core.Result{Status: logic.Cancelled}, false
+	case a.DeadlinePassed():
+		return core.AttemptResult{Status: logic.TimedOut}, false
+	case a.Canceled():
+		return core.AttemptResult{Status: logic.Canceled}, false
 	}
-	return core.Result{Status: logic.Reset}, false
+	return core.AttemptResult{Status: logic.Reset}, false
 }
 
 // send writes a whole request, if the list says of the backend what it said when it was chosen and it is not too late to begin. That
@@ -68,7 +68,7 @@
 	begin := func(write func() (int, error)) {
 		w.backend.begins.RLock()
 		defer w.backend.begins.RUnlock()
-		if w.backend.epoch != w.epoch || !a.Begin.IsZero() && time.Now().After(a.Begin) {
+		if w.backend.epoch != w.epoch || !a.SendBy.IsZero() && time.Now().After(a.SendBy) {
 			err = errMoved
 			return
 		}
@@ -129,7 +129,7 @@
 		until = a.Deadline
 	}
 	_ = c.SetDeadline(until)
-	if a.Stopped() {
+	if a.Canceled() {
 		return errStopped
 	}
 	return nil
@@ -152,7 +152,7 @@
 }
 
 // read takes the whole answer: one that breaks off has not been given.
-func (w *way) read(a *core.Attempt, c *conn) (res core.Result, keep bool, err error) {
+func (w *way) read(a *core.Attempt, c *conn) (res core.AttemptResult, keep bool, err error) {
 	c.begun = false
 	if _, err := c.r.Peek(1); err != nil {
 		return res, false, fmt.Errorf("read answer: %w", err)
@@ -170,15 +170,15 @@
 		}
 		b, err := c.head()
 		if err == nil {
-			h, err = parseHead(b, w.pool.cfg.PassAll)
+			h, err = parseHead(b, w.pool.cfg.PassAllStatuses)
 		}
 		if err != nil {
 			return res, false, fmt.Errorf("read answer: %w", err)
 		}
 	}
-	reply := &core.Reply{Code: h.code, Header: h.fields}
+	reply := &core.Response{StatusCode: h.code, Header: h.fields}
 	if err := w.body(a, c, &h, reply); errors.Is(err, errTooLarge) {
-		return core.Result{Status: logic.Error}, false, nil
+		return core.AttemptResult{Status: logic.Error}, false, nil
 	} else if err != nil {
 		return res, false, fmt.Errorf("read body: %w", err)
 	}
@@ -186,36 +186,36 @@
 }
 
 // judge says what an answer means. Only 503 and 504 with the proof say that the request never ran.
-func (w *way) judge(h head, reply *core.Reply) core.Result {
-	all := w.pool.cfg.PassAll
+func (w *way) judge(h head, reply *core.Response) core.AttemptResult {
+	all := w.pool.cfg.PassAllStatuses
 	switch code := h.code; {
 	case code == http.StatusOK, all && code < 400:
-		return core.Result{Status: logic.OK, Reply: reply}
+		return core.AttemptResult{Status: logic.OK, Response: reply}
 	case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) && h.notStarted:
-		reply.Done()
-		return core.Result{Status: logic.FullUp}
+		reply.Close()
+		return core.AttemptResult{Status: logic.Overloaded}
 	case code >= 400 && code < 500 && code != http.StatusRequestTimeout && code != http.StatusTooManyRequests:
 		if !all {
-			reply = &core.Reply{Code: code}
+			reply = &core.Response{StatusCode: code}
 		}
-		return core.Result{Status: logic.Error, Fault: true, Reply: reply}
+		return core.AttemptResult{Status: logic.Error, InvalidRequest: true, Response: reply}
 	}
 	if !all {
-		return core.Result{Status: logic.Error} // it may have run
+		return core.AttemptResult{Status: logic.Error} // it may have run
 	}
 	// A client takes 429 and 503 for a refusal, after which trying again is harmless, and 408 for much the same. Only
 	// this proxy can say that, which knows of all attempts.
-	switch reply.Code {
+	switch reply.StatusCode {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		reply.Code = http.StatusBadGateway
+		reply.StatusCode = http.StatusBadGateway
 	}
-	return core.Result{Status: logic.Error, Reply: reply}
+	return core.AttemptResult{Status: logic.Error, Response: reply}
 }
 
 var errTooLarge = errors.New("too large")
 
 // body reads the body that a head announces into the reply.
-func (w *way) body(a *core.Attempt, c *conn, h *head, reply *core.Reply) (err error) {
+func (w *way) body(a *core.Attempt, c *conn, h *head, reply *core.Response) (err error) {
 	cfg := &w.pool.cfg
 	switch {
 	case a.Method == http.MethodHead && h.length >= 0:
@@ -223,9 +223,9 @@
 		return nil
 	case a.Method == http.MethodHead || h.code == http.StatusNoContent || h.code == http.StatusNotModified:
 		return nil // RFC 9112, section 6.3
-	case h.length > cfg.MaxAnswer:
+	case h.length > cfg.MaxResponse:
 		return errTooLarge
-	case h.length > cfg.Free:
+	case h.length > cfg.UncountedBody:
 		return w.large(a, c, h.length, reply)
 	case h.length >= 0:
 		if int64(c.r.Buffered()) < h.length {
@@ -240,14 +240,14 @@
 		return errors.New("length not given") // its end would look the same as a break
 	}
 	// The length is not known ahead; it counts as the most that is read.
-	most := min(cfg.MaxAnswer, readPart)
-	if most > cfg.Free {
+	most := min(cfg.MaxResponse, readPart)
+	if most > cfg.UncountedBody {
 		if reply.Release, err = w.reserve(a, c, most); err != nil {
 			return err
 		}
 	}
 	if err := c.extend(a, time.Now().Add(answerStall)); err != nil {
-		reply.Done()
+		reply.Close()
 		return err
 	}
 	reply.Body, err = io.ReadAll(io.LimitReader(httputil.NewChunkedReader(c.r), most+1))
@@ -257,8 +257,8 @@
 	if err == nil {
 		err = trailer(c.r)
 	}
-	if err != nil || !cfg.Hold {
-		reply.Done()
+	if err != nil || !cfg.HoldUntilRelease {
+		reply.Close()
 	}
 	return err
 }
@@ -282,7 +282,7 @@
 }
 
 // large reads a large body, whose memory is reserved first. Each part of one has as long as a small answer.
-func (w *way) large(a *core.Attempt, c *conn, length int64, reply *core.Reply) (err error) {
+func (w *way) large(a *core.Attempt, c *conn, length int64, reply *core.Response) (err error) {
 	if reply.Release, err = w.reserve(a, c, length); err != nil {
 		return err
 	}
@@ -294,8 +294,8 @@
 			read += n
 		}
 	}
-	if err != nil || !w.pool.cfg.Hold {
-		reply.Done()
+	if err != nil || !w.pool.cfg.HoldUntilRelease {
+		reply.Close()
 	}
 	reply.Body = body
 	return err
@@ -309,8 +309,8 @@
 	if err != nil {
 		return nil, err
 	}
-	release = func() { w.pool.cfg.Memory.Give(n) }
-	if !a.Hook(c) {
+	release = func() { w.pool.cfg.Memory.Release(n) }
+	if !a.SetCanceler(c) {
 		release()
 		return nil, context.Canceled
 	}
--- a/internal/upstream/http1/paced_test.go
+++ b/internal/upstream/http1/paced_test.go
@@ -45,21 +45,21 @@
 func paced(t *testing.T) (*Upstream, *gate, *backendtest.Backend) {
 	t.Helper()
 	b := backendtest.Start(t, backendtest.Says(served, true))
-	p := New(Config{DialTimeout: patience, IdleClose: 40 * time.Second, Quota: &fixed{most: 100}, Memory: make(slots, 1), MaxAnswer: maxAnswer, Free: maxBody, Paced: true})
+	p := New(Config{DialTimeout: patience, IdleClose: 40 * time.Second, Quota: &fixed{most: 100}, Memory: make(slots, 1), MaxResponse: maxAnswer, UncountedBody: maxBody, LimitDials: true})
 	g := &gate{came: make(chan struct{}, 100), pass: make(chan error, 100)}
 	p.dialer = g.dial
-	p.Apply(true, []membership.Endpoint{entry("a", b.Addr, membership.Serving)})
-	t.Cleanup(func() { p.Apply(true, nil) })
+	p.UpdateEndpoints(true, []membership.Endpoint{entry("a", b.Addr, membership.Serving)})
+	t.Cleanup(func() { p.UpdateEndpoints(true, nil) })
 	return p, g, b
 }
 
 // carry carries one request in the background.
-func carry(p *Upstream, deadline time.Time) <-chan core.Result {
-	done := make(chan core.Result, 1)
-	way := p.Open("a")
+func carry(p *Upstream, deadline time.Time) <-chan core.AttemptResult {
+	done := make(chan core.AttemptResult, 1)
+	way := p.RoundTripper("a")
 	go func() {
 		r := &core.Request{Method: "GET", Target: "/"}
-		done <- way.Carry(core.NewAttempt(r, deadline))
+		done <- way.RoundTrip(core.NewAttempt(r, deadline))
 	}()
 	return done
 }
@@ -69,9 +69,9 @@
 func TestFewConnectionsToABackendThatIsNotKnown(t *testing.T) {
 	p, g, b := paced(t)
 	const requests, dialling = 20, 4 // two at first, twice as many once one has come up
-	done := make(chan core.Result, requests)
+	done := make(chan core.AttemptResult, requests)
 	for range requests {
-		go func(one <-chan core.Result) { done <- <-one }(carry(p, time.Now().Add(patience)))
+		go func(one <-chan core.AttemptResult) { done <- <-one }(carry(p, time.Now().Add(patience)))
 	}
 	wait(t, "first connection", g.came)
 	wait(t, "second connection", g.came)
@@ -121,7 +121,7 @@
 		t.Skip("the machine was away for the whole rest")
 	}
 	e := p.byName["a"]
-	p.Apply(false, []membership.Endpoint{{Name: "a", Address: e.addr, Zone: "a", SinceMs: 7}})
+	p.UpdateEndpoints(false, []membership.Endpoint{{Name: "a", Address: e.addr, Zone: "a", SinceMs: 7}})
 	g.pass <- nil
 	if res := wait(t, "result", carry(p, time.Now().Add(patience))); res.Status != logic.OK || p.Stats().Unreachable != 0 {
 		t.Errorf("after it has started anew: %v", res.Status)
@@ -134,18 +134,18 @@
 	first, second := carry(p, time.Now().Add(patience)), carry(p, time.Now().Add(patience))
 	wait(t, "first connection", g.came)
 	wait(t, "second connection", g.came)
-	if res := wait(t, "result", carry(p, time.Now().Add(20*time.Millisecond))); res.Status != logic.Moot {
+	if res := wait(t, "result", carry(p, time.Now().Add(20*time.Millisecond))); res.Status != logic.NotSent {
 		t.Errorf("its time is over: %v", res.Status)
 	}
 	third := carry(p, time.Now().Add(patience))
-	p.Apply(false, []membership.Endpoint{entry("a", b.Addr, membership.Draining)})
-	if res := wait(t, "result", third); res.Status != logic.Moot {
+	p.UpdateEndpoints(false, []membership.Endpoint{entry("a", b.Addr, membership.Draining)})
+	if res := wait(t, "result", third); res.Status != logic.NotSent {
 		t.Errorf("its backend drains: %v", res.Status)
 	}
 	g.pass <- nil
 	g.pass <- nil
-	for _, done := range []<-chan core.Result{first, second} {
-		if res := wait(t, "result", done); res.Status != logic.Moot {
+	for _, done := range []<-chan core.AttemptResult{first, second} {
+		if res := wait(t, "result", done); res.Status != logic.NotSent {
 			t.Errorf("connected after the drain: %v", res.Status)
 		}
 	}
--- a/internal/upstream/http1/upstream.go
+++ b/internal/upstream/http1/upstream.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	// RestSpoilt is the rest of a connection where backends may be spoilt. A second answer or noise may follow an
+	// UntrustedReuseDelay is the rest of a connection where backends may be spoilt. A second answer or noise may follow an
 	// answer. It came within 2 ms where it was seen; a connection that is used again sooner could take it for the
 	// next request's answer.
-	RestSpoilt = 20 * time.Millisecond
+	UntrustedReuseDelay = 20 * time.Millisecond
 
 	// freshFor is how long after a break under a kept connection what may not be sent again gets a fresh one. One such
 	// request is lost in that time at most, for a handshake each.
@@ -34,21 +34,21 @@
 
 // Quota is this upstream's part of the process's descriptors.
 type Quota interface {
-	// Take counts a connection in, if there is room or others can make some. It may close kept connections of other
+	// Acquire counts a connection in, if there is room or others can make some. It may close kept connections of other
 	// upstreams, and is called with no lock held.
-	Take() bool
-	// Give counts a connection out.
-	Give()
-	// Owes tells that kept connections are to be given back.
-	Owes() bool
+	Acquire() bool
+	// Release counts a connection out.
+	Release()
+	// Overdrawn tells that kept connections are to be given back.
+	Overdrawn() bool
 }
 
 // Memory is this upstream's part of the process's memory for bodies.
 type Memory interface {
 	// Reserve waits for n bytes until the context ends.
 	Reserve(ctx context.Context, n int64) error
-	// Give gives n bytes back.
-	Give(n int64)
+	// Release gives n bytes back.
+	Release(n int64)
 }
 
 // Upstream holds the connections to all backends of a list. It stands in for http.Transport, which by
@@ -76,9 +76,9 @@
 	begins  sync.RWMutex // held to read while a request begins, and together with Upstream.mu to change the epoch
 	idle    []*conn      // the most recently used last
 
-	unreachable bool          // the last connection has not come up
-	dials       start.Dials   // with Config.Paced
-	moved       chan struct{} // closed when a connection has come up, has failed or stands idle; nil: nobody waits for that
+	unreachable bool              // the last connection has not come up
+	dials       start.DialLimiter // with Config.Paced
+	moved       chan struct{}     // closed when a connection has come up, has failed or stands idle; nil: nobody waits for that
 }
 
 // wake wakes those that wait for a connection.
@@ -103,18 +103,18 @@
 
 // Config is what an Upstream is made of.
 type Config struct {
-	DialTimeout time.Duration // a connection that is not up by then has failed
-	IdleClose   time.Duration // a backend closes a connection that has been idle this long
-	Rest        time.Duration // between an answer and the next request on its connection; see RestSpoilt
-	Quota       Quota
-	Memory      Memory
-	MaxAnswer   int64 // bytes of an answer's body; a longer one is an error
-	Free        int64 // bytes of a body that is not counted in Memory
-	Hold        bool  // Memory is given back by the reply's Release, not once the body has been read
-	// Once tells whether a request of a class may not be sent again once it may have run; nil: none is such.
-	Once    func(class int) bool
-	PassAll bool // replies of all kinds go on with their header; otherwise those with 200 and Content-Type alone
-	Paced   bool // connections to a backend that has not shown itself yet are opened a few at a time: see start.Dials
+	DialTimeout      time.Duration // a connection that is not up by then has failed
+	IdleClose        time.Duration // a backend closes a connection that has been idle this long
+	ReuseDelay       time.Duration // between an answer and the next request on its connection; see RestSpoilt
+	Quota            Quota
+	Memory           Memory
+	MaxResponse      int64 // bytes of an answer's body; a longer one is an error
+	UncountedBody    int64 // bytes of a body that is not counted in Memory
+	HoldUntilRelease bool  // Memory is given back by the reply's Release, not once the body has been read
+	// IsNonIdempotent tells whether a request of a class may not be sent again once it may have run; nil: none is such.
+	IsNonIdempotent func(class int) bool
+	PassAllStatuses bool // replies of all kinds go on with their header; otherwise those with 200 and Content-Type alone
+	LimitDials      bool // connections to a backend that has not shown itself yet are opened a few at a time: see start.Dials
 }
 
 // New returns an Upstream that knows no backend.
@@ -123,9 +123,9 @@
 	return &Upstream{cfg: cfg, dialer: d.DialContext, idleFor: cfg.IdleClose * 3 / 4, freshFor: freshFor, byName: map[string]*backend{}}
 }
 
-// Apply implements core.Upstream. Connections that stand idle to a backend which has restarted, moved,
+// UpdateEndpoints implements core.Upstream. Connections that stand idle to a backend which has restarted, moved,
 // drained or gone are closed: nothing new is to go there, or the process at their other end is no more.
-func (p *Upstream) Apply(full bool, entries []membership.Endpoint) {
+func (p *Upstream) UpdateEndpoints(full bool, entries []membership.Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range entries {
@@ -164,7 +164,7 @@
 	b.epoch++
 	b.begins.Unlock()
 	b.unreachable = false
-	b.dials.Forget()
+	b.dials.Reset()
 	b.wake()
 	for _, c := range b.idle {
 		p.closeLocked(c)
@@ -180,8 +180,8 @@
 	epoch   int
 }
 
-// Open implements core.Upstream.
-func (p *Upstream) Open(name string) core.Way {
+// RoundTripper implements core.Upstream.
+func (p *Upstream) RoundTripper(name string) core.RoundTripper {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.byName[name]
@@ -208,7 +208,7 @@
 	now := time.Now()
 	for i := len(b.idle) - 1; i >= 0; i-- {
 		c := b.idle[i]
-		if now.Sub(c.since) < p.cfg.Rest {
+		if now.Sub(c.since) < p.cfg.ReuseDelay {
 			continue
 		}
 		b.idle = slices.Delete(b.idle, i, i+1)
@@ -225,7 +225,7 @@
 // 9.3.1). Where that has happened lately, what may not be sent again goes over a new connection, which costs a
 // handshake and not the request.
 func (p *Upstream) fresh(class int) bool {
-	if p.cfg.Once == nil || !p.cfg.Once(class) {
+	if p.cfg.IsNonIdempotent == nil || !p.cfg.IsNonIdempotent(class) {
 		return false
 	}
 	p.mu.Lock()
@@ -263,7 +263,7 @@
 	}
 	p.mu.Unlock()
 	if err != nil {
-		p.cfg.Quota.Give()
+		p.cfg.Quota.Release()
 		return nil, fmt.Errorf("dial %s: %w", b.name, err)
 	}
 	return &conn{Conn: nc, raw: raw, r: bufio.NewReaderSize(nc, answerHead), of: b, epoch: epoch}, nil
@@ -272,21 +272,21 @@
 // reserve counts a connection in. At the limit the one that has been idle longest makes room.
 func (p *Upstream) reserve() bool {
 	for range reserveTries {
-		if p.cfg.Quota.Take() {
+		if p.cfg.Quota.Acquire() {
 			p.mu.Lock()
 			p.open++
 			p.mu.Unlock()
 			return true
 		}
-		if !p.Shed() {
+		if !p.CloseOldestIdle() {
 			return false
 		}
 	}
 	return false
 }
 
-// Shed closes the connection that has been idle longest, and is false if there is none.
-func (p *Upstream) Shed() bool {
+// CloseOldestIdle closes the connection that has been idle longest, and is false if there is none.
+func (p *Upstream) CloseOldestIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var oldest *backend
@@ -307,7 +307,7 @@
 func (p *Upstream) keep(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.of.epoch != c.epoch || !c.of.ready || p.cfg.Quota.Owes() {
+	if c.of.epoch != c.epoch || !c.of.ready || p.cfg.Quota.Overdrawn() {
 		p.closeLocked(c)
 		return
 	}
@@ -326,11 +326,11 @@
 func (p *Upstream) closeLocked(c *conn) {
 	c.Close()
 	p.open--
-	p.cfg.Quota.Give()
+	p.cfg.Quota.Release()
 }
 
-// Sweep closes the idle connections whose time is up or whose peer has closed them.
-func (p *Upstream) Sweep(now time.Time) {
+// CloseExpired closes the idle connections whose time is up or whose peer has closed them.
+func (p *Upstream) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, b := range p.byName {
@@ -367,20 +367,20 @@
 	return s
 }
 
-// Carry implements core.Way.
-func (w *way) Carry(a *core.Attempt) core.Result {
+// RoundTrip implements core.Way.
+func (w *way) RoundTrip(a *core.Attempt) core.AttemptResult {
 	fresh := w.pool.fresh(a.Class)
 	c, kept, err := w.connect(a, fresh)
 	if err != nil {
-		if a.Stopped() || errors.Is(err, errNoSockets) || errors.Is(err, errMoved) {
-			return core.Result{Status: logic.Moot} // stopped before anything was sent, or no fault of the backend's
+		if a.Canceled() || errors.Is(err, errNoSockets) || errors.Is(err, errMoved) {
+			return core.AttemptResult{Status: logic.NotSent} // stopped before anything was sent, or no fault of the backend's
 		}
-		return core.Result{Status: logic.ConnectFailed}
+		return core.AttemptResult{Status: logic.ConnectFailed}
 	}
 	// A dial takes time. What has ended, drained or gone meanwhile gets nothing new; send looks again.
-	if a.Stopped() || a.Late() || !w.pool.current(w.backend, w.epoch) {
+	if a.Canceled() || a.DeadlinePassed() || !w.pool.current(w.backend, w.epoch) {
 		w.pool.keep(c)
-		return core.Result{Status: logic.Moot}
+		return core.AttemptResult{Status: logic.NotSent}
 	}
 	res, keep := w.exchange(a, c)
 	if kept && res.Status == logic.Reset && !c.begun {
@@ -410,7 +410,7 @@
 	}
 	ctx, done := a.Context()
 	defer done()
-	if !p.cfg.Paced {
+	if !p.cfg.LimitDials {
 		c, err = p.dial(ctx, w.backend, w.addr, w.epoch)
 		return c, false, err
 	}
@@ -446,7 +446,7 @@
 	if b.epoch != w.epoch {
 		return nil, errMoved
 	}
-	ok, wait := b.dials.May(time.Now())
+	ok, wait := b.dials.Allow(time.Now())
 	switch {
 	case ok:
 		return nil, nil
@@ -466,7 +466,7 @@
 	defer p.mu.Unlock()
 	if b.epoch == w.epoch {
 		failed := err != nil && !given && !errors.Is(err, errNoSockets)
-		b.dials.Ended(time.Now(), err == nil, failed)
+		b.dials.Done(time.Now(), err == nil, failed)
 	}
 	b.wake()
 }
--- a/internal/upstream/http1/upstream_test.go
+++ b/internal/upstream/http1/upstream_test.go
@@ -50,7 +50,7 @@
 	most, has int
 }
 
-func (q *fixed) Take() bool {
+func (q *fixed) Acquire() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.has == q.most {
@@ -59,8 +59,8 @@
 	q.has++
 	return true
 }
-func (q *fixed) Give()      { q.mu.Lock(); q.has--; q.mu.Unlock() }
-func (q *fixed) Owes() bool { return false }
+func (q *fixed) Release()        { q.mu.Lock(); q.has--; q.mu.Unlock() }
+func (q *fixed) Overdrawn() bool { return false }
 
 // slots is memory for so many answers of whatever size.
 type slots chan struct{}
@@ -73,31 +73,31 @@
 		return ctx.Err()
 	}
 }
-func (s slots) Give(int64) { <-s }
+func (s slots) Release(int64) { <-s }
 
 func poolWith(most int, addrs ...string) *Upstream {
-	p := New(Config{DialTimeout: 5 * time.Second, IdleClose: 40 * time.Second, Rest: RestSpoilt, Quota: &fixed{most: most},
-		Memory: make(slots, 1), MaxAnswer: maxAnswer, Free: maxBody})
+	p := New(Config{DialTimeout: 5 * time.Second, IdleClose: 40 * time.Second, ReuseDelay: UntrustedReuseDelay, Quota: &fixed{most: most},
+		Memory: make(slots, 1), MaxResponse: maxAnswer, UncountedBody: maxBody})
 	var list []membership.Endpoint
 	for i, a := range addrs {
 		list = append(list, entry(string(rune('a'+i)), a, membership.Serving))
 	}
-	p.Apply(true, list)
+	p.UpdateEndpoints(true, list)
 	return p
 }
 
 // tried is an attempt on the way to a backend of p.
 type tried struct {
 	*core.Attempt
-	way core.Way
+	way core.RoundTripper
 }
 
-func (a tried) run() core.Result { return a.way.Carry(a.Attempt) }
+func (a tried) run() core.AttemptResult { return a.way.RoundTrip(a.Attempt) }
 
 func newAttempt(p *Upstream, name string, left time.Duration) tried {
 	return tried{core.NewAttempt(&core.Request{Request: logic.Request{ID: "1"},
 		Method: http.MethodGet, Target: "/look/k%2f1?x=%20y", Host: "backend.local",
-		Header: []core.Field{{Name: "Request-Id", Value: "1"}}}, time.Now().Add(left)), p.Open(name)}
+		Header: []core.Field{{Name: "Request-Id", Value: "1"}}}, time.Now().Add(left)), p.RoundTripper(name)}
 }
 
 // What comes back decides what the module is told, and with it whether a call may run again.
@@ -112,8 +112,8 @@
 		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", logic.Error},
 		{"an error is never full", "HTTP/1.1 500 Oops\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", logic.Error},
 		{"not found", "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", logic.Error},
-		{"full", "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", logic.FullUp},
-		{"over already", "HTTP/1.1 504 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", logic.FullUp},
+		{"full", "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", logic.Overloaded},
+		{"over already", "HTTP/1.1 504 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", logic.Overloaded},
 		{"503 without the proof", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", logic.Error},
 		{"504 without the proof", "HTTP/1.1 504 No\r\nNot-Started: 0\r\nContent-Length: 0\r\n\r\n", logic.Error},
 		{"closed", "", logic.Reset},
@@ -143,7 +143,7 @@
 			b := backendtest.Start(t, backendtest.Says(c.text, false))
 			p := poolWith(4, b.Addr)
 			res := newAttempt(p, "a", patience).run()
-			if res.Status != c.want || c.want == logic.OK && string(res.Reply.Body) != "ok" {
+			if res.Status != c.want || c.want == logic.OK && string(res.Response.Body) != "ok" {
 				t.Errorf("got %+v, want %v", res, c.want)
 			}
 			if n := b.Requests.Load(); n != 1 {
@@ -161,8 +161,8 @@
 		var all sync.WaitGroup
 		for range 4 {
 			all.Go(func() {
-				if res := newAttempt(p, "a", patience).run(); res.Status != logic.OK || len(res.Reply.Body) != size {
-					t.Errorf("%d bytes: got %v with %d", size, res.Status, len(res.Reply.Body))
+				if res := newAttempt(p, "a", patience).run(); res.Status != logic.OK || len(res.Response.Body) != size {
+					t.Errorf("%d bytes: got %v with %d", size, res.Status, len(res.Response.Body))
 				}
 			})
 		}
@@ -214,7 +214,7 @@
 			p := poolWith(100, b.Addr)
 			for n := range 60 {
 				res := newAttempt(p, "a", patience).run()
-				if res.Status != logic.OK || string(res.Reply.Body) != fmt.Sprintf("%04d", n+1) {
+				if res.Status != logic.OK || string(res.Response.Body) != fmt.Sprintf("%04d", n+1) {
 					t.Fatalf("request %d: got %+v", n+1, res)
 				}
 			}
@@ -259,11 +259,11 @@
 	})
 	p := poolWith(4, b.Addr)
 	a := newAttempt(p, "a", patience)
-	results := make(chan core.Result, 1)
+	results := make(chan core.AttemptResult, 1)
 	go func() { results <- a.run() }()
 	wait(t, "request", came)
-	a.Stop()
-	if res := wait(t, "result", results); res.Status != logic.Cancelled {
+	a.Cancel()
+	if res := wait(t, "result", results); res.Status != logic.Canceled {
 		t.Errorf("got %v", res.Status)
 	}
 	if err := wait(t, "end of the connection", gone); err == nil {
@@ -289,7 +289,7 @@
 	if b.Requests.Load() != 3 || b.Conns.Load() != 3 {
 		t.Errorf("%d requests on %d connections", b.Requests.Load(), b.Conns.Load())
 	}
-	p.Sweep(time.Now())
+	p.CloseExpired(time.Now())
 	if p.open != 0 {
 		t.Errorf("%d connections open after the sweep", p.open)
 	}
@@ -301,7 +301,7 @@
 	defer p.mu.Unlock()
 	for _, b := range p.byName {
 		for _, c := range b.idle {
-			c.since = c.since.Add(-RestSpoilt)
+			c.since = c.since.Add(-UntrustedReuseDelay)
 		}
 	}
 }
@@ -353,7 +353,7 @@
 	}
 	b := backendtest.Start(t, reply)
 	p := poolWith(4, b.Addr)
-	p.cfg.Once = func(class int) bool { return class == 1 }
+	p.cfg.IsNonIdempotent = func(class int) bool { return class == 1 }
 	run := func(class int) logic.Status {
 		rested(p)
 		a := newAttempt(p, "a", patience)
@@ -401,7 +401,7 @@
 		t.Error("not the most recent one of those that have rested")
 	}
 	p.keep(two[1])
-	p.Sweep(time.Now().Add(p.idleFor))
+	p.CloseExpired(time.Now().Add(p.idleFor))
 	if len(e.idle) != 0 || p.open != 0 {
 		t.Errorf("%d idle, %d open", len(e.idle), p.open)
 	}
@@ -411,15 +411,15 @@
 func TestNothingIsSentAfterADialThatTookTooLong(t *testing.T) {
 	for name, meanwhile := range map[string]func(p *Upstream, a tried){
 		"drained": func(p *Upstream, a tried) {
-			p.Apply(false, []membership.Endpoint{entry("a", a.way.(*way).addr, membership.Draining)})
+			p.UpdateEndpoints(false, []membership.Endpoint{entry("a", a.way.(*way).addr, membership.Draining)})
 		},
-		"gone": func(p *Upstream, a tried) { p.Apply(true, nil) },
+		"gone": func(p *Upstream, a tried) { p.UpdateEndpoints(true, nil) },
 		"restarted": func(p *Upstream, a tried) {
 			e := entry("a", a.way.(*way).addr, membership.Serving)
 			e.SinceMs = 7
-			p.Apply(false, []membership.Endpoint{e})
+			p.UpdateEndpoints(false, []membership.Endpoint{e})
 		},
-		"stopped": func(_ *Upstream, a tried) { a.Stop() },
+		"stopped": func(_ *Upstream, a tried) { a.Cancel() },
 		"late":    func(_ *Upstream, a tried) { a.Deadline = time.Now() },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -432,10 +432,10 @@
 				meanwhile(p, a)
 				return c, err
 			}
-			if res := a.run(); res.Status != logic.Moot {
+			if res := a.run(); res.Status != logic.NotSent {
 				t.Errorf("got %v", res.Status)
 			}
-			p.Apply(true, nil) // closes what is idle
+			p.UpdateEndpoints(true, nil) // closes what is idle
 			wait(t, "close", b.Closed)
 			if b.Requests.Load() != 0 || p.open != 0 {
 				t.Errorf("%d requests came, %d connections open", b.Requests.Load(), p.open)
@@ -451,14 +451,14 @@
 		t.Fatalf("got %v", res.Status)
 	}
 	held := newAttempt(p, "b", patience)
-	results := make(chan core.Result, 1)
+	results := make(chan core.AttemptResult, 1)
 	go func() { results <- held.run() }()
 	wait(t, "close of the idle connection", quick.Closed)
 	waitUntil(t, func() bool { return slow.Requests.Load() == 1 })
-	if res := newAttempt(p, "a", patience).run(); res.Status != logic.Moot {
+	if res := newAttempt(p, "a", patience).run(); res.Status != logic.NotSent {
 		t.Errorf("over the limit: got %v", res.Status)
 	}
-	held.Stop()
+	held.Cancel()
 	wait(t, "result", results)
 	if res := newAttempt(p, "a", patience).run(); res.Status != logic.OK {
 		t.Errorf("with room again: got %v", res.Status)
--- a/logic/cold_test.go
+++ b/logic/cold_test.go
@@ -19,28 +19,28 @@
 func (d coldDay) play(t *testing.T, seconds float64) (cold, refused float64) {
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(1, 2))
-	var servers []Server
+	var servers []Endpoint
 	for i := range d.servers {
-		s := Server{ID: fmt.Sprintf("s%d", i), State: Ready, Size: 1}
+		s := Endpoint{ID: fmt.Sprintf("s%d", i), State: Ready, Weight: 1}
 		if i >= d.warm {
-			s.Launched = start
+			s.StartedAt = start
 		}
 		servers = append(servers, s)
 	}
-	set := Settings{Siblings: d.copies, Zones: 1, MaxAttempts: 1, StartCapacity: 0.25, Cold: 1e9, Stage: d.stage, ColdEvenly: d.lasts > 0,
-		Classes: []Class{{Aim: 1e6, Deadline: 2e6, Worth: 1}}, Tenants: []Tenant{{Portion: 1, Quota: d.quota}}}
+	set := Settings{Replicas: d.copies, Zones: 1, MaxAttempts: 1, SlowStartMinCapacity: 0.25, SlowStartWindow: 1e9, Tier: d.stage, ColdEvenly: d.lasts > 0,
+		Classes: []Class{{LatencyObjective: 1e6, Deadline: 2e6, PriorityWeight: 1}}, Tenants: []Tenant{{CapacityFraction: 1, Quota: d.quota}}}
 	isCold := map[string]bool{}
 	for _, s := range servers {
-		isCold[s.ID] = s.Launched > 0
+		isCold[s.ID] = s.StartedAt > 0
 	}
 	var all []*Balancer
 	for i := range d.copies {
-		set.Ordinal = i
+		set.ReplicaIndex = i
 		b, err := New(set, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.List(start, &recorder{}, Full, servers)
+		b.UpdateEndpoints(start, &recorder{}, Snapshot, servers)
 		all = append(all, b)
 	}
 	n, sent, left := int(d.asked*seconds), 0, 0
@@ -52,7 +52,7 @@
 	}
 	var out []call
 	end := func(c call) {
-		c.b.Outcome(c.at, &recorder{}, Outcome{ID: c.id, Status: OK, Took: 250_000, Closed: true})
+		c.b.Outcome(c.at, &recorder{}, Outcome{ID: c.id, Status: OK, Latency: 250_000, RequestDone: true})
 	}
 	for i := range n {
 		now += int64(rnd.ExpFloat64() / d.asked * 1e6)
@@ -62,10 +62,10 @@
 		}
 		b, h := all[rnd.IntN(len(all))], &recorder{}
 		id := fmt.Sprint(i)
-		b.Request(now, h, Request{ID: id, GiveUp: now + 2_000_000})
+		b.Request(now, h, Request{ID: id, ClientDeadline: now + 2_000_000})
 		if len(h.sends) == 0 {
-			if left++; d.lasts == 0 && b.Cause() != ByCold && b.Cause() != ByTenant {
-				t.Fatalf("refused by %v", b.Cause())
+			if left++; d.lasts == 0 && b.ShedCause() != BySlowStart && b.ShedCause() != ByTenantQuota {
+				t.Fatalf("refused by %v", b.ShedCause())
 			}
 			continue
 		}
@@ -107,11 +107,11 @@
 		}
 	}
 	b, h := with(t, testSettings(), 0) // which names no tenants
-	b.List(start, h, Full, []Server{{ID: "a", State: Ready, Size: 1, Launched: start}})
+	b.UpdateEndpoints(start, h, Snapshot, []Endpoint{{ID: "a", State: Ready, Weight: 1, StartedAt: start}})
 	for i := range 50 {
 		if ask(b, h, start+int64(i)*1000, fmt.Sprint(i), 0); len(h.sends) != i+1 {
 			t.Fatalf("call %d to the only server, a cold one: %s", i, h.last())
 		}
-		b.Outcome(start+int64(i)*1000, h, Outcome{ID: fmt.Sprint(i), Status: OK, Took: 250_000, Closed: true})
+		b.Outcome(start+int64(i)*1000, h, Outcome{ID: fmt.Sprint(i), Status: OK, Latency: 250_000, RequestDone: true})
 	}
 }
--- a/logic/crowd_test.go
+++ b/logic/crowd_test.go
@@ -17,7 +17,7 @@
 	done := 0
 	settle := func(until int64) {
 		for ; len(out) > 0 && out[0].at <= until; out = out[1:] {
-			b.Outcome(out[0].at, h, Outcome{ID: out[0].id, Status: end(done), Took: took, Closed: true})
+			b.Outcome(out[0].at, h, Outcome{ID: out[0].id, Status: end(done), Latency: took, RequestDone: true})
 			done++
 		}
 	}
@@ -25,7 +25,7 @@
 		now += gap
 		settle(now)
 		id, before := fmt.Sprint("f", now), len(h.sends)
-		b.Request(now, h, Request{ID: id, Class: 0, Tenant: -1, GiveUp: now + 10*second})
+		b.Request(now, h, Request{ID: id, Class: 0, Tenant: -1, ClientDeadline: now + 10*second})
 		if len(h.sends) > before {
 			out = append(out, call{id, now + took})
 		}
@@ -39,9 +39,9 @@
 // crowded has settings with room: calls take a tenth of their aim while little waits.
 func crowded() Settings {
 	s := testSettings()
-	s.Siblings = 4 // no call of one copy can be sure that little waits
+	s.Replicas = 4 // no call of one copy can be sure that little waits
 	for i := range s.Classes {
-		s.Classes[i].Aim, s.Classes[i].Deadline = 3*second, 6*second
+		s.Classes[i].LatencyObjective, s.Classes[i].Deadline = 3*second, 6*second
 	}
 	return s
 }
@@ -55,7 +55,7 @@
 	if c := &b.classes[0]; c.base > 450_000 || c.mean < 800_000 {
 		t.Errorf("after ten seconds of a jam: %.0f us under little load, mean %.0f us", c.base, c.mean)
 	}
-	if bar := b.lateBar(0); bar > 900_000 {
+	if bar := b.lateThreshold(0); bar > 900_000 {
 		t.Errorf("a call of the jam is not late before %.0f us", bar)
 	}
 	now = finishes(b, h, now, 100, 200_000, 100_000, served)
@@ -73,7 +73,7 @@
 // fleet that has lost its fast servers would else count as crowded for a minute.
 func TestCallsThatMetNothingMoveTheLightTime(t *testing.T) {
 	s := crowded()
-	s.Siblings = 1
+	s.Replicas = 1
 	b, h := with(t, s, 8)
 	now := finishes(b, h, start, 100, 10_000, 300_000, served)
 	finishes(b, h, now, 300, 150_000, 900_000, served) // six at a time over eight servers, for 45 s
@@ -106,9 +106,9 @@
 
 // A third of a round late and another third failed is neither a jam nor a tier that fails.
 func TestLateFinishesAndFailuresAreNotAddedUp(t *testing.T) {
-	feed := func(late, fail func(i int) bool) *threadRule {
+	feed := func(late, fail func(i int) bool) *concurrencyLimit {
 		ev := round{allowed: badPart, span: second}
-		r := &threadRule{count: startCount, least: minCount, ev: ev, fails: ev}
+		r := &concurrencyLimit{count: startCount, least: minCount, ev: ev, fails: ev}
 		for range 20 {
 			r.enter()
 		}
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -145,17 +145,17 @@
 	return 1 - cutDepth*part
 }
 
-func newRule(allowed, least float64, span int64) threadRule {
-	return threadRule{count: startCount, least: least, ev: round{allowed: allowed, span: span, by: Late},
-		fails: round{allowed: allowed, span: span, by: Failures}}
+func newRule(allowed, least float64, span int64) concurrencyLimit {
+	return concurrencyLimit{count: startCount, least: least, ev: round{allowed: allowed, span: span, by: LateEvidence},
+		fails: round{allowed: allowed, span: span, by: FailureEvidence}}
 }
 
 // canPass lets a fractional count work: its fraction is the chance u of one call more. A sparse copy with
 // two calls in flight could otherwise shed nothing or half.
-func (r *threadRule) canPass(u float64) bool { return float64(r.threads)+1 <= r.count+u }
+func (r *concurrencyLimit) canPass(u float64) bool { return float64(r.threads)+1 <= r.count+u }
 
 // learn takes one finish; light is the time of usual calls, as a part of the aim.
-func (r *threadRule) learn(ev *round, now, sent int64, bad bool, light float64) {
+func (r *concurrencyLimit) learn(ev *round, now, sent int64, bad bool, light float64) {
 	f := r.judge(ev, now, sent, bad)
 	if f == 0 {
 		return
@@ -175,8 +175,8 @@
 // judge takes one finish to a round of evidence. A count that such evidence has cut is doubled by each good
 // round until it is back, and while that lasts few finishes make one if none is bad: with a call or two out,
 // a full round would take longer than most troubles do.
-func (r *threadRule) judge(ev *round, now, sent int64, bad bool) (factor float64) {
-	back := r.last.By == ev.by && r.goal > r.count
+func (r *concurrencyLimit) judge(ev *round, now, sent int64, bad bool) (factor float64) {
+	back := r.last.Evidence == ev.by && r.goal > r.count
 	if ev.clean = 0; back {
 		ev.clean = max(cleanLeast, min(2*r.count, roundSize))
 	}
@@ -187,17 +187,17 @@
 }
 
 // shrink cuts a count after a bad round, which is one whose factor is neither 0 nor 1.
-func (r *threadRule) shrink(f float64, ev *round) {
+func (r *concurrencyLimit) shrink(f float64, ev *round) {
 	if f > 0 && f < 1 {
 		from := min(r.count, float64(r.peak))
 		r.count, r.cut = max(r.least, from*f), true
 		switch r.goal = max(r.goal, from); ev.by {
-		case Late: // what was out was too much: back it goes by steps alone
+		case LateEvidence: // what was out was too much: back it goes by steps alone
 			r.goal = 0
-		case Yielding:
+		case PriorityEvidence:
 			r.goal = yieldBack * from
 		}
-		r.last = Cut{At: ev.since, By: ev.by, Of: ev.of[0], Bad: ev.of[1], From: from, To: r.count}
+		r.last = LimitCut{At: ev.since, Evidence: ev.by, Total: ev.of[0], Bad: ev.of[1], From: from, To: r.count}
 	}
 }
 
@@ -208,7 +208,7 @@
 // The window holds what passed at other multiples of the shares too, each call by what it was of its
 // multiple's share: counted one for one, calls that passed at twice the share would bar all others for
 // seconds once it is cut to a half.
-func (r *originRule) canPass(now, born int64, full, share, room, u float64) bool {
+func (r *tenantRateLimit) canPass(now, born int64, full, share, room, u float64) bool {
 	span, count := second, share*full
 	for span < windowWhole && count*float64(span/second) < windowHold && now-born >= span {
 		span *= 2
@@ -224,7 +224,7 @@
 	if b.share >= 1 {
 		part = max(part, b.came.at(now))
 	}
-	part *= b.s.Tenants[tenant].Portion
+	part *= b.s.Tenants[tenant].CapacityFraction
 	if b.tenants[tenant].came.at(now) > part+chanceRoom*math.Sqrt(part)+1 {
 		return 0
 	}
@@ -238,27 +238,27 @@
 	}
 	b := &Balancer{s: s, rnd: rand.New(rand.NewPCG(seed, seed)), byID: map[string]*server{},
 		reqs: map[string]*request{}, turns: map[string]*turn{}, backoff: watchFirst,
-		tenants: make([]originRule, len(s.Tenants)), classes: make([]classState, len(s.Classes))}
-	if s.BudgetSpan == 0 {
-		b.s.BudgetSpan, b.s.BudgetFree, b.s.BudgetShare = ownSpan, ownFree, ownShare
+		tenants: make([]tenantRateLimit, len(s.Tenants)), classes: make([]classState, len(s.Classes))}
+	if s.RetryBudgetWindow == 0 {
+		b.s.RetryBudgetWindow, b.s.RetryBudgetMin, b.s.RetryBudgetRatio = ownSpan, ownFree, ownShare
 	}
 	allowed, least := badPart, minCount
 	b.share, b.spill, b.shareBad = shareStart, spillStart, sharePress
-	if s.Stage > 0 {
+	if s.Tier > 0 {
 		allowed, least = hopeless, deepCount
 		b.share, b.spill, b.shareBad = shareDeep, spillLow, shareDeep
 	}
 	b.shareMost = b.share
 	for _, t := range s.Tenants { // a copy that carries more than its part learns a higher multiple
-		b.fair += t.Quota / float64(s.Siblings)
+		b.fair += t.Quota / float64(s.Replicas)
 	}
 	for i, c := range s.Classes {
-		first := firstMean * float64(c.Aim)
-		span := roundSpan * c.Aim
+		first := firstMean * float64(c.LatencyObjective)
+		span := roundSpan * c.LatencyObjective
 		rule := newRule(allowed, least, span)
 		b.shareEv.span = max(b.shareEv.span, span)
 		b.classes[i] = classState{rule: rule, mean: first, base: first}
-		b.classes[i].yield = round{allowed: slowMuch, span: span, by: Yielding}
+		b.classes[i].yield = round{allowed: slowMuch, span: span, by: PriorityEvidence}
 	}
 	b.tier = newRule(allowed, least, b.shareEv.span)
 	b.shareEv.allowed = slowMuch
@@ -266,13 +266,13 @@
 	return b, nil
 }
 
-// List takes a list of servers or its changes.
-func (b *Balancer) List(now int64, h Host, kind ListKind, entries []Server) {
-	if kind == Failed {
+// UpdateEndpoints takes a list of servers or its changes.
+func (b *Balancer) UpdateEndpoints(now int64, h Host, kind UpdateKind, entries []Endpoint) {
+	if kind == UpdateFailed {
 		b.overdue = cmp.Or(b.overdue, now)
 		if b.asked { // many copies keep the list busy: back off, one ask at a time
 			h.SetTimer(b.backoff+b.rnd.Int64N(b.backoff), watchToken)
-			b.backoff = max(watchFirst, min(2*b.backoff, b.s.AskEvery/watchPart))
+			b.backoff = max(watchFirst, min(2*b.backoff, b.s.PollInterval/watchPart))
 		}
 		b.asked = false
 		return
@@ -280,61 +280,61 @@
 	b.listed, b.overdue = now, 0
 	for _, s := range b.byID {
 		if s.doubtful = false; kind != Delta { // any list comes from a source that knows better
-			s.State = Gone // unless listed below
+			s.State = Removed // unless listed below
 		}
 	}
 	for _, e := range entries {
-		b.enter(e).doubtful = kind == Recalled
+		b.enter(e).doubtful = kind == RestoredSnapshot
 	}
 	if kind == Delta {
-		b.amend(entries)
+		b.applyDelta(entries)
 	} else {
-		b.relist()
+		b.rebuildRing()
 	}
-	b.rotate()
-	if b.s.Subscribe && !b.asked {
+	b.selectSubset()
+	if b.s.WatchEndpoints && !b.asked {
 		b.asked = true
-		h.Watch()
+		h.WatchEndpoints()
 	}
 	b.backoff = watchFirst
 }
 
 // enter takes one entry of a list. What was learned of a server is dropped when its process restarts.
-func (b *Balancer) enter(e Server) *server {
+func (b *Balancer) enter(e Endpoint) *server {
 	s := b.byID[e.ID]
 	if s == nil {
 		s = &server{hash: hash(e.ID)}
 		b.byID[e.ID] = s
 	}
-	if s.ID == "" || s.Launched != e.Launched {
+	if s.ID == "" || s.StartedAt != e.StartedAt {
 		s.forget(len(b.classes))
 	}
-	s.Server = e
+	s.Endpoint = e
 	return s
 }
 
-// Doubts tells whether a server may be another service's by now: see Recalled.
-func (b *Balancer) Doubts(id string) bool {
+// Unverified tells whether a server may be another service's by now: see Recalled.
+func (b *Balancer) Unverified(id string) bool {
 	s := b.byID[id]
 	return s != nil && s.doubtful
 }
 
-// relist forgets gone servers and gathers the ready ones. Rule 3 holds with no grace used: a server is
+// rebuildRing forgets gone servers and gathers the ready ones. Rule 3 holds with no grace used: a server is
 // out of the draw from the moment that the list says that it drains or is gone.
-func (b *Balancer) relist() {
+func (b *Balancer) rebuildRing() {
 	b.ring = b.ring[:0]
 	for id, s := range b.byID {
 		if s.State == Ready {
 			b.ring = append(b.ring, s)
-		} else if s.State == Gone {
+		} else if s.State == Removed {
 			delete(b.byID, id)
 		}
 	}
 	slices.SortFunc(b.ring, ringOrder)
 }
 
-// amend is relist where a few entries have changed.
-func (b *Balancer) amend(entries []Server) {
+// applyDelta is relist where a few entries have changed.
+func (b *Balancer) applyDelta(entries []Endpoint) {
 	for _, e := range entries {
 		s := b.byID[e.ID]
 		if s == nil {
@@ -346,7 +346,7 @@
 		} else if s.State != Ready && there {
 			b.ring = slices.Delete(b.ring, i, i+1)
 		}
-		if s.State == Gone {
+		if s.State == Removed {
 			delete(b.byID, s.ID)
 		}
 	}
@@ -356,12 +356,12 @@
 	return cmp.Or(cmp.Compare(x.hash, y.hash), cmp.Compare(x.ID, y.ID))
 }
 
-// rotate orders the ready servers so that this copy's subset comes first: they stand on a ring in the order
+// selectSubset orders the ready servers so that this copy's subset comes first: they stand on a ring in the order
 // of their hashes, and copies start at places spread over it. With many copies each server would otherwise
 // hold a connection of every one, which costs it capacity and turns new ones away, and each copy would see
 // too few calls to a server to judge it.
-func (b *Balancer) rotate() {
-	_, start := math.Modf(float64(b.s.Ordinal) * golden)
+func (b *Balancer) selectSubset() {
+	_, start := math.Modf(float64(b.s.ReplicaIndex) * golden)
 	first := int(start * float64(len(b.ring)))
 	b.ready = append(append(b.ready[:0], b.ring[first:]...), b.ring[:first]...)
 }
@@ -376,11 +376,11 @@
 func (b *Balancer) Timer(now int64, h Host, token string) {
 	if token == watchToken && !b.asked {
 		b.asked = true
-		h.Watch()
+		h.WatchEndpoints()
 	} else if id, ok := strings.CutPrefix(token, heldToken); ok {
 		if q := b.reqs[id]; q != nil && !q.over && len(q.attempts) == 0 {
-			b.cause = ByTurn
-			b.refuse(now, h, q)
+			b.cause = ByOrdering
+			b.shed(now, h, q)
 		}
 	} else if key, ok := strings.CutPrefix(token, turnToken); ok && b.turns[key] != nil {
 		b.next(now, h, b.turns[key])
@@ -397,16 +397,16 @@
 		h.Fail(r.ID)
 		return
 	}
-	b.watch(now)
+	b.sweepSlowAttempts(now)
 	b.born = cmp.Or(b.born, now)
-	b.taken.add(now, b.s.BudgetSpan)
+	b.taken.add(now, b.s.RetryBudgetWindow)
 	b.came.add(now)
 	q := &request{Request: r, came: now}
 	if t := b.origin(q); t != nil {
 		t.came.add(now)
 	}
 	b.reqs[r.ID] = q
-	if r.Key == "" || !b.s.Classes[r.Class].ByArrival {
+	if r.Key == "" || !b.s.Classes[r.Class].Ordered {
 		b.start(now, h, q)
 		return
 	}
@@ -416,8 +416,8 @@
 	}
 	last := float64(b.deadline(q)-now) - leastMeans*b.classes[r.Class].mean
 	if float64(len(q.turn.line)-1)*b.classes[r.Class].mean > last { // this also bounds the line
-		b.cause = ByTurn
-		b.refuse(now, h, q)
+		b.cause = ByOrdering
+		b.shed(now, h, q)
 		return
 	}
 	h.SetTimer(max(int64(last), 0), heldToken+q.ID)
@@ -426,7 +426,7 @@
 // start checks the rules and sends a request's first attempt, or refuses it.
 func (b *Balancer) start(now int64, h Host, q *request) {
 	if !b.canPass(now, q) || !b.inTime(now, q) || !b.send(now, h, q) {
-		b.refuse(now, h, q) // for the cause that the check has set
+		b.shed(now, h, q) // for the cause that the check has set
 	} else if t := b.origin(q); t != nil {
 		t.pass.add(now, 1/b.share)
 	}
@@ -440,59 +440,59 @@
 	b.tidy(now, t)
 }
 
-// refuse gives a hint spread so that clients do not return together, nor so late that an answer then misses
+// shed gives a hint spread so that clients do not return together, nor so late that an answer then misses
 // its aim.
-func (b *Balancer) refuse(now int64, h Host, q *request) {
-	most := min(b.s.MaxRetryAfter, int64(hintPart*float64(b.s.Classes[q.Class].Aim)))
-	h.Refuse(q.ID, most/2+b.rnd.Int64N(most/2+1))
+func (b *Balancer) shed(now int64, h Host, q *request) {
+	most := min(b.s.MaxRetryAfter, int64(hintPart*float64(b.s.Classes[q.Class].LatencyObjective)))
+	h.Shed(q.ID, most/2+b.rnd.Int64N(most/2+1))
 	b.finish(now, h, q)
 }
 
 // canPass checks the rules in order.
 func (b *Balancer) canPass(now int64, q *request) bool {
-	if b.cause = ByLines; q.Spare < max(q.Lines/sparePart, min(spareLeast, q.Lines/2)) {
+	if b.cause = ByConnections; q.IdleClientConnections < max(q.ClientConnections/sparePart, min(spareLeast, q.ClientConnections/2)) {
 		return false
 	}
-	if b.cause = ByTier; !b.tier.canPass(b.rnd.Float64()) {
+	if b.cause = ByTierLimit; !b.tier.canPass(b.rnd.Float64()) {
 		return false
 	}
-	b.cause = ByTenant
+	b.cause = ByTenantQuota
 	if t := b.origin(q); t != nil {
-		full, room := b.fair*b.s.Tenants[q.Tenant].Portion, b.room(now, q.Tenant)
+		full, room := b.fair*b.s.Tenants[q.Tenant].CapacityFraction, b.room(now, q.Tenant)
 		if !t.canPass(now, b.born, full, b.share, room, b.rnd.Float64()) {
 			return false
 		}
 	}
-	b.cause = ByClass
+	b.cause = ByClassLimit
 	return b.classes[q.Class].rule.canPass(b.rnd.Float64())
 }
 
 // deadline is when an answer stops being worth anything.
 func (b *Balancer) deadline(q *request) int64 {
 	k := b.s.Classes[q.Class]
-	if b.s.Stage == 0 && k.LateWorth == 0 {
-		return min(q.GiveUp, q.came+k.Aim)
+	if b.s.Tier == 0 && k.LatePriorityFactor == 0 {
+		return min(q.ClientDeadline, q.came+k.LatencyObjective)
 	}
-	return q.GiveUp
+	return q.ClientDeadline
 }
 
 // inTime tells whether a request can still be answered while that is worth something.
 func (b *Balancer) inTime(now int64, q *request) bool {
-	b.cause = ByTime
+	b.cause = ByDeadline
 	return float64(b.deadline(q)-now) > leastMeans*b.classes[q.Class].mean
 }
 
 // send draws a server and sends an attempt there; false if there is none to send to.
 func (b *Balancer) send(now int64, h Host, q *request) bool {
-	b.cause = ByServers
-	s := b.draw(now, q)
+	b.cause = ByNoEndpoint
+	s := b.pickEndpoint(now, q)
 	if s == nil {
 		return false
 	}
 	a := &attempt{srv: s, sent: now, zone: s.Zone, cell: s.Cell, mayRun: true, out: true,
-		light: (b.tier.threads+1)*b.s.Siblings <= len(b.ready)}
+		light: (b.tier.threads+1)*b.s.Replicas <= len(b.ready)}
 	q.attempts = append(q.attempts, a)
-	if b.s.Stage == 0 {
+	if b.s.Tier == 0 {
 		b.classes[q.Class].waiting = append(b.classes[q.Class].waiting, a)
 	}
 	q.out++
@@ -500,7 +500,7 @@
 	b.tier.enter()
 	b.tier.pass.add(now, 1)
 	b.classes[q.Class].rule.enter()
-	h.Send(q.ID, s.ID, b.timeout(now, q))
+	h.Forward(q.ID, s.ID, b.timeout(now, q))
 	return true
 }
 
@@ -509,8 +509,8 @@
 // longer than half.
 func (b *Balancer) timeout(now int64, q *request) int64 {
 	left, mean := b.deadline(q)-now, b.classes[q.Class].mean
-	if b.s.Classes[q.Class].Repeat != Unsafe && len(q.attempts) < b.s.MaxAttempts {
-		hang := max(hangMeans*mean, hangLeast*float64(b.s.Classes[q.Class].Aim))
+	if b.s.Classes[q.Class].Idempotency != NonIdempotent && len(q.attempts) < b.s.MaxAttempts {
+		hang := max(hangMeans*mean, hangLeast*float64(b.s.Classes[q.Class].LatencyObjective))
 		if b.trial {
 			hang = min(hang, max(float64(left)/2, mean))
 		}
@@ -519,10 +519,10 @@
 	return max(left, 1)
 }
 
-// draw picks a ready server of this copy's subset at random by weight. Failing ones come after all others,
+// pickEndpoint picks a ready server of this copy's subset at random by weight. Failing ones come after all others,
 // and those that the request has tried come last, however empty they are. The subset grows where it has too
 // few warm and healthy servers, or none that the request may go to.
-func (b *Balancer) draw(now int64, q *request) *server {
+func (b *Balancer) pickEndpoint(now int64, q *request) *server {
 	b.weights = b.weights[:0]
 	total, best, room, warm, allCold := 0.0, 0, b.subset(now), 0.0, true
 	if b.s.ColdEvenly {
@@ -532,11 +532,11 @@
 		if room <= 0 && total > 0 {
 			break
 		}
-		part := b.warmth(now, s)
+		part := b.slowStartFactor(now, s)
 		room -= s.healthFor(q.Class) * part
-		w, rank := 0.0, b.rank(now, q, s)
-		if rank >= best && b.mayGo(now, q, s) {
-			w = b.weigh(now, s, q.Class)
+		w, rank := 0.0, b.selectionRank(now, q, s)
+		if rank >= best && b.retryAllowed(now, q, s) {
+			w = b.endpointWeight(now, s, q.Class)
 		}
 		if w > 0 && rank > best { // all before this one come after it
 			clear(b.weights)
@@ -548,8 +548,8 @@
 		b.weights = append(b.weights, w)
 	}
 	s := b.pick(b.rnd.Float64() * total)
-	if s != nil && allCold && b.rnd.Float64() > b.bears(now, warm/float64(len(b.weights))) {
-		s, b.cause = nil, ByCold
+	if s != nil && allCold && b.rnd.Float64() > b.slowStartAdmission(now, warm/float64(len(b.weights))) {
+		s, b.cause = nil, BySlowStart
 	}
 	failed := s != nil && s.healthFor(q.Class) < failing
 	b.trial = failed && best == rankFirst
@@ -559,12 +559,12 @@
 	return s
 }
 
-// bears is the part of the calls that servers can take which are all cold. Beside warm ones their weights see
+// slowStartAdmission is the part of the calls that servers can take which are all cold. Beside warm ones their weights see
 // to it; where there are none, after a release or a loss that all share, the copies of this proxy would send
 // them in sum what warm ones bear. Servers are held to be made for all that the tenants may ask for; a copy
 // that is asked for less sends more of it, and at first it expects to be asked for its part.
-func (b *Balancer) bears(now int64, warmth float64) float64 {
-	if b.s.Stage > 0 || b.fair == 0 {
+func (b *Balancer) slowStartAdmission(now int64, warmth float64) float64 {
+	if b.s.Tier > 0 || b.fair == 0 {
 		return 1 // nothing tells how many calls servers are made for
 	}
 	life := float64(min(now-b.born, tallySpan)) / float64(second)
@@ -572,22 +572,22 @@
 	return warmth / coldMargin * b.fair * (life + coldPrior) / (before + b.fair*coldPrior)
 }
 
-// rank is the order in which servers come into question for a request; the highest goes first.
-func (b *Balancer) rank(now int64, q *request, s *server) int {
+// selectionRank is the order in which servers come into question for a request; the highest goes first.
+func (b *Balancer) selectionRank(now int64, q *request, s *server) int {
 	switch {
-	case q.tried(s), b.mayDrain(now, s):
+	case q.tried(s), b.maybeDraining(now, s):
 		return rankLast
-	case s.healthFor(q.Class) < failing && !b.tryOut(q, s):
+	case s.healthFor(q.Class) < failing && !b.allowProbe(q, s):
 		return rankFailing
 	}
 	return rankFirst
 }
 
-// mayDrain tells whether a server that is listed as ready may be draining or about to end (rule 3), while the
+// maybeDraining tells whether a server that is listed as ready may be draining or about to end (rule 3), while the
 // list that would say so is overdue: it turns away what it is sent, where one that is merely full takes some
 // calls meanwhile; or the list is so old that a change would count as told, and nothing shows that the server
 // still takes calls.
-func (b *Balancer) mayDrain(now int64, s *server) bool {
+func (b *Balancer) maybeDraining(now int64, s *server) bool {
 	if b.overdue == 0 || now-b.overdue >= overdueMost {
 		return false
 	}
@@ -597,19 +597,19 @@
 
 // listIsOld tells whether what has changed since the last list may count as told.
 func (b *Balancer) listIsOld(now int64) bool {
-	return b.s.Subscribe && now-b.listed >= listLasts
+	return b.s.WatchEndpoints && now-b.listed >= listLasts
 }
 
-// tryOut tells whether a failing server may have this call, to show whether it still fails. One that fails
+// allowProbe tells whether a failing server may have this call, to show whether it still fails. One that fails
 // at once is always empty, and would draw most calls by that; so one call in so many goes out for a trial,
 // and none that may not be repeated.
 // One whose repeat may go to few others goes only where those that may go anywhere are rare.
-func (b *Balancer) tryOut(q *request, s *server) bool {
+func (b *Balancer) allowProbe(q *request, s *server) bool {
 	k, due := b.s.Classes[q.Class], trialEvery
-	if k.Repeat == Keyed && k.Group != GroupAll {
+	if k.Idempotency == IdempotentByKey && k.DedupScope != DedupTier {
 		due *= trialBound
 	}
-	return len(q.attempts) == 0 && k.Repeat != Unsafe && b.untried >= due && s.inflight == 0
+	return len(q.attempts) == 0 && k.Idempotency != NonIdempotent && b.untried >= due && s.inflight == 0
 }
 
 // pick returns the ready server at which the sum of weights passes x, or nil if none has weight.
@@ -625,19 +625,19 @@
 	return last
 }
 
-// weigh is a server's weight in the draw: its size, what was learned of it, its age, its zone, and the calls
+// endpointWeight is a server's weight in the draw: its size, what was learned of it, its age, its zone, and the calls
 // of this copy that it already holds. That a cold one holds fewer than others is no sign of room: with
 // ColdEvenly it has no better chance by it than warm ones have in the mean. Otherwise, once each warm one
 // holds a call of each copy, nearly all further calls of all copies would go to the cold ones.
-func (b *Balancer) weigh(now int64, s *server, class int) float64 {
-	part, free := b.warmth(now, s), roomy(float64(s.inflight))
+func (b *Balancer) endpointWeight(now int64, s *server, class int) float64 {
+	part, free := b.slowStartFactor(now, s), roomy(float64(s.inflight))
 	if part < 1 && b.s.ColdEvenly {
 		free = min(b.free, roomy(float64(s.inflight)/part))
 		part *= 1 + (1/coldMargin-1)*(1-b.free) // in a crowd it is loaded as they are, and not spared
 	}
 	w := max(healthFloor, s.healthFor(class)) / (s.slowness * s.slowness) * part * free
-	if b.s.SizeHints && s.Size > 0 {
-		w *= s.Size
+	if b.s.WeightedEndpoints && s.Weight > 0 {
+		w *= s.Weight
 	}
 	if s.Zone != b.s.Zone { // calls stay at home while home copes
 		w *= b.spill
@@ -657,7 +657,7 @@
 func (b *Balancer) warmRoom(now int64, n int) float64 {
 	sum, warm := 0.0, 0.0
 	for _, s := range b.ready[:min(n, len(b.ready))] {
-		if b.warmth(now, s) == 1 {
+		if b.slowStartFactor(now, s) == 1 {
 			sum += roomy(float64(s.inflight))
 			warm++
 		}
@@ -668,41 +668,41 @@
 	return sum / warm
 }
 
-// warmth guards against pushing a cold server over (rule 4): its weight is under the least capacity that
+// slowStartFactor guards against pushing a cold server over (rule 4): its weight is under the least capacity that
 // a server of its age has.
-func (b *Balancer) warmth(now int64, s *server) float64 {
-	age := now - s.Launched
-	if s.Launched == 0 || age >= b.s.Cold {
+func (b *Balancer) slowStartFactor(now int64, s *server) float64 {
+	age := now - s.StartedAt
+	if s.StartedAt == 0 || age >= b.s.SlowStartWindow {
 		return 1
 	}
-	part := float64(max(age, 0)) / float64(b.s.Cold)
-	return coldMargin * (b.s.StartCapacity + (1-b.s.StartCapacity)*part)
+	part := float64(max(age, 0)) / float64(b.s.SlowStartWindow)
+	return coldMargin * (b.s.SlowStartMinCapacity + (1-b.s.SlowStartMinCapacity)*part)
 }
 
-// mayGo keeps rule 2 for a further attempt: once one may have run, an unsafe request goes nowhere, and a
+// retryAllowed keeps rule 2 for a further attempt: once one may have run, an unsafe request goes nowhere, and a
 // keyed one only to the group that drops its repeats, while that remembers it: also when the repeat leaves
 // as late as it may. An unsafe one goes to none that may be another service's by now.
-func (b *Balancer) mayGo(now int64, q *request, s *server) bool {
+func (b *Balancer) retryAllowed(now int64, q *request, s *server) bool {
 	k := b.s.Classes[q.Class]
-	if s.doubtful && k.Repeat == Unsafe {
+	if s.doubtful && k.Idempotency == NonIdempotent {
 		return false
 	}
 	for _, a := range q.attempts {
-		if !a.mayRun || k.Repeat == Safe {
+		if !a.mayRun || k.Idempotency == Idempotent {
 			continue
 		}
-		if k.Repeat == Unsafe || now+b.s.Lag-a.sent >= k.Window ||
-			k.Group == GroupZone && a.zone != s.Zone || k.Group == GroupCell && a.cell != s.Cell {
+		if k.Idempotency == NonIdempotent || now+b.s.MaxSendDelay-a.sent >= k.DedupWindow ||
+			k.DedupScope == DedupZone && a.zone != s.Zone || k.DedupScope == DedupCell && a.cell != s.Cell {
 			return false
 		}
 	}
 	return true
 }
 
-// mayRefuse keeps rule 2 for a refusal, which tells the client that trying again is harmless.
-func (b *Balancer) mayRefuse(q *request) bool {
+// mayShed keeps rule 2 for a refusal, which tells the client that trying again is harmless.
+func (b *Balancer) mayShed(q *request) bool {
 	k := b.s.Classes[q.Class]
-	if k.Repeat == Safe || k.Repeat == Keyed && k.Group == GroupAll {
+	if k.Idempotency == Idempotent || k.Idempotency == IdempotentByKey && k.DedupScope == DedupTier {
 		return true
 	}
 	for _, a := range q.attempts {
@@ -713,15 +713,15 @@
 	return true
 }
 
-// Started takes the news that a streamed answer has begun: from now on that attempt is the client's.
-func (b *Balancer) Started(now int64, id string) {
+// ResponseStarted takes the news that a streamed answer has begun: from now on that attempt is the client's.
+func (b *Balancer) ResponseStarted(now int64, id string) {
 	if q := b.reqs[id]; q != nil {
 		q.over = true
 	}
 }
 
-// Withdrawn takes the news that nobody waits for a request any more.
-func (b *Balancer) Withdrawn(now int64, h Host, id string) {
+// Cancel takes the news that nobody waits for a request any more.
+func (b *Balancer) Cancel(now int64, h Host, id string) {
 	if q := b.reqs[id]; q != nil {
 		b.finish(now, h, q)
 	}
@@ -734,10 +734,10 @@
 	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.attempts) || !q.attempts[o.Attempt].out {
 		return
 	}
-	b.watch(now)
+	b.sweepSlowAttempts(now)
 	a := q.attempts[o.Attempt]
 	a.out = false
-	a.mayRun = o.Status != ConnectFailed && o.Status != Moot && (o.Status != FullUp || b.s.FullMayRun)
+	a.mayRun = o.Status != ConnectFailed && o.Status != NotSent && (o.Status != Overloaded || b.s.RejectionMayHaveRun)
 	q.out--
 	a.srv.inflight--
 	if o.Status == OK {
@@ -745,118 +745,118 @@
 	}
 	b.tier.threads--
 	b.classes[q.Class].rule.threads--
-	b.learn(now, q, a, o)
+	b.recordOutcome(now, q, a, o)
 	b.report(now, h)
-	if q.turn != nil && slices.Contains([]Status{TimedOut, Reset, Cancelled}, o.Status) { // it may still run
-		q.turn.rest = now + b.s.OrderSettle
-		h.SetTimer(b.s.OrderSettle, turnToken+q.Key)
+	if q.turn != nil && slices.Contains([]Status{TimedOut, Reset, Canceled}, o.Status) { // it may still run
+		q.turn.rest = now + b.s.OrderingDelay
+		h.SetTimer(b.s.OrderingDelay, turnToken+q.Key)
 	}
-	if o.Closed || q.over {
+	if o.RequestDone || q.over {
 		b.finish(now, h, q)
-	} else if q.out > 0 || b.again(now, h, q) {
+	} else if q.out > 0 || b.retry(now, h, q) {
 		return
-	} else if b.mayRefuse(q) {
-		b.refuse(now, h, q)
+	} else if b.mayShed(q) {
+		b.shed(now, h, q)
 	} else {
 		h.Fail(q.ID)
 		b.finish(now, h, q)
 	}
 }
 
-// again makes a further attempt, where time, rules, rule 2 and the budget (rule 6) allow one. The budget is
+// retry makes a further attempt, where time, rules, rule 2 and the budget (rule 6) allow one. The budget is
 // exact in the window that ends now: an attempt at its far edge counts, a request taken there does not.
-func (b *Balancer) again(now int64, h Host, q *request) bool {
-	u, rule, from := b.rnd.Float64(), &b.classes[q.Class].rule, now-b.s.BudgetSpan
-	if b.cause = ByTries; len(q.attempts) >= b.s.MaxAttempts || !b.inTime(now, q) {
+func (b *Balancer) retry(now int64, h Host, q *request) bool {
+	u, rule, from := b.rnd.Float64(), &b.classes[q.Class].rule, now-b.s.RetryBudgetWindow
+	if b.cause = ByAttemptLimit; len(q.attempts) >= b.s.MaxAttempts || !b.inTime(now, q) {
 		return false
 	}
-	if b.cause = ByTier; !b.tier.canPass(u) {
+	if b.cause = ByTierLimit; !b.tier.canPass(u) {
 		return false
 	}
-	if b.cause = ByClass; !rule.canPass(u) {
+	if b.cause = ByClassLimit; !rule.canPass(u) {
 		return false
 	}
-	b.cause = ByBudget
-	if b.further.since(from)+1 > b.s.BudgetFree+b.s.BudgetShare*b.taken.since(from+1) || !b.send(now, h, q) {
+	b.cause = ByRetryBudget
+	if b.further.since(from)+1 > b.s.RetryBudgetMin+b.s.RetryBudgetRatio*b.taken.since(from+1) || !b.send(now, h, q) {
 		return false
 	}
-	b.further.add(now, b.s.BudgetSpan)
+	b.further.add(now, b.s.RetryBudgetWindow)
 	return true
 }
 
-// learn takes what an attempt's end tells of the server, the counts, the shares and the zones.
-func (b *Balancer) learn(now int64, q *request, a *attempt, o Outcome) {
-	if o.Status == Cancelled || o.Status == Moot {
+// recordOutcome takes what an attempt's end tells of the server, the counts, the shares and the zones.
+func (b *Balancer) recordOutcome(now int64, q *request, a *attempt, o Outcome) {
+	if o.Status == Canceled || o.Status == NotSent {
 		return
 	}
-	a.srv.refused(now, a.sent, o.Status == FullUp)
+	a.srv.refused(now, a.sent, o.Status == Overloaded)
 	c, failed := &b.classes[q.Class], o.Status != OK
-	blame := b.judge(a.srv, q.Class, o.Status)
+	blame := b.updateOutlierState(a.srv, q.Class, o.Status)
 	if !failed {
-		b.reward(c, a.srv, float64(o.Took))
+		b.reward(c, a.srv, float64(o.Latency))
 		c.rebase(now, a.light)
 	}
 	spent := float64(now - a.sent)
 	// A quick failure tells nothing of load: it counts with its like, not for the shares nor for home.
-	late := o.Status == FullUp || o.Status == TimedOut || !failed && spent > b.lateBar(q.Class)
-	slow := late || spent > b.slowBar(q.Class)
+	late := o.Status == Overloaded || o.Status == TimedOut || !failed && spent > b.lateThreshold(q.Class)
+	slow := late || spent > b.slowThreshold(q.Class)
 	if blame { // it tells of one server, and would pass for a call that met no crowd
 		return
 	}
-	for _, r := range []*threadRule{&b.tier, &c.rule} {
+	for _, r := range []*concurrencyLimit{&b.tier, &c.rule} {
 		if late || !failed {
 			r.learn(&r.ev, now, a.sent, late, b.light(q.Class))
 		}
 		r.shrink(r.judge(&r.fails, now, a.sent, failed), &r.fails)
 	}
 	if !a.slow {
-		b.press(now, q.Class, a, slow, slow || o.Status == ConnectFailed)
+		b.updatePressure(now, q.Class, a, slow, slow || o.Status == ConnectFailed)
 	}
 }
 
-// lateBar is the time at which a call counts as late: shortly before its aim, and also when it takes so much
+// lateThreshold is the time at which a call counts as late: shortly before its aim, and also when it takes so much
 // longer than calls do when little waits that servers must hold too many and may choke, however far the aim.
-func (b *Balancer) lateBar(class int) float64 {
-	bar := lateBar * float64(b.s.Classes[class].Aim)
-	if b.s.Stage > 0 {
+func (b *Balancer) lateThreshold(class int) float64 {
+	bar := lateBar * float64(b.s.Classes[class].LatencyObjective)
+	if b.s.Tier > 0 {
 		return bar
 	}
-	return min(bar, b.crowd(class, jamBar))
+	return min(bar, b.congestionThreshold(class, jamBar))
 }
 
-// slowBar is the time at which a call counts as slow: well before its aim, and also when it takes clearly
+// slowThreshold is the time at which a call counts as slow: well before its aim, and also when it takes clearly
 // longer than calls do when little waits, since servers that hold too many turn slower for long.
-func (b *Balancer) slowBar(class int) float64 {
-	bar := slowBar * float64(b.s.Classes[class].Aim)
-	if b.s.Stage > 0 || b.share <= crowdLow {
+func (b *Balancer) slowThreshold(class int) float64 {
+	bar := slowBar * float64(b.s.Classes[class].LatencyObjective)
+	if b.s.Tier > 0 || b.share <= crowdLow {
 		return bar
 	}
-	return min(bar, b.crowd(class, crowdBar))
+	return min(bar, b.congestionThreshold(class, crowdBar))
 }
 
-// crowd is so many times the time under little load; what is quicker than a part of its aim meets none.
-func (b *Balancer) crowd(class int, times float64) float64 {
-	return max(times*b.classes[class].base, crowdLeast*float64(b.s.Classes[class].Aim))
+// congestionThreshold is so many times the time under little load; what is quicker than a part of its aim meets none.
+func (b *Balancer) congestionThreshold(class int, times float64) float64 {
+	return max(times*b.classes[class].base, crowdLeast*float64(b.s.Classes[class].LatencyObjective))
 }
 
 // light is the mean time of a class's calls, as a part of its aim.
 func (b *Balancer) light(class int) float64 {
-	return max(b.classes[class].mean, 1) / float64(b.s.Classes[class].Aim)
+	return max(b.classes[class].mean, 1) / float64(b.s.Classes[class].LatencyObjective)
 }
 
-// value is a class's worth for each unit of work, by the time that its calls take when little waits.
-func (b *Balancer) value(class int) float64 {
-	if b.s.ByWork {
-		return b.s.Classes[class].Worth
+// priorityPerWork is a class's worth for each unit of work, by the time that its calls take when little waits.
+func (b *Balancer) priorityPerWork(class int) float64 {
+	if b.s.PriorityPerWork {
+		return b.s.Classes[class].PriorityWeight
 	}
-	return b.s.Classes[class].Worth / b.classes[class].base
+	return b.s.Classes[class].PriorityWeight / b.classes[class].base
 }
 
-// press takes one piece of evidence on whether the shares and home are under pressure. A class also yields
+// updatePressure takes one piece of evidence on whether the shares and home are under pressure. A class also yields
 // to one that is worth clearly more: that one's slow calls cut its count.
-func (b *Balancer) press(now int64, class int, a *attempt, slow, homeBad bool) {
+func (b *Balancer) updatePressure(now int64, class int, a *attempt, slow, homeBad bool) {
 	for i := range b.classes {
-		if c := &b.classes[i]; b.value(class) > yieldRatio*b.value(i) {
+		if c := &b.classes[i]; b.priorityPerWork(class) > yieldRatio*b.priorityPerWork(i) {
 			c.rule.learn(&c.yield, now, a.sent, slow, b.light(i))
 		}
 	}
@@ -877,45 +877,45 @@
 	}
 }
 
-// watch counts calls as slow when they have been out for the slow bar, not when they end: in a jam that is
+// sweepSlowAttempts counts calls as slow when they have been out for the slow bar, not when they end: in a jam that is
 // seconds later, and shares must fall before then.
-func (b *Balancer) watch(now int64) {
+func (b *Balancer) sweepSlowAttempts(now int64) {
 	for i := range b.classes {
 		c := &b.classes[i]
-		for bar := int64(b.slowBar(i)); len(c.waiting) > 0 && now-c.waiting[0].sent > bar; {
+		for bar := int64(b.slowThreshold(i)); len(c.waiting) > 0 && now-c.waiting[0].sent > bar; {
 			a := c.waiting[0]
 			c.waiting = c.waiting[1:]
 			if a.out {
 				a.slow = true
-				b.press(now, i, a, true, true)
+				b.updatePressure(now, i, a, true, true)
 			}
 		}
 	}
 }
 
-// judge updates a server's health and tells whether a failure is its own. One that its peers show as well is
+// updateOutlierState updates a server's health and tells whether a failure is its own. One that its peers show as well is
 // a deeper tier's and held against the counts; a refused connection never is, lest a lost zone be one. An
 // error that was answered concerns its class only, lest servers that fail one class be lost to all; silence
 // concerns the whole server.
-func (b *Balancer) judge(s *server, class int, status Status) (blame bool) {
+func (b *Balancer) updateOutlierState(s *server, class int, status Status) (blame bool) {
 	c, x := &b.classes[class], partOf(status != OK)
 	b.errs += (x - b.errs) * meanGain
 	c.errs += (x - c.errs) * meanGain
 	if status == ConnectFailed {
 		blame = s.whole.judge(x, 0)
 	} else if status != Error {
-		blame = s.whole.judge(x, blameRatio*b.usual(s, b.errs, func(p *server) *health { return &p.whole }))
+		blame = s.whole.judge(x, blameRatio*b.peerErrorRate(s, b.errs, func(p *server) *outlierState { return &p.whole }))
 	}
 	if status == Error || status == OK {
-		usual := b.usual(s, c.errs, func(p *server) *health { return &p.classes[class] })
+		usual := b.peerErrorRate(s, c.errs, func(p *server) *outlierState { return &p.classes[class] })
 		blame = s.classes[class].judge(x, blameRatio*usual)
 	}
 	return blame
 }
 
-// usual is the part of failed calls that a server's peers show: their median, so that a server that fails at
+// peerErrorRate is the part of failed calls that a server's peers show: their median, so that a server that fails at
 // once, and draws calls by it, is not its own measure. It is never more than the part over all calls.
-func (b *Balancer) usual(s *server, all float64, of func(*server) *health) float64 {
+func (b *Balancer) peerErrorRate(s *server, all float64, of func(*server) *outlierState) float64 {
 	b.weights = b.weights[:0]
 	for _, p := range b.ready[:min(len(b.ready), peersMost)] {
 		if h := of(p); p != s && h.judged > 0 {
@@ -930,7 +930,7 @@
 }
 
 // judge blames a failure where failures are more than a usual part.
-func (h *health) judge(x, usual float64) (blame bool) {
+func (h *outlierState) judge(x, usual float64) (blame bool) {
 	h.judged++
 	h.errs += (x - h.errs) * healthRise
 	if x == 0 {
