--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -26,11 +26,11 @@
 	r.lines = append(r.lines, fmt.Sprintf(format, a...))
 }
 
-func (r *recorder) Send(id, server string, timeout int64) {
+func (r *recorder) Forward(id, server string, timeout int64) {
 	r.note("send %s %s %d", id, server, timeout)
 	r.sends = append(r.sends, sent{id, server, timeout})
 }
-func (r *recorder) Refuse(id string, after int64) {
+func (r *recorder) Shed(id string, after int64) {
 	r.note("refuse %s", id)
 	r.hints = append(r.hints, after)
 }
@@ -40,7 +40,7 @@
 	r.timer = append(r.timer, token)
 }
 func (r *recorder) Log(line string) { r.note("log") }
-func (r *recorder) Watch()          { r.note("watch"); r.watch++ }
+func (r *recorder) WatchEndpoints() { r.note("watch"); r.watch++ }
 
 // last is the latest action without its numbers.
 func (r *recorder) last() string {
@@ -54,15 +54,15 @@
 
 // testSettings has a class of every repeat kind: 0 safe, 1 keyed by cell, 2 unsafe, 3 keyed by all, 4 keyed by zone.
 func testSettings() Settings {
-	class := Class{Aim: 500_000, Deadline: 1_500_000, Worth: 1, LateWorth: 0.3}
-	s := Settings{Siblings: 1, Zones: 2, MaxAttempts: 4, DrainGrace: 500_000,
-		StartCapacity: 0.2, Cold: 20_000_000}
+	class := Class{LatencyObjective: 500_000, Deadline: 1_500_000, PriorityWeight: 1, LatePriorityFactor: 0.3}
+	s := Settings{Replicas: 1, Zones: 2, MaxAttempts: 4, DrainGrace: 500_000,
+		SlowStartMinCapacity: 0.2, SlowStartWindow: 20_000_000}
 	for _, c := range []Class{
-		{Repeat: Safe}, {Repeat: Keyed, Group: GroupCell, Window: 300_000}, {Repeat: Unsafe, Window: 300_000},
-		{Repeat: Keyed, Group: GroupAll, Window: 300_000}, {Repeat: Keyed, Group: GroupZone, Window: 300_000},
+		{Idempotency: Idempotent}, {Idempotency: IdempotentByKey, DedupScope: DedupCell, DedupWindow: 300_000}, {Idempotency: NonIdempotent, DedupWindow: 300_000},
+		{Idempotency: IdempotentByKey, DedupScope: DedupTier, DedupWindow: 300_000}, {Idempotency: IdempotentByKey, DedupScope: DedupZone, DedupWindow: 300_000},
 	} {
 		k := class
-		k.Repeat, k.Group, k.Window = c.Repeat, c.Group, c.Window
+		k.Idempotency, k.DedupScope, k.DedupWindow = c.Idempotency, c.DedupScope, c.DedupWindow
 		s.Classes = append(s.Classes, k)
 	}
 	return s
@@ -78,10 +78,10 @@
 }
 
 // fleet lists n ready servers: cells of two, zones alternating by cell.
-func fleet(n int) []Server {
-	var out []Server
+func fleet(n int) []Endpoint {
+	var out []Endpoint
 	for i := range n {
-		out = append(out, Server{ID: fmt.Sprintf("s%d", i), Zone: i / 2 % 2, Cell: i / 2, State: Ready, Size: 1})
+		out = append(out, Endpoint{ID: fmt.Sprintf("s%d", i), Zone: i / 2 % 2, Cell: i / 2, State: Ready, Weight: 1})
 	}
 	return out
 }
@@ -89,12 +89,12 @@
 // with returns a balancer that knows n servers, and its host.
 func with(t *testing.T, s Settings, n int) (*Balancer, *recorder) {
 	b, h := mustNew(t, s), &recorder{}
-	b.List(start, h, Full, fleet(n))
+	b.UpdateEndpoints(start, h, Snapshot, fleet(n))
 	return b, h
 }
 
 func ask(b *Balancer, h Host, now int64, id string, class int) {
-	b.Request(now, h, Request{ID: id, Class: class, GiveUp: now + 1_000_000})
+	b.Request(now, h, Request{ID: id, Class: class, ClientDeadline: now + 1_000_000})
 }
 
 func TestRuleOneDeadlineTimeOutIsAnsweredAtOnce(t *testing.T) {
@@ -104,7 +104,7 @@
 		now, attempt := start, 0
 		for len(h.sends) == attempt+1 { // answer every attempt with a time-out until the request is over
 			now += h.sends[attempt].timeout
-			b.Outcome(now, h, Outcome{ID: "r", Attempt: attempt, Status: TimedOut, Took: h.sends[attempt].timeout})
+			b.Outcome(now, h, Outcome{ID: "r", Attempt: attempt, Status: TimedOut, Latency: h.sends[attempt].timeout})
 			attempt++
 		}
 		if l := h.last(); l != "fail r" && l != "refuse r" {
@@ -118,15 +118,17 @@
 
 func TestRuleOneNothingAfterTheEnd(t *testing.T) {
 	for _, end := range []func(b *Balancer, h Host){
-		func(b *Balancer, h Host) { b.Withdrawn(start+1000, h, "r") },
-		func(b *Balancer, h Host) { b.Started(start+1000, "r") },
-		func(b *Balancer, h Host) { b.Outcome(start+1000, h, Outcome{ID: "r", Status: FullUp, Closed: true}) },
+		func(b *Balancer, h Host) { b.Cancel(start+1000, h, "r") },
+		func(b *Balancer, h Host) { b.ResponseStarted(start+1000, "r") },
+		func(b *Balancer, h Host) {
+			b.Outcome(start+1000, h, Outcome{ID: "r", Status: Overloaded, RequestDone: true})
+		},
 	} {
 		b, h := with(t, testSettings(), 4)
 		ask(b, h, start, "r", 0)
 		before := len(h.lines)
 		end(b, h)
-		b.Outcome(start+2000, h, Outcome{ID: "r", Status: FullUp})
+		b.Outcome(start+2000, h, Outcome{ID: "r", Status: Overloaded})
 		if len(h.lines) != before {
 			t.Errorf("an ended request brought %q", h.lines[before:])
 		}
@@ -145,11 +147,11 @@
 	}{
 		{0, Error, 1000, "send"},
 		{0, Reset, 1000, "send"},
-		{0, FullUp, 1000, "send"},
-		{1, FullUp, 1000, "send"},
+		{0, Overloaded, 1000, "send"},
+		{1, Overloaded, 1000, "send"},
 		{1, Error, 1000, "cell"},
 		{1, Error, 300_000, "fail"}, // the group has forgotten it
-		{2, FullUp, 1000, "send"},
+		{2, Overloaded, 1000, "send"},
 		{2, ConnectFailed, 1000, "send"},
 		{2, Error, 1000, "fail"},
 		{2, TimedOut, 1000, "fail"},
@@ -160,12 +162,12 @@
 		{4, Error, 300_000, "fail"},
 	} {
 		b, h := with(t, testSettings(), 8)
-		where := map[string]Server{}
+		where := map[string]Endpoint{}
 		for _, s := range fleet(8) {
 			where[s.ID] = s
 		}
 		ask(b, h, start, "r", c.class)
-		b.Outcome(start+c.after, h, Outcome{ID: "r", Status: c.status, Took: c.after})
+		b.Outcome(start+c.after, h, Outcome{ID: "r", Status: c.status, Latency: c.after})
 		name := fmt.Sprintf("class %d after status %d at %d", c.class, c.status, c.after)
 		switch c.want {
 		case "fail", "refuse":
@@ -188,29 +190,29 @@
 // Some fleets turn away work that they had begun: there, 'full' must bring neither a repeat nor a refusal.
 func TestFullIsNoProofWhereSettingsSaySo(t *testing.T) {
 	s := testSettings()
-	s.FullMayRun = true
+	s.RejectionMayHaveRun = true
 	b, h := with(t, s, 8)
 	ask(b, h, start, "unsafe", 2)
-	b.Outcome(start+1000, h, Outcome{ID: "unsafe", Status: FullUp, Took: 1000})
+	b.Outcome(start+1000, h, Outcome{ID: "unsafe", Status: Overloaded, Latency: 1000})
 	if len(h.sends) != 1 || h.last() != "fail unsafe" {
 		t.Errorf("an unsafe request that was turned away: %q", h.lines)
 	}
 	ask(b, h, start+2000, "keyed", 1)
-	b.Outcome(start+3000, h, Outcome{ID: "keyed", Status: FullUp, Took: 1000})
+	b.Outcome(start+3000, h, Outcome{ID: "keyed", Status: Overloaded, Latency: 1000})
 	if len(h.sends) != 3 || b.byID[h.sends[1].server].Cell != b.byID[h.sends[2].server].Cell {
 		t.Errorf("a keyed request that was turned away left its group: %q", h.lines)
 	}
 }
 
 func TestRuleThreeDrainingAndGoneGetNothing(t *testing.T) {
-	for _, state := range []State{Draining, Gone} {
+	for _, state := range []State{Draining, Removed} {
 		b, h := with(t, testSettings(), 4)
 		list := fleet(4)
 		list[0].State, list[1].State = state, state
-		b.List(start, h, Delta, list[:2])
+		b.UpdateEndpoints(start, h, Delta, list[:2])
 		for i := range 300 {
 			ask(b, h, start+int64(i), fmt.Sprint(i), 0)
-			b.Outcome(start+int64(i), h, Outcome{ID: fmt.Sprint(i), Status: OK, Took: 1000, Closed: true})
+			b.Outcome(start+int64(i), h, Outcome{ID: fmt.Sprint(i), Status: OK, Latency: 1000, RequestDone: true})
 		}
 		for _, s := range h.sends {
 			if s.server == "s0" || s.server == "s1" {
@@ -225,10 +227,10 @@
 
 func TestRuleThreeAServerMissingFromAWholeListIsGone(t *testing.T) {
 	b, h := with(t, testSettings(), 2)
-	b.List(start, h, Full, fleet(1))
+	b.UpdateEndpoints(start, h, Snapshot, fleet(1))
 	for i := range 50 {
 		ask(b, h, start+int64(i), fmt.Sprint(i), 0)
-		b.Outcome(start+int64(i), h, Outcome{ID: fmt.Sprint(i), Status: OK, Took: 1000, Closed: true})
+		b.Outcome(start+int64(i), h, Outcome{ID: fmt.Sprint(i), Status: OK, Latency: 1000, RequestDone: true})
 	}
 	for _, s := range h.sends {
 		if s.server != "s0" {
@@ -242,13 +244,13 @@
 	s := testSettings()
 	b, h := mustNew(t, s), &recorder{}
 	list := fleet(2)
-	list[1].Launched = start - 1
-	b.List(start, h, Full, list)
+	list[1].StartedAt = start - 1
+	b.UpdateEndpoints(start, h, Snapshot, list)
 	got := 0
 	const n = 4000
 	for i := range n {
 		ask(b, h, start+int64(i), fmt.Sprint(i), 0)
-		b.Outcome(start+int64(i), h, Outcome{ID: fmt.Sprint(i), Status: OK, Took: 1000, Closed: true})
+		b.Outcome(start+int64(i), h, Outcome{ID: fmt.Sprint(i), Status: OK, Latency: 1000, RequestDone: true})
 	}
 	for _, s := range h.sends {
 		if s.server == "s1" {
@@ -256,10 +258,10 @@
 		}
 	}
 	part := float64(got) / float64(len(h.sends)-got)
-	if part > s.StartCapacity || part == 0 {
-		t.Errorf("a cold server got %.3f of a warm one's calls, capacity is %.3f", part, s.StartCapacity)
+	if part > s.SlowStartMinCapacity || part == 0 {
+		t.Errorf("a cold server got %.3f of a warm one's calls, capacity is %.3f", part, s.SlowStartMinCapacity)
 	}
-	if w := b.warmth(start+s.Cold, b.byID["s1"]); w != 1 {
+	if w := b.slowStartFactor(start+s.SlowStartWindow, b.byID["s1"]); w != 1 {
 		t.Errorf("a server past its warming time has warmth %v", w)
 	}
 }
@@ -272,7 +274,7 @@
 	}
 	list := fleet(1)
 	list[0].State = Draining
-	b.List(start, h, Full, list)
+	b.UpdateEndpoints(start, h, Snapshot, list)
 	ask(b, h, start, "b", 0)
 	if h.last() != "refuse b" {
 		t.Errorf("with all draining: %q", h.last())
@@ -280,7 +282,7 @@
 }
 
 func TestCanPassThreadGrade(t *testing.T) {
-	r := threadRule{count: 2.25}
+	r := concurrencyLimit{count: 2.25}
 	for _, c := range []struct {
 		u    float64
 		want bool
@@ -301,7 +303,7 @@
 	for ; n < 200; n++ { // one call out at a time
 		now += second / 4
 		ask(b, h, now, fmt.Sprint(n), 0)
-		b.Outcome(now+100_000, h, Outcome{ID: fmt.Sprint(n), Status: OK, Took: 100_000, Closed: true})
+		b.Outcome(now+100_000, h, Outcome{ID: fmt.Sprint(n), Status: OK, Latency: 100_000, RequestDone: true})
 	}
 	before := len(h.sends)
 	for range 50 {
@@ -315,7 +317,7 @@
 
 func TestCanPassQPSGradeWithFractions(t *testing.T) {
 	for _, count := range []float64{0.5, 3, 40} {
-		var r originRule
+		var r tenantRateLimit
 		passed := 0
 		const secs = 40
 		for now := start; now < start+secs*second; now += second / 100 {
@@ -332,7 +334,7 @@
 
 // A fresh copy with a stretched window once let a long window's worth through at once and choked the front.
 func TestFreshCopyDoesNotPassALongWindowAtOnce(t *testing.T) {
-	var r originRule
+	var r tenantRateLimit
 	passed := 0
 	for now := start; now < start+second; now += second / 100 {
 		if r.canPass(now, start, 3, 1, 0, 0.5) {
@@ -346,7 +348,7 @@
 }
 
 func TestCountIsLearnedByRounds(t *testing.T) {
-	r := threadRule{count: startCount, least: minCount, ev: round{allowed: badPart, span: second}}
+	r := concurrencyLimit{count: startCount, least: minCount, ev: round{allowed: badPart, span: second}}
 	now := start
 	feed := func(n int, bad bool) {
 		for range n {
@@ -411,7 +413,7 @@
 	passed := 0
 	rnd := rand.New(rand.NewPCG(5, 5))
 	for range 200 {
-		var r originRule
+		var r tenantRateLimit
 		for now := start; now < start+8*second; now += second {
 			if r.canPass(now, start-100*second, 0.01, 1, 0, rnd.Float64()) {
 				r.pass.add(now, 1)
@@ -428,14 +430,14 @@
 // chance let all of it through.
 func TestRoomForChanceGivesWayWhenCallsAreSlow(t *testing.T) {
 	s := testSettings()
-	s.Siblings, s.Tenants = 100, []Tenant{{Portion: 0.5, Quota: 30}, {Portion: 0.5, Quota: 30}}
+	s.Replicas, s.Tenants = 100, []Tenant{{CapacityFraction: 0.5, Quota: 30}, {CapacityFraction: 0.5, Quota: 30}}
 	sent := func(share float64) int {
 		b, h := with(t, s, 4)
 		for i := range 100 {
 			now, id := start+int64(i)*4*second, fmt.Sprint(i)
-			b.share, b.tenants[0].came, b.came = share, tally{}, tally{}
-			b.Request(now, h, Request{ID: id, GiveUp: now + second})
-			b.Outcome(now, h, Outcome{ID: id, Status: OK, Took: 1000, Closed: true})
+			b.share, b.tenants[0].came, b.came = share, decayingCounter{}, decayingCounter{}
+			b.Request(now, h, Request{ID: id, ClientDeadline: now + second})
+			b.Outcome(now, h, Outcome{ID: id, Status: OK, Latency: 1000, RequestDone: true})
 		}
 		return len(h.sends)
 	}
@@ -451,9 +453,9 @@
 // on a calm fleet. A tenant that goes on sending more than its part must be held all the same.
 func TestChanceIsNotTakenForAnOverfullShare(t *testing.T) {
 	s := testSettings()
-	s.Siblings = 100
+	s.Replicas = 100
 	for range 4 {
-		s.Tenants = append(s.Tenants, Tenant{Portion: 0.25, Quota: 30})
+		s.Tenants = append(s.Tenants, Tenant{CapacityFraction: 0.25, Quota: 30})
 	}
 	for _, c := range []struct {
 		perSecond, most, least float64 // of tenant 0; the others send 0.25 a second each; parts of it refused
@@ -461,7 +463,7 @@
 		rnd := rand.New(rand.NewPCG(3, 3))
 		sent, asked := 0.0, 0.0
 		for copies := range 20 {
-			s.Ordinal = copies
+			s.ReplicaIndex = copies
 			b, h := with(t, s, 4)
 			for now := start; now < start+40*second; now += second / 100 {
 				for tenant, rate := range []float64{c.perSecond, 0.25, 0.25, 0.25} {
@@ -470,12 +472,12 @@
 					}
 					id := fmt.Sprint(now, tenant)
 					before := len(h.sends)
-					b.Request(now, h, Request{ID: id, Tenant: tenant, GiveUp: now + second})
+					b.Request(now, h, Request{ID: id, Tenant: tenant, ClientDeadline: now + second})
 					if tenant == 0 {
 						asked++
 						sent += float64(len(h.sends) - before)
 					}
-					b.Outcome(now, h, Outcome{ID: id, Status: OK, Took: 300_000, Closed: true})
+					b.Outcome(now, h, Outcome{ID: id, Status: OK, Latency: 300_000, RequestDone: true})
 				}
 			}
 		}
@@ -487,7 +489,7 @@
 
 func TestTenantOverItsShareIsShed(t *testing.T) {
 	s := testSettings()
-	s.Tenants = []Tenant{{Portion: 0.5, Quota: 20}, {Portion: 0.5, Quota: 20}}
+	s.Tenants = []Tenant{{CapacityFraction: 0.5, Quota: 20}, {CapacityFraction: 0.5, Quota: 20}}
 	b, h := with(t, s, 4)
 	sent := map[int]int{}
 	n := 0
@@ -498,10 +500,10 @@
 		}
 		before := len(h.sends)
 		id := fmt.Sprint(n)
-		b.Request(now, h, Request{ID: id, Class: 0, Tenant: tenant, GiveUp: now + second})
+		b.Request(now, h, Request{ID: id, Class: 0, Tenant: tenant, ClientDeadline: now + second})
 		if len(h.sends) > before {
 			sent[tenant]++
-			b.Outcome(now, h, Outcome{ID: id, Status: OK, Took: 400_000, Closed: true})
+			b.Outcome(now, h, Outcome{ID: id, Status: OK, Latency: 400_000, RequestDone: true})
 		}
 	}
 	if sent[1] != 40 {
@@ -520,18 +522,18 @@
 		b.reward(c, fast, 100_000)
 		b.reward(c, slow, 300_000)
 	}
-	if b.weigh(start, fast, 0) < 2*b.weigh(start, slow, 0) {
-		t.Errorf("weights %v and %v", b.weigh(start, fast, 0), b.weigh(start, slow, 0))
+	if b.endpointWeight(start, fast, 0) < 2*b.endpointWeight(start, slow, 0) {
+		t.Errorf("weights %v and %v", b.endpointWeight(start, fast, 0), b.endpointWeight(start, slow, 0))
 	}
-	before := b.weigh(start, fast, 0)
-	b.judge(fast, 0, Error)
-	if b.weigh(start, fast, 0) > before/2 {
+	before := b.endpointWeight(start, fast, 0)
+	b.updateOutlierState(fast, 0, Error)
+	if b.endpointWeight(start, fast, 0) > before/2 {
 		t.Error("a failure that its peer does not show left the weight")
 	}
 	for range 100 {
-		b.judge(fast, 0, Error)
+		b.updateOutlierState(fast, 0, Error)
 	}
-	if b.weigh(start, fast, 0) <= 0 {
+	if b.endpointWeight(start, fast, 0) <= 0 {
 		t.Error("no floor keeps trials going")
 	}
 }
@@ -541,22 +543,22 @@
 	b, _ := with(t, testSettings(), 4)
 	ill, well := b.byID["s0"], b.byID["s1"]
 	for range 5 {
-		b.judge(ill, 0, Error)
-		b.judge(well, 0, OK)
+		b.updateOutlierState(ill, 0, Error)
+		b.updateOutlierState(well, 0, OK)
 	}
-	if w := b.weigh(start, ill, 0); w > b.weigh(start, well, 0)/5 {
+	if w := b.endpointWeight(start, ill, 0); w > b.endpointWeight(start, well, 0)/5 {
 		t.Errorf("a server that fails the class keeps weight %v", w)
 	}
-	if b.weigh(start, ill, 2) != b.weigh(start, well, 2) {
+	if b.endpointWeight(start, ill, 2) != b.endpointWeight(start, well, 2) {
 		t.Error("errors of one class cost a server the others")
 	}
 	for range 5 {
-		b.judge(ill, 0, TimedOut)
+		b.updateOutlierState(ill, 0, TimedOut)
 		for range 3 {
-			b.judge(well, 0, OK)
+			b.updateOutlierState(well, 0, OK)
 		}
 	}
-	if w := b.weigh(start, ill, 2); w > b.weigh(start, well, 2)/5 {
+	if w := b.endpointWeight(start, ill, 2); w > b.endpointWeight(start, well, 2)/5 {
 		t.Errorf("a silent server keeps weight %v for the other classes", w)
 	}
 }
@@ -566,11 +568,11 @@
 	b, _ := with(t, testSettings(), 4)
 	for range 100 {
 		for _, s := range b.byID {
-			b.judge(s, 0, Error)
+			b.updateOutlierState(s, 0, Error)
 		}
 	}
 	for _, s := range b.byID {
-		if b.judge(s, 0, Error) {
+		if b.updateOutlierState(s, 0, Error) {
 			t.Errorf("%s is blamed for what its peers show", s.ID)
 		}
 	}
@@ -579,10 +581,10 @@
 // Requests of one key once overtook one another: an earlier one was still out at a slow server.
 func TestAKeyKeepsItsOrder(t *testing.T) {
 	s := testSettings()
-	s.Classes[2].ByArrival, s.OrderSettle = true, 100_000
+	s.Classes[2].Ordered, s.OrderingDelay = true, 100_000
 	b, h := with(t, s, 4)
 	take := func(now int64, id, key string) {
-		b.Request(now, h, Request{ID: id, Class: 2, Key: key, GiveUp: now + second})
+		b.Request(now, h, Request{ID: id, Class: 2, Key: key, ClientDeadline: now + second})
 	}
 	sends := func() (ids []string) {
 		for _, s := range h.sends {
@@ -598,12 +600,12 @@
 	if got := sends(); !slices.Equal(got, []string{"a", "other", "free"}) {
 		t.Fatalf("sent %v", got)
 	}
-	b.Withdrawn(start+5, h, "b")
-	b.Withdrawn(start+6, h, "a") // over, but its attempt is still out
+	b.Cancel(start+5, h, "b")
+	b.Cancel(start+6, h, "a") // over, but its attempt is still out
 	if got := sends(); len(got) != 3 {
 		t.Fatalf("sent %v while an attempt of the key was out", got)
 	}
-	b.Outcome(start+1000, h, Outcome{ID: "a", Status: Reset, Took: 1000, Closed: true})
+	b.Outcome(start+1000, h, Outcome{ID: "a", Status: Reset, Latency: 1000, RequestDone: true})
 	if got := sends(); len(got) != 3 {
 		t.Fatalf("sent %v while the key rests", got)
 	}
@@ -616,7 +618,7 @@
 	if h.last() != "refuse d" {
 		t.Errorf("a held request's time ends with %q", h.last())
 	}
-	b.Outcome(start+102_000, h, Outcome{ID: "c", Status: OK, Took: 1000, Closed: true})
+	b.Outcome(start+102_000, h, Outcome{ID: "c", Status: OK, Latency: 1000, RequestDone: true})
 	if len(b.turns) != 1 || len(b.reqs) != 2 { // "other" and its key
 		t.Errorf("%d keys and %d requests are kept", len(b.turns), len(b.reqs))
 	}
@@ -628,7 +630,7 @@
 	for i := range int64(1000) {
 		now, id := start+i*second, fmt.Sprint(i)
 		ask(b, h, now, id, 0)
-		b.Outcome(now, h, Outcome{ID: id, Status: OK, Took: 1000, Closed: true})
+		b.Outcome(now, h, Outcome{ID: id, Status: OK, Latency: 1000, RequestDone: true})
 	}
 	if most := int(ownSpan/second) + 1; len(b.taken) > most {
 		t.Errorf("%d times of requests are kept, %d are needed", len(b.taken), most)
@@ -638,7 +640,7 @@
 // A saved-up allowance once let a burst of retries through after a calm time, over the stated budget.
 func TestTheBudgetHoldsInAnyWindow(t *testing.T) {
 	s := testSettings()
-	s.BudgetSpan, s.BudgetFree, s.BudgetShare = 5*second, 3, 0.05
+	s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 5*second, 3, 0.05
 	b, h := with(t, s, 8)
 	var taken, further timeline
 	for i := range int64(2000) {
@@ -654,7 +656,7 @@
 			if k > 0 {
 				further = append(further, now)
 			}
-			b.Outcome(now, h, Outcome{ID: id, Attempt: k, Status: status, Took: 1000, Closed: status == OK})
+			b.Outcome(now, h, Outcome{ID: id, Attempt: k, Status: status, Latency: 1000, RequestDone: status == OK})
 		}
 		if n, m := further.since(now-5*second), taken.since(now-5*second+1); n > 3+0.05*m {
 			t.Fatalf("at %d: %v further attempts where %v requests were taken", now-start, n, m)
@@ -675,7 +677,7 @@
 		before := len(h.sends)
 		ask(b, h, now, id, 0)
 		for k := 0; len(h.sends) > before+k; k++ {
-			b.Outcome(now, h, Outcome{ID: id, Attempt: k, Status: Error, Took: 1000})
+			b.Outcome(now, h, Outcome{ID: id, Attempt: k, Status: Error, Latency: 1000})
 		}
 	}
 	firsts := 0
@@ -697,13 +699,13 @@
 	users := map[string]int{}
 	for i := range copies {
 		s := testSettings()
-		s.Siblings, s.Ordinal = copies, i
+		s.Replicas, s.ReplicaIndex = copies, i
 		b, h := with(t, s, servers)
 		met := map[string]bool{}
 		for k := range 400 {
 			now := start + int64(k)*50_000 // 20 a second
 			ask(b, h, now, fmt.Sprint(k), 0)
-			b.Outcome(now, h, Outcome{ID: fmt.Sprint(k), Status: OK, Took: 1000, Closed: true})
+			b.Outcome(now, h, Outcome{ID: fmt.Sprint(k), Status: OK, Latency: 1000, RequestDone: true})
 		}
 		for _, s := range h.sends {
 			met[s.server] = true
@@ -728,7 +730,7 @@
 	for k := range 240 {
 		now := start + int64(k)*second/3 // 3 a second
 		ask(b, h, now, fmt.Sprint(k), 0)
-		b.Outcome(now, h, Outcome{ID: fmt.Sprint(k), Status: OK, Took: 300_000, Closed: true})
+		b.Outcome(now, h, Outcome{ID: fmt.Sprint(k), Status: OK, Latency: 300_000, RequestDone: true})
 	}
 	for _, s := range h.sends {
 		met[s.server]++
@@ -740,16 +742,16 @@
 
 func TestWatchIsAskedForAgainAfterAFailure(t *testing.T) {
 	s := testSettings()
-	s.Subscribe, s.AskEvery = true, 10*second
+	s.WatchEndpoints, s.PollInterval = true, 10*second
 	b, h := with(t, s, 2)
 	if h.watch != 1 {
 		t.Fatalf("watched %d times after the first list", h.watch)
 	}
-	b.List(start, h, Failed, nil)
+	b.UpdateEndpoints(start, h, UpdateFailed, nil)
 	if len(h.timer) != 1 {
 		t.Fatalf("%d timers after a failure", len(h.timer))
 	}
-	b.List(start, h, Failed, nil) // the broken subscription and the failed call are told one by one
+	b.UpdateEndpoints(start, h, UpdateFailed, nil) // the broken subscription and the failed call are told one by one
 	if len(h.timer) != 1 {
 		t.Errorf("%d timers after the same failure was told twice", len(h.timer))
 	}
@@ -767,7 +769,7 @@
 		sent, after int64
 		status      Status
 	}
-	turnedAway := []end{{0, 0, FullUp}, {second, second, FullUp}}
+	turnedAway := []end{{0, 0, Overloaded}, {second, second, Overloaded}}
 	for name, c := range map[string]struct {
 		ends     []end
 		overdue  bool
@@ -777,32 +779,32 @@
 		"a list is overdue":                 {turnedAway, true, second, true},
 		"no list is overdue":                {turnedAway, false, second, false},
 		"one call was turned away":          {turnedAway[:1], true, second, true},
-		"in less than the time":             {[]end{{0, 0, FullUp}, {second - 1, second - 1, FullUp}}, true, second - 1, false},
-		"one was served in between":         {[]end{{0, 0, FullUp}, {1, second / 2, OK}, {second, second, FullUp}}, true, second, false},
+		"in less than the time":             {[]end{{0, 0, Overloaded}, {second - 1, second - 1, Overloaded}}, true, second - 1, false},
+		"one was served in between":         {[]end{{0, 0, Overloaded}, {1, second / 2, OK}, {second, second, Overloaded}}, true, second, false},
 		"long ago":                          {turnedAway, true, second + refusesMost, false},
-		"a list is overdue for too long":    {[]end{{overdueMost - 2*second, overdueMost - 2*second, FullUp}}, true, overdueMost, false},
-		"a request's own end tells nothing": {[]end{{0, 0, FullUp}, {1, second / 2, Cancelled}, {second, second, FullUp}}, true, second, true},
-		"an earlier call was served since":  {[]end{{0, 0, FullUp}, {-second, second / 2, OK}, {second, second, FullUp}}, true, second, true},
+		"a list is overdue for too long":    {[]end{{overdueMost - 2*second, overdueMost - 2*second, Overloaded}}, true, overdueMost, false},
+		"a request's own end tells nothing": {[]end{{0, 0, Overloaded}, {1, second / 2, Canceled}, {second, second, Overloaded}}, true, second, true},
+		"an earlier call was served since":  {[]end{{0, 0, Overloaded}, {-second, second / 2, OK}, {second, second, Overloaded}}, true, second, true},
 	} {
 		b, h := with(t, testSettings(), 2)
 		suspect := b.byID["s0"]
 		for i, e := range c.ends {
 			id, now := fmt.Sprint("probe", i), start+e.after
-			b.reqs[id] = &request{Request: Request{ID: id, GiveUp: now}, attempts: []*attempt{{srv: suspect, sent: start + e.sent, out: true}}, out: 1}
-			b.Outcome(now, h, Outcome{ID: id, Status: e.status, Closed: true})
+			b.reqs[id] = &request{Request: Request{ID: id, ClientDeadline: now}, attempts: []*attempt{{srv: suspect, sent: start + e.sent, out: true}}, out: 1}
+			b.Outcome(now, h, Outcome{ID: id, Status: e.status, RequestDone: true})
 		}
 		if c.overdue {
-			b.List(start, h, Failed, nil)
+			b.UpdateEndpoints(start, h, UpdateFailed, nil)
 		}
 		now := start + c.at
-		if b.mayDrain(now, suspect) != c.mayDrain {
+		if b.maybeDraining(now, suspect) != c.mayDrain {
 			t.Errorf("%s: it may drain: %t", name, !c.mayDrain)
 		}
-		if q := (&request{Request: Request{GiveUp: now + second}, came: now}); c.mayDrain && b.rank(now, q, suspect) >= b.rank(now, q, b.byID["s1"]) {
+		if q := (&request{Request: Request{ClientDeadline: now + second}, came: now}); c.mayDrain && b.selectionRank(now, q, suspect) >= b.selectionRank(now, q, b.byID["s1"]) {
 			t.Errorf("%s: it does not come after the others", name)
 		}
-		b.List(now, h, Delta, nil)
-		if b.mayDrain(now, suspect) {
+		b.UpdateEndpoints(now, h, Delta, nil)
+		if b.maybeDraining(now, suspect) {
 			t.Errorf("%s: it may drain though a list has come", name)
 		}
 	}
@@ -813,35 +815,35 @@
 	const failedAt = start + second
 	for name, c := range map[string]struct {
 		subscribe bool
-		kind      ListKind
+		kind      UpdateKind
 		failed    bool
 		at        int64
 		mayDrain  bool
 	}{
-		"old":                             {true, Full, true, start + listLasts, true},
-		"not yet old":                     {true, Full, true, start + listLasts - 1, false},
-		"old, and no call failed":         {true, Full, false, start + listLasts, false},
-		"one that an earlier copy had":    {true, Cached, true, start + listLasts, true},
-		"long overdue":                    {true, Full, true, failedAt + overdueMost, false},
-		"where lists are not asked for":   {false, Full, true, start + listLasts, false},
+		"old":                             {true, Snapshot, true, start + listLasts, true},
+		"not yet old":                     {true, Snapshot, true, start + listLasts - 1, false},
+		"old, and no call failed":         {true, Snapshot, false, start + listLasts, false},
+		"one that an earlier copy had":    {true, CachedSnapshot, true, start + listLasts, true},
+		"long overdue":                    {true, Snapshot, true, failedAt + overdueMost, false},
+		"where lists are not asked for":   {false, Snapshot, true, start + listLasts, false},
 		"changes are as good as a list":   {true, Delta, true, start + listLasts, true},
 		"changes that have come just now": {true, Delta, true, start + listLasts - 1, false},
 	} {
 		s := testSettings()
-		if s.Subscribe = c.subscribe; c.subscribe {
-			s.AskEvery = 10 * second
+		if s.WatchEndpoints = c.subscribe; c.subscribe {
+			s.PollInterval = 10 * second
 		}
 		b, h := with(t, s, 2)
-		b.List(start, h, c.kind, []Server{{ID: "s0", State: Ready}, {ID: "s1", State: Ready}})
+		b.UpdateEndpoints(start, h, c.kind, []Endpoint{{ID: "s0", State: Ready}, {ID: "s1", State: Ready}})
 		if c.failed {
-			b.List(failedAt, h, Failed, nil)
+			b.UpdateEndpoints(failedAt, h, UpdateFailed, nil)
 		}
 		busy, idle := b.byID["s0"], b.byID["s1"]
 		busy.took = c.at - tookLast + 1
-		if b.mayDrain(c.at, busy) {
+		if b.maybeDraining(c.at, busy) {
 			t.Errorf("%s: one that takes calls may drain", name)
 		}
-		if b.mayDrain(c.at, idle) != c.mayDrain {
+		if b.maybeDraining(c.at, idle) != c.mayDrain {
 			t.Errorf("%s: one that has taken none may drain: %t", name, !c.mayDrain)
 		}
 	}
@@ -849,20 +851,20 @@
 
 func TestHomeFirstAndSpillUnderPressure(t *testing.T) {
 	b, _ := with(t, testSettings(), 8)
-	home := b.weigh(start, b.byID["s0"], 0)
+	home := b.endpointWeight(start, b.byID["s0"], 0)
 	now := start
 	feed := func(n int, bad bool) {
 		for range n {
 			now++
-			b.press(now, 0, &attempt{sent: now, zone: b.s.Zone}, bad, bad)
+			b.updatePressure(now, 0, &attempt{sent: now, zone: b.s.Zone}, bad, bad)
 		}
 	}
 	feed(60*roundSize, false)
-	if away := b.weigh(start, b.byID["s2"], 0); away > home/10 {
+	if away := b.endpointWeight(start, b.byID["s2"], 0); away > home/10 {
 		t.Errorf("a calm home leaves %.3f of the weight to other zones", away/home)
 	}
 	feed(20*roundSize, true)
-	if away := b.weigh(start, b.byID["s2"], 0); away < home/2 {
+	if away := b.endpointWeight(start, b.byID["s2"], 0); away < home/2 {
 		t.Errorf("a home in trouble leaves %.3f of the weight to other zones", away/home)
 	}
 }
@@ -872,19 +874,19 @@
 		"Classes":              func(s *Settings) { s.Classes = nil },
 		"Zone":                 func(s *Settings) { s.Zone = 2 },
 		"Zones":                func(s *Settings) { s.Zones = 0 },
-		"Stage":                func(s *Settings) { s.Stage = -1 },
+		"Stage":                func(s *Settings) { s.Tier = -1 },
 		"DrainGrace":           func(s *Settings) { s.DrainGrace = -1 },
-		"BudgetSpan":           func(s *Settings) { s.BudgetSpan = -1 },
-		"BudgetFree":           func(s *Settings) { s.BudgetFree = math.NaN() },
-		"BudgetShare":          func(s *Settings) { s.BudgetShare = -1 },
-		"AskEvery":             func(s *Settings) { s.Subscribe = true },
-		"StartCapacity":        func(s *Settings) { s.StartCapacity = math.NaN() },
-		"Classes[1].Aim":       func(s *Settings) { s.Classes[1].Aim = -5 },
+		"BudgetSpan":           func(s *Settings) { s.RetryBudgetWindow = -1 },
+		"BudgetFree":           func(s *Settings) { s.RetryBudgetMin = math.NaN() },
+		"BudgetShare":          func(s *Settings) { s.RetryBudgetRatio = -1 },
+		"AskEvery":             func(s *Settings) { s.WatchEndpoints = true },
+		"StartCapacity":        func(s *Settings) { s.SlowStartMinCapacity = math.NaN() },
+		"Classes[1].Aim":       func(s *Settings) { s.Classes[1].LatencyObjective = -5 },
 		"Classes[2].Deadline":  func(s *Settings) { s.Classes[2].Deadline = 0 },
-		"Classes[0].Repeat":    func(s *Settings) { s.Classes[0].Repeat = 9 },
-		"Classes[0].Group":     func(s *Settings) { s.Classes[0].Group = -1 },
-		"Classes[4].Window":    func(s *Settings) { s.Classes[4].Window = -1 },
-		"Classes[4].LateWorth": func(s *Settings) { s.Classes[4].LateWorth = -1 },
+		"Classes[0].Repeat":    func(s *Settings) { s.Classes[0].Idempotency = 9 },
+		"Classes[0].Group":     func(s *Settings) { s.Classes[0].DedupScope = -1 },
+		"Classes[4].Window":    func(s *Settings) { s.Classes[4].DedupWindow = -1 },
+		"Classes[4].LateWorth": func(s *Settings) { s.Classes[4].LatePriorityFactor = -1 },
 	} {
 		s := testSettings()
 		spoil(&s)
@@ -907,7 +909,7 @@
 // On a day of pamoja-dar calls worth twelve times as much came late behind long cheap ones.
 func TestACheapClassYieldsToAWorthierOne(t *testing.T) {
 	s := testSettings()
-	s.Classes[1].Worth = 40
+	s.Classes[1].PriorityWeight = 40
 	b, _ := with(t, s, 4)
 	cheap, dear := &b.classes[0].rule, &b.classes[1].rule
 	for range 10 {
@@ -917,14 +919,14 @@
 	now := start
 	for range 4 * roundSize {
 		now++
-		b.press(now, 1, &attempt{sent: now}, true, true)
+		b.updatePressure(now, 1, &attempt{sent: now}, true, true)
 	}
 	if cheap.count > 10 || dear.count != startCount {
 		t.Errorf("after slow calls of the worthier class: cheap %v, dear %v", cheap.count, dear.count)
 	}
 	for range 4 * roundSize {
 		now++
-		b.press(now, 0, &attempt{sent: now}, true, true)
+		b.updatePressure(now, 0, &attempt{sent: now}, true, true)
 	}
 	if dear.count != startCount {
 		t.Errorf("slow cheap calls cut the worthier class to %v", dear.count)
@@ -936,7 +938,7 @@
 	b, _ := with(t, testSettings(), 8)
 	for range 5 {
 		for _, s := range b.byID {
-			if !b.judge(s, 0, ConnectFailed) {
+			if !b.updateOutlierState(s, 0, ConnectFailed) {
 				t.Fatalf("%s is not blamed for a refused connection", s.ID)
 			}
 		}
@@ -962,12 +964,12 @@
 // day of half a minute most refusals at the front were these. The first bad round takes all of the room back.
 func TestAFreshCopyDoesNotHoldTenantsToTheirSharesUntilCallsAreSlow(t *testing.T) {
 	s := testSettings()
-	s.Tenants = []Tenant{{Portion: 1, Quota: 20}}
+	s.Tenants = []Tenant{{CapacityFraction: 1, Quota: 20}}
 	b, h := with(t, s, 8)
 	for i := range 32 { // a second's traffic at 1.6 times the share
 		now, id := start+int64(i)*second/32, fmt.Sprint(i)
-		b.Request(now, h, Request{ID: id, GiveUp: now + second})
-		b.Outcome(now, h, Outcome{ID: id, Status: OK, Took: 1000, Closed: true})
+		b.Request(now, h, Request{ID: id, ClientDeadline: now + second})
+		b.Outcome(now, h, Outcome{ID: id, Status: OK, Latency: 1000, RequestDone: true})
 	}
 	if n := len(h.sends); n != 32 {
 		t.Errorf("%d of 32 pass at a fresh copy", n)
@@ -977,7 +979,7 @@
 			t.Fatalf("share still %v", b.share)
 		}
 		now := start + 2*second + int64(i)
-		b.press(now, 0, &attempt{sent: now}, true, true)
+		b.updatePressure(now, 0, &attempt{sent: now}, true, true)
 	}
 	if b.share < shareLow || b.share >= 1 {
 		t.Errorf("a bad round leaves a share of %v", b.share)
@@ -991,9 +993,9 @@
 	s.MaxRetryAfter = 2 * second
 	b, h := with(t, s, 0) // no server: all is refused
 	for i := range 100 {
-		b.Request(start, h, Request{ID: fmt.Sprint(i), GiveUp: start + second})
+		b.Request(start, h, Request{ID: fmt.Sprint(i), ClientDeadline: start + second})
 	}
-	most := s.Classes[0].Aim / 2
+	most := s.Classes[0].LatencyObjective / 2
 	if len(h.hints) != 100 || slices.Min(h.hints) < most/2 || slices.Max(h.hints) > most {
 		t.Errorf("hints %v, want %d to %d", h.hints, most/2, most)
 	}
@@ -1002,12 +1004,12 @@
 // One bad round held a tenant to its share for the rest of a short day, though calls were timely again.
 func TestTheRoomThatABadRoundTookComesBackWithinADozenRounds(t *testing.T) {
 	s := testSettings()
-	s.Tenants = []Tenant{{Portion: 1, Quota: 20}}
+	s.Tenants = []Tenant{{CapacityFraction: 1, Quota: 20}}
 	b, _ := with(t, s, 8)
 	b.share = sharePress
 	for i := range 12 * roundSize {
 		now := start + int64(i)
-		b.press(now, 0, &attempt{sent: now}, false, false)
+		b.updatePressure(now, 0, &attempt{sent: now}, false, false)
 	}
 	if b.share != shareStart {
 		t.Errorf("share %v after a dozen good rounds", b.share)
@@ -1017,28 +1019,28 @@
 // A long day brings ever new ids, keys and servers; what has ended leaves nothing behind.
 func TestWhatHasEndedLeavesNothing(t *testing.T) {
 	s := testSettings()
-	s.OrderSettle = 1000
+	s.OrderingDelay = 1000
 	for i := range s.Classes {
-		s.Classes[i].ByArrival = true
+		s.Classes[i].Ordered = true
 	}
-	s.Tenants = []Tenant{{Portion: 1, Quota: 1000}}
+	s.Tenants = []Tenant{{CapacityFraction: 1, Quota: 1000}}
 	b, h := with(t, s, 4)
 	now := start
 	for i := range 30_000 {
 		now += 2_000
 		id := fmt.Sprint("r", i)
 		if i%10 == 0 { // a server is replaced
-			b.List(now, h, Delta, []Server{{ID: fmt.Sprint("n", i), Cell: i, State: Ready, Size: 1, Launched: now},
-				{ID: fmt.Sprint("n", i-100), State: Gone}})
+			b.UpdateEndpoints(now, h, Delta, []Endpoint{{ID: fmt.Sprint("n", i), Cell: i, State: Ready, Weight: 1, StartedAt: now},
+				{ID: fmt.Sprint("n", i-100), State: Removed}})
 		}
 		h.sends, h.timer, h.lines, h.hints = nil, nil, nil, nil
-		b.Request(now, h, Request{ID: id, Class: i % len(s.Classes), Key: fmt.Sprint("k", i), GiveUp: now + 1_000_000})
+		b.Request(now, h, Request{ID: id, Class: i % len(s.Classes), Key: fmt.Sprint("k", i), ClientDeadline: now + 1_000_000})
 		for n := 0; n < len(h.sends); n++ {
 			status := OK
 			if i%7 == 0 {
 				status = Reset
 			}
-			b.Outcome(now+1_000, h, Outcome{ID: id, Attempt: n, Status: status, Took: 1_000, Closed: status == OK})
+			b.Outcome(now+1_000, h, Outcome{ID: id, Attempt: n, Status: status, Latency: 1_000, RequestDone: status == OK})
 		}
 		for _, token := range h.timer {
 			b.Timer(now+2_000, h, token)
@@ -1060,24 +1062,24 @@
 // brought. Calls that take a small part of their aim come in bunches of any size; a few late ones still close the gate.
 func TestQuickCallsInBunchesAreNotRefused(t *testing.T) {
 	s := testSettings()
-	s.Classes[0].Aim, s.Classes[0].Deadline = 500_000, 2_000_000
+	s.Classes[0].LatencyObjective, s.Classes[0].Deadline = 500_000, 2_000_000
 	b, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	h, now := &recorder{}, start
-	b.List(now, h, Full, []Server{{ID: "a", State: Ready, Size: 1}, {ID: "b", State: Ready, Size: 1}})
+	b.UpdateEndpoints(now, h, Snapshot, []Endpoint{{ID: "a", State: Ready, Weight: 1}, {ID: "b", State: Ready, Weight: 1}})
 	id := 0
 	// bunch sends n at once; each takes so long.
 	bunch := func(n int, took int64, status Status) {
 		h.sends = h.sends[:0]
 		for range n {
 			id++
-			b.Request(now, h, Request{ID: fmt.Sprint(id), Tenant: -1, GiveUp: now + 2_000_000})
+			b.Request(now, h, Request{ID: fmt.Sprint(id), Tenant: -1, ClientDeadline: now + 2_000_000})
 		}
 		now += took
 		for _, x := range slices.Clone(h.sends) {
-			b.Outcome(now, h, Outcome{ID: x.id, Status: status, Took: took, Closed: true})
+			b.Outcome(now, h, Outcome{ID: x.id, Status: status, Latency: took, RequestDone: true})
 		}
 	}
 	refused := func() (n int) {
@@ -1113,12 +1115,12 @@
 		t.Fatal(err)
 	}
 	h, now := &recorder{}, start
-	b.List(now, h, Full, []Server{{ID: "a", State: Ready, Size: 1}})
+	b.UpdateEndpoints(now, h, Snapshot, []Endpoint{{ID: "a", State: Ready, Weight: 1}})
 	for i := range 500 {
 		id := fmt.Sprint(i)
-		b.Request(now, h, Request{ID: id, Tenant: -1, GiveUp: now + 1_500_000})
+		b.Request(now, h, Request{ID: id, Tenant: -1, ClientDeadline: now + 1_500_000})
 		now += 100
-		b.Outcome(now, h, Outcome{ID: id, Status: OK, Took: 100, Closed: true})
+		b.Outcome(now, h, Outcome{ID: id, Status: OK, Latency: 100, RequestDone: true})
 	}
 	if last := h.sends[len(h.sends)-1].timeout; last < 100_000 {
 		t.Errorf("given up after %d us of an aim of 500,000", last)
@@ -1128,12 +1130,12 @@
 // A repeat may have to wait for a connection. It is chosen only where it still leaves while its group recalls the first.
 func TestAKeyedRepeatLeavesWhileItIsRecalled(t *testing.T) {
 	s := testSettings()
-	s.Lag = 20_000
-	window := s.Classes[1].Window
-	for after, want := range map[int64]string{window - s.Lag: "fail r", window - s.Lag - 1: "send"} {
+	s.MaxSendDelay = 20_000
+	window := s.Classes[1].DedupWindow
+	for after, want := range map[int64]string{window - s.MaxSendDelay: "fail r", window - s.MaxSendDelay - 1: "send"} {
 		b, h := with(t, s, 8)
 		ask(b, h, start, "r", 1)
-		b.Outcome(start+after, h, Outcome{ID: "r", Status: Error, Took: after})
+		b.Outcome(start+after, h, Outcome{ID: "r", Status: Error, Latency: after})
 		if want == "send" && len(h.sends) != 2 || want != "send" && h.last() != want {
 			t.Errorf("after %d of %d: got %q, want %s", after, window, h.last(), want)
 		}
--- a/logic/random_test.go
+++ b/logic/random_test.go
@@ -14,8 +14,8 @@
 	now     int64
 	lines   []string
 	reqs    map[string]*book
-	told    map[string]Server // what the list last said
-	leftAt  map[string]int64  // when it first said that a server drains or is gone
+	told    map[string]Endpoint // what the list last said
+	leftAt  map[string]int64    // when it first said that a server drains or is gone
 	faults  []string
 	timers  []timer
 	watches int
@@ -41,7 +41,7 @@
 
 // try is one attempt.
 type try struct {
-	server  Server
+	server  Endpoint
 	sent    int64
 	timeout int64
 	done    bool
@@ -52,7 +52,7 @@
 	c.faults = append(c.faults, fmt.Sprintf("at %d: ", c.now-start)+fmt.Sprintf(format, a...))
 }
 
-func (c *checker) Send(id, server string, timeout int64) {
+func (c *checker) Forward(id, server string, timeout int64) {
 	c.lines = append(c.lines, fmt.Sprintf("%d send %s %s %d", c.now, id, server, timeout))
 	k := c.reqs[id]
 	if k == nil || k.closed {
@@ -77,11 +77,11 @@
 		c.checkBudget(id)
 	}
 	c.checkOrder(k)
-	if timeout < 0 || c.now+timeout > k.r.GiveUp {
-		c.fault("rule 1: %s may run %d us past its time", id, c.now+timeout-k.r.GiveUp)
+	if timeout < 0 || c.now+timeout > k.r.ClientDeadline {
+		c.fault("rule 1: %s may run %d us past its time", id, c.now+timeout-k.r.ClientDeadline)
 	}
 	if timeout == 0 {
-		timeout = k.r.GiveUp - c.now
+		timeout = k.r.ClientDeadline - c.now
 	}
 	k.pending = append(k.pending, len(k.tries))
 	k.tries = append(k.tries, &try{server: s, sent: c.now, timeout: timeout, ran: true})
@@ -91,19 +91,19 @@
 	c.further = append(c.further, c.now)
 	within := func(times []int64) (n float64) {
 		for _, at := range times {
-			if at > c.now-c.set.BudgetSpan {
+			if at > c.now-c.set.RetryBudgetWindow {
 				n++
 			}
 		}
 		return n
 	}
-	if c.set.BudgetSpan > 0 && within(c.further) > c.set.BudgetFree+c.set.BudgetShare*within(c.taken) {
+	if c.set.RetryBudgetWindow > 0 && within(c.further) > c.set.RetryBudgetMin+c.set.RetryBudgetRatio*within(c.taken) {
 		c.fault("rule 6: %s sent beyond the budget", id)
 	}
 }
 
 func (c *checker) checkOrder(k *book) {
-	if !c.set.Classes[k.r.Class].ByArrival || k.r.Key == "" {
+	if !c.set.Classes[k.r.Class].Ordered || k.r.Key == "" {
 		return
 	}
 	for _, earlier := range c.queues[k.r.Key] {
@@ -119,22 +119,22 @@
 	}
 }
 
-func (c *checker) checkRepeat(k *book, earlier *try, to Server) {
+func (c *checker) checkRepeat(k *book, earlier *try, to Endpoint) {
 	class := c.set.Classes[k.r.Class]
 	if !earlier.done {
 		c.fault("%s has two attempts out", k.r.ID)
 	}
-	if !earlier.ran || class.Repeat == Safe {
+	if !earlier.ran || class.Idempotency == Idempotent {
 		return
 	}
-	sameGroup := class.Group == GroupAll || class.Group == GroupZone && earlier.server.Zone == to.Zone ||
-		class.Group == GroupCell && earlier.server.Cell == to.Cell
-	if class.Repeat == Unsafe || !sameGroup || c.now-earlier.sent > class.Window {
+	sameGroup := class.DedupScope == DedupTier || class.DedupScope == DedupZone && earlier.server.Zone == to.Zone ||
+		class.DedupScope == DedupCell && earlier.server.Cell == to.Cell
+	if class.Idempotency == NonIdempotent || !sameGroup || c.now-earlier.sent > class.DedupWindow {
 		c.fault("rule 2: %s of class %d sent again after it may have run", k.r.ID, k.r.Class)
 	}
 }
 
-func (c *checker) Refuse(id string, after int64) {
+func (c *checker) Shed(id string, after int64) {
 	c.lines = append(c.lines, fmt.Sprintf("%d refuse %s", c.now, id))
 	k := c.close(id)
 	if k == nil {
@@ -142,7 +142,7 @@
 	}
 	class := c.set.Classes[k.r.Class]
 	for _, t := range k.tries {
-		if t.ran && class.Repeat != Safe && !(class.Repeat == Keyed && class.Group == GroupAll) {
+		if t.ran && class.Idempotency != Idempotent && !(class.Idempotency == IdempotentByKey && class.DedupScope == DedupTier) {
 			c.fault("rule 2: %s refused after it may have run", id)
 		}
 	}
@@ -159,8 +159,8 @@
 		c.fault("rule 1: %s answered twice", id)
 		return nil
 	}
-	if c.now > k.r.GiveUp {
-		c.fault("rule 1: %s answered %d us late", id, c.now-k.r.GiveUp)
+	if c.now > k.r.ClientDeadline {
+		c.fault("rule 1: %s answered %d us late", id, c.now-k.r.ClientDeadline)
 	}
 	k.closed = true
 	return k
@@ -170,10 +170,10 @@
 	c.timers = append(c.timers, timer{c.now + delay, token})
 }
 func (c *checker) Log(line string) {}
-func (c *checker) Watch()          { c.watches++ }
+func (c *checker) WatchEndpoints() { c.watches++ }
 
 // list records what a list says, as the wire's page words it.
-func (c *checker) list(kind ListKind, entries []Server) {
+func (c *checker) list(kind UpdateKind, entries []Endpoint) {
 	listed := map[string]bool{}
 	for _, e := range entries {
 		listed[e.ID] = true
@@ -211,55 +211,55 @@
 		d.t.Fatal(err)
 	}
 	d.b, d.open = b, nil
-	d.c.reqs, d.c.told, d.c.leftAt = map[string]*book{}, map[string]Server{}, map[string]int64{}
+	d.c.reqs, d.c.told, d.c.leftAt = map[string]*book{}, map[string]Endpoint{}, map[string]int64{}
 	d.c.queues, d.c.rested, d.c.taken, d.c.further, d.c.timers = map[string][]*book{}, map[string]int64{}, nil, nil, nil
-	d.whole(Cached)
+	d.whole(CachedSnapshot)
 }
 
-func (d *driver) entry(i int) Server {
-	s := Server{ID: fmt.Sprintf("s%d", i), Zone: i % 2, Cell: i / 4, State: Ready, Size: 1}
+func (d *driver) entry(i int) Endpoint {
+	s := Endpoint{ID: fmt.Sprintf("s%d", i), Zone: i % 2, Cell: i / 4, State: Ready, Weight: 1}
 	switch d.rnd.IntN(6) {
 	case 0:
 		s.State = Draining
 	case 1:
-		s.Launched = d.now - d.rnd.Int64N(d.c.set.Cold)
+		s.StartedAt = d.now - d.rnd.Int64N(d.c.set.SlowStartWindow)
 	}
 	return s
 }
 
 const testFleet = 16
 
-func (d *driver) whole(kind ListKind) {
-	var list []Server
+func (d *driver) whole(kind UpdateKind) {
+	var list []Endpoint
 	for i := range testFleet {
 		if d.rnd.IntN(5) > 0 {
 			list = append(list, d.entry(i))
 		}
 	}
 	d.c.list(kind, list)
-	d.b.List(d.now, d.c, kind, list)
+	d.b.UpdateEndpoints(d.now, d.c, kind, list)
 }
 
 func (d *driver) delta() {
 	e := d.entry(d.rnd.IntN(testFleet))
 	if _, known := d.c.told[e.ID]; known && d.rnd.IntN(4) == 0 {
-		e.State = Gone
+		e.State = Removed
 	}
-	d.c.list(Delta, []Server{e})
-	d.b.List(d.now, d.c, Delta, []Server{e})
+	d.c.list(Delta, []Endpoint{e})
+	d.b.UpdateEndpoints(d.now, d.c, Delta, []Endpoint{e})
 }
 
 func (d *driver) request() {
 	d.next++
 	r := Request{ID: fmt.Sprintf("r%d", d.next), Class: d.rnd.IntN(len(d.c.set.Classes)),
-		Tenant: d.rnd.IntN(len(d.c.set.Tenants) + 1), GiveUp: d.now + 1000 + d.rnd.Int64N(1_500_000)}
+		Tenant: d.rnd.IntN(len(d.c.set.Tenants) + 1), ClientDeadline: d.now + 1000 + d.rnd.Int64N(1_500_000)}
 	if n := d.rnd.IntN(8); n > 0 {
 		r.Key = fmt.Sprint("key", n)
 	}
 	k := &book{r: r}
 	d.c.reqs[r.ID] = k
 	d.c.taken = append(d.c.taken, d.now)
-	if d.c.set.Classes[r.Class].ByArrival {
+	if d.c.set.Classes[r.Class].Ordered {
 		d.c.queues[r.Key] = append(d.c.queues[r.Key], k)
 	}
 	d.open = append(d.open, r.ID)
@@ -271,8 +271,8 @@
 // left with nobody to end it.
 func (d *driver) mustBeHeld(id string) {
 	k := d.c.reqs[id]
-	waits := len(k.tries) == 0 && d.c.set.Classes[k.r.Class].ByArrival && k.r.Key != "" &&
-		slices.ContainsFunc(d.c.timers, func(t timer) bool { return t.due <= k.r.GiveUp && strings.Contains(t.token, id) })
+	waits := len(k.tries) == 0 && d.c.set.Classes[k.r.Class].Ordered && k.r.Key != "" &&
+		slices.ContainsFunc(d.c.timers, func(t timer) bool { return t.due <= k.r.ClientDeadline && strings.Contains(t.token, id) })
 	if !k.closed && len(k.pending) == 0 && !waits {
 		d.c.fault("rule 1: %s is neither answered nor out", id)
 	}
@@ -291,7 +291,7 @@
 		}
 		return
 	}
-	d.end(k, []Status{OK, OK, OK, Error, FullUp, TimedOut, ConnectFailed, Reset, Cancelled, Moot}[d.rnd.IntN(10)])
+	d.end(k, []Status{OK, OK, OK, Error, Overloaded, TimedOut, ConnectFailed, Reset, Canceled, NotSent}[d.rnd.IntN(10)])
 	d.mustBeHeld(id)
 }
 
@@ -300,14 +300,14 @@
 	k.pending = k.pending[1:]
 	t := k.tries[n]
 	t.done = true
-	if d.c.set.Classes[k.r.Class].ByArrival && (status == TimedOut || status == Reset || status == Cancelled) {
-		d.c.rested[k.r.Key] = max(d.c.rested[k.r.Key], d.now+d.c.set.OrderSettle)
+	if d.c.set.Classes[k.r.Class].Ordered && (status == TimedOut || status == Reset || status == Canceled) {
+		d.c.rested[k.r.Key] = max(d.c.rested[k.r.Key], d.now+d.c.set.OrderingDelay)
 	}
-	t.ran = (status != FullUp || d.c.set.FullMayRun) && status != ConnectFailed && status != Moot
+	t.ran = (status != Overloaded || d.c.set.RejectionMayHaveRun) && status != ConnectFailed && status != NotSent
 	if status == OK {
 		k.closed = true
 	}
-	d.b.Outcome(d.now, d.c, Outcome{ID: k.r.ID, Attempt: n, Status: status, Took: d.now - t.sent, Closed: k.closed})
+	d.b.Outcome(d.now, d.c, Outcome{ID: k.r.ID, Attempt: n, Status: status, Latency: d.now - t.sent, RequestDone: k.closed})
 }
 
 // expire brings the timers and time-outs that are due, as the wire does at an attempt's or a client's time.
@@ -354,18 +354,18 @@
 	case x < 930:
 		d.delta()
 	case x < 936:
-		d.whole(Full)
+		d.whole(Snapshot)
 	case x < 942:
-		d.b.List(d.now, d.c, Failed, nil)
+		d.b.UpdateEndpoints(d.now, d.c, UpdateFailed, nil)
 	case x < 960 && len(d.c.timers) > 0: // a stale copy of a timer
 		d.b.Timer(d.now, d.c, "watch")
 	case x < 975:
 		d.withdraw()
 	case x < 985: // events that name nothing known
 		d.b.Outcome(d.now, d.c, Outcome{ID: "nobody", Attempt: 3, Status: Error})
-		d.b.Withdrawn(d.now, d.c, "nobody")
+		d.b.Cancel(d.now, d.c, "nobody")
 		d.b.Timer(d.now, d.c, "nothing")
-		d.b.Started(d.now, "nobody")
+		d.b.ResponseStarted(d.now, "nobody")
 	case x < 988:
 		d.restart()
 	}
@@ -377,21 +377,21 @@
 	}
 	k := d.c.reqs[d.open[d.rnd.IntN(len(d.open))]]
 	k.closed = true
-	d.b.Withdrawn(d.now, d.c, k.r.ID)
+	d.b.Cancel(d.now, d.c, k.r.ID)
 }
 
 // play drives a whole sequence and returns what the module did and what it did wrong.
 func play(t *testing.T, seed uint64, steps int) ([]string, []string) {
 	s := testSettings()
-	s.Tenants = []Tenant{{Portion: 0.6, Quota: 30}, {Portion: 0.4, Quota: 20}}
-	s.Stage = int(seed % 2)
-	s.Subscribe, s.AskEvery = seed%3 == 0, 10*second
+	s.Tenants = []Tenant{{CapacityFraction: 0.6, Quota: 30}, {CapacityFraction: 0.4, Quota: 20}}
+	s.Tier = int(seed % 2)
+	s.WatchEndpoints, s.PollInterval = seed%3 == 0, 10*second
 	s.MaxRetryAfter = int64(seed%2) * second
-	s.FullMayRun = seed%4 < 2
-	s.Classes[0].ByArrival, s.Classes[2].ByArrival = seed%2 == 0, seed%8 < 5
-	s.OrderSettle = int64(seed%3) * 50_000
+	s.RejectionMayHaveRun = seed%4 < 2
+	s.Classes[0].Ordered, s.Classes[2].Ordered = seed%2 == 0, seed%8 < 5
+	s.OrderingDelay = int64(seed%3) * 50_000
 	if seed%5 > 1 {
-		s.BudgetSpan, s.BudgetFree, s.BudgetShare = 5*second, 3, 0.05
+		s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 5*second, 3, 0.05
 	}
 	d := &driver{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), c: &checker{set: s, now: start}, now: start}
 	d.restart()
--- a/logic/recalled_test.go
+++ b/logic/recalled_test.go
@@ -9,9 +9,9 @@
 // them do once any list has come.
 func TestRecalledServersAreDoubted(t *testing.T) {
 	const safe, unsafe = 0, 2
-	for _, kind := range []ListKind{Full, Delta} {
+	for _, kind := range []UpdateKind{Snapshot, Delta} {
 		b, h := mustNew(t, testSettings()), &recorder{}
-		b.List(start, h, Recalled, fleet(3))
+		b.UpdateEndpoints(start, h, RestoredSnapshot, fleet(3))
 		now := int64(start)
 		one := func(class int) (server string) {
 			now += 1000
@@ -19,7 +19,7 @@
 			ask(b, h, now, id, class)
 			if q := b.reqs[id]; q != nil {
 				server = q.attempts[0].srv.ID
-				b.Outcome(now+1, h, Outcome{ID: id, Status: OK, Took: 1, Closed: true})
+				b.Outcome(now+1, h, Outcome{ID: id, Status: OK, Latency: 1, RequestDone: true})
 			}
 			return server
 		}
@@ -27,7 +27,7 @@
 			t.Errorf("a doubtful server, %s, got an unsafe call", got)
 		}
 		shown := one(safe)
-		if shown == "" || b.Doubts(shown) {
+		if shown == "" || b.Unverified(shown) {
 			t.Fatalf("%q is doubted though it has served", shown)
 		}
 		for range 20 {
@@ -37,27 +37,27 @@
 		}
 		doubted := 0
 		for _, s := range fleet(3) {
-			if b.Doubts(s.ID) {
+			if b.Unverified(s.ID) {
 				doubted++
 			}
 		}
 		if doubted != 2 {
 			t.Errorf("%d of three doubted, two expected", doubted)
 		}
-		if kind == Full {
-			b.List(now, h, Full, fleet(3))
+		if kind == Snapshot {
+			b.UpdateEndpoints(now, h, Snapshot, fleet(3))
 		} else {
-			b.List(now, h, Delta, nil)
+			b.UpdateEndpoints(now, h, Delta, nil)
 		}
 		for _, s := range fleet(3) {
-			if b.Doubts(s.ID) {
+			if b.Unverified(s.ID) {
 				t.Errorf("%s is doubted after a list", s.ID)
 			}
 		}
 	}
 	b, h := mustNew(t, testSettings()), &recorder{}
-	b.List(start, h, Cached, fleet(3))
-	if b.Doubts("s0") || b.Doubts("none") {
+	b.UpdateEndpoints(start, h, CachedSnapshot, fleet(3))
+	if b.Unverified("s0") || b.Unverified("none") {
 		t.Error("a list that the configuration names is doubted")
 	}
 }
--- a/logic/recover_test.go
+++ b/logic/recover_test.go
@@ -12,14 +12,14 @@
 		by    Evidence
 		goal  bool // whether it does
 		after int  // clean finishes that it takes from 1 to 16, a round each double
-	}{{Failures, true, 3 + 4 + 8 + 12}, {Yielding, true, 3 + 4 + 8 + 12}, {Late, false, 0}} {
+	}{{FailureEvidence, true, 3 + 4 + 8 + 12}, {PriorityEvidence, true, 3 + 4 + 8 + 12}, {LateEvidence, false, 0}} {
 		t.Run(c.by.String(), func(t *testing.T) {
 			r := newRule(badPart, minCount, second)
 			r.count, r.peak = 20, 20
 			ev := &round{allowed: badPart, span: second, by: c.by}
 			r.shrink(0.05, ev)
-			if r.count != 1 || r.last.By != c.by {
-				t.Fatalf("cut to %.1f by %v", r.count, r.last.By)
+			if r.count != 1 || r.last.Evidence != c.by {
+				t.Fatalf("cut to %.1f by %v", r.count, r.last.Evidence)
 			}
 			n := 0
 			for now := start; n < 100 && r.count < 16; n++ {
@@ -62,17 +62,17 @@
 		for len(out) > 0 && out[0].at <= now {
 			c := out[0]
 			out = out[1:]
-			b.Outcome(c.at, h, Outcome{ID: c.id, Status: OK, Took: 300_000, Closed: true})
+			b.Outcome(c.at, h, Outcome{ID: c.id, Status: OK, Latency: 300_000, RequestDone: true})
 		}
 		id, before := fmt.Sprint("q", i), len(h.sends)
-		b.Request(now, h, Request{ID: id, Class: class, Tenant: -1, GiveUp: now + 6*second})
+		b.Request(now, h, Request{ID: id, Class: class, Tenant: -1, ClientDeadline: now + 6*second})
 		if len(h.sends) == before {
 			continue
 		}
 		s := h.sends[before].server
 		at[s]++
 		if s == "s0" || s == "s1" {
-			b.Outcome(now+1000, h, Outcome{ID: id, Status: Error, Took: 1000, Closed: true})
+			b.Outcome(now+1000, h, Outcome{ID: id, Status: Error, Latency: 1000, RequestDone: true})
 		} else {
 			out = append(out, call{id, s, now + 300_000})
 		}
@@ -91,8 +91,8 @@
 		if n := at["s0"] + at["s1"]; n > c.most {
 			t.Errorf("class %d: %d calls went to servers that fail, %d expected at most", c.class, n, c.most)
 		}
-		f := b.Figures()
-		if f.Tier.Cut.By != NoEvidence || f.Classes[c.class].Cut.By != NoEvidence {
+		f := b.Stats()
+		if f.Tier.LastCut.Evidence != NoEvidence || f.Classes[c.class].LastCut.Evidence != NoEvidence {
 			t.Errorf("class %d: counts were cut: %+v", c.class, f)
 		}
 	}
@@ -102,9 +102,9 @@
 func TestWhereAllFailNobodyIsToBlame(t *testing.T) {
 	b, h := with(t, crowded(), 6)
 	finishes(b, h, start, 300, 10_000, 100_000, func(i int) Status { return []Status{OK, Error}[i%2] })
-	f := b.Figures()
-	if f.Tier.Cut.By != Failures {
-		t.Errorf("half of all calls fail and the tier's count was cut by %v", f.Tier.Cut.By)
+	f := b.Stats()
+	if f.Tier.LastCut.Evidence != FailureEvidence {
+		t.Errorf("half of all calls fail and the tier's count was cut by %v", f.Tier.LastCut.Evidence)
 	}
 	out := 0
 	for _, s := range b.ready {
@@ -124,12 +124,12 @@
 	before := b.tier
 	for i := range 50 {
 		id := fmt.Sprint("x", i)
-		b.Request(now, h, Request{ID: id, Class: 2, Tenant: -1, GiveUp: now + 6*second})
+		b.Request(now, h, Request{ID: id, Class: 2, Tenant: -1, ClientDeadline: now + 6*second})
 		a := b.reqs[id].attempts[0]
 		a.srv.inflight--
 		a.srv = b.ready[0]
 		a.srv.inflight++
-		b.Outcome(now+1, h, Outcome{ID: id, Status: Reset, Took: 1, Closed: true})
+		b.Outcome(now+1, h, Outcome{ID: id, Status: Reset, Latency: 1, RequestDone: true})
 	}
 	if b.tier.count != before.count || b.tier.ev.n != before.ev.n || b.tier.fails.n > before.fails.n+1 {
 		t.Errorf("count %.1f, rounds of %d and %d; %.1f, %d and %d before", b.tier.count, b.tier.ev.n, b.tier.fails.n,
@@ -140,17 +140,17 @@
 // Each refusal names what it is refused by.
 func TestRefusalsNameTheirCause(t *testing.T) {
 	for _, c := range []struct {
-		want  Cause
+		want  ShedCause
 		spoil func(*Balancer, *Request)
 	}{
-		{ByLines, func(_ *Balancer, r *Request) { r.Lines, r.Spare = 16, 1 }},
-		{ByTier, func(b *Balancer, _ *Request) { b.tier.count = -1 }},
-		{ByClass, func(b *Balancer, _ *Request) { b.classes[0].rule.count = -1 }},
-		{ByTime, func(_ *Balancer, r *Request) { r.GiveUp = start + 1 }},
-		{ByServers, func(b *Balancer, _ *Request) { b.ready = nil }},
+		{ByConnections, func(_ *Balancer, r *Request) { r.ClientConnections, r.IdleClientConnections = 16, 1 }},
+		{ByTierLimit, func(b *Balancer, _ *Request) { b.tier.count = -1 }},
+		{ByClassLimit, func(b *Balancer, _ *Request) { b.classes[0].rule.count = -1 }},
+		{ByDeadline, func(_ *Balancer, r *Request) { r.ClientDeadline = start + 1 }},
+		{ByNoEndpoint, func(b *Balancer, _ *Request) { b.ready = nil }},
 	} {
 		b, _ := with(t, testSettings(), 2)
-		r := Request{ID: "r", Tenant: -1, GiveUp: start + second}
+		r := Request{ID: "r", Tenant: -1, ClientDeadline: start + second}
 		c.spoil(b, &r)
 		h := &causes{b: b}
 		b.Request(start, h, r)
@@ -164,16 +164,16 @@
 type causes struct {
 	recorder
 	b   *Balancer
-	got []Cause
+	got []ShedCause
 }
 
-func (h *causes) Refuse(string, int64) { h.got = append(h.got, h.b.Cause()) }
+func (h *causes) Shed(string, int64) { h.got = append(h.got, h.b.ShedCause()) }
 
 // Calls that had passed at twice the share barred all others for seconds once it was cut, with hardly a call out.
 func TestACutShareStillLetsItsPartPass(t *testing.T) {
 	const full = 20.0 // calls a second at a multiple of 1
 	for _, c := range []struct{ before, after float64 }{{2, 0.5}, {2, 1}, {1, 0.5}, {0.5, 2}, {1, 1}} {
-		r, passed := &originRule{}, 0
+		r, passed := &tenantRateLimit{}, 0
 		for now := start; now < start+20*second; now += second / 200 {
 			share := c.before
 			if now >= start+10*second {
@@ -197,7 +197,7 @@
 func tryOuts(t *testing.T, n int, classes ...int) (tried []int, followed int) {
 	t.Helper()
 	b, h := with(t, testSettings(), 4)
-	b.byID["s0"].whole = health{left: healthFloor, errs: 1, judged: 10}
+	b.byID["s0"].whole = outlierState{left: healthFloor, errs: 1, judged: 10}
 	now := start
 	for i := range n {
 		now += 10_000
@@ -205,7 +205,7 @@
 		ask(b, h, now, id, class)
 		first := h.sends[len(h.sends)-1]
 		if first.server != "s0" {
-			b.Outcome(now, h, Outcome{ID: id, Status: OK, Took: 300_000, Closed: true})
+			b.Outcome(now, h, Outcome{ID: id, Status: OK, Latency: 300_000, RequestDone: true})
 			continue
 		}
 		tried = append(tried, class)
@@ -213,10 +213,10 @@
 			t.Errorf("a trial is given up after %d us, half of a second at most expected", first.timeout)
 		}
 		before := len(h.sends)
-		b.Outcome(now, h, Outcome{ID: id, Status: TimedOut, Took: first.timeout})
+		b.Outcome(now, h, Outcome{ID: id, Status: TimedOut, Latency: first.timeout})
 		if len(h.sends) > before {
 			followed++
-			b.Outcome(now, h, Outcome{ID: id, Attempt: 1, Status: OK, Took: 300_000, Closed: true})
+			b.Outcome(now, h, Outcome{ID: id, Attempt: 1, Status: OK, Latency: 300_000, RequestDone: true})
 		}
 	}
 	return tried, followed
--- a/logic/state.go
+++ b/logic/state.go
@@ -19,18 +19,18 @@
 	windowWhole  = windowTicks * windowBucket
 )
 
-// window counts events over a sliding time of up to windowTicks buckets.
-type window struct {
+// slidingWindow counts events over a sliding time of up to windowTicks buckets.
+type slidingWindow struct {
 	n    [windowTicks]float32
 	last int64
 }
 
-func (w *window) add(now int64, weight float64) {
+func (w *slidingWindow) add(now int64, weight float64) {
 	w.advance(now)
 	w.n[w.last%windowTicks] += float32(weight)
 }
 
-func (w *window) advance(now int64) {
+func (w *slidingWindow) advance(now int64) {
 	b := now / windowBucket
 	for i := max(w.last+1, b-windowTicks+1); i <= b; i++ {
 		w.n[i%windowTicks] = 0
@@ -38,7 +38,7 @@
 	w.last = max(w.last, b)
 }
 
-func (w *window) sum(now, span int64) float64 {
+func (w *slidingWindow) sum(now, span int64) float64 {
 	w.advance(now)
 	total := 0.0
 	for i := int64(0); i < span/windowBucket; i++ {
@@ -49,19 +49,19 @@
 	return total
 }
 
-// tally counts events and forgets them over about tallySpan.
-type tally struct {
+// decayingCounter counts events and forgets them over about tallySpan.
+type decayingCounter struct {
 	n    float64
 	last int64
 }
 
-func (t *tally) at(now int64) float64 {
+func (t *decayingCounter) at(now int64) float64 {
 	t.n *= math.Exp(-float64(now-t.last) / float64(tallySpan))
 	t.last = now
 	return t.n
 }
 
-func (t *tally) add(now int64) { t.n = t.at(now) + 1 }
+func (t *decayingCounter) add(now int64) { t.n = t.at(now) + 1 }
 
 // timeline holds the times of events, oldest first.
 type timeline []int64
@@ -86,12 +86,12 @@
 type node struct {
 	threads int
 	peak    int
-	pass    window
+	pass    slidingWindow
 }
 
 // classState is a class's rule and what is known of its times.
 type classState struct {
-	rule    threadRule
+	rule    concurrencyLimit
 	yield   round      // evidence of classes that are worth clearly more
 	mean    float64    // of successes
 	base    float64    // the mean when little waits
@@ -102,10 +102,10 @@
 }
 
 type server struct {
-	Server
+	Endpoint
 	slowness float64 // running time of its calls against the mean of all
-	whole    health
-	classes  []health // for the calls of each class
+	whole    outlierState
+	classes  []outlierState // for the calls of each class
 	inflight int
 	hash     uint64
 	doubtful bool // Recalled, and neither listed nor heard to serve since
@@ -115,15 +115,15 @@
 	refusedSince, refusedLast int64 // when the first and the last of those that it has turned away since then ended
 }
 
-// health is what is left of a server's weight, and its running part of failed calls.
-type health struct {
+// outlierState is what is left of a server's weight, and its running part of failed calls.
+type outlierState struct {
 	left, errs float64
 	judged     int // calls
 }
 
 // forget drops what was learned of a server.
 func (s *server) forget(classes int) {
-	s.slowness, s.whole, s.classes, s.refusing = 1, health{left: 1}, make([]health, classes), false
+	s.slowness, s.whole, s.classes, s.refusing = 1, outlierState{left: 1}, make([]outlierState, classes), false
 	s.took = 0
 	for i := range s.classes {
 		s.classes[i].left = 1
@@ -226,22 +226,22 @@
 	span    int64 // after this long a few finishes make a round
 }
 
-// threadRule limits calls in flight.
-type threadRule struct {
+// concurrencyLimit limits calls in flight.
+type concurrencyLimit struct {
 	node
 	count float64
 	least float64
 	cut   bool  // by a bad round, and not yet back at what is used
 	ev    round // of late finishes
 	fails round // of failures: the two are not added up
-	last  Cut
+	last  LimitCut
 	goal  float64 // what a cut count is led back to at the double
 }
 
-// originRule limits the calls passed per second for one tenant.
-type originRule struct {
-	node       // a call that passes weighs one over the multiple of the shares as it then is
-	came tally // its requests
+// tenantRateLimit limits the calls passed per second for one tenant.
+type tenantRateLimit struct {
+	node                 // a call that passes weighs one over the multiple of the shares as it then is
+	came decayingCounter // its requests
 }
 
 // Balancer decides for one proxy.
@@ -253,8 +253,8 @@
 	ready     []*server // the same, this copy's subset first
 	reqs      map[string]*request
 	turns     map[string]*turn
-	tier      threadRule
-	tenants   []originRule
+	tier      concurrencyLimit
+	tenants   []tenantRateLimit
 	classes   []classState
 	fair      float64 // rate of all tenants inside their shares at one copy
 	share     float64 // multiple of its share that a tenant may pass
@@ -264,20 +264,20 @@
 	free      float64 // mean factor of a warm server's weight for the calls that it holds, at the present draw
 	spill     float64 // weight of servers in other zones
 	spillEv   round
-	errs      float64  // running part of failed calls over all servers
-	taken     timeline // requests
-	came      tally    // requests, over a longer time
-	further   timeline // attempts beyond each request's first
-	born      int64    // when the first request came
-	backoff   int64    // before the next try at a subscription
-	asked     bool     // a subscription was asked for
-	listed    int64    // when a list or its changes came last
-	overdue   int64    // since when a list is: the first call or subscription that has failed since the last one; 0: none has
+	errs      float64         // running part of failed calls over all servers
+	taken     timeline        // requests
+	came      decayingCounter // requests, over a longer time
+	further   timeline        // attempts beyond each request's first
+	born      int64           // when the first request came
+	backoff   int64           // before the next try at a subscription
+	asked     bool            // a subscription was asked for
+	listed    int64           // when a list or its changes came last
+	overdue   int64           // since when a list is: the first call or subscription that has failed since the last one; 0: none has
 	weights   []float64
-	reported  int64 // when the last log line was written
-	untried   int   // calls since the last one that went to a failing server
-	trial     bool  // the server that was drawn last is a failing one, tried out while there are others
-	cause     Cause // of the refusal that is being made
+	reported  int64     // when the last log line was written
+	untried   int       // calls since the last one that went to a failing server
+	trial     bool      // the server that was drawn last is a failing one, tried out while there are others
+	cause     ShedCause // of the refusal that is being made
 }
 
 // enter counts a call in.
@@ -287,7 +287,7 @@
 }
 
 // origin is the node of the request's tenant; without one the tenant rule is skipped.
-func (b *Balancer) origin(q *request) *originRule {
+func (b *Balancer) origin(q *request) *tenantRateLimit {
 	if q.Tenant < 0 || q.Tenant >= len(b.tenants) {
 		return nil
 	}
@@ -318,5 +318,5 @@
 	}
 	b.reported = now
 	h.Log(fmt.Sprintf("tier %d: calls are slow or fail; tenants held to %.2f of their shares, %d calls out, "+
-		"%.0f%% of calls fail, other zones weigh %.2f", b.s.Stage, b.share, b.tier.threads, 100*b.errs, b.spill))
+		"%.0f%% of calls fail, other zones weigh %.2f", b.s.Tier, b.share, b.tier.threads, 100*b.errs, b.spill))
 }
