--- a/cmd/fernctl/coldstart.go
+++ b/cmd/fernctl/coldstart.go
@@ -8,7 +8,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"fernlanding/internal/fleet/coldstart"
+	"fernlanding/internal/fleetsim/coldstart"
 )
 
 func coldStartCommand() *cli.Command {
--- a/cmd/fernctl/commands.go
+++ b/cmd/fernctl/commands.go
@@ -17,9 +17,9 @@
 	"fernlanding/internal/catalogue/dir"
 	"fernlanding/internal/check"
 	"fernlanding/internal/config"
-	"fernlanding/internal/doc"
 	"fernlanding/internal/explain"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 func catalogueFlag() cli.Flag {
@@ -74,7 +74,7 @@
 type source struct {
 	name   string
 	cat    *catalogue.Catalogue
-	faults doc.Faults
+	faults tomldoc.Faults
 }
 
 func load(name string) (*source, error) {
@@ -83,14 +83,14 @@
 		return nil, err
 	}
 	s := &source{name: name}
-	var more doc.Faults
+	var more tomldoc.Faults
 	s.cat, more = catalogue.Read(files)
 	s.faults = append(faults, more...)
 	return s, nil
 }
 
 // at puts the catalogue's directory before the names of its files, so that an editor finds them.
-func (s *source) at(faults doc.Faults) doc.Faults {
+func (s *source) at(faults tomldoc.Faults) tomldoc.Faults {
 	base := s.name
 	if info, err := os.Stat(s.name); err == nil && !info.IsDir() {
 		base = filepath.Dir(s.name)
@@ -301,7 +301,7 @@
 }
 
 // report prints faults and is errFaults if any is an error.
-func report(out io.Writer, faults doc.Faults, machines bool) error {
+func report(out io.Writer, faults tomldoc.Faults, machines bool) error {
 	if machines {
 		all := []said{}
 		for _, f := range faults {
@@ -382,7 +382,7 @@
 				return fmt.Errorf("migrate: %w", err)
 			}
 			fresh, steps, err := config.Migrate(name, data)
-			var faults doc.Faults
+			var faults tomldoc.Faults
 			if errors.As(err, &faults) {
 				fmt.Fprintf(log, "%s: version %d refuses what it says; nothing that means the same can be written:\n", name, config.Version)
 				return report(log, faults, false)
--- a/cmd/fernctl/fleet.go
+++ b/cmd/fernctl/fleet.go
@@ -11,8 +11,8 @@
 
 	"github.com/urfave/cli/v3"
 
-	"fernlanding/internal/fleet"
-	"fernlanding/internal/fleet/plot"
+	"fernlanding/internal/fleetsim"
+	"fernlanding/internal/fleetsim/plot"
 	"fernlanding/logic"
 )
 
@@ -38,19 +38,19 @@
 }
 
 // readDay reads the files of a day.
-func readDay(names []string) (*fleet.Day, error) {
+func readDay(names []string) (*fleetsim.Day, error) {
 	if len(names) == 0 {
 		return nil, errors.New("a day's file expected")
 	}
-	var files []fleet.File
+	var files []fleetsim.File
 	for _, n := range names {
 		data, err := readBounded(n)
 		if err != nil {
 			return nil, err
 		}
-		files = append(files, fleet.File{Name: n, Data: data})
+		files = append(files, fleetsim.File{Name: n, Data: data})
 	}
-	return fleet.Read(files...)
+	return fleetsim.Read(files...)
 }
 
 // readBounded reads a file, and no more of it than a day may hold and one byte.
@@ -60,11 +60,11 @@
 		return nil, err
 	}
 	defer f.Close()
-	return io.ReadAll(io.LimitReader(f, fleet.MaxFile+1))
+	return io.ReadAll(io.LimitReader(f, fleetsim.MaxFile+1))
 }
 
 // seeded is the day of the command's files, with its seed.
-func seeded(c *cli.Command) (*fleet.Day, error) {
+func seeded(c *cli.Command) (*fleetsim.Day, error) {
 	d, err := readDay(c.Args().Slice())
 	if err != nil {
 		return nil, fmt.Errorf("fleet %s: %w", c.Name, err)
@@ -88,7 +88,7 @@
 		return err
 	}
 	out := c.Root().Writer
-	o, r := fleet.Judge(d)
+	o, r := fleetsim.Judge(d)
 	if c.Bool("json") {
 		if err := asJSON(out, o); err != nil {
 			return err
@@ -105,11 +105,11 @@
 		}
 		fmt.Fprintf(out, "seconds from the end of each trouble to %.0f%% of service: %v\n", 95.0, o.Recovery)
 	}
-	return broken(c.Root().ErrWriter, []fleet.Outcome{o})
+	return broken(c.Root().ErrWriter, []fleetsim.Outcome{o})
 }
 
 // broken ends a command with faults where a rule was broken.
-func broken(log io.Writer, all []fleet.Outcome) error {
+func broken(log io.Writer, all []fleetsim.Outcome) error {
 	some := false
 	for _, o := range all {
 		for _, b := range o.Broken {
@@ -131,7 +131,7 @@
 	if len(names) == 0 {
 		return errors.New("fleet sweep: a fleet's file expected")
 	}
-	var days []*fleet.Day
+	var days []*fleetsim.Day
 	for _, t := range names[1:] {
 		d, err := readDay([]string{names[0], t})
 		if err != nil {
@@ -146,7 +146,7 @@
 		}
 		days = append(days, d)
 	}
-	all := fleet.Sweep(days, fleet.Seeds(c.Uint64("stream"), n), spread)
+	all := fleetsim.Sweep(days, fleetsim.Seeds(c.Uint64("stream"), n), spread)
 	out := c.Root().Writer
 	if c.Bool("json") {
 		if err := asJSON(out, all); err != nil {
@@ -156,11 +156,11 @@
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "day\tplays\tservice p10\tp50\tcalm p50\trecovery p50 s\tp90\tshadow\tof it gate\toverdriven\tbroken\t")
-	line := func(name string, os []fleet.Outcome) {
-		s := fleet.Summarize(os)
+	line := func(name string, os []fleetsim.Outcome) {
+		s := fleetsim.Summarize(os)
 		fmt.Fprintf(w, "%s\t%d\t%.3f\t%.3f\t%.3f\t%.1f\t%.1f\t%.3f\t%.3f\t%.3f\t%d\t\n", name, s.Days, s.Service10, s.Service50, s.Calm50, s.Recovery50, s.Recovery90, s.Shadow, s.Gate, s.Overdriven, s.Broken)
 	}
-	order, groups := fleet.ByDay(all)
+	order, groups := fleetsim.ByDay(all)
 	for _, name := range order {
 		line(name, groups[name])
 	}
@@ -182,7 +182,7 @@
 	if c.Bool("svg") {
 		draw = plot.SVG
 	}
-	if err := draw(c.Root().Writer, fleet.Play(d, fleet.Options{Trace: true}), c.Int("tier"), c.Int("copy")); err != nil {
+	if err := draw(c.Root().Writer, fleetsim.Play(d, fleetsim.Options{Trace: true}), c.Int("tier"), c.Int("copy")); err != nil {
 		return fmt.Errorf("fleet explain: %w", err)
 	}
 	return nil
--- a/cmd/fernctl/rig.go
+++ b/cmd/fernctl/rig.go
@@ -11,12 +11,12 @@
 
 	"github.com/urfave/cli/v3"
 
-	"fernlanding/internal/rig"
-	"fernlanding/internal/rig/actor"
-	"fernlanding/internal/rig/check"
-	"fernlanding/internal/rig/draw"
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/scenario"
+	"fernlanding/internal/harness"
+	"fernlanding/internal/harness/check"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/harness/timeline"
+	"fernlanding/internal/harness/worker"
 )
 
 // actorWord is the command by which the rig starts its stand-ins. It is not for people.
@@ -40,7 +40,7 @@
 			{Name: "shrink", Usage: "leave out faults of a scenario that fails, for as long as it fails", ArgsUsage: "FILE", Action: rigShrink,
 				Flags: []cli.Flag{seed, program, &cli.IntFlag{Name: "tries", Value: 2, Usage: "plays `N` times before a schedule counts as one that does not fail"}}},
 			rigRolloutCommand(),
-			{Name: actorWord, Hidden: true, Action: func(context.Context, *cli.Command) error { return actor.Main(os.Stdin, os.Stdout) }},
+			{Name: actorWord, Hidden: true, Action: func(context.Context, *cli.Command) error { return worker.Main(os.Stdin, os.Stdout) }},
 		}}
 }
 
@@ -65,7 +65,7 @@
 }
 
 // rigOptions are the programs of a run.
-func rigOptions(c *cli.Command) (o rig.Options, err error) {
+func rigOptions(c *cli.Command) (o harness.Options, err error) {
 	self, err := os.Executable()
 	if err != nil {
 		return o, fmt.Errorf("rig: %w", err)
@@ -77,21 +77,21 @@
 	if _, err := os.Stat(program); err != nil {
 		return o, fmt.Errorf("rig: the program under test: %w", err)
 	}
-	return rig.Options{Sidecar: []string{program}, Actor: []string{self, "rig", actorWord}, Logs: c.Bool("logs")}, nil
+	return harness.Options{Sidecar: []string{program}, Actor: []string{self, "rig", actorWord}, Logs: c.Bool("logs")}, nil
 }
 
 // rigPrepare is what a command needs to play the scenario that it names.
-func rigPrepare(c *cli.Command) (*scenario.Scenario, rig.Options, error) {
+func rigPrepare(c *cli.Command) (*scenario.Scenario, harness.Options, error) {
 	sc, err := readScenario(c, 1)
 	if err != nil {
-		return nil, rig.Options{}, err
+		return nil, harness.Options{}, err
 	}
 	o, err := rigOptions(c)
 	return sc, o, err
 }
 
 // rigPlay plays a scenario once; keep is where its history stays, if not empty.
-func rigPlay(ctx context.Context, sc *scenario.Scenario, o rig.Options, keep string) (check.Result, error) {
+func rigPlay(ctx context.Context, sc *scenario.Scenario, o harness.Options, keep string) (check.Result, error) {
 	dir, err := os.MkdirTemp("", "rig")
 	if err != nil {
 		return check.Result{}, fmt.Errorf("rig: %w", err)
@@ -104,7 +104,7 @@
 	}
 	defer f.Close()
 	o.Out, o.Dir = f, dir
-	if err := rig.Run(ctx, sc, o); err != nil {
+	if err := harness.Run(ctx, sc, o); err != nil {
 		return check.Result{}, err
 	}
 	if keep != "" {
@@ -262,7 +262,7 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(draw.SVG(out, sc, all), out.Close())
+	return errors.Join(timeline.SVG(out, sc, all), out.Close())
 }
 
 // rigShrink leaves out faults, half of them at a time and then single ones, and prints the schedule that still fails.
--- a/cmd/fernctl/rigrollout.go
+++ b/cmd/fernctl/rigrollout.go
@@ -9,9 +9,9 @@
 
 	"github.com/urfave/cli/v3"
 
-	"fernlanding/internal/rig/rollout"
-	"fernlanding/internal/rig/rollout/check"
-	"fernlanding/internal/rig/rollout/plan"
+	"fernlanding/internal/harness/rollout"
+	"fernlanding/internal/harness/rollout/check"
+	"fernlanding/internal/harness/rollout/plan"
 )
 
 // rigRolloutCommand plays distribution: a source, relays, followers and a publisher with faults between them.
--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -11,8 +11,8 @@
 	"strings"
 
 	"fernlanding/internal/config"
-	"fernlanding/internal/doc"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 // Version is the version of the catalogue's format.
@@ -37,29 +37,29 @@
 // Catalogue is a catalogue as it stands in its files.
 type Catalogue struct {
 	Digest string // of all files, by name and content
-	root   *doc.Value
-	env    *doc.Value
+	root   *tomldoc.Value
+	env    *tomldoc.Value
 }
 
 // sections are the tables of a catalogue's file.
 var sections = []string{"services", "applications", "environments"}
 
 // Read joins the files of a catalogue. With faults the catalogue may be nil, or hold what could be read.
-func Read(files []File) (*Catalogue, doc.Faults) {
+func Read(files []File) (*Catalogue, tomldoc.Faults) {
 	files = slices.Clone(files)
 	slices.SortFunc(files, func(a, b File) int { return strings.Compare(a.Name, b.Name) })
-	r := &doc.Reader{}
+	r := &tomldoc.Reader{}
 	c := &Catalogue{Digest: Digest(files)}
-	j := joiner{Reader: r, root: doc.NewTable(doc.Place{}), env: doc.NewTable(doc.Place{})}
+	j := joiner{Reader: r, root: tomldoc.NewTable(tomldoc.Place{}), env: tomldoc.NewTable(tomldoc.Place{})}
 	for _, s := range sections {
-		j.root.Set(s, doc.NewTable(doc.Place{}))
+		j.root.Set(s, tomldoc.NewTable(tomldoc.Place{}))
 	}
 	broken := len(files) == 0
 	for i, f := range files {
 		if i == 0 {
-			j.root.Place = doc.Place{File: f.Name, Line: 1, Col: 1}
+			j.root.Place = tomldoc.Place{File: f.Name, Line: 1, Col: 1}
 		}
-		root, faults := doc.Parse(f.Name, f.Data)
+		root, faults := tomldoc.Parse(f.Name, f.Data)
 		r.Faults = append(r.Faults, faults...)
 		if root == nil {
 			broken = true
@@ -69,7 +69,7 @@
 	}
 	if broken {
 		if len(files) == 0 {
-			r.Faults = append(r.Faults, doc.Fault{Rule: rules.Missing, Expect: "one file of a catalogue at least expected"})
+			r.Faults = append(r.Faults, tomldoc.Fault{Rule: rules.Missing, Expect: "one file of a catalogue at least expected"})
 		}
 		return nil, r.Faults
 	}
@@ -100,13 +100,13 @@
 
 // Includes are the files that a file includes, as it writes them, with their places. Faults of other kinds are left to
 // Read.
-func Includes(f File) (names []string, at []doc.Place) {
-	root, _ := doc.Parse(f.Name, f.Data)
+func Includes(f File) (names []string, at []tomldoc.Place) {
+	root, _ := tomldoc.Parse(f.Name, f.Data)
 	if root == nil || root.Fields["include"] == nil {
 		return nil, nil
 	}
 	for _, item := range root.Fields["include"].Items {
-		if item.Kind == doc.String {
+		if item.Kind == tomldoc.String {
 			names, at = append(names, item.Text), append(at, item.Place)
 		}
 	}
@@ -122,22 +122,22 @@
 
 // joiner makes one tree of the files' trees.
 type joiner struct {
-	*doc.Reader
-	root *doc.Value
-	env  *doc.Value
+	*tomldoc.Reader
+	root *tomldoc.Value
+	env  *tomldoc.Value
 }
 
-func (j *joiner) join(root *doc.Value) {
-	s := doc.NewScope(j.Reader, root)
+func (j *joiner) join(root *tomldoc.Value) {
+	s := tomldoc.NewScope(j.Reader, root)
 	if v := s.V.Fields["catalogue"]; v == nil {
 		s.Bad(rules.Version, "catalogue", "catalogue = %d expected", Version)
-	} else if v.Kind != doc.Integer || v.Text != fmt.Sprint(Version) {
+	} else if v.Kind != tomldoc.Integer || v.Text != fmt.Sprint(Version) {
 		s.Bad(rules.Version, "catalogue", "this program (%s) reads catalogues of version %d", config.Program, Version)
 		return // what else it says may mean something else there
 	}
 	s.Take("catalogue")
 	s.Texts("include")
-	if v := s.Get("fleet", doc.Table); v != nil {
+	if v := s.Get("fleet", tomldoc.Table); v != nil {
 		if old := j.root.Fields["fleet"]; old != nil {
 			j.twice(rules.DoubleField, v, "fleet", old)
 		} else {
@@ -148,7 +148,7 @@
 		t := s.Sub(section)
 		into := j.root.Fields[section]
 		for _, name := range t.V.Keys {
-			v := t.Get(name, doc.Table)
+			v := t.Get(name, tomldoc.Table)
 			old := into.Fields[name]
 			switch {
 			case v == nil:
@@ -166,22 +166,22 @@
 	s.Done()
 }
 
-func (j *joiner) twice(rule rules.ID, v *doc.Value, path string, old *doc.Value) {
+func (j *joiner) twice(rule rules.ID, v *tomldoc.Value, path string, old *tomldoc.Value) {
 	owner := ""
 	if t := old.Fields["team"]; rule == rules.OwnerTwice && t != nil {
 		owner = fmt.Sprintf("; team %s owns it there", t.Say())
 	}
-	j.Faults = append(j.Faults, doc.Fault{Place: v.Place, Rule: rule, Field: path, Expect: "stands elsewhere too" + owner, See: old.Place})
+	j.Faults = append(j.Faults, tomldoc.Fault{Place: v.Place, Rule: rule, Field: path, Expect: "stands elsewhere too" + owner, See: old.Place})
 }
 
 // merge puts one table of an environment into another of the same path.
-func (j *joiner) merge(into, v *doc.Value, path string) {
+func (j *joiner) merge(into, v *tomldoc.Value, path string) {
 	for _, k := range v.Keys {
 		old, one := into.Fields[k], v.Fields[k]
 		switch {
 		case old == nil:
 			into.Set(k, one)
-		case old.Kind == doc.Table && one.Kind == doc.Table:
+		case old.Kind == tomldoc.Table && one.Kind == tomldoc.Table:
 			j.merge(old, one, path+"."+k)
 		default:
 			j.twice(rules.DoubleField, one, path+"."+k, old)
--- a/internal/catalogue/catalogue_test.go
+++ b/internal/catalogue/catalogue_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"fernlanding/internal/config"
-	"fernlanding/internal/doc"
+	"fernlanding/internal/tomldoc"
 )
 
 // The same catalogue gives the same bytes, however its text is divided into files and in whatever order these come; only
@@ -170,7 +170,7 @@
 			return
 		}
 		for _, o := range append(p.Outputs, p.Probes...) {
-			root, faults := doc.Parse(o.Name, o.Data)
+			root, faults := tomldoc.Parse(o.Name, o.Data)
 			for _, f := range faults {
 				if root == nil && f.Rule != "FILE-SIZE" && f.Rule != "FILE-DEPTH" && f.Rule != "DOUBLE-FIELD" {
 					t.Fatalf("%v\n%s", faults, o.Data)
--- a/internal/catalogue/dir/load.go
+++ b/internal/catalogue/dir/load.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"fernlanding/internal/catalogue"
-	"fernlanding/internal/doc"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 const mostTries = 3 // readings of a catalogue that changes meanwhile
@@ -27,10 +27,10 @@
 // outside of the directory is read, through links neither. Files that were edited while others were read are read again,
 // so that what is returned has stood on the disk at one time; ErrChanged if it never held still. Faults are those that
 // were found on the way to the files, not in them.
-func Load(name string) ([]catalogue.File, doc.Faults, error) { return load(name, func() {}) }
+func Load(name string) ([]catalogue.File, tomldoc.Faults, error) { return load(name, func() {}) }
 
 // load calls read when all files have been read; a test edits them there.
-func load(name string, read func()) ([]catalogue.File, doc.Faults, error) {
+func load(name string, read func()) ([]catalogue.File, tomldoc.Faults, error) {
 	for range mostTries {
 		l := &loader{at: map[string]state{}}
 		err := l.load(name)
@@ -64,7 +64,7 @@
 	files  []catalogue.File
 	at     map[string]state
 	bytes  int
-	faults doc.Faults
+	faults tomldoc.Faults
 	onWay  []string // of includes
 }
 
@@ -90,7 +90,7 @@
 		l.names = []string{filepath.Base(name)}
 	}
 	for _, n := range l.names {
-		if err := l.read(n, doc.Place{File: n}); err != nil {
+		if err := l.read(n, tomldoc.Place{File: n}); err != nil {
 			l.root.Close()
 			return err
 		}
@@ -112,21 +112,21 @@
 	return names, nil
 }
 
-func (l *loader) fault(rule rules.ID, at doc.Place, found, expect string) {
-	l.faults = append(l.faults, doc.Fault{Place: at, Rule: rule, Field: "include", Found: found, Expect: expect})
+func (l *loader) fault(rule rules.ID, at tomldoc.Place, found, expect string) {
+	l.faults = append(l.faults, tomldoc.Fault{Place: at, Rule: rule, Field: "include", Found: found, Expect: expect})
 }
 
 // read reads a file and what it includes. from is where it is named.
-func (l *loader) read(name string, from doc.Place) error {
+func (l *loader) read(name string, from tomldoc.Place) error {
 	if slices.Contains(l.onWay, name) {
-		l.fault(rules.IncludeLoop, from, fmt.Sprintf("%q", doc.Clip(name)), "a circle: "+strings.Join(append(l.onWay, name), " -> "))
+		l.fault(rules.IncludeLoop, from, fmt.Sprintf("%q", tomldoc.Clip(name)), "a circle: "+strings.Join(append(l.onWay, name), " -> "))
 		return nil
 	}
 	if _, known := l.at[name]; known {
 		return nil
 	}
 	if len(l.onWay) > catalogue.MaxInclude {
-		l.fault(rules.IncludeLoop, from, fmt.Sprintf("%q", doc.Clip(name)), fmt.Sprintf("%d files below each other at most", catalogue.MaxInclude))
+		l.fault(rules.IncludeLoop, from, fmt.Sprintf("%q", tomldoc.Clip(name)), fmt.Sprintf("%d files below each other at most", catalogue.MaxInclude))
 		return nil
 	}
 	if len(l.files) >= catalogue.MaxFiles {
@@ -135,10 +135,10 @@
 	data, err := l.content(name)
 	switch {
 	case escapes(err):
-		l.fault(rules.IncludeOutside, from, fmt.Sprintf("%q", doc.Clip(name)), "a file in the catalogue's directory expected")
+		l.fault(rules.IncludeOutside, from, fmt.Sprintf("%q", tomldoc.Clip(name)), "a file in the catalogue's directory expected")
 		return nil
 	case err != nil && from.Line > 0:
-		l.fault(rules.IncludeMissing, from, fmt.Sprintf("%q", doc.Clip(name)), plain(err))
+		l.fault(rules.IncludeMissing, from, fmt.Sprintf("%q", tomldoc.Clip(name)), plain(err))
 		return nil
 	case err != nil:
 		return fmt.Errorf("catalogue: %w", err)
@@ -154,7 +154,7 @@
 	for i, n := range names {
 		inner := path.Join(path.Dir(name), n)
 		if path.IsAbs(n) || strings.Contains(n, `\`) || inner == ".." || strings.HasPrefix(inner, "../") {
-			l.fault(rules.IncludeOutside, at[i], fmt.Sprintf("%q", doc.Clip(n)), "a file in the catalogue's directory expected")
+			l.fault(rules.IncludeOutside, at[i], fmt.Sprintf("%q", tomldoc.Clip(n)), "a file in the catalogue's directory expected")
 			continue
 		}
 		if err := l.read(inner, at[i]); err != nil {
@@ -192,8 +192,8 @@
 		return nil, &fs.PathError{Op: "open", Path: name, Err: errors.New("not a regular file")}
 	}
 	l.at[name] = state{info.Size(), info.ModTime(), info}
-	data, err := io.ReadAll(io.LimitReader(f, doc.MaxFile+1))
-	if err == nil && int64(len(data)) != info.Size() && len(data) <= doc.MaxFile {
+	data, err := io.ReadAll(io.LimitReader(f, tomldoc.MaxFile+1))
+	if err == nil && int64(len(data)) != info.Size() && len(data) <= tomldoc.MaxFile {
 		l.at[name] = state{} // was edited while it was read
 	}
 	return data, err
--- a/internal/catalogue/dir/write.go
+++ b/internal/catalogue/dir/write.go
@@ -12,8 +12,8 @@
 
 	"fernlanding/internal/catalogue"
 	"fernlanding/internal/config"
-	"fernlanding/internal/doc"
 	"fernlanding/internal/durable"
+	"fernlanding/internal/tomldoc"
 )
 
 // Marker is the file in a directory that Write has written, which tells that the directory is its own.
@@ -52,7 +52,7 @@
 	if info, err := f.Stat(); err == nil && info.IsDir() {
 		return nil, &fs.PathError{Op: "read", Path: name, Err: errors.New("is a directory")}
 	}
-	return io.ReadAll(io.LimitReader(f, doc.MaxFile+1))
+	return io.ReadAll(io.LimitReader(f, tomldoc.MaxFile+1))
 }
 
 // Write puts files into a directory of their own: all of them, and nothing else. They are written beside it first, and
--- a/internal/catalogue/generate.go
+++ b/internal/catalogue/generate.go
@@ -8,8 +8,8 @@
 	"strings"
 
 	"fernlanding/internal/config"
-	"fernlanding/internal/doc"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 // Requires is the oldest program that reads what Generate writes, and RequiresRelay that which reads it where lists come
@@ -27,7 +27,7 @@
 	Application string
 	Name        string // of the file
 	Data        []byte
-	Origin      []doc.Place // of each line, in the catalogue
+	Origin      []tomldoc.Place // of each line, in the catalogue
 }
 
 // Plan is what a catalogue gives for one environment.
@@ -41,8 +41,8 @@
 // Generate writes each application's file with an environment's figures; the empty name stands for none. The same
 // catalogue gives the same bytes, however its text is divided into files. Faults are those of the catalogue; what an
 // application's file may not say is found by reading what was written.
-func (c *Catalogue) Generate(environment string) (*Plan, doc.Faults) {
-	r := &doc.Reader{}
+func (c *Catalogue) Generate(environment string) (*Plan, tomldoc.Faults) {
+	r := &tomldoc.Reader{}
 	root, ok := c.overlay(environment, r)
 	if !ok {
 		return nil, r.Faults
@@ -74,12 +74,12 @@
 
 // probe is a file in which a service that nobody calls can be judged.
 func (m *model) probe(v *service, digest, environment string) Output {
-	table := doc.NewTable(v.v.Place)
+	table := tomldoc.NewTable(v.v.Place)
 	c := &call{service: v, v: table}
 	for _, n := range v.names {
 		c.classes = append(c.classes, &called{name: n, of: v.classes[n]})
 	}
-	a := &application{name: "probe", v: doc.NewTable(v.v.Place), instances: 1, calls: []*call{c}}
+	a := &application{name: "probe", v: tomldoc.NewTable(v.v.Place), instances: 1, calls: []*call{c}}
 	e := &emitter{model: m, app: a, needs: map[string]map[string]bool{}, probe: true}
 	e.file(digest, environment)
 	return Output{"", v.name + ".probe", e.out, e.origin}
@@ -92,21 +92,21 @@
 	needs  map[string]map[string]bool // classes by service
 	probe  bool
 	out    []byte
-	origin []doc.Place
+	origin []tomldoc.Place
 }
 
-func (e *emitter) line(from doc.Place, format string, args ...any) {
+func (e *emitter) line(from tomldoc.Place, format string, args ...any) {
 	e.out = fmt.Appendf(e.out, format, args...)
 	e.out = append(e.out, '\n')
 	e.origin = append(e.origin, from)
 }
 
 // field writes a value as it stands in the catalogue.
-func (e *emitter) field(name string, v *doc.Value) {
+func (e *emitter) field(name string, v *tomldoc.Value) {
 	e.line(v.Place, "%s = %s", key(name), text(v))
 }
 
-func (e *emitter) fields(of *doc.Value, names ...string) {
+func (e *emitter) fields(of *tomldoc.Value, names ...string) {
 	for _, n := range names {
 		if v := of.Fields[n]; v != nil {
 			e.field(n, v)
@@ -176,10 +176,10 @@
 				note(side.service, k.name)
 			}
 		}
-		if k.v == nil || k.v.Fields["mirror"] == nil || k.v.Fields["mirror"].Kind != doc.Table {
+		if k.v == nil || k.v.Fields["mirror"] == nil || k.v.Fields["mirror"].Kind != tomldoc.Table {
 			continue
 		}
-		m := doc.Scope{Reader: e.Reader, V: k.v.Fields["mirror"], Path: "mirror"}
+		m := tomldoc.Scope{Reader: e.Reader, V: k.v.Fields["mirror"], Path: "mirror"}
 		if s := e.services[m.Text("service", "")]; s != nil {
 			class := m.Text("class", "")
 			if class == "" && len(s.names) == 1 {
@@ -192,14 +192,14 @@
 
 type side struct {
 	service string
-	v       *doc.Value
+	v       *tomldoc.Value
 }
 
 // sides are the sides of a call's split.
 func (e *emitter) sides(c *call) (out []side) {
-	if v := c.v.Fields["split"]; v != nil && v.Kind == doc.Array {
+	if v := c.v.Fields["split"]; v != nil && v.Kind == tomldoc.Array {
 		for _, item := range v.Items {
-			if item.Kind == doc.Table && item.Fields["service"] != nil {
+			if item.Kind == tomldoc.Table && item.Fields["service"] != nil {
 				out = append(out, side{item.Fields["service"].Text, item})
 			}
 		}
@@ -208,7 +208,7 @@
 }
 
 // table writes a table of scalars, in the order of the fields' names.
-func (e *emitter) table(name string, v *doc.Value) {
+func (e *emitter) table(name string, v *tomldoc.Value) {
 	e.line(v.Place, "")
 	e.line(v.Place, "[%s]", name)
 	e.fields(v, slices.Sorted(slices.Values(v.Keys))...)
@@ -235,13 +235,13 @@
 		e.line(e.app.v.Place, `address = "127.0.0.1:0"`)
 		return
 	}
-	if v == nil || v.Kind != doc.Array {
+	if v == nil || v.Kind != tomldoc.Array {
 		return // is a fault of the file
 	}
 	for _, l := range v.Items {
 		e.line(l.Place, "")
 		e.line(l.Place, "[[listeners]]")
-		if l.Kind == doc.Table {
+		if l.Kind == tomldoc.Table {
 			e.fields(l, l.Keys...)
 		}
 	}
@@ -327,12 +327,12 @@
 	for _, p := range s.pods {
 		for _, v := range p.endpoints {
 			var b strings.Builder
-			add := func(name string, v *doc.Value) {
+			add := func(name string, v *tomldoc.Value) {
 				if v != nil {
 					b.WriteString(cmp.Or(strings.Repeat(", ", min(1, b.Len())), " ") + name + " = " + text(v))
 				}
 			}
-			if v.Kind == doc.Table {
+			if v.Kind == tomldoc.Table {
 				for _, f := range []string{"name", "address"} {
 					add(f, v.Fields[f])
 				}
@@ -352,7 +352,7 @@
 	k := s.classes[name]
 	e.line(k.v.Place, "")
 	e.line(k.v.Place, "[%s.classes.%s]", path, key(name))
-	var own *doc.Value
+	var own *tomldoc.Value
 	if c != nil {
 		for _, one := range c.classes {
 			if one.name == name {
@@ -392,7 +392,7 @@
 			continue
 		}
 		x, err := strconv.ParseFloat(strings.ReplaceAll(quota.Text, "_", ""), 64)
-		if (quota.Kind != doc.Integer && quota.Kind != doc.Float) || err != nil {
+		if (quota.Kind != tomldoc.Integer && quota.Kind != tomldoc.Float) || err != nil {
 			e.field("quota", quota)
 			continue
 		}
@@ -412,7 +412,7 @@
 // written is one route with what its place in the file depends on.
 type written struct {
 	name  string
-	match *doc.Value // may be nil: all paths
+	match *tomldoc.Value // may be nil: all paths
 	c     *call
 	k     *called
 }
@@ -429,9 +429,9 @@
 			base := c.service.name + "." + k.name
 			if len(matches) == 0 {
 				if len(e.app.calls) > 1 || len(c.classes) > 1 || e.probe {
-					matches = []*doc.Value{e.byName(c, k)}
+					matches = []*tomldoc.Value{e.byName(c, k)}
 				} else {
-					matches = []*doc.Value{nil}
+					matches = []*tomldoc.Value{nil}
 				}
 			}
 			for i, v := range matches {
@@ -452,10 +452,10 @@
 }
 
 // byName is the route of a class that states none: a prefix of the service's and the class's name.
-func (e *emitter) byName(c *call, k *called) *doc.Value {
+func (e *emitter) byName(c *call, k *called) *tomldoc.Value {
 	at := k.of.v.Place
-	v := doc.NewTable(at)
-	v.Set("prefix", &doc.Value{Kind: doc.String, Place: at, Text: "/" + c.service.name + "/" + k.name})
+	v := tomldoc.NewTable(at)
+	v.Set("prefix", &tomldoc.Value{Kind: tomldoc.String, Place: at, Text: "/" + c.service.name + "/" + k.name})
 	return v
 }
 
@@ -463,7 +463,7 @@
 // without.
 func (w *written) rank() []int {
 	r := []int{2, 0, 1, 1, 1}
-	if w.match == nil || w.match.Kind != doc.Table {
+	if w.match == nil || w.match.Kind != tomldoc.Table {
 		return r
 	}
 	has := func(f string) bool { return w.match.Fields[f] != nil }
@@ -493,17 +493,17 @@
 	e.line(at, "")
 	e.line(at, "[[routes]]")
 	e.line(at, "name = %s", quote(w.name))
-	if w.match != nil && w.match.Kind == doc.Table {
+	if w.match != nil && w.match.Kind == tomldoc.Table {
 		e.fields(w.match, matchFields...)
 	}
 	own := w.k.v
 	if own == nil {
-		own = doc.NewTable(at)
+		own = tomldoc.NewTable(at)
 	}
 	if v := cmp.Or(own.Fields["for"], w.c.v.Fields["for"]); v != nil {
 		e.field("for", v)
 	}
-	if sides := w.c.v.Fields["split"]; sides != nil && sides.Kind == doc.Array {
+	if sides := w.c.v.Fields["split"]; sides != nil && sides.Kind == tomldoc.Array {
 		e.line(sides.Place, "split = [")
 		for _, s := range e.sides(w.c) {
 			weight := ""
@@ -557,17 +557,17 @@
 }
 
 // text is a value as TOML on one line.
-func text(v *doc.Value) string {
+func text(v *tomldoc.Value) string {
 	switch v.Kind {
-	case doc.String:
+	case tomldoc.String:
 		return quote(v.Text)
-	case doc.Array:
+	case tomldoc.Array:
 		items := make([]string, len(v.Items))
 		for i, item := range v.Items {
 			items[i] = text(item)
 		}
 		return "[" + strings.Join(items, ", ") + "]"
-	case doc.Table:
+	case tomldoc.Table:
 		var items []string
 		for _, k := range v.Keys {
 			items = append(items, key(k)+" = "+text(v.Fields[k]))
--- a/internal/catalogue/model.go
+++ b/internal/catalogue/model.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"fernlanding/internal/config"
-	"fernlanding/internal/doc"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 // The fields that go on to the files of applications as they stand. Their values are judged there, once, by the reader
@@ -29,7 +29,7 @@
 
 // model is a catalogue with one environment's figures.
 type model struct {
-	*doc.Reader
+	*tomldoc.Reader
 	services map[string]*service
 	names    []string // of services, sorted
 	apps     []*application
@@ -38,13 +38,13 @@
 
 type service struct {
 	name    string
-	v       *doc.Value
+	v       *tomldoc.Value
 	team    string
 	zones   []string
 	classes map[string]*class
 	names   []string // of classes, sorted
 	pods    []pod
-	tenants map[string]*doc.Value
+	tenants map[string]*tomldoc.Value
 	called  int // instances of all applications that call it
 
 	attempts int64 // bounds that its callers keep
@@ -52,19 +52,19 @@
 }
 
 type class struct {
-	v      *doc.Value
-	routes []*doc.Value
+	v      *tomldoc.Value
+	routes []*tomldoc.Value
 }
 
 type pod struct {
 	name      string
-	v         *doc.Value
-	endpoints []*doc.Value
+	v         *tomldoc.Value
+	endpoints []*tomldoc.Value
 }
 
 type application struct {
 	name      string
-	v         *doc.Value
+	v         *tomldoc.Value
 	serves    []string
 	instances int
 	calls     []*call
@@ -72,7 +72,7 @@
 
 type call struct {
 	service *service
-	v       *doc.Value
+	v       *tomldoc.Value
 	tenants []string
 	classes []*called
 	ordinal int
@@ -81,13 +81,13 @@
 type called struct {
 	name string
 	of   *class
-	v    *doc.Value // the call's own table of the class; may be nil
+	v    *tomldoc.Value // the call's own table of the class; may be nil
 }
 
 // read makes the model of a tree.
-func read(r *doc.Reader, root *doc.Value) *model {
+func read(r *tomldoc.Reader, root *tomldoc.Value) *model {
 	m := &model{Reader: r, services: map[string]*service{}, factor: DefaultRetryFactor}
-	s := doc.NewScope(r, root)
+	s := tomldoc.NewScope(r, root)
 	f := s.Sub("fleet")
 	m.factor = f.Number("retry_factor", DefaultRetryFactor, 1, 100)
 	f.Done()
@@ -113,18 +113,18 @@
 // DefaultRetryFactor is how often attempts may multiply over all tiers where a fleet does not say.
 const DefaultRetryFactor = 1.2
 
-func (m *model) service(s doc.Scope, name string) *service {
+func (m *model) service(s tomldoc.Scope, name string) *service {
 	config.Named(s, "", name)
-	v := &service{name: name, v: s.V, classes: map[string]*class{}, tenants: map[string]*doc.Value{}}
+	v := &service{name: name, v: s.V, classes: map[string]*class{}, tenants: map[string]*tomldoc.Value{}}
 	if v.team = s.Text("team", ""); v.team == "" {
 		s.Bad(rules.Missing, "team", "the team that owns the service expected")
 	}
 	v.zones = s.Texts("zones")
 	s.Take(serviceFields...)
-	own := doc.Scope{Reader: &doc.Reader{}, V: s.V} // its faults are told where the file is read
+	own := tomldoc.Scope{Reader: &tomldoc.Reader{}, V: s.V} // its faults are told where the file is read
 	v.attempts, v.cold = own.Whole("attempts", 3, 1, 16), own.Number("cold_multiple", 3, 0, 100)
 	for _, f := range serviceTables {
-		s.Get(f, doc.Table)
+		s.Get(f, tomldoc.Table)
 	}
 	switch s.Word("membership", "static", "static", "catalog", "file", "consul", "relay") {
 	case "catalog", "file", "consul", "relay":
@@ -163,7 +163,7 @@
 }
 
 // matches reads the routes of a class.
-func matches(s doc.Scope) (out []*doc.Value) {
+func matches(s tomldoc.Scope) (out []*tomldoc.Value) {
 	for _, r := range s.List("routes") {
 		r.Take(matchFields...)
 		r.Done()
@@ -173,20 +173,20 @@
 }
 
 // pods reads where a service's backends are. The members of a pod share one record of keys.
-func (m *model) pods(s doc.Scope, v *service) {
+func (m *model) pods(s tomldoc.Scope, v *service) {
 	names, scopes := s.Each("pods")
 	if len(names) == 0 {
 		s.Bad(rules.Missing, "pods", `one at least expected where membership is "static"`)
 	}
-	cells, addresses := map[string]*doc.Value{}, map[string]*doc.Value{}
+	cells, addresses := map[string]*tomldoc.Value{}, map[string]*tomldoc.Value{}
 	for i, p := range scopes {
 		config.Named(p, "", names[i])
 		p.Take("zone")
 		if !p.Has("cell") {
 			p.Bad(rules.Missing, "cell", "the number of the pod expected: its members drop each other's repeats")
-		} else if c := p.Get("cell", doc.Integer); c != nil {
+		} else if c := p.Get("cell", tomldoc.Integer); c != nil {
 			if old := cells[c.Text]; old != nil {
-				m.Faults = append(m.Faults, doc.Fault{Place: c.Place, Rule: rules.DoubleName, Field: p.Name("cell"), Found: c.Say(), Expect: "another pod has this number", See: old.Place})
+				m.Faults = append(m.Faults, tomldoc.Fault{Place: c.Place, Rule: rules.DoubleName, Field: p.Name("cell"), Found: c.Say(), Expect: "another pod has this number", See: old.Place})
 			}
 			cells[c.Text] = c
 		}
@@ -197,7 +197,7 @@
 			one.endpoints = append(one.endpoints, e.V)
 			if a := e.V.Fields["address"]; a != nil {
 				if old := addresses[a.Text]; old != nil && old != p.V {
-					m.Faults = append(m.Faults, doc.Fault{Place: a.Place, Rule: rules.PodDisagrees, Field: e.Name("address"), Found: a.Say(), Expect: "this address is in another pod too", See: old.Place})
+					m.Faults = append(m.Faults, tomldoc.Fault{Place: a.Place, Rule: rules.PodDisagrees, Field: e.Name("address"), Found: a.Say(), Expect: "this address is in another pod too", See: old.Place})
 				}
 				addresses[a.Text] = p.V
 			}
@@ -211,13 +211,13 @@
 	slices.SortFunc(v.pods, func(a, b pod) int { return strings.Compare(a.name, b.name) })
 }
 
-func (m *model) application(s doc.Scope, name string) *application {
+func (m *model) application(s tomldoc.Scope, name string) *application {
 	config.Named(s, "", name)
 	a := &application{name: name, v: s.V, serves: s.Texts("serves"), instances: int(s.Whole("instances", 1, 1, 100_000))}
 	s.Take("team", "host", "zone")
-	s.Get("process", doc.Table)
-	s.Get("distribution", doc.Table)
-	s.Get("listeners", doc.Array)
+	s.Get("process", tomldoc.Table)
+	s.Get("distribution", tomldoc.Table)
+	s.Get("listeners", tomldoc.Array)
 	for _, of := range a.serves {
 		m.find(s, "serves", of)
 	}
@@ -236,21 +236,21 @@
 }
 
 // find returns a service of a name, or faults the field that names it.
-func (m *model) find(s doc.Scope, field, name string) *service {
+func (m *model) find(s tomldoc.Scope, field, name string) *service {
 	v := m.services[name]
 	if v == nil {
-		s.Bad(rules.UnknownService, field, "%s, found %q", doc.Guess("one of the services of the catalogue expected", name, m.names), doc.Clip(name))
+		s.Bad(rules.UnknownService, field, "%s, found %q", tomldoc.Guess("one of the services of the catalogue expected", name, m.names), tomldoc.Clip(name))
 	}
 	return v
 }
 
-func (m *model) call(s doc.Scope, name string) *call {
+func (m *model) call(s tomldoc.Scope, name string) *call {
 	v := m.find(s, "", name)
 	c := &call{service: v, v: s.V, tenants: s.Texts("tenants")}
 	s.Take(callFields...)
 	s.Take("share", "time_limit", "zone", "for")
-	s.Get("retry_budget", doc.Table)
-	s.Get("split", doc.Array)
+	s.Get("retry_budget", tomldoc.Table)
+	s.Get("split", tomldoc.Array)
 	names, scopes := s.Each("classes")
 	for i, k := range scopes {
 		k.Take(calledFields...)
@@ -281,7 +281,7 @@
 	slices.SortFunc(c.classes, func(a, b *called) int { return strings.Compare(a.name, b.name) })
 	for _, t := range c.tenants {
 		if v.tenants[t] == nil {
-			s.Bad(rules.UnknownTenant, "tenants", "%s, found %q", doc.Guess("no tenant of "+name+" is named so", t, keys(v.tenants)), doc.Clip(t))
+			s.Bad(rules.UnknownTenant, "tenants", "%s, found %q", tomldoc.Guess("no tenant of "+name+" is named so", t, keys(v.tenants)), tomldoc.Clip(t))
 		}
 	}
 	m.within(s, v)
@@ -289,7 +289,7 @@
 }
 
 // within holds a caller to bounds that the owner states.
-func (m *model) within(s doc.Scope, v *service) {
+func (m *model) within(s tomldoc.Scope, v *service) {
 	if n := s.Whole("attempts", 1, 1, 16); n > v.attempts {
 		s.Bad(rules.Range, "attempts", "%d at most expected, as the owner states, team %s", v.attempts, v.team)
 	}
@@ -298,22 +298,22 @@
 	}
 }
 
-func (m *model) noClass(s doc.Scope, v *service, name string) {
+func (m *model) noClass(s tomldoc.Scope, v *service, name string) {
 	for _, n := range v.names {
 		if f := v.classes[n].v.Fields["formerly"]; f != nil {
 			for _, item := range f.Items {
 				if item.Text == name {
-					m.Faults = append(m.Faults, doc.Fault{Place: s.V.Place, Rule: rules.ClassRenamed, Field: s.Path, Expect: n + " expected: that is its name now", See: f.Place})
+					m.Faults = append(m.Faults, tomldoc.Fault{Place: s.V.Place, Rule: rules.ClassRenamed, Field: s.Path, Expect: n + " expected: that is its name now", See: f.Place})
 					return
 				}
 			}
 		}
 	}
-	s.Fault(s.V, rules.UnknownClass, s.Path, "", doc.Guess("one of the classes of "+v.name+" expected", name, v.names))
+	s.Fault(s.V, rules.UnknownClass, s.Path, "", tomldoc.Guess("one of the classes of "+v.name+" expected", name, v.names))
 }
 
 // agree compares what a caller states of a class with what its owner states.
-func (m *model) agree(s doc.Scope, v *service, name string, of *class) {
+func (m *model) agree(s tomldoc.Scope, v *service, name string, of *class) {
 	for _, f := range stated {
 		mine, theirs := s.V.Fields[f], of.v.Fields[f]
 		if mine == nil || theirs != nil && meaning(f, mine) == meaning(f, theirs) {
@@ -325,18 +325,18 @@
 		} else if f == "dedup_scope" && mine.Text == "cell" && of.v.Fields["repeat"] != nil && of.v.Fields["repeat"].Text == "keyed" {
 			continue // the default
 		}
-		m.Faults = append(m.Faults, doc.Fault{Place: mine.Place, Rule: rules.ClassDisagrees, Field: s.Name(f), Found: mine.Say(),
+		m.Faults = append(m.Faults, tomldoc.Fault{Place: mine.Place, Rule: rules.ClassDisagrees, Field: s.Name(f), Found: mine.Say(),
 			Expect: fmt.Sprintf("team %s, which owns %s, %s of class %s", v.team, v.name, says, name), See: at})
 	}
 	order := map[string]int{"never": 0, "scope": 1, "any": 2}
 	if mine, theirs := s.V.Fields["resend"], of.v.Fields["resend"]; mine != nil && theirs != nil && order[mine.Text] > order[theirs.Text] {
-		m.Faults = append(m.Faults, doc.Fault{Place: mine.Place, Rule: rules.ClassDisagrees, Field: s.Name("resend"), Found: mine.Say(),
+		m.Faults = append(m.Faults, tomldoc.Fault{Place: mine.Place, Rule: rules.ClassDisagrees, Field: s.Name("resend"), Found: mine.Say(),
 			Expect: fmt.Sprintf("team %s, which owns %s, allows %s of class %s", v.team, v.name, theirs.Say(), name), See: theirs.Place})
 	}
 }
 
 // meaning is what a value of a field means, whatever way it is written.
-func meaning(field string, v *doc.Value) string {
+func meaning(field string, v *tomldoc.Value) string {
 	switch field {
 	case "dedup_window":
 		if d, err := time.ParseDuration(v.Text); err == nil {
--- a/internal/catalogue/overlay.go
+++ b/internal/catalogue/overlay.go
@@ -5,8 +5,8 @@
 	"slices"
 	"strings"
 
-	"fernlanding/internal/doc"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 // repeatFields say what may run again. No environment touches them: what is tested is to be what runs.
@@ -16,7 +16,7 @@
 var declared = []string{"services", "applications", "classes", "calls"}
 
 // overlay is the catalogue with an environment's figures in it; the empty name stands for none.
-func (c *Catalogue) overlay(name string, r *doc.Reader) (*doc.Value, bool) {
+func (c *Catalogue) overlay(name string, r *tomldoc.Reader) (*tomldoc.Value, bool) {
 	root := c.root.Clone()
 	if name == "" {
 		return root, true
@@ -24,22 +24,22 @@
 	env := c.env.Fields[name]
 	if env == nil {
 		expect := "one of the environments expected: " + strings.Join(c.Environments(), ", ")
-		if near := doc.Nearest(name, c.Environments()); near != "" {
+		if near := tomldoc.Nearest(name, c.Environments()); near != "" {
 			expect = near + " meant?"
 		}
-		r.Faults = append(r.Faults, doc.Fault{Place: doc.Place{File: c.root.Place.File}, Rule: rules.UnknownEnv, Field: "environments", Found: fmt.Sprintf("%q", doc.Clip(name)), Expect: expect})
+		r.Faults = append(r.Faults, tomldoc.Fault{Place: tomldoc.Place{File: c.root.Place.File}, Rule: rules.UnknownEnv, Field: "environments", Found: fmt.Sprintf("%q", tomldoc.Clip(name)), Expect: expect})
 		return nil, false
 	}
 	o := overlayer{r, name}
 	for _, k := range env.Keys {
 		v := env.Fields[k]
 		switch {
-		case k == "fleet" && v.Kind == doc.Table:
+		case k == "fleet" && v.Kind == tomldoc.Table:
 			if root.Fields["fleet"] == nil {
-				root.Set("fleet", doc.NewTable(v.Place))
+				root.Set("fleet", tomldoc.NewTable(v.Place))
 			}
 			o.put(root.Fields["fleet"], v, []string{"fleet"})
-		case (k == "services" || k == "applications") && v.Kind == doc.Table:
+		case (k == "services" || k == "applications") && v.Kind == tomldoc.Table:
 			o.put(root.Fields[k], v, []string{k})
 		default:
 			r.Fault(v, rules.UnknownField, "environments."+name+"."+k, "", "unknown field; known here: applications, fleet, services")
@@ -49,12 +49,12 @@
 }
 
 type overlayer struct {
-	*doc.Reader
+	*tomldoc.Reader
 	env string
 }
 
 // put puts an environment's table over one of the catalogue. Arrays are replaced as a whole.
-func (o *overlayer) put(into, v *doc.Value, path []string) {
+func (o *overlayer) put(into, v *tomldoc.Value, path []string) {
 	for _, k := range v.Keys {
 		over, old := v.Fields[k], into.Fields[k]
 		at := append(path[:len(path):len(path)], k)
@@ -70,18 +70,18 @@
 			}
 			slices.Sort(known)
 			expect := "nothing of that name is declared"
-			if near := doc.Nearest(k, known); near != "" {
+			if near := tomldoc.Nearest(k, known); near != "" {
 				expect += "; " + near + " meant?"
 			}
 			o.Fault(over, rules.OverlayNothing, field, "", expect)
 			continue
 		}
-		if old != nil && old.Kind == doc.Table && over.Kind == doc.Table {
+		if old != nil && old.Kind == tomldoc.Table && over.Kind == tomldoc.Table {
 			o.put(old, over, at)
 			continue
 		}
-		if over.Kind == doc.Table && old == nil { // an optional table, which may hold a forbidden field
-			old = doc.NewTable(over.Place)
+		if over.Kind == tomldoc.Table && old == nil { // an optional table, which may hold a forbidden field
+			old = tomldoc.NewTable(over.Place)
 			into.Set(k, old)
 			o.put(old, over, at)
 			continue
--- a/internal/check/chain.go
+++ b/internal/check/chain.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"fernlanding/internal/config"
-	"fernlanding/internal/doc"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 	"fernlanding/logic"
 )
 
@@ -33,7 +33,7 @@
 	causes []node // empty: the calls come from outside of the fleet
 }
 
-func (e *edge) at() doc.Place {
+func (e *edge) at() tomldoc.Place {
 	p, _ := e.d.Place("routes", strconv.Itoa(e.route+1))
 	return p
 }
@@ -202,7 +202,7 @@
 		return // by other classes
 	}
 	f.circles[round] = true
-	f.bad(first.d, rules.ServiceCycle, []string{"routes", strconv.Itoa(first.route + 1)}, "", strings.Join(words, " -> "), doc.Place{})
+	f.bad(first.d, rules.ServiceCycle, []string{"routes", strconv.Itoa(first.route + 1)}, "", strings.Join(words, " -> "), tomldoc.Place{})
 }
 
 // chain is one look at all chains.
@@ -386,5 +386,5 @@
 		words = append(words, fmt.Sprintf("%s to %s %s", w.d.App.Name, w.to, number(w.budget)))
 	}
 	c.bad(e.d, rules.RetryFactor, []string{"routes", strconv.Itoa(e.route + 1)}, number(p.x)+" = "+strings.Join(words, " x "),
-		number(c.fleet.factor)+" at most", doc.Place{})
+		number(c.fleet.factor)+" at most", tomldoc.Place{})
 }
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -8,8 +8,8 @@
 
 	"fernlanding/internal/catalogue"
 	"fernlanding/internal/config"
-	"fernlanding/internal/doc"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 // Options are bounds that a fleet states.
@@ -39,10 +39,10 @@
 }
 
 // Files judges applications' files, each by itself and all together.
-func Files(files []File, o Options) ([]*config.Document, doc.Faults) {
+func Files(files []File, o Options) ([]*config.Document, tomldoc.Faults) {
 	docs := make([]*config.Document, len(files))
 	o.each(len(files), func(i int) { docs[i] = config.Read(files[i].Name, files[i].Data) })
-	var faults doc.Faults
+	var faults tomldoc.Faults
 	for _, d := range docs {
 		faults = append(faults, d.Faults...)
 	}
@@ -51,7 +51,7 @@
 
 // Catalogue judges a catalogue with one environment's figures: what it says itself, each file that it gives, and all of
 // them together. Faults stand at their places in the catalogue. The plan is nil where nothing could be written.
-func Catalogue(c *catalogue.Catalogue, environment string, o Options) (*catalogue.Plan, []*config.Document, doc.Faults) {
+func Catalogue(c *catalogue.Catalogue, environment string, o Options) (*catalogue.Plan, []*config.Document, tomldoc.Faults) {
 	plan, faults := c.Generate(environment)
 	if plan == nil {
 		return nil, nil, faults.Sorted()
@@ -78,7 +78,7 @@
 }
 
 // atSource puts a fault of a generated file at its place in the catalogue.
-func atSource(d *config.Document, f doc.Fault, application string) doc.Fault {
+func atSource(d *config.Document, f tomldoc.Fault, application string) tomldoc.Fault {
 	f.Place = d.From(f.Place)
 	if f.See.File != "" {
 		f.See = d.From(f.See)
@@ -94,9 +94,9 @@
 }
 
 // once leaves one of faults that differ in the application alone: what a service says wrong, every caller's file does.
-func once(faults doc.Faults) (out doc.Faults) {
+func once(faults tomldoc.Faults) (out tomldoc.Faults) {
 	type same struct {
-		at     doc.Place
+		at     tomldoc.Place
 		rule   rules.ID
 		found  string
 		expect string
@@ -114,7 +114,7 @@
 }
 
 // fault is a fault at a value of a document.
-func fault(d *config.Document, rule rules.ID, path []string, found, expect string, see doc.Place) doc.Fault {
+func fault(d *config.Document, rule rules.ID, path []string, found, expect string, see tomldoc.Place) tomldoc.Fault {
 	at, said := d.Place(path...)
 	field := ""
 	for i, p := range path {
@@ -133,7 +133,7 @@
 	if d.App != nil && len(path) > 0 && path[0] != "services" {
 		field = d.App.Name + ": " + field
 	}
-	return doc.Fault{Place: at, Rule: rule, Field: field, Found: found, Expect: expect, See: see}
+	return tomldoc.Fault{Place: at, Rule: rule, Field: field, Found: found, Expect: expect, See: see}
 }
 
 func number(x float64) string { return fmt.Sprintf("%.4g", x) }
--- a/internal/check/fleet.go
+++ b/internal/check/fleet.go
@@ -9,14 +9,14 @@
 
 	"fernlanding/internal/catalogue"
 	"fernlanding/internal/config"
-	"fernlanding/internal/doc"
 	"fernlanding/internal/membership"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 	"fernlanding/logic"
 )
 
 // Fleet judges what files say of each other. Files that a sidecar would refuse are left out.
-func Fleet(docs []*config.Document, o Options) doc.Faults {
+func Fleet(docs []*config.Document, o Options) tomldoc.Faults {
 	f := fleet{factor: o.RetryFactor, stated: map[string]*statement{}, ends: map[string]*endpoint{}, shares: map[string]float64{}, circles: map[string]bool{}}
 	if f.factor == 0 {
 		f.factor = catalogue.DefaultRetryFactor
@@ -38,14 +38,14 @@
 type fleet struct {
 	docs    []*config.Document
 	factor  float64
-	faults  doc.Faults
+	faults  tomldoc.Faults
 	stated  map[string]*statement // by service
 	ends    map[string]*endpoint  // by service and name, and by service and address
 	shares  map[string]float64
 	circles map[string]bool // told
 }
 
-func (f *fleet) bad(d *config.Document, rule rules.ID, path []string, found, expect string, see doc.Place) {
+func (f *fleet) bad(d *config.Document, rule rules.ID, path []string, found, expect string, see tomldoc.Place) {
 	f.faults = append(f.faults, fault(d, rule, path, found, expect, see))
 }
 
@@ -233,7 +233,7 @@
 	before := f.shares[s.Name]
 	f.shares[s.Name] = before + s.Share
 	if before <= 1+1e-9 && before+s.Share > 1+1e-9 {
-		f.bad(d, rules.ShareSum, path("services", s.Name, "share"), number(s.Share), "1 at most with those of other applications, "+number(before), doc.Place{})
+		f.bad(d, rules.ShareSum, path("services", s.Name, "share"), number(s.Share), "1 at most with those of other applications, "+number(before), tomldoc.Place{})
 	}
 }
 
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -3,13 +3,13 @@
 import (
 	"fmt"
 
-	"fernlanding/internal/doc"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 	"fernlanding/logic"
 )
 
 // check looks at a file that has been read as a whole: its limits, and what its parts say of each other.
-func (x *decoder) check(s doc.Scope) {
+func (x *decoder) check(s tomldoc.Scope) {
 	a := x.app
 	if _, err := a.Descriptors(); err != nil {
 		s.Sub("process").Bad(rules.Sockets, "sockets", "%v", err)
@@ -20,7 +20,7 @@
 	used := map[[2]string]bool{}
 	for i := range a.Routes {
 		r := &a.Routes[i]
-		at := doc.Scope{Reader: s.Reader, V: s.V.Fields["routes"].Items[i], Path: fmt.Sprintf("routes[%d]", i+1)}
+		at := tomldoc.Scope{Reader: s.Reader, V: s.V.Fields["routes"].Items[i], Path: fmt.Sprintf("routes[%d]", i+1)}
 		targets := r.To
 		if r.Mirror != nil {
 			targets = append(targets[:len(targets):len(targets)], *r.Mirror)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -9,10 +9,10 @@
 	"net/http"
 	"time"
 
-	"fernlanding/internal/doc"
 	"fernlanding/internal/membership"
 	"fernlanding/internal/route"
 	"fernlanding/internal/settings"
+	"fernlanding/internal/tomldoc"
 	"fernlanding/logic"
 )
 
@@ -24,7 +24,7 @@
 
 // Bounds of a file.
 const (
-	MaxFile     = doc.MaxFile // bytes
+	MaxFile     = tomldoc.MaxFile // bytes
 	MaxServices = 256
 	MaxRoutes   = 20_000
 	MaxDeadline = 60 * time.Second // of a class
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -4,8 +4,8 @@
 	"strconv"
 	"strings"
 
-	"fernlanding/internal/doc"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 // later are the fields that version 1 lacks.
@@ -14,15 +14,15 @@
 
 // decoder reads one file. Each table of the format has a method of its own, in a file named after the table.
 type decoder struct {
-	*doc.Reader
+	*tomldoc.Reader
 	app     *App
 	version int
 }
 
 // read reads the tree.
 func (d *Document) read() {
-	r := &doc.Reader{}
-	s := doc.NewScope(r, d.root)
+	r := &tomldoc.Reader{}
+	s := tomldoc.NewScope(r, d.root)
 	defer func() { d.Faults = append(d.Faults, r.Faults...) }()
 	if newer := d.readVersion(s); newer {
 		return // what else it says may mean something else there
@@ -44,13 +44,13 @@
 }
 
 // readVersion sets the version of the format; 0 where the file does not tell it. newer tells that this program can't read it.
-func (d *Document) readVersion(s doc.Scope) (newer bool) {
+func (d *Document) readVersion(s tomldoc.Scope) (newer bool) {
 	v := d.root.Fields["version"]
 	if v == nil {
 		s.Bad(rules.Version, "version", "version = %d expected", Version)
 		return false
 	}
-	if v.Kind != doc.Integer {
+	if v.Kind != tomldoc.Integer {
 		s.Whole("version", 0, 1, Version)
 		return false
 	}
@@ -66,7 +66,7 @@
 }
 
 // parseInteger is the number that an integer's text stands for, where it has 32 bits.
-func parseInteger(v *doc.Value) (int64, error) {
+func parseInteger(v *tomldoc.Value) (int64, error) {
 	return strconv.ParseInt(strings.ReplaceAll(v.Text, "_", ""), 0, 32)
 }
 
@@ -74,7 +74,7 @@
 	return (&Document{Version: d.Version, Faults: f}).refused()
 }
 
-func (x *decoder) read(s doc.Scope) {
+func (x *decoder) read(s tomldoc.Scope) {
 	x.identity(s)
 	x.process(s)
 	x.distribution(s)
--- a/internal/config/decode_class.go
+++ b/internal/config/decode_class.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"fernlanding/internal/doc"
 	"fernlanding/internal/route"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 	"fernlanding/logic"
 )
 
@@ -15,7 +15,7 @@
 const DefaultKey = "Idempotency-Key"
 
 // classes reads the classes of a service.
-func (x *decoder) classes(s doc.Scope, v *Service) {
+func (x *decoder) classes(s tomldoc.Scope, v *Service) {
 	names, scopes := s.Each("classes")
 	former := map[string]bool{}
 	for i, c := range scopes {
@@ -23,7 +23,7 @@
 		k, r := x.class(c)
 		for _, f := range r.Formerly {
 			if former[f] || slices.Contains(names, f) {
-				c.Bad(rules.DoubleName, "formerly", "%q is a name of another class too", doc.Clip(f))
+				c.Bad(rules.DoubleName, "formerly", "%q is a name of another class too", tomldoc.Clip(f))
 			}
 			former[f] = true
 		}
@@ -38,7 +38,7 @@
 }
 
 // class reads one class: what the module is told of it, and what its owner states.
-func (x *decoder) class(c doc.Scope) (k logic.Class, r Rule) {
+func (x *decoder) class(c tomldoc.Scope) (k logic.Class, r Rule) {
 	k = logic.Class{LatencyObjective: micros(c.Span("objective", 500*time.Millisecond, minTime, MaxDeadline)),
 		Deadline:           micros(c.Span("deadline", 2*time.Second, minTime, MaxDeadline)),
 		PriorityWeight:     c.Number("worth", 1, 0, 1e9),
@@ -57,7 +57,7 @@
 }
 
 // repeat reads what a class's owner states about running it again.
-func (x *decoder) repeat(c doc.Scope) (r Rule) {
+func (x *decoder) repeat(c tomldoc.Scope) (r Rule) {
 	x.repeatRule(c, &r)
 	x.deduplication(c, &r)
 	if x.version < 2 {
@@ -76,7 +76,7 @@
 }
 
 // repeatRule reads whether a class is safe, keyed or unsafe, and with it the usual allowances.
-func (x *decoder) repeatRule(c doc.Scope, r *Rule) {
+func (x *decoder) repeatRule(c tomldoc.Scope, r *Rule) {
 	if !c.Has("repeat") {
 		c.Bad(rules.Missing, "repeat", `"safe", "keyed" or "unsafe" expected: it decides what may be sent again, so there is no default`)
 	}
@@ -94,7 +94,7 @@
 }
 
 // deduplication reads who drops the repeats of a keyed class, and for how long.
-func (x *decoder) deduplication(c doc.Scope, r *Rule) {
+func (x *decoder) deduplication(c tomldoc.Scope, r *Rule) {
 	r.Window = c.Span("dedup_window", 0, 0, time.Hour)
 	switch c.Word("dedup_scope", "cell", "cell", "zone", "service") {
 	case "zone":
@@ -114,7 +114,7 @@
 }
 
 // key reads the field that carries the key of a keyed class.
-func (x *decoder) key(c doc.Scope, r *Rule) {
+func (x *decoder) key(c tomldoc.Scope, r *Rule) {
 	key := textproto.CanonicalMIMEHeaderKey(c.Text("key", ""))
 	if r.Repeat != logic.IdempotentByKey {
 		return
@@ -135,7 +135,7 @@
 	"Keep-Alive", "Proxy-Connection", "Date", "Request-Timeout-Ms", "Tenant", "Early-Data", "User-Agent", "Accept"}
 
 // allowances reads what a class is allowed beyond, or not allowed of, what its repeat rule gives.
-func (x *decoder) allowances(c doc.Scope, r *Rule) {
+func (x *decoder) allowances(c tomldoc.Scope, r *Rule) {
 	usual := r.Resend.String()
 	word := c.Word("resend", usual, "never", "scope", "any")
 	allowed := map[string]Resend{"never": Never, "scope": InScope, "any": Any}[word]
--- a/internal/config/decode_distribution.go
+++ b/internal/config/decode_distribution.go
@@ -3,15 +3,15 @@
 import (
 	"fmt"
 
-	"fernlanding/internal/doc"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 // MaxRelays is how many relays a file may name: more than a follower tries before the first is asked again.
 const MaxRelays = 16
 
 // distribution reads the table of that name, which version 1 lacks.
-func (x *decoder) distribution(s doc.Scope) {
+func (x *decoder) distribution(s tomldoc.Scope) {
 	if x.version < 2 {
 		return
 	}
@@ -36,15 +36,15 @@
 }
 
 // relayAddresses checks the addresses of relays one by one.
-func relayAddresses(s doc.Scope) {
-	v := s.Get("relays", doc.Array)
+func relayAddresses(s tomldoc.Scope) {
+	v := s.Get("relays", tomldoc.Array)
 	if v == nil {
 		return
 	}
 	seen := map[string]bool{}
 	for i, item := range v.Items {
 		path := fmt.Sprintf("%s[%d]", s.Name("relays"), i+1)
-		if expect := expectedAddress(item.Text, false); item.Kind == doc.String && expect != "" {
+		if expect := expectedAddress(item.Text, false); item.Kind == tomldoc.String && expect != "" {
 			s.Fault(item, rules.Address, path, item.Say(), expect)
 		}
 		if seen[item.Text] {
--- a/internal/config/decode_identity.go
+++ b/internal/config/decode_identity.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"strconv"
 
-	"fernlanding/internal/doc"
 	"fernlanding/internal/route"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 const (
@@ -15,7 +15,7 @@
 )
 
 // identity reads which application the file is for, who runs it, and what wrote the file.
-func (x *decoder) identity(s doc.Scope) {
+func (x *decoder) identity(s tomldoc.Scope) {
 	app := x.app
 	app.Name, app.Seed = s.Text("name", ""), uint64(s.Whole("seed", 0, 0, 1<<62))
 	if x.version < 2 {
@@ -43,14 +43,14 @@
 }
 
 // head reads what a generator has written about the file.
-func (x *decoder) head(s doc.Scope) {
+func (x *decoder) head(s tomldoc.Scope) {
 	h := s.Sub("generated")
 	x.app.Head = Head{By: h.Text("by", ""), Requires: h.Text("requires", ""), Sources: h.Text("sources", ""), Environment: h.Text("environment", "")}
 	if want := x.app.Head.Requires; h.Has("requires") {
 		if newer, err := Newer(want, Program); err != nil {
 			h.Bad(rules.Version, "requires", "a version such as %q expected", Program)
 		} else if newer {
-			h.Bad(rules.Version, "requires", "this program is of version %s; the file asks for %s", Program, doc.Clip(want))
+			h.Bad(rules.Version, "requires", "this program is of version %s; the file asks for %s", Program, tomldoc.Clip(want))
 		}
 	}
 	h.Done()
@@ -60,7 +60,7 @@
 func IsName(name string) bool { return len(name) <= maxNames && route.IsToken(name) }
 
 // Named faults a name that is none; without a field, that of the table itself.
-func Named(s doc.Scope, field, name string) {
+func Named(s tomldoc.Scope, field, name string) {
 	if IsName(name) {
 		return
 	}
@@ -71,5 +71,5 @@
 			at = v
 		}
 	}
-	s.Fault(at, rules.Name, path, strconv.Quote(doc.Clip(name)), fmt.Sprintf("a name of 1 to %d letters, digits and signs expected", maxNames))
+	s.Fault(at, rules.Name, path, strconv.Quote(tomldoc.Clip(name)), fmt.Sprintf("a name of 1 to %d letters, digits and signs expected", maxNames))
 }
--- a/internal/config/decode_listener.go
+++ b/internal/config/decode_listener.go
@@ -5,12 +5,12 @@
 	"strconv"
 	"strings"
 
-	"fernlanding/internal/doc"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 // listeners reads where clients connect.
-func (x *decoder) listeners(s doc.Scope) {
+func (x *decoder) listeners(s tomldoc.Scope) {
 	seen := map[string]bool{}
 	for _, l := range s.List("listeners") {
 		one := Listener{Name: l.Text("name", "main"), Address: address(l, "address", true)}
@@ -49,7 +49,7 @@
 }
 
 // address reads host:port. Port 0, which stands for any free one, makes sense for listeners alone.
-func address(s doc.Scope, field string, listener bool) string {
+func address(s tomldoc.Scope, field string, listener bool) string {
 	addr := s.Text(field, "")
 	if expect := expectedAddress(addr, listener); expect != "" {
 		s.Bad(rules.Address, field, "%s", expect)
--- a/internal/config/decode_process.go
+++ b/internal/config/decode_process.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"fernlanding/internal/doc"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 const (
@@ -14,7 +14,7 @@
 )
 
 // process reads what the process may use, and the folder that outlives it.
-func (x *decoder) process(s doc.Scope) {
+func (x *decoder) process(s tomldoc.Scope) {
 	app, p := x.app, s.Sub("process")
 	app.Process = Process{Cores: p.Number("cores", 0, 0, 1024), MemoryMB: p.Number("memory_mb", 0, 0, 1<<20),
 		Sockets: int(p.Whole("sockets", defaultSockets, 1, 1<<24))}
--- a/internal/config/decode_route.go
+++ b/internal/config/decode_route.go
@@ -8,17 +8,17 @@
 	"strconv"
 	"strings"
 
-	"fernlanding/internal/doc"
 	"fernlanding/internal/route"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 const maxRouteTime = MaxDeadline
 
 // routes reads the rules, and checks where they lead.
-func (x *decoder) routes(s doc.Scope) {
+func (x *decoder) routes(s tomldoc.Scope) {
 	a := x.app
-	var scopes []doc.Scope
+	var scopes []tomldoc.Scope
 	names := map[string]bool{}
 	for _, r := range s.List("routes") {
 		one := x.route(r)
@@ -41,7 +41,7 @@
 }
 
 // compile faults the rules of a listener that can't be compiled, or that others before them shadow. scopes are those of all routes.
-func (x *decoder) compile(listener string, scopes []doc.Scope) {
+func (x *decoder) compile(listener string, scopes []tomldoc.Scope) {
 	a := x.app
 	matches, numbers := a.rules(listener)
 	_, err := route.New(matches)
@@ -55,8 +55,8 @@
 		if errors.As(e, &sh) {
 			by := scopes[numbers[sh.By]]
 			x.Faults = append(x.Faults, Fault{Place: at.V.Place, Rule: rules.RouteDead, Field: at.Path,
-				Found: strconv.Quote(doc.Clip(a.Routes[numbers[re.Rule]].Name)), See: by.V.Place,
-				Expect: fmt.Sprintf("it can't be reached at listener %s: %q takes all its requests before", listener, doc.Clip(a.Routes[numbers[sh.By]].Name))})
+				Found: strconv.Quote(tomldoc.Clip(a.Routes[numbers[re.Rule]].Name)), See: by.V.Place,
+				Expect: fmt.Sprintf("it can't be reached at listener %s: %q takes all its requests before", listener, tomldoc.Clip(a.Routes[numbers[sh.By]].Name))})
 			continue
 		}
 		for _, why := range split(re.Err) {
@@ -94,13 +94,13 @@
 }
 
 // route reads one rule.
-func (x *decoder) route(s doc.Scope) Route {
+func (x *decoder) route(s tomldoc.Scope) Route {
 	r := Route{Name: s.Text("name", ""), Listeners: s.Texts("listeners"), Rewrite: s.Text("rewrite_prefix", ""),
 		Timeout: s.Span("timeout", 0, minTime, maxRouteTime)}
 	Named(s, "name", r.Name)
 	for _, l := range r.Listeners {
 		if !slices.ContainsFunc(x.app.Listeners, func(o Listener) bool { return o.Name == l }) {
-			s.Bad(rules.UnknownListener, "listeners", "no listener is named %q", doc.Clip(l))
+			s.Bad(rules.UnknownListener, "listeners", "no listener is named %q", tomldoc.Clip(l))
 		}
 	}
 	x.causes(s, &r)
@@ -117,20 +117,20 @@
 }
 
 // causes reads which classes that the application serves cause a route's requests.
-func (x *decoder) causes(s doc.Scope, r *Route) {
+func (x *decoder) causes(s tomldoc.Scope, r *Route) {
 	if x.version < 2 {
 		return
 	}
 	r.For = s.Texts("for")
 	for _, f := range r.For {
 		if service, class, ok := strings.Cut(f, "/"); !ok || !IsName(class) || !slices.Contains(x.app.Serves, service) {
-			s.Bad(rules.UnknownService, "for", "service/class of what the application serves expected, found %q", doc.Clip(f))
+			s.Bad(rules.UnknownService, "for", "service/class of what the application serves expected, found %q", tomldoc.Clip(f))
 		}
 	}
 }
 
 // match reads which requests a rule takes.
-func (x *decoder) match(s doc.Scope, m *route.Match) {
+func (x *decoder) match(s tomldoc.Scope, m *route.Match) {
 	m.Hosts, m.Methods = s.Texts("hosts"), s.Texts("methods")
 	kinds := 0
 	for i, field := range []string{"prefix", "exact", "template"} {
@@ -149,9 +149,9 @@
 		v := h.V.Fields[name]
 		h.Take(name)
 		switch {
-		case v.Kind == doc.String:
+		case v.Kind == tomldoc.String:
 			m.Headers = append(m.Headers, route.HeaderMatch{Name: name, Value: v.Text})
-		case v.Kind == doc.Bool && v.Text == "true":
+		case v.Kind == tomldoc.Bool && v.Text == "true":
 			m.Headers = append(m.Headers, route.HeaderMatch{Name: name, Any: true})
 		default:
 			h.Bad(rules.WrongType, name, "a string, or true for any value, expected")
@@ -160,7 +160,7 @@
 }
 
 // rewrite faults a prefix to go on that makes no sense, or that goes with no prefix.
-func (x *decoder) rewrite(s doc.Scope, r Route) {
+func (x *decoder) rewrite(s tomldoc.Scope, r Route) {
 	if !s.Has("rewrite_prefix") {
 		return
 	}
--- a/internal/config/decode_service.go
+++ b/internal/config/decode_service.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"fernlanding/internal/doc"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 	"fernlanding/logic"
 )
 
@@ -22,13 +22,13 @@
 )
 
 // services reads all services that are called.
-func (x *decoder) services(s doc.Scope) {
+func (x *decoder) services(s tomldoc.Scope) {
 	names, scopes := s.Each("services")
 	for i, v := range scopes {
 		x.app.Services = append(x.app.Services, x.service(v, names[i]))
 	}
 	switch {
-	case !s.Has("services") || len(s.V.Fields["services"].Keys) == 0 && s.V.Fields["services"].Kind == doc.Table:
+	case !s.Has("services") || len(s.V.Fields["services"].Keys) == 0 && s.V.Fields["services"].Kind == tomldoc.Table:
 		s.Bad(rules.Missing, "services", "one service at least expected")
 	case len(names) > MaxServices:
 		s.Bad(rules.TooMany, "services", "%d services, %d expected at most", len(names), MaxServices)
@@ -36,7 +36,7 @@
 }
 
 // service reads one service with its classes, its tenants and the source of its list.
-func (x *decoder) service(s doc.Scope, name string) *Service {
+func (x *decoder) service(s tomldoc.Scope, name string) *Service {
 	Named(s, "", name)
 	v := &Service{Name: name, PassAll: true, Trusted: s.Flag("trusted"),
 		Connections: s.Whole("connections", 0, 1, 1<<20),
@@ -58,7 +58,7 @@
 }
 
 // limits reads where the sidecar stands among those of its service, and the module's limits of the service.
-func (x *decoder) limits(s doc.Scope, v *Service) {
+func (x *decoder) limits(s tomldoc.Scope, v *Service) {
 	v.Zones = s.Texts("zones")
 	zone := s.Text("zone", "")
 	if len(v.Zones) == 0 {
@@ -87,7 +87,7 @@
 }
 
 // retryBudget reads how many further attempts the service may get.
-func (x *decoder) retryBudget(s doc.Scope, v *Service) {
+func (x *decoder) retryBudget(s tomldoc.Scope, v *Service) {
 	b := s.Sub("retry_budget")
 	v.Balancer.RetryBudgetWindow = micros(b.Span("span", 10*time.Second, 100*time.Millisecond, 10*time.Minute))
 	v.Balancer.RetryBudgetMin = b.Number("free", 5, 0, 1e6)
@@ -96,7 +96,7 @@
 }
 
 // tenants reads the tenants and their shares of the service.
-func (x *decoder) tenants(s doc.Scope, v *Service) {
+func (x *decoder) tenants(s tomldoc.Scope, v *Service) {
 	names, scopes := s.Each("tenants")
 	portions := 0.0
 	for i, t := range scopes {
@@ -116,7 +116,7 @@
 }
 
 // service2 reads what version 2 adds to a service.
-func (x *decoder) service2(s doc.Scope, v *Service) {
+func (x *decoder) service2(s tomldoc.Scope, v *Service) {
 	if v.Owner = s.Text("owner", ""); s.Has("owner") {
 		Named(s, "owner", v.Owner)
 	}
@@ -130,9 +130,9 @@
 }
 
 // code reads one of some codes. The codes after which a client sends again at once promise that nothing has run.
-func code(s doc.Scope, field string, codes ...int64) int {
+func code(s tomldoc.Scope, field string, codes ...int64) int {
 	s.Take(field)
-	if !s.Has(field) || s.Get(field, doc.Integer) == nil {
+	if !s.Has(field) || s.Get(field, tomldoc.Integer) == nil {
 		return 0
 	}
 	n, err := parseInteger(s.V.Fields[field])
--- a/internal/config/decode_source.go
+++ b/internal/config/decode_source.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"fernlanding/internal/doc"
 	"fernlanding/internal/membership"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 // askInterval is the longest time that a sidecar goes without a subscription to its catalog or a call of it.
@@ -24,7 +24,7 @@
 var fieldsOfMembership = map[string]string{"path": "file", "registered_as": "consul", "token_file": "consul", "as": "relay"}
 
 // source reads where the list of a service's backends comes from.
-func (x *decoder) source(s doc.Scope, v *Service) {
+func (x *decoder) source(s tomldoc.Scope, v *Service) {
 	before := len(s.Faults)
 	kinds := memberships
 	if x.version < 2 {
@@ -55,7 +55,7 @@
 	}
 }
 
-func (x *decoder) fileSource(s doc.Scope, v *Service) {
+func (x *decoder) fileSource(s tomldoc.Scope, v *Service) {
 	v.Source = Source{Kind: File, Path: s.Text("path", "")}
 	if v.Source.Path == "" {
 		s.Bad(rules.Missing, "path", "the file that has the list expected")
@@ -68,7 +68,7 @@
 	s.Take("endpoints", "discovery")
 }
 
-func (x *decoder) consulSource(s doc.Scope, v *Service) {
+func (x *decoder) consulSource(s tomldoc.Scope, v *Service) {
 	v.Source = Source{Kind: Consul, Address: address(s, "discovery", false), As: s.Text("registered_as", v.Name), TokenFile: s.Text("token_file", "")}
 	if v.Source.As == "" {
 		s.Bad(rules.Missing, "registered_as", "the service's name in the registry expected")
@@ -80,7 +80,7 @@
 }
 
 // relaySource reads the list that the relays of [distribution] pass on.
-func (x *decoder) relaySource(s doc.Scope, v *Service) {
+func (x *decoder) relaySource(s tomldoc.Scope, v *Service) {
 	v.Source = Source{Kind: Relay, As: s.Text("as", v.Name)}
 	if s.Has("as") {
 		Named(s, "as", v.Source.As)
@@ -96,7 +96,7 @@
 	}
 }
 
-func (x *decoder) catalogSource(s doc.Scope, v *Service) {
+func (x *decoder) catalogSource(s tomldoc.Scope, v *Service) {
 	v.Source = Source{Kind: Catalog, Address: address(s, "discovery", false)}
 	if s.Has("endpoints") {
 		s.Bad(rules.Exclusive, "endpoints", `stand in the file where membership is "static"`)
@@ -107,7 +107,7 @@
 	}
 }
 
-func (x *decoder) staticSource(s doc.Scope, v *Service) {
+func (x *decoder) staticSource(s tomldoc.Scope, v *Service) {
 	if s.Has("discovery") {
 		s.Bad(rules.Exclusive, "discovery", `goes with membership = "catalog"`)
 		s.Take("discovery")
@@ -128,7 +128,7 @@
 }
 
 // endpoint reads one backend that stands in the file; its name is its address where it has none.
-func (x *decoder) endpoint(e doc.Scope, v *Service) membership.Endpoint {
+func (x *decoder) endpoint(e tomldoc.Scope, v *Service) membership.Endpoint {
 	one := membership.Endpoint{Name: e.Text("name", ""), Address: address(e, "address", false), Zone: e.Text("zone", v.Zones[max(0, v.Balancer.Zone)]),
 		Cell: int(e.Whole("cell", 0, 0, 1<<30)), Weight: e.Number("weight", 1, 0, 1e6)}
 	if e.Word("status", "serving", "serving", "draining") == "draining" {
--- a/internal/config/decode_target.go
+++ b/internal/config/decode_target.go
@@ -6,14 +6,14 @@
 	"strings"
 	"time"
 
-	"fernlanding/internal/doc"
 	"fernlanding/internal/route"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 	"fernlanding/logic"
 )
 
 // targets reads where a route leads.
-func (x *decoder) targets(s doc.Scope, r *Route) {
+func (x *decoder) targets(s tomldoc.Scope, r *Route) {
 	sides := s.List("split")
 	if len(sides) > 0 && (s.Has("service") || s.Has("class")) {
 		s.Bad(rules.Exclusive, "split", "either service and class or a split expected")
@@ -33,7 +33,7 @@
 }
 
 // split reads the sides of a split and their weights.
-func (x *decoder) split(s doc.Scope, r *Route, sides []doc.Scope) {
+func (x *decoder) split(s tomldoc.Scope, r *Route, sides []tomldoc.Scope) {
 	var weights []route.Arm
 	for _, side := range sides {
 		t := x.target(side, int(side.Whole("weight", 0, 0, route.MaxWeight)))
@@ -49,7 +49,7 @@
 }
 
 // checkTargets faults sides of a split that disagree on what may be repeated, and a time limit that doesn't fit its classes.
-func (x *decoder) checkTargets(s doc.Scope, r *Route) {
+func (x *decoder) checkTargets(s tomldoc.Scope, r *Route) {
 	first := -1
 	for i, t := range r.To {
 		k, rule, ok := x.app.class(t)
@@ -69,7 +69,7 @@
 }
 
 // checkAgreement faults two sides of a split whose classes state different things about a repeat.
-func (x *decoder) checkAgreement(s doc.Scope, first, other Target) {
+func (x *decoder) checkAgreement(s tomldoc.Scope, first, other Target) {
 	_, a, _ := x.app.class(first)
 	_, b, _ := x.app.class(other)
 	if a.Repeat != b.Repeat {
@@ -84,7 +84,7 @@
 }
 
 // checkTimeout faults a time limit of a route that is over the deadline of a class that it leads to, or under its objective.
-func (x *decoder) checkTimeout(s doc.Scope, r *Route, t Target, k logic.Class) {
+func (x *decoder) checkTimeout(s tomldoc.Scope, r *Route, t Target, k logic.Class) {
 	if deadline := time.Duration(k.Deadline) * time.Microsecond; r.Timeout > deadline {
 		s.Bad(rules.LimitDeadline, "timeout", "the deadline of class %s (%v) expected at most", t.Class, deadline)
 	}
@@ -94,7 +94,7 @@
 }
 
 // sameScope faults two sides of a keyed split that differ in what they say about their keys.
-func sameScope(s doc.Scope, a Target, x Rule, b Target, y Rule) {
+func sameScope(s tomldoc.Scope, a Target, x Rule, b Target, y Rule) {
 	for _, c := range []struct {
 		what string
 		x, y any
@@ -107,7 +107,7 @@
 
 // mirror reads where copies go. A copy is sent beside the request itself and is nobody's retry: a class that may not
 // run twice has no copies.
-func (x *decoder) mirror(s doc.Scope, r *Route) {
+func (x *decoder) mirror(s tomldoc.Scope, r *Route) {
 	if !s.Has("mirror") {
 		s.Take("mirror")
 		return
@@ -128,7 +128,7 @@
 }
 
 // target reads one service and class that a route leads to; a service with one class alone needs no class beside it.
-func (x *decoder) target(s doc.Scope, weight int) Target {
+func (x *decoder) target(s tomldoc.Scope, weight int) Target {
 	t := Target{Service: s.Text("service", ""), Class: s.Text("class", ""), Weight: weight}
 	v := x.app.Service(t.Service)
 	if v == nil {
@@ -156,7 +156,7 @@
 
 // oneOf words a list of names, and the near one where there is one.
 func oneOf(what, word string, names []string) string {
-	if guess := doc.Guess(what, word, names); guess != what && word != "" {
+	if guess := tomldoc.Guess(what, word, names); guess != what && word != "" {
 		return guess
 	}
 	if len(names) > 8 {
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -4,14 +4,14 @@
 	"strconv"
 	"strings"
 
-	"fernlanding/internal/doc"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 // Fault and Faults are what is wrong with a file.
 type (
-	Fault  = doc.Fault
-	Faults = doc.Faults
+	Fault  = tomldoc.Fault
+	Faults = tomldoc.Faults
 )
 
 // Document is an application's file that has been read: what it says, where it says it, and what is wrong with it.
@@ -23,14 +23,14 @@
 	// Faults is all that the rules object to, warnings included, and what a sidecar tolerates in an older format too.
 	Faults Faults
 	// Origin is, for each line of a generated file, where it comes from; nil for others.
-	Origin []doc.Place
-	root   *doc.Value
+	Origin []tomldoc.Place
+	root   *tomldoc.Value
 }
 
 // Read reads an application's file. file is the name that faults give.
 func Read(file string, data []byte) *Document {
 	d := &Document{File: file, Data: data}
-	d.root, d.Faults = doc.Parse(file, data)
+	d.root, d.Faults = tomldoc.Parse(file, data)
 	if d.root != nil {
 		d.read()
 	}
@@ -63,16 +63,16 @@
 // Place is where a value stands that a path of names, and of numbers from 1 into arrays, leads to: in the file, or in the
 // sources that it was generated from. said tells whether the value stands there; otherwise the place is that of the table
 // which lacks it, and a default holds.
-func (d *Document) Place(path ...string) (at doc.Place, said bool) {
+func (d *Document) Place(path ...string) (at tomldoc.Place, said bool) {
 	if d.root == nil {
-		return doc.Place{File: d.File}, false
+		return tomldoc.Place{File: d.File}, false
 	}
 	v, said := d.root.At(path...)
 	return d.From(v.Place), said
 }
 
 // From is where a place of the file comes from: the place itself, unless the file was generated.
-func (d *Document) From(p doc.Place) doc.Place {
+func (d *Document) From(p tomldoc.Place) tomldoc.Place {
 	if p.Line >= 1 && p.Line <= len(d.Origin) && d.Origin[p.Line-1].Line > 0 {
 		return d.Origin[p.Line-1]
 	}
@@ -83,20 +83,20 @@
 // a name go by it.
 func (d *Document) Values() (paths []string, values map[string]string) {
 	values = map[string]string{}
-	var walk func(path string, v *doc.Value)
-	walk = func(path string, v *doc.Value) {
+	var walk func(path string, v *tomldoc.Value)
+	walk = func(path string, v *tomldoc.Value) {
 		switch v.Kind {
-		case doc.Table:
+		case tomldoc.Table:
 			for _, k := range v.Keys {
 				walk(join(path, k), v.Fields[k])
 			}
-		case doc.Array:
+		case tomldoc.Array:
 			for i, item := range v.Items {
 				name := strconv.Itoa(i + 1)
-				if item.Kind == doc.Table {
-					if n := item.Fields["name"]; n != nil && n.Kind == doc.String {
+				if item.Kind == tomldoc.Table {
+					if n := item.Fields["name"]; n != nil && n.Kind == tomldoc.String {
 						name = n.Text
-					} else if n := item.Fields["service"]; n != nil && n.Kind == doc.String {
+					} else if n := item.Fields["service"]; n != nil && n.Kind == tomldoc.String {
 						name = n.Text
 					}
 				}
--- a/internal/config/fragments.go
+++ b/internal/config/fragments.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"fernlanding/internal/doc"
+	"fernlanding/internal/tomldoc"
 )
 
 // fragmentHead is the key of the fragment with the fields before the file's first table.
@@ -18,7 +18,7 @@
 // first table. Join makes a file of the same meaning of them; the order of tables of different names is lost.
 func Fragments(data []byte) map[string][]byte {
 	fragments := map[string][]byte{}
-	for _, section := range doc.Sections(data) {
+	for _, section := range tomldoc.Sections(data) {
 		key := fragmentKey(section.Path)
 		fragments[key] = append(fragments[key], endLine(section.Text)...)
 	}
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -7,14 +7,14 @@
 	"slices"
 	"strings"
 
-	"fernlanding/internal/doc"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 	"fernlanding/logic"
 )
 
 // Step is one change of a migration.
 type Step struct {
-	Place doc.Place // in the file as it was
+	Place tomldoc.Place // in the file as it was
 	What  string
 	Why   string
 }
@@ -24,7 +24,7 @@
 
 // edit puts a text in the place of some bytes.
 type edit struct {
-	at   doc.Range
+	at   tomldoc.Range
 	text string
 }
 
@@ -44,7 +44,7 @@
 	out = m.apply()
 	if d.crlf() {
 		out = bytes.ReplaceAll(out, []byte("\r\n"), []byte("\n"))
-		m.step(doc.Place{File: file}, "lines end with LF", rules.Get(rules.FileCRLF).Why)
+		m.step(tomldoc.Place{File: file}, "lines end with LF", rules.Get(rules.FileCRLF).Why)
 	}
 	after := Read(file, out)
 	if f := after.refused(); len(f) > 0 {
@@ -64,7 +64,7 @@
 	steps []Step
 }
 
-func (m *migration) step(at doc.Place, what, why string) {
+func (m *migration) step(at tomldoc.Place, what, why string) {
 	m.steps = append(m.steps, Step{at, what, why})
 }
 
@@ -95,7 +95,7 @@
 }
 
 // add puts a field with a string behind another of the same table.
-func (m *migration) add(by *doc.Value, field, value string) {
+func (m *migration) add(by *tomldoc.Value, field, value string) {
 	text := fmt.Sprintf(", %s = %q", field, value)
 	if by.Line.To > 0 { // on a line of its own: the same key with another last part
 		prefix := string(m.data[by.Line.From:by.Last.From])
@@ -104,11 +104,11 @@
 		m.edits = append(m.edits, edit{m.lineEnd(by.Raw.To), fmt.Sprintf("\n%s%s%s = %q", indent, prefix, field, value)})
 		return
 	}
-	m.edits = append(m.edits, edit{doc.Range{From: by.Raw.To, To: by.Raw.To}, text})
+	m.edits = append(m.edits, edit{tomldoc.Range{From: by.Raw.To, To: by.Raw.To}, text})
 }
 
 // lineEnd is the empty range before the end of a line, behind a comment.
-func (m *migration) lineEnd(from int) doc.Range {
+func (m *migration) lineEnd(from int) tomldoc.Range {
 	end := len(m.data)
 	if n := bytes.IndexByte(m.data[from:], '\n'); n >= 0 {
 		end = from + n
@@ -116,7 +116,7 @@
 	if end > from && m.data[end-1] == '\r' {
 		end--
 	}
-	return doc.Range{From: end, To: end}
+	return tomldoc.Range{From: end, To: end}
 }
 
 // apply makes the edits, which do not overlap.
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"fernlanding/internal/config"
-	"fernlanding/internal/doc"
 	"fernlanding/internal/membership"
 	"fernlanding/internal/route"
+	"fernlanding/internal/tomldoc"
 	"fernlanding/logic"
 )
 
@@ -65,11 +65,11 @@
 
 // Line is one part of the answer.
 type Line struct {
-	What    string    `json:"what"`
-	Says    string    `json:"says"`
-	From    doc.Place `json:"-"`
-	Default bool      `json:"default,omitempty"` // no line says so; a default holds
-	Where   string    `json:"where,omitempty"`
+	What    string        `json:"what"`
+	Says    string        `json:"says"`
+	From    tomldoc.Place `json:"-"`
+	Default bool          `json:"default,omitempty"` // no line says so; a default holds
+	Where   string        `json:"where,omitempty"`
 }
 
 // Answer is what a sidecar would do.
--- a/internal/fleet/coldstart/coldstart_test.go
+++ b/internal/fleetsim/coldstart/coldstart_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/fleet/coldstart"
+	"fernlanding/internal/fleetsim/coldstart"
 )
 
 // day is the case that was measured over processes: 200 copies, 50 readings a second, a queue of a hundred.
--- a/internal/fleet/day.go
+++ b/internal/fleetsim/day.go
@@ -1,9 +1,9 @@
-// Package fleet plays days of a whole fleet on a virtual clock: tiers of backends, the copies of the decision module
+// Package fleetsim plays days of a whole fleet on a virtual clock: tiers of backends, the copies of the decision module
 // before them, clients that come again, and troubles. Every copy is a real logic.Balancer; nothing else decides.
 //
 // A day is a pure function of its description and its seed: no goroutine, no clock, no global state. What the backends
 // are is said in docs/design/recovery.md with the closed forms that they are tested against.
-package fleet
+package fleetsim
 
 import (
 	"bytes"
--- a/internal/fleet/plot/plot.go
+++ b/internal/fleetsim/plot/plot.go
@@ -9,7 +9,7 @@
 	"strings"
 	"text/tabwriter"
 
-	"fernlanding/internal/fleet"
+	"fernlanding/internal/fleetsim"
 	"fernlanding/logic"
 )
 
@@ -21,13 +21,13 @@
 
 // row is one second of a copy.
 type row struct {
-	fleet.Sample
+	fleetsim.Sample
 	refused, shadow int
 	why             string // the rule that refused most
 }
 
 // rows gathers the seconds of a copy.
-func rows(r *fleet.Result, tier, copy int) (all []row) {
+func rows(r *fleetsim.Result, tier, copy int) (all []row) {
 	for _, s := range r.Trace.Samples {
 		if s.Tier == tier && s.Copy == copy && s.At%second == 0 {
 			all = append(all, row{Sample: s})
@@ -59,7 +59,7 @@
 }
 
 // Why names the rule that caused a refusal, and what cut its count last.
-func Why(d *fleet.Day, x fleet.Refusal) string {
+func Why(d *fleetsim.Day, x fleetsim.Refusal) string {
 	what := x.Cause.String()
 	switch {
 	case x.Cause == logic.ByClassLimit:
@@ -75,7 +75,7 @@
 
 // Text writes a line a second: the tier's count and calls out, the multiple of the shares, what stood free, and why most
 // refusals were made. In the bar, # is what is out, : what the count lets pass beyond that.
-func Text(w io.Writer, r *fleet.Result, tier, copy int) error {
+func Text(w io.Writer, r *fleetsim.Result, tier, copy int) error {
 	all := rows(r, tier, copy)
 	if len(all) == 0 {
 		return fmt.Errorf("no copy %d of tier %d in this day", copy, tier)
@@ -114,7 +114,7 @@
 )
 
 // SVG writes the same as lines over time: the count, calls out, cores that stand free in the tier, and refusals.
-func SVG(w io.Writer, r *fleet.Result, tier, copy int) error {
+func SVG(w io.Writer, r *fleetsim.Result, tier, copy int) error {
 	all := rows(r, tier, copy)
 	if len(all) == 0 {
 		return fmt.Errorf("no copy %d of tier %d in this day", copy, tier)
--- a/internal/fleet/plot/plot_test.go
+++ b/internal/fleetsim/plot/plot_test.go
@@ -9,25 +9,25 @@
 	"strings"
 	"testing"
 
-	"fernlanding/internal/fleet"
+	"fernlanding/internal/fleetsim"
 )
 
 // A day in which a deeper tier fails: the plot names the evidence that cut the count, and a copy that is not there is a fault.
 func TestAPlotNamesWhatRefuses(t *testing.T) {
-	var files []fleet.File
+	var files []fleetsim.File
 	for _, n := range []string{"../testdata/base.toml", "../testdata/hard/fail-deep.toml"} {
 		data, err := os.ReadFile(n)
 		if err != nil {
 			t.Fatal(err)
 		}
-		files = append(files, fleet.File{Name: n, Data: data})
+		files = append(files, fleetsim.File{Name: n, Data: data})
 	}
-	d, err := fleet.Read(files...)
+	d, err := fleetsim.Read(files...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.Seed = 7
-	r := fleet.Play(d, fleet.Options{Trace: true})
+	r := fleetsim.Play(d, fleetsim.Options{Trace: true})
 	var text, svg bytes.Buffer
 	if err := Text(&text, r, 0, 1); err != nil {
 		t.Fatal(err)
--- a/internal/fleet/queue.go
+++ b/internal/fleetsim/queue.go
@@ -1,4 +1,4 @@
-package fleet
+package fleetsim
 
 // event is something that happens at a time; events of one time happen in the order in which they were asked for.
 type event struct {
--- a/internal/fleet/sockets_test.go
+++ b/internal/fleetsim/sockets_test.go
@@ -1,4 +1,4 @@
-package fleet_test
+package fleetsim_test
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/fleet"
+	"fernlanding/internal/fleetsim"
 	"fernlanding/internal/sidecar/sidecartest"
 	"fernlanding/internal/standin"
 )
@@ -27,14 +27,14 @@
 	class := standin.Class{Name: "lookup", Method: "GET", Path: "/lookup/%d", Share: 1, Objective: 200 * time.Millisecond, Deadline: time.Second}
 	for _, slow := range []bool{false, true} {
 		real := onSockets(t, speeds, work, class, rate, long, slow)
-		d := &fleet.Day{Length: fleet.Span(long), Warmup: fleet.Span(time.Millisecond), Rate: rate,
-			Classes: []fleet.Class{{Name: "lookup", Share: 1, Work: fleet.Span(work), Aim: fleet.Span(class.Objective), Deadline: fleet.Span(class.Deadline)}},
-			Tiers:   []fleet.Tier{{Copies: 1, Work: 1}}}
+		d := &fleetsim.Day{Length: fleetsim.Span(long), Warmup: fleetsim.Span(time.Millisecond), Rate: rate,
+			Classes: []fleetsim.Class{{Name: "lookup", Share: 1, Work: fleetsim.Span(work), Aim: fleetsim.Span(class.Objective), Deadline: fleetsim.Span(class.Deadline)}},
+			Tiers:   []fleetsim.Tier{{Copies: 1, Work: 1}}}
 		for _, s := range speeds {
-			d.Tiers[0].Kinds = append(d.Tiers[0].Kinds, fleet.Kind{Count: 1, Cores: 2, Speed: s, Slots: 2, Waiting: 16})
+			d.Tiers[0].Kinds = append(d.Tiers[0].Kinds, fleetsim.Kind{Count: 1, Cores: 2, Speed: s, Slots: 2, Waiting: 16})
 		}
 		if slow {
-			d.Trouble = []fleet.Trouble{{Kind: fleet.Slow, At: fleet.Span(long / 5), For: fleet.Span(long), Part: 0.25, Times: 8}}
+			d.Trouble = []fleetsim.Trouble{{Kind: fleetsim.Slow, At: fleetsim.Span(long / 5), For: fleetsim.Span(long), Part: 0.25, Times: 8}}
 		}
 		if err := d.Complete(); err != nil {
 			t.Fatal(err)
@@ -43,7 +43,7 @@
 		const plays = 8
 		for seed := range uint64(plays) {
 			d.Seed = seed
-			played += fleet.Play(d, fleet.Options{}).Service() / plays
+			played += fleetsim.Play(d, fleetsim.Options{}).Service() / plays
 		}
 		if math.Abs(real-played) > 0.05 {
 			t.Errorf("slow %v: served %.3f on sockets, %.3f in the fleet", slow, real, played)
--- a/internal/fleet/trouble.go
+++ b/internal/fleetsim/trouble.go
@@ -1,4 +1,4 @@
-package fleet
+package fleetsim
 
 import (
 	"math"
--- a/internal/rig/check/check.go
+++ b/internal/harness/check/check.go
@@ -7,9 +7,9 @@
 	"slices"
 	"strings"
 
-	"fernlanding/internal/rig/actor"
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/scenario"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/harness/worker"
 )
 
 // Verdict is one thing that is wrong.
@@ -96,7 +96,7 @@
 		end := e.At + e.Took
 		bad := ""
 		switch {
-		case e.Why == actor.WrongAnswer || e.Why == actor.AfterAnswer:
+		case e.Why == worker.WrongAnswer || e.Why == worker.AfterAnswer:
 			bad = e.Why // no fault makes this
 		case e.Status == 0 && !r.excused(e.To, e.At, end):
 			bad = e.Why
@@ -134,7 +134,7 @@
 
 // dropsRepeat tells whether the pod that ran a key first drops its repeat.
 func dropsRepeat(first, repeat history.Event) bool {
-	return repeat.Key != "" && first.Pod == repeat.Pod && repeat.At-first.At < actor.Window.Microseconds()
+	return repeat.Key != "" && first.Pod == repeat.Pod && repeat.At-first.At < worker.Window.Microseconds()
 }
 
 // cold judges whether a cold backend held more than it bears.
--- a/internal/rig/check/check_test.go
+++ b/internal/harness/check/check_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/rig/actor"
-	"fernlanding/internal/rig/check"
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/scenario"
+	"fernlanding/internal/harness/check"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/harness/worker"
 )
 
 const ms = 1000
@@ -58,7 +58,7 @@
 
 // Each check finds what it is for, and lets the near miss beside it pass.
 func TestChecks(t *testing.T) {
-	window := actor.Window.Milliseconds()
+	window := worker.Window.Milliseconds()
 	cut := func(at, n int64) history.Event {
 		return history.Event{At: at * ms, Kind: history.Fault, ID: "1-cut", N: n, To: "clients-sidecars", Names: []string{"sidecar-1"}}
 	}
@@ -69,14 +69,14 @@
 		{"served", "", []history.Event{asked(0, 10, 200, "")}},
 		{"served late, which earns nothing", "", []history.Event{asked(0, 2400, 200, "")}},
 		{"answered after its client has gone", check.OneAnswer, []history.Event{asked(0, 2600, 200, "")}},
-		{"no answer", check.OneAnswer, []history.Event{asked(0, 2500, 0, actor.TimedOut)}},
-		{"no answer of one that is killed", "", []history.Event{asked(0, 100, 0, actor.ClosedEarly), on(90, history.Told, "sidecar-1")}},
-		{"no answer long after another was killed", check.OneAnswer, []history.Event{asked(0, 100, 0, actor.ClosedEarly), on(90, history.Told, "sidecar-2")}},
-		{"no answer of one that is back since long", check.OneAnswer, []history.Event{on(0, history.Told, "sidecar-1"), on(500, history.Ready, "sidecar-1"), asked(1100, 100, 0, actor.ClosedEarly)}},
-		{"no answer of one that is stopped", "", []history.Event{asked(0, 2500, 0, actor.TimedOut), on(2000, history.Stopped, "sidecar-1")}},
-		{"no answer over a cut link", "", []history.Event{cut(0, 1), asked(10, 2500, 0, actor.TimedOut), cut(3000, 0)}},
-		{"no answer long after a cut", check.OneAnswer, []history.Event{cut(0, 1), cut(100, 0), asked(1000, 2500, 0, actor.TimedOut)}},
-		{"another's answer, whatever the link", check.OneAnswer, []history.Event{cut(0, 1), asked(10, 10, 200, actor.WrongAnswer)}},
+		{"no answer", check.OneAnswer, []history.Event{asked(0, 2500, 0, worker.TimedOut)}},
+		{"no answer of one that is killed", "", []history.Event{asked(0, 100, 0, worker.ClosedEarly), on(90, history.Told, "sidecar-1")}},
+		{"no answer long after another was killed", check.OneAnswer, []history.Event{asked(0, 100, 0, worker.ClosedEarly), on(90, history.Told, "sidecar-2")}},
+		{"no answer of one that is back since long", check.OneAnswer, []history.Event{on(0, history.Told, "sidecar-1"), on(500, history.Ready, "sidecar-1"), asked(1100, 100, 0, worker.ClosedEarly)}},
+		{"no answer of one that is stopped", "", []history.Event{asked(0, 2500, 0, worker.TimedOut), on(2000, history.Stopped, "sidecar-1")}},
+		{"no answer over a cut link", "", []history.Event{cut(0, 1), asked(10, 2500, 0, worker.TimedOut), cut(3000, 0)}},
+		{"no answer long after a cut", check.OneAnswer, []history.Event{cut(0, 1), cut(100, 0), asked(1000, 2500, 0, worker.TimedOut)}},
+		{"another's answer, whatever the link", check.OneAnswer, []history.Event{cut(0, 1), asked(10, 10, 200, worker.WrongAnswer)}},
 
 		{"a charge twice", check.Effects, []history.Event{ran(0, "r", "", "backend-1", 0), ran(50, "r", "", "backend-2", 0)}},
 		{"two charges", "", []history.Event{ran(0, "r", "", "backend-1", 0), ran(50, "s", "", "backend-2", 0)}},
--- a/internal/rig/check/drains.go
+++ b/internal/harness/check/drains.go
@@ -6,8 +6,8 @@
 	"slices"
 	"strings"
 
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/scenario"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/scenario"
 )
 
 // drains judges what was sent to a backend after its sidecar could read that the backend drains or has ended.
--- a/internal/rig/check/figures.go
+++ b/internal/harness/check/figures.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"fernlanding/internal/rig/actor"
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/scenario"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/harness/worker"
 )
 
 // Figures are what a run is measured by.
@@ -263,7 +263,7 @@
 
 // objectiveOf is a class's objective in microseconds.
 func objectiveOf(class string) int64 {
-	for _, c := range actor.Classes() {
+	for _, c := range worker.Classes() {
 		if c.Name == class {
 			return c.Objective.Microseconds()
 		}
--- a/internal/rig/check/record.go
+++ b/internal/harness/check/record.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/scenario"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/scenario"
 )
 
 // forever is the end of a span that is open.
--- a/internal/rig/check/sites.go
+++ b/internal/harness/check/sites.go
@@ -5,9 +5,9 @@
 	"net/http"
 	"slices"
 
-	"fernlanding/internal/rig/actor"
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/scenario"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/harness/worker"
 )
 
 // Loss is what a run's fault of a whole site, or of all links across its border, came to.
@@ -89,7 +89,7 @@
 // worths are what requests of each class are worth, and the first class that is worth least.
 func worths() (worth map[string]float64, cheapest string) {
 	worth = map[string]float64{}
-	for _, c := range actor.Classes() {
+	for _, c := range worker.Classes() {
 		if worth[c.Name] = c.Worth; cheapest == "" || c.Worth < worth[cheapest] {
 			cheapest = c.Name
 		}
--- a/internal/rig/rigtest/rigtest.go
+++ b/internal/harness/harnesstest/rigtest.go
@@ -1,5 +1,5 @@
-// Package rigtest has what tests of the rig have in common: a program that is built from this tree, and the test's own program in other roles.
-package rigtest
+// Package harnesstest has what tests of the rig have in common: a program that is built from this tree, and the test's own program in other roles.
+package harnesstest
 
 import (
 	"fmt"
--- a/internal/rig/history/history_test.go
+++ b/internal/harness/history/history_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"fernlanding/internal/rig/history"
+	"fernlanding/internal/harness/history"
 )
 
 func TestWhatIsWrittenIsReadInOrder(t *testing.T) {
--- a/internal/rig/launch/launch.go
+++ b/internal/harness/launch/launch.go
@@ -12,10 +12,10 @@
 	"os"
 	"strconv"
 
-	"fernlanding/internal/rig/actor"
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/link"
-	"fernlanding/internal/rig/process"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/link"
+	"fernlanding/internal/harness/process"
+	"fernlanding/internal/harness/worker"
 )
 
 const (
@@ -58,7 +58,7 @@
 }
 
 // Start starts an actor and returns its first line.
-func (a Actors) Start(ctx context.Context, spec actor.Spec) (hello actor.Hello, err error) {
+func (a Actors) Start(ctx context.Context, spec worker.Spec) (hello worker.Hello, err error) {
 	spec.Zero = a.Clock.Zero()
 	first, err := json.Marshal(spec)
 	if err != nil {
--- a/internal/rig/launch/run.go
+++ b/internal/harness/launch/run.go
@@ -11,10 +11,10 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/link"
-	"fernlanding/internal/rig/process"
-	"fernlanding/internal/rig/scenario"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/link"
+	"fernlanding/internal/harness/process"
+	"fernlanding/internal/harness/scenario"
 	"fernlanding/internal/sleep"
 )
 
--- a/internal/rig/link/link_test.go
+++ b/internal/harness/link/link_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/rig/link"
-	"fernlanding/internal/rig/scenario"
+	"fernlanding/internal/harness/link"
+	"fernlanding/internal/harness/scenario"
 	"fernlanding/internal/standin"
 )
 
--- a/internal/rig/link/net.go
+++ b/internal/harness/link/net.go
@@ -17,7 +17,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"fernlanding/internal/rig/scenario"
+	"fernlanding/internal/harness/scenario"
 )
 
 // Place is the address of a process: 127.x.y.z.
--- a/internal/rig/link/pair.go
+++ b/internal/harness/link/pair.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"fernlanding/internal/rig/scenario"
+	"fernlanding/internal/harness/scenario"
 )
 
 // pair is one connection through a relay: the one that was taken and the one that goes on.
--- a/internal/rig/naive_test.go
+++ b/internal/harness/naive_test.go
@@ -1,4 +1,4 @@
-package rig_test
+package harness_test
 
 import (
 	"bytes"
--- a/internal/rig/play.go
+++ b/internal/harness/play.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 	"strings"
 	"time"
 
-	"fernlanding/internal/rig/actor"
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/launch"
-	"fernlanding/internal/rig/scenario"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/launch"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/harness/worker"
 	"fernlanding/internal/sleep"
 	"fernlanding/internal/standin"
 )
@@ -52,25 +52,25 @@
 		mode := func(word string) error {
 			var all []error
 			for _, n := range f.Names {
-				all = append(all, r.Processes.Say(n, actor.Command{Do: actor.DoMode, Mode: word}))
+				all = append(all, r.Processes.Say(n, worker.Command{Do: worker.DoMode, Mode: word}))
 			}
 			return errors.Join(all...)
 		}
 		return func() error { return mode(standin.ListWell.String()) }, mode(string(f.Kind))
 	case scenario.Choke, scenario.Fail:
-		do := map[scenario.Kind]string{scenario.Choke: actor.DoChoke, scenario.Fail: actor.DoFail}[f.Kind]
-		return func() error { return r.backends(actor.Command{Do: do, Names: f.Names}) }, r.backends(actor.Command{Do: do, Names: f.Names, On: true})
+		do := map[scenario.Kind]string{scenario.Choke: worker.DoChoke, scenario.Fail: worker.DoFail}[f.Kind]
+		return func() error { return r.backends(worker.Command{Do: do, Names: f.Names}) }, r.backends(worker.Command{Do: do, Names: f.Names, On: true})
 	case scenario.Replace:
 		return r.replace(ctx, f)
 	case scenario.Moved:
 		r.later(ctx, noticeAfter, func() { r.state("DELETED", f.Names...) })
 		return func() error {
-			if err := r.backends(actor.Command{Do: actor.DoMove, Names: f.Names}); err != nil {
+			if err := r.backends(worker.Command{Do: worker.DoMove, Names: f.Names}); err != nil {
 				return err
 			}
 			r.state("SERVING", f.Names...)
 			return nil
-		}, r.backends(actor.Command{Do: actor.DoMove, Names: f.Names, On: true})
+		}, r.backends(worker.Command{Do: worker.DoMove, Names: f.Names, On: true})
 	}
 	return none, fmt.Errorf("no such fault: %s", f.Kind)
 }
@@ -137,13 +137,13 @@
 	r.Faults.Go(func() {
 		defer close(down)
 		if sleep.For(ctx, min(drainFor, f.For)) {
-			_ = r.backends(actor.Command{Do: actor.DoEnd, Names: f.Names})
+			_ = r.backends(worker.Command{Do: worker.DoEnd, Names: f.Names})
 			r.state("DELETED", f.Names...)
 		}
 	})
 	return func() error {
 		<-down
-		if err := r.backends(actor.Command{Do: actor.DoStart, Names: f.Names}); err != nil {
+		if err := r.backends(worker.Command{Do: worker.DoStart, Names: f.Names}); err != nil {
 			return err
 		}
 		r.state("SERVING", f.Names...)
@@ -160,7 +160,7 @@
 }
 
 // backends tells all processes of backends; each knows which are its own.
-func (r *run) backends(c actor.Command) error {
+func (r *run) backends(c worker.Command) error {
 	var all []error
 	for _, p := range r.backs {
 		all = append(all, r.Processes.Say(p, c))
@@ -203,6 +203,6 @@
 		r.Tell(history.Event{Kind: history.Member, Who: m.Name, Why: m.Status})
 	}
 	for _, l := range r.lists {
-		_ = r.Processes.Say(l, actor.Command{Do: actor.DoMembers, Members: all}) // one that is down is told all at its start
+		_ = r.Processes.Say(l, worker.Command{Do: worker.DoMembers, Members: all}) // one that is down is told all at its start
 	}
 }
--- a/internal/rig/process/process.go
+++ b/internal/harness/process/process.go
@@ -17,8 +17,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/spawn"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/spawn"
 )
 
 // Spec is what a process is started from.
--- a/internal/rig/rig_test.go
+++ b/internal/harness/rig_test.go
@@ -1,4 +1,4 @@
-package rig_test
+package harness_test
 
 import (
 	"bytes"
@@ -15,12 +15,12 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/rig"
-	"fernlanding/internal/rig/actor"
-	"fernlanding/internal/rig/check"
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/rigtest"
-	"fernlanding/internal/rig/scenario"
+	"fernlanding/internal/harness"
+	"fernlanding/internal/harness/check"
+	"fernlanding/internal/harness/harnesstest"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/harness/worker"
 )
 
 // The test's own program is also the rig's actors, its faulty sidecars and the rig that is killed.
@@ -35,30 +35,30 @@
 func TestMain(m *testing.M) {
 	switch os.Getenv(roleVar) {
 	case "actor":
-		rigtest.Exit(actor.Main(os.Stdin, os.Stdout))
+		harnesstest.Exit(worker.Main(os.Stdin, os.Stdout))
 	case "naive":
-		rigtest.Exit(naive(os.Args[2], os.Getenv(bugVar)))
+		harnesstest.Exit(naive(os.Args[2], os.Getenv(bugVar)))
 	case "rig":
-		rigtest.Exit(playFor(os.Getenv(programVar), os.Args[1]))
+		harnesstest.Exit(playFor(os.Getenv(programVar), os.Args[1]))
 	}
-	rigtest.Main(m, "fernlanding", func(path string) { program = path })
+	harnesstest.Main(m, "fernlanding", func(path string) { program = path })
 }
 
 // options are those of a run with this program under test, the naive stand-in where it is the test itself.
-func options(sidecar string, env ...string) rig.Options {
-	o := rig.Options{Sidecar: []string{sidecar}, Actor: rigtest.InRole(roleVar, "actor"), Env: env}
-	if sidecar == rigtest.Self() {
-		o.Sidecar = rigtest.InRole(roleVar, "naive")
+func options(sidecar string, env ...string) harness.Options {
+	o := harness.Options{Sidecar: []string{sidecar}, Actor: harnesstest.InRole(roleVar, "actor"), Env: env}
+	if sidecar == harnesstest.Self() {
+		o.Sidecar = harnesstest.InRole(roleVar, "naive")
 	}
 	return o
 }
 
 // play plays a scenario and judges it.
-func play(t *testing.T, sc *scenario.Scenario, o rig.Options) ([]check.Verdict, check.Figures) {
+func play(t *testing.T, sc *scenario.Scenario, o harness.Options) ([]check.Verdict, check.Figures) {
 	t.Helper()
 	var log bytes.Buffer
 	o.Out = &log
-	if err := rig.Run(context.Background(), sc, o); err != nil {
+	if err := harness.Run(context.Background(), sc, o); err != nil {
 		t.Fatal(err)
 	}
 	all, err := history.Read(&log)
@@ -179,7 +179,7 @@
 		{"reads", "[bounds]\nreads_per_s = 50\n", check.Bounds},
 	} {
 		t.Run(c.bug+"/"+c.check, func(t *testing.T) {
-			verdicts, _ := play(t, decode(t, fmt.Sprintf(base, c.more)), options(rigtest.Self(), bugVar+"="+c.bug))
+			verdicts, _ := play(t, decode(t, fmt.Sprintf(base, c.more)), options(harnesstest.Self(), bugVar+"="+c.bug))
 			found := false
 			for _, v := range verdicts {
 				found = found || v.Check == c.check
@@ -206,7 +206,7 @@
 	}
 	o := options(program)
 	o.Out, o.Dir = os.Stdout, filepath.Dir(file)
-	return rig.Run(context.Background(), sc, o)
+	return harness.Run(context.Background(), sc, o)
 }
 
 // Nothing that the rig has started outlives it, though it is killed at any moment.
@@ -217,7 +217,7 @@
 		if err := os.WriteFile(file, []byte(strings.Replace(small, `for = "1500ms"`, `for = "30s"`, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		cmd := exec.Command(rigtest.Self(), file)
+		cmd := exec.Command(harnesstest.Self(), file)
 		cmd.Env = append(os.Environ(), roleVar+"=rig", programVar+"="+program)
 		out, err := cmd.StdoutPipe()
 		if err != nil {
@@ -267,7 +267,7 @@
 	o := options(program)
 	o.Out = &log
 	sc := decode(t, strings.Replace(small, `for = "1500ms"`, `for = "30s"`, 1))
-	if err := rig.Run(ctx, sc, o); !errors.Is(err, context.DeadlineExceeded) {
+	if err := harness.Run(ctx, sc, o); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("error %v", err)
 	}
 	all, err := history.Read(&log)
--- a/internal/rig/rollout/check/check.go
+++ b/internal/harness/rollout/check/check.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"fernlanding/internal/distribution"
-	rigcheck "fernlanding/internal/rig/check"
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/rollout/plan"
+	rigcheck "fernlanding/internal/harness/check"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/rollout/plan"
 )
 
 // Verdict is one thing that is wrong.
--- a/internal/rig/rollout/check/check_test.go
+++ b/internal/harness/rollout/check/check_test.go
@@ -6,9 +6,9 @@
 	"testing"
 
 	"fernlanding/internal/distribution"
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/rollout/check"
-	"fernlanding/internal/rig/rollout/plan"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/rollout/check"
+	"fernlanding/internal/harness/rollout/plan"
 )
 
 // One follower with one relay at each level follows one resource. A fault holds from 20 s to 24 s.
--- a/internal/rig/rollout/check/figures.go
+++ b/internal/harness/rollout/check/figures.go
@@ -5,8 +5,8 @@
 	"math"
 	"slices"
 
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/rollout/plan"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/rollout/plan"
 )
 
 // Figures are what a run measured.
--- a/internal/rig/rollout/check/record.go
+++ b/internal/harness/rollout/check/record.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"fernlanding/internal/distribution"
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/rollout/plan"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/rollout/plan"
 )
 
 const (
--- a/internal/rig/rollout/naive_test.go
+++ b/internal/harness/rollout/naive_test.go
@@ -22,7 +22,7 @@
 
 	"fernlanding/internal/distribution"
 	"fernlanding/internal/distribution/follow"
-	"fernlanding/internal/rig/actor"
+	"fernlanding/internal/harness/worker"
 )
 
 // bug is what is wrong with a stand-in.
@@ -538,4 +538,4 @@
 	f.positions[u.Resource] = p
 }
 
-var _ actor.Follower = (*naiveFollower)(nil)
+var _ worker.Follower = (*naiveFollower)(nil)
--- a/internal/rig/rollout/plan/plan.go
+++ b/internal/harness/rollout/plan/plan.go
@@ -8,14 +8,14 @@
 	"strings"
 	"time"
 
-	"fernlanding/internal/doc"
-	"fernlanding/internal/rig/scenario"
+	"fernlanding/internal/harness/scenario"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 // Bounds of a scenario.
 const (
-	MaxFile      = doc.MaxFile // bytes
+	MaxFile      = tomldoc.MaxFile // bytes
 	MaxFor       = 10 * time.Minute
 	maxRelays    = 16 // of a level
 	maxProcesses = 32
@@ -137,10 +137,10 @@
 
 // Read reads a scenario. The error lists all faults, one a line, with file, line and column.
 func Read(file string, data []byte) (*Scenario, error) {
-	return doc.Decode(file, data, read)
+	return tomldoc.Decode(file, data, read)
 }
 
-func read(s doc.Scope) *Scenario {
+func read(s tomldoc.Scope) *Scenario {
 	x := &Scenario{
 		Name:   s.Text("name", ""),
 		Seed:   uint64(s.Whole("seed", 1, 0, 1<<62)),
@@ -171,7 +171,7 @@
 	return x
 }
 
-func readRelays(v doc.Scope) Relays {
+func readRelays(v tomldoc.Scope) Relays {
 	defer v.Done()
 	return Relays{
 		Regions: int(v.Whole("regions", 2, 1, maxRelays)),
@@ -181,7 +181,7 @@
 	}
 }
 
-func readFollowers(v doc.Scope) Followers {
+func readFollowers(v tomldoc.Scope) Followers {
 	defer v.Done()
 	f := Followers{
 		Processes: int(v.Whole("processes", 2, 1, maxProcesses)),
@@ -195,7 +195,7 @@
 	return f
 }
 
-func readPublisher(v doc.Scope) Publisher {
+func readPublisher(v tomldoc.Scope) Publisher {
 	defer v.Done()
 	return Publisher{
 		Rate:      v.Number("rate", 5, 0, maxRate),
@@ -208,7 +208,7 @@
 	}
 }
 
-func readBounds(v doc.Scope) Bounds {
+func readBounds(v tomldoc.Scope) Bounds {
 	defer v.Done()
 	return Bounds{
 		Late:       v.Span("late", 10*time.Second, time.Millisecond, MaxFor),
@@ -222,7 +222,7 @@
 	}
 }
 
-func (x *Scenario) readRandom(v doc.Scope) Random {
+func (x *Scenario) readRandom(v tomldoc.Scope) Random {
 	defer v.Done()
 	r := Random{
 		Count: int(v.Whole("count", 0, 0, maxFaults)),
@@ -232,7 +232,7 @@
 	}
 	for _, word := range v.Texts("kinds") {
 		if !slices.Contains(kindNames, word) {
-			v.Bad(rules.Word, "kinds", "%s", doc.Guess(fmt.Sprintf("%q is no kind of fault; one of %s expected", word, strings.Join(kindNames, ", ")), word, kindNames))
+			v.Bad(rules.Word, "kinds", "%s", tomldoc.Guess(fmt.Sprintf("%q is no kind of fault; one of %s expected", word, strings.Join(kindNames, ", ")), word, kindNames))
 			continue
 		}
 		r.Kinds = append(r.Kinds, scenario.Kind(word))
@@ -247,7 +247,7 @@
 }
 
 // readFault reads one fault and checks it against the processes of the run.
-func (x *Scenario) readFault(v doc.Scope) Fault {
+func (x *Scenario) readFault(v tomldoc.Scope) Fault {
 	f := Fault{
 		At:    v.Span("at", 0, 0, MaxFor),
 		For:   v.Span("for", time.Second, time.Millisecond, MaxFor),
@@ -287,7 +287,7 @@
 }
 
 // readLink reads what only faults of links have.
-func (x *Scenario) readLink(v doc.Scope, f *Fault) {
+func (x *Scenario) readLink(v tomldoc.Scope, f *Fault) {
 	f.Link = v.Word("link", "", linkNames...)
 	f.On, _, _ = strings.Cut(f.Link, "-")
 	if f.Kind == scenario.OneWay && f.Way == scenario.Both {
--- a/internal/rig/rollout/plan/plan_test.go
+++ b/internal/harness/rollout/plan/plan_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"fernlanding/internal/distribution"
-	"fernlanding/internal/rig/scenario"
+	"fernlanding/internal/harness/scenario"
 )
 
 const base = `
--- a/internal/rig/rollout/plan/schedule.go
+++ b/internal/harness/rollout/plan/schedule.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"fernlanding/internal/distribution"
-	"fernlanding/internal/rig/scenario"
+	"fernlanding/internal/harness/scenario"
 )
 
 // putStream is of the seed; the first one is that of the schedule.
--- a/internal/rig/rollout/play.go
+++ b/internal/harness/rollout/play.go
@@ -11,12 +11,12 @@
 	"time"
 
 	"fernlanding/internal/distribution"
-	"fernlanding/internal/rig/actor"
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/launch"
-	"fernlanding/internal/rig/process"
-	"fernlanding/internal/rig/rollout/plan"
-	"fernlanding/internal/rig/scenario"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/launch"
+	"fernlanding/internal/harness/process"
+	"fernlanding/internal/harness/rollout/plan"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/harness/worker"
 	"fernlanding/internal/sleep"
 )
 
@@ -34,7 +34,7 @@
 	waits := r.lookAtWaits(nil) // so that nothing waits unseen
 	began := time.Now()
 	r.zero = r.Clock.Now()
-	if err := r.Processes.Say(plan.PublisherName, actor.Command{Do: actor.DoBegin, At: r.zero}); err != nil {
+	if err := r.Processes.Say(plan.PublisherName, worker.Command{Do: worker.DoBegin, At: r.zero}); err != nil {
 		return fmt.Errorf("rollout: %w", err)
 	}
 	asking, stop := context.WithCancel(ctx)
@@ -76,7 +76,7 @@
 	case plan.Between:
 		return r.betweenWrites(ctx, f), nil
 	case plan.Restart:
-		restart := func(name string) error { return r.Processes.Say(name, actor.Command{Do: actor.DoRestart}) }
+		restart := func(name string) error { return r.Processes.Say(name, worker.Command{Do: worker.DoRestart}) }
 		return func() error { return nil }, each(restart)
 	}
 	stop := r.Links.Begin(f)
@@ -217,7 +217,7 @@
 		return
 	}
 	now := r.Clock.Now()
-	r.Tell(history.Event{At: now, Kind: history.Source, Who: plan.Source, Resource: resource, Version: u.Version, Digest: actor.DigestOf(u.Items), Took: now - began})
+	r.Tell(history.Event{At: now, Kind: history.Source, Who: plan.Source, Resource: resource, Version: u.Version, Digest: worker.DigestOf(u.Items), Took: now - began})
 }
 
 // get asks a server directly, over no link.
--- a/internal/rig/rollout/rollout_test.go
+++ b/internal/harness/rollout/rollout_test.go
@@ -13,12 +13,12 @@
 	"testing"
 
 	"fernlanding/internal/distribution/follow"
-	"fernlanding/internal/rig/actor"
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/rigtest"
-	"fernlanding/internal/rig/rollout"
-	"fernlanding/internal/rig/rollout/check"
-	"fernlanding/internal/rig/rollout/plan"
+	"fernlanding/internal/harness/harnesstest"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/rollout"
+	"fernlanding/internal/harness/rollout/check"
+	"fernlanding/internal/harness/rollout/plan"
+	"fernlanding/internal/harness/worker"
 )
 
 // The test's own program is also the rig's actors and its stand-ins with a bug.
@@ -37,13 +37,13 @@
 func TestMain(m *testing.M) {
 	switch os.Getenv(roleVar) {
 	case roleActor:
-		rigtest.Exit(actor.Main(os.Stdin, os.Stdout))
+		harnesstest.Exit(worker.Main(os.Stdin, os.Stdout))
 	case roleNaiveActor:
-		rigtest.Exit(actor.MainWith(os.Stdin, os.Stdout, func(c follow.Config) actor.Follower { return newNaiveFollower(c) }))
+		harnesstest.Exit(worker.MainWith(os.Stdin, os.Stdout, func(c follow.Config) worker.Follower { return newNaiveFollower(c) }))
 	case roleNaiveNode:
-		rigtest.Exit(naive(os.Args[1:], bug(os.Getenv(bugVar))))
+		harnesstest.Exit(naive(os.Args[1:], bug(os.Getenv(bugVar))))
 	}
-	rigtest.Main(m, "fernrelay", func(path string) { program = path }, "-race="+strconv.FormatBool(raceEnabled))
+	harnesstest.Main(m, "fernrelay", func(path string) { program = path }, "-race="+strconv.FormatBool(raceEnabled))
 }
 
 func decode(t testing.TB, text string) *plan.Scenario {
@@ -159,7 +159,7 @@
 			t.Parallel()
 			together <- struct{}{}
 			defer func() { <-together }()
-			o := rollout.Options{Relay: rigtest.InRole(roleVar, roleNaiveNode), Actor: rigtest.InRole(roleVar, roleNaiveActor), Env: []string{bugVar + "=" + string(c.bug)}, Logs: os.Stderr}
+			o := rollout.Options{Relay: harnesstest.InRole(roleVar, roleNaiveNode), Actor: harnesstest.InRole(roleVar, roleNaiveActor), Env: []string{bugVar + "=" + string(c.bug)}, Logs: os.Stderr}
 			verdicts, f := play(t, decode(t, naiveScenario+c.faults), o)
 			if c.faults == "" && f.Judged < 20 {
 				t.Errorf("%d urgent updates judged: the run shows nothing", f.Judged)
@@ -233,7 +233,7 @@
 func hold(t *testing.T, sc *plan.Scenario) check.Figures {
 	sc.Bounds.RelayMB *= raceMemory
 	// A data race ends its process, which the checkers see.
-	o := rollout.Options{Relay: []string{program}, Actor: rigtest.InRole(roleVar, roleActor), Env: []string{"GORACE=halt_on_error=1"}, Logs: os.Stderr}
+	o := rollout.Options{Relay: []string{program}, Actor: harnesstest.InRole(roleVar, roleActor), Env: []string{"GORACE=halt_on_error=1"}, Logs: os.Stderr}
 	verdicts, f := play(t, sc, o)
 	for _, v := range verdicts {
 		t.Errorf("%s, seed %d: %s", sc.Name, sc.Seed, v)
--- a/internal/rig/rollout/run.go
+++ b/internal/harness/rollout/run.go
@@ -15,12 +15,12 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/rig/actor"
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/launch"
-	"fernlanding/internal/rig/link"
-	"fernlanding/internal/rig/process"
-	"fernlanding/internal/rig/rollout/plan"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/launch"
+	"fernlanding/internal/harness/link"
+	"fernlanding/internal/harness/process"
+	"fernlanding/internal/harness/rollout/plan"
+	"fernlanding/internal/harness/worker"
 )
 
 // Options say how a run is carried out.
@@ -168,7 +168,7 @@
 			return err
 		}
 	}
-	if err := r.Processes.Say(plan.PublisherName, actor.Command{Do: actor.DoFirst}); err != nil {
+	if err := r.Processes.Say(plan.PublisherName, worker.Command{Do: worker.DoFirst}); err != nil {
 		return err
 	}
 	select {
@@ -230,7 +230,7 @@
 }
 
 func (r *run) startPublisher(ctx context.Context) error {
-	return r.actor(ctx, actor.Spec{
+	return r.actor(ctx, worker.Spec{
 		Name:   plan.PublisherName,
 		Group:  plan.OnPublisher,
 		Source: r.linkTo(plan.PublisherName, plan.Source),
@@ -242,12 +242,12 @@
 
 // startFollowers starts one process of followers.
 func (r *run) startFollowers(ctx context.Context, name string) error {
-	spec := actor.Spec{Name: name, Group: plan.OnFollowers, Hold: r.sc.Followers.Hold, Seed: r.sc.Seed}
+	spec := worker.Spec{Name: name, Group: plan.OnFollowers, Hold: r.sc.Followers.Hold, Seed: r.sc.Seed}
 	for _, follower := range r.sc.FollowerNames() {
 		if r.sc.ProcessOf(follower) != name {
 			continue
 		}
-		one := actor.FollowerSpec{Name: follower, Names: r.sc.RelaysOf(follower), Follows: r.sc.ResourcesOf(follower)}
+		one := worker.FollowerSpec{Name: follower, Names: r.sc.RelaysOf(follower), Follows: r.sc.ResourcesOf(follower)}
 		for _, relay := range one.Names {
 			one.Relays = append(one.Relays, r.linkTo(follower, relay))
 		}
@@ -257,7 +257,7 @@
 }
 
 // actor starts an actor, whose events go into the history.
-func (r *run) actor(ctx context.Context, spec actor.Spec) error {
+func (r *run) actor(ctx context.Context, spec worker.Spec) error {
 	actors := launch.Actors{Processes: r.Processes, Program: r.opts.Actor, Env: r.opts.Env, Clock: r.Clock, Heard: r.heard}
 	_, err := actors.Start(ctx, spec)
 	return err
--- a/internal/rig/run.go
+++ b/internal/harness/run.go
@@ -1,6 +1,6 @@
-// Package rig starts many processes of the program with stand-ins of all that it meets, has every connection between them
+// Package harness starts many processes of the program with stand-ins of all that it meets, has every connection between them
 // go through relays with faults, and writes down what happens. Package check judges that.
-package rig
+package harness
 
 import (
 	"bufio"
@@ -17,12 +17,12 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/rig/actor"
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/launch"
-	"fernlanding/internal/rig/link"
-	"fernlanding/internal/rig/process"
-	"fernlanding/internal/rig/scenario"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/launch"
+	"fernlanding/internal/harness/link"
+	"fernlanding/internal/harness/process"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/harness/worker"
 	"fernlanding/internal/sleep"
 	"fernlanding/internal/standin"
 )
@@ -205,7 +205,7 @@
 // startBackends starts one process of backends, the pth; fresh ones are cold.
 func (r *run) startBackends(ctx context.Context, p int, fresh bool) error {
 	b := r.sc.Backends
-	spec := actor.Spec{Name: r.backs[p], Group: scenario.OnBackends, Cores: b.Cores, Waiting: b.Waiting, Work: b.Work, Cold: b.Cold, Part: b.Part, Bears: b.Bears, Conns: b.Conns, Fresh: fresh}
+	spec := worker.Spec{Name: r.backs[p], Group: scenario.OnBackends, Cores: b.Cores, Waiting: b.Waiting, Work: b.Work, Cold: b.Cold, Part: b.Part, Bears: b.Bears, Conns: b.Conns, Fresh: fresh}
 	for i, name := range r.workers {
 		if i%len(r.backs) == p {
 			spec.Backends, spec.Pods = append(spec.Backends, name), append(spec.Pods, i%pods)
@@ -234,7 +234,7 @@
 			skews[r.places[n].String()] = rnd.Int64N(2*skew+1) - skew
 		}
 	}
-	hello, err := r.actor(ctx, actor.Spec{Name: r.lists[i], Group: scenario.OnLists, Rate: l.Rate, Queue: l.Queue, RetryAfter: l.RetryAfter, Places: places, Skews: skews})
+	hello, err := r.actor(ctx, worker.Spec{Name: r.lists[i], Group: scenario.OnLists, Rate: l.Rate, Queue: l.Queue, RetryAfter: l.RetryAfter, Places: places, Skews: skews})
 	if err != nil {
 		return err
 	}
@@ -247,7 +247,7 @@
 		}
 	}
 	r.mu.Unlock()
-	return r.Processes.Say(r.lists[i], actor.Command{Do: actor.DoMembers, Members: all})
+	return r.Processes.Say(r.lists[i], worker.Command{Do: worker.DoMembers, Members: all})
 }
 
 func (r *run) startClients(ctx context.Context) error {
@@ -264,7 +264,7 @@
 				at[sidecar] = net.JoinHostPort(r.places[n].String(), strconv.Itoa(r.relay))
 			}
 		}
-		if _, err := r.actor(ctx, actor.Spec{Name: name, Group: scenario.OnClients, Sidecars: at, Own: own, Load: c.Rate / float64(len(r.clients)), Poll: c.Poll, Seed: r.sc.Seed + uint64(i)}); err != nil {
+		if _, err := r.actor(ctx, worker.Spec{Name: name, Group: scenario.OnClients, Sidecars: at, Own: own, Load: c.Rate / float64(len(r.clients)), Poll: c.Poll, Seed: r.sc.Seed + uint64(i)}); err != nil {
 			return err
 		}
 	}
@@ -272,7 +272,7 @@
 }
 
 // actor starts an actor and returns its first line.
-func (r *run) actor(ctx context.Context, spec actor.Spec) (actor.Hello, error) {
+func (r *run) actor(ctx context.Context, spec worker.Spec) (worker.Hello, error) {
 	actors := launch.Actors{Processes: r.Processes, Program: r.opts.Actor, Env: r.opts.Env, Clock: r.Clock, Heard: r.heard}
 	return actors.Start(ctx, spec)
 }
@@ -298,7 +298,7 @@
 		return err
 	}
 	for _, c := range r.clients {
-		if err := r.Processes.Say(c, actor.Command{Do: actor.DoLoad, On: r.sc.Clients.Rate > 0}); err != nil {
+		if err := r.Processes.Say(c, worker.Command{Do: worker.DoLoad, On: r.sc.Clients.Rate > 0}); err != nil {
 			return err
 		}
 	}
@@ -383,18 +383,18 @@
 		fmt.Fprintf(&t, "cold = %q\nstart_capacity = %g\ncold_multiple = %g\n", b.Cold, b.Part, b.Bears)
 	}
 	if q := r.sc.Clients.Quota; q > 0 {
-		fmt.Fprintf(&t, "[services.rating.tenants.%s]\nportion = 1\nquota = %g\n", actor.Tenant, q)
+		fmt.Fprintf(&t, "[services.rating.tenants.%s]\nportion = 1\nquota = %g\n", worker.Tenant, q)
 	}
-	for _, c := range actor.Classes() {
+	for _, c := range worker.Classes() {
 		fmt.Fprintf(&t, "[services.rating.classes.%s]\nrepeat = %q\nobjective = %q\ndeadline = %q\n", c.Name, c.Repeat, c.Objective, c.Deadline)
 		if r.sc.Clients.Worth {
 			fmt.Fprintf(&t, "worth = %g\n", c.Worth)
 		}
 		if c.Repeat == "keyed" {
-			fmt.Fprintf(&t, "key = \"Idempotency-Key\"\ndedup_scope = \"cell\"\ndedup_window = %q\n", actor.Window)
+			fmt.Fprintf(&t, "key = \"Idempotency-Key\"\ndedup_scope = \"cell\"\ndedup_window = %q\n", worker.Window)
 		}
 	}
-	for _, c := range actor.Classes() {
+	for _, c := range worker.Classes() {
 		fmt.Fprintf(&t, "\n[[routes]]\nname = %q\nprefix = %q\nservice = \"rating\"\nclass = %q\n", c.Name, c.Path, c.Name)
 	}
 	return t.String()
@@ -411,10 +411,10 @@
 // finish has the load end and its last answers come, and ends the sidecars in order.
 func (r *run) finish() error {
 	for _, c := range r.clients {
-		_ = r.Processes.Say(c, actor.Command{Do: actor.DoLoad})
+		_ = r.Processes.Say(c, worker.Command{Do: worker.DoLoad})
 	}
 	longest := time.Duration(0)
-	for _, c := range actor.Classes() {
+	for _, c := range worker.Classes() {
 		longest = max(longest, c.Deadline)
 	}
 	late := time.NewTimer(longest + time.Second)
--- a/internal/rig/scenario/scenario.go
+++ b/internal/harness/scenario/scenario.go
@@ -9,13 +9,13 @@
 	"strings"
 	"time"
 
-	"fernlanding/internal/doc"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 // Bounds of a scenario.
 const (
-	MaxFile     = doc.MaxFile // bytes
+	MaxFile     = tomldoc.MaxFile // bytes
 	MaxSidecars = 1000
 	MaxBackends = 1000
 	MaxLists    = 16
@@ -215,10 +215,10 @@
 
 // Read reads a scenario. The error lists all faults, one a line.
 func Read(file string, data []byte) (*Scenario, error) {
-	return doc.Decode(file, data, read)
+	return tomldoc.Decode(file, data, read)
 }
 
-func read(s doc.Scope) *Scenario {
+func read(s tomldoc.Scope) *Scenario {
 	x := &Scenario{Name: s.Text("name", ""), Seed: uint64(s.Whole("seed", 1, 0, 1<<62)), For: s.Span("for", 10*time.Second, 100*time.Millisecond, MaxFor)}
 	if x.Name == "" {
 		s.Bad(rules.Missing, "name", "the scenario's name expected")
@@ -277,12 +277,12 @@
 	return x
 }
 
-func (x *Scenario) random(v doc.Scope) {
+func (x *Scenario) random(v tomldoc.Scope) {
 	x.Random = Random{Count: int(v.Whole("count", 0, 0, 200)), From: v.Span("from", 0, 0, MaxFor), Until: v.Span("until", x.For, 0, MaxFor),
 		Long: v.Span("long", 2*time.Second, 10*time.Millisecond, MaxFor)}
 	for _, w := range v.Texts("kinds") {
 		if _, ok := kinds[Kind(w)]; !ok {
-			v.Bad(rules.Word, "kinds", "%s", doc.Guess(fmt.Sprintf("%q is no kind of fault; one of %s expected", w, strings.Join(KindNames(), ", ")), w, KindNames()))
+			v.Bad(rules.Word, "kinds", "%s", tomldoc.Guess(fmt.Sprintf("%q is no kind of fault; one of %s expected", w, strings.Join(KindNames(), ", ")), w, KindNames()))
 			continue
 		}
 		x.Random.Kinds = append(x.Random.Kinds, Kind(w))
@@ -306,7 +306,7 @@
 }
 
 // fault reads one fault and checks it against the processes of the run.
-func (x *Scenario) fault(v doc.Scope) (f Fault) {
+func (x *Scenario) fault(v tomldoc.Scope) (f Fault) {
 	f = Fault{At: v.Span("at", 0, 0, MaxFor), For: v.Span("for", 0, 0, MaxFor), Kind: Kind(v.Word("kind", "", KindNames()...)),
 		Site: v.Text("site", ""), Share: v.Number("share", 0, 0, 1), Names: v.Texts("names"),
 		Delay: v.Span("delay", 0, 0, time.Minute), More: v.Span("jitter", 0, 0, time.Minute), Bytes: int(v.Whole("bytes", 100, 0, 1<<20)),
@@ -341,7 +341,7 @@
 }
 
 // linkFault reads which links a fault is of, and checks what its kind needs.
-func (x *Scenario) linkFault(v doc.Scope, f *Fault) {
+func (x *Scenario) linkFault(v tomldoc.Scope, f *Fault) {
 	f.Link = v.Word("link", "", links...)
 	f.On = v.Word("on", OnSidecars, OnSidecars, OnBackends, OnLists)
 	if f.On != OnSidecars && !strings.HasSuffix(f.Link, f.On) {
@@ -361,7 +361,7 @@
 }
 
 // processFault reads which processes a fault is of, and checks that they can be told apart.
-func (x *Scenario) processFault(v doc.Scope, f *Fault) {
+func (x *Scenario) processFault(v tomldoc.Scope, f *Fault) {
 	f.On = v.Word("on", OnSidecars, OnSidecars, OnLists, OnBackends, OnSites)
 	sites := len(x.Sidecars.Sites)
 	if f.On == OnSites && (f.Site == "" || x.Backends.Processes%sites != 0 || x.Lists.Count%sites != 0) {
--- a/internal/rig/scenario/scenario_test.go
+++ b/internal/harness/scenario/scenario_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/rig/scenario"
+	"fernlanding/internal/harness/scenario"
 )
 
 const base = "name = \"x\"\nfor = \"10s\"\n[sidecars]\ncount = 9\nsites = [\"a\", \"b\"]\n[lists]\ncount = 2\n[backends]\ncount = 5\n"
--- a/internal/rig/scenarios_test.go
+++ b/internal/harness/scenarios_test.go
@@ -1,11 +1,11 @@
-package rig_test
+package harness_test
 
 import (
 	"os"
 	"path/filepath"
 	"testing"
 
-	"fernlanding/internal/rig/scenario"
+	"fernlanding/internal/harness/scenario"
 )
 
 // atOnce is how many scenarios are played beside each other.
--- a/internal/rig/draw/draw.go
+++ b/internal/harness/timeline/draw.go
@@ -1,6 +1,6 @@
-// Package draw draws the history of a run: load, refusals, calls for lists, connections and ready sidecars over time, with
+// Package timeline draws the history of a run: load, refusals, calls for lists, connections and ready sidecars over time, with
 // the faults marked.
-package draw
+package timeline
 
 import (
 	"fmt"
@@ -15,8 +15,8 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/scenario"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/scenario"
 )
 
 const (
--- a/internal/rig/actor/actor.go
+++ b/internal/harness/worker/actor.go
@@ -1,8 +1,8 @@
-// Package actor is the other processes of the rig: stand-ins of list services, backends, clients, publishers and followers of
+// Package worker is the other processes of the rig: stand-ins of list services, backends, clients, publishers and followers of
 // resources, many in a process. An
 // actor is told what it is by the first line of its standard input, and then one command a line; it tells what happens, one
 // event a line, on its standard output. It ends when its input does, so that none outlives the rig.
-package actor
+package worker
 
 import (
 	"bufio"
@@ -14,8 +14,8 @@
 	"syscall"
 	"time"
 
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/rollout/plan"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/rollout/plan"
 	"fernlanding/internal/standin"
 )
 
--- a/internal/rig/actor/backends.go
+++ b/internal/harness/worker/backends.go
@@ -1,4 +1,4 @@
-package actor
+package worker
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/sock"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/socket"
 	"fernlanding/internal/standin"
 )
 
@@ -217,7 +217,7 @@
 	case <-c.Done:
 		return false
 	}
-	if !sock.Quiet(c.Conn) {
+	if !socket.Quiet(c.Conn) {
 		return false // its caller has gone
 	}
 	e.Kind = history.Ran
--- a/internal/rig/actor/clients.go
+++ b/internal/harness/worker/clients.go
@@ -1,4 +1,4 @@
-package actor
+package worker
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/sock"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/socket"
 )
 
 // Class is a class of requests that the rig's clients send, and its sidecars are configured for.
@@ -361,7 +361,7 @@
 	for all := c.idle[name]; len(all) > 0; all = c.idle[name] {
 		l := all[len(all)-1]
 		c.idle[name] = all[:len(all)-1]
-		if time.Since(l.at) < keptFor && sock.Quiet(l.Conn) {
+		if time.Since(l.at) < keptFor && socket.Quiet(l.Conn) {
 			return l
 		}
 		l.Close()
--- a/internal/rig/actor/followers.go
+++ b/internal/harness/worker/followers.go
@@ -1,4 +1,4 @@
-package actor
+package worker
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 
 	"fernlanding/internal/distribution"
 	"fernlanding/internal/distribution/follow"
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/rollout/plan"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/rollout/plan"
 )
 
 // Follower follows resources: a follow.Follower, or a stand-in of it.
--- a/internal/rig/actor/lists.go
+++ b/internal/harness/worker/lists.go
@@ -1,11 +1,11 @@
-package actor
+package worker
 
 import (
 	"fmt"
 	"net"
 	"strings"
 
-	"fernlanding/internal/rig/history"
+	"fernlanding/internal/harness/history"
 	"fernlanding/internal/standin"
 )
 
--- a/internal/rig/actor/publisher.go
+++ b/internal/harness/worker/publisher.go
@@ -1,4 +1,4 @@
-package actor
+package worker
 
 import (
 	"bytes"
@@ -12,8 +12,8 @@
 	"time"
 
 	"fernlanding/internal/distribution"
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/rollout/plan"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/rollout/plan"
 	"fernlanding/internal/sleep"
 )
 
--- a/internal/membership/blocking/blocking.go
+++ b/internal/membership/consul/blocking.go
@@ -1,7 +1,7 @@
-// Package blocking follows a list of backends over blocking reads of a health API, as Consul publishes it: GET
+// Package consul follows a list of backends over blocking reads of a health API, as Consul publishes it: GET
 // /v1/health/service/NAME?index=N&wait=T answers when the index is beyond N or the time is over, with the index in
 // X-Consul-Index ("Blocking Queries" of its documentation).
-package blocking
+package consul
 
 import (
 	"context"
--- a/internal/membership/blocking/blocking_test.go
+++ b/internal/membership/consul/blocking_test.go
@@ -1,4 +1,4 @@
-package blocking
+package consul
 
 import (
 	"context"
--- a/internal/scale/hollow/hollow_test.go
+++ b/internal/scale/hollow/hollow_test.go
@@ -15,8 +15,8 @@
 	"fernlanding/internal/membership"
 	"fernlanding/internal/scale/churn"
 	"fernlanding/internal/scale/hollow"
-	"fernlanding/internal/scale/layout"
 	"fernlanding/internal/scale/result"
+	"fernlanding/internal/scale/topology"
 	"fernlanding/internal/standin"
 )
 
@@ -30,7 +30,7 @@
 	t.Helper()
 	var names []string
 	for n := range services {
-		names = append(names, layout.Service(n))
+		names = append(names, topology.Service(n))
 	}
 	r, err := standin.NewRegistry(names)
 	if err != nil {
@@ -39,24 +39,24 @@
 	t.Cleanup(r.Close)
 	for n := range services {
 		for b := range backends {
-			r.Service(layout.Service(n)).Put(member(n, b, "SERVING"))
+			r.Service(topology.Service(n)).Put(member(n, b, "SERVING"))
 		}
 	}
 	return r
 }
 
 func member(service, backend int, status string) standin.Member {
-	return standin.Member{Name: churn.Name(layout.Service(service), backend), Address: layout.Backend(service, backend), Weight: 1, Status: status}
+	return standin.Member{Name: churn.Name(topology.Service(service), backend), Address: topology.Backend(service, backend), Weight: 1, Status: status}
 }
 
-func plan(services int, lists string) *layout.Layout {
-	return &layout.Layout{Source: result.SourceConsul, Seed: 1, Lists: []string{lists},
+func plan(services int, lists string) *topology.Layout {
+	return &topology.Layout{Source: result.SourceConsul, Seed: 1, Lists: []string{lists},
 		Size: result.Size{Services: services, ServicesInAll: services, Backends: backends}}
 }
 
-func start(t *testing.T, f *hollow.Fleet, l *layout.Layout, proxy int) {
+func start(t *testing.T, f *hollow.Fleet, l *topology.Layout, proxy int) {
 	t.Helper()
-	if err := f.Start(hollow.Spec{Name: layout.Proxy(proxy), File: l.File(proxy), From: layout.Place(proxy)}); err != nil {
+	if err := f.Start(hollow.Spec{Name: topology.Proxy(proxy), File: l.File(proxy), From: topology.Place(proxy)}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -113,7 +113,7 @@
 	load := hollow.NewLoad(f, 200)
 	defer load.Close()
 	began := hollow.Now()
-	r.Service(layout.Service(1)).Put(member(1, 0, "DRAINING"))
+	r.Service(topology.Service(1)).Put(member(1, 0, "DRAINING"))
 	seen := map[hollow.Arrival]int{}
 	for _, a := range arrivals(t, f, proxies) {
 		if a.At < began || a.At > hollow.Now() {
@@ -122,11 +122,11 @@
 		a.At = 0
 		seen[a]++
 	}
-	if want := (hollow.Arrival{Service: layout.Service(1), Version: 1}); len(seen) != 1 || seen[want] != proxies {
+	if want := (hollow.Arrival{Service: topology.Service(1), Version: 1}); len(seen) != 1 || seen[want] != proxies {
 		t.Errorf("arrivals %v", seen)
 	}
-	r.Service(layout.Service(1)).Delete(churn.Name(layout.Service(1), 0))
-	r.Service(layout.Service(1)).Put(member(1, backends, "SERVING"))
+	r.Service(topology.Service(1)).Delete(churn.Name(topology.Service(1), 0))
+	r.Service(topology.Service(1)).Put(member(1, backends, "SERVING"))
 	for _, a := range arrivals(t, f, 2*proxies) {
 		if a.Version != 2 && a.Version != 3 {
 			t.Errorf("version %d", a.Version)
@@ -142,7 +142,7 @@
 		t.Errorf("%d calls not served", calls.Others)
 	}
 	for n := range proxies {
-		free, err := net.Listen("tcp", layout.Listen(n))
+		free, err := net.Listen("tcp", topology.Listen(n))
 		if err != nil {
 			t.Errorf("a hollow proxy listens: %v", err)
 			continue
@@ -169,7 +169,7 @@
 	defer garbage.Close()
 	const well, panics, spoilt, bad = 0, 1, 2, 3
 	f := hollow.New(hollow.Config{Backends: backends, OnList: func(proxy, _ string, l *membership.List) {
-		if proxy == layout.Proxy(panics) && churn.Version(l, backends) > 0 {
+		if proxy == topology.Proxy(panics) && churn.Version(l, backends) > 0 {
 			panic("for the test")
 		}
 	}})
@@ -180,17 +180,17 @@
 	ready(t, f)
 	start(t, f, plan(1, strings.TrimPrefix(garbage.URL, "http://")), spoilt)
 	text := append(l.File(bad), "nonsense = 1\n"...)
-	if err := f.Start(hollow.Spec{Name: layout.Proxy(bad), File: text}); err == nil || !strings.Contains(err.Error(), "nonsense: unknown field") {
+	if err := f.Start(hollow.Spec{Name: topology.Proxy(bad), File: text}); err == nil || !strings.Contains(err.Error(), "nonsense: unknown field") {
 		t.Errorf("bad configuration: %v", err)
 	}
 	if err := f.Start(hollow.Spec{Name: "empty"}); err == nil {
 		t.Error("an empty configuration was taken")
 	}
 	until(t, "a second read of garbage", func() bool { return answers.Load() >= 2 })
-	r.Service(layout.Service(0)).Put(member(0, 0, "DRAINING"))
-	until(t, "the panic among the failures", func() bool { return f.Failures()[layout.Proxy(panics)] != "" })
+	r.Service(topology.Service(0)).Put(member(0, 0, "DRAINING"))
+	until(t, "the panic among the failures", func() bool { return f.Failures()[topology.Proxy(panics)] != "" })
 	arrivals(t, f, 1)
-	r.Service(layout.Service(0)).Delete(churn.Name(layout.Service(0), 0))
+	r.Service(topology.Service(0)).Delete(churn.Name(topology.Service(0), 0))
 	for _, a := range arrivals(t, f, 1) {
 		if a.Version != 1 && a.Version != 2 {
 			t.Errorf("%+v", a)
@@ -198,11 +198,11 @@
 	}
 	failures := f.Failures()
 	for _, n := range []int{panics, bad} {
-		if failures[layout.Proxy(n)] == "" {
-			t.Errorf("%s: no failure", layout.Proxy(n))
+		if failures[topology.Proxy(n)] == "" {
+			t.Errorf("%s: no failure", topology.Proxy(n))
 		}
 	}
-	if why := failures[layout.Proxy(panics)]; !strings.Contains(why, "for the test") || !strings.Contains(why, "hollow_test.go") {
+	if why := failures[topology.Proxy(panics)]; !strings.Contains(why, "for the test") || !strings.Contains(why, "hollow_test.go") {
 		t.Errorf("the panic is told as %q", why)
 	}
 	if len(failures) != 3 { // the empty one too
--- a/internal/scale/latency/chain.go
+++ b/internal/scale/latency/chain.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"fernlanding/internal/rig/spawn"
+	"fernlanding/internal/harness/spawn"
 )
 
 const (
--- a/internal/scale/latency/plan.go
+++ b/internal/scale/latency/plan.go
@@ -10,8 +10,8 @@
 import (
 	"time"
 
-	"fernlanding/internal/doc"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 // Bounds of a plan.
@@ -77,10 +77,10 @@
 
 // ReadPlan reads a plan from a TOML file's bytes. Its faults name file, line, column and field.
 func ReadPlan(file string, data []byte) (*Plan, error) {
-	return doc.Decode(file, data, readPlan)
+	return tomldoc.Decode(file, data, readPlan)
 }
 
-func readPlan(s doc.Scope) *Plan {
+func readPlan(s tomldoc.Scope) *Plan {
 	s.Whole("format", 0, Format, Format)
 	if !s.Has("format") {
 		s.Bad(rules.Missing, "format", "format = %d expected", Format)
@@ -113,7 +113,7 @@
 	return p
 }
 
-func readSidecar(v doc.Scope) Sidecar {
+func readSidecar(v tomldoc.Scope) Sidecar {
 	s := Sidecar{
 		Cores:     v.Number("cores", 2, 0.1, 256),
 		MemoryMB:  v.Number("memory_mb", 64, 16, 1<<16),
@@ -126,7 +126,7 @@
 	return s
 }
 
-func readCase(v doc.Scope) Case {
+func readCase(v tomldoc.Scope) Case {
 	c := Case{
 		Name:        v.Text("name", ""),
 		Rate:        v.Number("rate_per_second", 0, 1, MaxRate),
--- a/internal/scale/predict/target.go
+++ b/internal/scale/predict/target.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"slices"
 
-	"fernlanding/internal/doc"
 	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 // Format is the version of target files that this program reads.
@@ -113,10 +113,10 @@
 
 // ReadTarget reads a target's file. The error lists all faults, one a line, each with file, line and field.
 func ReadTarget(file string, data []byte) (*Target, error) {
-	return doc.Decode(file, data, readTarget)
+	return tomldoc.Decode(file, data, readTarget)
 }
 
-func readTarget(s doc.Scope) *Target {
+func readTarget(s tomldoc.Scope) *Target {
 	if !s.Has("format") {
 		s.Bad(rules.Version, "format", "the file's format, %d, expected", Format)
 	}
@@ -128,21 +128,21 @@
 }
 
 // required reads a number that must be there.
-func required(s doc.Scope, field string, least, most float64) float64 {
+func required(s tomldoc.Scope, field string, least, most float64) float64 {
 	if !s.Has(field) {
 		s.Bad(rules.Missing, field, "a number, %g to %g, expected", least, most)
 	}
 	return s.Number(field, least, least, most)
 }
 
-func requiredWhole(s doc.Scope, field string, least, most int64) int {
+func requiredWhole(s tomldoc.Scope, field string, least, most int64) int {
 	if !s.Has(field) {
 		s.Bad(rules.Missing, field, "a whole number, %d to %d, expected", least, most)
 	}
 	return int(s.Whole(field, least, least, most))
 }
 
-func readFleet(s doc.Scope) Fleet {
+func readFleet(s tomldoc.Scope) Fleet {
 	f := Fleet{Proxies: requiredWhole(s, "proxies", 1, maxProxies), Services: requiredWhole(s, "services", 1, maxServices),
 		LargestService: requiredWhole(s, "largest_service", 1, maxProxies), ServicesFollowed: required(s, "services_followed", 0.1, maxServices),
 		CallsPerSecond: required(s, "calls_per_second", 0, 1e12), Depth: requiredWhole(s, "depth", 1, 100),
@@ -162,7 +162,7 @@
 	return f
 }
 
-func readLimits(s doc.Scope) Limits {
+func readLimits(s tomldoc.Scope) Limits {
 	l := Limits{AddedP99Ms: required(s, "added_p99_ms", 1e-3, 1e5), InForceSeconds: required(s, "in_force_seconds", 1e-3, 1e5),
 		ProxyCores: required(s, "proxy_cores", 1e-6, 1e3), ProxyBytes: required(s, "proxy_bytes", 1, 1e12),
 		ProxyBytesASec: required(s, "proxy_bytes_per_second", 1, 1e12), ControlMachines: requiredWhole(s, "control_machines", 1, 1e6)}
@@ -170,16 +170,16 @@
 	return l
 }
 
-func readCurve(s doc.Scope) (curve []int) {
+func readCurve(s tomldoc.Scope) (curve []int) {
 	defer s.Done()
-	v := s.Get("services_followed", doc.Array)
+	v := s.Get("services_followed", tomldoc.Array)
 	if v == nil || len(v.Items) == 0 || len(v.Items) > maxCurve {
 		s.Bad(rules.Range, "services_followed", "1 to %d numbers of services expected", maxCurve)
 		return nil
 	}
 	for i, item := range v.Items {
 		var n int
-		if _, err := fmt.Sscanf(item.Text, "%d", &n); item.Kind != doc.Integer || err != nil || n < 1 || n > maxServices {
+		if _, err := fmt.Sscanf(item.Text, "%d", &n); item.Kind != tomldoc.Integer || err != nil || n < 1 || n > maxServices {
 			s.Fault(item, rules.Range, fmt.Sprintf("%s[%d]", s.Name("services_followed"), i+1), item.Say(), fmt.Sprintf("a whole number, 1 to %d, expected", maxServices))
 			continue
 		}
@@ -191,7 +191,7 @@
 	return curve
 }
 
-func readAssumptions(s doc.Scope) (all []Assumption) {
+func readAssumptions(s tomldoc.Scope) (all []Assumption) {
 	names := assumptionNames()
 	words := make([]string, len(names))
 	for i, n := range names {
--- a/internal/scale/scenario/scenario.go
+++ b/internal/scale/scenario/scenario.go
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
-	"fernlanding/internal/doc"
 	"fernlanding/internal/rules"
 	"fernlanding/internal/scale/result"
+	"fernlanding/internal/tomldoc"
 )
 
 // Format is the version of the file format that this program reads.
@@ -91,10 +91,10 @@
 
 // Read reads a scenario. The error lists all faults, one a line.
 func Read(file string, data []byte) (*Scenario, error) {
-	return doc.Decode(file, data, read)
+	return tomldoc.Decode(file, data, read)
 }
 
-func read(s doc.Scope) *Scenario {
+func read(s tomldoc.Scope) *Scenario {
 	if !s.Has("format") {
 		s.Bad(rules.Version, "format", "the file's format, %d, expected", Format)
 	}
@@ -135,7 +135,7 @@
 	return points[len(points)-1].Size
 }
 
-func readSize(s doc.Scope) result.Size {
+func readSize(s tomldoc.Scope) result.Size {
 	out := result.Size{Proxies: int(s.Whole("proxies", 100, 1, MaxProxies)), Services: int(s.Whole("services", 1, 1, MaxServices)),
 		ServicesInAll: int(s.Whole("services_in_all", 1, 1, MaxInAll)), Backends: int(s.Whole("backends", 23, 2, MaxBackends)),
 		ChangesPerSecond: s.Number("changes_per_second", 0, 0, MaxChanges), CallsPerSecond: s.Number("calls_per_second", 0, 0, MaxCalls)}
@@ -158,7 +158,7 @@
 	return 0.01, MaxCalls, false
 }
 
-func (x *Scenario) readSweep(s doc.Scope) {
+func (x *Scenario) readSweep(s tomldoc.Scope) {
 	defer s.Done()
 	names := []string{string(result.Proxies), string(result.Services), string(result.Backends), string(result.Changes), string(result.Calls)}
 	x.Dimension = result.Dimension(s.Word("dimension", "", names...))
@@ -184,8 +184,8 @@
 }
 
 // readNumbers reads an array of numbers.
-func readNumbers(s doc.Scope, field string, least, most float64, whole bool) (out []float64) {
-	v := s.Get(field, doc.Array)
+func readNumbers(s tomldoc.Scope, field string, least, most float64, whole bool) (out []float64) {
+	v := s.Get(field, tomldoc.Array)
 	if v == nil {
 		return nil
 	}
@@ -195,7 +195,7 @@
 	}
 	for i, item := range v.Items {
 		number, err := strconv.ParseFloat(strings.ReplaceAll(item.Text, "_", ""), 64)
-		kind := item.Kind == doc.Integer || item.Kind == doc.Float && !whole
+		kind := item.Kind == tomldoc.Integer || item.Kind == tomldoc.Float && !whole
 		if err != nil || !kind || !(number >= least && number <= most) {
 			s.Fault(item, rules.Range, fmt.Sprintf("%s[%d]", s.Name(field), i+1), item.Say(), want)
 			continue
--- a/internal/scale/sweep/cast.go
+++ b/internal/scale/sweep/cast.go
@@ -8,8 +8,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"fernlanding/internal/scale/layout"
 	"fernlanding/internal/scale/result"
+	"fernlanding/internal/scale/topology"
 	"fernlanding/internal/scale/worker"
 	"fernlanding/internal/sleep"
 )
@@ -24,7 +24,7 @@
 type cast struct {
 	player  *player
 	team    *team
-	layout  layout.Layout
+	layout  topology.Layout
 	plan    plan
 	lists   []string // workers that are list services, or the one that writes to the source
 	source  []server // of distribution
@@ -37,7 +37,7 @@
 
 // begin starts the processes of a size. Their proxies are not started yet.
 func (s *player) begin(ctx context.Context, size result.Size, p plan) (*cast, error) {
-	c := &cast{player: s, team: newTeam(s.opts.Worker), plan: p, layout: layout.Layout{Source: s.sc.Source, Size: size, Seed: s.sc.Seed}}
+	c := &cast{player: s, team: newTeam(s.opts.Worker), plan: p, layout: topology.Layout{Source: s.sc.Source, Size: size, Seed: s.sc.Seed}}
 	if err := c.hire(ctx); err != nil {
 		c.team.end()
 		return nil, err
@@ -102,7 +102,7 @@
 // startReal starts a process for each proxy, and waits until all listen.
 func (c *cast) startReal(ctx context.Context) error {
 	for n := range c.layout.Size.Proxies {
-		name := layout.Proxy(n)
+		name := topology.Proxy(n)
 		file, err := c.player.file(name, c.layout.File(n))
 		if err != nil {
 			return err
@@ -120,7 +120,7 @@
 	defer cancel()
 	for n := range c.layout.Size.Proxies {
 		for {
-			conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", layout.Listen(n))
+			conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", topology.Listen(n))
 			if err == nil {
 				conn.Close()
 				break
@@ -129,7 +129,7 @@
 				return fallen
 			}
 			if !sleep.For(ctx, listenPoll) {
-				return fmt.Errorf("%s does not listen: %w", layout.Proxy(n), err)
+				return fmt.Errorf("%s does not listen: %w", topology.Proxy(n), err)
 			}
 		}
 	}
@@ -312,7 +312,7 @@
 		c.followers = map[string]int64{}
 		for n := range c.layout.Size.Proxies {
 			for _, service := range c.layout.Followed(n) {
-				c.followers[layout.Service(service)]++
+				c.followers[topology.Service(service)]++
 			}
 		}
 	}
--- a/internal/scale/sweep/team.go
+++ b/internal/scale/sweep/team.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/rig/history"
-	"fernlanding/internal/rig/process"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/process"
 	"fernlanding/internal/scale/worker"
 )
 
--- a/internal/scale/layout/layout.go
+++ b/internal/scale/topology/layout.go
@@ -1,6 +1,6 @@
-// Package layout says who is who in a scale test: which services a proxy follows, where their lists are, what its
+// Package topology says who is who in a scale test: which services a proxy follows, where their lists are, what its
 // configuration says and which address it calls from. It is pure: the same on both sides of a pipe.
-package layout
+package topology
 
 import (
 	"fmt"
--- a/internal/scale/worker/lists.go
+++ b/internal/scale/worker/lists.go
@@ -7,7 +7,7 @@
 
 	"fernlanding/internal/scale/churn"
 	"fernlanding/internal/scale/hollow"
-	"fernlanding/internal/scale/layout"
+	"fernlanding/internal/scale/topology"
 	"fernlanding/internal/standin"
 )
 
@@ -19,10 +19,10 @@
 
 func newLists(spec Spec) (*lists, error) {
 	size := spec.Layout.Size
-	services := layout.Services(size, spec.Index, spec.Of)
+	services := topology.Services(size, spec.Index, spec.Of)
 	var names []string
 	for _, n := range services {
-		names = append(names, layout.Service(n))
+		names = append(names, topology.Service(n))
 	}
 	registry, err := standin.NewRegistry(names)
 	if err != nil {
@@ -33,10 +33,10 @@
 		for b := range size.Backends {
 			all = append(all, member(n, b))
 		}
-		registry.Service(layout.Service(n)).Put(all...)
+		registry.Service(topology.Service(n)).Put(all...)
 	}
 	write := func(service int, c churn.Change) error {
-		return put(registry.Service(layout.Service(service)), service, c)
+		return put(registry.Service(topology.Service(service)), service, c)
 	}
 	rate := size.ChangesPerSecond * float64(len(services)) / float64(size.ServicesInAll)
 	return &lists{registry: registry, changer: newChanger(services, size.Backends, rate, write)}, nil
@@ -44,7 +44,7 @@
 
 // member is a backend as the registry lists it.
 func member(service, number int) standin.Member {
-	return standin.Member{Name: churn.Name(layout.Service(service), number), Address: layout.Backend(service, number), Weight: 1, Status: "SERVING"}
+	return standin.Member{Name: churn.Name(topology.Service(service), number), Address: topology.Backend(service, number), Weight: 1, Status: "SERVING"}
 }
 
 // put makes a change in the registry.
@@ -141,7 +141,7 @@
 	if err != nil && c.err == nil {
 		c.err = err
 	}
-	c.made = append(c.made, Change{layout.Service(service), version, at})
+	c.made = append(c.made, Change{topology.Service(service), version, at})
 }
 
 // take is what was changed since it was last called.
--- a/internal/scale/worker/proxies.go
+++ b/internal/scale/worker/proxies.go
@@ -8,7 +8,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"fernlanding/internal/scale/hollow"
-	"fernlanding/internal/scale/layout"
+	"fernlanding/internal/scale/topology"
 )
 
 // startGap is between the starts of two proxies, so that they do not all read their lists in one moment.
@@ -48,7 +48,7 @@
 	gap := time.NewTicker(startGap)
 	defer gap.Stop()
 	for n := p.spec.First; n < p.spec.First+p.spec.Count; n++ {
-		s := hollow.Spec{Name: layout.Proxy(n), File: p.spec.Layout.File(n), From: layout.Place(n)}
+		s := hollow.Spec{Name: topology.Proxy(n), File: p.spec.Layout.File(n), From: topology.Place(n)}
 		if err := p.fleet.Start(s); err != nil {
 			return err
 		}
--- a/internal/scale/worker/publisher.go
+++ b/internal/scale/worker/publisher.go
@@ -11,7 +11,7 @@
 	"fernlanding/internal/membership/relayed"
 	"fernlanding/internal/scale/churn"
 	"fernlanding/internal/scale/hollow"
-	"fernlanding/internal/scale/layout"
+	"fernlanding/internal/scale/topology"
 )
 
 // putWithin bounds one write to the source.
@@ -27,7 +27,7 @@
 func newPublisher(spec Spec) *publisher {
 	p := &publisher{spec: spec, client: httpapi.NewClient(nil)}
 	size := spec.Layout.Size
-	p.changer = newChanger(layout.Services(size, 0, 1), size.Backends, size.ChangesPerSecond, p.change)
+	p.changer = newChanger(topology.Services(size, 0, 1), size.Backends, size.ChangesPerSecond, p.change)
 	return p
 }
 
@@ -40,11 +40,11 @@
 
 // item is a backend of a service as it is in a list.
 func item(service, number int, status string) (distribution.Item, error) {
-	value, err := json.Marshal(entry{Address: layout.Backend(service, number), Status: status, Weight: 1})
+	value, err := json.Marshal(entry{Address: topology.Backend(service, number), Status: status, Weight: 1})
 	if err != nil {
 		return distribution.Item{}, fmt.Errorf("item: %w", err)
 	}
-	return distribution.Item{Key: churn.Name(layout.Service(service), number), Value: value}, nil
+	return distribution.Item{Key: churn.Name(topology.Service(service), number), Value: value}, nil
 }
 
 func (p *publisher) do(ctx context.Context, c Command, r *Reply) error {
@@ -64,8 +64,8 @@
 // writeAll writes the first list of each service.
 func (p *publisher) writeAll(ctx context.Context) error {
 	size := p.spec.Layout.Size
-	for _, service := range layout.Services(size, 0, 1) {
-		put := distribution.PutRequest{Resource: relayed.Resource(layout.Service(service)), Replace: true}
+	for _, service := range topology.Services(size, 0, 1) {
+		put := distribution.PutRequest{Resource: relayed.Resource(topology.Service(service)), Replace: true}
 		for number := range size.Backends {
 			one, err := item(service, number, "serving")
 			if err != nil {
@@ -94,7 +94,7 @@
 		one.Value, one.Deleted = nil, true
 	}
 	one.Urgent = c.Kind != churn.Join
-	return p.put(context.Background(), &distribution.PutRequest{Resource: relayed.Resource(layout.Service(service)), Items: []distribution.Item{one}})
+	return p.put(context.Background(), &distribution.PutRequest{Resource: relayed.Resource(topology.Service(service)), Items: []distribution.Item{one}})
 }
 
 func (p *publisher) put(ctx context.Context, put *distribution.PutRequest) error {
--- a/internal/scale/worker/worker.go
+++ b/internal/scale/worker/worker.go
@@ -21,7 +21,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"fernlanding/internal/scale/hollow"
-	"fernlanding/internal/scale/layout"
+	"fernlanding/internal/scale/topology"
 )
 
 // Role is what a worker is.
@@ -36,14 +36,14 @@
 
 // Spec is what a worker is told first.
 type Spec struct {
-	Role   Role          `json:"role"`
-	Layout layout.Layout `json:"layout"`
-	First  int           `json:"first,omitempty"`  // of Proxies: the number of the first
-	GC     int           `json:"gc,omitempty"`     // of Proxies: percent of what lives before the next collection; 0: the usual
-	Count  int           `json:"count,omitempty"`  // of Proxies
-	Index  int           `json:"index,omitempty"`  // of Lists: its number among them
-	Of     int           `json:"of,omitempty"`     // of Lists: how many there are
-	Source string        `json:"source,omitempty"` // of Publish: the source's address
+	Role   Role            `json:"role"`
+	Layout topology.Layout `json:"layout"`
+	First  int             `json:"first,omitempty"`  // of Proxies: the number of the first
+	GC     int             `json:"gc,omitempty"`     // of Proxies: percent of what lives before the next collection; 0: the usual
+	Count  int             `json:"count,omitempty"`  // of Proxies
+	Index  int             `json:"index,omitempty"`  // of Lists: its number among them
+	Of     int             `json:"of,omitempty"`     // of Lists: how many there are
+	Source string          `json:"source,omitempty"` // of Publish: the source's address
 }
 
 // Do is what a command asks for.
--- a/internal/sidecar/service.go
+++ b/internal/sidecar/service.go
@@ -17,9 +17,9 @@
 	"fernlanding/internal/config"
 	"fernlanding/internal/core"
 	"fernlanding/internal/membership"
-	"fernlanding/internal/membership/blocking"
 	"fernlanding/internal/membership/cache"
 	"fernlanding/internal/membership/catalog"
+	"fernlanding/internal/membership/consul"
 	"fernlanding/internal/membership/file"
 	"fernlanding/internal/membership/relayed"
 	pace "fernlanding/internal/start"
@@ -192,7 +192,7 @@
 	case config.File:
 		source = file.New(from.Path, log)
 	case config.Consul:
-		source = blocking.New(blocking.Config{Address: from.Address, Service: from.As, Token: token(from.TokenFile, log), Dial: s.hollow.dial(), Log: log})
+		source = consul.New(consul.Config{Address: from.Address, Service: from.As, Token: token(from.TokenFile, log), Dial: s.hollow.dial(), Log: log})
 	case config.Relay:
 		source = relayed.NewSource(s.lists, from.As)
 	default:
--- a/internal/sock/sock.go
+++ b/internal/socket/sock.go
@@ -1,5 +1,5 @@
-// Package sock asks the kernel about sockets what package net does not tell.
-package sock
+// Package socket asks the kernel about sockets what package net does not tell.
+package socket
 
 import (
 	"errors"
--- a/internal/doc/sections.go
+++ b/internal/tomldoc/sections.go
@@ -1,4 +1,4 @@
-package doc
+package tomldoc
 
 import (
 	"bytes"
--- a/internal/doc/tree.go
+++ b/internal/tomldoc/tree.go
@@ -1,6 +1,6 @@
-// Package doc reads a TOML document into a tree with the place of every value, and gathers what is wrong with it. It is
+// Package tomldoc reads a TOML document into a tree with the place of every value, and gathers what is wrong with it. It is
 // pure.
-package doc
+package tomldoc
 
 import (
 	"errors"
--- a/internal/upstream/http1/upstream_test.go
+++ b/internal/upstream/http1/upstream_test.go
@@ -14,7 +14,7 @@
 
 	"fernlanding/internal/core"
 	"fernlanding/internal/membership"
-	"fernlanding/internal/sock"
+	"fernlanding/internal/socket"
 	"fernlanding/internal/standin/backendtest"
 	"fernlanding/logic"
 )
@@ -283,7 +283,7 @@
 		waitUntil(t, func() bool { // the news has reached this end
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return !sock.Quiet(p.byName["a"].idle[0].Conn)
+			return !socket.Quiet(p.byName["a"].idle[0].Conn)
 		})
 	}
 	if b.Requests.Load() != 3 || b.Conns.Load() != 3 {
