--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -158,7 +158,7 @@
 // UpdateFromCache takes the list as it was last known, maybe long ago.
 func (p *Pool) UpdateFromCache(list *membership.List) { p.list(logic.CachedSnapshot, list) }
 
-// RestoreEndpoints takes the list as an earlier process knew it: see logic.Recalled.
+// RestoreEndpoints takes the list as an earlier process knew it: see logic.RestoredSnapshot.
 func (p *Pool) RestoreEndpoints(list *membership.List) { p.list(logic.RestoredSnapshot, list) }
 
 // UpdateEndpoints implements membership.Sink.
--- a/internal/distribution/follow/follower.go
+++ b/internal/distribution/follow/follower.go
@@ -51,7 +51,7 @@
 
 // Transport calls relays.
 type Transport interface {
-	// Follow reads. Errors: distribution.ErrUnknownSession, *httpapi.BusyError, others.
+	// Follow reads. Errors: distribution.ErrUnknownSession, *httpapi.OverloadedError, others.
 	Follow(ctx context.Context, address string, req *distribution.FollowRequest) (*distribution.FollowResponse, error)
 	// Ready asks whether a relay answers and hears from the source.
 	Ready(ctx context.Context, address string) error
--- a/internal/fleetsim/coldstart/coldstart.go
+++ b/internal/fleetsim/coldstart/coldstart.go
@@ -1,5 +1,5 @@
 // Package coldstart plays the start of a whole fleet before its list services on a virtual clock: as many copies as are
-// asked for, each with the real start.Reads. It is pure. What a service does is a model: whole readings are worked off in
+// asked for, each with the real start.PollScheduler. It is pure. What a service does is a model: whole readings are worked off in
 // turn at a rate, one that is given up is worked off all the same, further ones than a queue holds are turned away; watches
 // cost it nothing but are counted.
 package coldstart
--- a/internal/membership/relayed/list.go
+++ b/internal/membership/relayed/list.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// keyPrefix is what a reconcile.Book of no prefix and service expects before a key.
+	// keyPrefix is what a reconcile.Reconciler of no prefix and service expects before a key.
 	keyPrefix = "/"
 
 	// maxSourceAge is how long the relays may have heard nothing from the source before a list counts as old. A relay hears
--- a/internal/scale/fit/model.go
+++ b/internal/scale/fit/model.go
@@ -42,7 +42,7 @@
 	return d
 }
 
-// readHold is how long a blocking read of package blocking waits for news, in seconds.
+// readHold is how long a blocking read of package consul waits for news, in seconds.
 const readHold = 2.0
 
 // ReadRate is the number of blocking reads a second of one list that changes so many times a second: each ends with the
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -92,7 +92,7 @@
 // answered is the way to a backend that has answered already.
 type answered struct{}
 
-// RoundTrip implements core.Way.
+// RoundTrip implements core.RoundTripper.
 func (answered) RoundTrip(*core.Attempt) core.AttemptResult {
 	return core.AttemptResult{Status: logic.OK, Response: &core.Response{StatusCode: http.StatusOK}}
 }
--- a/internal/upstream/http1/upstream.go
+++ b/internal/upstream/http1/upstream.go
@@ -77,7 +77,7 @@
 	idle    []*conn      // the most recently used last
 
 	unreachable bool              // the last connection has not come up
-	dials       start.DialLimiter // with Config.Paced
+	dials       start.DialLimiter // with Config.LimitDials
 	moved       chan struct{}     // closed when a connection has come up, has failed or stands idle; nil: nobody waits for that
 }
 
@@ -114,7 +114,7 @@
 	// IsNonIdempotent tells whether a request of a class may not be sent again once it may have run; nil: none is such.
 	IsNonIdempotent func(class int) bool
 	PassAllStatuses bool // replies of all kinds go on with their header; otherwise those with 200 and Content-Type alone
-	LimitDials      bool // connections to a backend that has not shown itself yet are opened a few at a time: see start.Dials
+	LimitDials      bool // connections to a backend that has not shown itself yet are opened a few at a time: see start.DialLimiter
 }
 
 // New returns an Upstream that knows no backend.
@@ -367,7 +367,7 @@
 	return s
 }
 
-// RoundTrip implements core.Way.
+// RoundTrip implements core.RoundTripper.
 func (w *way) RoundTrip(a *core.Attempt) core.AttemptResult {
 	fresh := w.pool.fresh(a.Class)
 	c, kept, err := w.connect(a, fresh)
--- a/logic/api.go
+++ b/logic/api.go
@@ -17,7 +17,7 @@
 // The repeat classes.
 const (
 	Idempotent      Idempotency = iota // may run any number of times
-	IdempotentByKey                    // carries a key; servers of one group drop repeats within Class.Window
+	IdempotentByKey                    // carries a key; servers of one group drop repeats within Class.DedupWindow
 	NonIdempotent                      // must never run twice
 )
 
@@ -58,8 +58,8 @@
 	Zones             int
 	Classes           []Class
 	Tenants           []Tenant // may be empty
-	WatchEndpoints    bool     // the list of servers comes only after Host.Watch
-	WeightedEndpoints bool     // Server.Size compares servers; otherwise it says nothing
+	WatchEndpoints    bool     // the list of servers comes only after Host.WatchEndpoints
+	WeightedEndpoints bool     // Endpoint.Weight compares servers; otherwise it says nothing
 
 	MaxAttempts         int   // sends for one request at most
 	OrderingDelay       int64 // ByArrival: a key rests this long after a time-out, reset or cancel
--- a/logic/figures.go
+++ b/logic/figures.go
@@ -79,5 +79,5 @@
 	return LimitStats{Limit: r.count, InFlight: r.threads, LastCut: r.last}
 }
 
-// ShedCause tells, from inside Host.Refuse, what the request is refused by.
+// ShedCause tells, from inside Host.Shed, what the request is refused by.
 func (b *Balancer) ShedCause() ShedCause { return b.cause }
--- a/test.sh
+++ b/test.sh
@@ -23,12 +23,12 @@
 skip=()
 [ "${#red_tests[@]}" -eq 0 ] || skip=(-skip "$(printf '^%s$\n' "${red_tests[@]}" | sed 's|/|$/^|g' | paste -sd'|')")
 # The rig plays whole fleets in real time and judges when they serve again: what runs beside it on the machine would be judged too.
-rig=fernlanding/internal/rig
-rollout=fernlanding/internal/rig/rollout
+rig=fernlanding/internal/harness
+rollout=fernlanding/internal/harness/rollout
 go test -race -timeout 5m "${skip[@]}" $(go list ./... | grep -vx -e "$rig" -e "$rollout")
 go test -race -timeout 5m "${skip[@]}" "$rig"
 go test -race -timeout 5m "${skip[@]}" "$rollout"
-go test -timeout 5m ./internal/fleet  # all of its days: with -race it plays a few
+go test -timeout 5m ./internal/fleetsim  # all of its days: with -race it plays a few
 for i in "${!red_tests[@]}"; do
   outcome='it passed this time'
   go test -race -timeout 5m -run "^$(sed 's|/|$/^|g' <<<"${red_tests[i]}")\$" "./${red_packages[i]}" || outcome='it failed'
