--- a/cmd/fernctl/commands.go
+++ b/cmd/fernctl/commands.go
@@ -74,7 +74,7 @@
 type source struct {
 	name   string
 	cat    *catalogue.Catalogue
-	faults tomldoc.Faults
+	faults tomldoc.Diagnostics
 }
 
 func load(name string) (*source, error) {
@@ -83,14 +83,14 @@
 		return nil, err
 	}
 	s := &source{name: name}
-	var more tomldoc.Faults
+	var more tomldoc.Diagnostics
 	s.cat, more = catalogue.Read(files)
 	s.faults = append(faults, more...)
 	return s, nil
 }
 
 // at puts the catalogue's directory before the names of its files, so that an editor finds them.
-func (s *source) at(faults tomldoc.Faults) tomldoc.Faults {
+func (s *source) at(faults tomldoc.Diagnostics) tomldoc.Diagnostics {
 	base := s.name
 	if info, err := os.Stat(s.name); err == nil && !info.IsDir() {
 		base = filepath.Dir(s.name)
@@ -301,7 +301,7 @@
 }
 
 // report prints faults and is errFaults if any is an error.
-func report(out io.Writer, faults tomldoc.Faults, machines bool) error {
+func report(out io.Writer, faults tomldoc.Diagnostics, machines bool) error {
 	if machines {
 		all := []said{}
 		for _, f := range faults {
@@ -348,7 +348,7 @@
 			}
 			d := config.Read(name, data)
 			if d.App == nil {
-				return report(c.Root().ErrWriter, d.Faults, false)
+				return report(c.Root().ErrWriter, d.Diagnostics, false)
 			}
 			a, err := explain.Explain(d, c.String("listener"), r)
 			if err != nil {
@@ -382,7 +382,7 @@
 				return fmt.Errorf("migrate: %w", err)
 			}
 			fresh, steps, err := config.Migrate(name, data)
-			var faults tomldoc.Faults
+			var faults tomldoc.Diagnostics
 			if errors.As(err, &faults) {
 				fmt.Fprintf(log, "%s: version %d refuses what it says; nothing that means the same can be written:\n", name, config.Version)
 				return report(log, faults, false)
--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -45,7 +45,7 @@
 var sections = []string{"services", "applications", "environments"}
 
 // Read joins the files of a catalogue. With faults the catalogue may be nil, or hold what could be read.
-func Read(files []File) (*Catalogue, tomldoc.Faults) {
+func Read(files []File) (*Catalogue, tomldoc.Diagnostics) {
 	files = slices.Clone(files)
 	slices.SortFunc(files, func(a, b File) int { return strings.Compare(a.Name, b.Name) })
 	r := &tomldoc.Reader{}
@@ -69,7 +69,7 @@
 	}
 	if broken {
 		if len(files) == 0 {
-			r.Faults = append(r.Faults, tomldoc.Fault{Rule: rules.Missing, Expect: "one file of a catalogue at least expected"})
+			r.Faults = append(r.Faults, tomldoc.Diagnostic{Rule: rules.Missing, Expect: "one file of a catalogue at least expected"})
 		}
 		return nil, r.Faults
 	}
@@ -171,7 +171,7 @@
 	if t := old.Fields["team"]; rule == rules.OwnerTwice && t != nil {
 		owner = fmt.Sprintf("; team %s owns it there", t.Say())
 	}
-	j.Faults = append(j.Faults, tomldoc.Fault{Place: v.Place, Rule: rule, Field: path, Expect: "stands elsewhere too" + owner, See: old.Place})
+	j.Faults = append(j.Faults, tomldoc.Diagnostic{Place: v.Place, Rule: rule, Field: path, Expect: "stands elsewhere too" + owner, See: old.Place})
 }
 
 // merge puts one table of an environment into another of the same path.
--- a/internal/catalogue/catalogue_test.go
+++ b/internal/catalogue/catalogue_test.go
@@ -141,7 +141,7 @@
 	after, _ := relayed.Generate("local")
 	d := config.Read("f", after.Outputs[0].Data)
 	if d.App == nil || d.App.Head.Requires != RequiresRelay || !slices.Equal(d.App.Distribution.Relays, []string{"127.0.0.1:7401"}) {
-		t.Errorf("with relays:\n%s\n%v", after.Outputs[0].Data, d.Faults)
+		t.Errorf("with relays:\n%s\n%v", after.Outputs[0].Data, d.Diagnostics)
 	}
 }
 
@@ -179,7 +179,7 @@
 			if n := bytes.Count(o.Data, []byte("\n")); n != len(o.Origin) {
 				t.Fatalf("%d lines, %d places", n, len(o.Origin))
 			}
-			_ = fmt.Sprint(config.Read(o.Name, o.Data).Faults)
+			_ = fmt.Sprint(config.Read(o.Name, o.Data).Diagnostics)
 		}
 	})
 }
--- a/internal/catalogue/dir/load.go
+++ b/internal/catalogue/dir/load.go
@@ -27,10 +27,10 @@
 // outside of the directory is read, through links neither. Files that were edited while others were read are read again,
 // so that what is returned has stood on the disk at one time; ErrChanged if it never held still. Faults are those that
 // were found on the way to the files, not in them.
-func Load(name string) ([]catalogue.File, tomldoc.Faults, error) { return load(name, func() {}) }
+func Load(name string) ([]catalogue.File, tomldoc.Diagnostics, error) { return load(name, func() {}) }
 
 // load calls read when all files have been read; a test edits them there.
-func load(name string, read func()) ([]catalogue.File, tomldoc.Faults, error) {
+func load(name string, read func()) ([]catalogue.File, tomldoc.Diagnostics, error) {
 	for range mostTries {
 		l := &loader{at: map[string]state{}}
 		err := l.load(name)
@@ -64,7 +64,7 @@
 	files  []catalogue.File
 	at     map[string]state
 	bytes  int
-	faults tomldoc.Faults
+	faults tomldoc.Diagnostics
 	onWay  []string // of includes
 }
 
@@ -113,7 +113,7 @@
 }
 
 func (l *loader) fault(rule rules.ID, at tomldoc.Place, found, expect string) {
-	l.faults = append(l.faults, tomldoc.Fault{Place: at, Rule: rule, Field: "include", Found: found, Expect: expect})
+	l.faults = append(l.faults, tomldoc.Diagnostic{Place: at, Rule: rule, Field: "include", Found: found, Expect: expect})
 }
 
 // read reads a file and what it includes. from is where it is named.
--- a/internal/catalogue/generate.go
+++ b/internal/catalogue/generate.go
@@ -41,7 +41,7 @@
 // Generate writes each application's file with an environment's figures; the empty name stands for none. The same
 // catalogue gives the same bytes, however its text is divided into files. Faults are those of the catalogue; what an
 // application's file may not say is found by reading what was written.
-func (c *Catalogue) Generate(environment string) (*Plan, tomldoc.Faults) {
+func (c *Catalogue) Generate(environment string) (*Plan, tomldoc.Diagnostics) {
 	r := &tomldoc.Reader{}
 	root, ok := c.overlay(environment, r)
 	if !ok {
--- a/internal/catalogue/model.go
+++ b/internal/catalogue/model.go
@@ -186,7 +186,7 @@
 			p.Bad(rules.Missing, "cell", "the number of the pod expected: its members drop each other's repeats")
 		} else if c := p.Get("cell", tomldoc.Integer); c != nil {
 			if old := cells[c.Text]; old != nil {
-				m.Faults = append(m.Faults, tomldoc.Fault{Place: c.Place, Rule: rules.DoubleName, Field: p.Name("cell"), Found: c.Say(), Expect: "another pod has this number", See: old.Place})
+				m.Faults = append(m.Faults, tomldoc.Diagnostic{Place: c.Place, Rule: rules.DoubleName, Field: p.Name("cell"), Found: c.Say(), Expect: "another pod has this number", See: old.Place})
 			}
 			cells[c.Text] = c
 		}
@@ -197,7 +197,7 @@
 			one.endpoints = append(one.endpoints, e.V)
 			if a := e.V.Fields["address"]; a != nil {
 				if old := addresses[a.Text]; old != nil && old != p.V {
-					m.Faults = append(m.Faults, tomldoc.Fault{Place: a.Place, Rule: rules.PodDisagrees, Field: e.Name("address"), Found: a.Say(), Expect: "this address is in another pod too", See: old.Place})
+					m.Faults = append(m.Faults, tomldoc.Diagnostic{Place: a.Place, Rule: rules.PodDisagrees, Field: e.Name("address"), Found: a.Say(), Expect: "this address is in another pod too", See: old.Place})
 				}
 				addresses[a.Text] = p.V
 			}
@@ -303,7 +303,7 @@
 		if f := v.classes[n].v.Fields["formerly"]; f != nil {
 			for _, item := range f.Items {
 				if item.Text == name {
-					m.Faults = append(m.Faults, tomldoc.Fault{Place: s.V.Place, Rule: rules.ClassRenamed, Field: s.Path, Expect: n + " expected: that is its name now", See: f.Place})
+					m.Faults = append(m.Faults, tomldoc.Diagnostic{Place: s.V.Place, Rule: rules.ClassRenamed, Field: s.Path, Expect: n + " expected: that is its name now", See: f.Place})
 					return
 				}
 			}
@@ -325,12 +325,12 @@
 		} else if f == "dedup_scope" && mine.Text == "cell" && of.v.Fields["repeat"] != nil && of.v.Fields["repeat"].Text == "keyed" {
 			continue // the default
 		}
-		m.Faults = append(m.Faults, tomldoc.Fault{Place: mine.Place, Rule: rules.ClassDisagrees, Field: s.Name(f), Found: mine.Say(),
+		m.Faults = append(m.Faults, tomldoc.Diagnostic{Place: mine.Place, Rule: rules.ClassDisagrees, Field: s.Name(f), Found: mine.Say(),
 			Expect: fmt.Sprintf("team %s, which owns %s, %s of class %s", v.team, v.name, says, name), See: at})
 	}
 	order := map[string]int{"never": 0, "scope": 1, "any": 2}
 	if mine, theirs := s.V.Fields["resend"], of.v.Fields["resend"]; mine != nil && theirs != nil && order[mine.Text] > order[theirs.Text] {
-		m.Faults = append(m.Faults, tomldoc.Fault{Place: mine.Place, Rule: rules.ClassDisagrees, Field: s.Name("resend"), Found: mine.Say(),
+		m.Faults = append(m.Faults, tomldoc.Diagnostic{Place: mine.Place, Rule: rules.ClassDisagrees, Field: s.Name("resend"), Found: mine.Say(),
 			Expect: fmt.Sprintf("team %s, which owns %s, allows %s of class %s", v.team, v.name, theirs.Say(), name), See: theirs.Place})
 	}
 }
--- a/internal/catalogue/overlay.go
+++ b/internal/catalogue/overlay.go
@@ -27,7 +27,7 @@
 		if near := tomldoc.Nearest(name, c.Environments()); near != "" {
 			expect = near + " meant?"
 		}
-		r.Faults = append(r.Faults, tomldoc.Fault{Place: tomldoc.Place{File: c.root.Place.File}, Rule: rules.UnknownEnv, Field: "environments", Found: fmt.Sprintf("%q", tomldoc.Clip(name)), Expect: expect})
+		r.Faults = append(r.Faults, tomldoc.Diagnostic{Place: tomldoc.Place{File: c.root.Place.File}, Rule: rules.UnknownEnv, Field: "environments", Found: fmt.Sprintf("%q", tomldoc.Clip(name)), Expect: expect})
 		return nil, false
 	}
 	o := overlayer{r, name}
--- a/internal/check/chain.go
+++ b/internal/check/chain.go
@@ -29,7 +29,7 @@
 	limit  time.Duration
 	budget float64 // how often a request becomes an attempt at the most, over time
 	may    bool    // a request that may have run may be sent again, or beside itself
-	rule   config.Rule
+	rule   config.ClassPolicy
 	causes []node // empty: the calls come from outside of the fleet
 }
 
@@ -108,9 +108,9 @@
 
 func newEdge(d *config.Document, route int, t config.Target, causes []node) *edge {
 	s := d.App.Service(t.Service)
-	rule := s.Rules[s.Class(t.Class)]
+	rule := s.ClassPolicies[s.Class(t.Class)]
 	resent := rule.Resend != config.Never
-	e := &edge{d: d, route: route, to: node{t.Service, t.Class}, limit: d.App.Limit(&d.App.Routes[route], t), budget: 1, causes: causes, may: resent, rule: rule}
+	e := &edge{d: d, route: route, to: node{t.Service, t.Class}, limit: d.App.Deadline(&d.App.Routes[route], t), budget: 1, causes: causes, may: resent, rule: rule}
 	if resent && s.Balancer.MaxAttempts > 1 {
 		e.budget += min(s.Balancer.RetryBudgetRatio, float64(s.Balancer.MaxAttempts-1))
 	}
@@ -268,12 +268,12 @@
 // window finds calls that outer tiers may make again when the records of their keys are gone.
 func (c *chain) window(e *edge) {
 	s := e.d.App.Service(e.to.service)
-	rule := s.Rules[s.Class(e.to.class)]
-	if rule.Repeat != logic.IdempotentByKey {
+	rule := s.ClassPolicies[s.Class(e.to.class)]
+	if rule.Idempotency != logic.IdempotentByKey {
 		return
 	}
-	if outer := c.outer(e); outer.time > rule.Window {
-		c.bad(e.d, rules.WindowChain, []string{"routes", strconv.Itoa(e.route + 1)}, e.to.String()+" recalled for "+rule.Window.String(),
+	if outer := c.outer(e); outer.time > rule.DedupWindow {
+		c.bad(e.d, rules.WindowChain, []string{"routes", strconv.Itoa(e.route + 1)}, e.to.String()+" recalled for "+rule.DedupWindow.String(),
 			fmt.Sprintf("%s may send %s, which causes it, again for %v", outer.by.d.App.Name, outer.by.to, outer.time), outer.by.at())
 	}
 }
@@ -286,10 +286,10 @@
 	}
 	c.repeated[n] = nil
 	for _, e := range c.g.in[n] {
-		if e.rule.Repeat == logic.IdempotentByKey {
+		if e.rule.Idempotency == logic.IdempotentByKey {
 			continue
 		}
-		if e.rule.Repeat == logic.Idempotent && e.may {
+		if e.rule.Idempotency == logic.Idempotent && e.may {
 			c.repeated[n] = e
 			break
 		}
@@ -311,11 +311,11 @@
 		}
 		at := []string{"routes", strconv.Itoa(e.route + 1)}
 		switch {
-		case e.rule.Repeat == logic.NonIdempotent:
+		case e.rule.Idempotency == logic.NonIdempotent:
 			c.bad(e.d, rules.RepeatChain, at, e.to.String(), fmt.Sprintf("%s may send %s, which causes it, again", by.d.App.Name, by.to), by.at())
 			return
-		case e.rule.Repeat == logic.IdempotentByKey && e.rule.Group != logic.DedupTier && several(e.d.App.Service(e.to.service), e.rule.Group):
-			c.bad(e.d, rules.ScopeChain, at, e.to.String()+" of scope "+config.GroupName(e.rule.Group), fmt.Sprintf("%s may send %s, which causes it, again", by.d.App.Name, by.to), by.at())
+		case e.rule.Idempotency == logic.IdempotentByKey && e.rule.DedupScope != logic.DedupTier && several(e.d.App.Service(e.to.service), e.rule.DedupScope):
+			c.bad(e.d, rules.ScopeChain, at, e.to.String()+" of scope "+config.DedupScopeName(e.rule.DedupScope), fmt.Sprintf("%s may send %s, which causes it, again", by.d.App.Name, by.to), by.at())
 			return
 		}
 	}
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -39,19 +39,19 @@
 }
 
 // Files judges applications' files, each by itself and all together.
-func Files(files []File, o Options) ([]*config.Document, tomldoc.Faults) {
+func Files(files []File, o Options) ([]*config.Document, tomldoc.Diagnostics) {
 	docs := make([]*config.Document, len(files))
 	o.each(len(files), func(i int) { docs[i] = config.Read(files[i].Name, files[i].Data) })
-	var faults tomldoc.Faults
+	var faults tomldoc.Diagnostics
 	for _, d := range docs {
-		faults = append(faults, d.Faults...)
+		faults = append(faults, d.Diagnostics...)
 	}
 	return docs, append(faults, Fleet(docs, o)...).Sorted()
 }
 
 // Catalogue judges a catalogue with one environment's figures: what it says itself, each file that it gives, and all of
 // them together. Faults stand at their places in the catalogue. The plan is nil where nothing could be written.
-func Catalogue(c *catalogue.Catalogue, environment string, o Options) (*catalogue.Plan, []*config.Document, tomldoc.Faults) {
+func Catalogue(c *catalogue.Catalogue, environment string, o Options) (*catalogue.Plan, []*config.Document, tomldoc.Diagnostics) {
 	plan, faults := c.Generate(environment)
 	if plan == nil {
 		return nil, nil, faults.Sorted()
@@ -67,7 +67,7 @@
 	})
 	written := docs[:len(plan.Outputs)]
 	for i, d := range docs {
-		for _, f := range d.Faults {
+		for _, f := range d.Diagnostics {
 			if i >= len(written) && (f.Warning() || !strings.HasPrefix(f.Field, "services.")) {
 				continue // a probe's own
 			}
@@ -78,7 +78,7 @@
 }
 
 // atSource puts a fault of a generated file at its place in the catalogue.
-func atSource(d *config.Document, f tomldoc.Fault, application string) tomldoc.Fault {
+func atSource(d *config.Document, f tomldoc.Diagnostic, application string) tomldoc.Diagnostic {
 	f.Place = d.From(f.Place)
 	if f.See.File != "" {
 		f.See = d.From(f.See)
@@ -94,7 +94,7 @@
 }
 
 // once leaves one of faults that differ in the application alone: what a service says wrong, every caller's file does.
-func once(faults tomldoc.Faults) (out tomldoc.Faults) {
+func once(faults tomldoc.Diagnostics) (out tomldoc.Diagnostics) {
 	type same struct {
 		at     tomldoc.Place
 		rule   rules.ID
@@ -114,7 +114,7 @@
 }
 
 // fault is a fault at a value of a document.
-func fault(d *config.Document, rule rules.ID, path []string, found, expect string, see tomldoc.Place) tomldoc.Fault {
+func fault(d *config.Document, rule rules.ID, path []string, found, expect string, see tomldoc.Place) tomldoc.Diagnostic {
 	at, said := d.Place(path...)
 	field := ""
 	for i, p := range path {
@@ -133,7 +133,7 @@
 	if d.App != nil && len(path) > 0 && path[0] != "services" {
 		field = d.App.Name + ": " + field
 	}
-	return tomldoc.Fault{Place: at, Rule: rule, Field: field, Found: found, Expect: expect, See: see}
+	return tomldoc.Diagnostic{Place: at, Rule: rule, Field: field, Found: found, Expect: expect, See: see}
 }
 
 func number(x float64) string { return fmt.Sprintf("%.4g", x) }
--- a/internal/check/fleet.go
+++ b/internal/check/fleet.go
@@ -16,13 +16,13 @@
 )
 
 // Fleet judges what files say of each other. Files that a sidecar would refuse are left out.
-func Fleet(docs []*config.Document, o Options) tomldoc.Faults {
+func Fleet(docs []*config.Document, o Options) tomldoc.Diagnostics {
 	f := fleet{factor: o.RetryFactor, stated: map[string]*statement{}, ends: map[string]*endpoint{}, shares: map[string]float64{}, circles: map[string]bool{}}
 	if f.factor == 0 {
 		f.factor = catalogue.DefaultRetryFactor
 	}
 	for _, d := range docs {
-		if d != nil && d.App != nil && d.App.Wording == config.Application {
+		if d != nil && d.App != nil && d.App.Kind == config.Application {
 			f.docs = append(f.docs, d)
 		}
 	}
@@ -38,7 +38,7 @@
 type fleet struct {
 	docs    []*config.Document
 	factor  float64
-	faults  tomldoc.Faults
+	faults  tomldoc.Diagnostics
 	stated  map[string]*statement // by service
 	ends    map[string]*endpoint  // by service and name, and by service and address
 	shares  map[string]float64
@@ -103,7 +103,7 @@
 	d    *config.Document
 	s    *config.Service
 	name string // that the class has there
-	rule config.Rule
+	rule config.ClassPolicy
 }
 
 // services compares what files say of one service.
@@ -126,7 +126,7 @@
 			st := f.stated[s.Name]
 			f.owner(d, s, st)
 			for i, name := range s.Classes {
-				f.class(d, s, name, s.Rules[i], st)
+				f.class(d, s, name, s.ClassPolicies[i], st)
 			}
 			st.learn(d, s)
 			f.endpoints(d, s)
@@ -138,9 +138,9 @@
 // learn notes classes that nobody has stated before.
 func (st *statement) learn(d *config.Document, s *config.Service) {
 	for i, name := range s.Classes {
-		for _, n := range append([]string{name}, s.Rules[i].Formerly...) {
+		for _, n := range append([]string{name}, s.ClassPolicies[i].FormerNames...) {
 			if _, known := st.classes[n]; !known {
-				st.classes[n] = stating{d, s, name, s.Rules[i]}
+				st.classes[n] = stating{d, s, name, s.ClassPolicies[i]}
 			}
 		}
 	}
@@ -151,16 +151,16 @@
 		see, _ := st.d.Place("services", s.Name, "owner")
 		f.bad(d, rules.OwnerTwice, path("services", s.Name, "owner"), strconv.Quote(s.Owner), st.s.Owner+" by another file", see)
 	}
-	if s.ColdMultiple > st.s.ColdMultiple && st.d != d && (st.s.Owner != "" || st.d.Version > 1) {
+	if s.SlowStartMultiple > st.s.SlowStartMultiple && st.d != d && (st.s.Owner != "" || st.d.Version > 1) {
 		see, _ := st.d.Place("services", s.Name, "cold_multiple")
-		f.bad(d, rules.ColdMultiple, path("services", s.Name, "cold_multiple"), number(s.ColdMultiple), number(st.s.ColdMultiple)+" at most by another file", see)
+		f.bad(d, rules.ColdMultiple, path("services", s.Name, "cold_multiple"), number(s.SlowStartMultiple), number(st.s.SlowStartMultiple)+" at most by another file", see)
 	}
 }
 
 // class compares a class's rule with what is stated of it.
-func (f *fleet) class(d *config.Document, s *config.Service, name string, r config.Rule, st *statement) {
+func (f *fleet) class(d *config.Document, s *config.Service, name string, r config.ClassPolicy, st *statement) {
 	known, ok := st.classes[name]
-	for _, old := range r.Formerly {
+	for _, old := range r.FormerNames {
 		if !ok {
 			known, ok = st.classes[old]
 		}
@@ -180,9 +180,9 @@
 		field        string
 		mine, theirs string
 	}{
-		{"repeat", config.RepeatName(r.Repeat), config.RepeatName(known.rule.Repeat)},
-		{"dedup_scope", config.GroupName(r.Group), config.GroupName(known.rule.Group)},
-		{"dedup_window", r.Window.String(), known.rule.Window.String()},
+		{"repeat", config.IdempotencyName(r.Idempotency), config.IdempotencyName(known.rule.Idempotency)},
+		{"dedup_scope", config.DedupScopeName(r.DedupScope), config.DedupScopeName(known.rule.DedupScope)},
+		{"dedup_window", r.DedupWindow.String(), known.rule.DedupWindow.String()},
 		{"key", r.Key, known.rule.Key},
 	} {
 		if c.mine == c.theirs {
@@ -231,9 +231,9 @@
 
 func (f *fleet) share(d *config.Document, s *config.Service) {
 	before := f.shares[s.Name]
-	f.shares[s.Name] = before + s.Share
-	if before <= 1+1e-9 && before+s.Share > 1+1e-9 {
-		f.bad(d, rules.ShareSum, path("services", s.Name, "share"), number(s.Share), "1 at most with those of other applications, "+number(before), tomldoc.Place{})
+	f.shares[s.Name] = before + s.CapacityFraction
+	if before <= 1+1e-9 && before+s.CapacityFraction > 1+1e-9 {
+		f.bad(d, rules.ShareSum, path("services", s.Name, "share"), number(s.CapacityFraction), "1 at most with those of other applications, "+number(before), tomldoc.Place{})
 	}
 }
 
@@ -294,9 +294,9 @@
 
 // recalledFor is the longest window of the classes whose group of backends an endpoint leaves.
 func recalledFor(s *config.Service, old endpoint, e membership.Endpoint) (longest time.Duration) {
-	for _, r := range s.Rules {
-		if r.Repeat == logic.IdempotentByKey && groupOf(old.cell, old.zone, r.Group) != groupOf(e.Cell, e.Zone, r.Group) {
-			longest = max(longest, r.Window)
+	for _, r := range s.ClassPolicies {
+		if r.Idempotency == logic.IdempotentByKey && groupOf(old.cell, old.zone, r.DedupScope) != groupOf(e.Cell, e.Zone, r.DedupScope) {
+			longest = max(longest, r.DedupWindow)
 		}
 	}
 	return longest
--- a/internal/check/mutants_test.go
+++ b/internal/check/mutants_test.go
@@ -462,7 +462,7 @@
 		one.host = strings.Replace(r.Match.Hosts[0], "*", "x", 1)
 	}
 	s := app.Service(r.To[0].Service)
-	one.key = s.Rules[s.Class(one.class)].Key
+	one.key = s.ClassPolicies[s.Class(one.class)].Key
 	return one
 }
 
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -27,9 +27,9 @@
 		}
 		for n, t := range targets {
 			used[[2]string{t.Service, t.Class}], used[[2]string{t.Service}] = true, true
-			if _, rule, ok := a.class(t); ok && n < len(r.To) && rule.Repeat == logic.IdempotentByKey && rule.Resend != Never {
-				if limit := a.Limit(r, t); limit > rule.Window {
-					at.Bad(rules.KeyedWindow, "timeout", "its requests may take %v, class %s of %s is recalled for %v", limit, t.Class, t.Service, rule.Window)
+			if _, rule, ok := a.class(t); ok && n < len(r.To) && rule.Idempotency == logic.IdempotentByKey && rule.Resend != Never {
+				if limit := a.Deadline(r, t); limit > rule.DedupWindow {
+					at.Bad(rules.KeyedWindow, "timeout", "its requests may take %v, class %s of %s is recalled for %v", limit, t.Class, t.Service, rule.DedupWindow)
 				}
 			}
 		}
@@ -49,7 +49,7 @@
 	}
 }
 
-// GroupName is the word for a scope.
-func GroupName(g logic.DedupScope) string {
+// DedupScopeName is the word for a scope.
+func DedupScopeName(g logic.DedupScope) string {
 	return [...]string{logic.DedupTier: "service", logic.DedupZone: "zone", logic.DedupCell: "cell"}[g]
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,13 +31,13 @@
 	MaxBody     = 8 << 20          // bytes of a request's or an answer's body
 )
 
-// Wording says how requests are put.
-type Wording int
+// Kind says how requests are put.
+type Kind int
 
 // The wordings.
 const (
-	Application Wording = iota // routes say what a request is for
-	Platform                   // one service; Request-Class and the path say the class
+	Application Kind = iota // routes say what a request is for
+	Platform                // one service; Request-Class and the path say the class
 )
 
 // App is what one sidecar is told.
@@ -48,7 +48,7 @@
 	Host      string   // that it runs on; empty: not told
 	Serves    []string // services that the application itself is a backend of
 	Head      Head
-	Wording   Wording
+	Kind      Kind
 	Seed      uint64 // of all random draws; 0: the sidecar draws one
 	Process   Process
 	StateDir  string        // a folder that lasts, for what outlives the process; empty: none
@@ -62,7 +62,7 @@
 
 // Head says where a generated file comes from. It changes nothing in a sidecar.
 type Head struct {
-	By          string // what wrote it
+	GeneratedBy string // what wrote it
 	Requires    string // the oldest program that can read it
 	Sources     string // digest of the catalogue
 	Environment string
@@ -97,28 +97,28 @@
 	Owner  string // the team that owns it; may be empty
 	Source Source
 	settings.Deployment
-	Rules        []Rule           // of its classes, in their order; none on the platform
-	Codes        Codes            // of the sidecar's own answers
-	ColdMultiple float64          // of its present capacity that a cold backend bears
-	Share        float64          // of the service that this application may use; 0: not told
-	Trusted      bool             // backends send nothing behind their answers: connections need no rest
-	PassAll      bool             // answers of every status go on with their header; otherwise bodies of 200 alone
-	Connections  int64            // to backends that it can have at any time; 0: an even part
-	MaxBody      int64            // bytes of a request's body
-	MaxAnswer    int64            // bytes of an answer's
-	Known        *membership.List // the list as last known; may be nil
+	ClassPolicies     []ClassPolicy    // of its classes, in their order; none on the platform
+	Codes             Codes            // of the sidecar's own answers
+	SlowStartMultiple float64          // of its present capacity that a cold backend bears
+	CapacityFraction  float64          // of the service that this application may use; 0: not told
+	Trusted           bool             // backends send nothing behind their answers: connections need no rest
+	PassAllStatuses   bool             // answers of every status go on with their header; otherwise bodies of 200 alone
+	Connections       int64            // to backends that it can have at any time; 0: an even part
+	MaxBody           int64            // bytes of a request's body
+	MaxResponse       int64            // bytes of an answer's
+	KnownList         *membership.List // the list as last known; may be nil
 }
 
-// Rule is what a class's owner states about running a request again. Logic.Classes has what the module is told, which
+// ClassPolicy is what a class's owner states about running a request again. Logic.Classes has what the module is told, which
 // differs where Resend is narrower than the repeat rule.
-type Rule struct {
-	Repeat   logic.Idempotency
-	Group    logic.DedupScope // of Keyed: who drops repeats between them
-	Window   time.Duration    // of Keyed: for how long
-	Key      string           // of Keyed: the field that carries the key, in canonical form
-	Resend   Resend
-	Early    bool     // taken in early data (RFC 8470)
-	Formerly []string // names that the class had
+type ClassPolicy struct {
+	Idempotency logic.Idempotency
+	DedupScope  logic.DedupScope // of Keyed: who drops repeats between them
+	DedupWindow time.Duration    // of Keyed: for how long
+	Key         string           // of Keyed: the field that carries the key, in canonical form
+	Resend      Resend
+	EarlyData   bool     // taken in early data (RFC 8470)
+	FormerNames []string // names that the class had
 }
 
 // Resend says where a request that may have run may be sent again. What is proven not to have run may always be.
@@ -136,24 +136,24 @@
 
 // Codes are the codes of the sidecar's own answers; 0 is the usual one.
 type Codes struct {
-	Refused int // nothing has run, or it may be repeated: 503 or 429
+	Shed    int // nothing has run, or it may be repeated: 503 or 429
 	Failed  int // it may have run: 502 or 500
 	Expired int // its time is up, and it may have run: 504, 502 or 500
 }
 
-// Usual fills in the codes that are not stated.
-func (c Codes) Usual() Codes {
-	return Codes{cmp.Or(c.Refused, http.StatusServiceUnavailable), cmp.Or(c.Failed, http.StatusBadGateway), cmp.Or(c.Expired, http.StatusGatewayTimeout)}
+// WithDefaults fills in the codes that are not stated.
+func (c Codes) WithDefaults() Codes {
+	return Codes{cmp.Or(c.Shed, http.StatusServiceUnavailable), cmp.Or(c.Failed, http.StatusBadGateway), cmp.Or(c.Expired, http.StatusGatewayTimeout)}
 }
 
 // Source is where the list of a service's backends comes from.
 type Source struct {
-	Kind      SourceKind
-	Address   string // of Catalog and Consul: host:port
-	Path      string // of File
-	As        string // of Consul and Relay: the service's or the list's name there
-	TokenFile string // of Consul: holds the token; may be empty
-	Endpoints []membership.Endpoint
+	Kind       SourceKind
+	Address    string // of Catalog and Consul: host:port
+	Path       string // of File
+	RemoteName string // of Consul and Relay: the service's or the list's name there
+	TokenFile  string // of Consul: holds the token; may be empty
+	Endpoints  []membership.Endpoint
 }
 
 // SourceKind is a kind of source.
@@ -208,9 +208,9 @@
 	return -1
 }
 
-// Limit is how long a request of a route may take at one of its sides: the shorter of the route's time limit and the
+// Deadline is how long a request of a route may take at one of its sides: the shorter of the route's time limit and the
 // class's deadline.
-func (a *App) Limit(r *Route, t Target) time.Duration {
+func (a *App) Deadline(r *Route, t Target) time.Duration {
 	s := a.Service(t.Service)
 	d := time.Duration(s.Balancer.Classes[s.Class(t.Class)].Deadline) * time.Microsecond
 	if r.Timeout > 0 {
@@ -219,8 +219,8 @@
 	return d
 }
 
-// Longest is the longest deadline of all classes of a service.
-func (s *Service) Longest() (d time.Duration) {
+// LongestDeadline is the longest deadline of all classes of a service.
+func (s *Service) LongestDeadline() (d time.Duration) {
 	for _, c := range s.Balancer.Classes {
 		d = max(d, time.Duration(c.Deadline)*time.Microsecond)
 	}
@@ -247,7 +247,7 @@
 // own is the clients' at any time, a third the services'; the last third is lent.
 func (a *App) Descriptors() (Parts, error) {
 	p := Parts{Total: int64(a.Process.Sockets - ownSockets), Names: []string{Clients}}
-	if a.Wording == Platform {
+	if a.Kind == Platform {
 		// Each open request has at most one attempt out, and a third more connections to backends may be kept for
 		// the next. What is left is the clients': their open requests, and those that are silent or idle.
 		backends := int64(a.Process.Sockets / 3 * 4 / 3)
@@ -287,15 +287,15 @@
 	for _, s := range a.Services {
 		floor := p.Total / 2 / int64(len(a.Services))
 		p.Names, p.Floors = append(p.Names, s.Name), append(p.Floors, floor)
-		if s.MaxBody > p.Total/4 || s.MaxAnswer > p.Total/4 {
+		if s.MaxBody > p.Total/4 || s.MaxResponse > p.Total/4 {
 			return p, fmt.Errorf("service %s: bodies of %d and answers of %d bytes are too large: a quarter of the %d bytes that all bodies share expected at most",
-				s.Name, s.MaxBody, s.MaxAnswer, p.Total)
+				s.Name, s.MaxBody, s.MaxResponse, p.Total)
 		}
 	}
 	return p, nil
 }
 
-// RepeatName is the word for a repeat rule.
-func RepeatName(r logic.Idempotency) string {
+// IdempotencyName is the word for a repeat rule.
+func IdempotencyName(r logic.Idempotency) string {
 	return [...]string{logic.Idempotent: "safe", logic.IdempotentByKey: "keyed", logic.NonIdempotent: "unsafe"}[r]
 }
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -23,7 +23,7 @@
 func (d *Document) read() {
 	r := &tomldoc.Reader{}
 	s := tomldoc.NewScope(r, d.root)
-	defer func() { d.Faults = append(d.Faults, r.Faults...) }()
+	defer func() { d.Diagnostics = append(d.Diagnostics, r.Faults...) }()
 	if newer := d.readVersion(s); newer {
 		return // what else it says may mean something else there
 	}
@@ -70,8 +70,8 @@
 	return strconv.ParseInt(strings.ReplaceAll(v.Text, "_", ""), 0, 32)
 }
 
-func (d *Document) refusedOf(f Faults) Faults {
-	return (&Document{Version: d.Version, Faults: f}).refused()
+func (d *Document) refusedOf(f Diagnostics) Diagnostics {
+	return (&Document{Version: d.Version, Diagnostics: f}).refused()
 }
 
 func (x *decoder) read(s tomldoc.Scope) {
--- a/internal/config/decode_class.go
+++ b/internal/config/decode_class.go
@@ -21,7 +21,7 @@
 	for i, c := range scopes {
 		Named(c, "", names[i])
 		k, r := x.class(c)
-		for _, f := range r.Formerly {
+		for _, f := range r.FormerNames {
 			if former[f] || slices.Contains(names, f) {
 				c.Bad(rules.DoubleName, "formerly", "%q is a name of another class too", tomldoc.Clip(f))
 			}
@@ -29,7 +29,7 @@
 		}
 		c.Done()
 		v.Classes = append(v.Classes, names[i])
-		v.Rules = append(v.Rules, r)
+		v.ClassPolicies = append(v.ClassPolicies, r)
 		v.Balancer.Classes = append(v.Balancer.Classes, k)
 	}
 	if len(names) == 0 {
@@ -38,7 +38,7 @@
 }
 
 // class reads one class: what the module is told of it, and what its owner states.
-func (x *decoder) class(c tomldoc.Scope) (k logic.Class, r Rule) {
+func (x *decoder) class(c tomldoc.Scope) (k logic.Class, r ClassPolicy) {
 	k = logic.Class{LatencyObjective: micros(c.Span("objective", 500*time.Millisecond, minTime, MaxDeadline)),
 		Deadline:           micros(c.Span("deadline", 2*time.Second, minTime, MaxDeadline)),
 		PriorityWeight:     c.Number("worth", 1, 0, 1e9),
@@ -49,7 +49,7 @@
 		c.Bad(rules.Objective, "objective", "the deadline (%v) expected at most", time.Duration(k.Deadline)*time.Microsecond)
 	}
 	r = x.repeat(c)
-	k.Idempotency, k.DedupScope, k.DedupWindow = r.Repeat, r.Group, micros(r.Window)
+	k.Idempotency, k.DedupScope, k.DedupWindow = r.Idempotency, r.DedupScope, micros(r.DedupWindow)
 	if r.Resend == Never { // the module sends again what is proven not to have run, and nothing else
 		k.Idempotency, k.DedupScope, k.DedupWindow = logic.NonIdempotent, logic.DedupTier, 0
 	}
@@ -57,55 +57,55 @@
 }
 
 // repeat reads what a class's owner states about running it again.
-func (x *decoder) repeat(c tomldoc.Scope) (r Rule) {
+func (x *decoder) repeat(c tomldoc.Scope) (r ClassPolicy) {
 	x.repeatRule(c, &r)
 	x.deduplication(c, &r)
 	if x.version < 2 {
-		if r.Repeat == logic.IdempotentByKey {
+		if r.Idempotency == logic.IdempotentByKey {
 			r.Key = DefaultKey
 		}
 		return r
 	}
 	x.key(c, &r)
 	x.allowances(c, &r)
-	r.Formerly = c.Texts("formerly")
-	for _, f := range r.Formerly {
+	r.FormerNames = c.Texts("formerly")
+	for _, f := range r.FormerNames {
 		Named(c, "formerly", f)
 	}
 	return r
 }
 
 // repeatRule reads whether a class is safe, keyed or unsafe, and with it the usual allowances.
-func (x *decoder) repeatRule(c tomldoc.Scope, r *Rule) {
+func (x *decoder) repeatRule(c tomldoc.Scope, r *ClassPolicy) {
 	if !c.Has("repeat") {
 		c.Bad(rules.Missing, "repeat", `"safe", "keyed" or "unsafe" expected: it decides what may be sent again, so there is no default`)
 	}
 	switch c.Word("repeat", "safe", "safe", "keyed", "unsafe") {
 	case "safe":
-		r.Repeat, r.Resend, r.Early = logic.Idempotent, Any, true
+		r.Idempotency, r.Resend, r.EarlyData = logic.Idempotent, Any, true
 	case "keyed":
-		r.Repeat, r.Resend = logic.IdempotentByKey, InScope
+		r.Idempotency, r.Resend = logic.IdempotentByKey, InScope
 		if !c.Has("dedup_window") {
 			c.Bad(rules.Missing, "dedup_window", "how long its servers recall a key is expected of a keyed class")
 		}
 	case "unsafe":
-		r.Repeat = logic.NonIdempotent
+		r.Idempotency = logic.NonIdempotent
 	}
 }
 
 // deduplication reads who drops the repeats of a keyed class, and for how long.
-func (x *decoder) deduplication(c tomldoc.Scope, r *Rule) {
-	r.Window = c.Span("dedup_window", 0, 0, time.Hour)
+func (x *decoder) deduplication(c tomldoc.Scope, r *ClassPolicy) {
+	r.DedupWindow = c.Span("dedup_window", 0, 0, time.Hour)
 	switch c.Word("dedup_scope", "cell", "cell", "zone", "service") {
 	case "zone":
-		r.Group = logic.DedupZone
+		r.DedupScope = logic.DedupZone
 	case "cell":
-		r.Group = logic.DedupCell
+		r.DedupScope = logic.DedupCell
 	}
-	if r.Repeat == logic.IdempotentByKey {
+	if r.Idempotency == logic.IdempotentByKey {
 		return
 	}
-	r.Group, r.Window = logic.DedupTier, 0
+	r.DedupScope, r.DedupWindow = logic.DedupTier, 0
 	for _, f := range []string{"dedup_window", "dedup_scope", "key"} {
 		if c.Has(f) && (f != "key" || x.version >= 2) {
 			c.Bad(rules.KeyedFields, f, "only keyed classes are deduplicated")
@@ -114,9 +114,9 @@
 }
 
 // key reads the field that carries the key of a keyed class.
-func (x *decoder) key(c tomldoc.Scope, r *Rule) {
+func (x *decoder) key(c tomldoc.Scope, r *ClassPolicy) {
 	key := textproto.CanonicalMIMEHeaderKey(c.Text("key", ""))
-	if r.Repeat != logic.IdempotentByKey {
+	if r.Idempotency != logic.IdempotentByKey {
 		return
 	}
 	r.Key = key
@@ -135,16 +135,16 @@
 	"Keep-Alive", "Proxy-Connection", "Date", "Request-Timeout-Ms", "Tenant", "Early-Data", "User-Agent", "Accept"}
 
 // allowances reads what a class is allowed beyond, or not allowed of, what its repeat rule gives.
-func (x *decoder) allowances(c tomldoc.Scope, r *Rule) {
+func (x *decoder) allowances(c tomldoc.Scope, r *ClassPolicy) {
 	usual := r.Resend.String()
 	word := c.Word("resend", usual, "never", "scope", "any")
 	allowed := map[string]Resend{"never": Never, "scope": InScope, "any": Any}[word]
 	switch {
-	case r.Repeat == logic.NonIdempotent && allowed != Never:
+	case r.Idempotency == logic.NonIdempotent && allowed != Never:
 		c.Bad(rules.UnsafeResend, "resend", `"never" expected of an unsafe class`)
-	case r.Repeat == logic.IdempotentByKey && allowed == Any:
+	case r.Idempotency == logic.IdempotentByKey && allowed == Any:
 		c.Bad(rules.KeyedScope, "resend", `"scope" or "never" expected of a keyed class`)
-	case r.Repeat == logic.Idempotent && allowed == InScope:
+	case r.Idempotency == logic.Idempotent && allowed == InScope:
 		c.Bad(rules.KeyedFields, "resend", `"any" or "never" expected of a safe class: it has no scope`)
 	default:
 		r.Resend = allowed
@@ -153,7 +153,7 @@
 		c.Bad(rules.Hedge, "hedge", "one attempt at a time expected")
 	}
 	if c.Has("early_data") {
-		if r.Early = c.Flag("early_data"); r.Early && r.Repeat != logic.Idempotent {
+		if r.EarlyData = c.Flag("early_data"); r.EarlyData && r.Idempotency != logic.Idempotent {
 			c.Bad(rules.UnsafeEarly, "early_data", "false expected of a class that is not safe")
 		}
 	}
--- a/internal/config/decode_identity.go
+++ b/internal/config/decode_identity.go
@@ -45,7 +45,7 @@
 // head reads what a generator has written about the file.
 func (x *decoder) head(s tomldoc.Scope) {
 	h := s.Sub("generated")
-	x.app.Head = Head{By: h.Text("by", ""), Requires: h.Text("requires", ""), Sources: h.Text("sources", ""), Environment: h.Text("environment", "")}
+	x.app.Head = Head{GeneratedBy: h.Text("by", ""), Requires: h.Text("requires", ""), Sources: h.Text("sources", ""), Environment: h.Text("environment", "")}
 	if want := x.app.Head.Requires; h.Has("requires") {
 		if newer, err := Newer(want, Program); err != nil {
 			h.Bad(rules.Version, "requires", "a version such as %q expected", Program)
--- a/internal/config/decode_route.go
+++ b/internal/config/decode_route.go
@@ -54,7 +54,7 @@
 		var sh *route.ShadowedError
 		if errors.As(e, &sh) {
 			by := scopes[numbers[sh.By]]
-			x.Faults = append(x.Faults, Fault{Place: at.V.Place, Rule: rules.RouteDead, Field: at.Path,
+			x.Faults = append(x.Faults, Diagnostic{Place: at.V.Place, Rule: rules.RouteDead, Field: at.Path,
 				Found: strconv.Quote(tomldoc.Clip(a.Routes[numbers[re.Rule]].Name)), See: by.V.Place,
 				Expect: fmt.Sprintf("it can't be reached at listener %s: %q takes all its requests before", listener, tomldoc.Clip(a.Routes[numbers[sh.By]].Name))})
 			continue
--- a/internal/config/decode_service.go
+++ b/internal/config/decode_service.go
@@ -38,14 +38,14 @@
 // service reads one service with its classes, its tenants and the source of its list.
 func (x *decoder) service(s tomldoc.Scope, name string) *Service {
 	Named(s, "", name)
-	v := &Service{Name: name, PassAll: true, Trusted: s.Flag("trusted"),
+	v := &Service{Name: name, PassAllStatuses: true, Trusted: s.Flag("trusted"),
 		Connections: s.Whole("connections", 0, 1, 1<<20),
 		MaxBody:     s.Whole("max_body", 64<<10, 0, MaxBody),
-		MaxAnswer:   s.Whole("max_answer", 1<<20, 0, MaxBody)}
+		MaxResponse: s.Whole("max_answer", 1<<20, 0, MaxBody)}
 	v.DialTimeout = s.Span("dial_timeout", 200*time.Millisecond, minTime, MaxDeadline)
 	v.IdleClose = s.Span("idle_close", 30*time.Second, 100*time.Millisecond, time.Hour)
 	x.limits(s, v)
-	v.ColdMultiple = defaultCold
+	v.SlowStartMultiple = defaultCold
 	if x.version >= 2 {
 		x.service2(s, v)
 	}
@@ -120,12 +120,12 @@
 	if v.Owner = s.Text("owner", ""); s.Has("owner") {
 		Named(s, "owner", v.Owner)
 	}
-	v.Share = s.Number("share", 0, 0, 1)
-	if v.ColdMultiple = s.Number("cold_multiple", defaultCold, 0, 100); v.ColdMultiple < 1 {
+	v.CapacityFraction = s.Number("share", 0, 0, 1)
+	if v.SlowStartMultiple = s.Number("cold_multiple", defaultCold, 0, 100); v.SlowStartMultiple < 1 {
 		s.Bad(rules.ColdMultiple, "cold_multiple", "1 at least expected: sidecars may send a cold backend all that it can do")
 	}
 	c := s.Sub("answers")
-	v.Codes = Codes{Refused: code(c, "refused", 503, 429), Failed: code(c, "failed", 502, 500), Expired: code(c, "expired", 504, 502, 500)}
+	v.Codes = Codes{Shed: code(c, "refused", 503, 429), Failed: code(c, "failed", 502, 500), Expired: code(c, "expired", 504, 502, 500)}
 	c.Done()
 }
 
--- a/internal/config/decode_source.go
+++ b/internal/config/decode_source.go
@@ -69,8 +69,8 @@
 }
 
 func (x *decoder) consulSource(s tomldoc.Scope, v *Service) {
-	v.Source = Source{Kind: Consul, Address: address(s, "discovery", false), As: s.Text("registered_as", v.Name), TokenFile: s.Text("token_file", "")}
-	if v.Source.As == "" {
+	v.Source = Source{Kind: Consul, Address: address(s, "discovery", false), RemoteName: s.Text("registered_as", v.Name), TokenFile: s.Text("token_file", "")}
+	if v.Source.RemoteName == "" {
 		s.Bad(rules.Missing, "registered_as", "the service's name in the registry expected")
 	}
 	if s.Has("endpoints") {
@@ -81,9 +81,9 @@
 
 // relaySource reads the list that the relays of [distribution] pass on.
 func (x *decoder) relaySource(s tomldoc.Scope, v *Service) {
-	v.Source = Source{Kind: Relay, As: s.Text("as", v.Name)}
+	v.Source = Source{Kind: Relay, RemoteName: s.Text("as", v.Name)}
 	if s.Has("as") {
-		Named(s, "as", v.Source.As)
+		Named(s, "as", v.Source.RemoteName)
 	}
 	if len(x.app.Distribution.Relays) == 0 {
 		s.Bad(rules.Missing, "membership", "relays in [distribution] expected beside it")
--- a/internal/config/decode_target.go
+++ b/internal/config/decode_target.go
@@ -62,7 +62,7 @@
 			x.checkAgreement(s, r.To[first], t)
 		}
 		x.checkTimeout(s, r, t, k)
-		if rule.Repeat == logic.IdempotentByKey && len(r.To) > 1 && r.Sticky != "" && r.Sticky != rule.Key && i == first {
+		if rule.Idempotency == logic.IdempotentByKey && len(r.To) > 1 && r.Sticky != "" && r.Sticky != rule.Key && i == first {
 			s.Bad(rules.SplitScope, "sticky_header", "class %s of %s is keyed: one key may come with two values of %s", t.Class, t.Service, r.Sticky)
 		}
 	}
@@ -72,13 +72,13 @@
 func (x *decoder) checkAgreement(s tomldoc.Scope, first, other Target) {
 	_, a, _ := x.app.class(first)
 	_, b, _ := x.app.class(other)
-	if a.Repeat != b.Repeat {
+	if a.Idempotency != b.Idempotency {
 		s.Bad(rules.SplitRepeat, "split", "its sides disagree on what may be repeated: %s of %s is %s, %s of %s is %s",
-			first.Class, first.Service, RepeatName(a.Repeat), other.Class, other.Service, RepeatName(b.Repeat))
+			first.Class, first.Service, IdempotencyName(a.Idempotency), other.Class, other.Service, IdempotencyName(b.Idempotency))
 		return
 	}
-	told := func(r Rule) bool { return r.Key != "" && r.Window > 0 }
-	if a.Repeat == logic.IdempotentByKey && told(a) && told(b) {
+	told := func(r ClassPolicy) bool { return r.Key != "" && r.DedupWindow > 0 }
+	if a.Idempotency == logic.IdempotentByKey && told(a) && told(b) {
 		sameScope(s, first, a, other, b)
 	}
 }
@@ -94,11 +94,11 @@
 }
 
 // sameScope faults two sides of a keyed split that differ in what they say about their keys.
-func sameScope(s tomldoc.Scope, a Target, x Rule, b Target, y Rule) {
+func sameScope(s tomldoc.Scope, a Target, x ClassPolicy, b Target, y ClassPolicy) {
 	for _, c := range []struct {
 		what string
 		x, y any
-	}{{"dedup_scope", GroupName(x.Group), GroupName(y.Group)}, {"dedup_window", x.Window, y.Window}, {"key", x.Key, y.Key}} {
+	}{{"dedup_scope", DedupScopeName(x.DedupScope), DedupScopeName(y.DedupScope)}, {"dedup_window", x.DedupWindow, y.DedupWindow}, {"key", x.Key, y.Key}} {
 		if c.x != c.y {
 			s.Bad(rules.SplitScope, "split", "its sides disagree on %s: %s of %s has %v, %s of %s has %v", c.what, a.Class, a.Service, c.x, b.Class, b.Service, c.y)
 		}
@@ -116,13 +116,13 @@
 	t := x.target(m, 0)
 	m.Done()
 	for _, to := range r.To {
-		if _, rule, ok := x.app.class(to); ok && rule.Repeat != logic.Idempotent {
-			s.Bad(rules.Mirror, "mirror", "the route's class is %s: a copy of its requests would let an effect happen twice", RepeatName(rule.Repeat))
+		if _, rule, ok := x.app.class(to); ok && rule.Idempotency != logic.Idempotent {
+			s.Bad(rules.Mirror, "mirror", "the route's class is %s: a copy of its requests would let an effect happen twice", IdempotencyName(rule.Idempotency))
 			break
 		}
 	}
-	if _, rule, ok := x.app.class(t); ok && rule.Repeat != logic.Idempotent {
-		s.Bad(rules.Mirror, "mirror", "class %s of %s is %s: copies go to safe classes alone", t.Class, t.Service, RepeatName(rule.Repeat))
+	if _, rule, ok := x.app.class(t); ok && rule.Idempotency != logic.Idempotent {
+		s.Bad(rules.Mirror, "mirror", "class %s of %s is %s: copies go to safe classes alone", t.Class, t.Service, IdempotencyName(rule.Idempotency))
 	}
 	r.Mirror = &t
 }
@@ -145,7 +145,7 @@
 	if v.Class(t.Class) >= 0 {
 		return t
 	}
-	renamed := slices.IndexFunc(v.Rules, func(r Rule) bool { return slices.Contains(r.Formerly, t.Class) })
+	renamed := slices.IndexFunc(v.ClassPolicies, func(r ClassPolicy) bool { return slices.Contains(r.FormerNames, t.Class) })
 	if renamed >= 0 {
 		s.Bad(rules.ClassRenamed, "class", "%s expected: that is its name now", v.Classes[renamed])
 	} else {
@@ -166,11 +166,11 @@
 }
 
 // class is what the module is told of a target's class, and what its owner states; false where there is no such class.
-func (a *App) class(t Target) (logic.Class, Rule, bool) {
+func (a *App) class(t Target) (logic.Class, ClassPolicy, bool) {
 	if v := a.Service(t.Service); v != nil {
 		if i := v.Class(t.Class); i >= 0 {
-			return v.Balancer.Classes[i], v.Rules[i], true
+			return v.Balancer.Classes[i], v.ClassPolicies[i], true
 		}
 	}
-	return logic.Class{}, Rule{}, false
+	return logic.Class{}, ClassPolicy{}, false
 }
--- a/internal/config/decode_test.go
+++ b/internal/config/decode_test.go
@@ -208,7 +208,7 @@
 	text := strings.NewReplacer("cores = 2", "cores = true", "worth = 5", "wort = 5", `exact = "/rate"`, `exact = "rate"`,
 		`methods = ["GET"]`, `methods = ["get", 7]`, `"*.tariff.example.org"`, `"*.tariff..org"`).Replace(good)
 	_, err := Decode("f", []byte(text))
-	var faults Faults
+	var faults Diagnostics
 	if !errors.As(err, &faults) || len(faults) != 6 {
 		t.Fatalf("got %v", err)
 	}
@@ -248,9 +248,9 @@
 		t.Fatal(err)
 	}
 	s := a.Services[0]
-	if a.Wording != Platform || a.Listeners[0].Address != "127.0.0.1:0" || a.Seed != 0x8c1f30d27a5be964 ||
-		a.Process != (Process{1, 192, 512}) || s.Source.Address != "127.0.0.1:1" || s.Known.Version != 4 || s.Classes[0] != "look" ||
-		s.PassAll || s.Trusted {
+	if a.Kind != Platform || a.Listeners[0].Address != "127.0.0.1:0" || a.Seed != 0x8c1f30d27a5be964 ||
+		a.Process != (Process{1, 192, 512}) || s.Source.Address != "127.0.0.1:1" || s.KnownList.Version != 4 || s.Classes[0] != "look" ||
+		s.PassAllStatuses || s.Trusted {
 		t.Errorf("got %+v, %+v", a, s)
 	}
 	named := strings.Replace(platform, `"later":1,`, `"distribution":{"relays":["127.0.0.1:1"]},"membership":"relay",`, 1)
@@ -321,7 +321,7 @@
 			}
 			return
 		}
-		var faults Faults
+		var faults Diagnostics
 		if !errors.As(err, &faults) || len(faults) == 0 {
 			t.Fatalf("%T %v", err, err)
 		}
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -91,7 +91,7 @@
 			continue
 		}
 		for i, class := range s.Classes {
-			for _, former := range s.Rules[i].Formerly {
+			for _, former := range s.ClassPolicies[i].FormerNames {
 				if was.Class(former) >= 0 && was.Class(class) < 0 {
 					out[classPath(s.Name, former)] = classPath(s.Name, class)
 				}
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -8,10 +8,10 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// Fault and Faults are what is wrong with a file.
+// Diagnostic and Faults are what is wrong with a file.
 type (
-	Fault  = tomldoc.Fault
-	Faults = tomldoc.Faults
+	Diagnostic  = tomldoc.Diagnostic
+	Diagnostics = tomldoc.Diagnostics
 )
 
 // Document is an application's file that has been read: what it says, where it says it, and what is wrong with it.
@@ -20,8 +20,8 @@
 	Data    []byte
 	Version int
 	App     *App // nil where the sidecar would refuse the file
-	// Faults is all that the rules object to, warnings included, and what a sidecar tolerates in an older format too.
-	Faults Faults
+	// Diagnostics is all that the rules object to, warnings included, and what a sidecar tolerates in an older format too.
+	Diagnostics Diagnostics
 	// Origin is, for each line of a generated file, where it comes from; nil for others.
 	Origin []tomldoc.Place
 	root   *tomldoc.Value
@@ -30,11 +30,11 @@
 // Read reads an application's file. file is the name that faults give.
 func Read(file string, data []byte) *Document {
 	d := &Document{File: file, Data: data}
-	d.root, d.Faults = tomldoc.Parse(file, data)
+	d.root, d.Diagnostics = tomldoc.Parse(file, data)
 	if d.root != nil {
 		d.read()
 	}
-	d.Faults = d.Faults.Sorted()
+	d.Diagnostics = d.Diagnostics.Sorted()
 	if len(d.refused()) > 0 {
 		d.App = nil
 	}
@@ -42,8 +42,8 @@
 }
 
 // refused are the faults for which a sidecar refuses the file.
-func (d *Document) refused() (out Faults) {
-	for _, f := range d.Faults {
+func (d *Document) refused() (out Diagnostics) {
+	for _, f := range d.Diagnostics {
 		if r := rules.Get(f.Rule); r.Severity == rules.Error && (r.Since <= d.Version || d.Version == 0 && f.Rule != rules.FileCRLF) {
 			out = append(out, f)
 		}
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -54,7 +54,7 @@
 }
 
 func (d *Document) crlf() bool {
-	return slices.ContainsFunc(d.Faults, func(f Fault) bool { return f.Rule == rules.FileCRLF })
+	return slices.ContainsFunc(d.Diagnostics, func(f Diagnostic) bool { return f.Rule == rules.FileCRLF })
 }
 
 type migration struct {
@@ -84,7 +84,7 @@
 	}
 	for _, s := range app.Services {
 		for i, c := range s.Classes {
-			if s.Rules[i].Repeat != logic.IdempotentByKey {
+			if s.ClassPolicies[i].Idempotency != logic.IdempotentByKey {
 				continue
 			}
 			class, _ := root.At("services", s.Name, "classes", c)
--- a/internal/config/migrate_test.go
+++ b/internal/config/migrate_test.go
@@ -22,7 +22,7 @@
 		old := Read("f", data)
 		out, steps, err := Migrate("f", data)
 		if err != nil {
-			var faults Faults
+			var faults Diagnostics
 			if !errors.As(err, &faults) || len(faults) == 0 {
 				t.Fatalf("%T %v", err, err)
 			}
@@ -33,7 +33,7 @@
 		}
 		fresh := Read("f", out)
 		if fresh.App == nil || fresh.Version != Version {
-			t.Fatalf("%v\n%s", fresh.Faults, out)
+			t.Fatalf("%v\n%s", fresh.Diagnostics, out)
 		}
 		if old.Version == 1 && len(steps) == 0 {
 			t.Fatal("no step")
@@ -42,8 +42,8 @@
 			t.Fatal("something is lost")
 		}
 		for i, s := range old.App.Services {
-			for n, r := range s.Rules {
-				if got := fresh.App.Services[i].Rules[n]; got.Repeat != r.Repeat || got.Window != r.Window || got.Group != r.Group || got.Key != r.Key || got.Resend != r.Resend {
+			for n, r := range s.ClassPolicies {
+				if got := fresh.App.Services[i].ClassPolicies[n]; got.Idempotency != r.Idempotency || got.DedupWindow != r.DedupWindow || got.DedupScope != r.DedupScope || got.Key != r.Key || got.Resend != r.Resend {
 					t.Fatalf("%s.%s: %+v, before %+v", s.Name, s.Classes[n], got, r)
 				}
 			}
--- a/internal/config/testdata_test.go
+++ b/internal/config/testdata_test.go
@@ -36,7 +36,7 @@
 }
 
 // judge checks a case, and returns the files that it gives.
-func judge(t *testing.T, at string) ([]check.File, tomldoc.Faults) {
+func judge(t *testing.T, at string) ([]check.File, tomldoc.Diagnostics) {
 	t.Helper()
 	var o check.Options
 	var err error
@@ -92,7 +92,7 @@
 		_, faults := judge(t, at)
 		rule := rules.ID(word(t, filepath.Join(at, "rule")))
 		seen[rule]++
-		if !slices.ContainsFunc(faults, func(f tomldoc.Fault) bool { return f.Rule == rule }) {
+		if !slices.ContainsFunc(faults, func(f tomldoc.Diagnostic) bool { return f.Rule == rule }) {
 			t.Errorf("%s: %s does not object:\n%v", at, rule, faults)
 		}
 		var b strings.Builder
@@ -178,8 +178,8 @@
 		rule rules.ID
 	}{{10 << 20, rules.FileSize}, {config.MaxFile + 1, rules.FileSize}, {config.MaxFile, rules.Version}} {
 		d := config.Read("f", []byte(strings.Repeat("#\n", c.n/2)+strings.Repeat("\n", c.n%2)))
-		if d.App != nil || !slices.ContainsFunc(d.Faults, func(f tomldoc.Fault) bool { return f.Rule == c.rule }) {
-			t.Errorf("%d bytes: got %v", c.n, d.Faults)
+		if d.App != nil || !slices.ContainsFunc(d.Diagnostics, func(f tomldoc.Diagnostic) bool { return f.Rule == c.rule }) {
+			t.Errorf("%d bytes: got %v", c.n, d.Diagnostics)
 		}
 	}
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -200,9 +200,9 @@
 	return v[0]
 }
 
-func (e *explainer) rule(t config.Target) config.Rule {
+func (e *explainer) rule(t config.Target) config.ClassPolicy {
 	s := e.d.App.Service(t.Service)
-	return s.Rules[s.Class(t.Class)]
+	return s.ClassPolicies[s.Class(t.Class)]
 }
 
 // side says what becomes of the request at one service.
@@ -213,11 +213,11 @@
 	k, rule := s.Balancer.Classes[s.Class(t.Class)], e.rule(t)
 	e.say("class", class, "%s", t.Class)
 	e.pool(s, in)
-	if rule.Repeat == logic.IdempotentByKey && first(header[rule.Key]) == "" {
+	if rule.Idempotency == logic.IdempotentByKey && first(header[rule.Key]) == "" {
 		e.say("key", append(class[:4:4], "key"), "%s", rule.Key)
 		return e.ends(http.StatusBadRequest, "a keyed class needs one %s", rule.Key)
 	}
-	if !rule.Early && len(header["Early-Data"]) > 0 {
+	if !rule.EarlyData && len(header["Early-Data"]) > 0 {
 		e.say("early data", append(class[:4:4], "early_data"), "not taken")
 		return e.ends(http.StatusTooEarly, "it comes again after the handshake")
 	}
@@ -237,11 +237,11 @@
 		return
 	}
 	if s.Source.Kind == config.Consul {
-		e.say("pool", append(in[:2:2], "discovery"), "as the health API at %s says of %s", s.Source.Address, s.Source.As)
+		e.say("pool", append(in[:2:2], "discovery"), "as the health API at %s says of %s", s.Source.Address, s.Source.RemoteName)
 		return
 	}
 	if s.Source.Kind == config.Relay {
-		e.say("pool", words("distribution", "relays"), "as the relays %s say of the list %s", strings.Join(e.d.App.Distribution.Relays, ", "), s.Source.As)
+		e.say("pool", words("distribution", "relays"), "as the relays %s say of the list %s", strings.Join(e.d.App.Distribution.Relays, ", "), s.Source.RemoteName)
 		return
 	}
 	if s.Source.Kind == config.File {
@@ -258,7 +258,7 @@
 }
 
 func (e *explainer) limit(rt *config.Route, at []string, s *config.Service, class []string, t config.Target, header map[string][]string) {
-	limit, from := e.d.App.Limit(rt, t), append(class[:4:4], "deadline")
+	limit, from := e.d.App.Deadline(rt, t), append(class[:4:4], "deadline")
 	if rt.Timeout > 0 {
 		from = append(at[:2:2], "timeout")
 	}
@@ -271,15 +271,15 @@
 	e.say("objective", append(class[:4:4], "objective"), "%v", time.Duration(s.Balancer.Classes[s.Class(t.Class)].LatencyObjective)*time.Microsecond)
 }
 
-func (e *explainer) attempts(s *config.Service, in, class []string, rule config.Rule) {
+func (e *explainer) attempts(s *config.Service, in, class []string, rule config.ClassPolicy) {
 	l := s.Balancer
 	e.say("attempts", append(in[:2:2], "attempts"), "%d at most, one at a time", l.MaxAttempts)
 	e.say("retry budget", append(in[:2:2], "retry_budget"), "in any %v further attempts are at most %g + %g x requests", time.Duration(l.RetryBudgetWindow)*time.Microsecond, l.RetryBudgetMin, l.RetryBudgetRatio)
-	e.say("repeat rule", append(class[:4:4], "repeat"), "%s", config.RepeatName(rule.Repeat))
+	e.say("repeat rule", append(class[:4:4], "repeat"), "%s", config.IdempotencyName(rule.Idempotency))
 }
 
 // again says when a request may be sent again, and to whom.
-func (e *explainer) again(s *config.Service, class []string, rule config.Rule) {
+func (e *explainer) again(s *config.Service, class []string, rule config.ClassPolicy) {
 	full := "found no room, "
 	if s.Balancer.RejectionMayHaveRun {
 		full = ""
@@ -289,21 +289,21 @@
 	case config.Never:
 		e.say("sent again", append(class[:4:4], "resend"), "%s; never once it may have run", never)
 	case config.InScope:
-		scope := map[logic.DedupScope]string{logic.DedupTier: "any backend of the service", logic.DedupZone: "a backend of the same zone", logic.DedupCell: "a backend of the same pod"}[rule.Group]
+		scope := map[logic.DedupScope]string{logic.DedupTier: "any backend of the service", logic.DedupZone: "a backend of the same zone", logic.DedupCell: "a backend of the same pod"}[rule.DedupScope]
 		e.say("sent again", append(class[:4:4], "dedup_scope"), "%s; once it may have run: to %s, which drops its repeats by %s", never, scope, rule.Key)
-		e.say("until", append(class[:4:4], "dedup_window"), "%v after its first send, and within its time limit", rule.Window)
+		e.say("until", append(class[:4:4], "dedup_window"), "%v after its first send, and within its time limit", rule.DedupWindow)
 	default:
 		e.say("sent again", append(class[:4:4], "resend"), "to any backend, after any failed attempt, within its time limit")
 	}
 }
 
 func (e *explainer) refusals(s *config.Service, in, class []string, k logic.Class) {
-	codes := s.Codes.Usual()
+	codes := s.Codes.WithDefaults()
 	hint := "without a time to come back"
 	if l := s.Balancer.MaxRetryAfter; l > 0 {
 		hint = fmt.Sprintf("with a Retry-After of %v at most", time.Duration(l)*time.Microsecond)
 	}
-	e.say("refused", append(in[:2:2], "retry_after"), "%d %s, at once: when the pool is empty or full, its worth (%g) is below what is served, or its body finds no room", codes.Refused, hint, k.PriorityWeight)
+	e.say("refused", append(in[:2:2], "retry_after"), "%d %s, at once: when the pool is empty or full, its worth (%g) is below what is served, or its body finds no room", codes.Shed, hint, k.PriorityWeight)
 	e.say("failed", append(in[:2:2], "answers"), "%d when it may have run and no answer came, %d when its time is up", codes.Failed, codes.Expired)
 	if len(s.Tenants) > 0 {
 		e.say("tenants", append(in[:2:2], "tenants"), "%s; a tenant beyond its quota is refused first", strings.Join(s.Tenants, ", "))
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -91,7 +91,7 @@
 func TestEachPartNamesItsLine(t *testing.T) {
 	d := config.Read("f", []byte(file))
 	if d.App == nil {
-		t.Fatal(d.Faults)
+		t.Fatal(d.Diagnostics)
 	}
 	for _, c := range []struct {
 		listener, method, url string
@@ -145,7 +145,7 @@
 	text = strings.Replace(text, "[[listeners]]", "[distribution]\nrelays = [\"127.0.0.1:7401\", \"127.0.0.1:7402\"]\n[[listeners]]", 1)
 	d := config.Read("f", []byte(text))
 	if d.App == nil {
-		t.Fatal(d.Faults)
+		t.Fatal(d.Diagnostics)
 	}
 	r, err := ParseRequest("GET", "http://x.example.org/v1/tariffs/7", nil)
 	if err != nil {
--- a/internal/explain/sidecar_test.go
+++ b/internal/explain/sidecar_test.go
@@ -61,7 +61,7 @@
 	}
 	c.doc = config.Read("f", []byte(relocated(t, c.backends)))
 	if c.doc.App == nil {
-		t.Fatal(c.doc.Faults)
+		t.Fatal(c.doc.Diagnostics)
 	}
 	for _, s := range c.doc.App.Services {
 		for _, e := range s.Source.Endpoints {
--- a/internal/front/http1/conn.go
+++ b/internal/front/http1/conn.go
@@ -227,7 +227,7 @@
 func (c *clientConn) shutQuiet(then time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open || c.head.whole || c.head.n > 0 && c.heard.After(then) || !socket.Quiet(c.Conn) {
+	if c.open || c.head.whole || c.head.n > 0 && c.heard.After(then) || !socket.IsIdle(c.Conn) {
 		return false
 	}
 	c.shut = true
--- a/internal/front/http1/crossings_test.go
+++ b/internal/front/http1/crossings_test.go
@@ -231,7 +231,7 @@
 	pool.gate <- struct{}{}
 	answered(t, r, id)
 	send(t, conn, fmt.Sprintf("POST /2 HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", 60<<10, strings.Repeat("b", 60<<10)))
-	until(t, ofTheOne(f, func(c *clientConn) bool { return c.thrown || !socket.Quiet(c.Conn) }))
+	until(t, ofTheOne(f, func(c *clientConn) bool { return c.thrown || !socket.IsIdle(c.Conn) }))
 	close(pool.gate)
 	close(ended)
 	answered(t, r, "2")
@@ -314,7 +314,7 @@
 		t.Fatal("a quiet connection is not shut")
 	}
 	send(t, peer, get("1"))
-	until(t, func() bool { return !socket.Quiet(c.Conn) })
+	until(t, func() bool { return !socket.IsIdle(c.Conn) })
 	var gone *net.OpError
 	if n, err := c.Read(make([]byte, 4096)); n > 0 || !errors.As(err, &gone) || gone.Op != "read" {
 		t.Errorf("read %d bytes, %v", n, err)
@@ -325,7 +325,7 @@
 func TestWhatHasComeInTimeIsRead(t *testing.T) {
 	_, c, peer := accepted(t)
 	send(t, peer, get("1"))
-	until(t, func() bool { return !socket.Quiet(c.Conn) })
+	until(t, func() bool { return !socket.IsIdle(c.Conn) })
 	_ = c.SetReadDeadline(time.Unix(1, 0))
 	if n, err := c.Read(make([]byte, 4096)); n != len(get("1")) || err != nil {
 		t.Errorf("read %d bytes, %v", n, err)
--- a/internal/harness/worker/backends.go
+++ b/internal/harness/worker/backends.go
@@ -217,7 +217,7 @@
 	case <-c.Done:
 		return false
 	}
-	if !socket.Quiet(c.Conn) {
+	if !socket.IsIdle(c.Conn) {
 		return false // its caller has gone
 	}
 	e.Kind = history.Ran
--- a/internal/harness/worker/clients.go
+++ b/internal/harness/worker/clients.go
@@ -361,7 +361,7 @@
 	for all := c.idle[name]; len(all) > 0; all = c.idle[name] {
 		l := all[len(all)-1]
 		c.idle[name] = all[:len(all)-1]
-		if time.Since(l.at) < keptFor && socket.Quiet(l.Conn) {
+		if time.Since(l.at) < keptFor && socket.IsIdle(l.Conn) {
 			return l
 		}
 		l.Close()
--- a/internal/sidecar/app_test.go
+++ b/internal/sidecar/app_test.go
@@ -278,7 +278,7 @@
 			a.Services[0].Balancer.MaxAttempts = 0
 			return a
 		}(),
-		{Wording: config.Platform},
+		{Kind: config.Platform},
 	} {
 		if err := p.Reload(app); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("got %v", err)
--- a/internal/sidecar/codes.go
+++ b/internal/sidecar/codes.go
@@ -20,7 +20,7 @@
 	}
 	switch ans.Verdict {
 	case core.Shed:
-		ans.Response = &core.Response{StatusCode: c.codes.Refused}
+		ans.Response = &core.Response{StatusCode: c.codes.Shed}
 	case core.Expired:
 		ans.Response = &core.Response{StatusCode: c.codes.Expired}
 	case core.Rejected, core.Canceled, core.NotAdmitted: // the client's fault, nobody's to answer, or another pool's
--- a/internal/sidecar/process.go
+++ b/internal/sidecar/process.go
@@ -24,7 +24,7 @@
 		runtime.GOMAXPROCS(int(math.Ceil(p.Cores)))
 	}
 	// What lives is a few MB: with the usual 100% a busy sidecar collects a hundred times a second.
-	if app.Wording == config.Application && (p.MemoryMB == 0 || p.MemoryMB >= roomyMB) {
+	if app.Kind == config.Application && (p.MemoryMB == 0 || p.MemoryMB >= roomyMB) {
 		debug.SetGCPercent(roomyGC)
 	}
 }
--- a/internal/sidecar/remote_configuration.go
+++ b/internal/sidecar/remote_configuration.go
@@ -197,7 +197,7 @@
 // fixed refuses a configuration that differs from another in what can't change while the program runs.
 func fixed(from, to *config.App) error {
 	switch {
-	case to.Wording != from.Wording:
+	case to.Kind != from.Kind:
 		return fmt.Errorf("wording: %w", errFixed)
 	case !reflect.DeepEqual(to.Listeners, from.Listeners):
 		return fmt.Errorf("listeners: %w", errFixed)
--- a/internal/sidecar/service.go
+++ b/internal/sidecar/service.go
@@ -94,7 +94,7 @@
 		s.rnd = rand.New(rand.NewPCG(seed, pacedStream))
 	}
 	uc := upstream.Config{DialTimeout: cfg.DialTimeout, IdleClose: cfg.IdleClose, ReuseDelay: upstream.UntrustedReuseDelay,
-		Quota: descriptors{with.sockets, cfg.Name}, MaxResponse: cfg.MaxAnswer, PassAllStatuses: cfg.PassAll, LimitDials: with.paced,
+		Quota: descriptors{with.sockets, cfg.Name}, MaxResponse: cfg.MaxResponse, PassAllStatuses: cfg.PassAllStatuses, LimitDials: with.paced,
 		IsNonIdempotent: func(class int) bool { return cfg.Balancer.Classes[class].Idempotency == logic.NonIdempotent }}
 	if cfg.Trusted {
 		uc.ReuseDelay = 0
@@ -114,8 +114,8 @@
 		return nil, err
 	}
 	s.roster = &roster{pool: s.pool, all: map[string]membership.Endpoint{}}
-	if cfg.Known != nil {
-		s.roster.cached(cfg.Known)
+	if cfg.KnownList != nil {
+		s.roster.cached(cfg.KnownList)
 	} else if s.listDir != "" && keeps(cfg.Source) {
 		s.recall(with)
 	}
@@ -130,7 +130,7 @@
 
 // store is where a source's list is kept.
 func (s *service) store(from config.Source) *cache.Store {
-	return cache.NewStore(s.listDir, s.cfg.Name, fmt.Sprintf("%d %s %s", from.Kind, from.Address, from.As))
+	return cache.NewStore(s.listDir, s.cfg.Name, fmt.Sprintf("%d %s %s", from.Kind, from.Address, from.RemoteName))
 }
 
 // recall has the service begin with the list that an earlier process kept.
@@ -172,10 +172,10 @@
 		s.unplug()
 		s.source.Wait()
 	}
-	first := s.unplug == nil && s.cfg.Known != nil // with no list at all nobody says when to ask
+	first := s.unplug == nil && s.cfg.KnownList != nil // with no list at all nobody says when to ask
 	known := int64(-1)
 	if same := reflect.DeepEqual(from, s.cfg.Source); first && same { // the versions of two sources do not compare
-		known = s.cfg.Known.Version
+		known = s.cfg.KnownList.Version
 	} else if s.unplug == nil && s.recalled != nil && same {
 		known = s.recalled.Version
 	}
@@ -192,9 +192,9 @@
 	case config.File:
 		source = file.New(from.Path, log)
 	case config.Consul:
-		source = consul.New(consul.Config{Address: from.Address, Service: from.As, Token: token(from.TokenFile, log), Dial: s.hollow.dial(), Log: log})
+		source = consul.New(consul.Config{Address: from.Address, Service: from.RemoteName, Token: token(from.TokenFile, log), Dial: s.hollow.dial(), Log: log})
 	case config.Relay:
-		source = relayed.NewSource(s.lists, from.As)
+		source = relayed.NewSource(s.lists, from.RemoteName)
 	default:
 		cc := catalog.Config{Address: from.Address, Subscribe: s.cfg.Balancer.WatchEndpoints, AwaitFirstRequest: first, KnownVersion: known, WatchRequested: s.pool.WatchRequested(), Rand: s.waits, Dial: s.hollow.dial(), Log: log}
 		if s.rnd != nil && !cc.Subscribe {
@@ -263,7 +263,7 @@
 		s.keeper.Stop() // a successor of the same name keeps its own
 	}
 	s.mu.Unlock()
-	left, cancel := context.WithTimeout(ctx, s.cfg.Longest()+time.Second)
+	left, cancel := context.WithTimeout(ctx, s.cfg.LongestDeadline()+time.Second)
 	defer cancel()
 	poll := time.NewTicker(drainPoll)
 	defer poll.Stop()
@@ -300,7 +300,7 @@
 func same(a, b *config.Service) bool {
 	x, y := *a, *b
 	x.Source, y.Source = config.Source{}, config.Source{}
-	x.Known, y.Known = nil, nil
+	x.KnownList, y.KnownList = nil, nil
 	return reflect.DeepEqual(x, y)
 }
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -67,7 +67,7 @@
 	app = remote.recall(app)
 	s := &Sidecar{log: log, ended: make(chan struct{}), remind: notReadyEvery, services: map[string]*service{}, leaving: map[*service]bool{},
 		remote: remote, reloading: make(chan struct{}, 1),
-		with: parted{clock: core.NewClock(), log: log, memoryMB: app.Process.MemoryMB, paced: app.Wording == config.Application,
+		with: parted{clock: core.NewClock(), log: log, memoryMB: app.Process.MemoryMB, paced: app.Kind == config.Application,
 			stateDir: app.StateDir, listAge: app.ListAge, hollow: hollow, relays: newRelays(log, hollow.dial(), remote)}}
 	remote.sidecar = s
 	s.halt, s.halted = context.WithCancel(context.Background())
@@ -78,7 +78,7 @@
 	if s.with.sockets, err = newShares(s.with.clock, parts.Total); err != nil {
 		return nil, err
 	}
-	if app.Wording == config.Application {
+	if app.Kind == config.Application {
 		s.with.sameID = sameIDWait
 		parts, err := app.Memory()
 		if err != nil {
@@ -121,8 +121,8 @@
 		open = append(open, listener)
 	}
 	longest := config.MaxDeadline
-	if app.Wording == config.Platform {
-		longest = app.Services[0].Longest()
+	if app.Kind == config.Platform {
+		longest = app.Services[0].LongestDeadline()
 	}
 	for i, l := range app.Listeners {
 		s.fronts = append(s.fronts, http1.New(http1.Config{Listener: open[i], Resolver: &resolver{s, l.Name}, IsHealthy: s.healthy,
@@ -199,7 +199,7 @@
 			continue
 		}
 		if old != nil && reflect.DeepEqual(old.listSource(), cfg.Source) { // it begins with what its predecessor knows
-			cfg.Known = old.roster.list()
+			cfg.KnownList = old.roster.list()
 		}
 		v, err := newService(cfg, seed+uint64(i), s.with)
 		if err != nil {
@@ -263,10 +263,10 @@
 	defer func() { <-s.reloading }()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if app.Wording != s.app.Wording {
+	if app.Kind != s.app.Kind {
 		return fmt.Errorf("wording: %w", errFixed)
 	}
-	if app.Wording == config.Platform {
+	if app.Kind == config.Platform {
 		// Only discovery changes; the rest of the file holds from the next start.
 		if s.started {
 			s.services[config.PlatformService].plug(app.Services[0].Source, s.log)
@@ -336,7 +336,7 @@
 	close(s.ended)
 	longest := time.Duration(0)
 	for _, v := range s.services {
-		longest = max(longest, v.cfg.Longest())
+		longest = max(longest, v.cfg.LongestDeadline())
 	}
 	told, window := time.Now(), min(longest, killAfter)+killLeeway
 	cutoff := told.Add(window)
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -124,7 +124,7 @@
 	}
 	app.Services[0].Trusted = trusted
 	if known != "" {
-		if app.Services[0].Known, err = membership.Parse([]byte(known)); err != nil {
+		if app.Services[0].KnownList, err = membership.Parse([]byte(known)); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/sidecar/world.go
+++ b/internal/sidecar/world.go
@@ -117,7 +117,7 @@
 	pool    front.Pool
 	class   int
 	rule    logic.Class
-	owner   config.Rule // what the class's owner states about running it again
+	owner   config.ClassPolicy // what the class's owner states about running it again
 	maxBody int64
 	tenants map[string]int
 	memory  front.Memory
@@ -125,7 +125,7 @@
 
 // recall is how long after its coming a request's key may be recalled, in the clock's units. The window of a record
 // begins with the send that made it, at the latest at the deadline.
-func (s *side) recall() int64 { return s.rule.Deadline + s.owner.Window.Microseconds() }
+func (s *side) recall() int64 { return s.rule.Deadline + s.owner.DedupWindow.Microseconds() }
 
 // pinned is the memory of keyed requests; it outlives configurations.
 type pinned struct {
@@ -141,7 +141,7 @@
 	} else {
 		w.pins, w.mirrors = &pinned{pins: route.NewAssignments(mostPins)}, make(chan struct{}, mostMirrors)
 	}
-	if app.Wording == config.Platform {
+	if app.Kind == config.Platform {
 		v := services[config.PlatformService]
 		w.platform = newPlatform(&v.cfg.Deployment, v.cfg.MaxBody, v.pool)
 		return w, nil
@@ -155,9 +155,9 @@
 		class := v.cfg.Class(t.Class)
 		var pool front.Pool = v.pool
 		if v.cfg.Codes != (config.Codes{}) {
-			pool = coded{v.pool, v.cfg.Codes.Usual()}
+			pool = coded{v.pool, v.cfg.Codes.WithDefaults()}
 		}
-		return side{name: t.Service, pool: pool, class: class, rule: v.cfg.Balancer.Classes[class], owner: v.cfg.Rules[class],
+		return side{name: t.Service, pool: pool, class: class, rule: v.cfg.Balancer.Classes[class], owner: v.cfg.ClassPolicies[class],
 			maxBody: v.cfg.MaxBody,
 			tenants: tenants[t.Service], memory: memory{with.memory, t.Service}}
 	}
@@ -241,10 +241,10 @@
 		return dest, fault
 	}
 	k := &s.rule
-	if name := s.owner.Key; s.owner.Repeat == logic.IdempotentByKey && (len(r.Header[name]) != 1 || r.Header[name][0] == "") {
+	if name := s.owner.Key; s.owner.Idempotency == logic.IdempotentByKey && (len(r.Header[name]) != 1 || r.Header[name][0] == "") {
 		return bad(http.StatusBadRequest, "a keyed class needs one "+name)
 	}
-	if early := r.Header["Early-Data"]; !s.owner.Early && len(early) > 0 {
+	if early := r.Header["Early-Data"]; !s.owner.EarlyData && len(early) > 0 {
 		// It may be a replay (RFC 8470, section 5.2): nothing of it goes on, and the client comes again after its
 		// handshake. A field of another value than 1 is one that no proxy has sent; it counts the same.
 		return bad(http.StatusTooEarly, "taken after the handshake alone")
@@ -278,7 +278,7 @@
 
 // choose picks the side of a request. A keyed one goes where its key went before, while that side recalls it.
 func (w *world) choose(p *path, r *http.Request) (side, *front.RequestError) {
-	keyed := p.sides[0].owner.Repeat == logic.IdempotentByKey // all sides agree on it, and on the key's field from version 2 on
+	keyed := p.sides[0].owner.Idempotency == logic.IdempotentByKey // all sides agree on it, and on the key's field from version 2 on
 	name := p.sides[0].owner.Key
 	if name == "" {
 		name = config.DefaultKey
--- a/internal/socket/sock.go
+++ b/internal/socket/sock.go
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// Quiet tells whether a connection is open with nothing to read: an idle peer that has closed it, or sends
+// IsIdle tells whether a connection is open with nothing to read: an idle peer that has closed it, or sends
 // what nobody asked for, shows here without a wait.
-func Quiet(c net.Conn) bool {
+func IsIdle(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return false
--- a/internal/tomldoc/fault.go
+++ b/internal/tomldoc/fault.go
@@ -37,8 +37,8 @@
 	return cmp.Or(strings.Compare(p.File, o.File), cmp.Compare(p.Line, o.Line), cmp.Compare(p.Col, o.Col))
 }
 
-// Fault is one thing that is wrong.
-type Fault struct {
+// Diagnostic is one thing that is wrong.
+type Diagnostic struct {
 	Place
 	Rule   rules.ID
 	Field  string
@@ -48,10 +48,10 @@
 }
 
 // Warning tells whether the fault is accepted.
-func (f Fault) Warning() bool { return rules.Get(f.Rule).Severity == rules.Warning }
+func (f Diagnostic) Warning() bool { return rules.Get(f.Rule).Severity == rules.Warning }
 
 // Error is the fault as one line: the place, the rule, what was found and what was expected.
-func (f Fault) Error() string {
+func (f Diagnostic) Error() string {
 	return oneLine(f.Place.String() + ": " + string(f.Rule) + ": " + f.what())
 }
 
@@ -65,7 +65,7 @@
 	}, s)
 }
 
-func (f Fault) what() string {
+func (f Diagnostic) what() string {
 	var b strings.Builder
 	if f.Field != "" {
 		b.WriteString(f.Field + ": ")
@@ -81,7 +81,7 @@
 }
 
 // Report is the fault as one line that also says why it matters and what to write instead.
-func (f Fault) Report() string {
+func (f Diagnostic) Report() string {
 	r, mark := rules.Get(f.Rule), ""
 	if r.Severity == rules.Warning {
 		mark = " (warning)"
@@ -89,11 +89,11 @@
 	return oneLine(fmt.Sprintf("%s: %s%s: %s; %s; %s", f.Place, f.Rule, mark, f.what(), r.Why, r.Instead))
 }
 
-// Faults is all that is wrong, in the order in which it stands.
-type Faults []Fault
+// Diagnostics is all that is wrong, in the order in which it stands.
+type Diagnostics []Diagnostic
 
 // Error is all faults, a line each.
-func (f Faults) Error() string {
+func (f Diagnostics) Error() string {
 	lines := make([]string, len(f))
 	for i, one := range f {
 		lines[i] = one.Error()
@@ -102,9 +102,9 @@
 }
 
 // Sorted returns the faults by place, rule and words, each once.
-func (f Faults) Sorted() Faults {
+func (f Diagnostics) Sorted() Diagnostics {
 	f = slices.Clone(f)
-	slices.SortStableFunc(f, func(a, b Fault) int {
+	slices.SortStableFunc(f, func(a, b Diagnostic) int {
 		return cmp.Or(a.Place.Compare(b.Place), strings.Compare(string(a.Rule), string(b.Rule)), strings.Compare(a.Field, b.Field),
 			strings.Compare(a.Found, b.Found), strings.Compare(a.Expect, b.Expect))
 	})
@@ -112,7 +112,7 @@
 }
 
 // Errors returns those that are no warnings.
-func (f Faults) Errors() (out Faults) {
+func (f Diagnostics) Errors() (out Diagnostics) {
 	for _, one := range f {
 		if !one.Warning() {
 			out = append(out, one)
@@ -122,7 +122,7 @@
 }
 
 // Err is the faults as an error; none is no error.
-func (f Faults) Err() error {
+func (f Diagnostics) Err() error {
 	if len(f) == 0 {
 		return nil
 	}
--- a/internal/tomldoc/read.go
+++ b/internal/tomldoc/read.go
@@ -13,7 +13,7 @@
 
 // Reader gathers the faults of a document that is being read.
 type Reader struct {
-	Faults Faults
+	Faults Diagnostics
 	// Later are fields that a later version of the format knows, with that version; a reader of an earlier one says so.
 	Later map[string]int
 }
@@ -44,7 +44,7 @@
 
 // Fault notes a fault at a value.
 func (r *Reader) Fault(at *Value, rule rules.ID, field, found, expect string) {
-	r.Faults = append(r.Faults, Fault{Place: at.Place, Rule: rule, Field: field, Found: found, Expect: expect})
+	r.Faults = append(r.Faults, Diagnostic{Place: at.Place, Rule: rule, Field: field, Found: found, Expect: expect})
 }
 
 // Name is the path of a field.
--- a/internal/tomldoc/scan.go
+++ b/internal/tomldoc/scan.go
@@ -18,18 +18,18 @@
 
 // scan looks for what must not reach a parser: a document over its bound, bytes that an editor does not show, and nesting
 // that would exhaust a stack. fatal tells that the document is not to be parsed.
-func scan(file string, data []byte) (faults Faults, fatal bool) {
+func scan(file string, data []byte) (faults Diagnostics, fatal bool) {
 	at := func(line, col int) Place { return Place{file, line, col} }
 	if len(data) > MaxFile {
-		return Faults{{Place: at(0, 0), Rule: rules.FileSize, Found: fmt.Sprintf("%d bytes", len(data)), Expect: fmt.Sprintf("%d at most", MaxFile)}}, true
+		return Diagnostics{{Place: at(0, 0), Rule: rules.FileSize, Found: fmt.Sprintf("%d bytes", len(data)), Expect: fmt.Sprintf("%d at most", MaxFile)}}, true
 	}
 	if bytes.HasPrefix(data, []byte(bom)) {
-		return Faults{{Place: at(1, 1), Rule: rules.FileBOM, Found: "a byte order mark", Expect: "text expected"}}, true
+		return Diagnostics{{Place: at(1, 1), Rule: rules.FileBOM, Found: "a byte order mark", Expect: "text expected"}}, true
 	}
 	s := scanner{file: file, data: data, line: 1}
 	s.run()
 	if s.crlf > 0 {
-		faults = append(faults, Fault{Place: at(s.crlfAt, 0), Rule: rules.FileCRLF,
+		faults = append(faults, Diagnostic{Place: at(s.crlfAt, 0), Rule: rules.FileCRLF,
 			Found: fmt.Sprintf("CR LF at the end of %d lines, first here", s.crlf), Expect: "LF expected"})
 		faults[0].Col = 1
 	}
@@ -52,11 +52,11 @@
 	quote   byte // of the string that is open; 0: none
 	long    bool // the string that is open may go over several lines
 	comment bool
-	fault   *Fault
+	fault   *Diagnostic
 }
 
 func (s *scanner) bad(i int, rule rules.ID, found, expect string) {
-	s.fault = &Fault{Place: Place{s.file, s.line, i - s.begin + 1}, Rule: rule, Found: found, Expect: expect}
+	s.fault = &Diagnostic{Place: Place{s.file, s.line, i - s.begin + 1}, Rule: rule, Found: found, Expect: expect}
 }
 
 func (s *scanner) run() {
--- a/internal/tomldoc/tree.go
+++ b/internal/tomldoc/tree.go
@@ -114,7 +114,7 @@
 // format may tolerate, come beside it. go-toml's parser reads the syntax; what its decoder would judge beyond that, and
 // takes a time for that grows with the square of the tables, is judged here: what is defined twice, and numbers. Dates
 // are not judged, since no format has any.
-func Parse(file string, data []byte) (*Value, Faults) {
+func Parse(file string, data []byte) (*Value, Diagnostics) {
 	faults, fatal := scan(file, data)
 	if fatal {
 		return nil, faults
@@ -151,8 +151,8 @@
 }
 
 // syntax is what the parser objects to.
-func (b *builder) syntax(err error) Fault {
-	f := Fault{Place: Place{File: b.file}, Rule: rules.Syntax, Expect: strings.TrimPrefix(err.Error(), "toml: ")}
+func (b *builder) syntax(err error) Diagnostic {
+	f := Diagnostic{Place: Place{File: b.file}, Rule: rules.Syntax, Expect: strings.TrimPrefix(err.Error(), "toml: ")}
 	var pe *unstable.ParserError
 	if errors.As(err, &pe) {
 		f.Expect, f.Field = pe.Message, strings.Join(pe.Key, ".")
@@ -181,12 +181,12 @@
 	data  []byte
 	root  *Value
 	lines []int // offsets at which lines begin
-	fault *Fault
+	fault *Diagnostic
 }
 
 func (b *builder) bad(at Place, rule rules.ID, name, expect string) {
 	if b.fault == nil {
-		b.fault = &Fault{Place: at, Rule: rule, Field: name, Expect: expect}
+		b.fault = &Diagnostic{Place: at, Rule: rule, Field: name, Expect: expect}
 	}
 }
 
--- a/internal/upstream/http1/upstream.go
+++ b/internal/upstream/http1/upstream.go
@@ -212,7 +212,7 @@
 			continue
 		}
 		b.idle = slices.Delete(b.idle, i, i+1)
-		if now.Sub(c.since) < p.idleFor && socket.Quiet(c.Conn) {
+		if now.Sub(c.since) < p.idleFor && socket.IsIdle(c.Conn) {
 			return c
 		}
 		p.closeLocked(c)
@@ -336,7 +336,7 @@
 	for _, b := range p.byName {
 		kept := b.idle[:0]
 		for _, c := range b.idle {
-			if now.Sub(c.since) < p.idleFor && socket.Quiet(c.Conn) {
+			if now.Sub(c.since) < p.idleFor && socket.IsIdle(c.Conn) {
 				kept = append(kept, c)
 			} else {
 				p.closeLocked(c)
--- a/internal/upstream/http1/upstream_test.go
+++ b/internal/upstream/http1/upstream_test.go
@@ -283,7 +283,7 @@
 		waitUntil(t, func() bool { // the news has reached this end
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return !socket.Quiet(p.byName["a"].idle[0].Conn)
+			return !socket.IsIdle(p.byName["a"].idle[0].Conn)
 		})
 	}
 	if b.Requests.Load() != 3 || b.Conns.Load() != 3 {
