--- a/cmd/fernctl/coldstart.go
+++ b/cmd/fernctl/coldstart.go
@@ -2,26 +2,29 @@
 
 import (
 	"context"
+	"fernlanding/internal/fleetsim/coldstart"
 	"fmt"
 	"text/tabwriter"
 	"time"
 
 	"github.com/urfave/cli/v3"
-
-	"fernlanding/internal/fleetsim/coldstart"
 )
 
 func coldStartCommand() *cli.Command {
-	return &cli.Command{Name: "coldstart", Usage: "play the start of whole fleets before their list services on a virtual clock",
-		Flags: []cli.Flag{jsonFlag(), &cli.IntSliceFlag{Name: "copies", Value: []int{300, 3000, 30_000}, Usage: "fleets of `N` copies"},
+	return &cli.Command{
+		Name: "coldstart", Usage: "play the start of whole fleets before their list services on a virtual clock",
+		Flags: []cli.Flag{
+			jsonFlag(), &cli.IntSliceFlag{Name: "copies", Value: []int{300, 3000, 30_000}, Usage: "fleets of `N` copies"},
 			&cli.IntFlag{Name: "services", Value: 1, Usage: "`N` list services"}, &cli.Float64Flag{Name: "rate", Value: 50, Usage: "whole readings a `SECOND` that each works off"},
 			&cli.IntFlag{Name: "queue", Value: 100, Usage: "`N` readings that wait at each"}, &cli.DurationFlag{Name: "retry-after", Usage: "`TIME` that a service says when it turns a call away"},
 			&cli.BoolFlag{Name: "grow", Usage: "rate and queue grow with the fleet, from those of 300 copies on"},
 			&cli.BoolFlag{Name: "untold", Usage: "the copies are not told how many they are"}, &cli.BoolFlag{Name: "known", Usage: "the copies begin with a list"},
 			&cli.DurationFlag{Name: "down", Usage: "`TIME` at which the services go down; six in ten copies start anew a second later"},
 			&cli.DurationFlag{Name: "for", Value: time.Minute, Usage: "`TIME` that they stay down"}, &cli.DurationFlag{Name: "end", Value: 5 * time.Minute, Usage: "`TIME` at which a day ends"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`SEED` of all draws"}},
-		Action: fleetColdStart}
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`SEED` of all draws"},
+		},
+		Action: fleetColdStart,
+	}
 }
 
 const startsAnew = 0.6 // part of the copies in an outage
@@ -40,9 +43,11 @@
 		if c.Bool("grow") {
 			scale = float64(n) / 300
 		}
-		d := coldstart.Day{Copies: n, Told: !c.Bool("untold"), Known: c.Bool("known"), Services: c.Int("services"), Rate: scale * c.Float64("rate"),
+		d := coldstart.Day{
+			Copies: n, Told: !c.Bool("untold"), Known: c.Bool("known"), Services: c.Int("services"), Rate: scale * c.Float64("rate"),
 			Queue: int(scale * float64(c.Int("queue"))), RetryAfter: c.Duration("retry-after"), Reply: time.Millisecond, Down: c.Duration("down"), For: c.Duration("for"),
-			Killed: startsAnew, End: c.Duration("end"), Seed: c.Uint64("seed")}
+			Killed: startsAnew, End: c.Duration("end"), Seed: c.Uint64("seed"),
+		}
 		if d.Down == 0 {
 			d.For = 0
 		}
--- a/cmd/fernctl/commands.go
+++ b/cmd/fernctl/commands.go
@@ -3,6 +3,13 @@
 import (
 	"context"
 	"errors"
+	"fernlanding/internal/catalogue"
+	"fernlanding/internal/catalogue/dir"
+	"fernlanding/internal/check"
+	"fernlanding/internal/config"
+	"fernlanding/internal/explain"
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 	"fmt"
 	"io"
 	"io/fs"
@@ -12,14 +19,6 @@
 	"text/tabwriter"
 
 	"github.com/urfave/cli/v3"
-
-	"fernlanding/internal/catalogue"
-	"fernlanding/internal/catalogue/dir"
-	"fernlanding/internal/check"
-	"fernlanding/internal/config"
-	"fernlanding/internal/explain"
-	"fernlanding/internal/rules"
-	"fernlanding/internal/tomldoc"
 )
 
 func catalogueFlag() cli.Flag {
@@ -41,7 +40,8 @@
 }
 
 func initCommand() *cli.Command {
-	return &cli.Command{Name: "init", Usage: "write a small catalogue to begin with", Flags: []cli.Flag{catalogueFlag()},
+	return &cli.Command{
+		Name: "init", Usage: "write a small catalogue to begin with", Flags: []cli.Flag{catalogueFlag()},
 		Action: func(_ context.Context, c *cli.Command) error {
 			name := c.String("catalogue")
 			if err := noArgs(c); err != nil {
@@ -67,7 +67,8 @@
 				fmt.Fprintln(c.Root().Writer, filepath.Join(name, f.Name))
 			}
 			return nil
-		}}
+		},
+	}
 }
 
 // source is a catalogue that has been read.
@@ -106,11 +107,15 @@
 }
 
 func generateCommand() *cli.Command {
-	return &cli.Command{Name: "generate", Usage: "write one file for each application",
-		Flags: []cli.Flag{catalogueFlag(), envFlag(),
+	return &cli.Command{
+		Name: "generate", Usage: "write one file for each application",
+		Flags: []cli.Flag{
+			catalogueFlag(), envFlag(),
 			&cli.StringFlag{Name: "out", Usage: "a `DIR` of its own for the files; what it holds is replaced as a whole"},
-			&cli.BoolFlag{Name: "diff", Usage: "write nothing; show what would change, and end with 1 if anything would"}},
-		Action: generate}
+			&cli.BoolFlag{Name: "diff", Usage: "write nothing; show what would change, and end with 1 if anything would"},
+		},
+		Action: generate,
+	}
 }
 
 func generate(_ context.Context, c *cli.Command) error {
@@ -195,12 +200,16 @@
 }
 
 func checkCommand() *cli.Command {
-	return &cli.Command{Name: "check", Usage: "say all that is wrong with files or a catalogue, and why", ArgsUsage: "FILE...",
-		Flags: []cli.Flag{catalogueFlag(),
+	return &cli.Command{
+		Name: "check", Usage: "say all that is wrong with files or a catalogue, and why", ArgsUsage: "FILE...",
+		Flags: []cli.Flag{
+			catalogueFlag(),
 			&cli.StringFlag{Name: "env", Usage: "one environment's `NAME`; all of them without it"}, jsonFlag(),
 			&cli.StringFlag{Name: "deployed", Usage: "a `DIR` of the files that run now: what may not change in one step is compared with them"},
-			&cli.FloatFlag{Name: "retry-factor", Usage: "how often attempts may multiply over all tiers (default: the catalogue's, or 1.2)"}},
-		Action: checkAll}
+			&cli.FloatFlag{Name: "retry-factor", Usage: "how often attempts may multiply over all tiers (default: the catalogue's, or 1.2)"},
+		},
+		Action: checkAll,
+	}
 }
 
 func checkAll(_ context.Context, c *cli.Command) error {
@@ -327,10 +336,12 @@
 }
 
 func explainCommand() *cli.Command {
-	return &cli.Command{Name: "explain", Usage: "say what a sidecar would do with a request, and which line says so", ArgsUsage: "FILE METHOD URL",
+	return &cli.Command{
+		Name: "explain", Usage: "say what a sidecar would do with a request, and which line says so", ArgsUsage: "FILE METHOD URL",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "H", Usage: "a `FIELD` of the request, \"Name: value\"; may be repeated"},
-			&cli.StringFlag{Name: "listener", Usage: "the `NAME` of the listener that it comes to; the first without it"}, jsonFlag()},
+			&cli.StringFlag{Name: "listener", Usage: "the `NAME` of the listener that it comes to; the first without it"}, jsonFlag(),
+		},
 		// A field's value may hold commas.
 		DisableSliceFlagSeparator: true,
 		Action: func(_ context.Context, c *cli.Command) error {
@@ -366,11 +377,13 @@
 				fmt.Fprintf(w, "%s\t%s\t%s\n", l.What, where, l.Says)
 			}
 			return w.Flush()
-		}}
+		},
+	}
 }
 
 func migrateCommand() *cli.Command {
-	return &cli.Command{Name: "migrate", Usage: "write an older file in the newest format, and say what changed", ArgsUsage: "FILE",
+	return &cli.Command{
+		Name: "migrate", Usage: "write an older file in the newest format, and say what changed", ArgsUsage: "FILE",
 		Flags: []cli.Flag{&cli.BoolFlag{Name: "write", Usage: "replace the file; without it the new one is printed"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() != 1 {
@@ -404,11 +417,13 @@
 				return nil
 			}
 			return dir.Replace(name, fresh)
-		}}
+		},
+	}
 }
 
 func rulesCommand() *cli.Command {
-	return &cli.Command{Name: "rules", Usage: "list every rule with its reason",
+	return &cli.Command{
+		Name: "rules", Usage: "list every rule with its reason",
 		Flags: []cli.Flag{jsonFlag(), &cli.BoolFlag{Name: "markdown", Usage: "as the operators' page has them"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			out := c.Root().Writer
@@ -442,5 +457,6 @@
 				fmt.Fprintf(w, "\t\twhy: %s\t\n\t\tinstead: %s\t\n", r.Why, r.Instead)
 			}
 			return w.Flush()
-		}}
+		},
+	}
 }
--- a/cmd/fernctl/fleet.go
+++ b/cmd/fernctl/fleet.go
@@ -4,37 +4,48 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fernlanding/internal/fleetsim"
+	"fernlanding/internal/fleetsim/plot"
+	"fernlanding/logic"
 	"fmt"
 	"io"
 	"os"
 	"text/tabwriter"
 
 	"github.com/urfave/cli/v3"
-
-	"fernlanding/internal/fleetsim"
-	"fernlanding/internal/fleetsim/plot"
-	"fernlanding/logic"
 )
 
 const mostSeeds = 10_000
 
 func fleetCommand() *cli.Command {
 	seed := &cli.Uint64Flag{Name: "seed", Usage: "in place of the day's own `SEED`"}
-	return &cli.Command{Name: "fleet", Usage: "play days of a whole fleet on a virtual clock",
+	return &cli.Command{
+		Name: "fleet", Usage: "play days of a whole fleet on a virtual clock",
 		Action: func(_ context.Context, c *cli.Command) error {
 			return errors.New("fleet: one of run, sweep, explain and coldstart expected")
 		},
 		Commands: []*cli.Command{
-			{Name: "run", Usage: "play the day that FILES describe, later ones over earlier ones", ArgsUsage: "FILE...",
-				Flags: []cli.Flag{jsonFlag(), seed}, Action: fleetRun},
-			{Name: "sweep", Usage: "play a fleet over seeds and troubles", ArgsUsage: "FILE [TROUBLE...]",
-				Flags: []cli.Flag{jsonFlag(), &cli.IntFlag{Name: "seeds", Value: 20, Usage: "`N` for each trouble"},
-					&cli.Uint64Flag{Name: "stream", Value: 1, Usage: "`NUMBER` that the seeds are drawn from"}}, Action: fleetSweep},
-			{Name: "explain", Usage: "draw a copy's counts over a day, with what caused its refusals", ArgsUsage: "FILE...",
-				Flags: []cli.Flag{seed, &cli.IntFlag{Name: "tier", Usage: "its `NUMBER`, from 0"}, &cli.IntFlag{Name: "copy", Usage: "its `NUMBER`, from 0"},
-					&cli.BoolFlag{Name: "svg", Usage: "as a picture"}}, Action: fleetExplain},
+			{
+				Name: "run", Usage: "play the day that FILES describe, later ones over earlier ones", ArgsUsage: "FILE...",
+				Flags: []cli.Flag{jsonFlag(), seed}, Action: fleetRun,
+			},
+			{
+				Name: "sweep", Usage: "play a fleet over seeds and troubles", ArgsUsage: "FILE [TROUBLE...]",
+				Flags: []cli.Flag{
+					jsonFlag(), &cli.IntFlag{Name: "seeds", Value: 20, Usage: "`N` for each trouble"},
+					&cli.Uint64Flag{Name: "stream", Value: 1, Usage: "`NUMBER` that the seeds are drawn from"},
+				}, Action: fleetSweep,
+			},
+			{
+				Name: "explain", Usage: "draw a copy's counts over a day, with what caused its refusals", ArgsUsage: "FILE...",
+				Flags: []cli.Flag{
+					seed, &cli.IntFlag{Name: "tier", Usage: "its `NUMBER`, from 0"}, &cli.IntFlag{Name: "copy", Usage: "its `NUMBER`, from 0"},
+					&cli.BoolFlag{Name: "svg", Usage: "as a picture"},
+				}, Action: fleetExplain,
+			},
 			coldStartCommand(),
-		}}
+		},
+	}
 }
 
 // readDay reads the files of a day.
--- a/cmd/fernctl/main.go
+++ b/cmd/fernctl/main.go
@@ -18,6 +18,7 @@
 import (
 	"context"
 	"errors"
+	"fernlanding/internal/config"
 	"fmt"
 	"io"
 	"os"
@@ -27,8 +28,6 @@
 	"sync/atomic"
 
 	"github.com/urfave/cli/v3"
-
-	"fernlanding/internal/config"
 )
 
 const (
--- a/cmd/fernctl/main_test.go
+++ b/cmd/fernctl/main_test.go
@@ -4,12 +4,11 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"fernlanding/internal/rules"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
-
-	"fernlanding/internal/rules"
 )
 
 // ctl runs the tool.
--- a/cmd/fernctl/pcap.go
+++ b/cmd/fernctl/pcap.go
@@ -6,6 +6,11 @@
 	"encoding/hex"
 	"encoding/json"
 	"errors"
+	"fernlanding/internal/pcap"
+	"fernlanding/internal/pcap/bodies"
+	"fernlanding/internal/pcap/flow"
+	"fernlanding/internal/pcap/http"
+	"fernlanding/internal/pcap/packet"
 	"fmt"
 	"io"
 	"maps"
@@ -14,20 +19,16 @@
 	"time"
 
 	"github.com/urfave/cli/v3"
-
-	"fernlanding/internal/pcap"
-	"fernlanding/internal/pcap/bodies"
-	"fernlanding/internal/pcap/flow"
-	"fernlanding/internal/pcap/http"
-	"fernlanding/internal/pcap/packet"
 )
 
 func pcapCommand() *cli.Command {
 	c := &cli.Command{Name: "pcap", Usage: "read captures as traffic", Commands: []*cli.Command{
 		{Name: "info", Usage: "what a capture holds, and all that is wrong with it", ArgsUsage: "FILE", Flags: pcapFlags(
 			&cli.IntFlag{Name: "faults", Value: 50, Usage: "print at most `N` faults; all are counted"}), Action: pcapInfo},
-		{Name: "requests", Usage: "the requests of a capture, a line each, with their answers", ArgsUsage: "FILE",
-			Flags: pcapFlags(), Action: pcapRequests},
+		{
+			Name: "requests", Usage: "the requests of a capture, a line each, with their answers", ArgsUsage: "FILE",
+			Flags: pcapFlags(), Action: pcapRequests,
+		},
 		replayCommand(),
 	}}
 	for _, sub := range c.Commands {
@@ -37,7 +38,8 @@
 }
 
 func pcapFlags(more ...cli.Flag) []cli.Flag {
-	return append([]cli.Flag{jsonFlag(),
+	return append([]cli.Flag{
+		jsonFlag(),
 		&cli.IntFlag{Name: "flows", Value: 1 << 16, Usage: "hold at most `N` open connections"},
 		&cli.IntFlag{Name: "body-mb", Value: 64, Usage: "a body of more `MB` is a fault"},
 		&cli.IntFlag{Name: "disk-mb", Value: 1024, Usage: "keep at most so many `MB` of large bodies in temporary files"},
@@ -149,10 +151,12 @@
 
 // readFrom reads a capture; sink is to, or stands around it.
 func readFrom(ctx context.Context, c *cli.Command, in io.Reader, store *bodies.Dir, sink http.Sink, to *collector) (*pcap.Summary, error) {
-	opts := pcap.Options{Flow: flow.Limits{Flows: c.Int("flows")}, HTTP: http.Limits{Body: int64(c.Int("body-mb")) << 20},
+	opts := pcap.Options{
+		Flow: flow.Limits{Flows: c.Int("flows")}, HTTP: http.Limits{Body: int64(c.Int("body-mb")) << 20},
 		Bodies: store, Bad: func(f *packet.Fault) {
 			to.tell(nil, 0, faultLine{Kind: "bad-packet", Why: f.Err.Error(), Packet: f.Packet})
-		}}
+		},
+	}
 	sum, err := pcap.Read(ctx, in, opts, sink)
 	if err = errors.Join(err, to.err); err != nil {
 		return nil, fmt.Errorf("pcap %s: %s: %w", c.Name, c.Args().First(), err)
@@ -286,8 +290,10 @@
 		if first.IsZero() {
 			first = q.Began
 		}
-		l := requestLine{Flow: e.Flow.ID, Number: e.Number, Packet: q.FirstPacket, At: q.Began.Sub(first).Seconds(), From: e.Flow.Ends[0].String(),
-			Method: q.Method, Target: q.Target, Class: q.Get("Request-Class"), ID: q.Get("Request-Id"), Body: q.Body.Size}
+		l := requestLine{
+			Flow: e.Flow.ID, Number: e.Number, Packet: q.FirstPacket, At: q.Began.Sub(first).Seconds(), From: e.Flow.Ends[0].String(),
+			Method: q.Method, Target: q.Target, Class: q.Get("Request-Class"), ID: q.Get("Request-Id"), Body: q.Body.Size,
+		}
 		if l.Digest, err = digest(q.Body); err != nil {
 			return err
 		}
--- a/cmd/fernctl/pcap_test.go
+++ b/cmd/fernctl/pcap_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fernlanding/internal/pcap/synth"
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -15,8 +16,6 @@
 
 	"github.com/gopacket/gopacket"
 	"github.com/gopacket/gopacket/pcapgo"
-
-	"fernlanding/internal/pcap/synth"
 )
 
 // capture writes a capture of connections to a file and returns its name.
--- a/cmd/fernctl/replay.go
+++ b/cmd/fernctl/replay.go
@@ -3,6 +3,9 @@
 import (
 	"context"
 	"errors"
+	"fernlanding/internal/pcap/http"
+	"fernlanding/internal/pcap/replay"
+	"fernlanding/internal/pcap/write"
 	"fmt"
 	"io"
 	"maps"
@@ -16,16 +19,13 @@
 	"time"
 
 	"github.com/urfave/cli/v3"
-
-	"fernlanding/internal/pcap/http"
-	"fernlanding/internal/pcap/replay"
-	"fernlanding/internal/pcap/write"
 )
 
 const mostConns = 1 << 16 // of a replay
 
 func replayCommand() *cli.Command {
-	return &cli.Command{Name: "replay", Usage: "send the requests of a capture again, and set the outcomes side by side", ArgsUsage: "FILE",
+	return &cli.Command{
+		Name: "replay", Usage: "send the requests of a capture again, and set the outcomes side by side", ArgsUsage: "FILE",
 		Flags: pcapFlags(
 			&cli.StringFlag{Name: "to", Usage: "send to `ADDRESS`, host:port by numbers"},
 			&cli.StringSliceFlag{Name: "allow", Usage: "an `ADDRESS` beyond loopback that may be sent to"},
@@ -45,7 +45,8 @@
 			&cli.StringFlag{Name: "write", Usage: "write what was sent and got to `FILE` (pcapng)"},
 			&cli.StringFlag{Name: "ids", Usage: "write a table of old and new ids to `FILE`"},
 			&cli.Uint64Flag{Name: "seed", Usage: "of new ids; 0: drawn"},
-		), Action: pcapReplay}
+		), Action: pcapReplay,
+	}
 }
 
 // pairs reads NAME=VALUE words.
@@ -63,8 +64,10 @@
 
 // replayOptions are what the flags say of the plan.
 func replayOptions(c *cli.Command) (replay.Options, error) {
-	o := replay.Options{Speed: c.Float("speed"), Single: c.Bool("single"), Unsafe: c.Bool("unsafe"), Class: c.String("class"), ID: c.String("id"),
-		NewKeys: c.Bool("new-keys")}
+	o := replay.Options{
+		Speed: c.Float("speed"), Single: c.Bool("single"), Unsafe: c.Bool("unsafe"), Class: c.String("class"), ID: c.String("id"),
+		NewKeys: c.Bool("new-keys"),
+	}
 	var err error
 	if o.Set, err = pairs("set", c.StringSlice("set")); err != nil {
 		return o, err
--- a/cmd/fernctl/rigrollout.go
+++ b/cmd/fernctl/rigrollout.go
@@ -2,21 +2,21 @@
 
 import (
 	"context"
+	"fernlanding/internal/harness/rollout"
+	"fernlanding/internal/harness/rollout/check"
+	"fernlanding/internal/harness/rollout/plan"
 	"fmt"
 	"io"
 	"os"
 	"path/filepath"
 
 	"github.com/urfave/cli/v3"
-
-	"fernlanding/internal/harness/rollout"
-	"fernlanding/internal/harness/rollout/check"
-	"fernlanding/internal/harness/rollout/plan"
 )
 
 // rigRolloutCommand plays distribution: a source, relays, followers and a publisher with faults between them.
 func rigRolloutCommand() *cli.Command {
-	return &cli.Command{Name: "rollout", Usage: "play the scenario of distribution in FILE and judge it", ArgsUsage: "FILE", Action: rigRollout,
+	return &cli.Command{
+		Name: "rollout", Usage: "play the scenario of distribution in FILE and judge it", ArgsUsage: "FILE", Action: rigRollout,
 		Flags: []cli.Flag{
 			&cli.Uint64Flag{Name: "seed", Usage: "in place of the scenario's own `SEED`"},
 			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "play `N` seeds, from the seed on"},
@@ -26,7 +26,8 @@
 			&cli.BoolFlag{Name: "logs", Usage: "print what the programs under test log"},
 			&cli.BoolFlag{Name: "list", Usage: "print the schedule, and play nothing"},
 			jsonFlag(),
-		}}
+		},
+	}
 }
 
 // rolloutPlay is one play and what came of it.
--- a/cmd/fernctl/rollout.go
+++ b/cmd/fernctl/rollout.go
@@ -4,14 +4,13 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/httpapi"
 	"fmt"
 	"io"
 	"time"
 
 	"github.com/urfave/cli/v3"
-
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/httpapi"
 )
 
 const (
@@ -22,7 +21,8 @@
 func rolloutCommand() *cli.Command {
 	to := &cli.StringFlag{Name: "to", Usage: "the source at `ADDR`, host:port", Required: true}
 	from := &cli.StringFlag{Name: "from", Usage: "ask the source or relay at `ADDR`, host:port", Required: true}
-	return &cli.Command{Name: "rollout", Usage: "write a resource, and see where it is in force",
+	return &cli.Command{
+		Name: "rollout", Usage: "write a resource, and see where it is in force",
 		Action: func(context.Context, *cli.Command) error {
 			return errors.New("rollout: one of put, config, status and wait expected")
 		},
@@ -30,10 +30,15 @@
 			{Name: "put", Usage: "write the items in FILE to RESOURCE", ArgsUsage: "RESOURCE FILE", Action: rolloutPut, Flags: []cli.Flag{to}},
 			rolloutConfigCommand(to),
 			{Name: "status", Usage: "who lacks the latest version of RESOURCE, and why", ArgsUsage: "RESOURCE", Action: rolloutStatus, Flags: []cli.Flag{from, jsonFlag()}},
-			{Name: "wait", Usage: "wait until VERSION of RESOURCE is in force everywhere", ArgsUsage: "RESOURCE VERSION", Action: rolloutWait,
-				Flags: []cli.Flag{from, &cli.DurationFlag{Name: "timeout", Value: 30 * time.Second, Usage: "wait for `TIME` at most"},
-					&cli.IntFlag{Name: "proxies", Value: 1, Usage: "in force at `N` proxies at least: fewer are known while relays start anew"}}},
-		}}
+			{
+				Name: "wait", Usage: "wait until VERSION of RESOURCE is in force everywhere", ArgsUsage: "RESOURCE VERSION", Action: rolloutWait,
+				Flags: []cli.Flag{
+					from, &cli.DurationFlag{Name: "timeout", Value: 30 * time.Second, Usage: "wait for `TIME` at most"},
+					&cli.IntFlag{Name: "proxies", Value: 1, Usage: "in force at `N` proxies at least: fewer are known while relays start anew"},
+				},
+			},
+		},
+	}
 }
 
 // rolloutArgs are a command's arguments, the first of them the name of a resource.
@@ -193,7 +198,8 @@
 // awaitVersion asks until a version is in force as it is to be, somebody has refused it, or the context ends. An error: it
 // could not be asked at the end.
 func awaitVersion(ctx context.Context, client *httpapi.Client, address, resource string, version distribution.Version,
-	done func(*distribution.Progress) bool) (*distribution.Progress, error) {
+	done func(*distribution.Progress) bool,
+) (*distribution.Progress, error) {
 	ticker := time.NewTicker(askEvery)
 	defer ticker.Stop()
 	var last *distribution.Progress
--- a/cmd/fernctl/rollout_config.go
+++ b/cmd/fernctl/rollout_config.go
@@ -3,20 +3,21 @@
 import (
 	"context"
 	"encoding/json"
+	"fernlanding/internal/config"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/sidecar"
 	"fmt"
 	"maps"
 	"slices"
 
 	"github.com/urfave/cli/v3"
-
-	"fernlanding/internal/config"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/sidecar"
 )
 
 func rolloutConfigCommand(to cli.Flag) *cli.Command {
-	return &cli.Command{Name: "config", Usage: "write the application's configuration in FILE for the sidecars that follow it", ArgsUsage: "FILE", Action: rolloutConfig,
-		Flags: []cli.Flag{to, &cli.StringFlag{Name: "expected", Usage: "only where `VERSION` stands; 0.0: where none does"}}}
+	return &cli.Command{
+		Name: "config", Usage: "write the application's configuration in FILE for the sidecars that follow it", ArgsUsage: "FILE", Action: rolloutConfig,
+		Flags: []cli.Flag{to, &cli.StringFlag{Name: "expected", Usage: "only where `VERSION` stands; 0.0: where none does"}},
+	}
 }
 
 // rolloutConfig writes a configuration under the name that it has in distribution.configuration.
--- a/cmd/fernctl/rollout_config_test.go
+++ b/cmd/fernctl/rollout_config_test.go
@@ -2,12 +2,11 @@
 
 import (
 	"context"
+	"fernlanding/internal/distribution/httpapi"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
-
-	"fernlanding/internal/distribution/httpapi"
 )
 
 // A configuration is written by its fragments, so that a change to one service is one item; one that no sidecar would take
--- a/cmd/fernctl/rollout_test.go
+++ b/cmd/fernctl/rollout_test.go
@@ -2,15 +2,14 @@
 
 import (
 	"context"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/httpapi"
+	"fernlanding/internal/distribution/node"
 	"net"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
-
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/httpapi"
-	"fernlanding/internal/distribution/node"
 )
 
 // startSource starts a source whose writes are not kept, and returns its address.
--- a/cmd/fernctl/scale.go
+++ b/cmd/fernctl/scale.go
@@ -4,34 +4,37 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fmt"
-	"os"
-	"path/filepath"
-
-	"github.com/urfave/cli/v3"
-
 	"fernlanding/internal/catalogue/dir"
 	"fernlanding/internal/scale/result"
 	"fernlanding/internal/scale/scenario"
 	"fernlanding/internal/scale/sweep"
 	"fernlanding/internal/scale/worker"
+	"fmt"
+	"os"
+	"path/filepath"
+
+	"github.com/urfave/cli/v3"
 )
 
 // workerWord is the command by which scale run starts its processes. It is not for people.
 const workerWord = "worker"
 
 func scaleCommand() *cli.Command {
-	return &cli.Command{Name: "scale", Usage: "what proxies cost, over sizes",
+	return &cli.Command{
+		Name: "scale", Usage: "what proxies cost, over sizes",
 		Action: func(context.Context, *cli.Command) error {
 			return errors.New("scale: one of run, fit, predict and latency expected")
 		},
-		Commands: []*cli.Command{scaleRunCommand(), scaleFitCommand(), scalePredictCommand(), scaleLatencyCommand(),
+		Commands: []*cli.Command{
+			scaleRunCommand(), scaleFitCommand(), scalePredictCommand(), scaleLatencyCommand(),
 			{Name: workerWord, Hidden: true, Action: func(context.Context, *cli.Command) error { return worker.Main(os.Stdin, os.Stdout) }},
-		}}
+		},
+	}
 }
 
 func scaleRunCommand() *cli.Command {
-	return &cli.Command{Name: "run", Usage: "play the sweep in FILE and write what it measured", ArgsUsage: "FILE", Action: scaleRun,
+	return &cli.Command{
+		Name: "run", Usage: "play the sweep in FILE and write what it measured", ArgsUsage: "FILE", Action: scaleRun,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "json", Usage: "the `OUT` file; printed without it"},
 			&cli.StringFlag{Name: "sidecar", Usage: "the `PROGRAM` of real proxies; the fernlanding beside this program by default"},
@@ -39,7 +42,8 @@
 			&cli.FloatFlag{Name: "memory-gb", Usage: "of memory that all processes may use, `N`; half of the machine's by default"},
 			&cli.BoolFlag{Name: "held-out", Usage: "play the held-out size alone"},
 			&cli.BoolFlag{Name: "without-held-out", Usage: "leave the held-out size out"},
-		}}
+		},
+	}
 }
 
 // heldOut says which sizes are played.
--- a/cmd/fernctl/scale_fit.go
+++ b/cmd/fernctl/scale_fit.go
@@ -5,6 +5,9 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fernlanding/internal/scale/fit"
+	"fernlanding/internal/scale/predict"
+	"fernlanding/internal/scale/result"
 	"fmt"
 	"io"
 	"io/fs"
@@ -14,10 +17,6 @@
 	"text/tabwriter"
 
 	"github.com/urfave/cli/v3"
-
-	"fernlanding/internal/scale/fit"
-	"fernlanding/internal/scale/predict"
-	"fernlanding/internal/scale/result"
 )
 
 func scaleFitCommand() *cli.Command {
@@ -25,10 +24,14 @@
 }
 
 func scalePredictCommand() *cli.Command {
-	return &cli.Command{Name: "predict", Usage: "what each role costs at the size of TARGET, worked out from RESULT files", ArgsUsage: "TARGET RESULT...", Action: scalePredict,
-		Flags: []cli.Flag{&cli.BoolFlag{Name: "markdown", Usage: "print the page's tables as they stand there"},
+	return &cli.Command{
+		Name: "predict", Usage: "what each role costs at the size of TARGET, worked out from RESULT files", ArgsUsage: "TARGET RESULT...", Action: scalePredict,
+		Flags: []cli.Flag{
+			&cli.BoolFlag{Name: "markdown", Usage: "print the page's tables as they stand there"},
 			&cli.StringFlag{Name: "page", Usage: "generate the tables of the page `FILE` anew, in place"},
-			&cli.StringFlag{Name: "section", Usage: "only this `SECTION` of the page"}}}
+			&cli.StringFlag{Name: "section", Usage: "only this `SECTION` of the page"},
+		},
+	}
 }
 
 // readResults reads the result files of sweeps and of latency runs. A missing file is said and passed over.
--- a/cmd/fernctl/scale_results.go
+++ b/cmd/fernctl/scale_results.go
@@ -1,10 +1,9 @@
 package main
 
 import (
-	"path/filepath"
-
 	"fernlanding/internal/scale/latency"
 	"fernlanding/internal/scale/predict"
+	"path/filepath"
 )
 
 // readLatency reads the cases of a latency run's result.
@@ -14,8 +13,10 @@
 		return nil, err
 	}
 	for _, x := range r.Cases {
-		all = append(all, predict.Latency{File: filepath.Base(name), Case: x.Name, RatePerSecond: x.RatePerSecond, Hops: x.Hops, CPUPerCallMicros: x.SidecarCPUPerCallUS,
-			AddedP99: predict.Spread(x.AddedP99), SameP99: predict.Spread(x.SameP99), Noise: x.Noise(), DirectP99: x.All.Direct.P99, Through: x.All.Through.P99})
+		all = append(all, predict.Latency{
+			File: filepath.Base(name), Case: x.Name, RatePerSecond: x.RatePerSecond, Hops: x.Hops, CPUPerCallMicros: x.SidecarCPUPerCallUS,
+			AddedP99: predict.Spread(x.AddedP99), SameP99: predict.Spread(x.SameP99), Noise: x.Noise(), DirectP99: x.All.Direct.P99, Through: x.All.Through.P99,
+		})
 	}
 	return all, nil
 }
--- a/cmd/fernlanding/confined_test.go
+++ b/cmd/fernlanding/confined_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"debug/elf"
+	"fernlanding/internal/standin"
 	"fmt"
 	"io"
 	"net"
@@ -22,8 +23,6 @@
 	"unsafe"
 
 	"golang.org/x/sys/unix"
-
-	"fernlanding/internal/standin"
 )
 
 // The platform starts the deploy file's program where it may start no other, where splice, sendfile and io_uring are refused
--- a/cmd/fernlanding/herd_test.go
+++ b/cmd/fernlanding/herd_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fernlanding/internal/standin"
 	"fmt"
 	"net"
 	"net/http"
@@ -12,8 +13,6 @@
 	"sync/atomic"
 	"testing"
 	"time"
-
-	"fernlanding/internal/standin"
 )
 
 const (
--- a/cmd/fernlanding/main.go
+++ b/cmd/fernlanding/main.go
@@ -14,6 +14,8 @@
 import (
 	"context"
 	"errors"
+	"fernlanding/internal/config"
+	"fernlanding/internal/sidecar"
 	"flag"
 	"fmt"
 	"io"
@@ -23,9 +25,6 @@
 	"strings"
 	"syscall"
 	"time"
-
-	"fernlanding/internal/config"
-	"fernlanding/internal/sidecar"
 )
 
 const (
--- a/cmd/fernlanding/relays_bench_test.go
+++ b/cmd/fernlanding/relays_bench_test.go
@@ -2,6 +2,10 @@
 
 import (
 	"encoding/json"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/httpapi"
+	"fernlanding/internal/distribution/node/nodetest"
+	"fernlanding/internal/standin"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -9,11 +13,6 @@
 	"strings"
 	"testing"
 	"time"
-
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/httpapi"
-	"fernlanding/internal/distribution/node/nodetest"
-	"fernlanding/internal/standin"
 )
 
 const (
--- a/cmd/fernlanding/relays_test.go
+++ b/cmd/fernlanding/relays_test.go
@@ -4,6 +4,10 @@
 	"bufio"
 	"context"
 	"encoding/json"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/httpapi"
+	"fernlanding/internal/distribution/node/nodetest"
+	"fernlanding/internal/standin"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -16,11 +20,6 @@
 	"syscall"
 	"testing"
 	"time"
-
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/httpapi"
-	"fernlanding/internal/distribution/node/nodetest"
-	"fernlanding/internal/standin"
 )
 
 const (
--- a/cmd/fernlanding/standin.go
+++ b/cmd/fernlanding/standin.go
@@ -3,13 +3,12 @@
 import (
 	"context"
 	"errors"
+	"fernlanding/internal/config"
+	"fernlanding/internal/standin"
 	"flag"
 	"fmt"
 	"io"
 	"slices"
-
-	"fernlanding/internal/config"
-	"fernlanding/internal/standin"
 )
 
 const mostStandins = 256
--- a/cmd/fernlanding/try.go
+++ b/cmd/fernlanding/try.go
@@ -3,6 +3,9 @@
 import (
 	"context"
 	"encoding/json"
+	"fernlanding/internal/config"
+	"fernlanding/internal/sidecar"
+	"fernlanding/internal/standin"
 	"flag"
 	"fmt"
 	"io"
@@ -10,10 +13,6 @@
 	"math/rand/v2"
 	"text/tabwriter"
 	"time"
-
-	"fernlanding/internal/config"
-	"fernlanding/internal/sidecar"
-	"fernlanding/internal/standin"
 )
 
 const (
@@ -100,8 +99,10 @@
 	trouble := time.AfterFunc(*long/quiet, func() { fleet.Trouble(*slow, *hang) })
 	defer trouble.Stop()
 	results := l.Run(ctx)
-	report := tryReport{Listen: s.Addr(), Rate: *load, Seconds: long.Seconds(), Slow: *slow, Hung: *hang, Seed: *seed,
-		Twice: len(fleet.Effects.Twice())}
+	report := tryReport{
+		Listen: s.Addr(), Rate: *load, Seconds: long.Seconds(), Slow: *slow, Hung: *hang, Seed: *seed,
+		Twice: len(fleet.Effects.Twice()),
+	}
 	for _, r := range results {
 		r.Count(l.Tag, fleet.Workers)
 		report.Classes = append(report.Classes, r)
--- a/cmd/fernrelay/main.go
+++ b/cmd/fernrelay/main.go
@@ -9,6 +9,11 @@
 import (
 	"context"
 	"errors"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/follow"
+	"fernlanding/internal/distribution/httpapi"
+	"fernlanding/internal/distribution/node"
+	"fernlanding/internal/distribution/statedir"
 	"fmt"
 	"io"
 	"log/slog"
@@ -24,12 +29,6 @@
 	"time"
 
 	"github.com/urfave/cli/v3"
-
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/follow"
-	"fernlanding/internal/distribution/httpapi"
-	"fernlanding/internal/distribution/node"
-	"fernlanding/internal/distribution/statedir"
 )
 
 const (
@@ -60,11 +59,15 @@
 			return errors.New("one of source and relay expected")
 		},
 		Commands: []*cli.Command{
-			{Name: "source", Usage: "take writes and keep them", Action: runSource, Flags: []cli.Flag{listen, most,
-				&cli.StringFlag{Name: "state", Usage: "keep resources in `DIR`", Required: true}}},
-			{Name: "relay", Usage: "pass on what the upstream has", Action: runRelay, Flags: []cli.Flag{listen, most, name,
+			{Name: "source", Usage: "take writes and keep them", Action: runSource, Flags: []cli.Flag{
+				listen, most,
+				&cli.StringFlag{Name: "state", Usage: "keep resources in `DIR`", Required: true},
+			}},
+			{Name: "relay", Usage: "pass on what the upstream has", Action: runRelay, Flags: []cli.Flag{
+				listen, most, name,
 				&cli.StringFlag{Name: "upstream", Usage: "`ADDR,ADDR` of the source or of other relays", Required: true},
-				&cli.DurationFlag{Name: "hold", Value: follow.DefaultHold, Usage: "a read of the upstream waits `TIME` for news"}}},
+				&cli.DurationFlag{Name: "hold", Value: follow.DefaultHold, Usage: "a read of the upstream waits `TIME` for news"},
+			}},
 		},
 	}
 	for _, c := range root.Commands {
@@ -103,7 +106,8 @@
 	traffic := new(httpapi.Traffic)
 	relay := node.NewRelay(node.Config{Name: c.String("name"), Limits: limits(c), Traffic: traffic}, follow.Config{
 		Relays: upstream, Hold: c.Duration("hold"), Log: log,
-		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))})
+		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+	})
 	return serve(ctx, c, relay, relay.Node, traffic)
 }
 
--- a/cmd/fernrelay/main_test.go
+++ b/cmd/fernrelay/main_test.go
@@ -4,14 +4,13 @@
 	"bufio"
 	"bytes"
 	"context"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/httpapi"
 	"fmt"
 	"io"
 	"net"
 	"strings"
 	"testing"
-
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/httpapi"
 )
 
 // program is a run of the program.
--- a/cmd/simhost/wire.go
+++ b/cmd/simhost/wire.go
@@ -2,9 +2,8 @@
 
 import (
 	"encoding/json"
-	"fmt"
-
 	"fernlanding/logic"
+	"fmt"
 )
 
 // event is one line of input: an object with a single key, the event's name.
@@ -101,8 +100,10 @@
 		if *e.State < 0 || *e.State > 2 {
 			return nil, fmt.Errorf("elements[%d].state: unknown state %d", i, *e.State)
 		}
-		s := logic.Endpoint{ID: *e.Backend, Zone: *e.DC, Cell: e.Pack,
-			State: logic.State(*e.State), Weight: 1, StartedAt: e.Launched}
+		s := logic.Endpoint{
+			ID: *e.Backend, Zone: *e.DC, Cell: e.Pack,
+			State: logic.State(*e.State), Weight: 1, StartedAt: e.Launched,
+		}
 		if e.Power != nil {
 			s.Weight = *e.Power
 		}
--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -6,13 +6,12 @@
 import (
 	"crypto/sha256"
 	"encoding/hex"
-	"fmt"
-	"slices"
-	"strings"
-
 	"fernlanding/internal/config"
 	"fernlanding/internal/rules"
 	"fernlanding/internal/tomldoc"
+	"fmt"
+	"slices"
+	"strings"
 )
 
 // Version is the version of the catalogue's format.
--- a/internal/catalogue/dir/dir_test.go
+++ b/internal/catalogue/dir/dir_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"errors"
+	"fernlanding/internal/catalogue"
+	"fernlanding/internal/rules"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -10,9 +12,6 @@
 	"syscall"
 	"testing"
 	"time"
-
-	"fernlanding/internal/catalogue"
-	"fernlanding/internal/rules"
 )
 
 func lay(t *testing.T, name, text string) {
--- a/internal/catalogue/dir/load.go
+++ b/internal/catalogue/dir/load.go
@@ -3,6 +3,9 @@
 
 import (
 	"errors"
+	"fernlanding/internal/catalogue"
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 	"fmt"
 	"io"
 	"io/fs"
@@ -12,10 +15,6 @@
 	"slices"
 	"strings"
 	"time"
-
-	"fernlanding/internal/catalogue"
-	"fernlanding/internal/rules"
-	"fernlanding/internal/tomldoc"
 )
 
 const mostTries = 3 // readings of a catalogue that changes meanwhile
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -2,14 +2,13 @@
 package check
 
 import (
-	"fmt"
-	"strconv"
-	"strings"
-
 	"fernlanding/internal/catalogue"
 	"fernlanding/internal/config"
 	"fernlanding/internal/rules"
 	"fernlanding/internal/tomldoc"
+	"fmt"
+	"strconv"
+	"strings"
 )
 
 // Options are bounds that a fleet states.
--- a/internal/check/mutants_test.go
+++ b/internal/check/mutants_test.go
@@ -2,6 +2,12 @@
 
 import (
 	"context"
+	"fernlanding/internal/catalogue"
+	"fernlanding/internal/check"
+	"fernlanding/internal/config"
+	"fernlanding/internal/route"
+	"fernlanding/internal/sidecar"
+	"fernlanding/internal/standin"
 	"flag"
 	"fmt"
 	"io"
@@ -17,13 +23,6 @@
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
-
-	"fernlanding/internal/catalogue"
-	"fernlanding/internal/check"
-	"fernlanding/internal/config"
-	"fernlanding/internal/route"
-	"fernlanding/internal/sidecar"
-	"fernlanding/internal/standin"
 )
 
 // Good catalogues are changed at random. Whatever the tool then still accepts, a sidecar must load; and served through,
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -1,11 +1,10 @@
 package config
 
 import (
-	"fmt"
-
 	"fernlanding/internal/rules"
 	"fernlanding/internal/tomldoc"
 	"fernlanding/logic"
+	"fmt"
 )
 
 // check looks at a file that has been read as a whole: its limits, and what its parts say of each other.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -5,15 +5,14 @@
 
 import (
 	"cmp"
-	"fmt"
-	"net/http"
-	"time"
-
 	"fernlanding/internal/membership"
 	"fernlanding/internal/route"
 	"fernlanding/internal/settings"
 	"fernlanding/internal/tomldoc"
 	"fernlanding/logic"
+	"fmt"
+	"net/http"
+	"time"
 )
 
 // Version is the newest version of the application's format that this program reads. It reads all before it as well.
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -1,16 +1,17 @@
 package config
 
 import (
-	"strconv"
-	"strings"
-
 	"fernlanding/internal/rules"
 	"fernlanding/internal/tomldoc"
+	"strconv"
+	"strings"
 )
 
 // later are the fields that version 1 lacks.
-var later = map[string]int{"team": 2, "host": 2, "serves": 2, "generated": 2, "owner": 2, "answers": 2, "cold_multiple": 2, "share": 2,
-	"path": 2, "registered_as": 2, "token_file": 2, "key": 2, "resend": 2, "early_data": 2, "hedge": 2, "formerly": 2, "for": 2, "state_dir": 2, "list_age": 2, "distribution": 2, "as": 2}
+var later = map[string]int{
+	"team": 2, "host": 2, "serves": 2, "generated": 2, "owner": 2, "answers": 2, "cold_multiple": 2, "share": 2,
+	"path": 2, "registered_as": 2, "token_file": 2, "key": 2, "resend": 2, "early_data": 2, "hedge": 2, "formerly": 2, "for": 2, "state_dir": 2, "list_age": 2, "distribution": 2, "as": 2,
+}
 
 // decoder reads one file. Each table of the format has a method of its own, in a file named after the table.
 type decoder struct {
--- a/internal/config/decode_class.go
+++ b/internal/config/decode_class.go
@@ -1,14 +1,13 @@
 package config
 
 import (
-	"net/textproto"
-	"slices"
-	"time"
-
 	"fernlanding/internal/route"
 	"fernlanding/internal/rules"
 	"fernlanding/internal/tomldoc"
 	"fernlanding/logic"
+	"net/textproto"
+	"slices"
+	"time"
 )
 
 // DefaultKey is the field that carries a key in version 1 of the format.
@@ -39,7 +38,8 @@
 
 // class reads one class: what the module is told of it, and what its owner states.
 func (x *decoder) class(c tomldoc.Scope) (k logic.Class, r ClassPolicy) {
-	k = logic.Class{LatencyObjective: micros(c.Span("objective", 500*time.Millisecond, minTime, MaxDeadline)),
+	k = logic.Class{
+		LatencyObjective:   micros(c.Span("objective", 500*time.Millisecond, minTime, MaxDeadline)),
 		Deadline:           micros(c.Span("deadline", 2*time.Second, minTime, MaxDeadline)),
 		PriorityWeight:     c.Number("worth", 1, 0, 1e9),
 		LatePriorityFactor: c.Number("late_worth", 0.5, 0, 1),
@@ -131,8 +131,10 @@
 }
 
 // notKeys are fields that a sidecar makes or changes, or that say nothing about a request's identity.
-var notKeys = []string{"Request-Id", "Host", "Connection", "Content-Length", "Content-Type", "Transfer-Encoding", "Te", "Trailer", "Upgrade",
-	"Keep-Alive", "Proxy-Connection", "Date", "Request-Timeout-Ms", "Tenant", "Early-Data", "User-Agent", "Accept"}
+var notKeys = []string{
+	"Request-Id", "Host", "Connection", "Content-Length", "Content-Type", "Transfer-Encoding", "Te", "Trailer", "Upgrade",
+	"Keep-Alive", "Proxy-Connection", "Date", "Request-Timeout-Ms", "Tenant", "Early-Data", "User-Agent", "Accept",
+}
 
 // allowances reads what a class is allowed beyond, or not allowed of, what its repeat rule gives.
 func (x *decoder) allowances(c tomldoc.Scope, r *ClassPolicy) {
--- a/internal/config/decode_distribution.go
+++ b/internal/config/decode_distribution.go
@@ -1,10 +1,9 @@
 package config
 
 import (
-	"fmt"
-
 	"fernlanding/internal/rules"
 	"fernlanding/internal/tomldoc"
+	"fmt"
 )
 
 // MaxRelays is how many relays a file may name: more than a follower tries before the first is asked again.
--- a/internal/config/decode_identity.go
+++ b/internal/config/decode_identity.go
@@ -1,12 +1,11 @@
 package config
 
 import (
-	"fmt"
-	"strconv"
-
 	"fernlanding/internal/route"
 	"fernlanding/internal/rules"
 	"fernlanding/internal/tomldoc"
+	"fmt"
+	"strconv"
 )
 
 const (
--- a/internal/config/decode_listener.go
+++ b/internal/config/decode_listener.go
@@ -1,12 +1,11 @@
 package config
 
 import (
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 	"net"
 	"strconv"
 	"strings"
-
-	"fernlanding/internal/rules"
-	"fernlanding/internal/tomldoc"
 )
 
 // listeners reads where clients connect.
--- a/internal/config/decode_process.go
+++ b/internal/config/decode_process.go
@@ -1,10 +1,9 @@
 package config
 
 import (
-	"time"
-
 	"fernlanding/internal/rules"
 	"fernlanding/internal/tomldoc"
+	"time"
 )
 
 const (
@@ -16,8 +15,10 @@
 // process reads what the process may use, and the folder that outlives it.
 func (x *decoder) process(s tomldoc.Scope) {
 	app, p := x.app, s.Sub("process")
-	app.Process = Process{Cores: p.Number("cores", 0, 0, 1024), MemoryMB: p.Number("memory_mb", 0, 0, 1<<20),
-		Sockets: int(p.Whole("sockets", defaultSockets, 1, 1<<24))}
+	app.Process = Process{
+		Cores: p.Number("cores", 0, 0, 1024), MemoryMB: p.Number("memory_mb", 0, 0, 1<<20),
+		Sockets: int(p.Whole("sockets", defaultSockets, 1, 1<<24)),
+	}
 	if app.StateDir = p.Text("state_dir", ""); p.Has("state_dir") && app.StateDir == "" {
 		p.Bad(rules.Missing, "state_dir", "a folder expected")
 	}
--- a/internal/config/decode_route.go
+++ b/internal/config/decode_route.go
@@ -2,15 +2,14 @@
 
 import (
 	"errors"
+	"fernlanding/internal/route"
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 	"fmt"
 	"net/textproto"
 	"slices"
 	"strconv"
 	"strings"
-
-	"fernlanding/internal/route"
-	"fernlanding/internal/rules"
-	"fernlanding/internal/tomldoc"
 )
 
 const maxRouteTime = MaxDeadline
@@ -54,9 +53,11 @@
 		var sh *route.ShadowedError
 		if errors.As(e, &sh) {
 			by := scopes[numbers[sh.By]]
-			x.Faults = append(x.Faults, Diagnostic{Place: at.V.Place, Rule: rules.RouteDead, Field: at.Path,
+			x.Faults = append(x.Faults, Diagnostic{
+				Place: at.V.Place, Rule: rules.RouteDead, Field: at.Path,
 				Found: strconv.Quote(tomldoc.Clip(a.Routes[numbers[re.Rule]].Name)), See: by.V.Place,
-				Expect: fmt.Sprintf("it can't be reached at listener %s: %q takes all its requests before", listener, tomldoc.Clip(a.Routes[numbers[sh.By]].Name))})
+				Expect: fmt.Sprintf("it can't be reached at listener %s: %q takes all its requests before", listener, tomldoc.Clip(a.Routes[numbers[sh.By]].Name)),
+			})
 			continue
 		}
 		for _, why := range split(re.Err) {
@@ -95,8 +96,10 @@
 
 // route reads one rule.
 func (x *decoder) route(s tomldoc.Scope) Route {
-	r := Route{Name: s.Text("name", ""), Listeners: s.Texts("listeners"), Rewrite: s.Text("rewrite_prefix", ""),
-		Timeout: s.Span("timeout", 0, minTime, maxRouteTime)}
+	r := Route{
+		Name: s.Text("name", ""), Listeners: s.Texts("listeners"), Rewrite: s.Text("rewrite_prefix", ""),
+		Timeout: s.Span("timeout", 0, minTime, maxRouteTime),
+	}
 	Named(s, "name", r.Name)
 	for _, l := range r.Listeners {
 		if !slices.ContainsFunc(x.app.Listeners, func(o Listener) bool { return o.Name == l }) {
--- a/internal/config/decode_service.go
+++ b/internal/config/decode_service.go
@@ -1,14 +1,13 @@
 package config
 
 import (
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
+	"fernlanding/logic"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
-
-	"fernlanding/internal/rules"
-	"fernlanding/internal/tomldoc"
-	"fernlanding/logic"
 )
 
 const (
@@ -38,10 +37,12 @@
 // service reads one service with its classes, its tenants and the source of its list.
 func (x *decoder) service(s tomldoc.Scope, name string) *Service {
 	Named(s, "", name)
-	v := &Service{Name: name, PassAllStatuses: true, Trusted: s.Flag("trusted"),
+	v := &Service{
+		Name: name, PassAllStatuses: true, Trusted: s.Flag("trusted"),
 		Connections: s.Whole("connections", 0, 1, 1<<20),
 		MaxBody:     s.Whole("max_body", 64<<10, 0, MaxBody),
-		MaxResponse: s.Whole("max_answer", 1<<20, 0, MaxBody)}
+		MaxResponse: s.Whole("max_answer", 1<<20, 0, MaxBody),
+	}
 	v.DialTimeout = s.Span("dial_timeout", 200*time.Millisecond, minTime, MaxDeadline)
 	v.IdleClose = s.Span("idle_close", 30*time.Second, 100*time.Millisecond, time.Hour)
 	x.limits(s, v)
@@ -65,7 +66,8 @@
 		v.Zones = []string{zone}
 	}
 	l := &v.Balancer
-	*l = logic.Settings{Zones: len(v.Zones), Zone: slices.Index(v.Zones, zone),
+	*l = logic.Settings{
+		Zones: len(v.Zones), Zone: slices.Index(v.Zones, zone),
 		Replicas: int(s.Whole("siblings", 1, 1, 1<<20)), ReplicaIndex: int(s.Whole("ordinal", 0, 0, 1<<20)),
 		Tier: int(s.Whole("tier", 0, 0, 64)), MaxAttempts: int(s.Whole("attempts", 3, 1, 16)),
 		OrderingDelay:       micros(s.Span("order_settle", 0, 0, MaxDeadline)),
--- a/internal/config/decode_source.go
+++ b/internal/config/decode_source.go
@@ -2,13 +2,12 @@
 
 import (
 	"cmp"
-	"slices"
-	"strings"
-	"time"
-
 	"fernlanding/internal/membership"
 	"fernlanding/internal/rules"
 	"fernlanding/internal/tomldoc"
+	"slices"
+	"strings"
+	"time"
 )
 
 // askInterval is the longest time that a sidecar goes without a subscription to its catalog or a call of it.
@@ -129,8 +128,10 @@
 
 // endpoint reads one backend that stands in the file; its name is its address where it has none.
 func (x *decoder) endpoint(e tomldoc.Scope, v *Service) membership.Endpoint {
-	one := membership.Endpoint{Name: e.Text("name", ""), Address: address(e, "address", false), Zone: e.Text("zone", v.Zones[max(0, v.Balancer.Zone)]),
-		Cell: int(e.Whole("cell", 0, 0, 1<<30)), Weight: e.Number("weight", 1, 0, 1e6)}
+	one := membership.Endpoint{
+		Name: e.Text("name", ""), Address: address(e, "address", false), Zone: e.Text("zone", v.Zones[max(0, v.Balancer.Zone)]),
+		Cell: int(e.Whole("cell", 0, 0, 1<<30)), Weight: e.Number("weight", 1, 0, 1e6),
+	}
 	if e.Word("status", "serving", "serving", "draining") == "draining" {
 		one.Status = membership.Draining
 	}
--- a/internal/config/decode_target.go
+++ b/internal/config/decode_target.go
@@ -1,15 +1,14 @@
 package config
 
 import (
-	"fmt"
-	"slices"
-	"strings"
-	"time"
-
 	"fernlanding/internal/route"
 	"fernlanding/internal/rules"
 	"fernlanding/internal/tomldoc"
 	"fernlanding/logic"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
 )
 
 // targets reads where a route leads.
--- a/internal/config/decode_test.go
+++ b/internal/config/decode_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"errors"
+	"fernlanding/internal/route"
+	"fernlanding/logic"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -9,9 +11,6 @@
 	"strings"
 	"testing"
 	"time"
-
-	"fernlanding/internal/route"
-	"fernlanding/logic"
 )
 
 const good = `version = 1
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -1,11 +1,10 @@
 package config
 
 import (
-	"strconv"
-	"strings"
-
 	"fernlanding/internal/rules"
 	"fernlanding/internal/tomldoc"
+	"strconv"
+	"strings"
 )
 
 // Diagnostic and Faults are what is wrong with a file.
--- a/internal/config/fragments.go
+++ b/internal/config/fragments.go
@@ -2,12 +2,11 @@
 
 import (
 	"bytes"
+	"fernlanding/internal/tomldoc"
 	"maps"
 	"reflect"
 	"slices"
 	"strings"
-
-	"fernlanding/internal/tomldoc"
 )
 
 // fragmentHead is the key of the fragment with the fields before the file's first table.
--- a/internal/config/fragments_test.go
+++ b/internal/config/fragments_test.go
@@ -1,11 +1,10 @@
 package config_test
 
 import (
+	"fernlanding/internal/config"
 	"os"
 	"path/filepath"
 	"testing"
-
-	"fernlanding/internal/config"
 )
 
 // A file that is joined from its fragments means what it did.
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -2,14 +2,13 @@
 
 import (
 	"bytes"
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
+	"fernlanding/logic"
 	"fmt"
 	"path/filepath"
 	"slices"
 	"strings"
-
-	"fernlanding/internal/rules"
-	"fernlanding/internal/tomldoc"
-	"fernlanding/logic"
 )
 
 // Step is one change of a migration.
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -3,11 +3,10 @@
 import (
 	"encoding/json"
 	"errors"
-	"fmt"
-	"strconv"
-
 	"fernlanding/internal/membership"
 	"fernlanding/internal/settings"
+	"fmt"
+	"strconv"
 )
 
 // PlatformService is the name of the platform's one service.
@@ -62,14 +61,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	s := &Service{Name: PlatformService, Deployment: *site, MaxBody: 64 << 10, MaxResponse: 1 << 20,
-		Source: Source{Kind: Catalog, Address: raw.Discovery}}
+	s := &Service{
+		Name: PlatformService, Deployment: *site, MaxBody: 64 << 10, MaxResponse: 1 << 20,
+		Source: Source{Kind: Catalog, Address: raw.Discovery},
+	}
 	if len(raw.Known) > 0 && string(raw.Known) != "null" {
 		if s.KnownList, err = membership.Parse(raw.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	return &App{Name: raw.Name, Kind: Platform, Seed: seed,
+	return &App{
+		Name: raw.Name, Kind: Platform, Seed: seed,
 		Process:   Process{Cores: l.Cores, MemoryMB: l.MemoryMB, Sockets: l.Sockets},
-		Listeners: []Listener{{Name: "main", Address: raw.Listen}}, Services: []*Service{s}}, nil
+		Listeners: []Listener{{Name: "main", Address: raw.Listen}}, Services: []*Service{s},
+	}, nil
 }
--- a/internal/config/testdata_test.go
+++ b/internal/config/testdata_test.go
@@ -2,6 +2,13 @@
 
 import (
 	"errors"
+	"fernlanding/internal/catalogue"
+	"fernlanding/internal/catalogue/dir"
+	"fernlanding/internal/check"
+	"fernlanding/internal/config"
+	"fernlanding/internal/rules"
+	"fernlanding/internal/sidecar"
+	"fernlanding/internal/tomldoc"
 	"flag"
 	"fmt"
 	"log/slog"
@@ -10,14 +17,6 @@
 	"slices"
 	"strings"
 	"testing"
-
-	"fernlanding/internal/catalogue"
-	"fernlanding/internal/catalogue/dir"
-	"fernlanding/internal/check"
-	"fernlanding/internal/config"
-	"fernlanding/internal/rules"
-	"fernlanding/internal/sidecar"
-	"fernlanding/internal/tomldoc"
 )
 
 // The cases of testdata: a directory each, with files of applications, or a catalogue in a directory of its own. env names
--- a/internal/conformance/conformance.go
+++ b/internal/conformance/conformance.go
@@ -5,15 +5,14 @@
 
 import (
 	"context"
+	"fernlanding/internal/config"
+	"fernlanding/internal/sidecar"
 	"fmt"
 	"log/slog"
 	"strings"
 	"sync"
 	"testing"
 	"time"
-
-	"fernlanding/internal/config"
-	"fernlanding/internal/sidecar"
 )
 
 // Fault is what a backend does with an attempt.
@@ -46,8 +45,10 @@
 
 // String names a fault.
 func (f Fault) String() string {
-	return [...]string{"serve", "not listening", "full", "error", "busy", "reset", "half a head", "half a body", "noise", "two framings",
-		"too long", "stall", "hang", "nonsense", "created", "early words", "served and more"}[f]
+	return [...]string{
+		"serve", "not listening", "full", "error", "busy", "reset", "half a head", "half a body", "noise", "two framings",
+		"too long", "stall", "hang", "nonsense", "created", "early words", "served and more",
+	}[f]
 }
 
 // Class is a class by its repeat rule.
--- a/internal/conformance/http1_test.go
+++ b/internal/conformance/http1_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"fernlanding/internal/standin"
 	"fmt"
 	"io"
 	"net"
@@ -9,8 +10,6 @@
 	"strings"
 	"testing"
 	"time"
-
-	"fernlanding/internal/standin"
 )
 
 // http1Backends are stand-ins over HTTP/1.1.
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -2,11 +2,10 @@
 
 import (
 	"context"
-	"sync"
-	"time"
-
 	"fernlanding/internal/membership"
 	"fernlanding/logic"
+	"sync"
+	"time"
 )
 
 // Upstream reaches the backends of one pool over one protocol.
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -9,13 +9,12 @@
 	"container/heap"
 	"context"
 	"errors"
+	"fernlanding/internal/membership"
+	"fernlanding/logic"
 	"fmt"
 	"log/slog"
 	"sync"
 	"time"
-
-	"fernlanding/internal/membership"
-	"fernlanding/logic"
 )
 
 const (
@@ -72,9 +71,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return &Pool{clock: cfg.Clock, upstream: cfg.Upstream, zones: newZones(cfg.Zones), log: cfg.Log, sameID: cfg.DuplicateIDWait, lag: cfg.Settings.MaxSendDelay, classes: cfg.Settings.Classes,
+	return &Pool{
+		clock: cfg.Clock, upstream: cfg.Upstream, zones: newZones(cfg.Zones), log: cfg.Log, sameID: cfg.DuplicateIDWait, lag: cfg.Settings.MaxSendDelay, classes: cfg.Settings.Classes,
 		asked: make(chan struct{}, 1), listed: make(chan struct{}), traced: make(chan struct{}, 1), bal: bal, reqs: map[string]*Request{},
-		alarm: time.NewTimer(farAway)}, nil
+		alarm: time.NewTimer(farAway),
+	}, nil
 }
 
 // Run plays timers until the context ends. Then every request that is left is aborted, and Run returns when no
@@ -389,8 +390,10 @@
 		res.Status = logic.NotSent
 	}
 	now := p.clock.Now()
-	p.bal.Outcome(now, (*host)(p), logic.Outcome{ID: r.ID, Attempt: a.number, Status: res.Status, Latency: now - a.sent,
-		RequestDone: r.over})
+	p.bal.Outcome(now, (*host)(p), logic.Outcome{
+		ID: r.ID, Attempt: a.number, Status: res.Status, Latency: now - a.sent,
+		RequestDone: r.over,
+	})
 	p.forget(r)
 }
 
--- a/internal/core/sameid_test.go
+++ b/internal/core/sameid_test.go
@@ -1,10 +1,9 @@
 package core
 
 import (
+	"fernlanding/logic"
 	"testing"
 	"time"
-
-	"fernlanding/logic"
 )
 
 // awaited waits until a request waits for the end of the one that is open under its id.
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -1,11 +1,10 @@
 package core
 
 import (
+	"fernlanding/logic"
 	"fmt"
 	"strings"
 	"time"
-
-	"fernlanding/logic"
 )
 
 const (
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -2,12 +2,11 @@
 
 import (
 	"context"
+	"fernlanding/logic"
 	"log/slog"
 	"strings"
 	"testing"
 	"time"
-
-	"fernlanding/logic"
 )
 
 // lines is a log handler that hands on what is logged as text.
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -1,11 +1,10 @@
 package core
 
 import (
-	"hash/fnv"
-	"io"
-
 	"fernlanding/internal/membership"
 	"fernlanding/logic"
+	"hash/fnv"
+	"io"
 )
 
 // zones numbers zones by name: the settings' own from 0, any other by a hash, so that names without end leave
--- a/internal/distribution/follow/follower.go
+++ b/internal/distribution/follow/follower.go
@@ -5,6 +5,8 @@
 import (
 	"context"
 	"errors"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/httpapi"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
@@ -12,9 +14,6 @@
 	"slices"
 	"sync"
 	"time"
-
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/httpapi"
 )
 
 const (
@@ -134,9 +133,11 @@
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	return &Follower{cfg: cfg, transport: transport, goodbyeWithin: goodbyeTimeout, wire: wire, now: time.Now, reports: make(chan struct{}, 1),
+	return &Follower{
+		cfg: cfg, transport: transport, goodbyeWithin: goodbyeTimeout, wire: wire, now: time.Now, reports: make(chan struct{}, 1),
 		subscribed: make(map[string]*subscription), dirty: make(map[string]bool), unfollowed: make(map[string]bool),
-		statuses: make(map[string]*distribution.ResourceStatus), unreported: make(map[string]bool)}
+		statuses: make(map[string]*distribution.ResourceStatus), unreported: make(map[string]bool),
+	}
 }
 
 // Subscribe follows a resource, of which the subscriber has a version (zero: none), until cancel is called. A subscriber
--- a/internal/distribution/follow/reader.go
+++ b/internal/distribution/follow/reader.go
@@ -3,12 +3,11 @@
 import (
 	"context"
 	"errors"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/sleep"
 	"math/rand/v2"
 	"sync"
 	"time"
-
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/sleep"
 )
 
 // mostStatuses is how many statuses go in a report.
--- a/internal/distribution/httpapi/client.go
+++ b/internal/distribution/httpapi/client.go
@@ -5,6 +5,7 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fernlanding/internal/distribution"
 	"fmt"
 	"io"
 	"net"
@@ -13,8 +14,6 @@
 	"strconv"
 	"strings"
 	"time"
-
-	"fernlanding/internal/distribution"
 )
 
 const (
@@ -50,8 +49,10 @@
 		return dial(ctx, network, address)
 	}
 	return &Client{&http.Client{
-		Transport: &http.Transport{DialContext: bounded, DisableCompression: true, IdleConnTimeout: idleTimeout,
-			ReadBufferSize: bufferBytes, WriteBufferSize: bufferBytes, MaxIdleConnsPerHost: 2},
+		Transport: &http.Transport{
+			DialContext: bounded, DisableCompression: true, IdleConnTimeout: idleTimeout,
+			ReadBufferSize: bufferBytes, WriteBufferSize: bufferBytes, MaxIdleConnsPerHost: 2,
+		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
--- a/internal/distribution/httpapi/handler.go
+++ b/internal/distribution/httpapi/handler.go
@@ -6,12 +6,11 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fernlanding/internal/distribution"
 	"io"
 	"net/http"
 	"strconv"
 	"time"
-
-	"fernlanding/internal/distribution"
 )
 
 // The paths of a source or relay.
--- a/internal/distribution/httpapi/httpapi_test.go
+++ b/internal/distribution/httpapi/httpapi_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fernlanding/internal/distribution"
 	"fmt"
 	"io"
 	"net"
@@ -11,8 +12,6 @@
 	"strings"
 	"testing"
 	"time"
-
-	"fernlanding/internal/distribution"
 )
 
 // scripted answers all calls as it is told.
@@ -24,9 +23,11 @@
 func (s *scripted) Follow(context.Context, *distribution.FollowRequest) (*EncodedResponse, func(), error) {
 	return s.answer, func() {}, s.err
 }
+
 func (s *scripted) Put(*distribution.PutRequest) (distribution.Version, error) {
 	return distribution.Version{Epoch: 1, Revision: 2}, s.err
 }
+
 func (s *scripted) Status(resource string) distribution.ResourceStatus {
 	return distribution.ResourceStatus{Resource: resource}
 }
--- a/internal/distribution/httpapi/server.go
+++ b/internal/distribution/httpapi/server.go
@@ -20,8 +20,10 @@
 
 // NewServer returns a server of a source or relay.
 func NewServer(service Service) *http.Server {
-	return &http.Server{Handler: Handler(service), ReadHeaderTimeout: headTimeout, IdleTimeout: serverIdleTime, MaxHeaderBytes: maxHeadBytes,
-		ErrorLog: log.New(io.Discard, "", 0)}
+	return &http.Server{
+		Handler: Handler(service), ReadHeaderTimeout: headTimeout, IdleTimeout: serverIdleTime, MaxHeaderBytes: maxHeadBytes,
+		ErrorLog: log.New(io.Discard, "", 0),
+	}
 }
 
 // Listener counts the bytes of its connections and takes so many at a time; a further one is closed at once.
--- a/internal/distribution/node/bench_test.go
+++ b/internal/distribution/node/bench_test.go
@@ -2,6 +2,9 @@
 
 import (
 	"context"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/follow"
+	"fernlanding/internal/distribution/httpapi"
 	"fmt"
 	"net"
 	"os"
@@ -14,10 +17,6 @@
 	"syscall"
 	"testing"
 	"time"
-
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/follow"
-	"fernlanding/internal/distribution/httpapi"
 )
 
 // benchSessions is how many followers a relay of the benchmark has, and benchResources how many resources each follows.
--- a/internal/distribution/node/node.go
+++ b/internal/distribution/node/node.go
@@ -5,11 +5,10 @@
 	"context"
 	"crypto/rand"
 	"encoding/hex"
-	"sync"
-	"time"
-
 	"fernlanding/internal/distribution"
 	"fernlanding/internal/distribution/httpapi"
+	"sync"
+	"time"
 )
 
 // Bounds of what a node keeps and sends.
@@ -98,10 +97,12 @@
 	}
 	random := make([]byte, 6)
 	_, _ = rand.Read(random) // never fails
-	n := &Node{cfg: cfg, now: cfg.Now, traffic: cfg.Traffic, prefix: hex.EncodeToString(random), firsts: make(chan struct{}, firstReads),
+	n := &Node{
+		cfg: cfg, now: cfg.Now, traffic: cfg.Traffic, prefix: hex.EncodeToString(random), firsts: make(chan struct{}, firstReads),
 		store: distribution.NewStore(cfg.StoreBytes), sessions: distribution.NewSessions(cfg.Limits),
 		readers: make(map[*distribution.Session]*waiter), cache: newCache(cacheBytes), closed: make(chan struct{}),
-		age: func() time.Duration { return 0 }, cut: func() bool { return false }, upstream: func(*distribution.Stats) {}, follows: func(string) {}, changed: func(bool) {}}
+		age: func() time.Duration { return 0 }, cut: func() bool { return false }, upstream: func(*distribution.Stats) {}, follows: func(string) {}, changed: func(bool) {},
+	}
 	n.release = time.AfterFunc(time.Hour, n.releaseHeld)
 	n.release.Stop()
 	return n
--- a/internal/distribution/node/relay.go
+++ b/internal/distribution/node/relay.go
@@ -2,12 +2,11 @@
 
 import (
 	"context"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/follow"
 	"log/slog"
 	"sync"
 	"time"
-
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/follow"
 )
 
 const (
@@ -40,8 +39,10 @@
 	if upstream.Log == nil {
 		upstream.Log = slog.New(slog.DiscardHandler)
 	}
-	r := &Relay{Node: New(cfg), follower: follow.New(upstream), complete: make(chan struct{}, 1), log: upstream.Log,
-		cancels: make(map[string]func()), idle: make(map[string]time.Time)}
+	r := &Relay{
+		Node: New(cfg), follower: follow.New(upstream), complete: make(chan struct{}, 1), log: upstream.Log,
+		cancels: make(map[string]func()), idle: make(map[string]time.Time),
+	}
 	r.began = r.now()
 	r.Node.age, r.Node.upstream, r.Node.cut = r.sourceAge, r.upstreamStats, r.cutOff
 	r.Node.follows, r.Node.changed = r.followToo, r.statusChanged
--- a/internal/distribution/node/write.go
+++ b/internal/distribution/node/write.go
@@ -1,11 +1,10 @@
 package node
 
 import (
-	"fmt"
-	"time"
-
 	"fernlanding/internal/distribution"
 	"fernlanding/internal/distribution/httpapi"
+	"fmt"
+	"time"
 )
 
 // Apply takes an update of the upstream, and wakes who waits for it.
--- a/internal/distribution/sessions.go
+++ b/internal/distribution/sessions.go
@@ -78,8 +78,10 @@
 
 // NewSessions returns none.
 func NewSessions(limits SessionLimits) *Sessions {
-	return &Sessions{limits: limits, byID: make(map[string]*Session), byName: make(map[string]*Session),
-		followed: make(map[string]*followed), changed: make(map[string]bool)}
+	return &Sessions{
+		limits: limits, byID: make(map[string]*Session), byName: make(map[string]*Session),
+		followed: make(map[string]*followed), changed: make(map[string]bool),
+	}
 }
 
 // Len is the number of sessions.
--- a/internal/distribution/statedir/statedir.go
+++ b/internal/distribution/statedir/statedir.go
@@ -7,6 +7,8 @@
 	"encoding/hex"
 	"encoding/json"
 	"errors"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/durable"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -14,9 +16,6 @@
 	"strings"
 
 	"golang.org/x/sys/unix"
-
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/durable"
 )
 
 const (
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -4,6 +4,11 @@
 
 import (
 	"errors"
+	"fernlanding/internal/config"
+	"fernlanding/internal/membership"
+	"fernlanding/internal/route"
+	"fernlanding/internal/tomldoc"
+	"fernlanding/logic"
 	"fmt"
 	"net/http"
 	"net/textproto"
@@ -11,12 +16,6 @@
 	"strconv"
 	"strings"
 	"time"
-
-	"fernlanding/internal/config"
-	"fernlanding/internal/membership"
-	"fernlanding/internal/route"
-	"fernlanding/internal/tomldoc"
-	"fernlanding/logic"
 )
 
 // Request is what is asked about.
--- a/internal/explain/sidecar_test.go
+++ b/internal/explain/sidecar_test.go
@@ -3,6 +3,9 @@
 import (
 	"bufio"
 	"context"
+	"fernlanding/internal/config"
+	"fernlanding/internal/sidecar"
+	"fernlanding/internal/standin"
 	"fmt"
 	"io"
 	"log/slog"
@@ -12,10 +15,6 @@
 	"sync"
 	"testing"
 	"time"
-
-	"fernlanding/internal/config"
-	"fernlanding/internal/sidecar"
-	"fernlanding/internal/standin"
 )
 
 // What explain says of a request is what a sidecar of the same file does with it: the same status where none goes on, and
--- a/internal/fleetsim/backend.go
+++ b/internal/fleetsim/backend.go
@@ -2,9 +2,8 @@
 
 import (
 	"container/heap"
-	"math"
-
 	"fernlanding/logic"
+	"math"
 )
 
 // A backend serves requests by processor sharing: up to Slots of them share its cores, each on one core at most, and
--- a/internal/fleetsim/clients.go
+++ b/internal/fleetsim/clients.go
@@ -129,8 +129,10 @@
 		f.figures.ask(f, o)
 	}
 	giveUp := min(o.came+c.Deadline.micros(), f.now+int64(d.Clients.Try*float64(c.Deadline.micros())))
-	q := &call{id: f.newID("r"), op: o, lineage: lineage{of: o.name, key: o.key}, giveUp: giveUp,
-		answer: func(a answer) { f.answered(o, a) }}
+	q := &call{
+		id: f.newID("r"), op: o, lineage: lineage{of: o.name, key: o.key}, giveUp: giveUp,
+		answer: func(a answer) { f.answered(o, a) },
+	}
 	to := f.dealt()
 	f.after(f.hop(), func() {
 		if to.dead || f.now >= giveUp { // nobody has taken it
--- a/internal/fleetsim/coldstart/coldstart.go
+++ b/internal/fleetsim/coldstart/coldstart.go
@@ -7,13 +7,12 @@
 import (
 	"container/heap"
 	"errors"
+	"fernlanding/internal/start"
 	"fmt"
 	"math"
 	"math/rand/v2"
 	"slices"
 	"time"
-
-	"fernlanding/internal/start"
 )
 
 // Day is one start.
@@ -178,8 +177,10 @@
 	if p.d.Told {
 		told = p.d.Copies
 	}
-	*c = copyOf{life: c.life + 1, has: known, ready: -1,
-		reads: start.NewPollScheduler(start.PollConfig{Replicas: told}, rand.New(rand.NewPCG(p.d.Seed, uint64(i+2)<<8+uint64(c.life))))}
+	*c = copyOf{
+		life: c.life + 1, has: known, ready: -1,
+		reads: start.NewPollScheduler(start.PollConfig{Replicas: told}, rand.New(rand.NewPCG(p.d.Seed, uint64(i+2)<<8+uint64(c.life)))),
+	}
 	if known {
 		c.ready = now
 	}
--- a/internal/fleetsim/coldstart/coldstart_test.go
+++ b/internal/fleetsim/coldstart/coldstart_test.go
@@ -1,10 +1,9 @@
 package coldstart_test
 
 import (
+	"fernlanding/internal/fleetsim/coldstart"
 	"testing"
 	"time"
-
-	"fernlanding/internal/fleetsim/coldstart"
 )
 
 // day is the case that was measured over processes: 200 copies, 50 readings a second, a queue of a hundred.
--- a/internal/fleetsim/copy.go
+++ b/internal/fleetsim/copy.go
@@ -1,10 +1,9 @@
 package fleetsim
 
 import (
+	"fernlanding/logic"
 	"math"
 	"strconv"
-
-	"fernlanding/logic"
 )
 
 // copyOf is one copy of the decision module before a tier.
@@ -142,8 +141,10 @@
 	if status == logic.OK && !q.over {
 		c.end(q, answer{status: served})
 	}
-	c.bal.Outcome(c.f.now, c.host(), logic.Outcome{ID: q.id, Attempt: a.number, Status: status,
-		Latency: c.f.now - a.sent, RequestDone: q.over})
+	c.bal.Outcome(c.f.now, c.host(), logic.Outcome{
+		ID: q.id, Attempt: a.number, Status: status,
+		Latency: c.f.now - a.sent, RequestDone: q.over,
+	})
 	c.forget(q)
 }
 
@@ -251,13 +252,17 @@
 // settings are what a copy of a tier is told.
 func (f *fleet) settings(tier, index, siblings int) logic.Settings {
 	d := f.day
-	s := logic.Settings{Tier: tier, Replicas: siblings, ReplicaIndex: index, Zones: 1, MaxAttempts: 5,
+	s := logic.Settings{
+		Tier: tier, Replicas: siblings, ReplicaIndex: index, Zones: 1, MaxAttempts: 5,
 		MaxRetryAfter: 2_000_000, DrainGrace: drainGrace, SlowStartMinCapacity: d.Tiers[tier].ColdFrom * 0.9,
-		SlowStartWindow: int64(math.Ceil(float64(d.Tiers[tier].Warm.micros()) * 1.1))}
+		SlowStartWindow: int64(math.Ceil(float64(d.Tiers[tier].Warm.micros()) * 1.1)),
+	}
 	for _, c := range d.Classes {
-		s.Classes = append(s.Classes, logic.Class{LatencyObjective: c.Aim.micros(), Deadline: c.Deadline.micros(), PriorityWeight: 1,
+		s.Classes = append(s.Classes, logic.Class{
+			LatencyObjective: c.Aim.micros(), Deadline: c.Deadline.micros(), PriorityWeight: 1,
 			LatePriorityFactor: c.Late, DedupWindow: c.Window.micros(), DedupScope: logic.DedupCell,
-			Idempotency: map[string]logic.Idempotency{"safe": logic.Idempotent, "keyed": logic.IdempotentByKey, "unsafe": logic.NonIdempotent}[c.Repeat]})
+			Idempotency: map[string]logic.Idempotency{"safe": logic.Idempotent, "keyed": logic.IdempotentByKey, "unsafe": logic.NonIdempotent}[c.Repeat],
+		})
 	}
 	total := 0.0
 	for _, t := range d.Tenants {
@@ -275,8 +280,10 @@
 	if err != nil {
 		panic("fleet: a checked day has bad settings: " + err.Error())
 	}
-	c := &copyOf{f: f, tier: tier, index: index, bal: bal, calls: map[string]*call{},
-		since: map[string]int64{}}
+	c := &copyOf{
+		f: f, tier: tier, index: index, bal: bal, calls: map[string]*call{},
+		since: map[string]int64{},
+	}
 	f.all = append(f.all, c)
 	return c
 }
--- a/internal/fleetsim/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -2,11 +2,10 @@
 
 import (
 	"cmp"
+	"fernlanding/logic"
 	"math"
 	"math/rand/v2"
 	"slices"
-
-	"fernlanding/logic"
 )
 
 const drainGrace = 250_000 // microseconds
@@ -72,10 +71,12 @@
 
 func newFleet(d *Day, opt Options) *fleet {
 	rng := func(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(d.Seed, stream)) }
-	f := &fleet{day: d, capacity: d.Capacity(), warmup: d.Warmup.micros(), length: d.Length.micros(),
+	f := &fleet{
+		day: d, capacity: d.Capacity(), warmup: d.Warmup.micros(), length: d.Length.micros(),
 		way: rng(streamWay), mishap: rng(streamMishap), client: rng(streamClient),
 		byID: map[string]*backend{}, out: map[*attempt]uint64{},
-		free: make([]float64, len(d.Tiers)), backends: make([][]*backend, len(d.Tiers))}
+		free: make([]float64, len(d.Tiers)), backends: make([][]*backend, len(d.Tiers)),
+	}
 	f.audit.lineages = map[string]*ranAt{}
 	f.figures.begin(d)
 	if opt.Trace {
@@ -137,9 +138,11 @@
 
 // start starts a backend's process.
 func (f *fleet) start(tier, index int, k Kind, launched int64) *backend {
-	b := &backend{f: f, id: f.newID(f.day.Tiers[tier].Name + "-"), tier: tier, index: index,
+	b := &backend{
+		f: f, id: f.newID(f.day.Tiers[tier].Name + "-"), tier: tier, index: index,
 		cell: index % f.day.Tiers[tier].Cells, kind: k, state: logic.Ready, launched: launched, slow: 1, failOnly: -1,
-		clockAt: f.now, idle: 1}
+		clockAt: f.now, idle: 1,
+	}
 	f.byID[b.id] = b
 	f.backends[tier] = append(f.backends[tier], b)
 	if tier+1 < len(f.day.Tiers) {
@@ -208,8 +211,10 @@
 		return
 	}
 	id := f.newID("c")
-	q := &call{id: id, op: parent.op, lineage: lineage{of: id}, giveUp: parent.giveUp,
-		answer: func(a answer) { then(a.status == served) }}
+	q := &call{
+		id: id, op: parent.op, lineage: lineage{of: id}, giveUp: parent.giveUp,
+		answer: func(a answer) { then(a.status == served) },
+	}
 	if parent.key != "" {
 		q.key = parent.key + "/" + id
 	}
--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleet_test.go
@@ -1,6 +1,7 @@
 package fleetsim
 
 import (
+	"fernlanding/logic"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -8,8 +9,6 @@
 	"strings"
 	"sync"
 	"testing"
-
-	"fernlanding/logic"
 )
 
 func file(t testing.TB, name string) File {
--- a/internal/fleetsim/measure.go
+++ b/internal/fleetsim/measure.go
@@ -1,10 +1,9 @@
 package fleetsim
 
 import (
+	"fernlanding/logic"
 	"math"
 	"slices"
-
-	"fernlanding/logic"
 )
 
 const (
--- a/internal/fleetsim/plot/plot.go
+++ b/internal/fleetsim/plot/plot.go
@@ -3,14 +3,13 @@
 package plot
 
 import (
+	"fernlanding/internal/fleetsim"
+	"fernlanding/logic"
 	"fmt"
 	"html"
 	"io"
 	"strings"
 	"text/tabwriter"
-
-	"fernlanding/internal/fleetsim"
-	"fernlanding/logic"
 )
 
 const (
--- a/internal/fleetsim/plot/plot_test.go
+++ b/internal/fleetsim/plot/plot_test.go
@@ -4,12 +4,11 @@
 	"bytes"
 	"encoding/xml"
 	"errors"
+	"fernlanding/internal/fleetsim"
 	"io"
 	"os"
 	"strings"
 	"testing"
-
-	"fernlanding/internal/fleetsim"
 )
 
 // A day in which a deeper tier fails: the plot names the evidence that cut the count, and a copy that is not there is a fault.
--- a/internal/fleetsim/sweep.go
+++ b/internal/fleetsim/sweep.go
@@ -21,8 +21,10 @@
 // Judge plays a day and its calm twin. The result is the day's own.
 func Judge(d *Day) (Outcome, *Result) {
 	r := Play(d, Options{})
-	o := Outcome{Day: d.Name, Seed: d.Seed, Service: r.Service(), Calm: r.Service(), Shadow: r.ShadowPart(), Gate: r.GatePart(),
-		Overdriven: r.Overdriven(), Broken: r.Broken}
+	o := Outcome{
+		Day: d.Name, Seed: d.Seed, Service: r.Service(), Calm: r.Service(), Shadow: r.ShadowPart(), Gate: r.GatePart(),
+		Overdriven: r.Overdriven(), Broken: r.Broken,
+	}
 	if len(d.Trouble) == 0 {
 		return o, r
 	}
--- a/internal/fleetsim/trace.go
+++ b/internal/fleetsim/trace.go
@@ -55,8 +55,10 @@
 		if c.dead || c.tier == 0 && f.front[c.index] != c {
 			continue
 		}
-		f.trace.Samples = append(f.trace.Samples, Sample{At: f.now, Tier: c.tier, Copy: c.index, Figures: c.bal.Stats(),
-			Free: f.free[c.tier], Over: over[c.tier], Can: cores[c.tier]})
+		f.trace.Samples = append(f.trace.Samples, Sample{
+			At: f.now, Tier: c.tier, Copy: c.index, Figures: c.bal.Stats(),
+			Free: f.free[c.tier], Over: over[c.tier], Can: cores[c.tier],
+		})
 	}
 }
 
@@ -65,8 +67,10 @@
 		f.trace.Left++
 		return
 	}
-	r := Refusal{At: f.now, Tier: c.tier, Copy: c.index, Class: q.op.class, Tenant: q.op.tenant, Cause: cause,
-		Free: f.leastFree(), Shadow: shadow}
+	r := Refusal{
+		At: f.now, Tier: c.tier, Copy: c.index, Class: q.op.class, Tenant: q.op.tenant, Cause: cause,
+		Free: f.leastFree(), Shadow: shadow,
+	}
 	switch g := c.bal.Stats(); cause {
 	case logic.ByTierLimit:
 		r.Figure = g.Tier
--- a/internal/fleetsim/trouble.go
+++ b/internal/fleetsim/trouble.go
@@ -1,9 +1,8 @@
 package fleetsim
 
 import (
-	"math"
-
 	"fernlanding/logic"
+	"math"
 )
 
 const goneAfter = 6_000_000 // microseconds that a draining backend stays for what it has
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -2,10 +2,9 @@
 package front
 
 import (
+	"fernlanding/internal/core"
 	"net/http"
 	"time"
-
-	"fernlanding/internal/core"
 )
 
 // Pool takes requests; *core.Pool is one.
--- a/internal/front/http1/conn.go
+++ b/internal/front/http1/conn.go
@@ -4,14 +4,13 @@
 	"bytes"
 	"container/list"
 	"errors"
+	"fernlanding/internal/socket"
 	"io"
 	"net"
 	"os"
 	"sync"
 	"syscall"
 	"time"
-
-	"fernlanding/internal/socket"
 )
 
 const (
--- a/internal/front/http1/front.go
+++ b/internal/front/http1/front.go
@@ -5,6 +5,9 @@
 	"bytes"
 	"context"
 	"errors"
+	"fernlanding/internal/core"
+	"fernlanding/internal/front"
+	"fernlanding/logic"
 	"fmt"
 	"log"
 	"log/slog"
@@ -14,10 +17,6 @@
 	"strings"
 	"sync/atomic"
 	"time"
-
-	"fernlanding/internal/core"
-	"fernlanding/internal/front"
-	"fernlanding/logic"
 )
 
 const (
@@ -91,8 +90,10 @@
 func (f *Front) Stats() Stats {
 	f.clients.mu.Lock()
 	defer f.clients.mu.Unlock()
-	return Stats{Open: len(f.clients.conns), Silent: f.clients.silent.Len(), Idle: f.clients.idle.Len(),
-		Draining: f.draining.Load(), Bound: f.bound.Load(), Closing: f.closing.Load()}
+	return Stats{
+		Open: len(f.clients.conns), Silent: f.clients.silent.Len(), Idle: f.clients.idle.Len(),
+		Draining: f.draining.Load(), Bound: f.bound.Load(), Closing: f.closing.Load(),
+	}
 }
 
 // quietLog sends net/http's remarks on broken clients to the debug level.
@@ -154,8 +155,10 @@
 // pass hands a request to its pool and waits for the answer.
 func (f *Front) pass(r *http.Request, came time.Time, dest *front.Destination, body []byte) core.Answer {
 	req := &core.Request{
-		Request: logic.Request{ID: dest.ID, Class: dest.Class, Tenant: dest.Tenant, Key: dest.Key,
-			ClientDeadline: dest.Pool.Clock().At(came.Add(dest.Timeout))},
+		Request: logic.Request{
+			ID: dest.ID, Class: dest.Class, Tenant: dest.Tenant, Key: dest.Key,
+			ClientDeadline: dest.Pool.Clock().At(came.Add(dest.Timeout)),
+		},
 		Method: r.Method, Target: dest.Target, Host: r.Host, Header: passOn(r.Header, dest.Header), Body: body,
 	}
 	if f.bound.Load() {
@@ -283,8 +286,10 @@
 			h.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
-		"Transfer-Encoding", "Upgrade", "Expect", "Content-Length"} {
+	for _, name := range []string{
+		"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
+		"Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
+	} {
 		delete(h, name)
 	}
 	for _, f := range others {
--- a/internal/harness/check/check.go
+++ b/internal/harness/check/check.go
@@ -3,13 +3,12 @@
 package check
 
 import (
-	"fmt"
-	"slices"
-	"strings"
-
 	"fernlanding/internal/harness/history"
 	"fernlanding/internal/harness/scenario"
 	"fernlanding/internal/harness/worker"
+	"fmt"
+	"slices"
+	"strings"
 )
 
 // Verdict is one thing that is wrong.
--- a/internal/harness/check/figures.go
+++ b/internal/harness/check/figures.go
@@ -1,15 +1,14 @@
 package check
 
 import (
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/harness/worker"
 	"maps"
 	"net/http"
 	"slices"
 	"strings"
 	"time"
-
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/scenario"
-	"fernlanding/internal/harness/worker"
 )
 
 // Figures are what a run is measured by.
@@ -98,8 +97,10 @@
 }
 
 func newMeasurement(sc *scenario.Scenario) *measurement {
-	m := &measurement{Figures: Figures{Scenario: sc.Name, Seed: sc.Seed, FirstAll: -1}, sidecars: map[string]bool{}, reads: series{}, watches: series{},
-		opened: map[string]series{}, starting: map[string]int64{}, firstReady: map[string]int64{}, pushed: map[string]int64{}, objective: map[string]int64{}, began: -1}
+	m := &measurement{
+		Figures: Figures{Scenario: sc.Name, Seed: sc.Seed, FirstAll: -1}, sidecars: map[string]bool{}, reads: series{}, watches: series{},
+		opened: map[string]series{}, starting: map[string]int64{}, firstReady: map[string]int64{}, pushed: map[string]int64{}, objective: map[string]int64{}, began: -1,
+	}
 	for _, n := range sc.Names(scenario.OnSidecars) {
 		m.sidecars[n] = true
 	}
--- a/internal/harness/check/record.go
+++ b/internal/harness/check/record.go
@@ -1,10 +1,9 @@
 package check
 
 import (
-	"slices"
-
 	"fernlanding/internal/harness/history"
 	"fernlanding/internal/harness/scenario"
+	"slices"
 )
 
 // forever is the end of a span that is open.
--- a/internal/harness/check/sites.go
+++ b/internal/harness/check/sites.go
@@ -1,13 +1,12 @@
 package check
 
 import (
-	"maps"
-	"net/http"
-	"slices"
-
 	"fernlanding/internal/harness/history"
 	"fernlanding/internal/harness/scenario"
 	"fernlanding/internal/harness/worker"
+	"maps"
+	"net/http"
+	"slices"
 )
 
 // Loss is what a run's fault of a whole site, or of all links across its border, came to.
--- a/internal/harness/history/history.go
+++ b/internal/harness/history/history.go
@@ -8,6 +8,7 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fernlanding/internal/distribution"
 	"fmt"
 	"io"
 	"slices"
@@ -15,8 +16,6 @@
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"fernlanding/internal/distribution"
 )
 
 // Kind is a kind of event.
--- a/internal/harness/link/link_test.go
+++ b/internal/harness/link/link_test.go
@@ -1,6 +1,9 @@
 package link_test
 
 import (
+	"fernlanding/internal/harness/link"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/standin"
 	"fmt"
 	"io"
 	"net"
@@ -9,10 +12,6 @@
 	"sync"
 	"testing"
 	"time"
-
-	"fernlanding/internal/harness/link"
-	"fernlanding/internal/harness/scenario"
-	"fernlanding/internal/standin"
 )
 
 // seen counts what a network tells.
--- a/internal/harness/link/net.go
+++ b/internal/harness/link/net.go
@@ -8,6 +8,7 @@
 import (
 	"context"
 	"errors"
+	"fernlanding/internal/harness/scenario"
 	"fmt"
 	"net"
 	"slices"
@@ -16,8 +17,6 @@
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"fernlanding/internal/harness/scenario"
 )
 
 // Place is the address of a process: 127.x.y.z.
--- a/internal/harness/process/process.go
+++ b/internal/harness/process/process.go
@@ -4,6 +4,8 @@
 import (
 	"encoding/json"
 	"errors"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/spawn"
 	"fmt"
 	"io"
 	"os"
@@ -16,9 +18,6 @@
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/spawn"
 )
 
 // Spec is what a process is started from.
--- a/internal/harness/rollout/check/check.go
+++ b/internal/harness/rollout/check/check.go
@@ -2,15 +2,15 @@
 package check
 
 import (
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/rollout/plan"
 	"fmt"
 	"slices"
 	"strings"
 	"time"
 
-	"fernlanding/internal/distribution"
 	rigcheck "fernlanding/internal/harness/check"
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/rollout/plan"
 )
 
 // Verdict is one thing that is wrong.
--- a/internal/harness/rollout/check/figures.go
+++ b/internal/harness/rollout/check/figures.go
@@ -1,12 +1,11 @@
 package check
 
 import (
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/rollout/plan"
 	"fmt"
 	"math"
 	"slices"
-
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/rollout/plan"
 )
 
 // Figures are what a run measured.
--- a/internal/harness/rollout/check/record.go
+++ b/internal/harness/rollout/check/record.go
@@ -2,14 +2,13 @@
 
 import (
 	"cmp"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/rollout/plan"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
-
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/rollout/plan"
 )
 
 const (
--- a/internal/harness/rollout/plan/plan.go
+++ b/internal/harness/rollout/plan/plan.go
@@ -3,14 +3,13 @@
 package plan
 
 import (
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 	"fmt"
 	"slices"
 	"strings"
 	"time"
-
-	"fernlanding/internal/harness/scenario"
-	"fernlanding/internal/rules"
-	"fernlanding/internal/tomldoc"
 )
 
 // Bounds of a scenario.
@@ -128,8 +127,10 @@
 	linkNames  = []string{FollowersToZones, ZonesToRegions, RegionsToSource, PublisherToSource}
 	groupNames = []string{OnSource, OnRegions, OnZones, OnFollowers, OnPublisher}
 	ofLinks    = []scenario.Kind{scenario.Cut, scenario.OneWay, scenario.Delay, scenario.Slow, scenario.Reset}
-	kindNames  = []string{string(scenario.Cut), string(scenario.OneWay), string(scenario.Delay), string(scenario.Slow), string(scenario.Reset),
-		string(scenario.Kill), string(scenario.Stop), string(Between), string(Restart)}
+	kindNames  = []string{
+		string(scenario.Cut), string(scenario.OneWay), string(scenario.Delay), string(scenario.Slow), string(scenario.Reset),
+		string(scenario.Kill), string(scenario.Stop), string(Between), string(Restart),
+	}
 )
 
 // IsOfLinks tells whether a kind of fault acts on links.
--- a/internal/harness/rollout/plan/plan_test.go
+++ b/internal/harness/rollout/plan/plan_test.go
@@ -2,15 +2,14 @@
 
 import (
 	"encoding/json"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/harness/scenario"
 	"os"
 	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
 	"time"
-
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/harness/scenario"
 )
 
 const base = `
--- a/internal/harness/rollout/plan/schedule.go
+++ b/internal/harness/rollout/plan/schedule.go
@@ -2,14 +2,13 @@
 
 import (
 	"encoding/json"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/harness/scenario"
 	"fmt"
 	"math/rand/v2"
 	"slices"
 	"strconv"
 	"time"
-
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/harness/scenario"
 )
 
 // putStream is of the seed; the first one is that of the schedule.
--- a/internal/harness/rollout/play.go
+++ b/internal/harness/rollout/play.go
@@ -3,13 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"fmt"
-	"io"
-	"net/http"
-	"net/url"
-	"slices"
-	"time"
-
 	"fernlanding/internal/distribution"
 	"fernlanding/internal/harness/history"
 	"fernlanding/internal/harness/launch"
@@ -18,6 +11,12 @@
 	"fernlanding/internal/harness/scenario"
 	"fernlanding/internal/harness/worker"
 	"fernlanding/internal/sleep"
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"slices"
+	"time"
 )
 
 const (
--- a/internal/harness/rollout/rollout_test.go
+++ b/internal/harness/rollout/rollout_test.go
@@ -3,6 +3,13 @@
 import (
 	"bytes"
 	"context"
+	"fernlanding/internal/distribution/follow"
+	"fernlanding/internal/harness/harnesstest"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/rollout"
+	"fernlanding/internal/harness/rollout/check"
+	"fernlanding/internal/harness/rollout/plan"
+	"fernlanding/internal/harness/worker"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -11,14 +18,6 @@
 	"strings"
 	"sync"
 	"testing"
-
-	"fernlanding/internal/distribution/follow"
-	"fernlanding/internal/harness/harnesstest"
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/rollout"
-	"fernlanding/internal/harness/rollout/check"
-	"fernlanding/internal/harness/rollout/plan"
-	"fernlanding/internal/harness/worker"
 )
 
 // The test's own program is also the rig's actors and its stand-ins with a bug.
--- a/internal/harness/rollout/run.go
+++ b/internal/harness/rollout/run.go
@@ -4,6 +4,12 @@
 
 import (
 	"context"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/launch"
+	"fernlanding/internal/harness/link"
+	"fernlanding/internal/harness/process"
+	"fernlanding/internal/harness/rollout/plan"
+	"fernlanding/internal/harness/worker"
 	"fmt"
 	"io"
 	"net"
@@ -14,13 +20,6 @@
 	"strings"
 	"sync"
 	"time"
-
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/launch"
-	"fernlanding/internal/harness/link"
-	"fernlanding/internal/harness/process"
-	"fernlanding/internal/harness/rollout/plan"
-	"fernlanding/internal/harness/worker"
 )
 
 // Options say how a run is carried out.
--- a/internal/harness/run.go
+++ b/internal/harness/run.go
@@ -5,6 +5,14 @@
 import (
 	"bufio"
 	"context"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/launch"
+	"fernlanding/internal/harness/link"
+	"fernlanding/internal/harness/process"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/harness/worker"
+	"fernlanding/internal/sleep"
+	"fernlanding/internal/standin"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -16,15 +24,6 @@
 	"strings"
 	"sync"
 	"time"
-
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/launch"
-	"fernlanding/internal/harness/link"
-	"fernlanding/internal/harness/process"
-	"fernlanding/internal/harness/scenario"
-	"fernlanding/internal/harness/worker"
-	"fernlanding/internal/sleep"
-	"fernlanding/internal/standin"
 )
 
 // Options say how a run is carried out.
@@ -81,9 +80,11 @@
 		return fmt.Errorf("rig: %w", err)
 	}
 	defer func() { err = begun.End(err) }()
-	r := &run{Run: begun, sc: sc, opts: opts, backAt: map[string]string{}, members: map[string]standin.Member{},
+	r := &run{
+		Run: begun, sc: sc, opts: opts, backAt: map[string]string{}, members: map[string]standin.Member{},
 		names: map[string]int{}, sidecars: sc.Names(scenario.OnSidecars), lists: sc.Names(scenario.OnLists), clients: sc.Names(scenario.OnClients),
-		workers: sc.Names(scenario.OnBackends), quiet: make(chan struct{}, len(sc.Names(scenario.OnClients)))}
+		workers: sc.Names(scenario.OnBackends), quiet: make(chan struct{}, len(sc.Names(scenario.OnClients))),
+	}
 	if err := r.lay(); err != nil {
 		return fmt.Errorf("rig: %w", err)
 	}
--- a/internal/harness/scenario/scenario_test.go
+++ b/internal/harness/scenario/scenario_test.go
@@ -1,6 +1,7 @@
 package scenario_test
 
 import (
+	"fernlanding/internal/harness/scenario"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -8,8 +9,6 @@
 	"strings"
 	"testing"
 	"time"
-
-	"fernlanding/internal/harness/scenario"
 )
 
 const base = "name = \"x\"\nfor = \"10s\"\n[sidecars]\ncount = 9\nsites = [\"a\", \"b\"]\n[lists]\ncount = 2\n[backends]\ncount = 5\n"
--- a/internal/harness/worker/clients.go
+++ b/internal/harness/worker/clients.go
@@ -4,6 +4,8 @@
 	"bufio"
 	"context"
 	"errors"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/socket"
 	"fmt"
 	"io"
 	"maps"
@@ -14,9 +16,6 @@
 	"strings"
 	"sync"
 	"time"
-
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/socket"
 )
 
 // Class is a class of requests that the rig's clients send, and its sidecars are configured for.
--- a/internal/membership/cache/cache.go
+++ b/internal/membership/cache/cache.go
@@ -5,6 +5,8 @@
 
 import (
 	"encoding/json"
+	"fernlanding/internal/durable"
+	"fernlanding/internal/membership"
 	"fmt"
 	"hash/crc32"
 	"math"
@@ -12,9 +14,6 @@
 	"os"
 	"path/filepath"
 	"time"
-
-	"fernlanding/internal/durable"
-	"fernlanding/internal/membership"
 )
 
 const (
--- a/internal/membership/cache/keeper.go
+++ b/internal/membership/cache/keeper.go
@@ -2,12 +2,11 @@
 
 import (
 	"context"
+	"fernlanding/internal/membership"
 	"log/slog"
 	"slices"
 	"sync"
 	"time"
-
-	"fernlanding/internal/membership"
 )
 
 const (
--- a/internal/membership/catalog/ask.go
+++ b/internal/membership/catalog/ask.go
@@ -2,11 +2,10 @@
 
 import (
 	"context"
-	"sync"
-	"time"
-
 	"fernlanding/internal/membership"
 	"fernlanding/internal/start"
+	"sync"
+	"time"
 )
 
 const (
--- a/internal/membership/catalog/catalog.go
+++ b/internal/membership/catalog/catalog.go
@@ -4,6 +4,9 @@
 import (
 	"context"
 	"errors"
+	"fernlanding/internal/membership"
+	"fernlanding/internal/membership/staleness"
+	"fernlanding/internal/start"
 	"fmt"
 	"io"
 	"log/slog"
@@ -12,10 +15,6 @@
 	"net/http"
 	"strconv"
 	"time"
-
-	"fernlanding/internal/membership"
-	"fernlanding/internal/membership/staleness"
-	"fernlanding/internal/start"
 )
 
 const (
@@ -60,8 +59,10 @@
 
 // New returns a client of a discovery.
 func New(cfg Config) *Client {
-	d := &Client{addr: cfg.Address, patience: pushPatience, hold: func() time.Duration { return pushHold },
-		dial: (&net.Dialer{KeepAlive: -1}).DialContext, log: cfg.Log, cfg: cfg, interval: silentInterval, random: cfg.Rand, stale: staleness.New()}
+	d := &Client{
+		addr: cfg.Address, patience: pushPatience, hold: func() time.Duration { return pushHold },
+		dial: (&net.Dialer{KeepAlive: -1}).DialContext, log: cfg.Log, cfg: cfg, interval: silentInterval, random: cfg.Rand, stale: staleness.New(),
+	}
 	if cfg.Dial != nil {
 		d.dial = cfg.Dial
 	}
--- a/internal/membership/catalog/pace.go
+++ b/internal/membership/catalog/pace.go
@@ -3,11 +3,10 @@
 import (
 	"context"
 	"errors"
-	"fmt"
-	"time"
-
 	"fernlanding/internal/membership"
 	"fernlanding/internal/start"
+	"fmt"
+	"time"
 )
 
 // paced is a Client's work where package start decides when to call.
--- a/internal/membership/catalog/silence_test.go
+++ b/internal/membership/catalog/silence_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fernlanding/internal/membership"
 	"fmt"
 	"io"
 	"log/slog"
@@ -12,8 +13,6 @@
 	"strings"
 	"testing"
 	"time"
-
-	"fernlanding/internal/membership"
 )
 
 // script is a discovery that does as a function says with each call, by its number from 1.
--- a/internal/membership/consul/blocking.go
+++ b/internal/membership/consul/blocking.go
@@ -7,6 +7,10 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fernlanding/internal/membership"
+	"fernlanding/internal/membership/reconcile"
+	"fernlanding/internal/membership/staleness"
+	"fernlanding/internal/sleep"
 	"fmt"
 	"io"
 	"log/slog"
@@ -16,11 +20,6 @@
 	"net/url"
 	"strconv"
 	"time"
-
-	"fernlanding/internal/membership"
-	"fernlanding/internal/membership/reconcile"
-	"fernlanding/internal/membership/staleness"
-	"fernlanding/internal/sleep"
 )
 
 const (
@@ -56,8 +55,10 @@
 
 // New returns a source.
 func New(cfg Config) *Source {
-	return &Source{cfg: cfg, teller: staleness.NewNotifier("health reads", cfg.Log),
-		client: &http.Client{Transport: &http.Transport{DialContext: cfg.Dial, MaxConnsPerHost: 2, DisableCompression: true}}}
+	return &Source{
+		cfg: cfg, teller: staleness.NewNotifier("health reads", cfg.Log),
+		client: &http.Client{Transport: &http.Transport{DialContext: cfg.Dial, MaxConnsPerHost: 2, DisableCompression: true}},
+	}
 }
 
 // Health implements membership.Source.
--- a/internal/membership/contract/contract.go
+++ b/internal/membership/contract/contract.go
@@ -3,6 +3,7 @@
 
 import (
 	"context"
+	"fernlanding/internal/membership"
 	"fmt"
 	"maps"
 	"slices"
@@ -10,8 +11,6 @@
 	"sync"
 	"testing"
 	"time"
-
-	"fernlanding/internal/membership"
 )
 
 // patience is how long something may take that is to happen. Only a failing test waits for it.
--- a/internal/membership/file/file.go
+++ b/internal/membership/file/file.go
@@ -6,15 +6,14 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fernlanding/internal/membership"
+	"fernlanding/internal/membership/reconcile"
+	"fernlanding/internal/membership/staleness"
 	"fmt"
 	"io"
 	"log/slog"
 	"os"
 	"time"
-
-	"fernlanding/internal/membership"
-	"fernlanding/internal/membership/reconcile"
-	"fernlanding/internal/membership/staleness"
 )
 
 const (
--- a/internal/membership/reconcile/reconcile.go
+++ b/internal/membership/reconcile/reconcile.go
@@ -10,6 +10,7 @@
 import (
 	"encoding/json"
 	"errors"
+	"fernlanding/internal/membership"
 	"fmt"
 	"maps"
 	"math"
@@ -18,8 +19,6 @@
 	"strconv"
 	"strings"
 	"time"
-
-	"fernlanding/internal/membership"
 )
 
 // Bounds of what is taken.
--- a/internal/membership/relayed/contract_test.go
+++ b/internal/membership/relayed/contract_test.go
@@ -3,15 +3,14 @@
 import (
 	"context"
 	"encoding/json"
-	"log/slog"
-	"sync"
-	"testing"
-
 	"fernlanding/internal/distribution"
 	"fernlanding/internal/distribution/follow"
 	"fernlanding/internal/distribution/node/nodetest"
 	"fernlanding/internal/membership"
 	"fernlanding/internal/membership/contract"
+	"log/slog"
+	"sync"
+	"testing"
 )
 
 // registry is a source with a relay on sockets, and a gate before the relay, in the hands of the contract's suite.
--- a/internal/membership/relayed/list.go
+++ b/internal/membership/relayed/list.go
@@ -2,15 +2,14 @@
 
 import (
 	"errors"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/membership"
+	"fernlanding/internal/membership/reconcile"
 	"fmt"
 	"log/slog"
 	"slices"
 	"sync"
 	"time"
-
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/membership"
-	"fernlanding/internal/membership/reconcile"
 )
 
 const (
--- a/internal/membership/relayed/lists.go
+++ b/internal/membership/relayed/lists.go
@@ -1,12 +1,11 @@
 package relayed
 
 import (
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/follow"
 	"log/slog"
 	"sync"
 	"time"
-
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/follow"
 )
 
 // resourcePrefix begins the names of resources that are lists.
--- a/internal/membership/relayed/relayed.go
+++ b/internal/membership/relayed/relayed.go
@@ -8,7 +8,6 @@
 
 import (
 	"context"
-
 	"fernlanding/internal/membership"
 )
 
--- a/internal/membership/staleness/staleness.go
+++ b/internal/membership/staleness/staleness.go
@@ -2,10 +2,9 @@
 package staleness
 
 import (
+	"fernlanding/internal/membership"
 	"sync"
 	"time"
-
-	"fernlanding/internal/membership"
 )
 
 // Tracker is a source's health. It may be used by many goroutines.
--- a/internal/membership/staleness/teller.go
+++ b/internal/membership/staleness/teller.go
@@ -1,11 +1,10 @@
 package staleness
 
 import (
-	"log/slog"
-	"time"
-
 	"fernlanding/internal/membership"
 	"fernlanding/internal/membership/reconcile"
+	"log/slog"
+	"time"
 )
 
 // Notifier hands on what is new in the lists of a source that reads whole ones without a version of their own: they are
--- a/internal/pcap/bench_test.go
+++ b/internal/pcap/bench_test.go
@@ -4,6 +4,11 @@
 	"bytes"
 	"context"
 	"encoding/binary"
+	"fernlanding/internal/pcap/capture"
+	"fernlanding/internal/pcap/flow"
+	"fernlanding/internal/pcap/http"
+	"fernlanding/internal/pcap/packet"
+	"fernlanding/internal/pcap/synth"
 	"fmt"
 	"io"
 	"net/netip"
@@ -16,12 +21,6 @@
 	"github.com/gopacket/gopacket/layers"
 	"github.com/gopacket/gopacket/pcapgo"
 	"github.com/gopacket/gopacket/reassembly"
-
-	"fernlanding/internal/pcap/capture"
-	"fernlanding/internal/pcap/flow"
-	"fernlanding/internal/pcap/http"
-	"fernlanding/internal/pcap/packet"
-	"fernlanding/internal/pcap/synth"
 )
 
 // benchBytes is the size of each made capture.
@@ -166,10 +165,12 @@
 func (d *discard) New(_, _ gopacket.Flow, _ *layers.TCP, _ reassembly.AssemblerContext) reassembly.Stream {
 	return d
 }
+
 func (d *discard) Accept(_ *layers.TCP, _ gopacket.CaptureInfo, _ reassembly.TCPFlowDirection, _ reassembly.Sequence, start *bool, _ reassembly.AssemblerContext) bool {
 	*start = *start || d.bytes == 0 // the first of all may have no SYN
 	return true
 }
+
 func (d *discard) ReassembledSG(sg reassembly.ScatterGather, _ reassembly.AssemblerContext) {
 	n, _ := sg.Lengths()
 	d.bytes += int64(len(sg.Fetch(n)))
--- a/internal/pcap/bodies/bodies.go
+++ b/internal/pcap/bodies/bodies.go
@@ -3,12 +3,11 @@
 
 import (
 	"errors"
+	"fernlanding/internal/pcap/http"
 	"fmt"
 	"io"
 	"os"
 	"sync/atomic"
-
-	"fernlanding/internal/pcap/http"
 )
 
 // Dir is a store of bodies. Its directory goes with Close.
--- a/internal/pcap/http/http_test.go
+++ b/internal/pcap/http/http_test.go
@@ -2,14 +2,13 @@
 
 import (
 	"errors"
+	"fernlanding/internal/pcap/flow"
 	"fmt"
 	"io"
 	"net/netip"
 	"strings"
 	"testing"
 	"time"
-
-	"fernlanding/internal/pcap/flow"
 )
 
 // heard is a Sink that writes down what it is told.
@@ -23,6 +22,7 @@
 func (h *heard) Stream(_ *flow.Flow, d flow.Dir, f Fault) {
 	h.note("%s %d at %d: %d", f.Kind, d, f.At, f.Bytes)
 }
+
 func (h *heard) Exchange(e *Exchange) {
 	request, answer := "-", "-"
 	if e.Request != nil {
--- a/internal/pcap/http/reader.go
+++ b/internal/pcap/http/reader.go
@@ -2,9 +2,8 @@
 
 import (
 	"cmp"
-	"time"
-
 	"fernlanding/internal/pcap/flow"
+	"time"
 )
 
 // Exchange is a request and its answer, as far as they were seen whole.
--- a/internal/pcap/packet/packet.go
+++ b/internal/pcap/packet/packet.go
@@ -4,6 +4,8 @@
 
 import (
 	"errors"
+	"fernlanding/internal/pcap/capture"
+	"fernlanding/internal/pcap/flow"
 	"fmt"
 	"net/netip"
 	"time"
@@ -12,9 +14,6 @@
 	"github.com/gopacket/gopacket/ip4defrag"
 	"github.com/gopacket/gopacket/ip6defrag"
 	"github.com/gopacket/gopacket/layers"
-
-	"fernlanding/internal/pcap/capture"
-	"fernlanding/internal/pcap/flow"
 )
 
 // Kind is what a packet is.
@@ -63,8 +62,10 @@
 func New() *Decoder {
 	d := &Decoder{parsers: map[gopacket.LayerType]*gopacket.DecodingLayerParser{}}
 	d.reset()
-	for _, first := range []gopacket.LayerType{layers.LayerTypeEthernet, layers.LayerTypeLinuxSLL, layers.LayerTypeLinuxSLL2,
-		layers.LayerTypeLoopback, layers.LayerTypeIPv4, layers.LayerTypeIPv6, layers.LayerTypeTCP} {
+	for _, first := range []gopacket.LayerType{
+		layers.LayerTypeEthernet, layers.LayerTypeLinuxSLL, layers.LayerTypeLinuxSLL2,
+		layers.LayerTypeLoopback, layers.LayerTypeIPv4, layers.LayerTypeIPv6, layers.LayerTypeTCP,
+	} {
 		p := gopacket.NewDecodingLayerParser(first, &d.eth, &d.tag, &d.sll, &d.sll2, &d.loop, &d.ip4, &d.ip6, &d.fragment, &d.skip,
 			&d.tcp, &d.payload)
 		p.AddDecodingLayer(&d.fragment) // the skipper would take fragments for any other extension
--- a/internal/pcap/pcap.go
+++ b/internal/pcap/pcap.go
@@ -5,15 +5,14 @@
 import (
 	"context"
 	"errors"
-	"fmt"
-	"io"
-	"strings"
-	"time"
-
 	"fernlanding/internal/pcap/capture"
 	"fernlanding/internal/pcap/flow"
 	"fernlanding/internal/pcap/http"
 	"fernlanding/internal/pcap/packet"
+	"fmt"
+	"io"
+	"strings"
+	"time"
 )
 
 // Options bound and direct a reading. The zero value is fine.
--- a/internal/pcap/replay/run.go
+++ b/internal/pcap/replay/run.go
@@ -5,6 +5,9 @@
 	"bytes"
 	"context"
 	"errors"
+	"fernlanding/internal/pcap/http"
+	"fernlanding/internal/pcap/write"
+	"fernlanding/internal/sleep"
 	"fmt"
 	"io"
 	"net"
@@ -12,10 +15,6 @@
 	"net/netip"
 	"sync"
 	"time"
-
-	"fernlanding/internal/pcap/http"
-	"fernlanding/internal/pcap/write"
-	"fernlanding/internal/sleep"
 )
 
 // Target is where a replay goes, and how.
--- a/internal/pcap/synth/synth.go
+++ b/internal/pcap/synth/synth.go
@@ -30,8 +30,10 @@
 
 // Type is the link type that a file gives for the framing.
 func (l Link) Type() layers.LinkType {
-	return [...]layers.LinkType{layers.LinkTypeEthernet, layers.LinkTypeEthernet, layers.LinkTypeEthernet, layers.LinkTypeLinuxSLL,
-		layers.LinkTypeLinuxSLL2, layers.LinkTypeNull, layers.LinkTypeRaw}[l]
+	return [...]layers.LinkType{
+		layers.LinkTypeEthernet, layers.LinkTypeEthernet, layers.LinkTypeEthernet, layers.LinkTypeLinuxSLL,
+		layers.LinkTypeLinuxSLL2, layers.LinkTypeNull, layers.LinkTypeRaw,
+	}[l]
 }
 
 // Packet is a packet of a made capture.
@@ -108,8 +110,10 @@
 	if p.Dir == 1 {
 		src, dst = dst, src
 	}
-	tcp := &layers.TCP{SrcPort: layers.TCPPort(src.Port()), DstPort: layers.TCPPort(dst.Port()), Seq: p.Seq, Ack: p.Ack,
-		ACK: !p.SYN || p.Dir == 1, SYN: p.SYN, FIN: p.FIN, RST: p.RST, PSH: len(p.Data) > 0, Window: 65535}
+	tcp := &layers.TCP{
+		SrcPort: layers.TCPPort(src.Port()), DstPort: layers.TCPPort(dst.Port()), Seq: p.Seq, Ack: p.Ack,
+		ACK: !p.SYN || p.Dir == 1, SYN: p.SYN, FIN: p.FIN, RST: p.RST, PSH: len(p.Data) > 0, Window: 65535,
+	}
 	var ip gopacket.SerializableLayer
 	if src.Addr().Is4() {
 		v4 := &layers.IPv4{Version: 4, TTL: 64, Protocol: layers.IPProtocolTCP, SrcIP: src.Addr().AsSlice(), DstIP: dst.Addr().AsSlice()}
--- a/internal/pcap/write/write.go
+++ b/internal/pcap/write/write.go
@@ -5,6 +5,7 @@
 
 import (
 	"errors"
+	"fernlanding/internal/pcap/synth"
 	"fmt"
 	"io"
 	"net/netip"
@@ -14,8 +15,6 @@
 	"github.com/gopacket/gopacket"
 	"github.com/gopacket/gopacket/layers"
 	"github.com/gopacket/gopacket/pcapgo"
-
-	"fernlanding/internal/pcap/synth"
 )
 
 const (
--- a/internal/pcap/write/write_test.go
+++ b/internal/pcap/write/write_test.go
@@ -4,16 +4,15 @@
 	"bytes"
 	"context"
 	"errors"
+	"fernlanding/internal/pcap"
+	"fernlanding/internal/pcap/flow"
+	"fernlanding/internal/pcap/http"
 	"net/netip"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/gopacket/gopacket/pcapgo"
-
-	"fernlanding/internal/pcap"
-	"fernlanding/internal/pcap/flow"
-	"fernlanding/internal/pcap/http"
 )
 
 var (
--- a/internal/scale/fit/figure.go
+++ b/internal/scale/fit/figure.go
@@ -51,8 +51,10 @@
 
 // Figures returns all figures.
 func Figures() []Figure {
-	return []Figure{CPU, RSS, Heap, Allocated, Allocations, Goroutines, Connections, BytesIn, BytesOut, MessagesIn, MessagesOut,
-		InForceMedian, InForceP99, InForceLast, CallMedian, CallP99}
+	return []Figure{
+		CPU, RSS, Heap, Allocated, Allocations, Goroutines, Connections, BytesIn, BytesOut, MessagesIn, MessagesOut,
+		InForceMedian, InForceP99, InForceLast, CallMedian, CallP99,
+	}
 }
 
 // IsTime tells whether the figure is a quantile of a time. Times are not added up over proxies.
--- a/internal/scale/fit/heldout.go
+++ b/internal/scale/fit/heldout.go
@@ -1,9 +1,8 @@
 package fit
 
 import (
-	"math"
-
 	"fernlanding/internal/scale/result"
+	"math"
 )
 
 // Tolerance is the part by which a prediction may miss what was measured.
--- a/internal/scale/fit/model.go
+++ b/internal/scale/fit/model.go
@@ -1,10 +1,9 @@
 package fit
 
 import (
+	"fernlanding/internal/scale/result"
 	"math"
 	"slices"
-
-	"fernlanding/internal/scale/result"
 )
 
 // Drivers are the quantities that costs grow with. Those of a measured point follow from its size; those of a target
@@ -29,8 +28,10 @@
 // DriversOf are the drivers of a measured size, with the number of a role's processes and that of relays.
 func DriversOf(s result.Size, processes, relays int) Drivers {
 	n, services, backends := float64(s.Proxies), float64(s.Services), float64(s.Backends)
-	d := Drivers{Processes: float64(processes), Relays: float64(relays), Proxies: n, Followed: n * services, EndpointsHeld: n * services * backends,
-		Changes: s.ChangesPerSecond, EndpointsPut: s.ChangesPerSecond * backends, Calls: n * s.CallsPerSecond, Services: float64(s.ServicesInAll), Endpoints: float64(s.ServicesInAll) * backends}
+	d := Drivers{
+		Processes: float64(processes), Relays: float64(relays), Proxies: n, Followed: n * services, EndpointsHeld: n * services * backends,
+		Changes: s.ChangesPerSecond, EndpointsPut: s.ChangesPerSecond * backends, Calls: n * s.CallsPerSecond, Services: float64(s.ServicesInAll), Endpoints: float64(s.ServicesInAll) * backends,
+	}
 	if s.ServicesInAll > 0 {
 		d.Delivered = s.ChangesPerSecond * n * services / float64(s.ServicesInAll)
 	}
--- a/internal/scale/fit/sweep.go
+++ b/internal/scale/fit/sweep.go
@@ -2,11 +2,10 @@
 
 import (
 	"cmp"
+	"fernlanding/internal/scale/result"
 	"fmt"
 	"math"
 	"slices"
-
-	"fernlanding/internal/scale/result"
 )
 
 // Line is how a figure grows along the dimension of a sweep.
@@ -67,8 +66,10 @@
 func Sweeps(res *result.Result) (all []Sweep) {
 	for _, role := range Roles() {
 		for _, figure := range Figures() {
-			s := Sweep{Scenario: res.Scenario, Source: res.Source, Dimension: res.Dimension, Hollow: res.Hollow, Role: role, Figure: figure,
-				PerProxy: role == Proxies && res.Dimension != result.Proxies && !figure.IsTime()}
+			s := Sweep{
+				Scenario: res.Scenario, Source: res.Source, Dimension: res.Dimension, Hollow: res.Hollow, Role: role, Figure: figure,
+				PerProxy: role == Proxies && res.Dimension != result.Proxies && !figure.IsTime(),
+			}
 			seen := observe(res, role, figure)
 			if s.PerProxy {
 				for i := range seen {
--- a/internal/scale/hollow/conn.go
+++ b/internal/scale/hollow/conn.go
@@ -29,8 +29,10 @@
 }
 
 func (m *meter) traffic() Traffic {
-	return Traffic{BytesIn: m.bytesIn.Load(), BytesOut: m.bytesOut.Load(), MessagesIn: m.messagesIn.Load(), MessagesOut: m.messagesOut.Load(),
-		Open: int(m.open.Load())}
+	return Traffic{
+		BytesIn: m.bytesIn.Load(), BytesOut: m.bytesOut.Load(), MessagesIn: m.messagesIn.Load(), MessagesOut: m.messagesOut.Load(),
+		Open: int(m.open.Load()),
+	}
 }
 
 // dialer opens metered connections from one local address.
--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/hollow/hollow.go
@@ -10,6 +10,10 @@
 import (
 	"context"
 	"errors"
+	"fernlanding/internal/config"
+	"fernlanding/internal/membership"
+	"fernlanding/internal/scale/churn"
+	"fernlanding/internal/sidecar"
 	"fmt"
 	"log/slog"
 	"net/netip"
@@ -20,11 +24,6 @@
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"fernlanding/internal/config"
-	"fernlanding/internal/membership"
-	"fernlanding/internal/scale/churn"
-	"fernlanding/internal/sidecar"
 )
 
 // MaxArrivals bounds how many times of changes in force a fleet keeps until they are collected.
@@ -127,8 +126,10 @@
 		for _, v := range app.Services {
 			p.services = append(p.services, v.Name)
 		}
-		how := sidecar.HollowOptions{Dial: newDialer(s.From, &f.meter).dial,
-			InForce: func(service string, list *membership.List) { f.listed(p, service, list) }}
+		how := sidecar.HollowOptions{
+			Dial:    newDialer(s.From, &f.meter).dial,
+			InForce: func(service string, list *membership.List) { f.listed(p, service, list) },
+		}
 		p.sidecar, err = sidecar.NewHollow(app, slog.New(slog.DiscardHandler), how)
 		return err
 	})
--- a/internal/scale/hollow/load.go
+++ b/internal/scale/hollow/load.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"fernlanding/internal/core"
+	"fernlanding/logic"
 	"fmt"
 	"runtime"
 	"strconv"
@@ -9,9 +11,6 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-
-	"fernlanding/internal/core"
-	"fernlanding/logic"
 )
 
 const (
--- a/internal/scale/latency/chain.go
+++ b/internal/scale/latency/chain.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fernlanding/internal/harness/spawn"
 	"fmt"
 	"io/fs"
 	"net"
@@ -14,8 +15,6 @@
 	"strings"
 	"syscall"
 	"time"
-
-	"fernlanding/internal/harness/spawn"
 )
 
 const (
--- a/internal/scale/latency/plan.go
+++ b/internal/scale/latency/plan.go
@@ -8,10 +8,9 @@
 package latency
 
 import (
-	"time"
-
 	"fernlanding/internal/rules"
 	"fernlanding/internal/tomldoc"
+	"time"
 )
 
 // Bounds of a plan.
--- a/internal/scale/latency/run.go
+++ b/internal/scale/latency/run.go
@@ -76,8 +76,10 @@
 	if err := m.warm(ctx); err != nil {
 		return nil, err
 	}
-	out := &CaseResult{Name: c.Name, RatePerSecond: c.Rate, Hops: c.Hops, Connections: c.Connections, Backends: c.Backends,
-		SegmentSeconds: p.Segment.Seconds()}
+	out := &CaseResult{
+		Name: c.Name, RatePerSecond: c.Rate, Hops: c.Hops, Connections: c.Connections, Backends: c.Backends,
+		SegmentSeconds: p.Segment.Seconds(),
+	}
 	for i := range c.Rounds {
 		f, err := m.round(ctx, i)
 		if err != nil {
--- a/internal/scale/latency/run_test.go
+++ b/internal/scale/latency/run_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fernlanding/internal/standin"
 	"net/http"
 	"net/netip"
 	"os"
@@ -11,8 +12,6 @@
 	"strings"
 	"testing"
 	"time"
-
-	"fernlanding/internal/standin"
 )
 
 // buildSidecar builds the program under test.
--- a/internal/scale/predict/before.go
+++ b/internal/scale/predict/before.go
@@ -1,10 +1,9 @@
 package predict
 
 import (
-	"fmt"
-
 	"fernlanding/internal/scale/fit"
 	"fernlanding/internal/scale/result"
+	"fmt"
 )
 
 // BeforeAfter is the table of what was measured by consul and by distribution at the same size: the largest of each
@@ -48,10 +47,16 @@
 		figure fit.Figure
 		share  float64
 	}{
-		{"bytes to a proxy", fit.Proxies, fit.BytesIn, n}, {"bytes from a proxy", fit.Proxies, fit.BytesOut, n}, {"processor of a proxy", fit.Proxies, fit.CPU, n},
-		{"memory of all hollow proxies", fit.Proxies, fit.RSS, 1}, {"processor of the list service or source", fit.Lists, fit.CPU, 1},
-		{"messages from the list service or source", fit.Lists, fit.MessagesOut, 1}, {"processor of the relays", fit.Relays, fit.CPU, 1},
-		{"memory of the relays", fit.Relays, fit.RSS, 1}, {"in force, median", fit.Proxies, fit.InForceMedian, 1}, {"in force, p99", fit.Proxies, fit.InForceP99, 1},
+		{"bytes to a proxy", fit.Proxies, fit.BytesIn, n},
+		{"bytes from a proxy", fit.Proxies, fit.BytesOut, n},
+		{"processor of a proxy", fit.Proxies, fit.CPU, n},
+		{"memory of all hollow proxies", fit.Proxies, fit.RSS, 1},
+		{"processor of the list service or source", fit.Lists, fit.CPU, 1},
+		{"messages from the list service or source", fit.Lists, fit.MessagesOut, 1},
+		{"processor of the relays", fit.Relays, fit.CPU, 1},
+		{"memory of the relays", fit.Relays, fit.RSS, 1},
+		{"in force, median", fit.Proxies, fit.InForceMedian, 1},
+		{"in force, p99", fit.Proxies, fit.InForceP99, 1},
 		{"in force, last", fit.Proxies, fit.InForceLast, 1},
 	} {
 		a, aOK := fit.MeanOf(before, x.role, x.figure)
--- a/internal/scale/predict/events.go
+++ b/internal/scale/predict/events.go
@@ -1,11 +1,10 @@
 package predict
 
 import (
-	"fmt"
-	"math"
-
 	"fernlanding/internal/scale/fit"
 	"fernlanding/internal/scale/result"
+	"fmt"
+	"math"
 )
 
 // event is something that changes lists or makes proxies read them anew.
@@ -33,15 +32,21 @@
 	return []event{
 		{name: "an ordinary day", load: ordinary, reads: f.RestartsPerDay * f.ServicesFollowed},
 		{name: "its busiest minute", load: minute},
-		{name: "a rolling release of the largest service", load: s.toLargest(releaseChanges*largest, c.t.Get(ReleaseMinutes)*60), reads: largest * f.ServicesFollowed,
-			note: fmt.Sprintf("%s backends, four changes each", short(largest))},
+		{
+			name: "a rolling release of the largest service", load: s.toLargest(releaseChanges*largest, c.t.Get(ReleaseMinutes)*60), reads: largest * f.ServicesFollowed,
+			note: fmt.Sprintf("%s backends, four changes each", short(largest)),
+		},
 		{name: "a rack is lost", load: s.perBackend(min(c.t.Get(RackBackends), float64(f.Proxies)), atOnce)},
 		{name: "a zone is lost", load: s.perBackend(zone, atOnce), note: short(zone) + " proxies and backends"},
 		{name: "the zone returns", load: s.perBackend(zone, c.t.Get(ZoneReturnSeconds)), reads: zone * f.ServicesFollowed},
-		{name: "the list services of a region restart", load: s.perBackend(0, atOnce), reads: region * f.ServicesFollowed, resumes: region, resumed: true,
-			note: short(region) + " proxies"},
-		{name: "a region was cut off for an hour, the meeting again", load: c.missed(s, cut, region),
-			note: fmt.Sprintf("%s changes were missed", short(cut.total()))},
+		{
+			name: "the list services of a region restart", load: s.perBackend(0, atOnce), reads: region * f.ServicesFollowed, resumes: region, resumed: true,
+			note: short(region) + " proxies",
+		},
+		{
+			name: "a region was cut off for an hour, the meeting again", load: c.missed(s, cut, region),
+			note: fmt.Sprintf("%s changes were missed", short(cut.total())),
+		},
 		{name: "a bad configuration of the largest service is taken back", load: s.toLargest(2, atOnce), configuration: true, note: "its coming and its going"},
 	}
 }
@@ -142,8 +147,10 @@
 				continue
 			}
 			o := c.play(w, s, x)
-			t.Rows = append(t.Rows, []string{what, at[0], at[1], wayName(w), o.messages.shown(WorkedOut, plain), o.bytes.shown(WorkedOut, bytesOf),
-				o.cores.shown(WorkedOut, plain), o.inForce.shown(WorkedOut, seconds), c.eventVerdict(x, o)})
+			t.Rows = append(t.Rows, []string{
+				what, at[0], at[1], wayName(w), o.messages.shown(WorkedOut, plain), o.bytes.shown(WorkedOut, bytesOf),
+				o.cores.shown(WorkedOut, plain), o.inForce.shown(WorkedOut, seconds), c.eventVerdict(x, o),
+			})
 		}
 	}
 	return t
--- a/internal/scale/predict/evidence.go
+++ b/internal/scale/predict/evidence.go
@@ -1,10 +1,9 @@
 package predict
 
 import (
-	"slices"
-
 	"fernlanding/internal/scale/fit"
 	"fernlanding/internal/scale/result"
+	"slices"
 )
 
 // File is a result with the name of its file.
@@ -185,8 +184,10 @@
 	if received == nil || cores == nil {
 		return wholeReading{bytesAnEndpoint: t.Get(EndpointBytes)}
 	}
-	return wholeReading{bytesARead: received.Term(fit.TermListRead).Value, bytesAnEndpoint: received.Term(fit.TermEndpointRead).Value,
-		coresARead: cores.Term(fit.TermListRead).Value, coresAnEndpoint: cores.Term(fit.TermEndpointRead).Value, measured: true}
+	return wholeReading{
+		bytesARead: received.Term(fit.TermListRead).Value, bytesAnEndpoint: received.Term(fit.TermEndpointRead).Value,
+		coresARead: cores.Term(fit.TermListRead).Value, coresAnEndpoint: cores.Term(fit.TermEndpointRead).Value, measured: true,
+	}
 }
 
 func (r wholeReading) bytes(reads, endpoints float64) float64 {
--- a/internal/scale/predict/measured.go
+++ b/internal/scale/predict/measured.go
@@ -1,12 +1,11 @@
 package predict
 
 import (
+	"fernlanding/internal/scale/fit"
+	"fernlanding/internal/scale/result"
 	"fmt"
 	"slices"
 	"strings"
-
-	"fernlanding/internal/scale/fit"
-	"fernlanding/internal/scale/result"
 )
 
 // Sizes is the table of what is told and what follows from it, at both sizes.
@@ -61,9 +60,11 @@
 		if i := slices.IndexFunc(r.Points, func(p result.Point) bool { return p.HeldOut }); i >= 0 {
 			held = short(fit.Along(r.Dimension, r.Points[i].Size))
 		}
-		t.Rows = append(t.Rows, []string{"`" + f.Name + "`", string(r.Source), string(r.Dimension), kind + ", " + span(float64(first.Proxies), float64(last.Proxies)),
+		t.Rows = append(t.Rows, []string{
+			"`" + f.Name + "`", string(r.Source), string(r.Dimension), kind + ", " + span(float64(first.Proxies), float64(last.Proxies)),
 			fmt.Sprintf("%d: %s", len(r.Points), span(fit.Along(r.Dimension, first), fit.Along(r.Dimension, last))), held, fmt.Sprint(len(r.Points[0].Rounds)),
-			short(r.LoadBefore), "`" + fmt.Sprintf("%.12s", r.Program) + "`"})
+			short(r.LoadBefore), "`" + fmt.Sprintf("%.12s", r.Program) + "`",
+		})
 	}
 	return t
 }
@@ -100,8 +101,10 @@
 		what = "a proxy"
 	}
 	l := s.Line
-	return []string{"`" + file + "`", what, strings.TrimSuffix(fmt.Sprintf("%s, %s", s.Figure, unit), ", "), string(s.Dimension), fmt.Sprintf("%s ± %s", short(l.Slope/base), short(l.SlopeError/base)),
-		fmt.Sprintf("%s ± %s", short(l.Intercept/base), short(l.InterceptError/base)), fmt.Sprintf("%.3f", l.R2), l.Shape.String()}
+	return []string{
+		"`" + file + "`", what, strings.TrimSuffix(fmt.Sprintf("%s, %s", s.Figure, unit), ", "), string(s.Dimension), fmt.Sprintf("%s ± %s", short(l.Slope/base), short(l.SlopeError/base)),
+		fmt.Sprintf("%s ± %s", short(l.Intercept/base), short(l.InterceptError/base)), fmt.Sprintf("%.3f", l.R2), l.Shape.String(),
+	}
 }
 
 // Models is the table of formulas.
@@ -136,8 +139,10 @@
 	if len(m.Aliased) > 0 {
 		text += " (the sizes cannot tell it from: " + strings.Join(m.Aliased, ", ") + ")"
 	}
-	return []string{string(m.Source), string(m.Role), strings.TrimSuffix(fmt.Sprintf("%s, %s", m.Figure, unit), ", "), text, fmt.Sprintf("%.3f", m.R2),
-		percent(m.Typical) + ", " + percent(m.Worst), fmt.Sprint(m.Rounds)}
+	return []string{
+		string(m.Source), string(m.Role), strings.TrimSuffix(fmt.Sprintf("%s, %s", m.Figure, unit), ", "), text, fmt.Sprintf("%.3f", m.R2),
+		percent(m.Typical) + ", " + percent(m.Worst), fmt.Sprint(m.Rounds),
+	}
 }
 
 // HeldOut is the table of prediction against fact.
@@ -184,8 +189,10 @@
 	case !byLine:
 		within = "formula alone"
 	}
-	return []string{x.Scenario, sizeText(x.Size), string(x.Role), strings.TrimSuffix(fmt.Sprintf("%s, %s", x.Figure, unit), ", "), short(x.Predicted / base), short(x.ByLine / base),
-		short(x.Measured / base), short(x.Ratio()), short(x.LineRatio()), within}
+	return []string{
+		x.Scenario, sizeText(x.Size), string(x.Role), strings.TrimSuffix(fmt.Sprintf("%s, %s", x.Figure, unit), ", "), short(x.Predicted / base), short(x.ByLine / base),
+		short(x.Measured / base), short(x.Ratio()), short(x.LineRatio()), within,
+	}
 }
 
 func sizeText(s result.Size) string {
@@ -219,8 +226,10 @@
 	for _, l := range c.e.Latency {
 		added := fmt.Sprintf("%s, %s, %s m", short(l.AddedP99.Median), short(l.AddedP99.Lowest), short(l.AddedP99.Highest))
 		same := fmt.Sprintf("%s, %s, %s m", short(l.SameP99.Median), short(l.SameP99.Lowest), short(l.SameP99.Highest))
-		t.Rows = append(t.Rows, []string{"`" + l.File + "`", l.Case, short(l.RatePerSecond), fmt.Sprint(l.Hops), short(l.DirectP99) + " m", short(l.Through) + " m", added, same,
-			short(l.CPUPerCallMicros) + " m", c.latencyVerdict(&l)})
+		t.Rows = append(t.Rows, []string{
+			"`" + l.File + "`", l.Case, short(l.RatePerSecond), fmt.Sprint(l.Hops), short(l.DirectP99) + " m", short(l.Through) + " m", added, same,
+			short(l.CPUPerCallMicros) + " m", c.latencyVerdict(&l),
+		})
 	}
 	return t
 }
--- a/internal/scale/predict/order.go
+++ b/internal/scale/predict/order.go
@@ -2,12 +2,11 @@
 
 import (
 	"cmp"
+	"fernlanding/internal/scale/fit"
+	"fernlanding/internal/scale/result"
 	"fmt"
 	"math"
 	"slices"
-
-	"fernlanding/internal/scale/fit"
-	"fernlanding/internal/scale/result"
 )
 
 // candidate is a mechanism that may be missing.
@@ -54,8 +53,10 @@
 // configuration is carried by nothing today: no change is in force anywhere in any time.
 func (c *Calculator) configuration(s *shape) candidate {
 	minute := c.play(result.SourceRelay, s, c.events(s)[1])
-	return candidate{name: "distribution of configuration", without: known(math.Inf(1)), with: minute.inForce.over(c.t.Limits.InForceSeconds),
-		figures: fmt.Sprintf("%s changes a day; today nothing carries one to a proxy and nobody can say where it is in force; with it: the busiest minute", short(s.fleet.ChangesPerDay))}
+	return candidate{
+		name: "distribution of configuration", without: known(math.Inf(1)), with: minute.inForce.over(c.t.Limits.InForceSeconds),
+		figures: fmt.Sprintf("%s changes a day; today nothing carries one to a proxy and nobody can say where it is in force; with it: the busiest minute", short(s.fleet.ChangesPerDay)),
+	}
 }
 
 func (c *Calculator) listCores(s *shape) candidate {
@@ -75,23 +76,29 @@
 		}
 		return sum.over(float64(c.t.Limits.ControlMachines))
 	}
-	return candidate{name: "distribution of lists: machines for control", without: of(result.SourceConsul), with: of(result.SourceRelay),
-		figures: fmt.Sprintf("%d machines set aside", c.t.Limits.ControlMachines)}
+	return candidate{
+		name: "distribution of lists: machines for control", without: of(result.SourceConsul), with: of(result.SourceRelay),
+		figures: fmt.Sprintf("%d machines set aside", c.t.Limits.ControlMachines),
+	}
 }
 
 func (c *Calculator) subsets(s *shape) candidate {
 	_, most := s.connectionsIn(0)
 	all, dialled := s.unspread(0, c.t.Get(IdleSeconds))
 	allowed := c.t.Get(Descriptors)
-	return candidate{name: "subsets of backends (there already: `logic`)", without: known(all / allowed), with: known(most / allowed),
-		figures: fmt.Sprintf("%s connections to a backend of the largest service, %s of calls on a new one; %s with subsets", short(all), percent(dialled), short(most))}
+	return candidate{
+		name: "subsets of backends (there already: `logic`)", without: known(all / allowed), with: known(most / allowed),
+		figures: fmt.Sprintf("%s connections to a backend of the largest service, %s of calls on a new one; %s with subsets", short(all), percent(dialled), short(most)),
+	}
 }
 
 func (c *Calculator) ordinals(s *shape) candidate {
 	_, most := s.connectionsIn(0)
 	allowed := c.t.Get(Descriptors)
-	return candidate{name: "an ordinal of its own for each caller (`ordinal` in its file; nothing deals them out)", without: known(s.callers(0) / allowed), with: known(most / allowed),
-		figures: fmt.Sprintf("all callers with ordinal 0 share one subset of %s backends", short(s.subset(0)))}
+	return candidate{
+		name: "an ordinal of its own for each caller (`ordinal` in its file; nothing deals them out)", without: known(s.callers(0) / allowed), with: known(most / allowed),
+		figures: fmt.Sprintf("all callers with ordinal 0 share one subset of %s backends", short(s.subset(0))),
+	}
 }
 
 func (c *Calculator) addedLatency(hops int) candidate {
--- a/internal/scale/predict/roles.go
+++ b/internal/scale/predict/roles.go
@@ -1,11 +1,10 @@
 package predict
 
 import (
-	"fmt"
-	"math"
-
 	"fernlanding/internal/scale/fit"
 	"fernlanding/internal/scale/result"
+	"fmt"
+	"math"
 )
 
 // Calculator works out the page's tables.
@@ -34,8 +33,10 @@
 
 func (c *Calculator) proxyNeeds(w way, d fit.Drivers) proxyNeeds {
 	get := func(f fit.Figure) amount { return c.e.proxy(w, f, d, c.t.Get(ProcessBytes)) }
-	n := proxyNeeds{in: get(fit.BytesIn), out: get(fit.BytesOut), cores: get(fit.CPU), memory: get(fit.RSS),
-		messagesIn: get(fit.MessagesIn), messagesOut: get(fit.MessagesOut), controlConnections: get(fit.Connections)}
+	n := proxyNeeds{
+		in: get(fit.BytesIn), out: get(fit.BytesOut), cores: get(fit.CPU), memory: get(fit.RSS),
+		messagesIn: get(fit.MessagesIn), messagesOut: get(fit.MessagesOut), controlConnections: get(fit.Connections),
+	}
 	n.bytes = n.in.plus(n.out)
 	return n
 }
@@ -97,8 +98,10 @@
 	n := c.proxyNeeds(w, d)
 	state := fmt.Sprintf("%s lists of %s endpoints w", short(s.fleet.ServicesFollowed), short(s.endpointsFollowed()))
 	out := s.connectionsOut()
-	return []string{"a caller's proxy", wayName(w), state, n.messages(), n.traffic(), n.cores.shown(WorkedOut, percent), n.memory.shown(WorkedOut, bytesOf),
-		fmt.Sprintf("%s control; %s to backends w", n.controlConnections.shown(WorkedOut, plain), short(out)), c.worstOf(n)}
+	return []string{
+		"a caller's proxy", wayName(w), state, n.messages(), n.traffic(), n.cores.shown(WorkedOut, percent), n.memory.shown(WorkedOut, bytesOf),
+		fmt.Sprintf("%s control; %s to backends w", n.controlConnections.shown(WorkedOut, plain), short(out)), c.worstOf(n),
+	}
 }
 
 func (n proxyNeeds) messages() string {
@@ -118,9 +121,11 @@
 	memory.value += most * c.t.Get(ConnectionBytes)
 	withConnections := n
 	withConnections.memory = memory
-	return []string{"a backend's proxy, largest service", wayName(w), "as a caller's, and the calls under way", n.messages(), n.traffic(), n.cores.shown(WorkedOut, percent),
+	return []string{
+		"a backend's proxy, largest service", wayName(w), "as a caller's, and the calls under way", n.messages(), n.traffic(), n.cores.shown(WorkedOut, percent),
 		memory.shown(WorkedOut, bytesOf), fmt.Sprintf("%s control; %s from callers, %s at most w", n.controlConnections.shown(WorkedOut, plain), short(mean), short(most)),
-		c.worstOf(withConnections)}
+		c.worstOf(withConnections),
+	}
 }
 
 // tier is a level of services for control.
@@ -185,9 +190,11 @@
 	cpu, in, out := get(fit.CPU), get(fit.BytesIn), get(fit.BytesOut)
 	need := c.machines(cpu, amount{max(in.value, out.value), in.known && out.known})
 	memory := get(fit.RSS)
-	return []string{x.name, wayName(w), x.state, get(fit.MessagesIn).shown(WorkedOut, perSecond) + ", " + get(fit.MessagesOut).shown(WorkedOut, perSecond),
+	return []string{
+		x.name, wayName(w), x.state, get(fit.MessagesIn).shown(WorkedOut, perSecond) + ", " + get(fit.MessagesOut).shown(WorkedOut, perSecond),
 		in.shown(WorkedOut, bytesASecond) + ", " + out.shown(WorkedOut, bytesASecond), cpu.shown(WorkedOut, cores), memory.shown(WorkedOut, bytesOf),
-		get(fit.Connections).shown(WorkedOut, plain), fmt.Sprintf("%s; %s of %s machines", verdict(need, x.have), machinesShown(need), short(x.have))}
+		get(fit.Connections).shown(WorkedOut, plain), fmt.Sprintf("%s; %s of %s machines", verdict(need, x.have), machinesShown(need), short(x.have)),
+	}
 }
 
 func machinesShown(need amount) string {
@@ -207,8 +214,10 @@
 // operatorRow is fernctl rollout, which reads one resource's status.
 func (c *Calculator) operatorRow(*shape) []string {
 	size := float64(laggardsMost * (laggardBytes + refusalBytes))
-	return []string{"an operator's tool", wayName(result.SourceRelay), "one status: counts by version, 20 laggards and 20 refusals at most", "1 a question", bytesOf(size) + " at most w",
-		"not measured", "not measured", "1", "does not grow with the fleet"}
+	return []string{
+		"an operator's tool", wayName(result.SourceRelay), "one status: counts by version, 20 laggards and 20 refusals at most", "1 a question", bytesOf(size) + " at most w",
+		"not measured", "not measured", "1", "does not grow with the fleet",
+	}
 }
 
 // backendRow is a backend as all its callers see it.
@@ -219,6 +228,8 @@
 	state := fmt.Sprintf("%s: %s backends, %s callers, %s calls/s each w", name, short(s.sizes[i]), short(s.callers(i)), short(s.callRate(i)))
 	spread := fmt.Sprintf("%s, %s at most, by subsets of %s w; %s without subsets, %s of calls on a new connection w; %s where callers share one ordinal w",
 		short(mean), short(most), short(s.subset(i)), short(all), percent(dialled), short(same))
-	return []string{"a backend as seen by its callers", "logic's subset", state, perSecond(s.fleet.CallsPerSecond/float64(s.fleet.Proxies)) + " calls t", "-", "-",
-		bytesOf(most*c.t.Get(ConnectionBytes)) + " w", spread, verdict(known(most), c.t.Get(Descriptors)) + " (descriptors)"}
+	return []string{
+		"a backend as seen by its callers", "logic's subset", state, perSecond(s.fleet.CallsPerSecond/float64(s.fleet.Proxies)) + " calls t", "-", "-",
+		bytesOf(most*c.t.Get(ConnectionBytes)) + " w", spread, verdict(known(most), c.t.Get(Descriptors)) + " (descriptors)",
+	}
 }
--- a/internal/scale/predict/shape.go
+++ b/internal/scale/predict/shape.go
@@ -1,9 +1,8 @@
 package predict
 
 import (
-	"math"
-
 	"fernlanding/internal/scale/fit"
+	"math"
 )
 
 // shape is how uneven a fleet's services are: service i has sizes[i] backends, and the part followed[i] of all proxies
@@ -147,8 +146,10 @@
 // under are the drivers of the fleet under a load, with at most one reading of a list by a proxy in a gap.
 func (s *shape) under(l load, gap float64) fit.Drivers {
 	n := float64(s.fleet.Proxies)
-	d := fit.Drivers{Proxies: n, Followed: n * total(s.followed), EndpointsHeld: n * s.endpointsFollowed(),
-		Calls: s.fleet.CallsPerSecond, Services: float64(s.fleet.Services), Endpoints: total(s.sizes)}
+	d := fit.Drivers{
+		Proxies: n, Followed: n * total(s.followed), EndpointsHeld: n * s.endpointsFollowed(),
+		Calls: s.fleet.CallsPerSecond, Services: float64(s.fleet.Services), Endpoints: total(s.sizes),
+	}
 	changes, endpoints := s.delivered(l)
 	d.Changes, d.Delivered, d.EndpointsChanged = l.total()/l.seconds, changes/l.seconds, endpoints/l.seconds
 	d.ListsRead, d.EndpointsRead = s.read(l, gap)
--- a/internal/scale/predict/target.go
+++ b/internal/scale/predict/target.go
@@ -4,11 +4,10 @@
 package predict
 
 import (
-	"fmt"
-	"slices"
-
 	"fernlanding/internal/rules"
 	"fernlanding/internal/tomldoc"
+	"fmt"
+	"slices"
 )
 
 // Format is the version of target files that this program reads.
@@ -96,9 +95,11 @@
 )
 
 func assumptionNames() []AssumptionName {
-	return []AssumptionName{FollowedPart, MachineCores, MachineMemory, MachineNetwork, MachineUse, Descriptors, IdleSeconds, ConnectionBytes,
+	return []AssumptionName{
+		FollowedPart, MachineCores, MachineMemory, MachineNetwork, MachineUse, Descriptors, IdleSeconds, ConnectionBytes,
 		RestartChanges, FailureChanges, BusiestFactor, ReleaseMinutes, RackBackends, ZoneReturnSeconds, ReadPaceMs, RelaysPerZone, RelaysPerRegion,
-		CoalescingMs, RegionRoundTripMs, EndpointBytes, ProcessBytes, ResumeBytes, CutSeconds, LeastService}
+		CoalescingMs, RegionRoundTripMs, EndpointBytes, ProcessBytes, ResumeBytes, CutSeconds, LeastService,
+	}
 }
 
 // Get is the value of an assumption.
@@ -121,8 +122,10 @@
 		s.Bad(rules.Version, "format", "the file's format, %d, expected", Format)
 	}
 	s.Whole("format", Format, Format, Format)
-	t := &Target{Today: readFleet(s.Sub("today")), Target: readFleet(s.Sub("target")), Limits: readLimits(s.Sub("limits")),
-		Curve: readCurve(s.Sub("curve")), Assumptions: readAssumptions(s)}
+	t := &Target{
+		Today: readFleet(s.Sub("today")), Target: readFleet(s.Sub("target")), Limits: readLimits(s.Sub("limits")),
+		Curve: readCurve(s.Sub("curve")), Assumptions: readAssumptions(s),
+	}
 	s.Done()
 	return t
 }
@@ -143,12 +146,14 @@
 }
 
 func readFleet(s tomldoc.Scope) Fleet {
-	f := Fleet{Proxies: requiredWhole(s, "proxies", 1, maxProxies), Services: requiredWhole(s, "services", 1, maxServices),
+	f := Fleet{
+		Proxies: requiredWhole(s, "proxies", 1, maxProxies), Services: requiredWhole(s, "services", 1, maxServices),
 		LargestService: requiredWhole(s, "largest_service", 1, maxProxies), ServicesFollowed: required(s, "services_followed", 0.1, maxServices),
 		CallsPerSecond: required(s, "calls_per_second", 0, 1e12), Depth: requiredWhole(s, "depth", 1, 100),
 		Regions: requiredWhole(s, "regions", 1, 1000), Zones: requiredWhole(s, "zones", 1, 1000),
 		ChangesPerDay: required(s, "changes_per_day", 0, 1e9), MachineFailuresPerDay: required(s, "machine_failures_per_day", 0, 1e9),
-		RestartsPerDay: required(s, "restarts_per_day", 0, 1e9), ZoneProxies: requiredWhole(s, "zone_proxies", 1, maxProxies)}
+		RestartsPerDay: required(s, "restarts_per_day", 0, 1e9), ZoneProxies: requiredWhole(s, "zone_proxies", 1, maxProxies),
+	}
 	if f.Proxies < f.Services {
 		s.Bad(rules.Range, "services", "no more than there are proxies, %d, expected", f.Proxies)
 	}
@@ -163,9 +168,11 @@
 }
 
 func readLimits(s tomldoc.Scope) Limits {
-	l := Limits{AddedP99Ms: required(s, "added_p99_ms", 1e-3, 1e5), InForceSeconds: required(s, "in_force_seconds", 1e-3, 1e5),
+	l := Limits{
+		AddedP99Ms: required(s, "added_p99_ms", 1e-3, 1e5), InForceSeconds: required(s, "in_force_seconds", 1e-3, 1e5),
 		ProxyCores: required(s, "proxy_cores", 1e-6, 1e3), ProxyBytes: required(s, "proxy_bytes", 1, 1e12),
-		ProxyBytesASec: required(s, "proxy_bytes_per_second", 1, 1e12), ControlMachines: requiredWhole(s, "control_machines", 1, 1e6)}
+		ProxyBytesASec: required(s, "proxy_bytes_per_second", 1, 1e12), ControlMachines: requiredWhole(s, "control_machines", 1, 1e6),
+	}
 	s.Done()
 	return l
 }
--- a/internal/scale/sweep/cast.go
+++ b/internal/scale/sweep/cast.go
@@ -2,16 +2,15 @@
 
 import (
 	"context"
+	"fernlanding/internal/scale/result"
+	"fernlanding/internal/scale/topology"
+	"fernlanding/internal/scale/worker"
+	"fernlanding/internal/sleep"
 	"fmt"
 	"net"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-
-	"fernlanding/internal/scale/result"
-	"fernlanding/internal/scale/topology"
-	"fernlanding/internal/scale/worker"
-	"fernlanding/internal/sleep"
 )
 
 const (
--- a/internal/scale/sweep/plan.go
+++ b/internal/scale/sweep/plan.go
@@ -1,10 +1,9 @@
 package sweep
 
 import (
-	"fmt"
-
 	"fernlanding/internal/scale/result"
 	"fernlanding/internal/scale/scenario"
+	"fmt"
 )
 
 const (
--- a/internal/scale/sweep/relays.go
+++ b/internal/scale/sweep/relays.go
@@ -2,16 +2,15 @@
 
 import (
 	"context"
-	"fmt"
-	"path/filepath"
-	"strings"
-	"time"
-
 	"fernlanding/internal/distribution"
 	"fernlanding/internal/distribution/httpapi"
 	"fernlanding/internal/scale/hollow"
 	"fernlanding/internal/scale/result"
 	"fernlanding/internal/scale/worker"
+	"fmt"
+	"path/filepath"
+	"strings"
+	"time"
 )
 
 const (
@@ -93,9 +92,12 @@
 		out = append(out, worker.Usage{At: hollow.Now(), CPUSeconds: seconds, Traffic: hollow.Traffic{
 			BytesIn: stats.BytesIn + stats.UpstreamBytesIn, BytesOut: stats.BytesOut + stats.UpstreamBytesOut,
 			MessagesIn: stats.MessagesIn + stats.UpstreamMessages, MessagesOut: stats.MessagesOut + stats.UpstreamMessages,
-			Open: stats.Sessions}})
-		followers = append(followers, worker.Usage{Traffic: hollow.Traffic{BytesIn: stats.BytesIn, BytesOut: stats.BytesOut,
-			MessagesIn: stats.MessagesIn, MessagesOut: stats.MessagesOut, Open: stats.Sessions}})
+			Open: stats.Sessions,
+		}})
+		followers = append(followers, worker.Usage{Traffic: hollow.Traffic{
+			BytesIn: stats.BytesIn, BytesOut: stats.BytesOut,
+			MessagesIn: stats.MessagesIn, MessagesOut: stats.MessagesOut, Open: stats.Sessions,
+		}})
 	}
 	return out, followers, nil
 }
--- a/internal/scale/sweep/run.go
+++ b/internal/scale/sweep/run.go
@@ -5,6 +5,9 @@
 import (
 	"context"
 	"errors"
+	"fernlanding/internal/scale/result"
+	"fernlanding/internal/scale/scenario"
+	"fernlanding/internal/sleep"
 	"fmt"
 	"io"
 	"os"
@@ -12,10 +15,6 @@
 	"runtime"
 	"runtime/debug"
 	"time"
-
-	"fernlanding/internal/scale/result"
-	"fernlanding/internal/scale/scenario"
-	"fernlanding/internal/sleep"
 )
 
 // Options say how a sweep is played.
@@ -63,8 +62,10 @@
 	if err := s.check(ctx, points); err != nil {
 		return nil, fmt.Errorf("scale: %w", err)
 	}
-	out := &result.Result{Format: result.Format, Scenario: sc.Name, Source: sc.Source, Dimension: sc.Dimension, Hollow: sc.Hollow,
-		Date: time.Now().UTC().Format(time.RFC3339), Program: revision(), GoVersion: runtime.Version(), Cores: runtime.NumCPU(), LoadBefore: loadAverage()}
+	out := &result.Result{
+		Format: result.Format, Scenario: sc.Name, Source: sc.Source, Dimension: sc.Dimension, Hollow: sc.Hollow,
+		Date: time.Now().UTC().Format(time.RFC3339), Program: revision(), GoVersion: runtime.Version(), Cores: runtime.NumCPU(), LoadBefore: loadAverage(),
+	}
 	for _, p := range points {
 		if p.Rounds, err = s.play(ctx, p.Size); err != nil {
 			return nil, fmt.Errorf("scale: %s = %s: %w", sc.Dimension, describe(p.Size), err)
--- a/internal/scale/topology/layout.go
+++ b/internal/scale/topology/layout.go
@@ -3,6 +3,8 @@
 package topology
 
 import (
+	"fernlanding/internal/scale/churn"
+	"fernlanding/internal/scale/result"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -10,9 +12,6 @@
 	"slices"
 	"strconv"
 	"strings"
-
-	"fernlanding/internal/scale/churn"
-	"fernlanding/internal/scale/result"
 )
 
 const (
--- a/internal/scale/worker/proxies.go
+++ b/internal/scale/worker/proxies.go
@@ -2,13 +2,12 @@
 
 import (
 	"context"
+	"fernlanding/internal/scale/hollow"
+	"fernlanding/internal/scale/topology"
 	"fmt"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-
-	"fernlanding/internal/scale/hollow"
-	"fernlanding/internal/scale/topology"
 )
 
 // startGap is between the starts of two proxies, so that they do not all read their lists in one moment.
--- a/internal/scale/worker/worker.go
+++ b/internal/scale/worker/worker.go
@@ -8,6 +8,8 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fernlanding/internal/scale/hollow"
+	"fernlanding/internal/scale/topology"
 	"fmt"
 	"io"
 	"os"
@@ -19,9 +21,6 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-
-	"fernlanding/internal/scale/hollow"
-	"fernlanding/internal/scale/topology"
 )
 
 // Role is what a worker is.
@@ -198,8 +197,10 @@
 	var used syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &used) // can't fail with these arguments
 	cpu := time.Duration(used.Utime.Nano() + used.Stime.Nano())
-	return Usage{At: hollow.Now(), CPUSeconds: cpu.Seconds(), AllocatedBytes: int64(allocs[0].Value.Uint64()),
-		Allocations: int64(allocs[1].Value.Uint64()), Traffic: t}
+	return Usage{
+		At: hollow.Now(), CPUSeconds: cpu.Seconds(), AllocatedBytes: int64(allocs[0].Value.Uint64()),
+		Allocations: int64(allocs[1].Value.Uint64()), Traffic: t,
+	}
 }
 
 // state is what lives in this process.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -5,10 +5,9 @@
 import (
 	"encoding/json"
 	"errors"
+	"fernlanding/logic"
 	"fmt"
 	"time"
-
-	"fernlanding/logic"
 )
 
 // Deployment is what the settings object says: the module's part and the names and figures of the sockets.
@@ -74,7 +73,8 @@
 	if err := json.Unmarshal(data, &o); err != nil {
 		return nil, err
 	}
-	site := &Deployment{Zones: o.Zones,
+	site := &Deployment{
+		Zones:       o.Zones,
 		DialTimeout: time.Duration(o.Limits.DialTimeout) * time.Microsecond,
 		IdleClose:   time.Duration(o.Limits.IdleClose) * time.Microsecond,
 	}
@@ -150,9 +150,11 @@
 		if !ok {
 			return s, fmt.Errorf("profiles[%d].dedup_scope: unknown word %q", i, p.Scope)
 		}
-		s.Classes = append(s.Classes, logic.Class{LatencyObjective: p.Objective, Deadline: p.GiveUp, PriorityWeight: p.Worth,
+		s.Classes = append(s.Classes, logic.Class{
+			LatencyObjective: p.Objective, Deadline: p.GiveUp, PriorityWeight: p.Worth,
 			LatePriorityFactor: p.LateShare, Idempotency: repeat, DedupScope: group, DedupWindow: p.Window,
-			Ordered: p.ByArrival})
+			Ordered: p.ByArrival,
+		})
 	}
 	for _, t := range o.Tenants {
 		s.Tenants = append(s.Tenants, logic.Tenant{CapacityFraction: t.Portion, Quota: t.Quota})
--- a/internal/sidecar/app_test.go
+++ b/internal/sidecar/app_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"fernlanding/internal/config"
+	"fernlanding/internal/standin"
 	"fmt"
 	"io"
 	"log/slog"
@@ -13,9 +15,6 @@
 	"sync/atomic"
 	"testing"
 	"time"
-
-	"fernlanding/internal/config"
-	"fernlanding/internal/standin"
 )
 
 // The tests of a sidecar before several services, over loopback sockets.
--- a/internal/sidecar/departure_test.go
+++ b/internal/sidecar/departure_test.go
@@ -1,6 +1,7 @@
 package sidecar
 
 import (
+	"fernlanding/internal/standin/backendtest"
 	"fmt"
 	"io"
 	"net"
@@ -10,8 +11,6 @@
 	"syscall"
 	"testing"
 	"time"
-
-	"fernlanding/internal/standin/backendtest"
 )
 
 // hungListener is a backend whose queue of connections is full: what dials it hangs until it accepts.
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -2,16 +2,16 @@
 
 import (
 	"context"
+	"fernlanding/internal/config"
+	"fernlanding/internal/core"
+	"fernlanding/internal/membership"
+	"fernlanding/logic"
 	"fmt"
 	"log/slog"
 	"net"
 	"net/http"
 
-	"fernlanding/internal/config"
-	"fernlanding/internal/core"
-	"fernlanding/internal/membership"
 	upstream "fernlanding/internal/upstream/http1"
-	"fernlanding/logic"
 )
 
 // HollowOptions says how a sidecar runs that has the control half alone: its configuration is in force, its sources follow their
--- a/internal/sidecar/platform.go
+++ b/internal/sidecar/platform.go
@@ -1,14 +1,13 @@
 package sidecar
 
 import (
+	"fernlanding/internal/front"
+	"fernlanding/internal/settings"
+	"fernlanding/logic"
 	"net/http"
 	"strconv"
 	"strings"
 	"time"
-
-	"fernlanding/internal/front"
-	"fernlanding/internal/settings"
-	"fernlanding/logic"
 )
 
 const (
@@ -101,7 +100,9 @@
 		tenant = -1 // not told
 	}
 	wait := min(time.Duration(k.Deadline)*time.Microsecond, time.Duration(min(ms, 1e9))*time.Millisecond)
-	return front.Destination{Pool: p.pool, ID: id, Class: class, Tenant: tenant, Key: rest[strings.LastIndexByte(rest, '/')+1:],
+	return front.Destination{
+		Pool: p.pool, ID: id, Class: class, Tenant: tenant, Key: rest[strings.LastIndexByte(rest, '/')+1:],
 		Target: r.RequestURI, Timeout: wait - min(answerMargin, wait/marginPart),
-		MaxBody: p.maxBody, NoBody: method == http.MethodGet}, nil
+		MaxBody: p.maxBody, NoBody: method == http.MethodGet,
+	}, nil
 }
--- a/internal/sidecar/process.go
+++ b/internal/sidecar/process.go
@@ -1,11 +1,10 @@
 package sidecar
 
 import (
+	"fernlanding/internal/config"
 	"math"
 	"runtime"
 	"runtime/debug"
-
-	"fernlanding/internal/config"
 )
 
 const (
