--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -8,18 +8,21 @@
 	"time"
 )
 
-// Upstream reaches the backends of one pool over one protocol.
+// Upstream reaches the backends of one pool over one protocol. The pool calls UpdateEndpoints and
+// RoundTripper with its lock held, so neither may call back into the pool.
 type Upstream interface {
-	// UpdateEndpoints takes a list or its changes. Once it returns, no Way opened before begins anything new at a backend
-	// that drains, is gone, has restarted or moved.
+	// UpdateEndpoints applies a snapshot (full) or a delta. Once it returns, no RoundTripper
+	// returned before begins anything new at a backend that is draining, was removed, has restarted
+	// or has moved.
 	UpdateEndpoints(full bool, entries []membership.Endpoint)
-	// RoundTripper returns the way to a listed backend that takes new requests; nil if it is none.
+	// RoundTripper returns the RoundTripper for a listed backend that accepts new requests; nil if
+	// it is none.
 	RoundTripper(server string) RoundTripper
-	// CloseExpired ends kept connections whose time is up.
+	// CloseExpired closes idle connections that have reached their idle timeout.
 	CloseExpired(now time.Time)
 }
 
-// RoundTripper is how a backend was reached when the module chose it.
+// RoundTripper reaches one backend, as it was listed when the module selected it.
 type RoundTripper interface {
 	// RoundTrip carries an attempt out and returns when nothing of it is left.
 	RoundTrip(*Attempt) AttemptResult
@@ -28,81 +31,96 @@
 // AttemptResult is how an attempt ended.
 type AttemptResult struct {
 	Status         logic.Status
-	InvalidRequest bool      // the backend says that the request makes no sense, whoever gets it
-	Response       *Response // with logic.OK and Fault; with logic.Error where replies of all kinds go on
+	InvalidRequest bool      // the backend rejects the request itself: every backend would
+	Response       *Response // with logic.OK and InvalidRequest; with logic.Error where error responses are passed on
 }
 
-// Canceler is something that an attempt waits on and that can be broken off from another goroutine.
-type Canceler interface{ Cancel() }
+// Canceler is an operation of an attempt that another goroutine can cancel.
+type Canceler interface {
+	// Cancel ends the operation. It is called with the attempt's lock held, so it must not call the
+	// attempt.
+	Cancel()
+}
 
-// Attempt is one Send of the module on its way.
+// Attempt is one attempt of a request at one backend. Its exported methods may be called from any
+// goroutine.
 type Attempt struct {
 	*Request
 	Deadline time.Time
-	SendBy   time.Time // its first byte leaves by then, or it is not sent; zero: by the deadline
-	server   string
-	number   int
-	sent     int64        // when the module decided
-	way      RoundTripper // nil: it can't be carried out
-
-	mu      sync.Mutex
-	stopped bool
-	hook    Canceler
+	SendBy   time.Time // the attempt is not sent if its first byte has not left by then; zero: no limit but Deadline
+
+	server       string
+	number       int          // of the request's attempts, from 0
+	sentAt       int64        // when the module decided to forward it, in microseconds of the pool's clock
+	roundTripper RoundTripper // nil: the attempt can't be carried out
+
+	mu       sync.Mutex // guards what follows
+	canceled bool
+	canceler Canceler // of the operation in progress; nil: none
 }
 
-// NewAttempt returns an attempt that no pool knows of, for the tests of an upstream.
+// NewAttempt returns an attempt that belongs to no pool, for the tests of an upstream.
 func NewAttempt(r *Request, deadline time.Time) *Attempt {
 	return &Attempt{Request: r, Deadline: deadline}
 }
 
-// Cancel breaks the attempt off.
+// Cancel cancels the attempt and the operation that SetCanceler has registered.
 func (a *Attempt) Cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.stopped = true; a.hook != nil {
-		a.hook.Cancel()
+	a.canceled = true
+	if a.canceler != nil {
+		a.canceler.Cancel()
 	}
 }
 
-// Canceled tells whether the attempt has been broken off.
+// Canceled reports whether the attempt has been canceled.
 func (a *Attempt) Canceled() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.stopped
+	return a.canceled
 }
 
-// DeadlinePassed tells whether the attempt's time is up.
+// DeadlinePassed reports whether the attempt's deadline has passed.
 func (a *Attempt) DeadlinePassed() bool { return !time.Now().Before(a.Deadline) }
 
-// SetCanceler has b broken when the attempt is; it is false, and b is not held, if that has happened. At most one is held.
-func (a *Attempt) SetCanceler(b Canceler) bool {
+// SetCanceler registers c to be canceled with the attempt, in place of any other. It returns false,
+// and registers nothing, if the attempt has been canceled.
+func (a *Attempt) SetCanceler(c Canceler) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.stopped {
-		a.hook = b
+	if a.canceled {
+		return false
 	}
-	return !a.stopped
+	a.canceler = c
+	return true
 }
 
-// ClearCanceler lets go of what Hook holds; it is false if that has been broken.
+// ClearCanceler unregisters what SetCanceler has registered. It returns false if the attempt has
+// been canceled.
 func (a *Attempt) ClearCanceler() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.hook = nil
-	return !a.stopped
+	a.canceler = nil
+	return !a.canceled
 }
 
-type cancelled context.CancelFunc
+// contextCanceler is a Canceler that cancels a context.
+type contextCanceler context.CancelFunc
 
-// Cancel implements Breaker.
-func (c cancelled) Cancel() { c() }
+// Cancel implements Canceler.
+func (c contextCanceler) Cancel() { c() }
 
-// Context returns a context that ends with the attempt's time or when it is stopped, and what lets go of it.
-// It takes the place of what is hooked.
+// Context returns a context that ends at the attempt's deadline or when the attempt is canceled,
+// and a function that releases it. It takes the place of the registered Canceler.
 func (a *Attempt) Context() (context.Context, func()) {
 	ctx, cancel := context.WithDeadline(context.Background(), a.Deadline)
-	if !a.SetCanceler(cancelled(cancel)) {
+	if !a.SetCanceler(contextCanceler(cancel)) {
+		cancel()
+	}
+	release := func() {
+		a.ClearCanceler()
 		cancel()
 	}
-	return ctx, func() { a.ClearCanceler(); cancel() }
+	return ctx, release
 }
--- a/internal/core/clock.go
+++ b/internal/core/clock.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// Clock gives the module's time: microseconds that begin at the Unix time of the start and then follow the
-// monotonic clock. Unix times that a list gives compare with it, and a step of the wall clock does not.
+// Clock is the module's time: microseconds that begin at the Unix time of the start and then follow
+// the monotonic clock. Unix times in an endpoint list compare with it, and a step of the wall clock
+// does not affect it.
 type Clock struct{ start time.Time }
 
 // NewClock returns a clock that starts now.
-func NewClock() Clock { return Clock{time.Now()} }
+func NewClock() Clock { return Clock{start: time.Now()} }
 
-// Now is the present time in microseconds.
+// Now returns the present time in microseconds.
 func (c Clock) Now() int64 { return c.At(time.Now()) }
 
-// At is t in microseconds.
+// At returns t in microseconds.
 func (c Clock) At(t time.Time) int64 { return c.start.UnixMicro() + t.Sub(c.start).Microseconds() }
 
-// Time is the inverse of At.
+// Time returns the time at micros microseconds. It is the inverse of At.
 func (c Clock) Time(micros int64) time.Time {
 	return c.start.Add(time.Duration(micros-c.start.UnixMicro()) * time.Microsecond)
 }
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -10,104 +10,123 @@
 	"time"
 )
 
-const patience = 20 * time.Second // for what must happen
+const testTimeout = 20 * time.Second // of a test's wait for an event that must come
 
-// scripted is an upstream with one backend. Each attempt's end is what its function says.
-type scripted struct {
-	carry func(*Attempt) AttemptResult
-	begun chan *Attempt
+// scriptedUpstream is an Upstream with one backend, whose attempts end as a function returns.
+type scriptedUpstream struct {
+	roundTrip func(*Attempt) AttemptResult
+	started   chan *Attempt
 }
 
-func newScripted(carry func(*Attempt) AttemptResult) *scripted {
-	return &scripted{carry: carry, begun: make(chan *Attempt, 100)}
+func newScriptedUpstream(carry func(*Attempt) AttemptResult) *scriptedUpstream {
+	return &scriptedUpstream{roundTrip: carry, started: make(chan *Attempt, 100)}
 }
 
-func (s *scripted) UpdateEndpoints(bool, []membership.Endpoint) {}
-func (s *scripted) CloseExpired(time.Time)                      {}
-func (s *scripted) RoundTripper(string) RoundTripper            { return s }
-func (s *scripted) RoundTrip(a *Attempt) AttemptResult          { s.begun <- a; return s.carry(a) }
+func (s *scriptedUpstream) UpdateEndpoints(bool, []membership.Endpoint) {}
+func (s *scriptedUpstream) CloseExpired(time.Time)                      {}
+func (s *scriptedUpstream) RoundTripper(string) RoundTripper            { return s }
 
-type breaker chan struct{}
+func (s *scriptedUpstream) RoundTrip(a *Attempt) AttemptResult {
+	s.started <- a
+	return s.roundTrip(a)
+}
+
+// channelCanceler is a Canceler that closes a channel.
+type channelCanceler chan struct{}
 
-func (b breaker) Cancel() { close(b) }
+func (c channelCanceler) Cancel() { close(c) }
 
-// hang waits until the attempt is stopped.
-func hang(a *Attempt) AttemptResult {
-	b := make(breaker)
-	if a.SetCanceler(b) {
-		<-b
+// hangUntilCanceled waits until the attempt is canceled.
+func hangUntilCanceled(a *Attempt) AttemptResult {
+	canceled := make(channelCanceler)
+	if a.SetCanceler(canceled) {
+		<-canceled
 	}
 	return AttemptResult{Status: logic.Canceled}
 }
 
 func startPool(t *testing.T, up Upstream) *Pool {
 	t.Helper()
-	return startPoolWaiting(t, up, 0)
+	return startPoolWithDuplicateWait(t, up, 0)
 }
 
-// startPoolWaiting starts a pool whose requests wait for the end of one under the same id.
-func startPoolWaiting(t *testing.T, up Upstream, sameID time.Duration) *Pool {
+// startPoolWithDuplicateWait runs a pool with one endpoint until the test ends. Its requests wait
+// for the end of an earlier one with the same ID. Class 0 is idempotent, class 1 non-idempotent.
+func startPoolWithDuplicateWait(t *testing.T, up Upstream, duplicateIDWait time.Duration) *Pool {
 	t.Helper()
-	class := logic.Class{LatencyObjective: 4e6, Deadline: 8e6, PriorityWeight: 1}
-	unsafe := class
-	unsafe.Idempotency = logic.NonIdempotent
-	p, err := New(Config{Settings: logic.Settings{
-		Replicas: 1, Zones: 1, MaxAttempts: 3, SlowStartMinCapacity: 1,
-		Classes: []logic.Class{class, unsafe},
-	}, Seed: 1, Upstream: up, Clock: NewClock(), Log: slog.New(slog.DiscardHandler), DuplicateIDWait: sameID})
+	idempotent := logic.Class{LatencyObjective: 4e6, Deadline: 8e6, PriorityWeight: 1}
+	nonIdempotent := idempotent
+	nonIdempotent.Idempotency = logic.NonIdempotent
+	p, err := New(Config{
+		Settings: logic.Settings{
+			Replicas: 1, Zones: 1, MaxAttempts: 3, SlowStartMinCapacity: 1,
+			Classes: []logic.Class{idempotent, nonIdempotent},
+		},
+		Seed:            1,
+		Upstream:        up,
+		Clock:           NewClock(),
+		Log:             slog.New(slog.DiscardHandler),
+		DuplicateIDWait: duplicateIDWait,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	var run sync.WaitGroup
 	run.Go(func() { p.Run(ctx) })
-	t.Cleanup(func() { stop(); run.Wait() })
+	t.Cleanup(func() {
+		stop()
+		run.Wait()
+	})
 	p.UpdateEndpoints(&membership.List{Full: true, Endpoints: []membership.Endpoint{{Name: "a"}}})
 	return p
 }
 
 func newRequest(p *Pool, id string, class int, left time.Duration) *Request {
-	return &Request{Request: logic.Request{ID: id, Class: class, Tenant: -1, ClientDeadline: p.clock.At(time.Now().Add(left))}}
+	deadline := p.clock.At(time.Now().Add(left))
+	return &Request{Request: logic.Request{ID: id, Class: class, Tenant: -1, ClientDeadline: deadline}}
 }
 
-// do hands a request over from a goroutine of its own.
-func do(p *Pool, r *Request) <-chan Answer {
-	got := make(chan Answer, 1)
-	go func() { got <- p.Do(r) }()
-	return got
+// doAsync calls Do on a goroutine of its own.
+func doAsync(p *Pool, r *Request) <-chan Answer {
+	answer := make(chan Answer, 1)
+	go func() { answer <- p.Do(r) }()
+	return answer
 }
 
-func wait[T any](t *testing.T, what string, c <-chan T) T {
+// receive receives what must come from a channel.
+func receive[T any](t *testing.T, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("no %s", what)
 		panic("unreachable")
 	}
 }
 
-// An answer after the aim still has its worth, and an end before the time costs nobody a successor: what is
-// under way at SIGTERM has until shortly before SIGKILL, and no longer.
-func TestHurryLeavesOpenRequestsTheirTime(t *testing.T) {
-	up := newScripted(hang)
+// An answer after the latency objective still has a value, so what is open at SIGTERM keeps its
+// deadline, but none that is later than the limit, which comes shortly before SIGKILL.
+func TestLimitDeadlinesCapsOnlyLaterDeadlines(t *testing.T) {
+	up := newScriptedUpstream(hangUntilCanceled)
 	p := startPool(t, up)
 	soon, late := newRequest(p, "soon", 0, 2*time.Second), newRequest(p, "late", 0, 8*time.Second)
-	answers := []<-chan Answer{do(p, soon), do(p, late)}
-	wait(t, "attempt", up.begun)
-	wait(t, "attempt", up.begun)
+	answers := []<-chan Answer{doAsync(p, soon), doAsync(p, late)}
+	receive(t, "attempt", up.started)
+	receive(t, "attempt", up.started)
 	cutoff := time.Now().Add(3 * time.Second)
 	p.LimitDeadlines(cutoff)
 	p.mu.Lock()
-	if soon.time.at != soon.ClientDeadline+expireAfter.Microseconds() || late.time.at != p.clock.At(cutoff) {
-		t.Errorf("ends at %d and %d", soon.time.at, late.time.at)
+	soonDue := soon.ClientDeadline + deadlineGrace.Microseconds()
+	if soon.expiry.dueAt != soonDue || late.expiry.dueAt != p.clock.At(cutoff) {
+		t.Errorf("ends at %d and %d", soon.expiry.dueAt, late.expiry.dueAt)
 	}
 	p.mu.Unlock()
 	p.Cancel(soon)
 	p.Cancel(late)
 	for _, a := range answers {
-		if ans := wait(t, "answer", a); ans.Verdict != Canceled {
+		if ans := receive(t, "answer", a); ans.Verdict != Canceled {
 			t.Errorf("got %+v", ans)
 		}
 	}
@@ -116,18 +135,18 @@
 	}
 }
 
-// The client may go before its request is handed over, while it waits, or when it has its answer.
-func TestWithdrawalAtAnyTime(t *testing.T) {
-	up := newScripted(func(*Attempt) AttemptResult {
+// The client may leave before its request is handed over, or when it has its answer.
+func TestCancelBeforeAndAfterDo(t *testing.T) {
+	up := newScriptedUpstream(func(*Attempt) AttemptResult {
 		return AttemptResult{Status: logic.OK, Response: &Response{StatusCode: 200, Body: []byte("ok")}}
 	})
 	p := startPool(t, up)
-	r := newRequest(p, "1", 0, patience)
+	r := newRequest(p, "1", 0, testTimeout)
 	p.Cancel(r)
-	if ans := p.Do(r); ans.Verdict != Canceled || len(up.begun) != 0 {
-		t.Errorf("withdrawn before: got %+v, %d attempts", ans, len(up.begun))
+	if ans := p.Do(r); ans.Verdict != Canceled || len(up.started) != 0 {
+		t.Errorf("canceled before Do: got %+v, %d attempts", ans, len(up.started))
 	}
-	r = newRequest(p, "1", 0, patience)
+	r = newRequest(p, "1", 0, testTimeout)
 	if ans := p.Do(r); ans.Verdict != Served || string(ans.Response.Body) != "ok" {
 		t.Errorf("got %+v", ans)
 	}
@@ -137,50 +156,55 @@
 	}
 }
 
-// A request that hangs is answered when its time is up, also where its upstream pays no heed to deadlines.
-func TestTimeUpIsAnAnswer(t *testing.T) {
-	up := newScripted(hang)
+// A request that hangs is answered when its time is up, even if its upstream ignores deadlines.
+func TestExpiredRequestIsAnswered(t *testing.T) {
+	up := newScriptedUpstream(hangUntilCanceled)
 	p := startPool(t, up)
-	if ans := wait(t, "answer", do(p, newRequest(p, "1", 1, 700*time.Millisecond))); ans.Verdict != Expired {
+	if ans := receive(t, "answer", doAsync(p, newRequest(p, "1", 1, 700*time.Millisecond))); ans.Verdict != Expired {
 		t.Errorf("got %+v", ans)
 	}
 }
 
-// A pool that has closed says so before it has taken anything, and goes on with what it has.
-func TestAClosedPoolTakesNothing(t *testing.T) {
+// A closed pool admits no request, and completes those that it has.
+func TestClosedPoolAdmitsNothing(t *testing.T) {
 	release := make(chan struct{})
-	up := newScripted(func(*Attempt) AttemptResult { <-release; return AttemptResult{Status: logic.OK} })
+	up := newScriptedUpstream(func(*Attempt) AttemptResult {
+		<-release
+		return AttemptResult{Status: logic.OK}
+	})
 	p := startPool(t, up)
-	first := do(p, newRequest(p, "1", 1, patience))
-	wait(t, "attempt", up.begun)
+	first := doAsync(p, newRequest(p, "1", 1, testTimeout))
+	receive(t, "attempt", up.started)
 	p.Close()
-	if ans := p.Do(newRequest(p, "2", 1, patience)); ans.Verdict != NotAdmitted {
+	if ans := p.Do(newRequest(p, "2", 1, testTimeout)); ans.Verdict != NotAdmitted {
 		t.Errorf("got %+v", ans)
 	}
 	close(release)
-	if ans := wait(t, "answer", first); ans.Verdict != Served {
+	if ans := receive(t, "answer", first); ans.Verdict != Served {
 		t.Errorf("got %+v", ans)
 	}
-	if len(up.begun) != 0 {
-		t.Errorf("%d further attempts", len(up.begun))
+	if len(up.started) != 0 {
+		t.Errorf("%d further attempts", len(up.started))
 	}
 }
 
-// Requests from many goroutines, with failures and withdrawals: each gets one answer and nothing is left.
-func TestManyAtOnce(t *testing.T) {
-	n := make(chan int, 1)
-	n <- 0
-	up := &scripted{begun: make(chan *Attempt, 100000), carry: func(*Attempt) AttemptResult {
-		i := <-n
-		n <- i + 1
-		return AttemptResult{Status: []logic.Status{logic.OK, logic.OK, logic.OK, logic.Error, logic.Overloaded, logic.Reset}[i%6]}
+// Requests from many goroutines, with failures and cancellations: each gets one answer and the pool
+// keeps nothing.
+func TestConcurrentRequestsGetOneAnswerEach(t *testing.T) {
+	statuses := []logic.Status{logic.OK, logic.OK, logic.OK, logic.Error, logic.Overloaded, logic.Reset}
+	count := make(chan int, 1) // of attempts
+	count <- 0
+	up := &scriptedUpstream{started: make(chan *Attempt, 100000), roundTrip: func(*Attempt) AttemptResult {
+		i := <-count
+		count <- i + 1
+		return AttemptResult{Status: statuses[i%len(statuses)]}
 	}}
 	p := startPool(t, up)
 	var all sync.WaitGroup
 	for i := range 16 {
 		all.Go(func() {
 			for j := range 200 {
-				r := newRequest(p, string(rune('a'+i))+string(rune('0'+j)), i%2, patience)
+				r := newRequest(p, string(rune('a'+i))+string(rune('0'+j)), i%2, testTimeout)
 				if j%9 == 0 {
 					all.Go(func() { p.Cancel(r) })
 				}
@@ -194,23 +218,30 @@
 	}
 }
 
-// A keyed repeat rests on what its backend recalls: it is told by when it has to leave. A first try has until its end.
-func TestAKeyedRepeatHasATimeToBegin(t *testing.T) {
-	up := newScripted(func(*Attempt) AttemptResult { return AttemptResult{Status: logic.Error} })
+// A retry of a request that is idempotent by key relies on its backend's dedup window, so it has a
+// time by which it is sent. A first attempt has its deadline alone.
+func TestRetryByKeyHasSendBy(t *testing.T) {
+	up := newScriptedUpstream(func(*Attempt) AttemptResult { return AttemptResult{Status: logic.Error} })
 	p, err := New(Config{
 		Settings: logic.Settings{
 			Replicas: 1, Zones: 1, MaxAttempts: 2, SlowStartMinCapacity: 1, MaxSendDelay: 1e6,
-			Classes: []logic.Class{{LatencyObjective: 4e6, Deadline: 8e6, PriorityWeight: 1, Idempotency: logic.IdempotentByKey, DedupWindow: 8e6}},
-		}, Seed: 1, Upstream: up, Clock: NewClock(),
-		Log: slog.New(slog.DiscardHandler),
+			Classes: []logic.Class{{
+				LatencyObjective: 4e6, Deadline: 8e6, PriorityWeight: 1,
+				Idempotency: logic.IdempotentByKey, DedupWindow: 8e6,
+			}},
+		},
+		Seed:     1,
+		Upstream: up,
+		Clock:    NewClock(),
+		Log:      slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.UpdateEndpoints(&membership.List{Full: true, Endpoints: []membership.Endpoint{{Name: "a"}}})
-	p.Do(newRequest(p, "1", 0, patience))
-	first, second := wait(t, "first try", up.begun), wait(t, "repeat", up.begun)
+	p.Do(newRequest(p, "1", 0, testTimeout))
+	first, second := receive(t, "first attempt", up.started), receive(t, "retry", up.started)
 	if !first.SendBy.IsZero() || second.SendBy.IsZero() || second.SendBy.After(time.Now().Add(time.Second)) {
-		t.Errorf("first %v, repeat %v", first.SendBy, second.SendBy)
+		t.Errorf("first attempt %v, retry %v", first.SendBy, second.SendBy)
 	}
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -1,26 +1,60 @@
 package core
 
-// timer is an entry of a pool's timers: a token of the module's, or a request's time.
+import (
+	"container/heap"
+	"time"
+)
+
+// timer is an entry of a pool's timers: one that the module has set, or a request's expiry.
 type timer struct {
-	at    int64
-	token string
-	req   *Request
-	place int // in the heap; -1 once it is out
+	dueAt   int64    // in microseconds of the pool's clock
+	token   string   // the module's
+	request *Request // that expires; nil: the timer is the module's
+	index   int      // in the heap; -1 once it is removed
 }
 
+// timerHeap orders timers by the time at which they are due. It implements heap.Interface.
 type timerHeap []*timer
 
-func (h timerHeap) Len() int           { return len(h) }
-func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+// add adds a timer.
+func (h *timerHeap) add(t *timer) { heap.Push(h, t) }
+
+// popEarliest removes and returns the timer that is due first; there must be one.
+func (h *timerHeap) popEarliest() *timer {
+	earliest := (*h)[0]
+	heap.Pop(h)
+	return earliest
+}
+
+// reschedule moves a timer to another time.
+func (h *timerHeap) reschedule(t *timer, dueAt int64) {
+	t.dueAt = dueAt
+	heap.Fix(h, t.index)
+}
+
+// remove removes a timer, if it is still there.
+func (h *timerHeap) remove(t *timer) {
+	if t.index >= 0 {
+		heap.Remove(h, t.index)
+	}
+}
+
+// Len implements heap.Interface.
+func (h timerHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface.
+func (h timerHeap) Less(i, j int) bool { return h[i].dueAt < h[j].dueAt }
+
+// Swap implements heap.Interface.
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].index, h[j].index = i, j
 }
 
 // Push implements heap.Interface.
 func (h *timerHeap) Push(x any) {
-	t := x.(*timer)
-	t.place = len(*h)
+	t := x.(*timer) //nolint:forcetypeassert // add pushes nothing else
+	t.index = len(*h)
 	*h = append(*h, t)
 }
 
@@ -28,7 +62,37 @@
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1], last.place = nil, -1
+	old[len(old)-1], last.index = nil, -1
 	*h = old[:len(old)-1]
 	return last
 }
+
+// runTimersLocked runs the timers that are due, and what follows from each.
+func (p *Pool) runTimersLocked() {
+	if len(p.timers) == 0 {
+		return // saves the look at the clock
+	}
+	now := p.clock.Now()
+	for len(p.timers) > 0 && p.timers[0].dueAt <= now {
+		due := p.timers.popEarliest()
+		if due.request == nil {
+			p.balancer.Timer(now, (*host)(p), due.token)
+		} else {
+			p.cancelLocked(due.request, Answer{Verdict: Expired}) // the module has not ended it in its time
+		}
+		p.reportUnsentLocked()
+	}
+}
+
+// scheduleWakeupLocked has Run wake up for the earliest timer.
+func (p *Pool) scheduleWakeupLocked() {
+	if len(p.timers) == 0 {
+		return
+	}
+	earliest := p.timers[0].dueAt
+	if p.wakeupAt != 0 && p.wakeupAt <= earliest {
+		return
+	}
+	p.wakeupAt = earliest
+	p.wakeup.Reset(time.Until(p.clock.Time(earliest)))
+}
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -8,63 +8,69 @@
 )
 
 const (
-	traceEvery = 500 * time.Millisecond
-	// MaxTraceDuration is how long a pool traces for one request of an operator's, at most.
+	traceInterval = 500 * time.Millisecond // between two log lines of a trace
+	// MaxTraceDuration is how long a pool traces, at most, after one call of Trace.
 	MaxTraceDuration = 10 * time.Minute
 )
 
-// tracer counts refusals by cause while a trace is on.
+// tracer counts shed requests by cause while a trace is on. The pool's lock guards it.
 type tracer struct {
-	until  time.Time
-	causes [logic.ShedCauses]int
+	until      time.Time
+	shedCauses [logic.ShedCauses]int // since the last log line
 }
 
-// Trace has the pool log what its module holds to be so, twice a second, for some time: the tier's count and what cut it
-// last, each class's, the multiple of the shares, and refusals by cause. A trace that is on goes on until the later end.
+// Trace has the pool log its module's stats twice a second for some time: the tier's concurrency
+// and what cut its limit last, the same of each class, the quota multiple, and shed requests by
+// cause. A trace that is on goes on until the later end.
 func (p *Pool) Trace(span time.Duration) {
 	until := time.Now().Add(min(span, MaxTraceDuration))
-	p.play(func() {
+	p.runEvent(func() {
 		if time.Now().After(p.tracer.until) {
-			p.tracer.causes = [logic.ShedCauses]int{}
+			p.tracer.shedCauses = [logic.ShedCauses]int{}
 		}
 		if until.After(p.tracer.until) {
 			p.tracer.until = until
 		}
 	})
 	select {
-	case p.traced <- struct{}{}:
+	case p.traceStarted <- struct{}{}:
 	default: // one is on, or about to be
 	}
 }
 
-// trace logs the figures once; it is false when the trace is over.
-func (p *Pool) trace(now time.Time) bool {
+// logTrace logs the stats once, and reports whether the trace goes on.
+func (p *Pool) logTrace(now time.Time) bool {
 	p.mu.Lock()
 	if now.After(p.tracer.until) {
 		p.mu.Unlock()
 		return false
 	}
-	f, causes := p.bal.Stats(), p.tracer.causes
-	p.tracer.causes = [logic.ShedCauses]int{}
+	stats, causes := p.balancer.Stats(), p.tracer.shedCauses
+	p.tracer.shedCauses = [logic.ShedCauses]int{}
 	p.mu.Unlock()
-	var classes, refused []string
-	for _, c := range f.Classes {
-		classes = append(classes, word(c))
+	var classes, shed []string
+	for _, class := range stats.Classes {
+		classes = append(classes, formatLimit(class))
 	}
-	for i, n := range causes {
-		if n > 0 {
-			refused = append(refused, fmt.Sprintf("%v %d", logic.ShedCause(i), n))
+	for cause, count := range causes {
+		if count > 0 {
+			shed = append(shed, fmt.Sprintf("%v %d", logic.ShedCause(cause), count))
 		}
 	}
-	p.log.Info("trace", "tier", word(f.Tier), "classes", strings.Join(classes, "; "), "share", f.QuotaMultiple, "spill", f.SpilloverWeight,
-		"failed", f.ErrorRate, "ready", f.ReadyEndpoints, "refused", strings.Join(refused, ", "))
+	p.log.Info(
+		"trace", "tier", formatLimit(stats.Tier), "classes", strings.Join(classes, "; "),
+		"quota_multiple", stats.QuotaMultiple, "spillover_weight", stats.SpilloverWeight,
+		"error_rate", stats.ErrorRate, "ready_endpoints", stats.ReadyEndpoints, "shed", strings.Join(shed, ", "),
+	)
 	return true
 }
 
-// word is a count, the calls out, and what cut it last.
-func word(r logic.LimitStats) string {
-	if r.LastCut.Evidence == logic.NoEvidence {
-		return fmt.Sprintf("%d of %.1f", r.InFlight, r.Limit)
+// formatLimit words a concurrency limit: the calls in flight, the limit, and what cut it last.
+func formatLimit(s logic.LimitStats) string {
+	text := fmt.Sprintf("%d of %.1f", s.InFlight, s.Limit)
+	if s.LastCut.Evidence == logic.NoEvidence {
+		return text
 	}
-	return fmt.Sprintf("%d of %.1f cut by %v %d/%d from %.1f", r.InFlight, r.Limit, r.LastCut.Evidence, r.LastCut.Bad, r.LastCut.Total, r.LastCut.From)
+	cut := s.LastCut
+	return text + fmt.Sprintf(" cut by %v %d/%d from %.1f", cut.Evidence, cut.Bad, cut.Total, cut.From)
 }
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// lines is a log handler that hands on what is logged as text.
-type lines chan string
+// logLines is a slog.Handler that sends each record as text, and drops what the channel has no room
+// for.
+type logLines chan string
 
-func (l lines) Enabled(context.Context, slog.Level) bool { return true }
-func (l lines) WithAttrs([]slog.Attr) slog.Handler       { return l }
-func (l lines) WithGroup(string) slog.Handler            { return l }
-func (l lines) Handle(_ context.Context, r slog.Record) error {
+func (l logLines) Enabled(context.Context, slog.Level) bool { return true }
+func (l logLines) WithAttrs([]slog.Attr) slog.Handler       { return l }
+func (l logLines) WithGroup(string) slog.Handler            { return l }
+func (l logLines) Handle(_ context.Context, r slog.Record) error {
 	text := r.Message
 	r.Attrs(func(a slog.Attr) bool { text += " " + a.String(); return true })
 	select {
@@ -25,40 +26,43 @@
 	return nil
 }
 
-// A trace tells counts and refusals by cause, twice a second, and ends by itself; another may follow it.
-func TestATraceTellsWhatRefuses(t *testing.T) {
-	p := startPool(t, newScripted(func(*Attempt) AttemptResult {
+// A trace logs limits and shed requests by cause, twice a second, and ends by itself; another may
+// follow it. No trace is longer than MaxTraceDuration.
+func TestTraceLogsShedCauses(t *testing.T) {
+	p := startPool(t, newScriptedUpstream(func(*Attempt) AttemptResult {
 		return AttemptResult{Status: logic.OK, Response: &Response{StatusCode: 200}}
 	}))
-	got := make(lines, 100)
-	p.play(func() { p.log = slog.New(got) })
+	got := make(logLines, 100)
+	p.runEvent(func() { p.log = slog.New(got) })
 	for range 2 {
-		p.Trace(2 * traceEvery)
+		p.Trace(2 * traceInterval)
 		if ans := p.Do(newRequest(p, "late", 0, time.Microsecond)); ans.Verdict != Shed {
 			t.Fatalf("got %+v", ans)
 		}
-		if line := wait(t, "trace", got); !strings.Contains(line, "tier=0 of ") || !strings.Contains(line, "refused=time left 1") {
+		line := receive(t, "trace", got)
+		if !strings.Contains(line, "tier=0 of ") || !strings.Contains(line, "shed=time left 1") {
 			t.Errorf("got %q", line)
 		}
-		for p.traceOn() {
-			wait(t, "trace or its end", time.After(traceEvery))
+		for p.isTracing() {
+			receive(t, "trace or its end", time.After(traceInterval))
 		}
 		for len(got) > 0 {
 			if line := <-got; strings.Contains(line, "time left") {
-				t.Errorf("a refusal was told twice: %q", line)
+				t.Errorf("a shed request was logged twice: %q", line)
 			}
 		}
 	}
 	p.Trace(time.Hour)
 	p.mu.Lock()
 	if left := time.Until(p.tracer.until); left > MaxTraceDuration {
-		t.Errorf("a trace of %v", left)
+		t.Errorf("a trace lasts %v", left)
 	}
 	p.mu.Unlock()
 }
 
-func (p *Pool) traceOn() bool {
+// isTracing reports whether a trace may still log.
+func (p *Pool) isTracing() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !time.Now().After(p.tracer.until.Add(traceEvery))
+	return !time.Now().After(p.tracer.until.Add(traceInterval))
 }
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -7,39 +7,52 @@
 	"io"
 )
 
-// zones numbers zones by name: the settings' own from 0, any other by a hash, so that names without end leave
-// nothing behind.
-type zones map[string]int
+// zoneNumbers numbers zones by name: the settings' own from 0, any other by a hash, so that an
+// unbounded number of names takes no memory.
+type zoneNumbers map[string]int
 
-func newZones(names []string) zones {
-	z := zones{}
-	for i, n := range names {
-		z[n] = i
+// newZoneNumbers numbers names in their order.
+func newZoneNumbers(names []string) zoneNumbers {
+	numbers := zoneNumbers{}
+	for i, name := range names {
+		numbers[name] = i
 	}
-	return z
+	return numbers
 }
 
-func (z zones) number(name string) int {
-	if n, ok := z[name]; ok {
-		return n
+// number returns a zone's number.
+func (z zoneNumbers) number(name string) int {
+	if number, ok := z[name]; ok {
+		return number
 	}
-	h := fnv.New32a()
-	_, _ = io.WriteString(h, name) // never fails
-	return len(z) + int(h.Sum32()>>1)
+	hash := fnv.New32a()
+	_, _ = io.WriteString(hash, name) // never fails
+	return len(z) + int(hash.Sum32()>>1)
 }
 
-// servers turns entries into the module's. Its clock shows Unix time (see Clock), so SinceMs needs no shift.
-func (z zones) servers(entries []membership.Endpoint) []logic.Endpoint {
-	out := make([]logic.Endpoint, 0, len(entries))
-	for _, e := range entries {
-		s := logic.Endpoint{ID: e.Name, Zone: z.number(e.Zone), Cell: e.Cell, Weight: e.Weight, StartedAt: e.SinceMs * 1000}
-		switch e.Status {
-		case membership.Serving:
-			s.State = logic.Ready
-		case membership.Draining:
-			s.State = logic.Draining
-		}
-		out = append(out, s)
+// endpoints converts entries of a list to the module's. Its clock shows Unix time (see Clock), so
+// SinceMs needs no shift.
+func (z zoneNumbers) endpoints(entries []membership.Endpoint) []logic.Endpoint {
+	converted := make([]logic.Endpoint, 0, len(entries))
+	for _, entry := range entries {
+		converted = append(converted, logic.Endpoint{
+			ID: entry.Name, State: endpointState(entry.Status), Zone: z.number(entry.Zone), Cell: entry.Cell,
+			Weight: entry.Weight, StartedAt: entry.SinceMs * 1000,
+		})
+	}
+	return converted
+}
+
+// endpointState converts a status to the module's.
+func endpointState(status membership.Status) logic.State {
+	switch status {
+	case membership.Serving:
+		return logic.Ready
+	case membership.Draining:
+		return logic.Draining
+	case membership.Deleted:
+		return logic.Removed
+	default:
+		return logic.Removed
 	}
-	return out
 }
