--- a/cmd/fernlanding/confined_test.go
+++ b/cmd/fernlanding/confined_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"bytes"
 	"debug/elf"
-	"fernlanding/internal/standin"
 	"fmt"
 	"io"
 	"net"
@@ -22,6 +21,8 @@
 	"time"
 	"unsafe"
 
+	"fernlanding/internal/standin"
+
 	"golang.org/x/sys/unix"
 )
 
--- a/cmd/fernlanding/herd_test.go
+++ b/cmd/fernlanding/herd_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fernlanding/internal/standin"
 	"fmt"
 	"net"
 	"net/http"
@@ -13,6 +12,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"fernlanding/internal/standin"
 )
 
 const (
--- a/cmd/fernlanding/main.go
+++ b/cmd/fernlanding/main.go
@@ -14,8 +14,6 @@
 import (
 	"context"
 	"errors"
-	"fernlanding/internal/config"
-	"fernlanding/internal/sidecar"
 	"flag"
 	"fmt"
 	"io"
@@ -25,6 +23,9 @@
 	"strings"
 	"syscall"
 	"time"
+
+	"fernlanding/internal/config"
+	"fernlanding/internal/sidecar"
 )
 
 const (
@@ -133,10 +134,10 @@
 		err = take(app)
 	}
 	if err != nil {
-		log.Error("new configuration not taken", "error", strings.ReplaceAll(err.Error(), "\n", "; "))
+		log.Error("configuration rejected", "error", strings.ReplaceAll(err.Error(), "\n", "; "))
 		return
 	}
-	log.Info("new configuration", "services", len(app.Services), "routes", len(app.Routes), "source", app.Services[0].Source.Address)
+	log.Info("configuration applied", "services", len(app.Services), "routes", len(app.Routes), "source", app.Services[0].Source.Address)
 }
 
 // load reads an application's file, or the platform's, in which LB_LISTEN and LB_DISCOVERY stand in for what it lacks.
--- a/cmd/fernlanding/main_test.go
+++ b/cmd/fernlanding/main_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"fernlanding/internal/config"
 	"fmt"
 	"io"
 	"log/slog"
@@ -16,6 +15,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"fernlanding/internal/config"
 )
 
 const good = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",` +
--- a/cmd/fernlanding/relays_bench_test.go
+++ b/cmd/fernlanding/relays_bench_test.go
@@ -2,10 +2,6 @@
 
 import (
 	"encoding/json"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/httpapi"
-	"fernlanding/internal/distribution/node/nodetest"
-	"fernlanding/internal/standin"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -13,6 +9,11 @@
 	"strings"
 	"testing"
 	"time"
+
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/httpapi"
+	"fernlanding/internal/distribution/node/nodetest"
+	"fernlanding/internal/standin"
 )
 
 const (
--- a/cmd/fernlanding/relays_test.go
+++ b/cmd/fernlanding/relays_test.go
@@ -4,10 +4,6 @@
 	"bufio"
 	"context"
 	"encoding/json"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/httpapi"
-	"fernlanding/internal/distribution/node/nodetest"
-	"fernlanding/internal/standin"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -20,6 +16,11 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/httpapi"
+	"fernlanding/internal/distribution/node/nodetest"
+	"fernlanding/internal/standin"
 )
 
 const (
@@ -209,7 +210,7 @@
 	if err := f.sidecar.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		f.t.Fatal(err)
 	}
-	f.sidecar.line(f.t, "new configuration\"")
+	f.sidecar.line(f.t, "configuration applied\"")
 }
 
 // put writes a backend to a list.
--- a/cmd/fernlanding/standin.go
+++ b/cmd/fernlanding/standin.go
@@ -3,12 +3,13 @@
 import (
 	"context"
 	"errors"
-	"fernlanding/internal/config"
-	"fernlanding/internal/standin"
 	"flag"
 	"fmt"
 	"io"
 	"slices"
+
+	"fernlanding/internal/config"
+	"fernlanding/internal/standin"
 )
 
 const mostStandins = 256
--- a/cmd/fernlanding/try.go
+++ b/cmd/fernlanding/try.go
@@ -3,9 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"fernlanding/internal/config"
-	"fernlanding/internal/sidecar"
-	"fernlanding/internal/standin"
 	"flag"
 	"fmt"
 	"io"
@@ -13,6 +10,10 @@
 	"math/rand/v2"
 	"text/tabwriter"
 	"time"
+
+	"fernlanding/internal/config"
+	"fernlanding/internal/sidecar"
+	"fernlanding/internal/standin"
 )
 
 const (
--- a/cmd/simhost/serve.go
+++ b/cmd/simhost/serve.go
@@ -5,10 +5,11 @@
 	"bytes"
 	"encoding/json"
 	"errors"
-	"fernlanding/internal/settings"
-	"fernlanding/logic"
 	"fmt"
 	"io"
+
+	"fernlanding/internal/settings"
+	"fernlanding/logic"
 )
 
 const (
--- a/cmd/simhost/wire.go
+++ b/cmd/simhost/wire.go
@@ -2,8 +2,9 @@
 
 import (
 	"encoding/json"
-	"fernlanding/logic"
 	"fmt"
+
+	"fernlanding/logic"
 )
 
 // event is one line of input: an object with a single key, the event's name.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -5,9 +5,10 @@
 import (
 	"encoding/json"
 	"errors"
-	"fernlanding/logic"
 	"fmt"
 	"time"
+
+	"fernlanding/logic"
 )
 
 // Deployment is what the settings object says: the module's part and the names and figures of the sockets.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,10 +1,11 @@
 package settings
 
 import (
-	"fernlanding/logic"
 	"strings"
 	"testing"
 	"time"
+
+	"fernlanding/logic"
 )
 
 const object1 = `{"contract":{"ask_every_us":10000000,"cold_us":24000000,"drain_grace_us":500000,"start_capacity":0.13},` +
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -2,97 +2,104 @@
 
 import (
 	"context"
-	"fernlanding/internal/config"
-	"fernlanding/internal/core"
-	"fernlanding/internal/membership"
-	"fernlanding/logic"
 	"fmt"
 	"log/slog"
 	"net"
 	"net/http"
 
+	"fernlanding/internal/config"
+	"fernlanding/internal/core"
+	"fernlanding/internal/membership"
+	"fernlanding/logic"
+
 	upstream "fernlanding/internal/upstream/http1"
 )
 
-// HollowOptions says how a sidecar runs that has the control half alone: its configuration is in force, its sources follow their
-// lists and its pools decide, but it has neither listeners nor connections to backends.
+// dialFunc opens connections, as net.Dialer.DialContext does.
+type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
+
+// HollowOptions configures a hollow sidecar, which has the control half alone: its configuration is
+// in force, its sources follow their endpoint lists and its pools decide, but it has neither
+// listeners nor connections to backends.
 type HollowOptions struct {
-	// Dial opens the connections to list services; nil: the usual way.
+	// Dial opens the connections to list services; nil: as usual.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// InForce, where given, is called when a service's pool has put a list in force, on the goroutine of its source.
+	// InForce, if not nil, is called when a service's pool has applied a list, on the goroutine of
+	// its source.
 	InForce func(service string, list *membership.List)
 }
 
-// NewHollow returns a sidecar without listeners. Run follows its lists until the context ends.
-func NewHollow(app *config.App, log *slog.Logger, how HollowOptions) (*Sidecar, error) {
-	return open(app, log, &how)
+// NewHollow returns a sidecar without listeners. Run follows its endpoint lists until the context
+// ends.
+func NewHollow(app *config.App, log *slog.Logger, options HollowOptions) (*Sidecar, error) {
+	return open(app, log, &options)
 }
 
 // Call has a service's pool take a request, as a front would.
 func (s *Sidecar) Call(service string, r *core.Request) (core.Answer, error) {
-	v := s.world.Load().services[service]
-	if v == nil {
+	svc := s.active.Load().services[service]
+	if svc == nil {
 		return core.Answer{}, fmt.Errorf("service %s: not in the configuration", service)
 	}
-	return v.pool.Do(r), nil
+	return svc.pool.Do(r), nil
 }
 
-// Clock is the time by which requests give up.
-func (s *Sidecar) Clock() core.Clock { return s.with.clock }
+// Clock returns the clock that requests' deadlines are of.
+func (s *Sidecar) Clock() core.Clock { return s.shared.clock }
 
-// dial is how connections to list services are opened; nil: the usual way.
-func (h *HollowOptions) dial() func(ctx context.Context, network, address string) (net.Conn, error) {
+// dial returns what opens connections to list services; nil: as usual.
+func (h *HollowOptions) dial() dialFunc {
 	if h == nil {
 		return nil
 	}
 	return h.Dial
 }
 
-// sink is what takes the lists of a service.
+// sink returns the sink for a service's endpoint lists, which passes them on to next.
 func (h *HollowOptions) sink(service string, next membership.Sink) membership.Sink {
 	if h == nil || h.InForce == nil {
 		return next
 	}
-	return told{Sink: next, service: service, inForce: h.InForce}
+	return notifyingSink{Sink: next, service: service, inForce: h.InForce}
 }
 
-// upstream is what carries the attempts of a pool out.
-func (h *HollowOptions) upstream(real *upstream.Upstream) core.Upstream {
+// upstream returns what carries out the attempts of a pool.
+func (h *HollowOptions) upstream(network *upstream.Upstream) core.Upstream {
 	if h == nil {
-		return real
+		return network
 	}
-	return instant{real}
+	return instantUpstream{network}
 }
 
-// told is a sink that says when a list is in force.
-type told struct {
+// notifyingSink is a sink that calls inForce when a list has been applied.
+type notifyingSink struct {
 	membership.Sink
 	service string
 	inForce func(service string, list *membership.List)
 }
 
 // UpdateEndpoints implements membership.Sink.
-func (t told) UpdateEndpoints(l *membership.List) {
-	t.Sink.UpdateEndpoints(l)
-	t.inForce(t.service, l)
+func (s notifyingSink) UpdateEndpoints(list *membership.List) {
+	s.Sink.UpdateEndpoints(list)
+	s.inForce(s.service, list)
 }
 
-// instant is an upstream whose backends answer in the moment in which they are sent a request. It keeps the books of the
-// real one and opens no connection.
-type instant struct{ *upstream.Upstream }
+// instantUpstream is an upstream whose backends answer at once. It keeps the state of the real one
+// and opens no connection.
+type instantUpstream struct{ *upstream.Upstream }
 
 // RoundTripper implements core.Upstream.
-func (u instant) RoundTripper(server string) core.RoundTripper {
+func (u instantUpstream) RoundTripper(server string) core.RoundTripper {
 	if u.Upstream.RoundTripper(server) == nil {
 		return nil
 	}
-	return answered{}
+	return instantRoundTripper{}
 }
 
-// answered is the way to a backend that has answered already.
-type answered struct{}
+// instantRoundTripper reaches a backend that answers at once.
+type instantRoundTripper struct{}
 
 // RoundTrip implements core.RoundTripper.
-func (answered) RoundTrip(*core.Attempt) core.AttemptResult {
+func (instantRoundTripper) RoundTrip(*core.Attempt) core.AttemptResult {
 	return core.AttemptResult{Status: logic.OK, Response: &core.Response{StatusCode: http.StatusOK}}
 }
--- /dev/null
+++ b/internal/sidecar/listeners.go
@@ -0,0 +1,72 @@
+package sidecar
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+
+	"fernlanding/internal/config"
+	"fernlanding/internal/front"
+	"fernlanding/internal/front/http1"
+)
+
+// listen opens the listeners, all or none, and makes their fronts.
+func (s *Sidecar) listen(app *config.App) error {
+	listeners, err := openListeners(app.Listeners)
+	if err != nil {
+		return err
+	}
+	maxTimeout := config.MaxDeadline
+	if app.Kind == config.Platform {
+		maxTimeout = app.Services[0].LongestDeadline()
+	}
+	for i, l := range app.Listeners {
+		s.fronts = append(s.fronts, http1.New(http1.Config{
+			Listener:   listeners[i],
+			Resolver:   &resolver{sidecar: s, listener: l.Name},
+			IsHealthy:  s.isHealthy,
+			MaxTimeout: maxTimeout,
+			Quota:      descriptorQuota{allocator: s.shared.descriptors, party: config.Clients},
+			Log:        s.log,
+		}))
+	}
+	s.shared.descriptors.setShedder(config.Clients, s.closeIdleClient)
+	return nil
+}
+
+// openListeners opens listeners, all or none.
+func openListeners(configured []config.Listener) ([]net.Listener, error) {
+	var opened []net.Listener
+	for _, l := range configured {
+		listener, err := net.Listen("tcp", l.Address)
+		if err != nil {
+			for _, o := range opened {
+				_ = o.Close() // the error of interest is the one above
+			}
+			return nil, fmt.Errorf("listen: %w", err)
+		}
+		opened = append(opened, listener)
+	}
+	return opened, nil
+}
+
+// closeIdleClient closes one idle client connection, and reports whether there was one.
+func (s *Sidecar) closeIdleClient() bool {
+	for _, f := range s.fronts {
+		if f.CloseIdleConnection() {
+			return true
+		}
+	}
+	return false
+}
+
+// resolver resolves the requests of one listener by the configuration in force.
+type resolver struct {
+	sidecar  *Sidecar
+	listener string
+}
+
+// Resolve implements front.Resolver.
+func (r *resolver) Resolve(req *http.Request) (front.Destination, *front.RequestError) {
+	return r.sidecar.active.Load().resolve(r.listener, req)
+}
--- a/internal/sidecar/platform.go
+++ b/internal/sidecar/platform.go
@@ -1,108 +1,103 @@
 package sidecar
 
 import (
-	"fernlanding/internal/front"
-	"fernlanding/internal/settings"
-	"fernlanding/logic"
 	"net/http"
-	"strconv"
 	"strings"
 	"time"
-)
 
-const (
-	maxID = 128 // bytes of a Request-Id
-
-	// The answer to a request is to leave this long before its client gives up, so that a busy core does
-	// not make it late, but a request with little time keeps most of it.
-	answerMargin = 30 * time.Millisecond
-	marginPart   = 8
+	"fernlanding/internal/front"
+	"fernlanding/internal/settings"
+	"fernlanding/logic"
 )
 
-// platform resolves requests as the platform words them: one service, the class by Request-Class.
-type platform struct {
-	site    *settings.Deployment
-	maxBody int64
-	pool    front.Pool
-	classes map[string]int
-	tenants map[string]int
-}
-
-func newPlatform(site *settings.Deployment, maxBody int64, pool front.Pool) *platform {
-	return &platform{site, maxBody, pool, numbers(site.Classes), numbers(site.Tenants)}
+// platformResolver resolves requests on the platform: there is one service, and Request-Class names
+// the class.
+type platformResolver struct {
+	deployment *settings.Deployment
+	maxBody    int64
+	pool       front.Pool
+	classes    map[string]int
+	tenants    map[string]int
 }
 
-func numbers(names []string) map[string]int {
-	m := make(map[string]int, len(names))
-	for i, n := range names {
-		m[n] = i
-	}
-	return m
-}
-
-// single are the fields that may stand in a head once.
-var single = [...]string{"Request-Id", "Request-Class", "Request-Timeout-Ms", "Tenant", "Idempotency-Key"}
-
-// field is the first value of a field whose name is in canonical form.
-func field(h http.Header, name string) string {
-	if v := h[name]; len(v) > 0 {
-		return v[0]
+// newPlatformResolver returns a resolver for the platform's one service.
+func newPlatformResolver(deployment *settings.Deployment, maxBody int64, pool front.Pool) *platformResolver {
+	return &platformResolver{
+		deployment: deployment,
+		maxBody:    maxBody,
+		pool:       pool,
+		classes:    indexByName(deployment.Classes),
+		tenants:    indexByName(deployment.Tenants),
 	}
-	return ""
 }
 
-// twice is the fault of a head in which a field stands more than once that would then have two meanings.
-func twice(h http.Header) *front.RequestError {
-	for _, name := range single {
-		if len(h[name]) > 1 {
-			return &front.RequestError{Status: http.StatusBadRequest, Reason: name + " is given twice"}
-		}
+// indexByName returns the index of each name.
+func indexByName(names []string) map[string]int {
+	indexes := make(map[string]int, len(names))
+	for i, name := range names {
+		indexes[name] = i
 	}
-	return nil
+	return indexes
 }
 
-// resolve says as what a request goes on.
-func (p *platform) resolve(r *http.Request) (front.Destination, *front.RequestError) {
-	bad := func(status int, why string) (front.Destination, *front.RequestError) {
-		return front.Destination{}, &front.RequestError{Status: status, Reason: why}
-	}
-	if fault := twice(r.Header); fault != nil {
+// resolve returns where a request is forwarded.
+func (p *platformResolver) resolve(req *http.Request) (front.Destination, *front.RequestError) {
+	if fault := checkSingleFields(req.Header); fault != nil {
 		return front.Destination{}, fault
 	}
-	class, ok := p.classes[field(r.Header, "Request-Class")]
+	class, ok := p.classes[firstValue(req.Header, "Request-Class")]
 	if !ok {
-		return bad(http.StatusBadRequest, "unknown Request-Class")
+		return front.Destination{}, badRequest("unknown Request-Class")
 	}
-	part, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	if part != p.site.Classes[class] || !strings.HasPrefix(r.RequestURI, "/") {
-		return bad(http.StatusBadRequest, "the path does not begin with the class")
+	segment, rest, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
+	if segment != p.deployment.Classes[class] || !strings.HasPrefix(req.RequestURI, "/") {
+		return front.Destination{}, badRequest("the path does not begin with the class")
 	}
-	id := field(r.Header, "Request-Id")
-	if id == "" || len(id) > maxID {
-		return bad(http.StatusBadRequest, "no Request-Id, or a long one")
-	}
-	k, method := p.site.Balancer.Classes[class], http.MethodPost
-	if k.Idempotency == logic.Idempotent {
-		method = http.MethodGet
+	id := firstValue(req.Header, "Request-Id")
+	if id == "" || len(id) > maxRequestIDBytes {
+		return front.Destination{}, badRequest("no Request-Id, or a long one")
 	}
-	if r.Method != method {
-		return front.Destination{}, &front.RequestError{Status: http.StatusMethodNotAllowed, Reason: "wrong method for the class", Allow: method}
-	}
-	if keyed := field(r.Header, "Idempotency-Key") != ""; keyed != (k.Idempotency == logic.IdempotentByKey) {
-		return bad(http.StatusBadRequest, "Idempotency-Key does not fit the class")
+	settings := &p.deployment.Balancer.Classes[class]
+	method, fault := checkClass(settings, req)
+	if fault != nil {
+		return front.Destination{}, fault
 	}
-	ms, err := strconv.ParseInt(field(r.Header, "Request-Timeout-Ms"), 10, 64)
-	if err != nil || ms <= 0 {
-		return bad(http.StatusBadRequest, "Request-Timeout-Ms is no time")
+	timeout, fault := parseTimeout(firstValue(req.Header, "Request-Timeout-Ms"))
+	if fault != nil {
+		return front.Destination{}, fault
 	}
-	tenant, ok := p.tenants[field(r.Header, "Tenant")]
+	tenant, ok := p.tenants[firstValue(req.Header, "Tenant")]
 	if !ok {
-		tenant = -1 // not told
+		tenant = -1 // unknown
 	}
-	wait := min(time.Duration(k.Deadline)*time.Microsecond, time.Duration(min(ms, 1e9))*time.Millisecond)
 	return front.Destination{
-		Pool: p.pool, ID: id, Class: class, Tenant: tenant, Key: rest[strings.LastIndexByte(rest, '/')+1:],
-		Target: r.RequestURI, Timeout: wait - min(answerMargin, wait/marginPart),
-		MaxBody: p.maxBody, NoBody: method == http.MethodGet,
+		Pool:    p.pool,
+		ID:      id,
+		Class:   class,
+		Tenant:  tenant,
+		Key:     rest[strings.LastIndexByte(rest, '/')+1:],
+		Target:  req.RequestURI,
+		Timeout: answerTimeout(min(time.Duration(settings.Deadline)*time.Microsecond, timeout)),
+		MaxBody: p.maxBody,
+		NoBody:  method == http.MethodGet,
 	}, nil
 }
+
+// checkClass rejects a request whose method or idempotency key does not fit its class. It returns
+// the class's method.
+func checkClass(class *logic.Class, req *http.Request) (string, *front.RequestError) {
+	method := http.MethodPost
+	if class.Idempotency == logic.Idempotent {
+		method = http.MethodGet
+	}
+	if req.Method != method {
+		return "", &front.RequestError{
+			Status: http.StatusMethodNotAllowed, Reason: "wrong method for the class", Allow: method,
+		}
+	}
+	hasKey := firstValue(req.Header, "Idempotency-Key") != ""
+	if hasKey != (class.Idempotency == logic.IdempotentByKey) {
+		return "", badRequest("Idempotency-Key does not fit the class")
+	}
+	return method, nil
+}
--- a/internal/sidecar/remote_configuration_test.go
+++ b/internal/sidecar/remote_configuration_test.go
@@ -3,35 +3,38 @@
 import (
 	"encoding/json"
 	"errors"
-	"fernlanding/internal/config"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/node/nodetest"
-	"fernlanding/internal/standin"
 	"fmt"
 	"os"
 	"slices"
 	"strings"
 	"testing"
 	"time"
+
+	"fernlanding/internal/config"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/node/nodetest"
+	"fernlanding/internal/standin"
 )
 
-// remoteFile is an application's file that relays bring under the name "shop", with a service for each backend.
-func remoteFile(relay, state string, backends ...*standin.Backend) string {
+// remoteConfigurationText returns an application's configuration that relays bring under the name
+// "shop", with a service for each backend.
+func remoteConfigurationText(relay, state string, backends ...*standin.Backend) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "version = 2\nname = \"test\"\nlisteners = [{ address = \"127.0.0.1:0\" }]\nprocess = { sockets = 200, memory_mb = 64%s }\n", state)
+	b.WriteString("version = 2\nname = \"test\"\nlisteners = [{ address = \"127.0.0.1:0\" }]\n")
+	fmt.Fprintf(&b, "process = { sockets = 200, memory_mb = 64%s }\n", state)
 	for i := range backends {
-		b.WriteString(to(fmt.Sprintf("s%d", i)))
+		b.WriteString(routeTo(fmt.Sprintf("s%d", i)))
 	}
 	fmt.Fprintf(&b, "[distribution]\nrelays = [%q]\nname = \"sidecar\"\nconfiguration = \"shop\"\n", relay)
-	for i, at := range backends {
-		fmt.Fprintf(&b, "[services.s%d]\n%s\n[services.s%d.classes]\n%s\n", i, atAddress(at), i, safeClass)
+	for i, backend := range backends {
+		fmt.Fprintf(&b, "[services.s%d]\n%s\n", i, endpointsAt(backend.Addr()))
+		fmt.Fprintf(&b, "[services.s%d.classes]\n%s\n", i, safeClass)
 	}
 	return b.String()
 }
 
-func atAddress(b *standin.Backend) string { return at(b.Addr()) }
-
-func decodeFile(t *testing.T, text string) *config.App {
+// mustDecode decodes a configuration that is valid.
+func mustDecode(t *testing.T, text string) *config.App {
 	t.Helper()
 	app, err := config.Decode("file", []byte(text))
 	if err != nil {
@@ -58,18 +61,19 @@
 	return version
 }
 
-// awaitConfiguration waits until a relay has it that the one sidecar has a version in force, or has refused one.
-func awaitConfiguration(t *testing.T, relay *nodetest.Node, inForce, refused distribution.Version) (reason string) {
+// waitForConfiguration waits until a relay reports that the one sidecar has a version in force and
+// has rejected another (zero: none), and returns the reason.
+func waitForConfiguration(t *testing.T, relay *nodetest.Node, inForce, rejected distribution.Version) (reason string) {
 	t.Helper()
 	waitUntil(t, func() bool {
 		status := relay.Status(ConfigurationResource("shop"))
 		if !slices.Contains(status.Counts, distribution.VersionCount{Version: inForce, Proxies: 1}) {
 			return false
 		}
-		if refused.IsZero() {
+		if rejected.IsZero() {
 			return len(status.Rejections) == 0
 		}
-		if len(status.Rejections) != 1 || status.Rejections[0].Version != refused {
+		if len(status.Rejections) != 1 || status.Rejections[0].Version != rejected {
 			return false
 		}
 		reason = status.Rejections[0].Reason
@@ -78,23 +82,24 @@
 	return reason
 }
 
-// A configuration that relays bring takes the place of the file's; one that can't be put in force is refused with its
-// reason and changes nothing; taking it back is one more change, and only what has changed is sent.
-func TestConfigurationByRelays(t *testing.T) {
+// A configuration that relays bring replaces the file's. One that can't be applied is rejected with
+// its reason and changes nothing; reverting it is one more update, and only what has changed is
+// sent.
+func TestRemoteConfigurationIsApplied(t *testing.T) {
 	t.Parallel()
 	source := nodetest.Source(t)
 	relay := nodetest.Relay(t, "relay", "127.0.0.1:0", source.Address)
 	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
-	file := remoteFile(relay.Address, "", a)
-	p := start(t, decodeFile(t, file))
-	asks(t, p, "/s0", 200)
-	asks(t, p, "/s1", 404)
+	file := remoteConfigurationText(relay.Address, "", a)
+	p := startSidecar(t, mustDecode(t, file))
+	wantStatus(t, p, "/s0", 200)
+	wantStatus(t, p, "/s1", 404)
 
-	two := remoteFile(relay.Address, "", a, b)
+	two := remoteConfigurationText(relay.Address, "", a, b)
 	second := publish(t, source, two)
-	awaitConfiguration(t, relay, second, distribution.Version{})
-	asks(t, p, "/s1", 200)
-	whole := p.follower().Stats().FullUpdates
+	waitForConfiguration(t, relay, second, distribution.Version{})
+	wantStatus(t, p, "/s1", 200)
+	fullUpdates := p.follower().Stats().FullUpdates
 
 	for what, broken := range map[string]string{
 		"field":        strings.Replace(two, "[services.s1.classes]", "[services.s1.clases]", 1),
@@ -102,102 +107,105 @@
 		"listeners":    strings.Replace(two, "127.0.0.1:0", "127.0.0.1:1", 1),
 		"process":      strings.Replace(two, "sockets = 200", "sockets = 201", 1),
 	} {
-		refused := publish(t, source, broken)
-		if reason := awaitConfiguration(t, relay, second, refused); reason == "" || strings.Contains(reason, "\n") {
-			t.Errorf("%s: refused because of %q, want a line", what, reason)
+		rejected := publish(t, source, broken)
+		if reason := waitForConfiguration(t, relay, second, rejected); reason == "" || strings.Contains(reason, "\n") {
+			t.Errorf("%s: rejected because of %q, want a line", what, reason)
 		}
-		asks(t, p, "/s1", 200)
+		wantStatus(t, p, "/s1", 200)
 	}
 
-	back := publish(t, source, file)
-	awaitConfiguration(t, relay, back, distribution.Version{})
-	asks(t, p, "/s0", 200)
-	asks(t, p, "/s1", 404)
-	if s := p.follower().Stats(); s.FullUpdates != whole || s.Sessions != 1 {
-		t.Errorf("%d whole updates more and %d sessions, want 0 and 1", s.FullUpdates-whole, s.Sessions)
+	reverted := publish(t, source, file)
+	waitForConfiguration(t, relay, reverted, distribution.Version{})
+	wantStatus(t, p, "/s0", 200)
+	wantStatus(t, p, "/s1", 404)
+	if s := p.follower().Stats(); s.FullUpdates != fullUpdates || s.Sessions != 1 {
+		t.Errorf("%d more full updates and %d sessions, want 0 and 1", s.FullUpdates-fullUpdates, s.Sessions)
 	}
 }
 
-// Once relays have brought a configuration its file is not taken, unless it says otherwise of relays.
-func TestFileBesideConfigurationByRelays(t *testing.T) {
+// Once relays have brought a configuration the file is not applied, unless it says something else
+// about relays.
+func TestFileDoesNotReplaceRemoteConfiguration(t *testing.T) {
 	t.Parallel()
 	source := nodetest.Source(t)
 	relay := nodetest.Relay(t, "relay", "127.0.0.1:0", source.Address)
 	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
-	one, two := remoteFile(relay.Address, "", a), remoteFile(relay.Address, "", a, b)
-	p := start(t, decodeFile(t, one))
-	awaitConfiguration(t, relay, distribution.Version{}, distribution.Version{})
-	reloads(t, p, decodeFile(t, two)) // nothing has come yet
-	asks(t, p, "/s1", 200)
+	one, two := remoteConfigurationText(relay.Address, "", a), remoteConfigurationText(relay.Address, "", a, b)
+	p := startSidecar(t, mustDecode(t, one))
+	waitForConfiguration(t, relay, distribution.Version{}, distribution.Version{})
+	mustReload(t, p, mustDecode(t, two)) // relays have brought nothing yet
+	wantStatus(t, p, "/s1", 200)
 
 	version := publish(t, source, one)
-	awaitConfiguration(t, relay, version, distribution.Version{})
-	asks(t, p, "/s1", 404)
-	if err := p.Reload(decodeFile(t, two)); !errors.Is(err, errRemote) {
-		t.Errorf("the file was taken beside a configuration by relays: %v", err)
+	waitForConfiguration(t, relay, version, distribution.Version{})
+	wantStatus(t, p, "/s1", 404)
+	if err := p.Reload(mustDecode(t, two)); !errors.Is(err, errRemote) {
+		t.Errorf("the file was applied in place of a configuration by relays: %v", err)
 	}
-	asks(t, p, "/s1", 404)
-	reloads(t, p, decodeFile(t, strings.Replace(two, "configuration = \"shop\"\n", "", 1)))
-	asks(t, p, "/s1", 200)
+	wantStatus(t, p, "/s1", 404)
+	mustReload(t, p, mustDecode(t, strings.Replace(two, "configuration = \"shop\"\n", "", 1)))
+	wantStatus(t, p, "/s1", 200)
 }
 
-// A process that starts anew begins with the configuration that was in force, not with the older one of its file, and reads
-// nothing whole. A kept one that makes no sense is passed over.
-func TestKeptConfiguration(t *testing.T) {
+// A process starts with the cached configuration, not with the older one of its file, and reads no
+// full update. An invalid cached configuration is ignored.
+func TestCachedConfigurationIsRestored(t *testing.T) {
 	t.Parallel()
 	source := nodetest.Source(t)
 	relay := nodetest.Relay(t, "relay", "127.0.0.1:0", source.Address)
 	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
 	dir := t.TempDir()
 	state := fmt.Sprintf(", state_dir = %q", dir)
-	file := decodeFile(t, remoteFile(relay.Address, state, a))
-	earlier := start(t, file)
-	version := publish(t, source, remoteFile(relay.Address, state, a, b))
-	awaitConfiguration(t, relay, version, distribution.Version{})
+	file := mustDecode(t, remoteConfigurationText(relay.Address, state, a))
+	earlier := startSidecar(t, file)
+	version := publish(t, source, remoteConfigurationText(relay.Address, state, a, b))
+	waitForConfiguration(t, relay, version, distribution.Version{})
 	earlier.stop()
-	wait(t, "end of the earlier one", earlier.done)
+	_ = receive(t, "end of the earlier sidecar", earlier.done)
 
-	p := start(t, file)
-	asks(t, p, "/s1", 200)
-	awaitConfiguration(t, relay, version, distribution.Version{})
+	p := startSidecar(t, file)
+	wantStatus(t, p, "/s1", 200)
+	waitForConfiguration(t, relay, version, distribution.Version{})
 	if s := p.follower().Stats(); s.Updates != 0 {
 		t.Errorf("%d updates, want none", s.Updates)
 	}
 	p.stop()
-	wait(t, "end of the next one", p.done)
+	_ = receive(t, "end of the next sidecar", p.done)
 
 	if err := os.WriteFile(configurationFile(dir), []byte(`{"name":"shop","in_force":"1.`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	relay.Kill()
-	p = start(t, file)
-	asks(t, p, "/s0", 200)
-	asks(t, p, "/s1", 404)
+	p = startSidecar(t, file)
+	wantStatus(t, p, "/s0", 200)
+	wantStatus(t, p, "/s1", 404)
 }
 
-// A reload that names other relays ends a follower that waits to put a configuration in force: neither waits for the other.
-func TestReloadCrossesConfigurationByRelays(t *testing.T) {
+// A reload that names other relays stops a follower that waits to apply a configuration: neither
+// waits for the other.
+func TestReloadDuringRemoteConfigurationDoesNotDeadlock(t *testing.T) {
 	t.Parallel()
 	source := nodetest.Source(t)
 	first := nodetest.Relay(t, "first", "127.0.0.1:0", source.Address)
 	second := nodetest.Relay(t, "second", "127.0.0.1:0", source.Address)
 	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
-	p := start(t, decodeFile(t, remoteFile(first.Address, "", a)))
-	version := publish(t, source, remoteFile(first.Address, "", a, b))
-	awaitConfiguration(t, first, version, distribution.Version{})
+	p := startSidecar(t, mustDecode(t, remoteConfigurationText(first.Address, "", a)))
+	version := publish(t, source, remoteConfigurationText(first.Address, "", a, b))
+	waitForConfiguration(t, first, version, distribution.Version{})
 
-	p.reloading <- struct{}{} // a reload is under way
+	p.reloadSlot <- struct{}{} // a reload is under way
 	before := p.follower().Stats().MessagesIn
-	late := publish(t, source, remoteFile(first.Address, "", a))
+	late := publish(t, source, remoteConfigurationText(first.Address, "", a))
 	waitUntil(t, func() bool { // the follower has it, and waits
 		u := first.Resource(ConfigurationResource("shop"))
 		return u != nil && u.Version == late && p.follower().Stats().MessagesIn > before
 	})
+	withOtherRelays := mustDecode(t, remoteConfigurationText(second.Address, "", a, b))
 	reloaded := make(chan error, 1)
 	go func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		reloaded <- p.take(decodeFile(t, remoteFile(second.Address, "", a, b)))
+		reloaded <- p.replaceLocked(withOtherRelays)
 	}()
 	select {
 	case err := <-reloaded:
@@ -207,29 +215,33 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("the reload and the follower wait for each other")
 	}
-	<-p.reloading
-	asks(t, p, "/s1", 200)
+	<-p.reloadSlot
+	wantStatus(t, p, "/s1", 200)
 }
 
-// A follower goes by the application's name where it is given none. A configuration that changes it can't take the place of
-// the follower that brings it, and is refused; it would wait for itself.
-func TestConfigurationByRelaysKeepsItsFollower(t *testing.T) {
+// A follower without a configured name has the application's. A configuration that changes it is
+// rejected: it would replace the follower that brings it, and wait for itself.
+func TestRemoteConfigurationCannotRenameFollower(t *testing.T) {
 	t.Parallel()
 	source := nodetest.Source(t)
 	relay := nodetest.Relay(t, "relay", "127.0.0.1:0", source.Address)
 	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
 	unnamed := func(text string) string { return strings.Replace(text, "name = \"sidecar\"\n", "", 1) }
-	p := start(t, decodeFile(t, unnamed(remoteFile(relay.Address, "", a))))
-	first := publish(t, source, unnamed(remoteFile(relay.Address, "", a)))
-	awaitConfiguration(t, relay, first, distribution.Version{})
-
-	renamed := strings.Replace(unnamed(remoteFile(relay.Address, "", a, b)), "name = \"test\"", "name = \"other\"", 1)
-	refused := publish(t, source, renamed)
-	if reason := awaitConfiguration(t, relay, first, refused); !strings.Contains(reason, "distribution") {
-		t.Errorf("refused because of %q", reason)
+	p := startSidecar(t, mustDecode(t, unnamed(remoteConfigurationText(relay.Address, "", a))))
+	first := publish(t, source, unnamed(remoteConfigurationText(relay.Address, "", a)))
+	waitForConfiguration(t, relay, first, distribution.Version{})
+
+	renamed := strings.Replace(
+		unnamed(remoteConfigurationText(relay.Address, "", a, b)),
+		"name = \"test\"", "name = \"other\"",
+		1,
+	)
+	rejected := publish(t, source, renamed)
+	if reason := waitForConfiguration(t, relay, first, rejected); !strings.Contains(reason, "distribution") {
+		t.Errorf("rejected because of %q", reason)
 	}
-	asks(t, p, "/s1", 404)
-	next := publish(t, source, unnamed(remoteFile(relay.Address, "", a, b)))
-	awaitConfiguration(t, relay, next, distribution.Version{})
-	asks(t, p, "/s1", 200)
+	wantStatus(t, p, "/s1", 404)
+	next := publish(t, source, unnamed(remoteConfigurationText(relay.Address, "", a, b)))
+	waitForConfiguration(t, relay, next, distribution.Version{})
+	wantStatus(t, p, "/s1", 200)
 }
--- a/internal/sidecar/service.go
+++ b/internal/sidecar/service.go
@@ -2,296 +2,178 @@
 
 import (
 	"context"
+	"log/slog"
+	"math/rand/v2"
+	"reflect"
+	"sync"
+	"time"
+
 	"fernlanding/internal/config"
 	"fernlanding/internal/core"
 	"fernlanding/internal/membership"
 	"fernlanding/internal/membership/cache"
-	"fernlanding/internal/membership/catalog"
-	"fernlanding/internal/membership/consul"
-	"fernlanding/internal/membership/file"
 	"fernlanding/internal/membership/relayed"
 	"fernlanding/logic"
-	"fmt"
-	"io"
-	"log/slog"
-	"maps"
-	"math/rand/v2"
-	"os"
-	"reflect"
-	"slices"
-	"strings"
-	"sync"
-	"time"
 
-	pace "fernlanding/internal/start"
 	upstream "fernlanding/internal/upstream/http1"
 )
 
 const (
-	leastLarge = 2        // large answers that the platform's proxy reads at a time, at least
-	largeMB    = 16       // of memory for each of them
-	platformIn = 64 << 10 // bytes of an answer that count nowhere on the platform
-	countedIn  = 4 << 10  // and elsewhere
-	drainPoll  = 20 * time.Millisecond
-	mostToken  = 4 << 10 // bytes of a registry's token
+	minLargeBodies        = 2        // large answers that the platform's proxy reads at a time, at least
+	mbPerLargeBody        = 16       // of memory
+	platformUncountedBody = 64 << 10 // bytes of an answer that count against no quota on the platform
+	uncountedBody         = 4 << 10  // and elsewhere
+
+	drainPollInterval = 20 * time.Millisecond
 
-	pacedStream = 31 // of the seed: what spreads calls for lists
-	watchStream = 37 // of the seed: how long watches wait where lists are asked for
-	dyingPart   = 8  // one of so many backends that can't be reached makes a newer list urgent
+	pollRandStream  = 31 // of the seed: spreads polls of a list service
+	watchRandStream = 37 // of the seed: how long watches wait where the module requests them
 )
 
-// service is one pool with its upstream and the source of its list, from the configuration that names it until its
-// last request has ended.
+// service is one pool with its upstream and the source of its endpoint list. It lives from the
+// configuration that names it until its last request has ended: newService, start, drain or stop.
 type service struct {
-	cfg    *config.Service // does not change; where the list comes from does
-	starts int             // of the sidecar lately
-	hollow *HollowOptions  // nil: not in a hollow sidecar
-	rnd    *rand.Rand      // nil: the list service is not shared, and calls to it need no spreading; only plug draws from it
-	waits  *rand.Rand      // where the list is asked for at the module's word; drawn from by the one source that runs
-	pool   *core.Pool
-	up     *upstream.Upstream
-	roster *roster
-	stop   context.CancelFunc
-	lists  *relayed.Lists
-	parts  sync.WaitGroup
-
-	listDir  string           // where its list is kept; empty: nowhere
-	recalled *membership.List // that it began with; nil: none
-	age      time.Duration    // of that at the start
-
-	mu     sync.Mutex // held while the source changes
-	from   config.Source
-	unplug context.CancelFunc
-	source sync.WaitGroup
-	keeper *cache.Recorder // of the present source's list; nil: it is not kept
-	over   bool
-}
-
-// parted is what services share.
-type parted struct {
-	clock    core.Clock
-	log      *slog.Logger
-	sockets  *shares
-	memory   *shares // nil on the platform
-	memoryMB float64
-	starts   int            // of this sidecar lately, this one not included, as far as is known
-	sameID   time.Duration  // that a request waits for the end of one under its id
-	paced    bool           // lists come from a service that all copies share, and not from an agent on this machine
-	stateDir string         // where lists are kept; empty: nowhere
-	listAge  time.Duration  // from which on one that was kept is not begun with; 0: none is kept
-	relays   *relays        // that lists come from where a service says so
-	hollow   *HollowOptions // nil: a sidecar with listeners and connections
-}
-
-// newService makes a service; it stands still until start.
-func newService(cfg *config.Service, seed uint64, with parted) (*service, error) {
-	s := &service{cfg: cfg, starts: with.starts, listDir: with.stateDir, lists: with.relays.lists, hollow: with.hollow}
-	if with.listAge == 0 {
-		s.listDir = ""
-	}
-	s.waits = rand.New(rand.NewPCG(seed, watchStream))
-	if with.paced {
-		s.rnd = rand.New(rand.NewPCG(seed, pacedStream))
-	}
-	uc := upstream.Config{
-		DialTimeout: cfg.DialTimeout, IdleClose: cfg.IdleClose, ReuseDelay: upstream.UntrustedReuseDelay,
-		Quota: descriptors{with.sockets, cfg.Name}, MaxResponse: cfg.MaxResponse, PassAllStatuses: cfg.PassAllStatuses, LimitDials: with.paced,
-		IsNonIdempotent: func(class int) bool { return cfg.Balancer.Classes[class].Idempotency == logic.NonIdempotent },
+	cfg        *config.Service // does not change, but that Source is the first source alone
+	pool       *core.Pool
+	upstream   *upstream.Upstream
+	endpoints  *endpointList
+	relayLists *relayed.Lists
+	hollow     *HollowOptions // nil: not in a hollow sidecar
+	cacheDir   string         // where its list is cached; empty: nowhere
+
+	pollRand  *rand.Rand // nil: polls need no spreading; used by setSource and the one source that runs
+	watchRand *rand.Rand // used by the one source that runs
+
+	restored    *membership.List // the cached list that it began with; nil: none
+	restoredAge time.Duration    // of that at the start
+
+	stopPool context.CancelFunc // nil before start
+	poolRun  sync.WaitGroup
+
+	mu           sync.Mutex // guards what follows; held while the source changes
+	recentStarts int        // of the sidecar, for the first source; 0 from then on
+	source       config.Source
+	stopSource   context.CancelFunc // nil before the first source
+	sourceRun    sync.WaitGroup
+	recorder     *cache.Recorder // caches the present source's list; nil: it is not cached
+	stopped      bool
+}
+
+// newService returns a service that does nothing before start. It begins with the configuration's
+// known list or with a cached one, if there is any.
+func newService(cfg *config.Service, seed uint64, shared *sharedResources) (*service, error) {
+	s := &service{
+		cfg:          cfg,
+		recentStarts: shared.recentStarts,
+		relayLists:   shared.relays.lists,
+		hollow:       shared.hollow,
+		watchRand:    rand.New(rand.NewPCG(seed, watchRandStream)),
+		upstream:     upstream.New(upstreamConfig(cfg, shared)),
+	}
+	if shared.maxListAge != 0 {
+		s.cacheDir = shared.stateDir
+	}
+	if shared.sharedListService {
+		s.pollRand = rand.New(rand.NewPCG(seed, pollRandStream))
 	}
-	if cfg.Trusted {
-		uc.ReuseDelay = 0
-	}
-	if with.memory != nil {
-		uc.Memory, uc.UncountedBody, uc.HoldUntilRelease = memory{with.memory, cfg.Name}, countedIn, true
-	} else {
-		uc.Memory, uc.UncountedBody = make(slots, max(leastLarge, int(with.memoryMB)/largeMB)), platformIn
-	}
-	s.up = upstream.New(uc)
 	settings := cfg.Balancer
-	settings.ColdEvenly = with.paced
+	settings.ColdEvenly = shared.sharedListService
 	var err error
 	s.pool, err = core.New(core.Config{
-		Settings: settings, Seed: seed, Zones: cfg.Zones, Upstream: with.hollow.upstream(s.up), Clock: with.clock,
-		Log: with.log.With("service", cfg.Name), DuplicateIDWait: with.sameID,
+		Settings:        settings,
+		Seed:            seed,
+		Zones:           cfg.Zones,
+		Upstream:        shared.hollow.upstream(s.upstream),
+		Clock:           shared.clock,
+		Log:             shared.log.With("service", cfg.Name),
+		DuplicateIDWait: shared.duplicateIDWait,
 	})
 	if err != nil {
 		return nil, err
 	}
-	s.roster = &roster{pool: s.pool, all: map[string]membership.Endpoint{}}
+	s.endpoints = newEndpointList(s.pool)
 	if cfg.KnownList != nil {
-		s.roster.cached(cfg.KnownList)
-	} else if s.listDir != "" && keeps(cfg.Source) {
-		s.recall(with)
+		s.endpoints.updateFromCache(cfg.KnownList)
+	} else if s.cacheDir != "" && isCacheable(cfg.Source) {
+		s.restoreEndpoints(shared)
 	}
 	return s, nil
 }
 
-// keeps tells whether lists from a source are kept in the folder: a file is there anyway, and what stands in the configuration
-// needs no keeping.
-func keeps(from config.Source) bool {
-	return from.Kind == config.Catalog || from.Kind == config.Consul || from.Kind == config.Relay
-}
-
-// store is where a source's list is kept.
-func (s *service) store(from config.Source) *cache.Store {
-	return cache.NewStore(s.listDir, s.cfg.Name, fmt.Sprintf("%d %s %s", from.Kind, from.Address, from.RemoteName))
-}
-
-// recall has the service begin with the list that an earlier process kept.
-func (s *service) recall(with parted) {
-	list, age, err := s.store(s.cfg.Source).Load(time.Now(), with.listAge)
-	log := with.log.With("service", s.cfg.Name)
-	if err != nil {
-		log.Warn("no list is known from before", "error", strings.ReplaceAll(err.Error(), "\n", "; "))
-	}
-	if list == nil {
-		return
-	}
-	log.Info("list from before", "confirmed", age.Round(time.Millisecond), "version", list.Version, "endpoints", len(list.Endpoints))
-	s.recalled, s.age = list, age
-	s.roster.recalled(list)
-}
-
-// start begins the pool's time and follows its list.
-func (s *service) start(log *slog.Logger) {
-	ctx, stop := context.WithCancel(context.Background())
-	s.stop = stop
-	s.parts.Go(func() { s.pool.Run(ctx) })
-	s.plug(s.cfg.Source, log)
-}
-
-// plug follows a source, instead of the one before. A new one begins with the whole
-// list, since the versions of two sources do not compare, and only when the old one has ended, so that nothing of the
-// old follows the new. Until the new one has answered the old list stands.
-func (s *service) plug(from config.Source, log *slog.Logger) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.over {
-		return
-	}
-	if s.unplug != nil {
-		if reflect.DeepEqual(from, s.from) {
-			return
-		}
-		s.unplug()
-		s.source.Wait()
-	}
-	first := s.unplug == nil && s.cfg.KnownList != nil // with no list at all nobody says when to ask
-	known := int64(-1)
-	if same := reflect.DeepEqual(from, s.cfg.Source); first && same { // the versions of two sources do not compare
-		known = s.cfg.KnownList.Version
-	} else if s.unplug == nil && s.recalled != nil && same {
-		known = s.recalled.Version
+// upstreamConfig returns the configuration of a service's upstream.
+func upstreamConfig(cfg *config.Service, shared *sharedResources) upstream.Config {
+	upstreamCfg := upstream.Config{
+		DialTimeout:     cfg.DialTimeout,
+		IdleClose:       cfg.IdleClose,
+		ReuseDelay:      upstream.UntrustedReuseDelay,
+		Quota:           descriptorQuota{allocator: shared.descriptors, party: cfg.Name},
+		MaxResponse:     cfg.MaxResponse,
+		PassAllStatuses: cfg.PassAllStatuses,
+		LimitDials:      shared.sharedListService,
+		IsNonIdempotent: func(class int) bool {
+			return cfg.Balancer.Classes[class].Idempotency == logic.NonIdempotent
+		},
 	}
-	s.from = from
-	ctx, unplug := context.WithCancel(context.Background())
-	s.unplug = unplug
-	if from.Kind == config.Static {
-		s.roster.UpdateEndpoints(&membership.List{Full: true, Endpoints: from.Endpoints})
-		return
-	}
-	log = log.With("service", s.cfg.Name)
-	var source membership.Source
-	switch from.Kind {
-	case config.File:
-		source = file.New(from.Path, log)
-	case config.Consul:
-		source = consul.New(consul.Config{Address: from.Address, Service: from.RemoteName, Token: token(from.TokenFile, log), Dial: s.hollow.dial(), Log: log})
-	case config.Relay:
-		source = relayed.NewSource(s.lists, from.RemoteName)
-	default:
-		cc := catalog.Config{Address: from.Address, Subscribe: s.cfg.Balancer.WatchEndpoints, AwaitFirstRequest: first, KnownVersion: known, WatchRequested: s.pool.WatchRequested(), Rand: s.waits, Dial: s.hollow.dial(), Log: log}
-		if s.rnd != nil && !cc.Subscribe {
-			copies := s.cfg.Balancer.Replicas
-			if copies == 1 {
-				copies = 0 // not told
-			}
-			cc.Scheduler, cc.KnownAge, cc.Urgent = pace.NewPollScheduler(pace.PollConfig{Replicas: copies, RecentStarts: s.starts}, s.rnd), s.age, s.urgent
-		}
-		source = catalog.New(cc)
-		s.starts = 0 // a later source, after a reload, is no start
+	if cfg.Trusted {
+		upstreamCfg.ReuseDelay = 0
 	}
-	sink := s.hollow.sink(s.cfg.Name, s.roster)
-	if s.listDir != "" && keeps(from) {
-		keeper := cache.NewRecorder(sink, s.store(from), s.roster.list, log)
-		s.keeper, sink = keeper, keeper
-		s.source.Go(func() { keeper.Run(ctx) })
+	if shared.memory != nil {
+		upstreamCfg.Memory = memoryQuota{allocator: shared.memory, party: cfg.Name}
+		upstreamCfg.UncountedBody = uncountedBody
+		upstreamCfg.HoldUntilRelease = true
+	} else {
+		upstreamCfg.Memory = make(bodySlots, max(minLargeBodies, int(shared.memoryMB)/mbPerLargeBody))
+		upstreamCfg.UncountedBody = platformUncountedBody
 	}
-	s.source.Go(func() { source.Run(ctx, sink) })
+	return upstreamCfg
 }
 
-// urgent tells whether the service needs a newer list soon: it has none, or many of its backends can't be reached.
-func (s *service) urgent() bool {
-	u := s.up.Stats()
-	return !s.ready() || u.Unreachable > 0 && u.Unreachable*dyingPart >= u.Backends
+// start runs the pool and follows the endpoint list, until stop. The context is without an end.
+func (s *service) start(ctx context.Context, log *slog.Logger) {
+	poolCtx, stopPool := context.WithCancel(ctx)
+	s.stopPool = stopPool
+	s.poolRun.Go(func() { s.pool.Run(poolCtx) })
+	s.setSource(ctx, s.cfg.Source, log)
 }
 
-// token reads a registry's token. Without one the registry says what it thinks of that.
-func token(path string, log *slog.Logger) string {
-	if path == "" {
-		return ""
+// stop stops the service and waits until nothing of it is left. Open requests are canceled.
+func (s *service) stop() {
+	s.stopFollowing()
+	if s.stopPool != nil {
+		s.stopPool()
 	}
-	f, err := os.Open(path)
-	if err == nil {
-		defer f.Close()
-		var data []byte
-		if data, err = io.ReadAll(io.LimitReader(f, mostToken)); err == nil {
-			return strings.TrimSpace(string(data))
-		}
-	}
-	log.Warn("token of the registry", "error", err)
-	return ""
+	s.poolRun.Wait()
+	s.upstream.UpdateEndpoints(true, nil) // closes idle connections
 }
 
-// end stops the service and waits until nothing of it is left. Requests that are open are aborted.
-func (s *service) end() {
-	s.mu.Lock()
-	s.over = true
-	if s.unplug != nil {
-		s.unplug()
-	}
-	s.source.Wait()
-	s.mu.Unlock()
-	if s.stop != nil {
-		s.stop()
-	}
-	s.parts.Wait()
-	s.up.UpdateEndpoints(true, nil) // closes what is idle
-}
-
-// drain takes nothing new, and ends when the last request has, at the latest after the longest deadline.
-func (s *service) drain(ctx context.Context) {
+// drain closes the pool and stops the service when its last request has ended, at the latest after
+// the longest deadline or when canceled is closed.
+func (s *service) drain(canceled <-chan struct{}) {
 	s.pool.Close()
-	s.mu.Lock()
-	if s.keeper != nil {
-		s.keeper.Stop() // a successor of the same name keeps its own
-	}
-	s.mu.Unlock()
-	left, cancel := context.WithTimeout(ctx, s.cfg.LongestDeadline()+time.Second)
-	defer cancel()
-	poll := time.NewTicker(drainPoll)
+	s.stopRecording()
+	timeout := time.NewTimer(s.cfg.LongestDeadline() + time.Second)
+	defer timeout.Stop()
+	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
-	for s.pool.Stats().Requests > 0 && left.Err() == nil {
-		select {
-		case <-poll.C:
-		case <-left.Done():
-		}
-	}
-	s.end()
+	s.awaitRequests(poll.C, timeout.C, canceled)
+	s.stop()
 }
 
-// listSource is where the list comes from now.
-func (s *service) listSource() config.Source {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.unplug == nil {
-		return s.cfg.Source
+// awaitRequests waits until the pool has no request, or for the end of either of two times.
+func (s *service) awaitRequests(poll, timeout <-chan time.Time, canceled <-chan struct{}) {
+	for s.pool.Stats().Requests > 0 {
+		select {
+		case <-poll:
+		case <-timeout:
+			return
+		case <-canceled:
+			return
+		}
 	}
-	return s.from
 }
 
-// ready tells whether the service has a list.
-func (s *service) ready() bool {
+// isReady reports whether the service has an endpoint list.
+func (s *service) isReady() bool {
 	select {
 	case <-s.pool.Ready():
 		return true
@@ -300,65 +182,11 @@
 	}
 }
 
-// same tells whether two configurations of a service differ in nothing but its source: its pool can stay.
-func same(a, b *config.Service) bool {
+// sameButSource reports whether two configurations of a service differ in nothing but the source of
+// the list: the pool can stay.
+func sameButSource(a, b *config.Service) bool {
 	x, y := *a, *b
 	x.Source, y.Source = config.Source{}, config.Source{}
 	x.KnownList, y.KnownList = nil, nil
 	return reflect.DeepEqual(x, y)
 }
-
-// roster hands lists to a pool and keeps the whole list, which a successor of the pool begins with.
-type roster struct {
-	pool *core.Pool
-
-	mu    sync.Mutex
-	index int64
-	all   map[string]membership.Endpoint
-}
-
-// UpdateEndpoints implements membership.Sink.
-func (r *roster) UpdateEndpoints(l *membership.List) {
-	r.take(l)
-	r.pool.UpdateEndpoints(l)
-}
-
-// UpdateFailed implements membership.Sink.
-func (r *roster) UpdateFailed() { r.pool.UpdateFailed() }
-
-func (r *roster) cached(l *membership.List) {
-	r.take(l)
-	r.pool.UpdateFromCache(l)
-}
-
-func (r *roster) recalled(l *membership.List) {
-	r.take(l)
-	r.pool.RestoreEndpoints(l)
-}
-
-func (r *roster) take(l *membership.List) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.index = l.Version; l.Full {
-		clear(r.all)
-	}
-	for _, e := range l.Endpoints {
-		if r.all[e.Name] = e; e.Status == membership.Deleted {
-			delete(r.all, e.Name)
-		}
-	}
-}
-
-// list is the whole list as it stands; nil if there is none yet.
-func (r *roster) list() *membership.List {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if len(r.all) == 0 {
-		return nil
-	}
-	l := &membership.List{Version: r.index, Full: true}
-	for _, name := range slices.Sorted(maps.Keys(r.all)) {
-		l.Endpoints = append(l.Endpoints, r.all[name])
-	}
-	return l
-}
--- a/internal/sidecar/sidecartest/start.go
+++ b/internal/sidecar/sidecartest/start.go
@@ -3,37 +3,38 @@
 
 import (
 	"context"
-	"fernlanding/internal/config"
-	"fernlanding/internal/sidecar"
 	"log/slog"
 	"testing"
 	"time"
+
+	"fernlanding/internal/config"
+	"fernlanding/internal/sidecar"
 )
 
 const readyWithin = 20 * time.Second
 
 // Start runs a sidecar by an application's file until the test ends, and returns once it is ready.
-func Start(t testing.TB, file string) *sidecar.Sidecar {
-	t.Helper()
+func Start(tb testing.TB, file string) *sidecar.Sidecar {
+	tb.Helper()
 	app, err := config.Decode("test.toml", []byte(file))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	s, err := sidecar.New(app, slog.New(slog.DiscardHandler))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(ctx) }()
-	t.Cleanup(func() {
+	tb.Cleanup(func() {
 		stop()
 		if err := <-ended; err != nil {
-			t.Error(err)
+			tb.Error(err)
 		}
 	})
 	if err := s.WaitReady(ctx, readyWithin); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return s
 }
