--- a/cmd/fernlanding/herd_test.go
+++ b/cmd/fernlanding/herd_test.go
@@ -17,20 +17,21 @@
 )
 
 const (
-	programVar     = "FERNLANDING" // the program to measure; empty: built from this tree
-	herdCopies     = 200
-	herdRate       = 50 // whole readings a second that the list service works off
+	programVar     = "FERNLANDING" // the environment variable with the program to measure; empty: built from this tree
+	herdReplicas   = 200
+	herdRate       = 50 // snapshots a second that the list service can serve
 	herdQueue      = 100
-	herdStretch    = 45 * time.Second
+	herdWindow     = 45 * time.Second // of a measurement of a start
 	herdOutage     = 20 * time.Second
-	herdSpacing    = 30 * time.Millisecond // between starts that the service bears
-	herdPatience   = 2 * time.Minute
+	herdSpacing    = 30 * time.Millisecond // between starts, which the list service can bear
+	herdTimeout    = 2 * time.Minute
 	herdPoll       = 20 * time.Millisecond
 	herdHealthPoll = 250 * time.Millisecond
 )
 
-// BenchmarkListHerd plays processes of the platform's form that share one slow list service and know of no list: all of them started
-// at once, and an outage of the service, which then answers 503. One round of each is enough:
+// BenchmarkListHerd measures how proxies of the platform that share one slow list service poll it
+// without a known list: all of them started at once, and in an outage of the service, which then
+// answers 503. One iteration is enough:
 //
 //	go test -run - -bench ListHerd -benchtime 1x -timeout 30m ./cmd/fernlanding
 func BenchmarkListHerd(b *testing.B) {
@@ -51,49 +52,53 @@
 	}
 }
 
-// herdStart starts all copies at once.
+// herdStart starts all replicas at once.
 func herdStart(b *testing.B, program, mode string) {
+	b.Helper()
 	h := newHerd(b, 0)
 	began := time.Now()
 	h.start(b, program, mode, 0)
-	all := waitForAll(func() int { return int(h.ready.Load()) }, began.Add(herdStretch))
-	time.Sleep(time.Until(began.Add(herdStretch)))
+	allReady := waitForAll(func() int { return int(h.ready.Load()) }, began.Add(herdWindow))
+	time.Sleep(time.Until(began.Add(herdWindow)))
 	ready := h.ready.Load()
-	_, whole := h.since(began)
+	_, snapshots := h.callsSince(began)
 	b.ReportMetric(float64(ready), "ready")
-	b.ReportMetric(peakPerSecond(whole, began), "whole/s-peak")
-	b.ReportMetric(float64(len(whole))/herdStretch.Seconds(), "whole/s-mean")
-	b.ReportMetric(all.Sub(began).Seconds(), "s-until-all-ready-or-end")
-	b.ReportMetric(float64(h.givenUp()), "given-up")
+	b.ReportMetric(peakPerSecond(snapshots, began), "whole/s-peak")
+	b.ReportMetric(float64(len(snapshots))/herdWindow.Seconds(), "whole/s-mean")
+	b.ReportMetric(allReady.Sub(began).Seconds(), "s-until-all-ready-or-end")
+	b.ReportMetric(float64(h.callsGivenUp()), "given-up")
 	b.ReportMetric(0, "ns/op")
 }
 
-// herdInOutage has the service answer 503 for a while once all copies have a list, with a change before its end.
+// herdInOutage has the service answer 503 for herdOutage once all replicas have a list, with a
+// change of the list before the end.
 func herdInOutage(b *testing.B, program, mode string, retryAfter time.Duration) {
+	b.Helper()
 	h := newHerd(b, retryAfter)
 	h.start(b, program, mode, herdSpacing)
-	waitForAll(func() int { return h.have(1) }, time.Now().Add(herdPatience))
-	if n := h.have(1); n < herdCopies {
-		b.Fatalf("%d of %d copies have a list before the outage", n, herdCopies)
+	waitForAll(func() int { return h.replicasAt(1) }, time.Now().Add(herdTimeout))
+	if n := h.replicasAt(1); n < herdReplicas {
+		b.Fatalf("%d of %d replicas have a list before the outage", n, herdReplicas)
 	}
 	h.service.Down(true)
 	began := time.Now()
 	time.Sleep(herdOutage)
 	h.service.Put(standin.Member{Name: "late", Address: "127.0.0.1:1", Zone: "a"})
-	calls, _ := h.since(began)
+	calls, _ := h.callsSince(began)
 	h.service.Down(false)
 	ended := time.Now()
-	last := waitForAll(func() int { return h.have(2) }, ended.Add(herdPatience))
-	_, whole := h.since(ended)
+	allUpdated := waitForAll(func() int { return h.replicasAt(2) }, ended.Add(herdTimeout))
+	_, snapshots := h.callsSince(ended)
 	b.ReportMetric(peakPerSecond(calls, began), "calls/s-peak")
 	b.ReportMetric(float64(len(calls))/herdOutage.Seconds(), "calls/s-mean")
-	b.ReportMetric(last.Sub(ended).Seconds(), "s-until-all-have-it")
-	b.ReportMetric(float64(len(whole)), "whole-after")
+	b.ReportMetric(allUpdated.Sub(ended).Seconds(), "s-until-all-have-it")
+	b.ReportMetric(float64(len(snapshots)), "whole-after")
 	b.ReportMetric(0, "ns/op")
 }
 
-// herdProgram is the program that is measured.
+// herdProgram returns the program to measure.
 func herdProgram(b *testing.B) string {
+	b.Helper()
 	if program := os.Getenv(programVar); program != "" {
 		return program
 	}
@@ -104,65 +109,74 @@
 	return program
 }
 
-// herd is the copies, and the list service before which each has an address of its own, by which it is known.
+// herd is the replicas and their list service, which has an address for each of them to tell them
+// apart.
 type herd struct {
 	service   *standin.Discovery
 	addresses []string
-	ready     atomic.Int32 // copies whose health was seen to be good
+	ready     atomic.Int32 // replicas whose health check has passed
 
-	mu    sync.Mutex
-	of    map[string]int // the copy at the other end of a connection, by its address
-	index []int64        // the newest version that a copy was told
-	calls []standin.DiscoveryCall
+	mu       sync.Mutex     // guards what follows
+	replicas map[string]int // by the address of their connections
+	versions []int64        // the newest that each replica has got
+	calls    []standin.DiscoveryCall
 }
 
+// newHerd starts the list service.
 func newHerd(b *testing.B, retryAfter time.Duration) *herd {
-	h := &herd{of: map[string]int{}, index: make([]int64, herdCopies)}
+	b.Helper()
+	h := &herd{replicas: map[string]int{}, versions: make([]int64, herdReplicas)}
 	var err error
-	h.service, err = standin.NewDiscoveryWith(standin.DiscoveryConfig{Rate: herdRate, Queue: herdQueue, RetryAfter: retryAfter, Report: h.report})
+	h.service, err = standin.NewDiscoveryWith(standin.DiscoveryConfig{
+		Rate: herdRate, Queue: herdQueue, RetryAfter: retryAfter, Report: h.report,
+	})
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(h.service.Close)
 	h.service.Put(standin.Member{Name: "a", Address: "127.0.0.1:1", Zone: "a"})
-	for i := range herdCopies {
+	for i := range herdReplicas {
 		h.addresses = append(h.addresses, h.listen(b, i))
 	}
 	return h
 }
 
-// listen opens the service's address for one copy.
-func (h *herd) listen(b *testing.B, i int) string {
+// listen opens the service's address for one replica.
+func (h *herd) listen(b *testing.B, replica int) string {
+	b.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	s := &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	handler := func(w http.ResponseWriter, r *http.Request) {
 		h.mu.Lock()
-		h.of[r.RemoteAddr] = i
+		h.replicas[r.RemoteAddr] = replica
 		h.mu.Unlock()
 		h.service.ServeHTTP(w, r)
-	})}
-	go func() { _ = s.Serve(l) }()
-	b.Cleanup(func() { _ = s.Close() })
+	}
+	server := &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(handler)}
+	go func() { _ = server.Serve(l) }()
+	b.Cleanup(func() { _ = server.Close() })
 	return l.Addr().String()
 }
 
-// report takes the end of a call.
+// report records a call that has ended.
 func (h *herd) report(call standin.DiscoveryCall) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.calls = append(h.calls, call)
-	if copied := h.of[call.Caller]; call.Status == http.StatusOK && !call.GivenUp {
-		h.index[copied] = max(h.index[copied], call.Index)
+	if call.Status == http.StatusOK && !call.GivenUp {
+		replica := h.replicas[call.Caller]
+		h.versions[replica] = max(h.versions[replica], call.Index)
 	}
 }
 
-// start starts the copies, some time apart.
-func (h *herd) start(b *testing.B, program, mode string, apart time.Duration) {
+// start starts the replicas, some time apart.
+func (h *herd) start(b *testing.B, program, mode string, spacing time.Duration) {
+	b.Helper()
 	for i, address := range h.addresses {
 		file := filepath.Join(b.TempDir(), "config.json")
-		listen := herdAddress(b)
+		listen := freeAddress(b)
 		if err := os.WriteFile(file, []byte(herdConfig(i, listen, address, mode)), 0o600); err != nil {
 			b.Fatal(err)
 		}
@@ -176,11 +190,11 @@
 			_ = cmd.Process.Kill()
 			_ = cmd.Wait()
 		})
-		time.Sleep(apart)
+		time.Sleep(spacing)
 	}
 }
 
-// watch notes when a copy says that it is ready.
+// watch counts a replica once its health check passes.
 func (h *herd) watch(ctx context.Context, listen string) {
 	poll := time.NewTicker(herdHealthPoll)
 	defer poll.Stop()
@@ -202,81 +216,79 @@
 	}
 }
 
-// herdAddress is a loopback address that nobody listens on.
-func herdAddress(b *testing.B) string {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		b.Fatal(err)
-	}
-	defer l.Close()
-	return l.Addr().String()
-}
-
-// herdConfig is the configuration of a copy.
-func herdConfig(i int, listen, address, mode string) string {
-	return fmt.Sprintf(`{"name":"n%d","listen":%q,"discovery":%q,"seed":"%x","limits":{"cores":1,"memory_mb":64,"sockets":256},"known":null,
-"settings":{"contract":{"ask_every_us":10000000},"failure_domains":["a"],"limits":{"dial_timeout_us":1000000,"idle_close_us":10000000,"try_limit":2},
-"membership_mode":%q,"profiles":[{"give_up_us":9000000,"name":"look","objective_us":9000000,"repeat":"idempotent","worth":1}],"siblings":%d}}`,
-		i, listen, address, 1000+i, mode, herdCopies)
+// herdConfig returns the configuration of a replica.
+func herdConfig(replica int, listen, discovery, mode string) string {
+	return fmt.Sprintf(`{"name":"n%d","listen":%q,"discovery":%q,"seed":"%x",
+"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":null,
+"settings":{"contract":{"ask_every_us":10000000},"failure_domains":["a"],
+"limits":{"dial_timeout_us":1000000,"idle_close_us":10000000,"try_limit":2},"membership_mode":%q,
+"profiles":[{"give_up_us":9000000,"name":"look","objective_us":9000000,"repeat":"idempotent","worth":1}],
+"siblings":%d}}`,
+		replica, listen, discovery, 1000+replica, mode, herdReplicas)
 }
 
-// have is how many copies were told a version.
-func (h *herd) have(index int64) (n int) {
+// replicasAt returns how many replicas have got a version of the list, or a later one.
+func (h *herd) replicasAt(version int64) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, v := range h.index {
-		if v >= index {
-			n++
+	count := 0
+	for _, v := range h.versions {
+		if v >= version {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// givenUp is how many calls were worked off after their caller had gone.
-func (h *herd) givenUp() (n int) {
+// callsGivenUp returns how many calls were served after their caller had given up.
+func (h *herd) callsGivenUp() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
+	count := 0
 	for _, c := range h.calls {
 		if c.GivenUp {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// waitForAll waits until a count is that of all copies, and returns when that was seen, or the time until which it waits.
-func waitForAll(count func() int, until time.Time) time.Time {
-	for ; time.Now().Before(until); time.Sleep(herdPoll) {
-		if count() == herdCopies {
+// waitForAll waits until a count includes all replicas, and returns when that was seen, or the
+// deadline.
+func waitForAll(count func() int, deadline time.Time) time.Time {
+	for ; time.Now().Before(deadline); time.Sleep(herdPoll) {
+		if count() == herdReplicas {
 			return time.Now()
 		}
 	}
-	return until
+	return deadline
 }
 
-// since is when the calls were made that were made since a time, and those for the whole list among them. Calls that are open, and
-// so were not turned away, are not counted.
-func (h *herd) since(began time.Time) (all, whole []time.Time) {
+// callsSince returns when the calls since a time began, and those for a snapshot among them. Calls
+// that are open, and so were not rejected, are not included.
+func (h *herd) callsSince(since time.Time) (all, snapshots []time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range h.calls {
-		if c.Began.Before(began) {
+		if c.Began.Before(since) {
 			continue
 		}
-		if all = append(all, c.Began); c.From < 0 {
-			whole = append(whole, c.Began)
+		all = append(all, c.Began)
+		if c.From < 0 {
+			snapshots = append(snapshots, c.Began)
 		}
 	}
-	return all, whole
+	return all, snapshots
 }
 
-// peakPerSecond is the most of some times that fall into one second from a time on.
-func peakPerSecond(at []time.Time, began time.Time) float64 {
-	count, most := map[int]int{}, 0
-	for _, t := range at {
-		second := int(t.Sub(began) / time.Second)
-		count[second]++
-		most = max(most, count[second])
+// peakPerSecond returns how many of some times fall into one second at most; seconds are counted
+// from a time on.
+func peakPerSecond(times []time.Time, from time.Time) float64 {
+	counts, peak := map[int]int{}, 0
+	for _, t := range times {
+		second := int(t.Sub(from) / time.Second)
+		counts[second]++
+		peak = max(peak, counts[second])
 	}
-	return float64(most)
+	return float64(peak)
 }
--- a/cmd/fernlanding/relays_bench_test.go
+++ b/cmd/fernlanding/relays_bench_test.go
@@ -23,67 +23,91 @@
 	restWindow   = 20 * time.Second
 )
 
-// restMembers are the backends of every list.
-func restMembers() (all []standin.Member) {
+// restMembers returns the backends of every list.
+func restMembers() []standin.Member {
+	var members []standin.Member
 	for i := range restBackends {
-		all = append(all, standin.Member{Name: fmt.Sprintf("backend-%03d", i), Address: fmt.Sprintf("127.0.0.1:%d", 20_000+i), Status: "SERVING"})
+		members = append(members, standin.Member{
+			Name:    fmt.Sprintf("backend-%03d", i),
+			Address: fmt.Sprintf("127.0.0.1:%d", 20_000+i),
+			Status:  "SERVING",
+		})
 	}
-	return all
+	return members
 }
 
-// BenchmarkAtRest is a sidecar in a process of its own that follows 20 lists of 200 backends while nothing changes, by
-// blocking reads of a health API and by a relay. Run it with -benchtime 1x: each iteration takes 25 s.
+// BenchmarkAtRest measures a sidecar in a process of its own that follows 20 lists of 200 backends
+// while nothing changes, by blocking reads of a health API and by a relay. Run it with -benchtime
+// 1x: each iteration takes 25 s.
 func BenchmarkAtRest(b *testing.B) {
-	dir := programs(b)
+	dir := buildPrograms(b)
 	b.Run("consul", func(b *testing.B) { measureAtRest(b, dir, followHealth) })
 	b.Run("relay", func(b *testing.B) { measureAtRest(b, dir, followRelay) })
 }
 
-// followHealth returns a gate before a health API, and the lines of a file that follow it: of the whole and of a service.
-func followHealth(b *testing.B, _ string) (gate *nodetest.Gate, top, service string) {
-	h, err := standin.NewHealth()
+// restSource is a source of lists that a sidecar follows.
+type restSource struct {
+	gate    *nodetest.Gate // counts what the sidecar reads
+	file    string         // lines of the sidecar's file
+	service string         // lines of each service
+}
+
+// followHealth returns a health API.
+func followHealth(b *testing.B, _ string) restSource {
+	b.Helper()
+	health, err := standin.NewHealth()
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(h.Close)
-	h.Put(restMembers()...)
-	gate = nodetest.NewGate(b, h.Addr())
-	return gate, "", fmt.Sprintf("membership = \"consul\"\ndiscovery = %q\n", gate.Address)
+	b.Cleanup(health.Close)
+	health.Put(restMembers()...)
+	gate := nodetest.NewGate(b, health.Addr())
+	return restSource{gate: gate, service: fmt.Sprintf("membership = \"consul\"\ndiscovery = %q\n", gate.Address)}
 }
 
-// followRelay is the same for a relay.
-func followRelay(b *testing.B, dir string) (gate *nodetest.Gate, top, service string) {
-	source := startProgram(b, filepath.Join(dir, "fernrelay"), "source", "-listen", "127.0.0.1:0", "-state", b.TempDir()).listening(b)
-	relay := startProgram(b, filepath.Join(dir, "fernrelay"), "relay", "-listen", "127.0.0.1:0", "-name", "relay", "-upstream", source).listening(b)
+// followRelay returns a relay, from the programs in a directory.
+func followRelay(b *testing.B, dir string) restSource {
+	b.Helper()
+	fernrelay := filepath.Join(dir, "fernrelay")
+	const anyPort = "127.0.0.1:0"
+	source := startProgram(b, fernrelay, "source", "-listen", anyPort, "-state", b.TempDir()).listening(b)
+	relay := startProgram(b, fernrelay, "relay", "-listen", anyPort, "-name", "relay", "-upstream", source).listening(b)
 	var items []distribution.Item
-	for _, m := range restMembers() {
-		value, err := json.Marshal(map[string]any{"address": m.Address})
+	for _, member := range restMembers() {
+		value, err := json.Marshal(map[string]any{"address": member.Address})
 		if err != nil {
 			b.Fatal(err)
 		}
-		items = append(items, distribution.Item{Key: m.Name, Value: value})
+		items = append(items, distribution.Item{Key: member.Name, Value: value})
 	}
-	calls := httpapi.NewClient(nil)
-	defer calls.Close()
+	client := httpapi.NewClient(nil)
+	defer client.Close()
 	for i := range restServices {
-		if _, err := calls.Put(b.Context(), source, &distribution.PutRequest{Resource: "lists/" + restService(i), Items: items}); err != nil {
+		put := &distribution.PutRequest{Resource: "lists/" + restService(i), Items: items}
+		if _, err := client.Put(b.Context(), source, put); err != nil {
 			b.Fatal(err)
 		}
 	}
-	gate = nodetest.NewGate(b, relay)
-	return gate, fmt.Sprintf("[distribution]\nrelays = [%q]\n", gate.Address), "membership = \"relay\"\n"
+	gate := nodetest.NewGate(b, relay)
+	return restSource{
+		gate:    gate,
+		file:    fmt.Sprintf("[distribution]\nrelays = [%q]\n", gate.Address),
+		service: "membership = \"relay\"\n",
+	}
 }
 
+// restService returns the name of a service and its list.
 func restService(i int) string { return fmt.Sprintf("service-%02d", i) }
 
 // measureAtRest measures a sidecar that follows lists and gets no requests.
-func measureAtRest(b *testing.B, dir string, follow func(*testing.B, string) (gate *nodetest.Gate, top, service string)) {
-	gate, top, service := follow(b, dir)
+func measureAtRest(b *testing.B, dir string, follow func(*testing.B, string) restSource) {
+	b.Helper()
+	source := follow(b, dir)
 	var file strings.Builder
-	fmt.Fprintf(&file, "version = 2\nname = \"rest\"\nlisteners = [{ address = %q }]\n%s", freeAddress(b), top)
+	fmt.Fprintf(&file, "version = 2\nname = \"rest\"\nlisteners = [{ address = %q }]\n", freeAddress(b))
+	file.WriteString(source.file)
 	for i := range restServices {
-		name := restService(i)
-		fmt.Fprintf(&file, "[services.%s]\n%s[services.%s.classes.look]\nrepeat = \"safe\"\n[[routes]]\nname = %q\nprefix = \"/%s\"\nservice = %q\n", name, service, name, name, name, name)
+		file.WriteString(serviceText(restService(i), source.service))
 	}
 	path := filepath.Join(b.TempDir(), "app.toml")
 	if err := os.WriteFile(path, []byte(file.String()), 0o600); err != nil {
@@ -94,18 +118,19 @@
 	for b.Loop() {
 		<-time.After(restSettle)
 		pid := p.cmd.Process.Pid
-		bytes, used, began := gate.Carried(), cpu(b, pid), time.Now()
+		bytes, used, began := source.gate.Carried(), cpuTime(b, pid), time.Now()
 		<-time.After(restWindow)
-		took := time.Since(began).Seconds()
-		b.ReportMetric(float64(gate.Carried()-bytes)/took, "B/s")
-		b.ReportMetric((cpu(b, pid)-used).Seconds()/took*100, "%core")
-		b.ReportMetric(resident(b, pid), "MB-RSS")
-		b.ReportMetric(float64(gate.Accepted()), "conns")
+		elapsed := time.Since(began).Seconds()
+		b.ReportMetric(float64(source.gate.Carried()-bytes)/elapsed, "B/s")
+		b.ReportMetric((cpuTime(b, pid)-used).Seconds()/elapsed*100, "%core")
+		b.ReportMetric(residentMB(b, pid), "MB-RSS")
+		b.ReportMetric(float64(source.gate.Accepted()), "conns")
 	}
 }
 
-// resident is the memory that a process has, in MB.
-func resident(b *testing.B, pid int) float64 {
+// residentMB returns the resident memory of a process, in MB.
+func residentMB(b *testing.B, pid int) float64 {
+	b.Helper()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		b.Fatal(err)
--- a/cmd/fernlanding/standin.go
+++ b/cmd/fernlanding/standin.go
@@ -2,9 +2,7 @@
 
 import (
 	"context"
-	"errors"
 	"flag"
-	"fmt"
 	"io"
 	"slices"
 
@@ -12,49 +10,60 @@
 	"fernlanding/internal/standin"
 )
 
-const mostStandins = 256
+const maxStandins = 256
 
-// backends starts a stand-in for each backend on a loopback address that files name, until it is interrupted. They answer
-// each request with what they got. Nothing of a sidecar is in this process.
-func backends(ctx context.Context, args []string, out, log io.Writer) error {
+// runStandins runs a stand-in for each backend that files name, each of which has a loopback
+// address, until the context ends. They answer each request with what it contains. No sidecar runs
+// in this process.
+func runStandins(ctx context.Context, args []string, out, log io.Writer) error {
 	flags := flag.NewFlagSet("fernlanding standin", flag.ContinueOnError)
 	flags.SetOutput(log)
 	if err := flags.Parse(args); err != nil {
-		return asUsage(err)
+		return flagError(err)
 	}
 	if flags.NArg() == 0 {
-		return usageError{errors.New("fernlanding standin: the FILE of an application expected")}
+		return usageErrorf("fernlanding standin: the FILE of an application expected")
 	}
+	addresses, err := backendAddresses(flags.Args())
+	if err != nil {
+		return usageError{err}
+	}
+	if len(addresses) == 0 || len(addresses) > maxStandins {
+		return usageErrorf("fernlanding standin: the files name %d backends; 1 to %d expected",
+			len(addresses), maxStandins)
+	}
+	for _, address := range addresses {
+		backend, err := standin.NewBackendAt(address, standin.Echo)
+		if err != nil {
+			return err
+		}
+		defer backend.Close()
+		printf(out, "backend  http://%s\n", address)
+	}
+	printf(out, "\nInterrupt to end.\n")
+	<-ctx.Done()
+	return nil
+}
+
+// backendAddresses returns the addresses of the backends that files name, each once.
+func backendAddresses(files []string) ([]string, error) {
 	var addresses []string
-	for _, name := range flags.Args() {
-		data, err := read(name)
+	for _, file := range files {
+		data, err := readFile(file)
 		if err != nil {
-			return usageError{err}
+			return nil, err
 		}
-		app, err := config.Decode(name, data)
+		app, err := config.Decode(file, data)
 		if err != nil {
-			return usageError{err}
+			return nil, err
 		}
-		for _, s := range app.Services {
-			for _, e := range s.Source.Endpoints {
-				if !slices.Contains(addresses, e.Address) {
-					addresses = append(addresses, e.Address)
+		for _, service := range app.Services {
+			for _, endpoint := range service.Source.Endpoints {
+				if !slices.Contains(addresses, endpoint.Address) {
+					addresses = append(addresses, endpoint.Address)
 				}
 			}
 		}
 	}
-	if len(addresses) == 0 || len(addresses) > mostStandins {
-		return usageError{fmt.Errorf("fernlanding standin: the files name %d backends; 1 to %d expected", len(addresses), mostStandins)}
-	}
-	for _, a := range addresses {
-		b, err := standin.NewBackendAt(a, standin.Echo)
-		if err != nil {
-			return err
-		}
-		defer b.Close()
-		fmt.Fprintf(out, "backend  http://%s\n", a)
-	}
-	fmt.Fprintln(out, "\nInterrupt to end.")
-	<-ctx.Done()
-	return nil
+	return addresses, nil
 }
--- a/cmd/fernlanding/try.go
+++ b/cmd/fernlanding/try.go
@@ -2,13 +2,10 @@
 
 import (
 	"context"
-	"encoding/json"
 	"flag"
-	"fmt"
 	"io"
 	"log/slog"
 	"math/rand/v2"
-	"text/tabwriter"
 	"time"
 
 	"fernlanding/internal/config"
@@ -17,116 +14,146 @@
 )
 
 const (
-	mostLoad = 5000
-	mostFor  = 10 * time.Minute
-	quiet    = 5 // the first part of a load, before its troubles: one in so many
+	maxLoad         = 5000 // requests a second
+	maxLoadDuration = 10 * time.Minute
+	maxFaulty       = 10 // of the fleet's backends
 
-	readyWithin = 10 * time.Second
+	// Faults begin after one part of a load in so many.
+	faultDelayFraction = 5
+
+	readyTimeout = 10 * time.Second
 )
 
-// tryReport is what try -json prints.
-type tryReport struct {
-	Listen  string           `json:"listen"`
-	Rate    float64          `json:"rate"`
-	Seconds float64          `json:"seconds"`
-	Slow    int              `json:"slow"`
-	Hung    int              `json:"hung"`
-	Seed    uint64           `json:"seed"`
-	Classes []standin.Result `json:"classes"`
-	Total   standin.Result   `json:"total"`
-	Twice   int              `json:"effects_twice"` // effects that happened more than once
+// tryOptions are the arguments of try.
+type tryOptions struct {
+	load     float64 // requests a second; 0: none
+	duration time.Duration
+	slow     int // backends that become slow
+	hung     int // backends that become silent
+	asJSON   bool
+	seed     uint64
+	listen   string
 }
 
-// try starts a stand-in fleet and a sidecar before it, in this process. With a load it plays that and prints what became
-// of it; otherwise it runs until it is interrupted.
+// try runs a stand-in fleet and a sidecar before it, in this process. With a load it plays that and
+// prints the results; otherwise it runs until the context ends.
 func try(ctx context.Context, args []string, out, log io.Writer) error {
-	flags := flag.NewFlagSet("fernlanding try", flag.ContinueOnError)
-	flags.SetOutput(log)
-	load := flags.Float64("load", 0, "requests a `second` to play; 0: none, run until interrupted")
-	long := flags.Duration("for", 10*time.Second, "how `long` the load is")
-	slow := flags.Int("slow", 0, "`backends` that turn eight times slower after a fifth of the load")
-	hang := flags.Int("hang", 0, "`backends` that answer nothing from then on")
-	asJSON := flags.Bool("json", false, "print the result as JSON")
-	seed := flags.Uint64("seed", 0, "of the load and the sidecar; 0: drawn")
-	listen := flags.String("listen", "127.0.0.1:0", "`address` of the sidecar")
-	if err := flags.Parse(args); err != nil {
-		return asUsage(err)
-	}
-	switch {
-	case flags.NArg() > 0:
-		return usageError{fmt.Errorf("fernlanding try: unknown argument %q; flags expected", flags.Arg(0))}
-	case !(*load >= 0 && *load <= mostLoad):
-		return usageError{fmt.Errorf("fernlanding try: -load %g; 0 to %d expected", *load, mostLoad)}
-	case *long <= 0 || *long > mostFor:
-		return usageError{fmt.Errorf("fernlanding try: -for %v; more than 0 and at most %v expected", *long, mostFor)}
-	case *slow < 0 || *hang < 0 || *slow+*hang > 10:
-		return usageError{fmt.Errorf("fernlanding try: -slow %d -hang %d; 0 to 10 backends together expected", *slow, *hang)}
-	}
-	if *seed == 0 {
-		*seed = rand.Uint64()
+	options, err := parseTryOptions(args, log)
+	if err != nil {
+		return err
 	}
 	fleet, err := standin.NewFleet()
 	if err != nil {
 		return err
 	}
 	defer fleet.Close()
-	app, err := config.Decode("try", []byte(fleet.Config(*listen)))
+	app, err := config.Decode("try", []byte(fleet.Config(options.listen)))
 	if err != nil {
 		return err
 	}
-	app.Seed = *seed
-	s, err := sidecar.New(app, slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelWarn})))
+	app.Seed = options.seed
+	warnings := slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelWarn})
+	s, err := sidecar.New(app, slog.New(warnings))
 	if err != nil {
 		return err
 	}
-	inner, stop := context.WithCancel(ctx)
-	ended := make(chan error, 1)
-	go func() { ended <- s.Run(inner) }()
-	defer func() { stop(); <-ended }()
-	if err := s.WaitReady(inner, readyWithin); err != nil {
+	runCtx, stop := context.WithCancel(ctx)
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		_ = s.Run(runCtx) // how the sidecar ended is no result of a try
+	}()
+	defer func() {
+		stop()
+		<-ended
+	}()
+	if err := s.WaitReady(runCtx, readyTimeout); err != nil {
 		return err
 	}
-	if *load == 0 {
-		fmt.Fprintf(out, "sidecar  http://%s\n", s.Addr())
-		for _, w := range fleet.Workers {
-			fmt.Fprintf(out, "backend  http://%s\n", w.Addr())
-		}
-		fmt.Fprintf(out, "\ntry      curl -i http://%s/tariffs/7\n         curl -i -X POST -H 'Idempotency-Key: k1' -d '{}' http://%s/usage\n"+
-			"         curl -i -X POST -d '{}' http://%s/accounts/7/charges\n\nInterrupt to end.\n", s.Addr(), s.Addr(), s.Addr())
+	if options.load == 0 {
+		printAddresses(out, s.Addr(), fleet)
 		<-ctx.Done()
 		return nil
 	}
-	l := standin.Load{Addr: s.Addr(), Classes: fleet.Classes(), Rate: *load, For: *long, Seed: *seed, Tag: "try"}
-	trouble := time.AfterFunc(*long/quiet, func() { fleet.Trouble(*slow, *hang) })
-	defer trouble.Stop()
-	results := l.Run(ctx)
-	report := tryReport{
-		Listen: s.Addr(), Rate: *load, Seconds: long.Seconds(), Slow: *slow, Hung: *hang, Seed: *seed,
-		Twice: len(fleet.Effects.Twice()),
+	report := playLoad(ctx, options, s.Addr(), fleet)
+	if options.asJSON {
+		return report.writeJSON(out)
+	}
+	return report.writeTable(out)
+}
+
+// parseTryOptions parses the arguments of try.
+func parseTryOptions(args []string, log io.Writer) (*tryOptions, error) {
+	var o tryOptions
+	flags := flag.NewFlagSet("fernlanding try", flag.ContinueOnError)
+	flags.SetOutput(log)
+	flags.Float64Var(&o.load, "load", 0, "requests a `second` to play; 0: none, run until interrupted")
+	flags.DurationVar(&o.duration, "for", 10*time.Second, "how `long` the load is")
+	flags.IntVar(&o.slow, "slow", 0, "`backends` that turn eight times slower after a fifth of the load")
+	flags.IntVar(&o.hung, "hang", 0, "`backends` that answer nothing from then on")
+	flags.BoolVar(&o.asJSON, "json", false, "print the result as JSON")
+	flags.Uint64Var(&o.seed, "seed", 0, "of the load and the sidecar; 0: drawn")
+	flags.StringVar(&o.listen, "listen", "127.0.0.1:0", "`address` of the sidecar")
+	if err := flags.Parse(args); err != nil {
+		return nil, flagError(err)
+	}
+	isLoadValid := o.load >= 0 && o.load <= maxLoad // false for NaN
+	switch {
+	case flags.NArg() > 0:
+		return nil, usageErrorf("fernlanding try: unknown argument %q; flags expected", flags.Arg(0))
+	case !isLoadValid:
+		return nil, usageErrorf("fernlanding try: -load %g; 0 to %d expected", o.load, maxLoad)
+	case o.duration <= 0 || o.duration > maxLoadDuration:
+		return nil, usageErrorf("fernlanding try: -for %v; more than 0 and at most %v expected",
+			o.duration, maxLoadDuration)
+	case o.slow < 0 || o.hung < 0 || o.slow+o.hung > maxFaulty:
+		return nil, usageErrorf("fernlanding try: -slow %d -hang %d; 0 to %d backends together expected",
+			o.slow, o.hung, maxFaulty)
 	}
-	for _, r := range results {
-		r.Count(l.Tag, fleet.Workers)
-		report.Classes = append(report.Classes, r)
-		report.Total.Add(r)
+	if o.seed == 0 {
+		o.seed = rand.Uint64()
 	}
-	if *asJSON {
-		e := json.NewEncoder(out)
-		e.SetIndent("", "  ")
-		return e.Encode(report)
+	return &o, nil
+}
+
+// printAddresses prints where the sidecar and the backends listen, and commands to try.
+func printAddresses(out io.Writer, sidecarAddress string, fleet *standin.Fleet) {
+	printf(out, "sidecar  http://%s\n", sidecarAddress)
+	for _, worker := range fleet.Workers {
+		printf(out, "backend  http://%s\n", worker.Addr())
 	}
-	return report.table(out)
+	printf(out, "\ntry      curl -i http://%[1]s/tariffs/7\n"+
+		"         curl -i -X POST -H 'Idempotency-Key: k1' -d '{}' http://%[1]s/usage\n"+
+		"         curl -i -X POST -d '{}' http://%[1]s/accounts/7/charges\n\nInterrupt to end.\n", sidecarAddress)
 }
 
-func (r *tryReport) table(out io.Writer) error {
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "class\tsent\tserved\tlate\trefused\tfailed\tattempts/request\tp50 ms\tp99 ms\t")
-	for _, c := range append(r.Classes, r.Total) {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.1f\t%.1f\t\n", c.Class, c.Sent, c.Served, c.Late, c.Refused, c.Failed, c.Per,
-			float64(c.P50.Microseconds())/1000, float64(c.P99.Microseconds())/1000)
+// playLoad plays a load with its faults, and returns the results.
+func playLoad(ctx context.Context, options *tryOptions, address string, fleet *standin.Fleet) *tryReport {
+	load := standin.Load{
+		Addr:    address,
+		Classes: fleet.Classes(),
+		Rate:    options.load,
+		For:     options.duration,
+		Seed:    options.seed,
+		Tag:     "try",
 	}
-	if err := w.Flush(); err != nil {
-		return err
+	faults := time.AfterFunc(options.duration/faultDelayFraction, func() { fleet.Trouble(options.slow, options.hung) })
+	defer faults.Stop()
+	results := load.Run(ctx)
+	report := &tryReport{
+		Listen:  address,
+		Rate:    options.load,
+		Seconds: options.duration.Seconds(),
+		Slow:    options.slow,
+		Hung:    options.hung,
+		Seed:    options.seed,
+
+		DuplicateEffects: len(fleet.Effects.Twice()),
+	}
+	for _, result := range results {
+		result.Count(load.Tag, fleet.Workers)
+		report.Classes = append(report.Classes, result)
+		report.Total.Add(result)
 	}
-	_, err := fmt.Fprintf(out, "effects that happened twice: %d\n", r.Twice)
-	return err
+	return report
 }
