--- a/internal/scale/predict/predict_test.go
+++ b/internal/scale/predict/predict_test.go
@@ -251,12 +251,12 @@
 
 // The subset is worked out by the constants of package logic, which does not export them.
 func TestSubsetIsThatOfTheDecisionModule(t *testing.T) {
-	source, err := os.ReadFile("../../../logic/logic.go")
+	source, err := os.ReadFile("../../../logic/subset.go")
 	if err != nil {
 		t.Fatal(err)
 	}
 	words := strings.Join(strings.Fields(string(source)), " ")
-	for name, value := range map[string]float64{"subsetLeast": subsetLeast, "subsetRoot": subsetRoot, "golden": golden} {
+	for name, value := range map[string]float64{"minSubset": subsetLeast, "subsetRateFactor": subsetRoot, "goldenRatioInverse": golden} {
 		if want := fmt.Sprintf("%s = %v", name, value); !strings.Contains(words, want) {
 			t.Errorf("logic does not say %q any more: connections.go follows it", want)
 		}
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -1,28 +1,31 @@
 package logic_test
 
 import (
-	"fernlanding/logic"
 	"fmt"
+
+	"fernlanding/logic"
 )
 
-// printer is a Host that prints what it is told; a proxy would act on it.
+// printer is a Host that prints its actions; a proxy would carry them out.
 type printer struct{}
 
-func (printer) Forward(id, server string, timeout int64) {
-	fmt.Println("send", id, "to", server, "for", timeout)
+func (printer) Forward(id, endpoint string, timeout int64) {
+	fmt.Println("forward", id, "to", endpoint, "for", timeout)
 }
-func (printer) Shed(id string, after int64)        { fmt.Println("refuse", id) }
+func (printer) Shed(id string, retryAfter int64)   { fmt.Println("shed", id) }
 func (printer) Fail(id string)                     { fmt.Println("fail", id) }
 func (printer) SetTimer(delay int64, token string) { fmt.Println("timer", token) }
 func (printer) WatchEndpoints()                    { fmt.Println("watch") }
 func (printer) Log(line string)                    { fmt.Println("log:", line) }
 
-// A balancer is told of two servers and takes a request; the first server is full, so the request goes to the
-// other one, which answers it.
+// A balancer knows two endpoints and takes a request. The first endpoint is full, so the request is
+// retried at the other one, which answers it.
 func Example() {
 	b, err := logic.New(logic.Settings{
 		Replicas: 1, Zones: 1, MaxAttempts: 3, SlowStartMinCapacity: 0.2, SlowStartWindow: 20_000_000,
-		Classes: []logic.Class{{LatencyObjective: 500_000, Deadline: 1_500_000, PriorityWeight: 1, Idempotency: logic.NonIdempotent}},
+		Classes: []logic.Class{{
+			LatencyObjective: 500_000, Deadline: 1_500_000, PriorityWeight: 1, Idempotency: logic.NonIdempotent,
+		}},
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
@@ -38,7 +41,7 @@
 	b.Outcome(now+90_000, h, logic.Outcome{ID: "r1", Attempt: 1, Status: logic.OK, Latency: 89_000, RequestDone: true})
 	b.Request(now+90_000, h, logic.Request{ID: "r2", ClientDeadline: now + 91_000}) // no time left for an answer
 	// Output:
-	// send r1 to b for 500000
-	// send r1 to a for 499000
-	// refuse r2
+	// forward r1 to b for 500000
+	// forward r1 to a for 499000
+	// shed r2
 }
--- /dev/null
+++ b/logic/idempotency_test.go
@@ -0,0 +1,91 @@
+package logic
+
+import (
+	"fmt"
+	"testing"
+)
+
+func TestRule2RetryAfterOutcome(t *testing.T) {
+	for _, c := range []struct {
+		class  int
+		status Status
+		after  int64
+		want   string // retry anywhere, retry in the same cell or zone, fail, shed
+	}{
+		{0, Error, 1000, "retry"},
+		{0, Reset, 1000, "retry"},
+		{0, Overloaded, 1000, "retry"},
+		{1, Overloaded, 1000, "retry"},
+		{1, Error, 1000, "cell"},
+		{1, Error, 300_000, "fail"}, // the dedup window is over
+		{2, Overloaded, 1000, "retry"},
+		{2, ConnectFailed, 1000, "retry"},
+		{2, Error, 1000, "fail"},
+		{2, TimedOut, 1000, "fail"},
+		{2, Reset, 1000, "fail"},
+		{3, Error, 1000, "retry"},
+		{3, Error, 300_000, "shed"},
+		{4, Error, 1000, "zone"},
+		{4, Error, 300_000, "fail"},
+	} {
+		b, h := newTestBalancer(t, testSettings(), 8)
+		where := map[string]Endpoint{}
+		for _, s := range testEndpoints(8) {
+			where[s.ID] = s
+		}
+		submit(b, h, start, "r", c.class)
+		b.Outcome(start+c.after, h, Outcome{ID: "r", Status: c.status, Latency: c.after})
+		name := fmt.Sprintf("class %d after status %d at %d", c.class, c.status, c.after)
+		switch c.want {
+		case "fail", "shed":
+			if h.last() != c.want+" r" {
+				t.Errorf("%s: got %q, want %s", name, h.last(), c.want)
+			}
+			continue
+		}
+		if len(h.sends) != 2 {
+			t.Errorf("%s: no retry but %q", name, h.last())
+			continue
+		}
+		one, two := where[h.sends[0].endpoint], where[h.sends[1].endpoint]
+		if c.want == "cell" && one.Cell != two.Cell || c.want == "zone" && one.Zone != two.Zone {
+			t.Errorf("%s: sent from %v to %v", name, one, two)
+		}
+	}
+}
+
+// Some fleets reject work that they had begun: there, Overloaded must bring neither a retry nor
+// shedding.
+func TestRejectionMayHaveRun(t *testing.T) {
+	s := testSettings()
+	s.RejectionMayHaveRun = true
+	b, h := newTestBalancer(t, s, 8)
+	submit(b, h, start, "non-idempotent", 2)
+	b.Outcome(start+1000, h, Outcome{ID: "non-idempotent", Status: Overloaded, Latency: 1000})
+	if len(h.sends) != 1 || h.last() != "fail non-idempotent" {
+		t.Errorf("a non-idempotent request that was rejected: %q", h.lines)
+	}
+	submit(b, h, start+2000, "by key", 1)
+	b.Outcome(start+3000, h, Outcome{ID: "by key", Status: Overloaded, Latency: 1000})
+	cellOf := func(send int) int { return b.endpoints.byID[h.sends[send].endpoint].Cell }
+	if len(h.sends) != 3 || cellOf(1) != cellOf(2) {
+		t.Errorf("a request idempotent by key that was rejected left its dedup scope: %q", h.lines)
+	}
+}
+
+// A retry may have to wait for a connection. It is allowed only where it still leaves within the
+// dedup window.
+func TestRetryByKeyLeavesWithinDedupWindow(t *testing.T) {
+	s := testSettings()
+	s.MaxSendDelay = 20_000
+	window := s.Classes[1].DedupWindow
+	latest := window - s.MaxSendDelay
+	for after, want := range map[int64]string{latest: "fail r", latest - 1: "retry"} {
+		b, h := newTestBalancer(t, s, 8)
+		submit(b, h, start, "r", 1)
+		b.Outcome(start+after, h, Outcome{ID: "r", Status: Error, Latency: after})
+		if want == "retry" && len(h.sends) != 2 || want != "retry" && h.last() != want {
+			t.Errorf("after %d of %d: got %q, want %s", after, window, h.last(), want)
+		}
+	}
+}
--- /dev/null
+++ b/logic/outcome.go
@@ -0,0 +1,84 @@
+package logic
+
+// Outcome reports the end of an attempt. Where the request is still owed an answer it gets a retry
+// or its final answer at once. An outcome of an attempt that is not in flight is ignored.
+func (b *Balancer) Outcome(now int64, h Host, o Outcome) {
+	q := b.requests[o.ID]
+	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.attempts) || !q.attempts[o.Attempt].inFlight {
+		return
+	}
+	b.markSlowAttempts(now)
+	a := q.attempts[o.Attempt]
+	b.endAttempt(q, a, o.Status)
+	b.learnFromOutcome(now, q, a, o)
+	b.reportPressure(now, h)
+	if q.queue != nil && mayStillRun(o.Status) {
+		q.queue.pausedUntil = now + b.settings.OrderingDelay
+		h.SetTimer(b.settings.OrderingDelay, keyTimer+q.Key)
+	}
+	if o.RequestDone || q.done {
+		b.finish(now, h, q)
+	} else if q.inFlight == 0 {
+		b.retryOrEnd(now, h, q)
+	}
+}
+
+// retryOrEnd makes a retry of a request that has no attempt in flight. If none is allowed it sheds
+// the request, or fails it where rule 2 forbids that.
+func (b *Balancer) retryOrEnd(now int64, h Host, q *request) {
+	cause := b.retry(now, h, q)
+	switch {
+	case cause == NoShedCause:
+	case b.mayShed(q):
+		b.shed(now, h, q, cause)
+	default:
+		h.Fail(q.ID)
+		b.finish(now, h, q)
+	}
+}
+
+// endAttempt counts an attempt out.
+func (b *Balancer) endAttempt(q *request, a *attempt, status Status) {
+	a.inFlight = false
+	a.mayHaveRun = b.mayHaveRun(status)
+	q.inFlight--
+	a.endpoint.inFlight--
+	if status == OK {
+		a.endpoint.unverified = false
+		a.endpoint.lastServedSentAt = max(a.endpoint.lastServedSentAt, a.sentAt)
+	}
+	b.tier.inFlight--
+	b.classes[q.Class].limit.inFlight--
+}
+
+// learnFromOutcome updates the endpoint, the limits, the quotas and the spillover by an attempt's
+// end.
+func (b *Balancer) learnFromOutcome(now int64, q *request, a *attempt, o Outcome) {
+	if o.Status == Canceled || o.Status == NotSent {
+		return
+	}
+	a.endpoint.recordRejection(now, a.sentAt, o.Status == Overloaded)
+	class, failed := &b.classes[q.Class], o.Status != OK
+	isOutlier := b.updateOutlierState(a.endpoint, q.Class, o.Status)
+	if !failed {
+		class.latency.observe(a.endpoint, float64(o.Latency))
+		class.latency.updateBase(now, a.lightLoad)
+	}
+	elapsed := float64(now - a.sentAt)
+	// A quick failure says nothing of load: it counts with the failures, not against the quotas nor
+	// for spillover.
+	late := o.Status == Overloaded || o.Status == TimedOut || !failed && elapsed > b.lateThreshold(q.Class)
+	slow := late || elapsed > b.slowThreshold(q.Class)
+	if isOutlier { // it says something of one endpoint only, and would pass for an attempt that met no congestion
+		return
+	}
+	for _, l := range []*concurrencyLimit{&b.tier, &class.limit} {
+		if late || !failed {
+			l.learn(&l.late, now, a.sentAt, late, b.relativeLatency(q.Class))
+		}
+		l.learnFailure(now, a.sentAt, failed)
+	}
+	if !a.countedSlow {
+		b.updatePressure(now, q.Class, a, slow, slow || o.Status == ConnectFailed)
+	}
+}
--- /dev/null
+++ b/logic/timeline.go
@@ -0,0 +1,20 @@
+package logic
+
+// timeline holds the times of events, oldest first.
+type timeline []int64
+
+// add takes an event and forgets those that are older than span.
+func (t *timeline) add(now, span int64) {
+	*t = append(*t, now)
+	t.since(now - span)
+}
+
+// since forgets the events before from and counts the rest.
+func (t *timeline) since(from int64) float64 {
+	n := 0
+	for n < len(*t) && (*t)[n] < from {
+		n++
+	}
+	*t = (*t)[n:]
+	return float64(len(*t))
+}
