--- a/internal/distribution/follow/follower.go
+++ b/internal/distribution/follow/follower.go
@@ -304,7 +304,7 @@
 		return fmt.Errorf("%s: version %v found, one after %v expected", u.Resource, u.Version, stands)
 	}
 	if !u.Full() && u.From != stands {
-		return &distribution.BaseError{Resource: u.Resource, Stands: stands, From: u.From}
+		return &distribution.BaseError{Resource: u.Resource, Current: stands, From: u.From}
 	}
 	return nil
 }
--- a/internal/distribution/sessions.go
+++ b/internal/distribution/sessions.go
@@ -16,36 +16,41 @@
 
 // SessionLimits bound what a relay keeps of its followers.
 type SessionLimits struct {
-	Sessions int           // at a time
-	Coalesce time.Duration // that an update without an urgent item is held back, to be sent with others
-	MinIdle  time.Duration // a session ends when it has not read for 3 holds, and this at least
+	// Sessions is how many sessions are open at a time.
+	Sessions int
+	// Coalesce is how long an update without an urgent item is held back, to be sent with others.
+	Coalesce time.Duration
+	// MinIdle is the least time without a read after which a session expires. It expires after
+	// idleHolds holds else.
+	MinIdle time.Duration
 }
 
-// DefaultSessionLimits are those of a relay.
+// DefaultSessionLimits returns the limits of a relay.
 func DefaultSessionLimits() SessionLimits {
 	return SessionLimits{Sessions: 20_000, Coalesce: 50 * time.Millisecond, MinIdle: 3 * time.Second}
 }
 
-// idleHolds is after how many holds without a read a session ends.
+// idleHolds is after how many holds without a read a session expires.
 const idleHolds = 3
 
-// Sessions are what a relay knows of its followers: what each has, and what it waits for. What is due to a follower is
-// worked out from the Store when it can be answered, so that there is no backlog. It is not safe for concurrent use.
+// Sessions is what a relay knows of its followers: what each has, and what it waits for. The
+// updates that a follower can get are computed from the Store when its read can be answered, so
+// that there is no backlog. It is not safe for concurrent use.
 type Sessions struct {
-	limits   SessionLimits
-	byID     map[string]*Session
-	byName   map[string]*Session
-	followed map[string]*followed
-	lastID   uint32 // of a followed resource
-	held     []heldBack
-	changed  map[string]bool // resources whose status has changed since TakeChanged
-	counters SessionCounters
+	limits     SessionLimits
+	byID       map[string]*Session
+	byFollower map[string]*Session
+	followed   map[string]*followedResource
+	lastID     uint32 // of a followedResource
+	coalescing []coalescingSession
+	changed    map[string]bool // resources whose status has changed since DrainChanged
+	counters   SessionCounters
 }
 
-// SessionCounters count since the start.
+// SessionCounters count since the start of the process.
 type SessionCounters struct {
-	Coalesced int64 // updates that were answered together with an earlier one of the same resource
-	Rejected  int64 // updates that proxies did not put in force
+	Coalesced int64 // updates that went out together with an earlier one of the same resource
+	Rejected  int64 // updates that proxies rejected
 }
 
 // Session is one follower of a relay.
@@ -54,64 +59,70 @@
 	Follower string
 	Kind     Kind
 
-	positions []position // by the resource's id
-	end       time.Time  // when it ends without a read
-	waiting   bool       // a read waits for news
-	dueSince  time.Time  // since when news that wait for others have been due; zero: none are
-	gone      bool
+	positions       []position // sorted by the ID of the resource
+	expiresAt       time.Time
+	waiting         bool      // a read waits for an update
+	coalescingSince time.Time // since when pending updates have been held back; zero: none are
+	ended           bool
 }
 
 // position is what a follower has of a resource.
 type position struct {
-	resource *followed
+	resource *followedResource
 	inForce  Version
-	refused  Version
+	rejected Version
 }
 
-// has is the version after which anything is news.
-func (p *position) has() Version {
-	if p.refused.After(p.inForce) {
-		return p.refused
+// latestSeen returns the latest version that the follower has applied or rejected: it gets only
+// what comes after.
+func (p *position) latestSeen() Version {
+	if p.rejected.After(p.inForce) {
+		return p.rejected
 	}
 	return p.inForce
 }
 
-// NewSessions returns none.
+// NewSessions returns a Sessions without any session.
 func NewSessions(limits SessionLimits) *Sessions {
 	return &Sessions{
-		limits: limits, byID: make(map[string]*Session), byName: make(map[string]*Session),
-		followed: make(map[string]*followed), changed: make(map[string]bool),
+		limits:     limits,
+		byID:       make(map[string]*Session),
+		byFollower: make(map[string]*Session),
+		followed:   make(map[string]*followedResource),
+		changed:    make(map[string]bool),
 	}
 }
 
-// Len is the number of sessions.
+// Len returns the number of open sessions.
 func (s *Sessions) Len() int { return len(s.byID) }
 
-// Counters count since the start.
+// Counters returns the counters.
 func (s *Sessions) Counters() SessionCounters { return s.counters }
 
-// Open begins a session under an ID that was never used before. It ends an earlier one of the same follower, which is
-// returned.
+// Open opens a session under an ID that has not been used before. It closes an earlier session of
+// the same follower, and returns that as replaced. Errors: ErrTooManySessions, ErrFull.
 func (s *Sessions) Open(id string, req *FollowRequest, now time.Time) (opened, replaced *Session, err error) {
-	replaced = s.byName[req.Follower]
+	replaced = s.byFollower[req.Follower]
 	if replaced == nil && len(s.byID) >= s.limits.Sessions {
-		return nil, nil, fmt.Errorf("%w: %d found, %d at most expected", ErrTooManySessions, len(s.byID), s.limits.Sessions)
+		err = fmt.Errorf("%w: %d found, %d at most expected", ErrTooManySessions, len(s.byID), s.limits.Sessions)
+		return nil, nil, err
 	}
 	if replaced != nil {
 		s.Close(replaced)
 	}
 	opened = &Session{ID: id, Follower: req.Follower, Kind: req.Kind}
 	s.byID[id] = opened
-	s.byName[req.Follower] = opened
-	if err := s.take(opened, req, now); err != nil {
+	s.byFollower[req.Follower] = opened
+	if err := s.applyRequest(opened, req, now); err != nil {
 		s.Close(opened)
 		return nil, replaced, err
 	}
 	return opened, replaced, nil
 }
 
-// Resume takes what a follower with a session says. A session that is left ends, so that whatever its follower said before and
-// comes later is not counted.
+// Resume applies a further request of a session. One with Leave set closes the session, so that
+// earlier requests of the same follower that arrive later are not counted. Errors:
+// ErrUnknownSession; ErrFull, with the session.
 func (s *Sessions) Resume(req *FollowRequest, now time.Time) (*Session, error) {
 	session := s.byID[req.Session]
 	if session == nil || session.Follower != req.Follower || session.Kind != req.Kind {
@@ -121,30 +132,31 @@
 		s.Close(session)
 		return session, nil
 	}
-	return session, s.take(session, req, now)
+	return session, s.applyRequest(session, req, now)
 }
 
-func (s *Sessions) take(session *Session, req *FollowRequest, now time.Time) error {
-	if req.HoldMs > 0 || session.end.IsZero() {
+// applyRequest applies what a request says about its session.
+func (s *Sessions) applyRequest(session *Session, req *FollowRequest, now time.Time) error {
+	if req.HoldMs > 0 || session.expiresAt.IsZero() {
 		idle := max(idleHolds*time.Duration(req.HoldMs)*time.Millisecond, s.limits.MinIdle)
-		session.end = now.Add(idle)
+		session.expiresAt = now.Add(idle)
 	}
 	for _, name := range req.Unfollowed {
 		s.unfollow(session, name)
 	}
 	for i := range req.Positions {
-		if err := s.move(session, &req.Positions[i]); err != nil {
+		if err := s.applyPosition(session, &req.Positions[i]); err != nil {
 			return err
 		}
 	}
 	for i := range req.Statuses {
-		s.report(session, &req.Statuses[i])
+		s.applyReport(session, &req.Statuses[i])
 	}
 	return nil
 }
 
-// move takes a follower's position.
-func (s *Sessions) move(session *Session, to *Position) error {
+// applyPosition records what a follower has of a resource, which it follows from then on.
+func (s *Sessions) applyPosition(session *Session, to *Position) error {
 	f := s.followed[to.Resource]
 	if f == nil && len(s.followed) >= MaxResources {
 		return fmt.Errorf("%w: %d resources are followed, %d at most expected", ErrFull, len(s.followed), MaxResources)
@@ -163,21 +175,24 @@
 			f.count(p.inForce, -1)
 		}
 		f.count(to.InForce, 1)
-		f.refuse(session, to)
-		if !to.Rejected.IsZero() && to.Rejected != p.refused {
+		f.setRejection(session, to)
+		if !to.Rejected.IsZero() && to.Rejected != p.rejected {
 			s.counters.Rejected++
 		}
 		s.changed[f.name] = true
 	}
-	p.inForce, p.refused = to.InForce, to.Rejected
+	p.inForce = to.InForce
+	p.rejected = to.Rejected
 	return nil
 }
 
-func (s *Session) find(f *followed) (int, bool) {
-	return slices.BinarySearchFunc(s.positions, f.id, func(p position, id uint32) int { return cmp.Compare(p.resource.id, id) })
+// find returns where the position of a resource is, or is to be inserted, and whether there is one.
+func (s *Session) find(f *followedResource) (int, bool) {
+	byID := func(p position, id uint32) int { return cmp.Compare(p.resource.id, id) }
+	return slices.BinarySearchFunc(s.positions, f.id, byID)
 }
 
-// unfollow takes that a follower follows a resource no more.
+// unfollow removes a resource from what a session follows.
 func (s *Sessions) unfollow(session *Session, name string) {
 	f := s.followed[name]
 	if f == nil {
@@ -187,16 +202,18 @@
 	if !found {
 		return
 	}
-	s.leave(session, &session.positions[at])
+	s.detach(session, &session.positions[at])
 	session.positions = slices.Delete(session.positions, at, at+1)
 }
 
-func (s *Sessions) leave(session *Session, p *position) {
+// detach takes a session out of the status of a resource, and forgets the resource if nobody else
+// follows it.
+func (s *Sessions) detach(session *Session, p *position) {
 	f := p.resource
 	if session.Kind == KindProxy {
 		f.count(p.inForce, -1)
 	}
-	delete(f.refused, session)
+	delete(f.rejections, session)
 	delete(f.reports, session)
 	delete(f.sessions, session)
 	s.changed[f.name] = true
@@ -205,33 +222,33 @@
 	}
 }
 
-// Close ends a session.
+// Close closes a session. Closing it again has no effect.
 func (s *Sessions) Close(session *Session) {
-	if session.gone {
+	if session.ended {
 		return
 	}
-	session.gone = true
+	session.ended = true
 	for i := range session.positions {
-		s.leave(session, &session.positions[i])
+		s.detach(session, &session.positions[i])
 	}
 	session.positions = nil
 	delete(s.byID, session.ID)
-	delete(s.byName, session.Follower)
+	delete(s.byFollower, session.Follower)
 }
 
-// Ended tells whether the session has ended.
-func (s *Session) Ended() bool { return s.gone }
+// Ended reports whether the session has been closed.
+func (s *Session) Ended() bool { return s.ended }
 
-// Expire ends the sessions whose followers have not read for too long, and returns them.
+// Expire closes the sessions whose followers have not read for too long, and returns them.
 func (s *Sessions) Expire(now time.Time) []*Session {
-	var ended []*Session
+	var expired []*Session
 	for _, session := range s.byID {
-		if !now.Before(session.end) {
-			ended = append(ended, session)
+		if !now.Before(session.expiresAt) {
+			expired = append(expired, session)
 		}
 	}
-	for _, session := range ended {
+	for _, session := range expired {
 		s.Close(session)
 	}
-	return ended
+	return expired
 }
--- a/internal/distribution/sessions_test.go
+++ b/internal/distribution/sessions_test.go
@@ -10,15 +10,18 @@
 	"time"
 )
 
-// testHoldMs is of the reads of these tests.
+// testHoldMs is the hold of the reads in these tests.
 const testHoldMs = 4_000
 
-var began = time.Unix(1_000, 0)
+// testStart is when the tests begin on their virtual clock.
+var testStart = time.Unix(1_000, 0)
 
-func opening(follower string, kind Kind, positions ...Position) *FollowRequest {
+// openRequest returns a first read.
+func openRequest(follower string, kind Kind, positions ...Position) *FollowRequest {
 	return &FollowRequest{Follower: follower, Kind: kind, HoldMs: testHoldMs, Positions: positions}
 }
 
+// open opens a session.
 func open(t *testing.T, s *Sessions, id string, req *FollowRequest, now time.Time) *Session {
 	t.Helper()
 	session, _, err := s.Open(id, req, now)
@@ -28,44 +31,47 @@
 	return session
 }
 
+// has returns a position.
 func has(resource string, v Version) Position { return Position{Resource: resource, InForce: v} }
 
+// update writes items of the resource "r".
 func update(t *testing.T, store *Store, v Version, items ...Item) {
 	t.Helper()
 	write(t, store, &PutRequest{Resource: "r", Items: items}, v)
 }
 
-// An update waits for others of its burst, once, and an urgent one ends the wait.
+// An update is held back for others of its burst, once; an urgent one ends the hold.
 func TestCoalescing(t *testing.T) {
 	store, s := NewStore(testStoreBytes), NewSessions(DefaultSessionLimits())
 	update(t, store, at(1, 1), set("a", "1"))
-	session := open(t, s, "s1", opening("p1", KindProxy, has("r", at(1, 1))), began)
-	if due, until := s.Pending(session, store, began); len(due) > 0 || !until.IsZero() {
-		t.Fatalf("nothing new: %v, %v", due, until)
+	session := open(t, s, "s1", openRequest("p1", KindProxy, has("r", at(1, 1))), testStart)
+	if pending, until := s.Pending(session, store, testStart); len(pending) > 0 || !until.IsZero() {
+		t.Fatalf("nothing new: %v, %v", pending, until)
 	}
 
 	update(t, store, at(1, 2), set("a", "2"))
-	if wake := s.ResourceChanged("r", false, began); len(wake) > 0 {
+	if ready := s.ResourceChanged("r", false, testStart); len(ready) > 0 {
 		t.Error("woken at once")
 	}
-	later := began.Add(s.limits.Coalesce / 2)
+	later := testStart.Add(s.limits.Coalesce / 2)
 	update(t, store, at(1, 3), set("a", "3"))
-	if wake := s.ResourceChanged("r", false, later); len(wake) > 0 || s.Counters().Coalesced != 1 {
-		t.Errorf("woken %d, %d coalesced", len(wake), s.Counters().Coalesced)
+	if ready := s.ResourceChanged("r", false, later); len(ready) > 0 || s.Counters().Coalesced != 1 {
+		t.Errorf("woken %d, %d coalesced", len(ready), s.Counters().Coalesced)
 	}
-	if wake, next := s.ReleaseCoalesced(later); len(wake) > 0 || !next.Equal(began.Add(s.limits.Coalesce)) {
-		t.Errorf("woken %d, next %v", len(wake), next)
+	if ready, next := s.ReleaseCoalesced(later); len(ready) > 0 || !next.Equal(testStart.Add(s.limits.Coalesce)) {
+		t.Errorf("woken %d, next %v", len(ready), next)
 	}
-	end := began.Add(s.limits.Coalesce)
-	if wake, next := s.ReleaseCoalesced(end); len(wake) != 1 || !next.IsZero() {
-		t.Errorf("woken %d, next %v", len(wake), next)
+	end := testStart.Add(s.limits.Coalesce)
+	if ready, next := s.ReleaseCoalesced(end); len(ready) != 1 || !next.IsZero() {
+		t.Errorf("woken %d, next %v", len(ready), next)
 	}
-	if due, _ := s.Pending(session, store, end); len(due) != 1 || due[0].From != at(1, 1) {
-		t.Errorf("due %v", due)
+	if pending, _ := s.Pending(session, store, end); len(pending) != 1 || pending[0].From != at(1, 1) {
+		t.Errorf("pending %v", pending)
 	}
 	s.ReadEnded(session)
 
-	read := &FollowRequest{Follower: "p1", Kind: KindProxy, Session: "s1", HoldMs: testHoldMs, Positions: []Position{has("r", at(1, 3))}}
+	read := openRequest("p1", KindProxy, has("r", at(1, 3)))
+	read.Session = "s1"
 	if _, err := s.Resume(read, end); err != nil {
 		t.Fatal(err)
 	}
@@ -75,36 +81,38 @@
 	urgent := set("a", "5")
 	urgent.Urgent = true
 	update(t, store, at(1, 5), urgent)
-	if wake := s.ResourceChanged("r", true, end); len(wake) != 1 {
-		t.Errorf("urgent: woken %d", len(wake))
+	if ready := s.ResourceChanged("r", true, end); len(ready) != 1 {
+		t.Errorf("urgent: woken %d", len(ready))
 	}
-	if due, _ := s.Pending(session, store, end); len(due) != 1 {
-		t.Errorf("urgent: due %v", due)
+	if pending, _ := s.Pending(session, store, end); len(pending) != 1 {
+		t.Errorf("urgent: pending %v", pending)
 	}
 }
 
-// A refused version is not sent again; the next is, as changes to what is in force.
-func TestRefusedVersion(t *testing.T) {
+// A rejected version is not sent again; the next one is, as a delta to what is in force.
+func TestRejectedVersion(t *testing.T) {
 	limits := DefaultSessionLimits()
 	limits.Coalesce = 0
 	store, s := NewStore(testStoreBytes), NewSessions(limits)
 	update(t, store, at(1, 1), set("a", "1"))
 	update(t, store, at(1, 2), set("a", "2"))
-	refused := Position{Resource: "r", InForce: at(1, 1), Rejected: at(1, 2), Reason: "no sense"}
-	session := open(t, s, "s1", opening("p1", KindProxy, refused), began)
-	if due, _ := s.Pending(session, store, began); len(due) > 0 {
-		t.Errorf("due %v", due)
+	rejected := Position{Resource: "r", InForce: at(1, 1), Rejected: at(1, 2), Reason: "no sense"}
+	session := open(t, s, "s1", openRequest("p1", KindProxy, rejected), testStart)
+	if pending, _ := s.Pending(session, store, testStart); len(pending) > 0 {
+		t.Errorf("pending %v", pending)
 	}
 	status := s.Status("r", at(1, 2))
 	progress := status.Progress(at(1, 2))
-	if progress.Done() || len(progress.Rejections) != 1 || progress.Rejections[0] != (Rejection{"p1", at(1, 2), "no sense"}) {
+	want := Rejection{Follower: "p1", Version: at(1, 2), Reason: "no sense"}
+	if progress.Done() || len(progress.Rejections) != 1 || progress.Rejections[0] != want {
 		t.Errorf("%+v", status)
 	}
 	update(t, store, at(1, 3), set("a", "3"))
-	if due, _ := s.Pending(session, store, began); len(due) != 1 || due[0].From != at(1, 1) {
-		t.Errorf("due %v", due)
+	if pending, _ := s.Pending(session, store, testStart); len(pending) != 1 || pending[0].From != at(1, 1) {
+		t.Errorf("pending %v", pending)
 	}
-	if _, err := s.Resume(&FollowRequest{Follower: "p1", Kind: KindProxy, Session: "s1", Positions: []Position{has("r", at(1, 3))}}, began); err != nil {
+	applied := &FollowRequest{Follower: "p1", Kind: KindProxy, Session: "s1", Positions: []Position{has("r", at(1, 3))}}
+	if _, err := s.Resume(applied, testStart); err != nil {
 		t.Fatal(err)
 	}
 	status = s.Status("r", at(1, 3))
@@ -113,41 +121,46 @@
 	}
 }
 
+// A session ends when its follower opens another one, and when it does not read any more.
 func TestSessionsEnd(t *testing.T) {
 	limits := DefaultSessionLimits()
 	limits.Sessions = 2
 	s := NewSessions(limits)
-	first := open(t, s, "s1", opening("p1", KindProxy, has("r", at(1, 1))), began)
-	open(t, s, "s2", opening("p2", KindProxy), began)
-	if _, _, err := s.Open("s3", opening("p3", KindProxy), began); !errors.Is(err, ErrTooManySessions) {
+	first := open(t, s, "s1", openRequest("p1", KindProxy, has("r", at(1, 1))), testStart)
+	open(t, s, "s2", openRequest("p2", KindProxy), testStart)
+	if _, _, err := s.Open("s3", openRequest("p3", KindProxy), testStart); !errors.Is(err, ErrTooManySessions) {
 		t.Errorf("%v", err)
 	}
-	again := open(t, s, "s4", opening("p1", KindProxy, has("r", at(1, 2))), began) // one follower, one session
+	again := open(t, s, "s4", openRequest("p1", KindProxy, has("r", at(1, 2))), testStart) // one follower, one session
 	if !first.Ended() || again.Ended() || s.Len() != 2 {
 		t.Error("the earlier session of a follower has not ended")
 	}
-	for _, req := range []*FollowRequest{{Follower: "p1", Kind: KindProxy, Session: "s1"}, {Follower: "p2", Kind: KindProxy, Session: "s4"}} {
-		if _, err := s.Resume(req, began); !errors.Is(err, ErrUnknownSession) {
+	for _, req := range []*FollowRequest{
+		{Follower: "p1", Kind: KindProxy, Session: "s1"},
+		{Follower: "p2", Kind: KindProxy, Session: "s4"},
+	} {
+		if _, err := s.Resume(req, testStart); !errors.Is(err, ErrUnknownSession) {
 			t.Errorf("%+v: %v", req, err)
 		}
 	}
-	last := began.Add(idleHolds * testHoldMs * time.Millisecond)
+	last := testStart.Add(idleHolds * testHoldMs * time.Millisecond)
 	if ended := s.Expire(last.Add(-1)); len(ended) > 0 {
 		t.Errorf("%d ended too early", len(ended))
 	}
-	if ended := s.Expire(last); len(ended) != 2 || s.Len() != 0 || s.IsFollowed("r") || len(s.byName) > 0 {
+	if ended := s.Expire(last); len(ended) != 2 || s.Len() != 0 || s.IsFollowed("r") || len(s.byFollower) > 0 {
 		t.Errorf("%d ended, %d left", len(ended), s.Len())
 	}
 }
 
-// Followers that name ever more resources are turned away, and leave nothing behind.
+// A follower that names ever more resources is rejected at the limit, and its end frees them all.
 func TestFollowedResourcesAreBounded(t *testing.T) {
 	s := NewSessions(DefaultSessionLimits())
-	session := open(t, s, "s1", opening("p1", KindProxy), began)
+	session := open(t, s, "s1", openRequest("p1", KindProxy), testStart)
 	var err error
 	for i := 0; err == nil && i <= 2*MaxResources; i++ {
-		req := &FollowRequest{Follower: "p1", Kind: KindProxy, Session: "s1", Positions: []Position{has(fmt.Sprint("r", i), at(1, 1))}}
-		_, err = s.Resume(req, began)
+		next := has(fmt.Sprint("r", i), at(1, 1))
+		req := &FollowRequest{Follower: "p1", Kind: KindProxy, Session: "s1", Positions: []Position{next}}
+		_, err = s.Resume(req, testStart)
 	}
 	if !errors.Is(err, ErrFull) || len(s.followed) != MaxResources {
 		t.Errorf("%v, %d resources", err, len(s.followed))
@@ -158,14 +171,20 @@
 	}
 }
 
-// Reports of relays are snapshots: the last counts, and one that is gone counts no more.
+// Reports of relays are snapshots: the last one of each counts, and that of a closed session no
+// longer does.
 func TestMergedStatus(t *testing.T) {
 	s := NewSessions(DefaultSessionLimits())
-	open(t, s, "s1", opening("p1", KindProxy, has("r", at(1, 2))), began)
-	relay := open(t, s, "s2", opening("relay", KindRelay, has("r", at(1, 2))), began)
+	open(t, s, "s1", openRequest("p1", KindProxy, has("r", at(1, 2))), testStart)
+	relay := open(t, s, "s2", openRequest("relay", KindRelay, has("r", at(1, 2))), testStart)
 	for _, behind := range []int{3, 1} {
-		report := ResourceStatus{Resource: "r", Counts: []VersionCount{{at(1, 2), 10}, {at(1, 1), behind}}, Laggards: []Laggard{{"p9", at(1, 1)}}}
-		if _, err := s.Resume(&FollowRequest{Follower: "relay", Kind: KindRelay, Session: "s2", Statuses: []ResourceStatus{report}}, began); err != nil {
+		report := ResourceStatus{
+			Resource: "r",
+			Counts:   []VersionCount{{at(1, 2), 10}, {at(1, 1), behind}},
+			Laggards: []Laggard{{"p9", at(1, 1)}},
+		}
+		req := &FollowRequest{Follower: "relay", Kind: KindRelay, Session: "s2", Statuses: []ResourceStatus{report}}
+		if _, err := s.Resume(req, testStart); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -207,7 +226,8 @@
 	if progress := merged.Progress(at(2, 1)); progress.Proxies != 5*MaxCounts {
 		t.Errorf("%d proxies, %d expected", progress.Proxies, 5*MaxCounts)
 	}
-	for revision := 1; revision <= 5*MaxCounts; revision += 7 { // a version is never said to be in force where it is not
+	// A version is never counted as in force where it is not.
+	for revision := 1; revision <= 5*MaxCounts; revision += 7 {
 		progress := merged.Progress(at(1, uint64(revision)))
 		if most := 5*MaxCounts - revision + 1; progress.InForce > most {
 			t.Errorf("revision %d: in force at %d proxies, %d at most expected", revision, progress.InForce, most)
@@ -215,36 +235,41 @@
 	}
 }
 
-// reader is a proxy in the model test of sessions.
-type reader struct {
+// modelProxy is a proxy in TestSessionsModel.
+type modelProxy struct {
 	replica
-	name    string
-	session *Session // nil: none
-	reading bool
-	news    time.Time // since when a change has waited for it, zero: none has
+	name         string
+	session      *Session // nil: none
+	reading      bool
+	pendingSince time.Time // since when an update has waited for it; zero: none has
 }
 
-// relayModel is a relay with its proxies on a virtual clock.
+// relayModel is a relay with its proxies, on a virtual clock.
 type relayModel struct {
 	t        *testing.T
 	random   *rand.Rand
 	store    *Store
 	sessions *Sessions
-	readers  []*reader
+	proxies  []*modelProxy
 	now      time.Time
 	lastID   int
 	revision uint64
 }
 
-// Under random writes, lost answers, slow and dead readers, and restarts of the relay: a read that waits is answered
-// within the time of coalescing, at once where an urgent item changes; the counts are those of the positions told; what a
-// proxy has is what the source has; in the end all have the newest.
+// Under random writes, lost responses, slow and dead proxies, and restarts of the relay: a waiting
+// read is answered within the coalescing time, and at once if an urgent item changes; the counts
+// are those of the positions reported; what a proxy has after a read is what the relay has; in the
+// end all have the latest version.
 func TestSessionsModel(t *testing.T) {
 	for seed := range uint64(100) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			m := &relayModel{t: t, random: rand.New(rand.NewPCG(seed, 2)), store: NewStore(testStoreBytes), sessions: NewSessions(DefaultSessionLimits()), now: began}
+			m := &relayModel{
+				t: t, random: rand.New(rand.NewPCG(seed, 2)), now: testStart,
+				store: NewStore(testStoreBytes), sessions: NewSessions(DefaultSessionLimits()),
+			}
 			for i := range 6 {
-				m.readers = append(m.readers, &reader{name: fmt.Sprint("p", i), replica: replica{items: make(map[string]string)}})
+				p := &modelProxy{name: fmt.Sprint("p", i), replica: replica{items: make(map[string]string)}}
+				m.proxies = append(m.proxies, p)
 			}
 			for range 1_000 {
 				m.step()
@@ -255,30 +280,31 @@
 	}
 }
 
+// step makes one random event happen.
 func (m *relayModel) step() {
-	m.pass(time.Duration(m.random.IntN(20)) * time.Millisecond)
-	r := m.readers[m.random.IntN(len(m.readers))]
+	m.advance(time.Duration(m.random.IntN(20)) * time.Millisecond)
+	p := m.proxies[m.random.IntN(len(m.proxies))]
 	switch n := m.random.IntN(100); {
 	case n < 25:
 		m.write()
 	case n < 26: // the relay restarts
 		m.sessions = NewSessions(DefaultSessionLimits())
-		for _, r := range m.readers {
-			r.reading, r.news = false, time.Time{}
+		for _, p := range m.proxies {
+			p.reading, p.pendingSince = false, time.Time{}
 		}
 	case n < 28:
-		m.pass(time.Duration(m.random.IntN(20)) * time.Second)
+		m.advance(time.Duration(m.random.IntN(20)) * time.Second)
 	default:
-		m.read(r)
+		m.read(p)
 	}
 }
 
-// pass lets time pass, and has held reads released on time.
-func (m *relayModel) pass(d time.Duration) {
+// advance lets time pass, and releases held updates on time.
+func (m *relayModel) advance(d time.Duration) {
 	end := m.now.Add(d)
 	for {
-		wake, next := m.sessions.ReleaseCoalesced(m.now)
-		m.wake(wake)
+		ready, next := m.sessions.ReleaseCoalesced(m.now)
+		m.wake(ready)
 		if next.IsZero() || next.After(end) {
 			break
 		}
@@ -286,14 +312,15 @@
 	}
 	m.now = end
 	for _, s := range m.sessions.Expire(m.now) {
-		for _, r := range m.readers {
-			if r.session == s {
-				r.reading, r.news = false, time.Time{}
+		for _, p := range m.proxies {
+			if p.session == s {
+				p.reading, p.pendingSince = false, time.Time{}
 			}
 		}
 	}
 }
 
+// write makes a random change, and wakes the reads that it can answer.
 func (m *relayModel) write() {
 	item := set(fmt.Sprint(m.random.IntN(5)), fmt.Sprint(m.random.IntN(100)))
 	if m.random.IntN(3) == 0 {
@@ -304,98 +331,102 @@
 	if write(m.t, m.store, &PutRequest{Resource: "r", Items: []Item{item}}, at(1, m.revision)) == nil {
 		return
 	}
-	for _, r := range m.readers {
-		if r.reading && r.news.IsZero() {
-			r.news = m.now
+	for _, p := range m.proxies {
+		if p.reading && p.pendingSince.IsZero() {
+			p.pendingSince = m.now
 		}
 	}
 	m.wake(m.sessions.ResourceChanged("r", item.Urgent, m.now))
-	for _, r := range m.readers {
-		if r.reading && item.Urgent {
-			m.t.Fatalf("%s still waits after an urgent change", r.name)
+	for _, p := range m.proxies {
+		if p.reading && item.Urgent {
+			m.t.Fatalf("%s still waits after an urgent change", p.name)
 		}
 	}
 }
 
-// read has a proxy read, unless it waits already. Its answer can be lost on the way.
-func (m *relayModel) read(r *reader) {
-	if r.reading {
+// read lets a proxy read, unless it waits already. The response can get lost.
+func (m *relayModel) read(p *modelProxy) {
+	if p.reading {
 		return
 	}
-	req := opening(r.name, KindProxy, has("r", r.at))
-	if r.session != nil {
-		req.Session = r.session.ID
+	req := openRequest(p.name, KindProxy, has("r", p.at))
+	if p.session != nil {
+		req.Session = p.session.ID
 		session, err := m.sessions.Resume(req, m.now)
 		if err != nil {
-			r.session = nil
+			p.session = nil
 			return
 		}
-		r.session = session
+		p.session = session
 	} else {
 		m.lastID++
-		r.session = open(m.t, m.sessions, fmt.Sprint("s", m.lastID), req, m.now)
+		p.session = open(m.t, m.sessions, fmt.Sprint("s", m.lastID), req, m.now)
 	}
-	r.reading = true
-	m.answer(r)
+	p.reading = true
+	m.answer(p)
 }
 
+// wake answers the waiting reads of some sessions.
 func (m *relayModel) wake(sessions []*Session) {
-	for _, r := range m.readers {
-		if r.reading && slices.Contains(sessions, r.session) {
-			m.answer(r)
+	for _, p := range m.proxies {
+		if p.reading && slices.Contains(sessions, p.session) {
+			m.answer(p)
 		}
 	}
 }
 
-// answer ends a read if something is due.
-func (m *relayModel) answer(r *reader) {
-	due, _ := m.sessions.Pending(r.session, m.store, m.now)
-	if len(due) == 0 {
+// answer ends a read if an update is pending.
+func (m *relayModel) answer(p *modelProxy) {
+	pending, _ := m.sessions.Pending(p.session, m.store, m.now)
+	if len(pending) == 0 {
 		return
 	}
-	m.sessions.ReadEnded(r.session)
-	r.reading, r.news = false, time.Time{}
+	m.sessions.ReadEnded(p.session)
+	p.reading, p.pendingSince = false, time.Time{}
 	if m.random.IntN(5) == 0 { // lost
-		r.session = nil
+		p.session = nil
 		return
 	}
-	r.take(m.t, m.store.Since("r", due[0].From))
-	if !maps.Equal(r.items, contents(m.store, "r")) {
-		m.t.Fatalf("%s at %v: %v found, %v expected", r.name, r.at, r.items, contents(m.store, "r"))
+	p.apply(m.t, m.store.Since("r", pending[0].From))
+	if !maps.Equal(p.items, contents(m.store)) {
+		m.t.Fatalf("%s at %v: %v found, %v expected", p.name, p.at, p.items, contents(m.store))
 	}
 }
 
-// check compares counts with the positions, and the reads that wait with the time that they may.
+// check compares the counts with the positions, and how long reads have waited with how long they
+// may.
 func (m *relayModel) check() {
 	counts := make(map[Version]int)
 	for _, s := range m.sessions.byID {
-		for _, p := range s.positions {
-			counts[p.inForce]++
+		for _, position := range s.positions {
+			counts[position.inForce]++
 		}
 	}
 	if f := m.sessions.followed["r"]; f != nil && !maps.Equal(f.counts, counts) || f == nil && len(counts) > 0 {
 		m.t.Fatalf("counts %v expected", counts)
 	}
-	for _, r := range m.readers {
-		if r.reading && !r.news.IsZero() && m.now.Sub(r.news) > m.sessions.limits.Coalesce+20*time.Millisecond {
-			m.t.Fatalf("%s has waited %v for news", r.name, m.now.Sub(r.news))
+	longest := m.sessions.limits.Coalesce + 20*time.Millisecond
+	for _, p := range m.proxies {
+		if p.reading && !p.pendingSince.IsZero() && m.now.Sub(p.pendingSince) > longest {
+			m.t.Fatalf("%s has waited %v for an update", p.name, m.now.Sub(p.pendingSince))
 		}
 	}
 }
 
+// finish lets all proxies read until they have everything, and checks that they do.
 func (m *relayModel) finish() {
 	for range 50 {
-		m.pass(100 * time.Millisecond)
-		for _, r := range m.readers {
-			m.read(r)
+		m.advance(100 * time.Millisecond)
+		for _, p := range m.proxies {
+			m.read(p)
 		}
 	}
-	for _, r := range m.readers {
-		if r.at != m.store.Version("r") || !maps.Equal(r.items, contents(m.store, "r")) {
-			m.t.Fatalf("%s: version %v, %v expected", r.name, r.at, m.store.Version("r"))
+	for _, p := range m.proxies {
+		if p.at != m.store.Version("r") || !maps.Equal(p.items, contents(m.store)) {
+			m.t.Fatalf("%s: version %v, %v expected", p.name, p.at, m.store.Version("r"))
 		}
 	}
 	if !m.sessions.InForce("r", m.store.Version("r")) {
-		m.t.Fatal("in force everywhere, and not known to be")
+		m.t.Fatal("in force at all proxies, and not reported so")
 	}
 }
--- a/internal/distribution/status.go
+++ b/internal/distribution/status.go
@@ -6,25 +6,56 @@
 	"strings"
 )
 
-// MergeStatus adds up what several relays report of a resource, and what a relay knows of its own followers. Latest is
-// the resource's version where the statuses are added up; it stands first among the counts, also where no proxy has it.
+// ResourceStatus is how far a resource is in force over a number of proxies.
+type ResourceStatus struct {
+	Resource string `json:"resource"`
+	// Counts are the proxies by the version that they have in force, latest first.
+	Counts []VersionCount `json:"counts"`
+	// Rejections names MaxLaggards proxies at most.
+	Rejections []Rejection `json:"refusals,omitempty"`
+	// Laggards names MaxLaggards proxies at most, of those whose version is not the latest.
+	Laggards []Laggard `json:"behind,omitempty"`
+}
+
+// VersionCount is how many proxies have a version in force.
+type VersionCount struct {
+	Version Version `json:"version"`
+	Proxies int     `json:"proxies"`
+}
+
+// Rejection is a proxy that has rejected a version.
+type Rejection struct {
+	Follower string  `json:"follower"`
+	Version  Version `json:"version"`
+	Reason   string  `json:"reason"`
+}
+
+// Laggard is a proxy whose version in force is not the latest.
+type Laggard struct {
+	Follower string  `json:"follower"`
+	InForce  Version `json:"in_force,omitzero"`
+}
+
+// MergeStatus sums up the reports of several relays on a resource, and what a relay knows of its
+// own followers. Latest is the resource's version at the process that merges them; it comes first
+// among the counts, even if no proxy has it.
 func MergeStatus(name string, latest Version, parts ...*ResourceStatus) ResourceStatus {
 	counts := make(map[Version]int)
 	merged := ResourceStatus{Resource: name}
 	for _, part := range parts {
-		for _, c := range part.Counts {
-			counts[c.Version] += c.Proxies
+		for _, count := range part.Counts {
+			counts[count.Version] += count.Proxies
 		}
 		merged.Rejections = append(merged.Rejections, part.Rejections...)
-		for _, l := range part.Laggards {
-			if latest.After(l.InForce) {
-				merged.Laggards = append(merged.Laggards, l)
+		for _, laggard := range part.Laggards {
+			if latest.After(laggard.InForce) {
+				merged.Laggards = append(merged.Laggards, laggard)
 			}
 		}
 	}
 	for version, proxies := range counts {
 		if proxies > 0 {
-			merged.Counts = append(merged.Counts, VersionCount{version, proxies})
+			merged.Counts = append(merged.Counts, VersionCount{Version: version, Proxies: proxies})
 		}
 	}
 	if !latest.IsZero() && counts[latest] == 0 {
@@ -32,72 +63,76 @@
 	}
 	slices.SortFunc(merged.Counts, func(a, b VersionCount) int { return b.Version.Compare(a.Version) })
 	merged.Counts = boundCounts(merged.Counts)
-	merged.Rejections = boundRefusals(merged.Rejections)
+	merged.Rejections = boundRejections(merged.Rejections)
 	merged.Laggards = boundLaggards(merged.Laggards)
 	return merged
 }
 
-// boundCounts adds the oldest versions together where there are too many, under the oldest of them: a proxy must not count
-// for a version that it has not got.
+// boundCounts sums up the oldest versions where there are too many, under the oldest of them: a
+// proxy must not count for a version that it does not have.
 func boundCounts(counts []VersionCount) []VersionCount {
 	if len(counts) <= MaxCounts {
 		return counts
 	}
-	rest := VersionCount{Version: counts[len(counts)-1].Version}
-	for _, c := range counts[MaxCounts-1:] {
-		rest.Proxies += c.Proxies
+	oldest := VersionCount{Version: counts[len(counts)-1].Version}
+	for _, count := range counts[MaxCounts-1:] {
+		oldest.Proxies += count.Proxies
 	}
-	return append(counts[:MaxCounts-1], rest)
+	return append(counts[:MaxCounts-1], oldest)
 }
 
-// boundRefusals keeps those of the latest versions, one for each follower.
-func boundRefusals(refusals []Rejection) []Rejection {
-	slices.SortFunc(refusals, func(a, b Rejection) int {
+// boundRejections keeps MaxLaggards rejections: the last one of each follower, and of these the
+// latest versions.
+func boundRejections(rejections []Rejection) []Rejection {
+	slices.SortFunc(rejections, func(a, b Rejection) int {
 		return cmp.Or(strings.Compare(a.Follower, b.Follower), b.Version.Compare(a.Version))
 	})
-	refusals = slices.CompactFunc(refusals, func(a, b Rejection) bool { return a.Follower == b.Follower })
-	slices.SortStableFunc(refusals, func(a, b Rejection) int { return b.Version.Compare(a.Version) })
-	return refusals[:min(len(refusals), MaxLaggards)]
+	rejections = slices.CompactFunc(rejections, func(a, b Rejection) bool { return a.Follower == b.Follower })
+	slices.SortStableFunc(rejections, func(a, b Rejection) int { return b.Version.Compare(a.Version) })
+	return rejections[:min(len(rejections), MaxLaggards)]
 }
 
-// boundLaggards keeps those that are furthest behind, each follower once.
-func boundLaggards(behind []Laggard) []Laggard {
-	slices.SortFunc(behind, func(a, b Laggard) int {
+// boundLaggards keeps the MaxLaggards that are furthest behind, each follower once with its latest
+// version.
+func boundLaggards(laggards []Laggard) []Laggard {
+	slices.SortFunc(laggards, func(a, b Laggard) int {
 		return cmp.Or(strings.Compare(a.Follower, b.Follower), b.InForce.Compare(a.InForce))
 	})
-	behind = slices.CompactFunc(behind, func(a, b Laggard) bool { return a.Follower == b.Follower })
-	slices.SortStableFunc(behind, func(a, b Laggard) int { return a.InForce.Compare(b.InForce) })
-	return behind[:min(len(behind), MaxLaggards)]
+	laggards = slices.CompactFunc(laggards, func(a, b Laggard) bool { return a.Follower == b.Follower })
+	slices.SortStableFunc(laggards, func(a, b Laggard) int { return a.InForce.Compare(b.InForce) })
+	return laggards[:min(len(laggards), MaxLaggards)]
 }
 
-// Progress is how far a version is in force, out of a status.
+// Progress is how far one version of a resource is in force.
 type Progress struct {
-	InForce, Proxies int // of all that follow the resource, those that have the version or a later one
-	Rejections       []Rejection
-	Laggards         []Laggard
+	// InForce is how many of the Proxies that follow the resource have the version or a later one.
+	InForce, Proxies int
+	// Rejections and Laggards are those of the status that concern the version.
+	Rejections []Rejection
+	Laggards   []Laggard
 }
 
-// Progress is how far a version is in force.
+// Progress returns how far a version is in force.
 func (s *ResourceStatus) Progress(version Version) Progress {
-	var p Progress
-	for _, c := range s.Counts {
-		p.Proxies += c.Proxies
-		if !version.After(c.Version) {
-			p.InForce += c.Proxies
+	var progress Progress
+	for _, count := range s.Counts {
+		progress.Proxies += count.Proxies
+		if !version.After(count.Version) {
+			progress.InForce += count.Proxies
 		}
 	}
-	for _, r := range s.Rejections {
-		if !version.After(r.Version) {
-			p.Rejections = append(p.Rejections, r)
+	for _, rejection := range s.Rejections {
+		if !version.After(rejection.Version) {
+			progress.Rejections = append(progress.Rejections, rejection)
 		}
 	}
-	for _, l := range s.Laggards {
-		if version.After(l.InForce) {
-			p.Laggards = append(p.Laggards, l)
+	for _, laggard := range s.Laggards {
+		if version.After(laggard.InForce) {
+			progress.Laggards = append(progress.Laggards, laggard)
 		}
 	}
-	return p
+	return progress
 }
 
-// Done tells whether the version is in force at all proxies.
+// Done reports whether the version is in force at all proxies.
 func (p *Progress) Done() bool { return p.InForce == p.Proxies }
--- a/internal/distribution/validate.go
+++ b/internal/distribution/validate.go
@@ -7,18 +7,25 @@
 	"unicode/utf8"
 )
 
-// Bounds of whole messages.
+// Bounds of what is taken from outside.
 const (
+	MaxNameBytes   = 128     // of the name of a resource or a follower, or of an item's key
+	MaxReasonBytes = 256     // of the reason of a rejection
+	MaxItemBytes   = 1 << 20 // of an item's value
+	MaxItems       = 20_000  // of a resource
+	MaxResources   = 8_192   // at a source, and that a follower follows
+	MaxLaggards    = 20      // that a status names, and as many rejections
+
 	MaxRequestBytes  = 16 << 20  // of a FollowRequest or PutRequest
-	MaxResponseBytes = 256 << 20 // of a FollowResponse; a relay sends some ResponseBytes and one resource at most
-	MaxHoldMs        = 60_000    // of a blocking read
-	MaxSessionBytes  = 64        // of a session's name
+	MaxResponseBytes = 256 << 20 // of a FollowResponse
+	MaxHoldMs        = 60_000    // of a long poll, in milliseconds
+	MaxSessionBytes  = 64        // of a session's ID
 	MaxCounts        = 1_024     // versions in a status
 )
 
-// Validate says what is wrong with a request, in one line, or nil.
+// Validate returns what is wrong with a request, in one line, or nil.
 func (r *FollowRequest) Validate() error {
-	if err := validName("follower", r.Follower); err != nil {
+	if err := ValidateName("follower", r.Follower); err != nil {
 		return err
 	}
 	if r.Kind != KindProxy && r.Kind != KindRelay {
@@ -33,7 +40,17 @@
 	if r.Leave && r.Session == "" {
 		return errors.New("leave: found without a session, with one expected")
 	}
-	if err := validCount("positions", len(r.Positions), MaxResources); err != nil {
+	if err := r.validatePositions(); err != nil {
+		return err
+	}
+	if err := r.validateUnfollowed(); err != nil {
+		return err
+	}
+	return r.validateStatuses()
+}
+
+func (r *FollowRequest) validatePositions() error {
+	if err := validateCount("positions", len(r.Positions), MaxResources); err != nil {
 		return err
 	}
 	for i := range r.Positions {
@@ -41,22 +58,26 @@
 			return fmt.Errorf("positions[%d]: %w", i, err)
 		}
 	}
-	if err := validCount("unfollowed", len(r.Unfollowed), MaxResources); err != nil {
+	return nil
+}
+
+func (r *FollowRequest) validateUnfollowed() error {
+	if err := validateCount("unfollowed", len(r.Unfollowed), MaxResources); err != nil {
 		return err
 	}
 	for i, name := range r.Unfollowed {
-		if err := validName("resource", name); err != nil {
+		if err := ValidateName("resource", name); err != nil {
 			return fmt.Errorf("unfollowed[%d]: %w", i, err)
 		}
 	}
-	return r.validStatuses()
+	return nil
 }
 
-func (r *FollowRequest) validStatuses() error {
+func (r *FollowRequest) validateStatuses() error {
 	if r.Kind != KindRelay && len(r.Statuses) > 0 {
 		return fmt.Errorf("statuses: %d found of a %s, none expected", len(r.Statuses), r.Kind)
 	}
-	if err := validCount("statuses", len(r.Statuses), MaxResources); err != nil {
+	if err := validateCount("statuses", len(r.Statuses), MaxResources); err != nil {
 		return err
 	}
 	for i := range r.Statuses {
@@ -67,9 +88,9 @@
 	return nil
 }
 
-// Validate says what is wrong with a position, in one line, or nil.
+// Validate returns what is wrong with a position, in one line, or nil.
 func (p *Position) Validate() error {
-	if err := validName("resource", p.Resource); err != nil {
+	if err := ValidateName("resource", p.Resource); err != nil {
 		return err
 	}
 	if len(p.Reason) > MaxReasonBytes {
@@ -81,7 +102,7 @@
 	return nil
 }
 
-// Validate says what is wrong with a response, in one line, or nil.
+// Validate returns what is wrong with a response, in one line, or nil.
 func (r *FollowResponse) Validate() error {
 	if r.Session == "" || len(r.Session) > MaxSessionBytes {
 		return fmt.Errorf("session: %d bytes found, 1 to %d expected", len(r.Session), MaxSessionBytes)
@@ -89,7 +110,7 @@
 	if r.SourceAgeMs < 0 {
 		return fmt.Errorf("source_age_ms: %d found, 0 or more expected", r.SourceAgeMs)
 	}
-	if err := validCount("updates", len(r.Updates), MaxResources); err != nil {
+	if err := validateCount("updates", len(r.Updates), MaxResources); err != nil {
 		return err
 	}
 	for i := range r.Updates {
@@ -100,75 +121,98 @@
 	return nil
 }
 
-// Validate says what is wrong with an update, in one line, or nil.
+// Validate returns what is wrong with an update, in one line, or nil.
 func (u *Update) Validate() error {
-	if err := validName("resource", u.Resource); err != nil {
+	if err := ValidateName("resource", u.Resource); err != nil {
 		return err
 	}
 	if !u.Version.After(u.From) {
 		return fmt.Errorf("version: %v found, one after %v expected", u.Version, u.From)
 	}
-	// Changes may delete as many items as the resource can have and bring as many.
-	most := MaxItems
+	// A delta may delete as many items as the resource can have, and add as many.
+	limit := MaxItems
 	if !u.Full() {
-		most = 2 * MaxItems
+		limit = 2 * MaxItems
 	}
-	return validItems(u.Items, most, !u.Full())
+	return validateItems(u.Items, limit, !u.Full())
 }
 
-// Validate says what is wrong with a write, in one line, or nil.
+// Validate returns what is wrong with a write, in one line, or nil.
 func (r *PutRequest) Validate() error {
-	if err := validName("resource", r.Resource); err != nil {
+	if err := ValidateName("resource", r.Resource); err != nil {
 		return err
 	}
-	return validItems(r.Items, MaxItems, !r.Replace)
+	return validateItems(r.Items, MaxItems, !r.Replace)
 }
 
-// Validate says what is wrong with a status, in one line, or nil.
+// Validate returns what is wrong with a status, in one line, or nil.
 func (s *ResourceStatus) Validate() error {
-	if err := validName("resource", s.Resource); err != nil {
+	if err := ValidateName("resource", s.Resource); err != nil {
+		return err
+	}
+	if err := s.validateCounts(); err != nil {
 		return err
 	}
-	if err := validCount("counts", len(s.Counts), MaxCounts); err != nil {
+	if err := s.validateRejections(); err != nil {
 		return err
 	}
-	for i, c := range s.Counts {
-		if c.Proxies < 0 {
-			return fmt.Errorf("counts[%d]: %d proxies found, 0 or more expected", i, c.Proxies)
+	return s.validateLaggards()
+}
+
+func (s *ResourceStatus) validateCounts() error {
+	if err := validateCount("counts", len(s.Counts), MaxCounts); err != nil {
+		return err
+	}
+	for i, count := range s.Counts {
+		if count.Proxies < 0 {
+			return fmt.Errorf("counts[%d]: %d proxies found, 0 or more expected", i, count.Proxies)
+		}
+		if i == 0 {
+			continue
 		}
-		if i > 0 && !s.Counts[i-1].Version.After(c.Version) {
-			return fmt.Errorf("counts[%d]: version %v found, one before %v expected", i, c.Version, s.Counts[i-1].Version)
+		previous := s.Counts[i-1].Version
+		if !previous.After(count.Version) {
+			return fmt.Errorf("counts[%d]: version %v found, one before %v expected", i, count.Version, previous)
 		}
 	}
-	if err := validCount("refusals", len(s.Rejections), MaxLaggards); err != nil {
+	return nil
+}
+
+func (s *ResourceStatus) validateRejections() error {
+	if err := validateCount("refusals", len(s.Rejections), MaxLaggards); err != nil {
 		return err
 	}
-	for i, r := range s.Rejections {
-		if err := validName("follower", r.Follower); err != nil {
+	for i, rejection := range s.Rejections {
+		if err := ValidateName("follower", rejection.Follower); err != nil {
 			return fmt.Errorf("refusals[%d]: %w", i, err)
 		}
-		if len(r.Reason) > MaxReasonBytes {
-			return fmt.Errorf("refusals[%d]: reason: %d bytes found, %d at most expected", i, len(r.Reason), MaxReasonBytes)
+		if n := len(rejection.Reason); n > MaxReasonBytes {
+			return fmt.Errorf("refusals[%d]: reason: %d bytes found, %d at most expected", i, n, MaxReasonBytes)
 		}
 	}
-	if err := validCount("behind", len(s.Laggards), MaxLaggards); err != nil {
+	return nil
+}
+
+func (s *ResourceStatus) validateLaggards() error {
+	if err := validateCount("behind", len(s.Laggards), MaxLaggards); err != nil {
 		return err
 	}
-	for i, l := range s.Laggards {
-		if err := validName("follower", l.Follower); err != nil {
+	for i, laggard := range s.Laggards {
+		if err := ValidateName("follower", laggard.Follower); err != nil {
 			return fmt.Errorf("behind[%d]: %w", i, err)
 		}
 	}
 	return nil
 }
 
-func validItems(items []Item, most int, changes bool) error {
-	if err := validCount("items", len(items), most); err != nil {
+// validateItems checks the items of a write or an update; allowDeleted: they are changes.
+func validateItems(items []Item, limit int, allowDeleted bool) error {
+	if err := validateCount("items", len(items), limit); err != nil {
 		return err
 	}
 	keys := make(map[string]bool, len(items))
 	for i := range items {
-		if err := items[i].validate(changes); err != nil {
+		if err := items[i].validate(allowDeleted); err != nil {
 			return fmt.Errorf("items[%d]: %w", i, err)
 		}
 		if keys[items[i].Key] {
@@ -179,12 +223,12 @@
 	return nil
 }
 
-func (i *Item) validate(change bool) error {
-	if err := validName("key", i.Key); err != nil {
+func (i *Item) validate(allowDeleted bool) error {
+	if err := ValidateName("key", i.Key); err != nil {
 		return err
 	}
 	if i.Deleted {
-		if !change {
+		if !allowDeleted {
 			return fmt.Errorf("key %q: deleted found in a whole resource, among changes only expected", i.Key)
 		}
 		if len(i.Value) > 0 {
@@ -201,10 +245,9 @@
 	return nil
 }
 
-// ValidateName says what is wrong with the name of a resource, a key or a follower, in one line, or nil.
-func ValidateName(place, name string) error { return validName(place, name) }
-
-func validName(place, name string) error {
+// ValidateName returns what is wrong with the name of a resource, a key or a follower, in one line
+// that begins with place, or nil.
+func ValidateName(place, name string) error {
 	if name == "" || len(name) > MaxNameBytes {
 		return fmt.Errorf("%s: name of %d bytes found, 1 to %d expected", place, len(name), MaxNameBytes)
 	}
@@ -219,9 +262,10 @@
 	return nil
 }
 
-func validCount(place string, found, most int) error {
-	if found > most {
-		return fmt.Errorf("%s: %d found, %d at most expected", place, found, most)
+// validateCount checks the length of a list.
+func validateCount(place string, found, limit int) error {
+	if found > limit {
+		return fmt.Errorf("%s: %d found, %d at most expected", place, found, limit)
 	}
 	return nil
 }
