--- a/internal/distribution/follow/reader.go
+++ b/internal/distribution/follow/reader.go
@@ -3,394 +3,264 @@
 import (
 	"context"
 	"errors"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/sleep"
-	"math/rand/v2"
 	"sync"
 	"time"
+
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/httpapi"
+	"fernlanding/internal/sleep"
 )
 
-// mostStatuses is how many statuses go in a report.
-const mostStatuses = 512
+const (
+	// responseTimeout is how much later than its hold a read may be answered, else it has failed.
+	responseTimeout = time.Second
+	// requestTimeout bounds a request that does not wait for an update.
+	requestTimeout = time.Second
+	// endLeaveTimeout bounds the request that ends the session when the follower ends: nobody is to
+	// wait long for it.
+	endLeaveTimeout = 250 * time.Millisecond
+	// failureNoticeDelay is how long after a hold without a response UpdateFailed is called.
+	failureNoticeDelay = 2 * time.Second
+	// logInterval is how often the log says that no relay answers.
+	logInterval = 5 * time.Second
+)
 
-// reader is a Follower's work while it runs.
+// reader reads from one relay after another for a Follower. Its fields belong to the goroutine of
+// run.
 type reader struct {
-	*Follower
-	ctx    context.Context
-	picker *picker // of readLoop, as are those up to began
-
-	current int       // the relay to read from
-	open    bool      // there is a session
-	opened  time.Time // since when
-	left    *session  // the one that was left for an earlier choice
-
-	// sending is held while a request is put together, and by reportLoop until its request is answered: what a later request
-	// says does not overtake it.
-	sending sync.Mutex
-
-	choosing  sync.Mutex
-	choice    int  // the relay that is read from
-	cut       bool // it is cut off from the source
-	preferred int  // the choice to go to
-	moving    bool // preferred is set
-	probing   bool // a probe runs
-
-	began    time.Time
-	missedAt time.Time
-	saidAt   time.Time
-	beside   sync.WaitGroup // probe and farewells
+	f      *Follower
+	picker *relayPicker
+	prober *relayProber
+
+	current  int         // the choice to read from
+	open     bool        // there is a session, and it has been answered
+	openedAt time.Time   // of the session
+	previous *sessionRef // the session that was left for a better relay; nil: none
+
+	startedAt      time.Time
+	lastNoticeAt   time.Time // of UpdateFailed; zero: not since the last response
+	lastLogAt      time.Time // of the line that no relay answers; zero: not since the last response
+	backgroundJobs sync.WaitGroup
 }
 
-// session is one at a relay.
-type session struct{ address, id string }
+// sessionRef names a session at a relay.
+type sessionRef struct{ address, id string }
 
-// request is what a request to a relay says, and what has to be said again should it fail.
+// request is a request and the relay that it goes to.
 type request struct {
 	distribution.FollowRequest
 	address string
 }
 
-func newReader(f *Follower, ctx context.Context) *reader {
-	return &reader{Follower: f, ctx: ctx, picker: newPicker(f.cfg.Name, f.cfg.Relays), began: f.now()}
+// newReader returns a reader that has not read yet.
+func newReader(f *Follower) *reader {
+	picker := newRelayPicker(f.cfg.Name, f.cfg.Relays)
+	return &reader{
+		f:         f,
+		picker:    picker,
+		prober:    newRelayProber(f.transport, picker.addresses()),
+		startedAt: f.now(),
+	}
 }
 
-// readLoop reads again and again. At its end the relay is told.
-func (r *reader) readLoop() {
-	defer r.beside.Wait()
-	defer r.goodbye()
-	for sleep.For(r.ctx, r.choose()) {
-		err := r.read()
+// run reads until the context ends, and then ends the session.
+func (r *reader) run(ctx context.Context) {
+	defer r.backgroundJobs.Wait()
+	defer r.leaveAtEnd(ctx)
+	for sleep.For(ctx, r.chooseRelay()) {
+		err := r.read(ctx)
 		switch {
-		case r.ctx.Err() != nil:
+		case ctx.Err() != nil:
 			return
 		case err != nil:
-			r.failed(err)
+			r.readFailed(err)
 		default:
-			r.succeeded()
+			r.readSucceeded(ctx)
 		}
 	}
 }
 
-// choose decides from which relay to read next, and returns how long to wait before.
-func (r *reader) choose() (wait time.Duration) {
+// chooseRelay decides which relay to read from next, and returns how long to wait before.
+func (r *reader) chooseRelay() (wait time.Duration) {
 	if !r.open {
-		r.current, wait = r.picker.next(r.now())
+		r.current, wait = r.picker.next(r.f.now())
 		return wait
 	}
-	if to, moving := r.moveTo(r.current); moving {
-		r.left = r.leave()
-		r.current, r.open = to, false
+	if better, found := r.prober.takePreferred(r.current); found {
+		r.previous = r.forgetSession()
+		r.current = better
+		r.open = false
 	}
 	return 0
 }
 
-// read reads once: where there is no session, one begins, and the answer does not wait.
-func (r *reader) read() error {
-	req := r.compose(r.current)
-	ctx, cancel := r.patience(req)
+// read reads once. Without a session it opens one, and is answered at once.
+func (r *reader) read(ctx context.Context) error {
+	req := r.compose()
+	readCtx, cancel := r.readContext(ctx, req)
 	defer cancel()
-	response, err := r.transport.Follow(ctx, req.address, &req.FollowRequest)
+	response, err := r.f.transport.Follow(readCtx, req.address, &req.FollowRequest)
 	if err != nil {
 		return err
 	}
-	r.heard(r.current, req, response)
-	if err := r.ctx.Err(); err != nil {
+	r.recordResponse(req, response)
+	if err := ctx.Err(); err != nil {
 		return err
 	}
-	return r.take(response.Updates)
+	return r.f.applyUpdates(response.Updates)
 }
 
-// patience is the context of a read. Where the follower ends while a session begins, the answer is waited for a little longer:
-// without it nobody knows which session to end.
-func (r *reader) patience(req *request) (context.Context, context.CancelFunc) {
+// readContext returns the context of a read. If the follower ends while a session is being opened,
+// the read goes on for leaveTimeout: without its response there is no session ID to leave by.
+func (r *reader) readContext(ctx context.Context, req *request) (context.Context, context.CancelFunc) {
 	if req.Session != "" {
-		return context.WithTimeout(r.ctx, answerWithin+r.cfg.Hold)
+		return context.WithTimeout(ctx, responseTimeout+r.f.cfg.Hold)
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.ctx), answerWithin)
-	stop := context.AfterFunc(r.ctx, func() { time.AfterFunc(r.goodbyeWithin, cancel) })
-	return ctx, func() {
+	opening, cancel := context.WithTimeout(context.WithoutCancel(ctx), responseTimeout)
+	stop := context.AfterFunc(ctx, func() { time.AfterFunc(r.f.leaveTimeout, cancel) })
+	return opening, func() {
 		stop()
 		cancel()
 	}
 }
 
-// succeeded takes that a read has been answered.
-func (r *reader) succeeded() {
-	if r.open {
-		r.picker.answered(r.current) // a session that goes on, not one that was only begun
-	} else {
-		r.open, r.opened = true, r.now()
-	}
-	if r.left != nil {
-		r.farewell(r.ctx, r.left, reportTimeout)
-		r.left = nil
-	}
-	r.startProbe()
-}
-
-// compose is the next read.
-func (r *reader) compose(choice int) *request {
-	r.sending.Lock()
-	defer r.sending.Unlock()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	req := &request{address: r.picker.relays[choice].address}
-	req.FollowRequest.Follower, req.Kind, req.Session = r.cfg.Name, r.cfg.Kind, r.session
-	req.HoldMs = r.cfg.Hold.Milliseconds()
-	req.Positions, req.Unfollowed = r.due(r.session == "")
-	r.stats.MessagesOut++
+// compose returns the next read, with all that the session does not know.
+func (r *reader) compose() *request {
+	f := r.f
+	f.sending.Lock()
+	defer f.sending.Unlock()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	req := f.newRequest(r.picker.address(r.current))
+	req.HoldMs = f.cfg.Hold.Milliseconds()
+	if f.sessionID == "" {
+		f.markAllUnsent()
+	}
+	req.Positions, req.Unfollowed = f.takeUnsentPositions()
+	f.stats.MessagesOut++
 	return req
 }
 
-// heard takes that a relay has answered.
-func (r *reader) heard(choice int, req *request, response *distribution.FollowResponse) {
-	r.choosing.Lock()
-	r.choice, r.cut = choice, response.Disconnected
-	r.choosing.Unlock()
-
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.now()
-	r.stats.MessagesIn++
-	if r.session != response.Session {
-		r.stats.Sessions++
-	}
-	if r.relay != req.address {
-		if r.relay != "" {
-			r.stats.Switches++
-		}
-		r.relay = req.address
-	}
-	r.session = response.Session
-	r.health = Health{Relay: req.address, LastAnswer: now, SourceAge: time.Duration(response.SourceAgeMs) * time.Millisecond, Disconnected: response.Disconnected}
-	r.missedAt, r.saidAt = time.Time{}, time.Time{}
-	if len(r.unreported) > 0 { // what else is to be said goes with the next read
-		r.reportSoon()
+// recordResponse records the response to a read.
+func (r *reader) recordResponse(req *request, response *distribution.FollowResponse) {
+	r.prober.setCurrent(r.current, response.Disconnected)
+
+	f := r.f
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.stats.MessagesIn++
+	if f.sessionID != response.Session {
+		f.stats.Sessions++
+	}
+	if f.relay != "" && f.relay != req.address {
+		f.stats.Switches++
+	}
+	f.relay = req.address
+	f.sessionID = response.Session
+	f.health = Health{
+		Relay:        req.address,
+		LastAnswer:   f.now(),
+		SourceAge:    time.Duration(response.SourceAgeMs) * time.Millisecond,
+		Disconnected: response.Disconnected,
+	}
+	r.lastNoticeAt = time.Time{}
+	r.lastLogAt = time.Time{}
+	if len(f.unsentStatuses) > 0 { // positions go with the next read
+		f.wakeReports()
 	}
 }
 
-// failed takes that a read has failed: the next begins a session, here or at another relay.
-func (r *reader) failed(err error) {
-	now := r.now()
-	early := r.open && now.Sub(r.opened) < r.cfg.Hold
-	r.open, r.left = false, nil
-	r.leave()
-	// A relay that restarts knows no session, and a new one begins at once. One that ends as soon as it has begun is another
-	// matter: a second process of the same name, say.
-	if early || !errors.Is(err, distribution.ErrUnknownSession) {
-		r.picker.failedNow(r.current, now, busy(err), r.cfg.Rand)
-	}
-	r.mu.Lock()
-	if r.health.SilentSince.IsZero() {
-		r.health.SilentSince = now
-	}
-	heard := r.health.LastAnswer
-	r.mu.Unlock()
-	if heard.IsZero() {
-		heard = r.began
-	}
-	if now.Sub(r.saidAt) >= sayEvery {
-		r.saidAt = now
-		r.cfg.Log.Warn("distribution", "error", err, "silent", now.Sub(heard))
+// readSucceeded follows up on a read that has been answered.
+func (r *reader) readSucceeded(ctx context.Context) {
+	if r.open {
+		r.picker.succeeded(r.current) // a session that goes on, not one that was only opened
+	} else {
+		r.open = true
+		r.openedAt = r.f.now()
 	}
-	if now.Sub(heard) >= r.cfg.Hold+missedAfter && now.Sub(r.missedAt) >= r.cfg.Hold {
-		r.missedAt = now
-		r.missed()
+	if r.previous != nil {
+		r.sendLeave(ctx, r.previous, requestTimeout)
+		r.previous = nil
 	}
+	r.prober.start(ctx, r.f.cfg.Rand, &r.backgroundJobs)
 }
 
-// leave ends the session on this side, and returns it.
-func (r *reader) leave() *session {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	left := &session{r.relay, r.session}
-	r.session = ""
-	return left
+// readFailed follows up on a read that has failed: the next one opens a session, here or at another
+// relay.
+func (r *reader) readFailed(err error) {
+	now := r.f.now()
+	endedEarly := r.open && now.Sub(r.openedAt) < r.f.cfg.Hold
+	r.open = false
+	r.previous = nil
+	r.forgetSession()
+	// A relay that restarts knows no session, and a new one is opened at once. A session that ends
+	// as soon as it has been opened is another matter: a second process of the same name, for
+	// example.
+	if endedEarly || !errors.Is(err, distribution.ErrUnknownSession) {
+		r.picker.failed(r.current, now, retryAfter(err), r.f.cfg.Rand)
+	}
+	r.noticeFailure(now, err)
 }
 
-// goodbye tells the relay that this follower has ended.
-func (r *reader) goodbye() {
-	if left := r.leave(); left.id != "" {
-		r.farewell(context.WithoutCancel(r.ctx), left, r.goodbyeWithin)
+// noticeFailure logs that no relay answers, and tells the subscribers once that has lasted.
+func (r *reader) noticeFailure(now time.Time, err error) {
+	f := r.f
+	f.mu.Lock()
+	if f.health.SilentSince.IsZero() {
+		f.health.SilentSince = now
 	}
-}
-
-// farewell ends a session at a relay that is left, lest its count have this follower for some holds more.
-func (r *reader) farewell(ctx context.Context, to *session, timeout time.Duration) {
-	req := &distribution.FollowRequest{Follower: r.cfg.Name, Kind: r.cfg.Kind, Session: to.id, Leave: true}
-	r.mu.Lock()
-	r.stats.MessagesOut++
-	r.mu.Unlock()
-	r.beside.Go(func() {
-		ctx, cancel := context.WithTimeout(ctx, timeout)
-		defer cancel()
-		_, _ = r.transport.Follow(ctx, to.address, req) // the session ends by itself too
-	})
-}
-
-// reportLoop says what can't wait for the next read: what is followed anew, and statuses.
-func (r *reader) reportLoop() {
-	for {
-		select {
-		case <-r.reports:
-		case <-r.ctx.Done():
-			return
-		}
-		for {
-			more, err := r.report()
-			if err != nil && !sleep.For(r.ctx, reportAgain) {
-				return
-			}
-			if !more {
-				break
-			}
-		}
+	lastAnswer := f.health.LastAnswer
+	f.mu.Unlock()
+	if lastAnswer.IsZero() {
+		lastAnswer = r.startedAt
 	}
-}
-
-// report sends what the session does not know, if there is any, and tells whether there is more.
-func (r *reader) report() (more bool, err error) {
-	r.sending.Lock()
-	defer r.sending.Unlock()
-	req := r.composeReport()
-	if req == nil {
-		return false, nil
-	}
-	ctx, cancel := context.WithTimeout(r.ctx, reportTimeout)
-	defer cancel()
-	_, err = r.transport.Follow(ctx, req.address, &req.FollowRequest)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if err == nil {
-		r.stats.MessagesIn++
-		return len(r.unreported) > 0, nil
-	}
-	if r.session != req.Session {
-		return false, err // the next session says all
-	}
-	for i := range req.Positions {
-		r.dirty[req.Positions[i].Resource] = true
-	}
-	for _, name := range req.Unfollowed {
-		if r.subscribed[name] == nil {
-			r.unfollowed[name] = true
-		}
-	}
-	for i := range req.Statuses {
-		r.unreported[req.Statuses[i].Resource] = true
-	}
-	return !errors.Is(err, distribution.ErrUnknownSession), err
-}
-
-// composeReport is the next report; nil: there is none.
-func (r *reader) composeReport() *request {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.session == "" {
-		return nil
-	}
-	req := &request{address: r.relay}
-	req.FollowRequest.Follower, req.Kind, req.Session = r.cfg.Name, r.cfg.Kind, r.session
-	req.Positions, req.Unfollowed = r.due(false)
-	for name := range r.unreported {
-		if len(req.Statuses) == mostStatuses {
-			break
-		}
-		delete(r.unreported, name)
-		if status := r.statuses[name]; status != nil && r.subscribed[name] != nil {
-			req.Statuses = append(req.Statuses, *status)
-		}
+	silent := now.Sub(lastAnswer)
+	if now.Sub(r.lastLogAt) >= logInterval {
+		r.lastLogAt = now
+		f.cfg.Log.Warn("distribution: no relay answers", "error", err, "silent", silent)
 	}
-	if len(req.Positions) == 0 && len(req.Unfollowed) == 0 && len(req.Statuses) == 0 {
-		return nil
-	}
-	r.stats.MessagesOut++
-	return req
-}
-
-// startProbe has other choices asked whether they are ready where one of them would be better.
-func (r *reader) startProbe() {
-	r.choosing.Lock()
-	defer r.choosing.Unlock()
-	if r.probing || r.candidates() == 0 {
-		return
+	if silent >= f.cfg.Hold+failureNoticeDelay && now.Sub(r.lastNoticeAt) >= f.cfg.Hold {
+		r.lastNoticeAt = now
+		f.notifyUpdateFailed()
 	}
-	r.probing = true
-	random := rand.New(rand.NewPCG(r.cfg.Rand.Uint64(), r.cfg.Rand.Uint64()))
-	r.beside.Go(func() { r.probe(random) })
 }
 
-// candidates is how many choices, the first ones, may be better than the one that is read from: any while that is cut off,
-// else the earlier ones. The lock choosing is held.
-func (r *reader) candidates() int {
-	if r.cut {
-		return len(r.picker.relays)
-	}
-	return r.choice
+// forgetSession ends the session at this side, and returns which it was.
+func (r *reader) forgetSession() *sessionRef {
+	r.f.mu.Lock()
+	defer r.f.mu.Unlock()
+	session := &sessionRef{address: r.f.relay, id: r.f.sessionID}
+	r.f.sessionID = ""
+	return session
 }
 
-// probe asks until no other choice would be better.
-func (r *reader) probe(random *rand.Rand) {
-	for {
-		choice, candidates, cut := r.probed()
-		if candidates == 0 {
-			return
-		}
-		wait := probeEvery/2 + time.Duration(random.Int64N(int64(probeEvery)))
-		if cut {
-			wait = time.Duration(random.Int64N(int64(probeEvery / 2)))
-		}
-		if !sleep.For(r.ctx, wait) {
-			return
-		}
-		to := r.firstReady(choice, candidates)
-		if to < 0 {
-			continue
-		}
-		if !cut {
-			if !sleep.For(r.ctx, time.Duration(random.Int64N(int64(returnSpread)))) {
-				return
-			}
-			if !r.ready(to) { // it has been cut off meanwhile
-				continue
-			}
-		}
-		r.choosing.Lock()
-		r.preferred, r.moving = to, r.choice == choice
-		r.choosing.Unlock()
+// leaveAtEnd ends the session at the relay when the follower ends.
+func (r *reader) leaveAtEnd(ctx context.Context) {
+	if session := r.forgetSession(); session.id != "" {
+		r.sendLeave(context.WithoutCancel(ctx), session, r.f.leaveTimeout)
 	}
 }
 
-// probed is the choice that is read from, how many are to be asked (none: the probe ends), and whether it is cut off.
-func (r *reader) probed() (choice, candidates int, cut bool) {
-	r.choosing.Lock()
-	defer r.choosing.Unlock()
-	candidates = r.candidates()
-	r.probing = candidates > 0
-	return r.choice, candidates, r.cut
+// sendLeave ends a session at its relay, in the background. Else the relay would count this
+// follower for some more holds.
+func (r *reader) sendLeave(ctx context.Context, session *sessionRef, timeout time.Duration) {
+	f := r.f
+	req := &distribution.FollowRequest{Follower: f.cfg.Name, Kind: f.cfg.Kind, Session: session.id, Leave: true}
+	f.mu.Lock()
+	f.stats.MessagesOut++
+	f.mu.Unlock()
+	r.backgroundJobs.Go(func() {
+		ctx, cancel := context.WithTimeout(ctx, timeout)
+		defer cancel()
+		_, _ = f.transport.Follow(ctx, session.address, req) // the session expires by itself too
+	})
 }
 
-// firstReady is the first of some choices that is ready, but for the one that is read from; negative: none is.
-func (r *reader) firstReady(choice, candidates int) int {
-	for i := range candidates {
-		if i != choice && r.ready(i) {
-			return i
-		}
+// retryAfter returns how long an overloaded relay asks to wait; 0: err says nothing of it.
+func retryAfter(err error) time.Duration {
+	var overloaded *httpapi.OverloadedError
+	if errors.As(err, &overloaded) {
+		return overloaded.RetryAfter
 	}
-	return -1
-}
-
-func (r *reader) ready(choice int) bool {
-	ctx, cancel := context.WithTimeout(r.ctx, probeTimeout)
-	defer cancel()
-	return r.transport.Ready(ctx, r.picker.relays[choice].address) == nil // addresses don't change
-}
-
-// moveTo is the choice to go to, if there is a better one.
-func (r *reader) moveTo(choice int) (int, bool) {
-	r.choosing.Lock()
-	defer r.choosing.Unlock()
-	moving := r.moving && r.preferred != choice
-	r.moving = false
-	return r.preferred, moving
+	return 0
 }
--- a/internal/distribution/follow/picker_test.go
+++ b/internal/distribution/follow/relay_picker_test.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
+// testRand returns a generator with a fixed seed.
 func testRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// Followers are spread evenly over relays, and those of a relay that dies evenly over the others.
-func TestRendezvous(t *testing.T) {
+// Followers are spread evenly over relays, and those of a relay that fails evenly over the others.
+func TestRendezvousHashing(t *testing.T) {
 	relays := []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:1"}
 	const followers = 4_000
 	first, second := make(map[string]int), make(map[string]int)
 	for i := range followers {
-		p := newPicker(fmt.Sprint("proxy-", i), relays)
+		p := newRelayPicker(fmt.Sprint("proxy-", i), relays)
 		if len(p.relays) != 4 {
 			t.Fatalf("%d relays, 4 expected", len(p.relays))
 		}
@@ -36,56 +37,56 @@
 	}
 }
 
-// A relay that fails is left for a growing time, and asked again in the end.
+// A relay that fails is not asked for a growing time, but is asked again.
 func TestBackoff(t *testing.T) {
 	now, random := time.Unix(1_000, 0), testRand()
-	p := newPicker("p", []string{"a", "b"})
+	p := newRelayPicker("p", []string{"a", "b"})
 	for failures := range 20 {
-		longest := min(leastBackoff<<min(failures, 10), mostBackoff)
+		longest := min(minBackoff<<min(failures, maxBackoffDoublings), maxBackoff)
 		choice, wait := p.next(now)
 		if choice != 0 || wait != 0 {
 			t.Fatalf("choice %d in %v", choice, wait)
 		}
-		p.failedNow(0, now, 0, random)
+		p.failed(0, now, 0, random)
 		if choice, wait := p.next(now); choice != 1 || wait != 0 {
 			t.Fatalf("after a failure: choice %d in %v", choice, wait)
 		}
-		if until := p.relays[0].until.Sub(now); until < longest/2 || until > longest {
-			t.Fatalf("failure %d: left for %v, %v at most expected", failures, until, longest)
+		if wait := p.relays[0].backoffUntil.Sub(now); wait < longest/2 || wait > longest {
+			t.Fatalf("failure %d: backoff of %v, %v at most expected", failures, wait, longest)
 		}
-		now = p.relays[0].until
+		now = p.relays[0].backoffUntil
 	}
-	p.answered(0)
-	p.failedNow(0, now, 0, random)
-	if until := p.relays[0].until.Sub(now); until > leastBackoff {
-		t.Errorf("after an answer: left for %v", until)
+	p.succeeded(0)
+	p.failed(0, now, 0, random)
+	if wait := p.relays[0].backoffUntil.Sub(now); wait > minBackoff {
+		t.Errorf("after an answer: backoff of %v", wait)
 	}
 }
 
-// Where all relays fail, the one that may be asked soonest is waited for.
+// If all relays have failed, the one that may be asked soonest is chosen.
 func TestAllRelaysFail(t *testing.T) {
 	now, random := time.Unix(1_000, 0), testRand()
-	p := newPicker("p", []string{"a", "b", "c"})
+	p := newRelayPicker("p", []string{"a", "b", "c"})
 	for i := range p.relays {
-		p.failedNow(i, now, 0, random)
+		p.failed(i, now, 0, random)
 	}
 	choice, wait := p.next(now)
 	for _, r := range p.relays {
-		if wait <= 0 || now.Add(wait).After(r.until) {
-			t.Errorf("choice %d in %v; %s could be asked at %v", choice, wait, r.address, r.until.Sub(now))
+		if wait <= 0 || now.Add(wait).After(r.backoffUntil) {
+			t.Errorf("choice %d in %v; %s could be asked at %v", choice, wait, r.address, r.backoffUntil.Sub(now))
 		}
 	}
 }
 
-// A relay that asks to come back later is taken at its word, up to a bound, and not by all at once.
+// Retry-After is kept up to a bound, and its followers come back spread over as much time again.
 func TestRetryAfter(t *testing.T) {
 	now, random := time.Unix(1_000, 0), testRand()
-	for _, asked := range []time.Duration{time.Second, time.Hour} {
-		p := newPicker("p", []string{"a"})
-		p.failedNow(0, now, asked, random)
-		bound := min(asked, mostRetryAfter)
+	for _, retryAfter := range []time.Duration{time.Second, time.Hour} {
+		p := newRelayPicker("p", []string{"a"})
+		p.failed(0, now, retryAfter, random)
+		bound := min(retryAfter, maxRetryAfter)
 		if _, wait := p.next(now); wait < bound || wait > 2*bound {
-			t.Errorf("asked for %v: %v", asked, wait)
+			t.Errorf("Retry-After of %v: %v", retryAfter, wait)
 		}
 	}
 }
--- a/internal/distribution/httpapi/client.go
+++ b/internal/distribution/httpapi/client.go
@@ -5,7 +5,6 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fernlanding/internal/distribution"
 	"fmt"
 	"io"
 	"net"
@@ -14,6 +13,8 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"fernlanding/internal/distribution"
 )
 
 const (
@@ -35,13 +36,16 @@
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
+// defaultDial returns the DialFunc of a client for which none is configured.
+func defaultDial() DialFunc { return (&net.Dialer{KeepAlive: -1}).DialContext }
+
 // Client calls sources and relays.
 type Client struct{ http *http.Client }
 
 // NewClient returns a client; dial nil: the usual one.
 func NewClient(dial DialFunc) *Client {
 	if dial == nil {
-		dial = (&net.Dialer{KeepAlive: -1}).DialContext
+		dial = defaultDial()
 	}
 	bounded := func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -60,7 +64,8 @@
 // Close ends the connections that are not in use.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Follow reads, waiting for news as long as the request says. Errors: distribution.ErrUnknownSession, BusyError, others.
+// Follow reads, waiting for news as long as the request says. Errors:
+// distribution.ErrUnknownSession, BusyError, others.
 func (c *Client) Follow(ctx context.Context, address string, req *distribution.FollowRequest) (*distribution.FollowResponse, error) {
 	response := new(distribution.FollowResponse)
 	if err := c.call(ctx, http.MethodPost, address, PathFollow, req, response, distribution.MaxResponseBytes); err != nil {
--- a/internal/distribution/httpapi/handler.go
+++ b/internal/distribution/httpapi/handler.go
@@ -1,16 +1,17 @@
-// Package httpapi carries the messages of distribution over HTTP: blocking reads, writes, statuses. Handler serves a
-// source or relay, Client calls one.
+// Package httpapi carries the messages of distribution over HTTP: blocking reads, writes, statuses.
+// Handler serves a source or relay, Client calls one.
 package httpapi
 
 import (
 	"context"
 	"encoding/json"
 	"errors"
-	"fernlanding/internal/distribution"
 	"io"
 	"net/http"
 	"strconv"
 	"time"
+
+	"fernlanding/internal/distribution"
 )
 
 // The paths of a source or relay.
@@ -44,7 +45,8 @@
 
 // Service is a source or relay.
 type Service interface {
-	// Follow answers a blocking read. Done is called when the answer has been written, or could not be.
+	// Follow answers a blocking read. Done is called when the answer has been written, or could not
+	// be.
 	Follow(ctx context.Context, req *distribution.FollowRequest) (answer *EncodedResponse, done func(), err error)
 	Put(req *distribution.PutRequest) (distribution.Version, error)
 	Status(resource string) distribution.ResourceStatus
@@ -104,7 +106,8 @@
 	end   = []byte("]}")
 )
 
-// write answers with JSON: a head and, where there are any, updates in a list that the head has opened.
+// write answers with JSON: a head and, where there are any, updates in a list that the head has
+// opened.
 func write(w http.ResponseWriter, head []byte, updates ...[]byte) {
 	length := len(head)
 	for _, u := range updates {
@@ -211,8 +214,8 @@
 	return data, err
 }
 
-// limitWrite bounds the time within which an answer has to be taken. A connection keeps its deadline, so each answer has
-// to set one.
+// limitWrite bounds the time within which an answer has to be taken. A connection keeps its
+// deadline, so each answer has to set one.
 func limitWrite(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout)) // a test's recorder has none
 }
--- a/internal/distribution/httpapi/httpapi_test.go
+++ b/internal/distribution/httpapi/httpapi_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fernlanding/internal/distribution"
 	"fmt"
 	"io"
 	"net"
@@ -12,6 +11,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"fernlanding/internal/distribution"
 )
 
 // scripted answers all calls as it is told.
--- a/internal/distribution/httpapi/server.go
+++ b/internal/distribution/httpapi/server.go
@@ -9,70 +9,62 @@
 	"time"
 )
 
+// Bounds of a server's connections.
 const (
-	headTimeout    = 5 * time.Second
-	maxHeadBytes   = 8 << 10
-	serverIdleTime = 2 * time.Minute
+	readHeaderTimeout = 5 * time.Second
+	maxHeaderBytes    = 8 << 10
+	serverIdleTimeout = 2 * time.Minute
 )
 
-// Traffic counts the bytes of connections.
-type Traffic struct{ In, Out atomic.Int64 }
-
-// NewServer returns a server of a source or relay.
+// NewServer returns an HTTP server of a source or relay. It logs nothing.
 func NewServer(service Service) *http.Server {
 	return &http.Server{
-		Handler: Handler(service), ReadHeaderTimeout: headTimeout, IdleTimeout: serverIdleTime, MaxHeaderBytes: maxHeadBytes,
-		ErrorLog: log.New(io.Discard, "", 0),
+		Handler:           Handler(service),
+		ReadHeaderTimeout: readHeaderTimeout,
+		IdleTimeout:       serverIdleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          log.New(io.Discard, "", 0),
 	}
 }
 
-// Listener counts the bytes of its connections and takes so many at a time; a further one is closed at once.
-func Listener(inner net.Listener, most int, traffic *Traffic) net.Listener {
-	return &listener{Listener: inner, most: int64(most), traffic: traffic}
+// Listener returns a listener that counts the bytes of its connections. It has up to maxConns
+// connections open at a time, and closes any further one at once.
+func Listener(inner net.Listener, maxConns int, traffic *Traffic) net.Listener {
+	return &limitedListener{Listener: inner, maxConns: int64(maxConns), traffic: traffic}
 }
 
-type listener struct {
+// limitedListener bounds the number of open connections.
+type limitedListener struct {
 	net.Listener
-	most    int64
-	open    atomic.Int64
-	traffic *Traffic
+	maxConns int64
+	open     atomic.Int64
+	traffic  *Traffic
 }
 
 // Accept implements net.Listener.
-func (l *listener) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if l.open.Add(1) <= l.most {
-			return &countedConn{Conn: conn, listener: l}, nil
+		if l.open.Add(1) <= l.maxConns {
+			return &limitedConn{Conn: l.traffic.count(conn), listener: l}, nil
 		}
 		l.open.Add(-1)
-		_ = conn.Close()
+		_ = conn.Close() // nothing has been read or written
 	}
 }
 
-type countedConn struct {
+// limitedConn is a connection that counts as open at its listener until it is closed.
+type limitedConn struct {
 	net.Conn
-	listener *listener
+	listener *limitedListener
 	closed   atomic.Bool
 }
 
-func (c *countedConn) Read(p []byte) (int, error) {
-	n, err := c.Conn.Read(p)
-	c.listener.traffic.In.Add(int64(n))
-	return n, err
-}
-
-func (c *countedConn) Write(p []byte) (int, error) {
-	n, err := c.Conn.Write(p)
-	c.listener.traffic.Out.Add(int64(n))
-	return n, err
-}
-
 // Close implements net.Conn.
-func (c *countedConn) Close() error {
+func (c *limitedConn) Close() error {
 	if c.closed.CompareAndSwap(false, true) {
 		c.listener.open.Add(-1)
 	}
--- a/internal/distribution/node/bench_test.go
+++ b/internal/distribution/node/bench_test.go
@@ -2,9 +2,6 @@
 
 import (
 	"context"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/follow"
-	"fernlanding/internal/distribution/httpapi"
 	"fmt"
 	"net"
 	"os"
@@ -17,6 +14,10 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/follow"
+	"fernlanding/internal/distribution/httpapi"
 )
 
 // benchSessions is how many followers a relay of the benchmark has, and benchResources how many resources each follows.
--- a/internal/distribution/node/failure_test.go
+++ b/internal/distribution/node/failure_test.go
@@ -3,16 +3,17 @@
 import (
 	"context"
 	"errors"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/follow"
-	"fernlanding/internal/distribution/httpapi"
-	"fernlanding/internal/distribution/statedir"
 	"fmt"
 	"net"
 	"strings"
 	"sync"
 	"testing"
 	"time"
+
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/follow"
+	"fernlanding/internal/distribution/httpapi"
+	"fernlanding/internal/distribution/statedir"
 )
 
 const resource = "service-a"
--- a/internal/distribution/node/node.go
+++ b/internal/distribution/node/node.go
@@ -5,10 +5,11 @@
 	"context"
 	"crypto/rand"
 	"encoding/hex"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/httpapi"
 	"sync"
 	"time"
+
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/httpapi"
 )
 
 // Bounds of what a node keeps and sends.
--- a/internal/distribution/node/nodetest/nodetest.go
+++ b/internal/distribution/node/nodetest/nodetest.go
@@ -3,15 +3,16 @@
 
 import (
 	"context"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/follow"
-	"fernlanding/internal/distribution/httpapi"
-	"fernlanding/internal/distribution/node"
 	"net"
 	"net/http"
 	"sync"
 	"testing"
 	"time"
+
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/follow"
+	"fernlanding/internal/distribution/httpapi"
+	"fernlanding/internal/distribution/node"
 )
 
 // Hold is how long the reads of relays wait: short, so that what is broken shows soon.
--- a/internal/distribution/node/read.go
+++ b/internal/distribution/node/read.go
@@ -4,11 +4,12 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/httpapi"
 	"fmt"
 	mathrand "math/rand/v2"
 	"time"
+
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/httpapi"
 )
 
 // waiter is the read of a session that was opened last.
--- a/internal/distribution/node/relay.go
+++ b/internal/distribution/node/relay.go
@@ -2,11 +2,12 @@
 
 import (
 	"context"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/follow"
 	"log/slog"
 	"sync"
 	"time"
+
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/follow"
 )
 
 const (
--- a/internal/distribution/node/socket_test.go
+++ b/internal/distribution/node/socket_test.go
@@ -4,16 +4,17 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/follow"
-	"fernlanding/internal/distribution/httpapi"
-	"fernlanding/internal/distribution/statedir"
 	"fmt"
 	"net"
 	"net/http"
 	"sync"
 	"testing"
 	"time"
+
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/follow"
+	"fernlanding/internal/distribution/httpapi"
+	"fernlanding/internal/distribution/statedir"
 )
 
 // within is after what a test that waits for an event gives up.
--- a/internal/distribution/node/write.go
+++ b/internal/distribution/node/write.go
@@ -1,10 +1,11 @@
 package node
 
 import (
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/httpapi"
 	"fmt"
 	"time"
+
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/httpapi"
 )
 
 // Apply takes an update of the upstream, and wakes who waits for it.
--- a/internal/distribution/statedir/statedir.go
+++ b/internal/distribution/statedir/statedir.go
@@ -7,14 +7,15 @@
 	"encoding/hex"
 	"encoding/json"
 	"errors"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/durable"
 	"fmt"
 	"os"
 	"path/filepath"
 	"strconv"
 	"strings"
 
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/durable"
+
 	"golang.org/x/sys/unix"
 )
 
--- a/internal/distribution/statedir/statedir_test.go
+++ b/internal/distribution/statedir/statedir_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"encoding/json"
-	"fernlanding/internal/distribution"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"fernlanding/internal/distribution"
 )
 
 func open(t *testing.T, path string, clock int64) *Dir {
