--- a/internal/distribution/follow/follower_test.go
+++ b/internal/distribution/follow/follower_test.go
@@ -1,11 +1,9 @@
 package follow
 
 import (
-	"context"
 	"errors"
 	"slices"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
@@ -15,91 +13,6 @@
 	"fernlanding/internal/distribution/httpapi"
 )
 
-// Follow implements Transport.
-func (s *scriptedTransport) Follow(
-	ctx context.Context, address string, req *distribution.FollowRequest,
-) (*distribution.FollowResponse, error) {
-	c := call{address: address, req: *req, result: make(chan result, 1)}
-	select {
-	case s.calls <- c:
-	case <-ctx.Done():
-		return nil, ctx.Err()
-	}
-	select {
-	case r := <-c.result:
-		return r.response, r.err
-	case <-ctx.Done():
-		return nil, ctx.Err()
-	}
-}
-
-// Ready implements Transport.
-func (s *scriptedTransport) Ready(_ context.Context, address string) error {
-	if s.ready == nil {
-		return errors.New("not ready")
-	}
-	return s.ready(address)
-}
-
-// Close implements Transport.
-func (s *scriptedTransport) Close() {}
-
-// run runs the Follower until the test ends.
-func (f *fixture) run() {
-	ctx, cancel := context.WithCancel(context.Background())
-	var running sync.WaitGroup
-	running.Go(func() { f.Run(ctx) })
-	f.cancel = cancel
-	f.t.Cleanup(func() {
-		cancel()
-		running.Wait()
-	})
-}
-
-// ApplyUpdate implements Subscriber.
-func (f *fixture) ApplyUpdate(u distribution.Update) error {
-	f.updates <- u
-	return f.reject
-}
-
-// UpdateFailed implements Subscriber.
-func (f *fixture) UpdateFailed() { f.failed <- true }
-
-// next returns the next call.
-func (f *fixture) next() call {
-	f.t.Helper()
-	select {
-	case c := <-f.transport.calls:
-		for _, p := range c.req.Positions {
-			f.sent[p.Resource] = p
-		}
-		return c
-	case <-time.After(testTimeout):
-		f.t.Fatal("no call")
-		return call{}
-	}
-}
-
-// read returns the next call that waits for an update; reports before it are answered.
-func (f *fixture) read() call {
-	f.t.Helper()
-	for {
-		c := f.next()
-		if c.req.HoldMs > 0 {
-			return c
-		}
-		c.ok()
-	}
-}
-
-// ok answers a call with updates.
-func (c call) ok(updates ...distribution.Update) {
-	c.result <- result{response: &distribution.FollowResponse{Session: "s", Updates: updates}}
-}
-
-// fail answers a call with an error.
-func (c call) fail(err error) { c.result <- result{err: err} }
-
 // A follower that ends while a session is being opened waits for its ID, and ends the session.
 func TestEndWhileSessionOpens(t *testing.T) {
 	f := prepare(t, version(1), "a")
