--- a/cmd/fernctl/pcap.go
+++ b/cmd/fernctl/pcap.go
@@ -51,7 +51,7 @@
 	exchange func(*http.Exchange) error // takes each; may be nil
 	fault    func(faultLine)
 	kinds    map[string]int64
-	ends     map[flow.End]int64
+	ends     map[flow.EndReason]int64
 	requests int64
 	answers  int64
 	paired   int64
@@ -83,12 +83,12 @@
 }
 
 func newCollector() *collector {
-	return &collector{kinds: map[string]int64{}, ends: map[flow.End]int64{}, fault: func(faultLine) {}}
+	return &collector{kinds: map[string]int64{}, ends: map[flow.EndReason]int64{}, fault: func(faultLine) {}}
 }
 
-func (c *collector) tell(f *flow.Flow, d flow.Dir, line faultLine) {
+func (c *collector) tell(f *flow.Flow, d flow.Direction, line faultLine) {
 	if f != nil {
-		line.Flow, line.From, line.To = f.ID, f.Ends[d].String(), f.Ends[1-d].String()
+		line.Flow, line.From, line.To = f.ID, f.Addresses[d].String(), f.Addresses[1-d].String()
 	}
 	c.kinds[line.Kind]++
 	c.fault(line)
@@ -116,17 +116,17 @@
 }
 
 // Stream implements http.Sink.
-func (c *collector) Stream(f *flow.Flow, d flow.Dir, x http.Fault) {
+func (c *collector) Stream(f *flow.Flow, d flow.Direction, x http.Fault) {
 	c.tell(f, d, faultLine{Kind: string(x.Kind), Why: x.Why, At: x.At, Bytes: x.Bytes, Packet: x.Packet})
 }
 
 // Segments implements http.Sink.
 func (c *collector) Segments(x flow.Fault) {
-	c.tell(x.Flow, x.Dir, faultLine{Kind: string(x.Kind), At: x.At, Bytes: x.Bytes, Packet: x.Packet})
+	c.tell(x.Flow, x.Direction, faultLine{Kind: string(x.Kind), At: x.Offset, Bytes: x.Bytes, Packet: x.Packet})
 }
 
 // Done implements http.Sink.
-func (c *collector) Done(_ *flow.Flow, why flow.End) { c.ends[why]++ }
+func (c *collector) Done(_ *flow.Flow, why flow.EndReason) { c.ends[why]++ }
 
 // openPcap opens the file that a command names, and a store for its large bodies.
 func openPcap(c *cli.Command) (*os.File, *bodies.Dir, error) {
@@ -182,14 +182,14 @@
 
 // infoReport is what pcap info -json prints.
 type infoReport struct {
-	File     string             `json:"file"`
-	Requests int64              `json:"requests"`
-	Answers  int64              `json:"answers"`
-	Paired   int64              `json:"paired"`
-	Flows    map[flow.End]int64 `json:"flows_by_end"`
-	Faults   map[string]int64   `json:"faults"`
-	First    []faultLine        `json:"first_faults"`
-	Summary  *pcap.Summary      `json:"summary"`
+	File     string                   `json:"file"`
+	Requests int64                    `json:"requests"`
+	Answers  int64                    `json:"answers"`
+	Paired   int64                    `json:"paired"`
+	Flows    map[flow.EndReason]int64 `json:"flows_by_end"`
+	Faults   map[string]int64         `json:"faults"`
+	First    []faultLine              `json:"first_faults"`
+	Summary  *pcap.Summary            `json:"summary"`
 }
 
 // ended is the end of a command that has read a capture: faults are found, or none.
@@ -230,7 +230,7 @@
 	fmt.Fprintf(out, "packets   %d TCP, %d fragments waited, %d others, %d of no sense; time went back %d times\n", s.Segments, s.Fragments, s.Others, s.Bad, s.Backwards)
 	p := s.Payload
 	fmt.Fprintf(out, "payload   %d bytes: %d in order, %d repeated, %d differing, %d not compared, %d behind gaps, %d outside\n",
-		p.Payload, p.Delivered, p.Repeated, p.Differing, p.Unheld, p.Untrusted, p.Outside)
+		p.Payload, p.Delivered, p.Repeated, p.Conflicts, p.Unverified, p.Untrusted, p.Outside)
 	fmt.Fprintf(out, "streams   %d bytes: %d of requests, %d of answers, %d of faults\n", s.Stream.Bytes, s.Stream.Request, s.Stream.Answer, s.Stream.Faulty)
 	fmt.Fprintf(out, "messages  %d requests, %d answers, %d pairs\n", r.Requests, r.Answers, r.Paired)
 	for _, end := range slices.Sorted(maps.Keys(r.Flows)) {
@@ -291,7 +291,7 @@
 			first = q.Began
 		}
 		l := requestLine{
-			Flow: e.Flow.ID, Number: e.Number, Packet: q.FirstPacket, At: q.Began.Sub(first).Seconds(), From: e.Flow.Ends[0].String(),
+			Flow: e.Flow.ID, Number: e.Number, Packet: q.FirstPacket, At: q.Began.Sub(first).Seconds(), From: e.Flow.Addresses[0].String(),
 			Method: q.Method, Target: q.Target, Class: q.Get("Request-Class"), ID: q.Get("Request-Id"), Body: q.Body.Size,
 		}
 		if l.Digest, err = digest(q.Body); err != nil {
--- a/internal/pcap/bench_test.go
+++ b/internal/pcap/bench_test.go
@@ -4,11 +4,6 @@
 	"bytes"
 	"context"
 	"encoding/binary"
-	"fernlanding/internal/pcap/capture"
-	"fernlanding/internal/pcap/flow"
-	"fernlanding/internal/pcap/http"
-	"fernlanding/internal/pcap/packet"
-	"fernlanding/internal/pcap/synth"
 	"fmt"
 	"io"
 	"net/netip"
@@ -17,6 +12,12 @@
 	"testing"
 	"time"
 
+	"fernlanding/internal/pcap/capture"
+	"fernlanding/internal/pcap/flow"
+	"fernlanding/internal/pcap/http"
+	"fernlanding/internal/pcap/packet"
+	"fernlanding/internal/pcap/synth"
+
 	"github.com/gopacket/gopacket"
 	"github.com/gopacket/gopacket/layers"
 	"github.com/gopacket/gopacket/pcapgo"
@@ -145,20 +146,20 @@
 // counting is a Sink that counts.
 type counting struct{ exchanges, faults int }
 
-func (c *counting) Exchange(*http.Exchange)                 { c.exchanges++ }
-func (c *counting) Stream(*flow.Flow, flow.Dir, http.Fault) { c.faults++ }
-func (c *counting) Segments(flow.Fault)                     { c.faults++ }
-func (c *counting) Done(*flow.Flow, flow.End)               {}
+func (c *counting) Exchange(*http.Exchange)                       { c.exchanges++ }
+func (c *counting) Stream(*flow.Flow, flow.Direction, http.Fault) { c.faults++ }
+func (c *counting) Segments(flow.Fault)                           { c.faults++ }
+func (c *counting) Done(*flow.Flow, flow.EndReason)               {}
 
 // discard is a flow.Sink that counts bytes, and a Stream of the library's.
 type discard struct{ bytes int64 }
 
-func (d *discard) Open(*flow.Flow)                            {}
-func (d *discard) Broken(*flow.Flow, flow.Dir, int64, string) {}
-func (d *discard) Finished(*flow.Flow, flow.Dir)              {}
-func (d *discard) Fault(flow.Fault)                           {}
-func (d *discard) End(*flow.Flow, flow.End)                   {}
-func (d *discard) Bytes(_ *flow.Flow, _ flow.Dir, _ int64, data []byte, _ int64, _ time.Time) {
+func (d *discard) Opened(*flow.Flow)                                {}
+func (d *discard) Broken(*flow.Flow, flow.Direction, int64, string) {}
+func (d *discard) Finished(*flow.Flow, flow.Direction)              {}
+func (d *discard) Fault(flow.Fault)                                 {}
+func (d *discard) Ended(*flow.Flow, flow.EndReason)                 {}
+func (d *discard) Data(_ *flow.Flow, _ flow.Direction, _ int64, data []byte, _ int64, _ time.Time) {
 	d.bytes += int64(len(data))
 }
 
--- a/internal/pcap/flow/flow_test.go
+++ b/internal/pcap/flow/flow_test.go
@@ -8,22 +8,24 @@
 	"time"
 )
 
-// log is a Sink that writes down what it is told.
-type log struct {
+// recorder is a Sink that writes down what is reported to it.
+type recorder struct {
 	lines []string
-	data  [2]string
+	data  [2]string // of both directions
 }
 
-func (l *log) note(format string, a ...any) { l.lines = append(l.lines, fmt.Sprintf(format, a...)) }
-func (l *log) Open(f *Flow)                 { l.note("open %d", f.ID) }
-func (l *log) Broken(_ *Flow, d Dir, at int64, why string) {
-	l.note("broken %d at %d: %s", d, at, why)
+func (r *recorder) note(format string, a ...any) {
+	r.lines = append(r.lines, fmt.Sprintf(format, a...))
 }
-func (l *log) Finished(_ *Flow, d Dir) { l.note("finished %d", d) }
-func (l *log) Fault(f Fault)           { l.note("%s %d at %d: %d", f.Kind, f.Dir, f.At, f.Bytes) }
-func (l *log) End(f *Flow, why End)    { l.note("end %d: %s", f.ID, why) }
-func (l *log) has(line string) bool {
-	return strings.Contains("\n"+strings.Join(l.lines, "\n")+"\n", "\n"+line+"\n")
+func (r *recorder) Opened(f *Flow) { r.note("open %d", f.ID) }
+func (r *recorder) Broken(_ *Flow, d Direction, at int64, why string) {
+	r.note("broken %d at %d: %s", d, at, why)
+}
+func (r *recorder) Finished(_ *Flow, d Direction) { r.note("finished %d", d) }
+func (r *recorder) Fault(f Fault)                 { r.note("%s %d at %d: %d", f.Kind, f.Direction, f.Offset, f.Bytes) }
+func (r *recorder) Ended(f *Flow, why EndReason)  { r.note("end %d: %s", f.ID, why) }
+func (r *recorder) has(line string) bool {
+	return strings.Contains("\n"+strings.Join(r.lines, "\n")+"\n", "\n"+line+"\n")
 }
 
 var (
@@ -31,9 +33,10 @@
 	there = netip.MustParseAddrPort("10.0.0.2:80")
 )
 
-// play adds segments written as words: "S100" a SYN at 100, "101:abc" data, "F104" a FIN, "R104" an RST, "101:abc/5" data
-// of which the capture lacks 5 bytes, with "<" before what comes back.
-func play(a *Assembler, l *log, words ...string) {
+// play adds segments written as words: "S100" a SYN at 100, "101:abc" data, "F104" a FIN, "R104" an
+// RST, "101:abc/5" data of which the capture lacks 5 bytes, with "<" before what comes back.
+func play(t *testing.T, a *Assembler, words ...string) {
+	t.Helper()
 	for i, w := range words {
 		s := &Segment{Packet: int64(i + 1), Src: here, Dst: there}
 		if rest, ok := strings.CutPrefix(w, "<"); ok {
@@ -44,110 +47,176 @@
 		head, data, _ := strings.Cut(w, ":")
 		if d, cut, ok := strings.Cut(data, "/"); ok {
 			data = d
-			fmt.Sscan(cut, &s.Cut)
+			if _, err := fmt.Sscan(cut, &s.Missing); err != nil {
+				t.Fatalf("%s: %v", w, err)
+			}
+		}
+		if _, err := fmt.Sscan(head, &s.Seq); err != nil {
+			t.Fatalf("%s: %v", w, err)
 		}
-		fmt.Sscan(head, &s.Seq)
 		s.Payload = []byte(data)
 		a.Add(s)
 	}
-	_ = l
 }
 
-func (l *log) Bytes(_ *Flow, d Dir, at int64, data []byte, _ int64, _ time.Time) {
-	if int(at) != len(l.data[d]) {
-		l.note("bytes %d at %d, after %d", d, at, len(l.data[d]))
+func (r *recorder) Data(_ *Flow, d Direction, at int64, data []byte, _ int64, _ time.Time) {
+	if int(at) != len(r.data[d]) {
+		r.note("bytes %d at %d, after %d", d, at, len(r.data[d]))
 	}
-	l.data[d] += string(data)
+	r.data[d] += string(data)
 }
 
-func TestSegmentsOfAllKinds(t *testing.T) {
+func TestReassembly(t *testing.T) {
 	for name, c := range map[string]struct {
 		words  []string
 		data   string // of the opener
 		lines  []string
 		limits Limits
 	}{
-		"in order":            {words: []string{"S100", "101:abc", "104:def", "F107", "<S9", "<F10"}, data: "abcdef", lines: []string{"finished 0", "finished 1", "end 1: closed"}},
-		"out of order":        {words: []string{"S100", "104:def", "101:abc", "F107"}, data: "abcdef", lines: []string{"finished 0"}},
-		"FIN before data":     {words: []string{"S100", "F107", "104:def", "101:abc"}, data: "abcdef", lines: []string{"finished 0"}},
-		"SYN again":           {words: []string{"S100", "S100", "101:abc", "S100"}, data: "abc", lines: []string{"broken 0 at 3: end of the capture"}},
-		"data on the SYN":     {words: []string{"S100:ab", "103:c"}, data: "abc"},
-		"repeated":            {words: []string{"S100", "101:abc", "101:abc", "101:abcd"}, data: "abcd"},
-		"repeated, differing": {words: []string{"S100", "101:abc", "101:aXc"}, data: "abc", lines: []string{"differing 0 at 0: 1"}},
-		"overlap ahead":       {words: []string{"S100", "103:cde", "102:bXd", "101:a"}, data: "abcde", lines: []string{"differing 0 at 2: 1"}},
-		"covers what waits":   {words: []string{"S100", "103:c", "105:e", "102:bcdef", "101:a"}, data: "abcdef"},
-		"lost":                {words: []string{"S100", "101:abc", "107:ghi", "F110"}, data: "abc", lines: []string{"gap 0 at 3: 3", "broken 0 at 3: gap"}},
-		"wrap":                {words: []string{"S4294967293", "4294967294:abcd", "2:ef"}, data: "abcdef"},
-		"mid-flow":            {words: []string{"500:abc", "503:def", "497:xyz"}, data: "abcdef", lines: []string{"early 0 at -3: 3"}},
-		"snap cut":            {words: []string{"S100", "101:abc/3", "107:gh"}, data: "abc", lines: []string{"snap-cut 0 at 3: 3", "gap 0 at 3: 3"}},
-		"snap cut, made good": {words: []string{"S100", "101:abc/3", "104:def", "107:gh"}, data: "abcdefgh", lines: []string{"snap-cut 0 at 3: 3"}},
-		"reset":               {words: []string{"S100", "101:abc", "<R1"}, data: "abc", lines: []string{"broken 0 at 3: reset", "end 1: reset"}},
-		"ports reused":        {words: []string{"S100", "101:abc", "S900", "901:def"}, data: "abcdef", lines: []string{"end 1: ports reused", "open 2", "bytes 0 at 0, after 3"}},
-		"keep-alive":          {words: []string{"S100", "101:abc", "103:\x00", "104:d"}, data: "abcd"},
-		"after its FIN":       {words: []string{"S100", "101:abc", "F104", "105:xx"}, data: "abc", lines: []string{"after-close 0 at 4: 2"}},
-		"stray":               {words: []string{"S100", "101:abc", "1500000000:zz"}, data: "abc", lines: []string{"stray 0 at 1499999899: 2"}},
-		"too much waits":      {words: []string{"S100", "111:0123456789", "121:x", "101:abc"}, data: "", lines: []string{"gap 0 at 0: 10"}, limits: Limits{Pending: 10}},
-		"filled too late":     {words: []string{"S100", "101:abc", "111:0123456789", "104:defghij", "111:kl"}, data: "abc", lines: []string{"gap 0 at 3: 7", "broken 0 at 3: gap"}, limits: Limits{Pending: 5}},
-		"no longer held":      {words: []string{"S100", "101:abcdef", "101:abcdef"}, data: "abcdef", lines: []string{"unheld 0 at 0: 4"}, limits: Limits{Tail: 2}},
+		"in order": {
+			words: []string{"S100", "101:abc", "104:def", "F107", "<S9", "<F10"}, data: "abcdef",
+			lines: []string{"finished 0", "finished 1", "end 1: closed"},
+		},
+		"out of order": {
+			words: []string{"S100", "104:def", "101:abc", "F107"}, data: "abcdef",
+			lines: []string{"finished 0"},
+		},
+		"FIN before data": {
+			words: []string{"S100", "F107", "104:def", "101:abc"}, data: "abcdef",
+			lines: []string{"finished 0"},
+		},
+		"SYN again": {
+			words: []string{"S100", "S100", "101:abc", "S100"}, data: "abc",
+			lines: []string{"broken 0 at 3: end of the capture"},
+		},
+		"data on the SYN": {
+			words: []string{"S100:ab", "103:c"}, data: "abc",
+		},
+		"repeated": {
+			words: []string{"S100", "101:abc", "101:abc", "101:abcd"}, data: "abcd",
+		},
+		"repeated, differing": {
+			words: []string{"S100", "101:abc", "101:aXc"}, data: "abc",
+			lines: []string{"differing 0 at 0: 1"},
+		},
+		"overlap ahead": {
+			words: []string{"S100", "103:cde", "102:bXd", "101:a"}, data: "abcde",
+			lines: []string{"differing 0 at 2: 1"},
+		},
+		"covers what waits": {
+			words: []string{"S100", "103:c", "105:e", "102:bcdef", "101:a"}, data: "abcdef",
+		},
+		"lost": {
+			words: []string{"S100", "101:abc", "107:ghi", "F110"}, data: "abc",
+			lines: []string{"gap 0 at 3: 3", "broken 0 at 3: gap"},
+		},
+		"wrap": {
+			words: []string{"S4294967293", "4294967294:abcd", "2:ef"}, data: "abcdef",
+		},
+		"mid-flow": {
+			words: []string{"500:abc", "503:def", "497:xyz"}, data: "abcdef",
+			lines: []string{"early 0 at -3: 3"},
+		},
+		"snap cut": {
+			words: []string{"S100", "101:abc/3", "107:gh"}, data: "abc",
+			lines: []string{"snap-cut 0 at 3: 3", "gap 0 at 3: 3"},
+		},
+		"snap cut, made good": {
+			words: []string{"S100", "101:abc/3", "104:def", "107:gh"}, data: "abcdefgh",
+			lines: []string{"snap-cut 0 at 3: 3"},
+		},
+		"reset": {
+			words: []string{"S100", "101:abc", "<R1"}, data: "abc",
+			lines: []string{"broken 0 at 3: reset", "end 1: reset"},
+		},
+		"ports reused": {
+			words: []string{"S100", "101:abc", "S900", "901:def"}, data: "abcdef",
+			lines: []string{"end 1: ports reused", "open 2", "bytes 0 at 0, after 3"},
+		},
+		"keep-alive": {
+			words: []string{"S100", "101:abc", "103:\x00", "104:d"}, data: "abcd",
+		},
+		"after its FIN": {
+			words: []string{"S100", "101:abc", "F104", "105:xx"}, data: "abc",
+			lines: []string{"after-close 0 at 4: 2"},
+		},
+		"stray": {
+			words: []string{"S100", "101:abc", "1500000000:zz"}, data: "abc",
+			lines: []string{"stray 0 at 1499999899: 2"},
+		},
+		"too much waits": {
+			words: []string{"S100", "111:0123456789", "121:x", "101:abc"}, data: "",
+			lines:  []string{"gap 0 at 0: 10"},
+			limits: Limits{Pending: 10},
+		},
+		"filled too late": {
+			words: []string{"S100", "101:abc", "111:0123456789", "104:defghij", "111:kl"}, data: "abc",
+			lines:  []string{"gap 0 at 3: 7", "broken 0 at 3: gap"},
+			limits: Limits{Pending: 5},
+		},
+		"no longer held": {
+			words: []string{"S100", "101:abcdef", "101:abcdef"}, data: "abcdef",
+			lines:  []string{"unheld 0 at 0: 4"},
+			limits: Limits{Retained: 2},
+		},
 	} {
-		l := &log{}
-		a := New(c.limits, l)
-		play(a, l, c.words...)
+		r := &recorder{}
+		a := New(c.limits, r)
+		play(t, a, c.words...)
 		a.Close()
-		if l.data[0] != c.data {
-			t.Errorf("%s: got %q, want %q", name, l.data[0], c.data)
+		if r.data[0] != c.data {
+			t.Errorf("%s: got %q, want %q", name, r.data[0], c.data)
 		}
 		for _, line := range c.lines {
-			if !l.has(line) {
-				t.Errorf("%s: %q is not in %q", name, line, l.lines)
+			if !r.has(line) {
+				t.Errorf("%s: %q is not in %q", name, line, r.lines)
 			}
 		}
-		if got := a.Account(); got.Sum() != got.Payload {
+		if got := a.ByteCounts(); got.Sum() != got.Payload {
 			t.Errorf("%s: %+v does not add up", name, got)
 		}
-		if a.Open() != 0 || a.held != 0 {
-			t.Errorf("%s: %d flows and %d bytes are left", name, a.Open(), a.held)
+		if a.OpenFlows() != 0 || a.bufferedBytes != 0 {
+			t.Errorf("%s: %d flows and %d bytes are left", name, a.OpenFlows(), a.bufferedBytes)
 		}
 	}
 }
 
-// A hundred thousand flows that never end hold no more than the limit; those that gave way are told.
-func TestFlowsThatNeverEndGiveWay(t *testing.T) {
+// A hundred thousand flows that never end hold no more than the limit; those evicted are reported.
+func TestIdleFlowsAreEvicted(t *testing.T) {
 	ends := counts{}
 	a := New(Limits{Flows: 1000}, ends)
 	most := 0
 	for i := range 100_000 {
 		src := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), uint16(1+i>>16))
 		a.Add(&Segment{Packet: int64(i), Src: src, Dst: there, Seq: 5, Payload: []byte("GET")})
-		most = max(most, a.Open())
+		most = max(most, a.OpenFlows())
 	}
-	if most > 1000 || ends[GaveWay] != 99_000 {
+	if most > 1000 || ends[Evicted] != 99_000 {
 		t.Errorf("%d flows open at most, ends %v", most, ends)
 	}
 }
 
 // counts is a Sink that counts ends.
-type counts map[End]int
+type counts map[EndReason]int
 
-func (counts) Open(*Flow)                                        {}
-func (counts) Bytes(*Flow, Dir, int64, []byte, int64, time.Time) {}
-func (counts) Broken(*Flow, Dir, int64, string)                  {}
-func (counts) Finished(*Flow, Dir)                               {}
-func (counts) Fault(Fault)                                       {}
-func (c counts) End(_ *Flow, why End)                            { c[why]++ }
+func (counts) Opened(*Flow)                                           {}
+func (counts) Data(*Flow, Direction, int64, []byte, int64, time.Time) {}
+func (counts) Broken(*Flow, Direction, int64, string)                 {}
+func (counts) Finished(*Flow, Direction)                              {}
+func (counts) Fault(Fault)                                            {}
+func (c counts) Ended(_ *Flow, why EndReason)                         { c[why]++ }
 
-// FuzzAdd: go test -fuzz FuzzAdd -fuzztime 60s ./internal/pcap/flow
+// FuzzAdd runs with: go test -fuzz FuzzAdd -fuzztime 60s ./internal/pcap/flow.
 func FuzzAdd(f *testing.F) {
 	f.Add([]byte("S\x00\x00abc"))
 	f.Add([]byte("\x05\x02\x03xyz\x00\x01\x00abc\x40\x00\x00"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		l := &log{}
-		a := New(Limits{Flows: 2, Pending: 64, Held: 96, Tail: 8}, l)
+		a := New(Limits{Flows: 2, Pending: 64, Buffered: 96, Retained: 8}, &recorder{})
 		for n := int64(1); len(b) >= 3; n++ {
 			size := min(int(b[2])%16, len(b)-3)
 			s := &Segment{
 				Packet: n, Src: here, Dst: there, Seq: uint32(b[1])*3 - 20, Payload: b[3 : 3+size],
-				SYN: b[0]&1 != 0, FIN: b[0]&2 != 0, RST: b[0]&4 != 0, Cut: int(b[0] >> 6),
+				SYN: b[0]&1 != 0, FIN: b[0]&2 != 0, RST: b[0]&4 != 0, Missing: int(b[0] >> 6),
 			}
 			if b[0]&8 != 0 {
 				s.Src, s.Dst = s.Dst, s.Src
@@ -162,8 +231,8 @@
 			b = b[3+size:]
 		}
 		a.Close()
-		if got := a.Account(); got.Sum() != got.Payload || a.held != 0 {
-			t.Errorf("%+v, %d held", got, a.held)
+		if got := a.ByteCounts(); got.Sum() != got.Payload || a.bufferedBytes != 0 {
+			t.Errorf("%+v, %d held", got, a.bufferedBytes)
 		}
 	})
 }
--- a/internal/pcap/http/http_test.go
+++ b/internal/pcap/http/http_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"errors"
-	"fernlanding/internal/pcap/flow"
 	"fmt"
 	"io"
 	"net/netip"
 	"strings"
 	"testing"
 	"time"
+
+	"fernlanding/internal/pcap/flow"
 )
 
 // heard is a Sink that writes down what it is told.
@@ -16,10 +17,10 @@
 	lines []string
 }
 
-func (h *heard) note(format string, a ...any)    { h.lines = append(h.lines, fmt.Sprintf(format, a...)) }
-func (h *heard) Segments(f flow.Fault)           { h.note("%s", f.Kind) }
-func (h *heard) Done(_ *flow.Flow, why flow.End) { h.note("done %s", why) }
-func (h *heard) Stream(_ *flow.Flow, d flow.Dir, f Fault) {
+func (h *heard) note(format string, a ...any)          { h.lines = append(h.lines, fmt.Sprintf(format, a...)) }
+func (h *heard) Segments(f flow.Fault)                 { h.note("%s", f.Kind) }
+func (h *heard) Done(_ *flow.Flow, why flow.EndReason) { h.note("done %s", why) }
+func (h *heard) Stream(_ *flow.Flow, d flow.Direction, f Fault) {
 	h.note("%s %d at %d: %d", f.Kind, d, f.At, f.Bytes)
 }
 
@@ -39,28 +40,28 @@
 // talk plays what both sides say, "<" before the server's, in segments of size bytes.
 func talk(h *heard, limits Limits, size int, ending string, words ...string) Account {
 	r := NewReader(limits, nil, h)
-	f := &flow.Flow{ID: 1, Ends: [2]netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:2")}}
-	r.Open(f)
+	f := &flow.Flow{ID: 1, Addresses: [2]netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:2")}}
+	r.Opened(f)
 	var at [2]int64
 	for i, w := range words {
-		dir := flow.Dir(0)
+		dir := flow.Direction(0)
 		if rest, ok := strings.CutPrefix(w, "<"); ok {
 			w, dir = rest, 1
 		}
 		for len(w) > 0 {
 			n := min(size, len(w))
-			r.Bytes(f, dir, at[dir], []byte(w[:n]), int64(i+1), time.Time{})
+			r.Data(f, dir, at[dir], []byte(w[:n]), int64(i+1), time.Time{})
 			at[dir], w = at[dir]+int64(n), w[n:]
 		}
 	}
-	for d := range flow.Dir(2) {
+	for d := range flow.Direction(2) {
 		if ending == "" {
 			r.Finished(f, d)
 		} else {
 			r.Broken(f, d, at[d], ending)
 		}
 	}
-	r.End(f, flow.Closed)
+	r.Ended(f, flow.Closed)
 	return r.Account()
 }
 
@@ -139,10 +140,10 @@
 	h := &heard{}
 	r := NewReader(Limits{Memory: 10}, full{}, h)
 	f := &flow.Flow{ID: 1}
-	r.Open(f)
-	r.Bytes(f, 0, 0, []byte(post+"POST /b HTTP/1.1\r\nContent-Length: 20\r\n\r\n"+strings.Repeat("x", 20)), 1, time.Time{})
+	r.Opened(f)
+	r.Data(f, 0, 0, []byte(post+"POST /b HTTP/1.1\r\nContent-Length: 20\r\n\r\n"+strings.Repeat("x", 20)), 1, time.Time{})
 	r.Finished(f, 0)
-	r.End(f, flow.Closed)
+	r.Ended(f, flow.Closed)
 	if all := strings.Join(h.lines, "\n"); !strings.Contains(all, "too-large 0 at 42: 60") || !strings.Contains(all, `POST /b "abc"`) {
 		t.Errorf("got %q", h.lines)
 	}
--- a/internal/pcap/http/reader.go
+++ b/internal/pcap/http/reader.go
@@ -2,8 +2,9 @@
 
 import (
 	"cmp"
-	"fernlanding/internal/pcap/flow"
 	"time"
+
+	"fernlanding/internal/pcap/flow"
 )
 
 // Exchange is a request and its answer, as far as they were seen whole.
@@ -31,11 +32,11 @@
 	// of its flow. The bodies are the sink's to drop.
 	Exchange(*Exchange)
 	// Stream takes what is wrong with a direction's bytes, or with a pair.
-	Stream(f *flow.Flow, dir flow.Dir, fault Fault)
+	Stream(f *flow.Flow, dir flow.Direction, fault Fault)
 	// Segments takes what is wrong with a flow's segments.
 	Segments(flow.Fault)
 	// Done takes the end of a flow.
-	Done(f *flow.Flow, why flow.End)
+	Done(f *flow.Flow, why flow.EndReason)
 }
 
 // Reader reads HTTP/1.1 from flows. It is a flow.Sink.
@@ -69,22 +70,22 @@
 	early   []*Message
 }
 
-// Open implements flow.Sink.
-func (r *Reader) Open(f *flow.Flow) {
+// Opened implements flow.Sink.
+func (r *Reader) Opened(f *flow.Flow) {
 	c := &conn{r: r, flow: f}
 	for d := range c.halves {
 		h := &c.halves[d]
 		h.limits, h.bodies, h.method, h.message = &r.limits, r.bodies, c.method, c.message
 		h.report = func(fault Fault) {
 			r.account.Faulty += fault.Bytes
-			r.sink.Stream(f, flow.Dir(d), fault)
+			r.sink.Stream(f, flow.Direction(d), fault)
 		}
 	}
 	f.Data = c
 }
 
-// Bytes implements flow.Sink.
-func (r *Reader) Bytes(f *flow.Flow, dir flow.Dir, _ int64, data []byte, packet int64, t time.Time) {
+// Data implements flow.Sink.
+func (r *Reader) Data(f *flow.Flow, dir flow.Direction, _ int64, data []byte, packet int64, t time.Time) {
 	r.account.Bytes += int64(len(data))
 	c := f.Data.(*conn)
 	h, other := &c.halves[dir], &c.halves[1-dir]
@@ -95,20 +96,20 @@
 }
 
 // Broken implements flow.Sink.
-func (r *Reader) Broken(f *flow.Flow, dir flow.Dir, _ int64, why string) {
+func (r *Reader) Broken(f *flow.Flow, dir flow.Direction, _ int64, why string) {
 	f.Data.(*conn).halves[dir].end(false, why)
 }
 
 // Finished implements flow.Sink.
-func (r *Reader) Finished(f *flow.Flow, dir flow.Dir) {
+func (r *Reader) Finished(f *flow.Flow, dir flow.Direction) {
 	f.Data.(*conn).halves[dir].end(true, "its sender closed")
 }
 
 // Fault implements flow.Sink.
 func (r *Reader) Fault(fault flow.Fault) { r.sink.Segments(fault) }
 
-// End implements flow.Sink.
-func (r *Reader) End(f *flow.Flow, why flow.End) {
+// Ended implements flow.Sink.
+func (r *Reader) Ended(f *flow.Flow, why flow.EndReason) {
 	c := f.Data.(*conn)
 	for _, e := range c.waiting {
 		c.pair(Unanswered, "a request whose answer was not seen", e.Request)
@@ -199,7 +200,7 @@
 
 // pair reports a message that lacks its other.
 func (c *conn) pair(kind Kind, why string, m *Message) {
-	dir := flow.Dir(0)
+	dir := flow.Direction(0)
 	if c.halves[1].known && c.halves[1].request == m.Request {
 		dir = 1
 	}
--- a/internal/pcap/pcap.go
+++ b/internal/pcap/pcap.go
@@ -5,14 +5,15 @@
 import (
 	"context"
 	"errors"
-	"fernlanding/internal/pcap/capture"
-	"fernlanding/internal/pcap/flow"
-	"fernlanding/internal/pcap/http"
-	"fernlanding/internal/pcap/packet"
 	"fmt"
 	"io"
 	"strings"
 	"time"
+
+	"fernlanding/internal/pcap/capture"
+	"fernlanding/internal/pcap/flow"
+	"fernlanding/internal/pcap/http"
+	"fernlanding/internal/pcap/packet"
 )
 
 // Options bound and direct a reading. The zero value is fine.
@@ -25,19 +26,19 @@
 
 // Summary counts what was read.
 type Summary struct {
-	Format    string       `json:"format"`
-	Packets   int64        `json:"packets"`
-	Segments  int64        `json:"segments"`  // of TCP
-	Others    int64        `json:"others"`    // packets of other protocols
-	Fragments int64        `json:"fragments"` // that waited for others
-	GivenUp   int64        `json:"fragments_given_up"`
-	Bad       int64        `json:"bad"` // packets of no sense, or cut within a header
-	Backwards int64        `json:"time_went_back"`
-	First     time.Time    `json:"first"`
-	Last      time.Time    `json:"last"`
-	Payload   flow.Account `json:"payload"`
-	Stream    http.Account `json:"stream"`
-	Broken    *string      `json:"broken,omitempty"` // why the file could not be read to its end
+	Format    string          `json:"format"`
+	Packets   int64           `json:"packets"`
+	Segments  int64           `json:"segments"`  // of TCP
+	Others    int64           `json:"others"`    // packets of other protocols
+	Fragments int64           `json:"fragments"` // that waited for others
+	GivenUp   int64           `json:"fragments_given_up"`
+	Bad       int64           `json:"bad"` // packets of no sense, or cut within a header
+	Backwards int64           `json:"time_went_back"`
+	First     time.Time       `json:"first"`
+	Last      time.Time       `json:"last"`
+	Payload   flow.ByteCounts `json:"payload"`
+	Stream    http.Account    `json:"stream"`
+	Broken    *string         `json:"broken,omitempty"` // why the file could not be read to its end
 	fault     *capture.Fault
 }
 
@@ -113,7 +114,7 @@
 	}
 	flows.Close()
 	sum.GivenUp = decoder.GivenUp()
-	sum.Payload, sum.Stream = flows.Account(), reader.Account()
+	sum.Payload, sum.Stream = flows.ByteCounts(), reader.Account()
 	if sum.fault != nil {
 		why := sum.fault.Error()
 		sum.Broken = &why
--- a/internal/pcap/pcap_test.go
+++ b/internal/pcap/pcap_test.go
@@ -5,9 +5,6 @@
 	"compress/gzip"
 	"context"
 	"errors"
-	"fernlanding/internal/pcap/flow"
-	"fernlanding/internal/pcap/http"
-	"fernlanding/internal/pcap/synth"
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
@@ -16,6 +13,10 @@
 	"testing"
 	"time"
 
+	"fernlanding/internal/pcap/flow"
+	"fernlanding/internal/pcap/http"
+	"fernlanding/internal/pcap/synth"
+
 	"github.com/gopacket/gopacket"
 	"github.com/gopacket/gopacket/pcapgo"
 )
@@ -26,13 +27,13 @@
 	bodies    map[*http.Message]string
 	streams   map[int64][]http.Fault
 	segments  map[int64][]flow.Fault
-	ends      map[int64]flow.End
+	ends      map[int64]flow.EndReason
 }
 
 func newFound() *found {
 	return &found{
 		bodies: map[*http.Message]string{}, streams: map[int64][]http.Fault{}, segments: map[int64][]flow.Fault{},
-		ends: map[int64]flow.End{},
+		ends: map[int64]flow.EndReason{},
 	}
 }
 
@@ -49,13 +50,13 @@
 	}
 }
 
-func (f *found) Stream(c *flow.Flow, _ flow.Dir, x http.Fault) {
+func (f *found) Stream(c *flow.Flow, _ flow.Direction, x http.Fault) {
 	f.streams[c.ID] = append(f.streams[c.ID], x)
 }
 
-func (f *found) Segments(x flow.Fault)           { f.segments[x.Flow.ID] = append(f.segments[x.Flow.ID], x) }
-func (f *found) Done(c *flow.Flow, why flow.End) { f.ends[c.ID] = why }
-func (f *found) faults(id int64) int             { return len(f.streams[id]) + len(f.segments[id]) }
+func (f *found) Segments(x flow.Fault)                 { f.segments[x.Flow.ID] = append(f.segments[x.Flow.ID], x) }
+func (f *found) Done(c *flow.Flow, why flow.EndReason) { f.ends[c.ID] = why }
+func (f *found) faults(id int64) int                   { return len(f.streams[id]) + len(f.segments[id]) }
 
 // message is a message as it was made.
 type message struct {
@@ -326,10 +327,10 @@
 			if e.Request != nil {
 				texts[e.Request.Get("Request-Id")] = e
 			}
-			reported[e.Flow.Ends[0]] += got.faults(e.Flow.ID)
+			reported[e.Flow.Addresses[0]] += got.faults(e.Flow.ID)
 		}
 		for id, faults := range got.segments {
-			reported[faults[0].Flow.Ends[0]] += got.faults(id)
+			reported[faults[0].Flow.Addresses[0]] += got.faults(id)
 		}
 		for _, x := range talks {
 			reach := [2]int{trusted(x.conn, 0, isn[x][0]), trusted(x.conn, 1, isn[x][1])}
--- a/internal/pcap/replay/plan.go
+++ b/internal/pcap/replay/plan.go
@@ -5,7 +5,6 @@
 import (
 	"encoding/hex"
 	"errors"
-	"fernlanding/internal/pcap/http"
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
@@ -13,6 +12,8 @@
 	"slices"
 	"strings"
 	"time"
+
+	"fernlanding/internal/pcap/http"
 )
 
 // Repeat says what may happen when a request runs once more than in the capture.
--- a/internal/pcap/replay/replay_test.go
+++ b/internal/pcap/replay/replay_test.go
@@ -3,10 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"fernlanding/internal/pcap"
-	"fernlanding/internal/pcap/flow"
-	"fernlanding/internal/pcap/http"
-	"fernlanding/internal/pcap/write"
 	"fmt"
 	"io"
 	"maps"
@@ -19,6 +15,11 @@
 	"sync"
 	"testing"
 	"time"
+
+	"fernlanding/internal/pcap"
+	"fernlanding/internal/pcap/flow"
+	"fernlanding/internal/pcap/http"
+	"fernlanding/internal/pcap/write"
 )
 
 // kept keeps the exchanges of a reading.
@@ -28,11 +29,11 @@
 }
 
 func (k *kept) Exchange(e *http.Exchange) { k.all = append(k.all, e) }
-func (k *kept) Stream(_ *flow.Flow, _ flow.Dir, f http.Fault) {
+func (k *kept) Stream(_ *flow.Flow, _ flow.Direction, f http.Fault) {
 	k.faults = append(k.faults, string(f.Kind))
 }
-func (k *kept) Segments(f flow.Fault)         { k.faults = append(k.faults, f.String()) }
-func (k *kept) Done(_ *flow.Flow, _ flow.End) {}
+func (k *kept) Segments(f flow.Fault)               { k.faults = append(k.faults, f.String()) }
+func (k *kept) Done(_ *flow.Flow, _ flow.EndReason) {}
 
 // captured reads conversations as if they had been captured: what the client and the server said, by connection.
 func captured(t *testing.T, talks ...[2]string) []*http.Exchange {
--- a/internal/pcap/replay/run.go
+++ b/internal/pcap/replay/run.go
@@ -5,9 +5,6 @@
 	"bytes"
 	"context"
 	"errors"
-	"fernlanding/internal/pcap/http"
-	"fernlanding/internal/pcap/write"
-	"fernlanding/internal/sleep"
 	"fmt"
 	"io"
 	"net"
@@ -15,6 +12,10 @@
 	"net/netip"
 	"sync"
 	"time"
+
+	"fernlanding/internal/pcap/http"
+	"fernlanding/internal/pcap/write"
+	"fernlanding/internal/sleep"
 )
 
 // Target is where a replay goes, and how.
--- a/internal/pcap/replay/sidecar_test.go
+++ b/internal/pcap/replay/sidecar_test.go
@@ -3,16 +3,17 @@
 import (
 	"bytes"
 	"context"
-	"fernlanding/internal/pcap/synth"
-	"fernlanding/internal/pcap/write"
-	"fernlanding/internal/sidecar/sidecartest"
-	"fernlanding/internal/standin"
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
 	"strings"
 	"sync"
 	"testing"
+
+	"fernlanding/internal/pcap/synth"
+	"fernlanding/internal/pcap/write"
+	"fernlanding/internal/sidecar/sidecartest"
+	"fernlanding/internal/standin"
 )
 
 // sidecarBefore starts a sidecar of three classes before two stand-ins, and returns its address, and what reached them.
