--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -6,12 +6,13 @@
 import (
 	"crypto/sha256"
 	"encoding/hex"
-	"fernlanding/internal/config"
-	"fernlanding/internal/rules"
-	"fernlanding/internal/tomldoc"
 	"fmt"
 	"slices"
 	"strings"
+
+	"fernlanding/internal/config"
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 // Version is the version of the catalogue's format.
--- a/internal/catalogue/catalogue_test.go
+++ b/internal/catalogue/catalogue_test.go
@@ -2,12 +2,13 @@
 
 import (
 	"bytes"
-	"fernlanding/internal/config"
-	"fernlanding/internal/tomldoc"
 	"fmt"
 	"slices"
 	"strings"
 	"testing"
+
+	"fernlanding/internal/config"
+	"fernlanding/internal/tomldoc"
 )
 
 // The same catalogue gives the same bytes, however its text is divided into files and in whatever order these come; only
--- a/internal/catalogue/dir/dir_test.go
+++ b/internal/catalogue/dir/dir_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"errors"
-	"fernlanding/internal/catalogue"
-	"fernlanding/internal/rules"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -12,6 +10,9 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"fernlanding/internal/catalogue"
+	"fernlanding/internal/rules"
 )
 
 func lay(t *testing.T, name, text string) {
--- a/internal/catalogue/dir/load.go
+++ b/internal/catalogue/dir/load.go
@@ -3,9 +3,6 @@
 
 import (
 	"errors"
-	"fernlanding/internal/catalogue"
-	"fernlanding/internal/rules"
-	"fernlanding/internal/tomldoc"
 	"fmt"
 	"io"
 	"io/fs"
@@ -15,6 +12,10 @@
 	"slices"
 	"strings"
 	"time"
+
+	"fernlanding/internal/catalogue"
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 const mostTries = 3 // readings of a catalogue that changes meanwhile
--- a/internal/catalogue/dir/write.go
+++ b/internal/catalogue/dir/write.go
@@ -2,10 +2,6 @@
 
 import (
 	"errors"
-	"fernlanding/internal/catalogue"
-	"fernlanding/internal/config"
-	"fernlanding/internal/durable"
-	"fernlanding/internal/tomldoc"
 	"fmt"
 	"io"
 	"io/fs"
@@ -13,6 +9,11 @@
 	"path/filepath"
 	"slices"
 	"strings"
+
+	"fernlanding/internal/catalogue"
+	"fernlanding/internal/config"
+	"fernlanding/internal/durable"
+	"fernlanding/internal/tomldoc"
 )
 
 // Marker is the file in a directory that Write has written, which tells that the directory is its own.
--- a/internal/catalogue/generate.go
+++ b/internal/catalogue/generate.go
@@ -2,13 +2,14 @@
 
 import (
 	"cmp"
-	"fernlanding/internal/config"
-	"fernlanding/internal/rules"
-	"fernlanding/internal/tomldoc"
 	"fmt"
 	"slices"
 	"strconv"
 	"strings"
+
+	"fernlanding/internal/config"
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 // Requires is the oldest program that reads what Generate writes, and RequiresRelay that which reads it where lists come
--- a/internal/catalogue/model.go
+++ b/internal/catalogue/model.go
@@ -1,15 +1,16 @@
 package catalogue
 
 import (
-	"fernlanding/internal/config"
-	"fernlanding/internal/rules"
-	"fernlanding/internal/tomldoc"
 	"fmt"
 	"maps"
 	"net/textproto"
 	"slices"
 	"strings"
 	"time"
+
+	"fernlanding/internal/config"
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 // The fields that go on to the files of applications as they stand. Their values are judged there, once, by the reader
--- a/internal/catalogue/overlay.go
+++ b/internal/catalogue/overlay.go
@@ -1,11 +1,12 @@
 package catalogue
 
 import (
-	"fernlanding/internal/rules"
-	"fernlanding/internal/tomldoc"
 	"fmt"
 	"slices"
 	"strings"
+
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 // repeatFields say what may run again. No environment touches them: what is tested is to be what runs.
--- a/internal/check/bench_test.go
+++ b/internal/check/bench_test.go
@@ -1,14 +1,15 @@
 package check_test
 
 import (
-	"fernlanding/internal/catalogue"
-	"fernlanding/internal/check"
 	"fmt"
 	"runtime"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
+
+	"fernlanding/internal/catalogue"
+	"fernlanding/internal/check"
 )
 
 // large is a catalogue of some applications and three tenths as many services, in a chain of three tiers. Each
--- a/internal/check/chain.go
+++ b/internal/check/chain.go
@@ -1,15 +1,16 @@
 package check
 
 import (
-	"fernlanding/internal/config"
-	"fernlanding/internal/rules"
-	"fernlanding/internal/tomldoc"
-	"fernlanding/logic"
 	"fmt"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
+
+	"fernlanding/internal/config"
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
+	"fernlanding/logic"
 )
 
 // A chain is made of calls: an application that is a backend of one service calls a class of another. A node is a class of
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -2,13 +2,14 @@
 package check
 
 import (
+	"fmt"
+	"strconv"
+	"strings"
+
 	"fernlanding/internal/catalogue"
 	"fernlanding/internal/config"
 	"fernlanding/internal/rules"
 	"fernlanding/internal/tomldoc"
-	"fmt"
-	"strconv"
-	"strings"
 )
 
 // Options are bounds that a fleet states.
--- a/internal/check/fleet.go
+++ b/internal/check/fleet.go
@@ -1,17 +1,18 @@
 package check
 
 import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
 	"fernlanding/internal/catalogue"
 	"fernlanding/internal/config"
 	"fernlanding/internal/membership"
 	"fernlanding/internal/rules"
 	"fernlanding/internal/tomldoc"
 	"fernlanding/logic"
-	"fmt"
-	"slices"
-	"strconv"
-	"strings"
-	"time"
 )
 
 // Fleet judges what files say of each other. Files that a sidecar would refuse are left out.
--- a/internal/check/mutants_test.go
+++ b/internal/check/mutants_test.go
@@ -2,12 +2,6 @@
 
 import (
 	"context"
-	"fernlanding/internal/catalogue"
-	"fernlanding/internal/check"
-	"fernlanding/internal/config"
-	"fernlanding/internal/route"
-	"fernlanding/internal/sidecar"
-	"fernlanding/internal/standin"
 	"flag"
 	"fmt"
 	"io"
@@ -22,6 +16,13 @@
 	"testing"
 	"time"
 
+	"fernlanding/internal/catalogue"
+	"fernlanding/internal/check"
+	"fernlanding/internal/config"
+	"fernlanding/internal/route"
+	"fernlanding/internal/sidecar"
+	"fernlanding/internal/standin"
+
 	"github.com/pelletier/go-toml/v2"
 )
 
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -4,11 +4,6 @@
 
 import (
 	"errors"
-	"fernlanding/internal/config"
-	"fernlanding/internal/membership"
-	"fernlanding/internal/route"
-	"fernlanding/internal/tomldoc"
-	"fernlanding/logic"
 	"fmt"
 	"net/http"
 	"net/textproto"
@@ -16,6 +11,12 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"fernlanding/internal/config"
+	"fernlanding/internal/membership"
+	"fernlanding/internal/route"
+	"fernlanding/internal/tomldoc"
+	"fernlanding/logic"
 )
 
 // Request is what is asked about.
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -1,9 +1,10 @@
 package explain
 
 import (
-	"fernlanding/internal/config"
 	"strings"
 	"testing"
+
+	"fernlanding/internal/config"
 )
 
 const file = `version = 2
--- a/internal/explain/sidecar_test.go
+++ b/internal/explain/sidecar_test.go
@@ -3,9 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"fernlanding/internal/config"
-	"fernlanding/internal/sidecar"
-	"fernlanding/internal/standin"
 	"fmt"
 	"io"
 	"log/slog"
@@ -15,6 +12,10 @@
 	"sync"
 	"testing"
 	"time"
+
+	"fernlanding/internal/config"
+	"fernlanding/internal/sidecar"
+	"fernlanding/internal/standin"
 )
 
 // What explain says of a request is what a sidecar of the same file does with it: the same status where none goes on, and
--- a/internal/harness/check/check.go
+++ b/internal/harness/check/check.go
@@ -3,12 +3,13 @@
 package check
 
 import (
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/scenario"
-	"fernlanding/internal/harness/worker"
 	"fmt"
 	"slices"
 	"strings"
+
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/harness/worker"
 )
 
 // Verdict is one thing that is wrong.
--- a/internal/harness/check/check_test.go
+++ b/internal/harness/check/check_test.go
@@ -1,14 +1,15 @@
 package check_test
 
 import (
-	"fernlanding/internal/harness/check"
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/scenario"
-	"fernlanding/internal/harness/worker"
 	"slices"
 	"strings"
 	"testing"
 	"time"
+
+	"fernlanding/internal/harness/check"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/harness/worker"
 )
 
 const ms = 1000
--- a/internal/harness/check/drains.go
+++ b/internal/harness/check/drains.go
@@ -2,11 +2,12 @@
 
 import (
 	"cmp"
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/scenario"
 	"fmt"
 	"slices"
 	"strings"
+
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/scenario"
 )
 
 // drains judges what was sent to a backend after its sidecar could read that the backend drains or has ended.
--- a/internal/harness/check/figures.go
+++ b/internal/harness/check/figures.go
@@ -1,14 +1,15 @@
 package check
 
 import (
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/scenario"
-	"fernlanding/internal/harness/worker"
 	"maps"
 	"net/http"
 	"slices"
 	"strings"
 	"time"
+
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/harness/worker"
 )
 
 // Figures are what a run is measured by.
--- a/internal/harness/check/record.go
+++ b/internal/harness/check/record.go
@@ -1,9 +1,10 @@
 package check
 
 import (
+	"slices"
+
 	"fernlanding/internal/harness/history"
 	"fernlanding/internal/harness/scenario"
-	"slices"
 )
 
 // forever is the end of a span that is open.
--- a/internal/harness/check/sites.go
+++ b/internal/harness/check/sites.go
@@ -1,12 +1,13 @@
 package check
 
 import (
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/scenario"
-	"fernlanding/internal/harness/worker"
 	"maps"
 	"net/http"
 	"slices"
+
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/harness/worker"
 )
 
 // Loss is what a run's fault of a whole site, or of all links across its border, came to.
--- a/internal/harness/history/history.go
+++ b/internal/harness/history/history.go
@@ -8,13 +8,14 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fernlanding/internal/distribution"
 	"fmt"
 	"io"
 	"slices"
 	"sync"
 	"time"
 
+	"fernlanding/internal/distribution"
+
 	"golang.org/x/sys/unix"
 )
 
--- a/internal/harness/history/history_test.go
+++ b/internal/harness/history/history_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"bytes"
-	"fernlanding/internal/harness/history"
 	"reflect"
 	"strings"
 	"testing"
+
+	"fernlanding/internal/harness/history"
 )
 
 func TestWhatIsWrittenIsReadInOrder(t *testing.T) {
--- a/internal/harness/launch/launch.go
+++ b/internal/harness/launch/launch.go
@@ -6,15 +6,16 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/link"
-	"fernlanding/internal/harness/process"
-	"fernlanding/internal/harness/worker"
 	"fmt"
 	"io"
 	"net"
 	"os"
 	"strconv"
+
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/link"
+	"fernlanding/internal/harness/process"
+	"fernlanding/internal/harness/worker"
 )
 
 const (
--- a/internal/harness/launch/run.go
+++ b/internal/harness/launch/run.go
@@ -4,17 +4,18 @@
 	"cmp"
 	"context"
 	"errors"
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/link"
-	"fernlanding/internal/harness/process"
-	"fernlanding/internal/harness/scenario"
-	"fernlanding/internal/sleep"
 	"fmt"
 	"io"
 	"os"
 	"slices"
 	"sync"
 	"time"
+
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/link"
+	"fernlanding/internal/harness/process"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/sleep"
 )
 
 // Run is what all runs of the rig have: a clock, a history that is written, processes, links between them, and a folder.
--- a/internal/harness/link/link_test.go
+++ b/internal/harness/link/link_test.go
@@ -1,9 +1,6 @@
 package link_test
 
 import (
-	"fernlanding/internal/harness/link"
-	"fernlanding/internal/harness/scenario"
-	"fernlanding/internal/standin"
 	"fmt"
 	"io"
 	"net"
@@ -12,6 +9,10 @@
 	"sync"
 	"testing"
 	"time"
+
+	"fernlanding/internal/harness/link"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/standin"
 )
 
 // seen counts what a network tells.
--- a/internal/harness/link/net.go
+++ b/internal/harness/link/net.go
@@ -8,7 +8,6 @@
 import (
 	"context"
 	"errors"
-	"fernlanding/internal/harness/scenario"
 	"fmt"
 	"net"
 	"slices"
@@ -16,6 +15,8 @@
 	"syscall"
 	"time"
 
+	"fernlanding/internal/harness/scenario"
+
 	"golang.org/x/sys/unix"
 )
 
--- a/internal/harness/link/pair.go
+++ b/internal/harness/link/pair.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fernlanding/internal/harness/scenario"
 	"io"
 	"math/rand/v2"
 	"net"
@@ -10,6 +9,8 @@
 	"sync/atomic"
 	"syscall"
 	"time"
+
+	"fernlanding/internal/harness/scenario"
 )
 
 // pair is one connection through a relay: the one that was taken and the one that goes on.
--- a/internal/harness/naive_test.go
+++ b/internal/harness/naive_test.go
@@ -4,8 +4,6 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"fernlanding/internal/config"
-	"fernlanding/internal/standin"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -17,6 +15,9 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"fernlanding/internal/config"
+	"fernlanding/internal/standin"
 )
 
 // naiveProxy is a stand-in sidecar with at most one bug. It sends each request once, to a backend drawn at random.
--- a/internal/harness/play.go
+++ b/internal/harness/play.go
@@ -3,16 +3,17 @@
 import (
 	"context"
 	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
 	"fernlanding/internal/harness/history"
 	"fernlanding/internal/harness/launch"
 	"fernlanding/internal/harness/scenario"
 	"fernlanding/internal/harness/worker"
 	"fernlanding/internal/sleep"
 	"fernlanding/internal/standin"
-	"fmt"
-	"slices"
-	"strings"
-	"time"
 )
 
 // play carries out the schedule.
--- a/internal/harness/process/process.go
+++ b/internal/harness/process/process.go
@@ -4,8 +4,6 @@
 import (
 	"encoding/json"
 	"errors"
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/spawn"
 	"fmt"
 	"io"
 	"os"
@@ -17,6 +15,9 @@
 	"syscall"
 	"time"
 
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/spawn"
+
 	"golang.org/x/sys/unix"
 )
 
--- a/internal/harness/rig_test.go
+++ b/internal/harness/rig_test.go
@@ -4,12 +4,6 @@
 	"bytes"
 	"context"
 	"errors"
-	"fernlanding/internal/harness"
-	"fernlanding/internal/harness/check"
-	"fernlanding/internal/harness/harnesstest"
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/scenario"
-	"fernlanding/internal/harness/worker"
 	"fmt"
 	"io"
 	"os"
@@ -20,6 +14,13 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"fernlanding/internal/harness"
+	"fernlanding/internal/harness/check"
+	"fernlanding/internal/harness/harnesstest"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/harness/worker"
 )
 
 // The test's own program is also the rig's actors, its faulty sidecars and the rig that is killed.
--- a/internal/harness/run.go
+++ b/internal/harness/run.go
@@ -5,14 +5,6 @@
 import (
 	"bufio"
 	"context"
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/launch"
-	"fernlanding/internal/harness/link"
-	"fernlanding/internal/harness/process"
-	"fernlanding/internal/harness/scenario"
-	"fernlanding/internal/harness/worker"
-	"fernlanding/internal/sleep"
-	"fernlanding/internal/standin"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -24,6 +16,15 @@
 	"strings"
 	"sync"
 	"time"
+
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/launch"
+	"fernlanding/internal/harness/link"
+	"fernlanding/internal/harness/process"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/harness/worker"
+	"fernlanding/internal/sleep"
+	"fernlanding/internal/standin"
 )
 
 // Options say how a run is carried out.
--- a/internal/harness/scenario/scenario.go
+++ b/internal/harness/scenario/scenario.go
@@ -3,13 +3,14 @@
 package scenario
 
 import (
-	"fernlanding/internal/rules"
-	"fernlanding/internal/tomldoc"
 	"fmt"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
+
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 // Bounds of a scenario.
--- a/internal/harness/scenario/scenario_test.go
+++ b/internal/harness/scenario/scenario_test.go
@@ -1,7 +1,6 @@
 package scenario_test
 
 import (
-	"fernlanding/internal/harness/scenario"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -9,6 +8,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"fernlanding/internal/harness/scenario"
 )
 
 const base = "name = \"x\"\nfor = \"10s\"\n[sidecars]\ncount = 9\nsites = [\"a\", \"b\"]\n[lists]\ncount = 2\n[backends]\ncount = 5\n"
--- a/internal/harness/scenarios_test.go
+++ b/internal/harness/scenarios_test.go
@@ -1,10 +1,11 @@
 package harness_test
 
 import (
-	"fernlanding/internal/harness/scenario"
 	"os"
 	"path/filepath"
 	"testing"
+
+	"fernlanding/internal/harness/scenario"
 )
 
 // atOnce is how many scenarios are played beside each other.
--- a/internal/harness/timeline/draw.go
+++ b/internal/harness/timeline/draw.go
@@ -3,14 +3,15 @@
 package timeline
 
 import (
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/scenario"
 	"fmt"
 	"image/color"
 	"io"
 	"net/http"
 	"strings"
 
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/scenario"
+
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
--- a/internal/harness/worker/actor.go
+++ b/internal/harness/worker/actor.go
@@ -8,14 +8,15 @@
 	"bufio"
 	"context"
 	"encoding/json"
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/rollout/plan"
-	"fernlanding/internal/standin"
 	"fmt"
 	"io"
 	"os/signal"
 	"syscall"
 	"time"
+
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/rollout/plan"
+	"fernlanding/internal/standin"
 )
 
 // Spec is what an actor is.
--- a/internal/harness/worker/backends.go
+++ b/internal/harness/worker/backends.go
@@ -1,14 +1,15 @@
 package worker
 
 import (
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/socket"
-	"fernlanding/internal/standin"
 	"fmt"
 	"math"
 	"net/http"
 	"sync"
 	"time"
+
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/socket"
+	"fernlanding/internal/standin"
 )
 
 // backends are several backends in one process.
--- a/internal/harness/worker/clients.go
+++ b/internal/harness/worker/clients.go
@@ -4,8 +4,6 @@
 	"bufio"
 	"context"
 	"errors"
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/socket"
 	"fmt"
 	"io"
 	"maps"
@@ -16,6 +14,9 @@
 	"strings"
 	"sync"
 	"time"
+
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/socket"
 )
 
 // Class is a class of requests that the rig's clients send, and its sidecars are configured for.
--- a/internal/harness/worker/followers.go
+++ b/internal/harness/worker/followers.go
@@ -3,10 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/follow"
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/rollout/plan"
 	"fmt"
 	"hash/fnv"
 	"log/slog"
@@ -17,6 +13,11 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/follow"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/rollout/plan"
 )
 
 // Follower follows resources: a follow.Follower, or a stand-in of it.
--- a/internal/harness/worker/lists.go
+++ b/internal/harness/worker/lists.go
@@ -1,11 +1,12 @@
 package worker
 
 import (
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/standin"
 	"fmt"
 	"net"
 	"strings"
+
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/standin"
 )
 
 // lists is one list service.
--- a/internal/harness/worker/publisher.go
+++ b/internal/harness/worker/publisher.go
@@ -5,15 +5,16 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/rollout/plan"
-	"fernlanding/internal/sleep"
 	"fmt"
 	"io"
 	"net/http"
 	"sync"
 	"time"
+
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/rollout/plan"
+	"fernlanding/internal/sleep"
 )
 
 const (
--- a/internal/pcap/bodies/bodies.go
+++ b/internal/pcap/bodies/bodies.go
@@ -3,11 +3,12 @@
 
 import (
 	"errors"
-	"fernlanding/internal/pcap/http"
 	"fmt"
 	"io"
 	"os"
 	"sync/atomic"
+
+	"fernlanding/internal/pcap/http"
 )
 
 // Dir is a store of bodies. Its directory goes with Close.
--- a/internal/pcap/packet/packet.go
+++ b/internal/pcap/packet/packet.go
@@ -4,12 +4,13 @@
 
 import (
 	"errors"
-	"fernlanding/internal/pcap/capture"
-	"fernlanding/internal/pcap/flow"
 	"fmt"
 	"net/netip"
 	"time"
 
+	"fernlanding/internal/pcap/capture"
+	"fernlanding/internal/pcap/flow"
+
 	"github.com/gopacket/gopacket"
 	"github.com/gopacket/gopacket/ip4defrag"
 	"github.com/gopacket/gopacket/ip6defrag"
@@ -163,12 +164,12 @@
 	s.Src = netip.AddrPortFrom(src.Unmap(), uint16(d.tcp.SrcPort))
 	s.Dst = netip.AddrPortFrom(dst.Unmap(), uint16(d.tcp.DstPort))
 	s.Seq, s.SYN, s.FIN, s.RST = d.tcp.Seq, d.tcp.SYN, d.tcp.FIN, d.tcp.RST
-	s.Payload, s.Cut = d.tcp.Payload, 0
+	s.Payload, s.Missing = d.tcp.Payload, 0
 	if !joined && want > len(s.Payload) {
-		s.Cut = want - len(s.Payload)
+		s.Missing = want - len(s.Payload)
 	}
 	if s.RST {
-		s.Payload, s.Cut = nil, 0 // a RST's text is no data (RFC 9293, section 3.5.3)
+		s.Payload, s.Missing = nil, 0 // a RST's text is no data (RFC 9293, section 3.5.3)
 	}
 	return Segment
 }
--- a/internal/pcap/packet/packet_test.go
+++ b/internal/pcap/packet/packet_test.go
@@ -1,12 +1,13 @@
 package packet
 
 import (
-	"fernlanding/internal/pcap/capture"
-	"fernlanding/internal/pcap/flow"
 	"net/netip"
 	"testing"
 	"time"
 
+	"fernlanding/internal/pcap/capture"
+	"fernlanding/internal/pcap/flow"
+
 	"github.com/gopacket/gopacket"
 	"github.com/gopacket/gopacket/layers"
 )
@@ -41,10 +42,10 @@
 	// A destination option of six bytes of padding, then TCP.
 	option := gopacket.Payload{byte(layers.IPProtocolTCP), 0, 1, 4, 0, 0, 0, 0}
 	data := serialize(t, v6(layers.IPProtocolIPv6Destination), option, tcp(), gopacket.Payload("hello"))
-	if k, err := d.Decode(raw(data, 1), &s); k != Segment || err != nil || string(s.Payload) != "hello" || s.Cut != 0 || s.Seq != 77 {
+	if k, err := d.Decode(raw(data, 1), &s); k != Segment || err != nil || string(s.Payload) != "hello" || s.Missing != 0 || s.Seq != 77 {
 		t.Errorf("behind an option: %v, %v, %+v", k, err, s)
 	}
-	if k, err := d.Decode(raw(data[:len(data)-2], 2), &s); k != Segment || err != nil || string(s.Payload) != "hel" || s.Cut != 2 {
+	if k, err := d.Decode(raw(data[:len(data)-2], 2), &s); k != Segment || err != nil || string(s.Payload) != "hel" || s.Missing != 2 {
 		t.Errorf("cut: %v, %v, %+v", k, err, s)
 	}
 	whole := serialize(t, tcp(), gopacket.Payload("hello, this is a longer one"))
--- a/internal/pcap/write/write.go
+++ b/internal/pcap/write/write.go
@@ -5,13 +5,14 @@
 
 import (
 	"errors"
-	"fernlanding/internal/pcap/synth"
 	"fmt"
 	"io"
 	"net/netip"
 	"sync"
 	"time"
 
+	"fernlanding/internal/pcap/synth"
+
 	"github.com/gopacket/gopacket"
 	"github.com/gopacket/gopacket/layers"
 	"github.com/gopacket/gopacket/pcapgo"
--- a/internal/pcap/write/write_test.go
+++ b/internal/pcap/write/write_test.go
@@ -4,14 +4,15 @@
 	"bytes"
 	"context"
 	"errors"
-	"fernlanding/internal/pcap"
-	"fernlanding/internal/pcap/flow"
-	"fernlanding/internal/pcap/http"
 	"net/netip"
 	"strings"
 	"testing"
 	"time"
 
+	"fernlanding/internal/pcap"
+	"fernlanding/internal/pcap/flow"
+	"fernlanding/internal/pcap/http"
+
 	"github.com/gopacket/gopacket/pcapgo"
 )
 
@@ -23,17 +24,18 @@
 
 // ends is a Sink that keeps ends and messages.
 type ends struct {
-	all      []flow.End
+	all      []flow.EndReason
 	requests int
 	faults   []string
 }
 
 func (e *ends) Exchange(x *http.Exchange) { e.requests++ }
-func (e *ends) Stream(_ *flow.Flow, _ flow.Dir, f http.Fault) {
+func (e *ends) Stream(_ *flow.Flow, _ flow.Direction, f http.Fault) {
 	e.faults = append(e.faults, string(f.Kind))
 }
-func (e *ends) Segments(f flow.Fault)           { e.faults = append(e.faults, string(f.Kind)) }
-func (e *ends) Done(_ *flow.Flow, why flow.End) { e.all = append(e.all, why) }
+
+func (e *ends) Segments(f flow.Fault)                 { e.faults = append(e.faults, string(f.Kind)) }
+func (e *ends) Done(_ *flow.Flow, why flow.EndReason) { e.all = append(e.all, why) }
 
 // Both closes, both sides and the comments come out as they went in.
 func TestWhatIsWrittenReadsAsItWas(t *testing.T) {
--- a/internal/scale/churn/churn.go
+++ b/internal/scale/churn/churn.go
@@ -4,9 +4,10 @@
 package churn
 
 import (
-	"fernlanding/internal/membership"
 	"strconv"
 	"strings"
+
+	"fernlanding/internal/membership"
 )
 
 // Kind is what a change does to its backend.
--- a/internal/scale/churn/churn_test.go
+++ b/internal/scale/churn/churn_test.go
@@ -1,9 +1,10 @@
 package churn_test
 
 import (
+	"testing"
+
 	"fernlanding/internal/membership"
 	"fernlanding/internal/scale/churn"
-	"testing"
 )
 
 // Whole lists and changes alike tell the version that they lead to, and the list keeps its size within one.
--- a/internal/scale/fit/fit_test.go
+++ b/internal/scale/fit/fit_test.go
@@ -1,11 +1,12 @@
 package fit
 
 import (
-	"fernlanding/internal/scale/result"
 	"math"
 	"math/rand/v2"
 	"slices"
 	"testing"
+
+	"fernlanding/internal/scale/result"
 )
 
 // slopes are the true costs of made-up measurements, in bytes in a second over all proxies.
--- a/internal/scale/fit/heldout.go
+++ b/internal/scale/fit/heldout.go
@@ -1,8 +1,9 @@
 package fit
 
 import (
-	"fernlanding/internal/scale/result"
 	"math"
+
+	"fernlanding/internal/scale/result"
 )
 
 // Tolerance is the part by which a prediction may miss what was measured.
--- a/internal/scale/fit/model.go
+++ b/internal/scale/fit/model.go
@@ -1,9 +1,10 @@
 package fit
 
 import (
-	"fernlanding/internal/scale/result"
 	"math"
 	"slices"
+
+	"fernlanding/internal/scale/result"
 )
 
 // Drivers are the quantities that costs grow with. Those of a measured point follow from its size; those of a target
--- a/internal/scale/fit/sweep.go
+++ b/internal/scale/fit/sweep.go
@@ -2,10 +2,11 @@
 
 import (
 	"cmp"
-	"fernlanding/internal/scale/result"
 	"fmt"
 	"math"
 	"slices"
+
+	"fernlanding/internal/scale/result"
 )
 
 // Line is how a figure grows along the dimension of a sweep.
--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/hollow/hollow.go
@@ -10,10 +10,6 @@
 import (
 	"context"
 	"errors"
-	"fernlanding/internal/config"
-	"fernlanding/internal/membership"
-	"fernlanding/internal/scale/churn"
-	"fernlanding/internal/sidecar"
 	"fmt"
 	"log/slog"
 	"net/netip"
@@ -23,6 +19,11 @@
 	"sync/atomic"
 	"time"
 
+	"fernlanding/internal/config"
+	"fernlanding/internal/membership"
+	"fernlanding/internal/scale/churn"
+	"fernlanding/internal/sidecar"
+
 	"golang.org/x/sys/unix"
 )
 
--- a/internal/scale/hollow/hollow_test.go
+++ b/internal/scale/hollow/hollow_test.go
@@ -3,12 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"fernlanding/internal/membership"
-	"fernlanding/internal/scale/churn"
-	"fernlanding/internal/scale/hollow"
-	"fernlanding/internal/scale/result"
-	"fernlanding/internal/scale/topology"
-	"fernlanding/internal/standin"
 	"fmt"
 	"net"
 	"net/http"
@@ -17,6 +11,13 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"fernlanding/internal/membership"
+	"fernlanding/internal/scale/churn"
+	"fernlanding/internal/scale/hollow"
+	"fernlanding/internal/scale/result"
+	"fernlanding/internal/scale/topology"
+	"fernlanding/internal/standin"
 )
 
 const (
--- a/internal/scale/hollow/load.go
+++ b/internal/scale/hollow/load.go
@@ -2,14 +2,15 @@
 
 import (
 	"context"
-	"fernlanding/internal/core"
-	"fernlanding/logic"
 	"fmt"
 	"runtime"
 	"strconv"
 	"sync"
 	"time"
 
+	"fernlanding/internal/core"
+	"fernlanding/logic"
+
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
--- a/internal/scale/latency/chain.go
+++ b/internal/scale/latency/chain.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fernlanding/internal/harness/spawn"
 	"fmt"
 	"io/fs"
 	"net"
@@ -15,6 +14,8 @@
 	"strings"
 	"syscall"
 	"time"
+
+	"fernlanding/internal/harness/spawn"
 )
 
 const (
--- a/internal/scale/latency/plan.go
+++ b/internal/scale/latency/plan.go
@@ -8,9 +8,10 @@
 package latency
 
 import (
+	"time"
+
 	"fernlanding/internal/rules"
 	"fernlanding/internal/tomldoc"
-	"time"
 )
 
 // Bounds of a plan.
--- a/internal/scale/latency/run_test.go
+++ b/internal/scale/latency/run_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fernlanding/internal/standin"
 	"net/http"
 	"net/netip"
 	"os"
@@ -12,6 +11,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"fernlanding/internal/standin"
 )
 
 // buildSidecar builds the program under test.
--- a/internal/scale/predict/before.go
+++ b/internal/scale/predict/before.go
@@ -1,9 +1,10 @@
 package predict
 
 import (
+	"fmt"
+
 	"fernlanding/internal/scale/fit"
 	"fernlanding/internal/scale/result"
-	"fmt"
 )
 
 // BeforeAfter is the table of what was measured by consul and by distribution at the same size: the largest of each
--- a/internal/scale/predict/events.go
+++ b/internal/scale/predict/events.go
@@ -1,10 +1,11 @@
 package predict
 
 import (
-	"fernlanding/internal/scale/fit"
-	"fernlanding/internal/scale/result"
 	"fmt"
 	"math"
+
+	"fernlanding/internal/scale/fit"
+	"fernlanding/internal/scale/result"
 )
 
 // event is something that changes lists or makes proxies read them anew.
--- a/internal/scale/predict/evidence.go
+++ b/internal/scale/predict/evidence.go
@@ -1,9 +1,10 @@
 package predict
 
 import (
+	"slices"
+
 	"fernlanding/internal/scale/fit"
 	"fernlanding/internal/scale/result"
-	"slices"
 )
 
 // File is a result with the name of its file.
--- a/internal/scale/predict/measured.go
+++ b/internal/scale/predict/measured.go
@@ -1,11 +1,12 @@
 package predict
 
 import (
-	"fernlanding/internal/scale/fit"
-	"fernlanding/internal/scale/result"
 	"fmt"
 	"slices"
 	"strings"
+
+	"fernlanding/internal/scale/fit"
+	"fernlanding/internal/scale/result"
 )
 
 // Sizes is the table of what is told and what follows from it, at both sizes.
--- a/internal/scale/predict/order.go
+++ b/internal/scale/predict/order.go
@@ -2,11 +2,12 @@
 
 import (
 	"cmp"
-	"fernlanding/internal/scale/fit"
-	"fernlanding/internal/scale/result"
 	"fmt"
 	"math"
 	"slices"
+
+	"fernlanding/internal/scale/fit"
+	"fernlanding/internal/scale/result"
 )
 
 // candidate is a mechanism that may be missing.
--- a/internal/scale/predict/predict_test.go
+++ b/internal/scale/predict/predict_test.go
@@ -1,13 +1,14 @@
 package predict
 
 import (
-	"fernlanding/internal/scale/fit"
-	"fernlanding/internal/scale/result"
 	"fmt"
 	"math"
 	"os"
 	"strings"
 	"testing"
+
+	"fernlanding/internal/scale/fit"
+	"fernlanding/internal/scale/result"
 )
 
 const targetFile = "../../../deploy/scale/target.toml"
--- a/internal/scale/predict/roles.go
+++ b/internal/scale/predict/roles.go
@@ -1,10 +1,11 @@
 package predict
 
 import (
-	"fernlanding/internal/scale/fit"
-	"fernlanding/internal/scale/result"
 	"fmt"
 	"math"
+
+	"fernlanding/internal/scale/fit"
+	"fernlanding/internal/scale/result"
 )
 
 // Calculator works out the page's tables.
--- a/internal/scale/predict/shape.go
+++ b/internal/scale/predict/shape.go
@@ -1,8 +1,9 @@
 package predict
 
 import (
-	"fernlanding/internal/scale/fit"
 	"math"
+
+	"fernlanding/internal/scale/fit"
 )
 
 // shape is how uneven a fleet's services are: service i has sizes[i] backends, and the part followed[i] of all proxies
--- a/internal/scale/predict/target.go
+++ b/internal/scale/predict/target.go
@@ -4,10 +4,11 @@
 package predict
 
 import (
-	"fernlanding/internal/rules"
-	"fernlanding/internal/tomldoc"
 	"fmt"
 	"slices"
+
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
 // Format is the version of target files that this program reads.
--- a/internal/scale/scenario/scenario.go
+++ b/internal/scale/scenario/scenario.go
@@ -3,14 +3,15 @@
 package scenario
 
 import (
-	"fernlanding/internal/rules"
-	"fernlanding/internal/scale/result"
-	"fernlanding/internal/tomldoc"
 	"fmt"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
+
+	"fernlanding/internal/rules"
+	"fernlanding/internal/scale/result"
+	"fernlanding/internal/tomldoc"
 )
 
 // Format is the version of the file format that this program reads.
--- a/internal/scale/scenario/scenario_test.go
+++ b/internal/scale/scenario/scenario_test.go
@@ -1,12 +1,13 @@
 package scenario_test
 
 import (
-	"fernlanding/internal/scale/result"
-	"fernlanding/internal/scale/scenario"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"fernlanding/internal/scale/result"
+	"fernlanding/internal/scale/scenario"
 )
 
 const base = "format = 1\nname = \"x\"\n[sweep]\ndimension = \"proxies\"\nsizes = [1, 2, 4, 8, 16]\n"
--- a/internal/scale/sweep/cast.go
+++ b/internal/scale/sweep/cast.go
@@ -2,13 +2,14 @@
 
 import (
 	"context"
+	"fmt"
+	"net"
+	"time"
+
 	"fernlanding/internal/scale/result"
 	"fernlanding/internal/scale/topology"
 	"fernlanding/internal/scale/worker"
 	"fernlanding/internal/sleep"
-	"fmt"
-	"net"
-	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
--- a/internal/scale/sweep/plan.go
+++ b/internal/scale/sweep/plan.go
@@ -1,9 +1,10 @@
 package sweep
 
 import (
+	"fmt"
+
 	"fernlanding/internal/scale/result"
 	"fernlanding/internal/scale/scenario"
-	"fmt"
 )
 
 const (
--- a/internal/scale/sweep/relays.go
+++ b/internal/scale/sweep/relays.go
@@ -2,15 +2,16 @@
 
 import (
 	"context"
+	"fmt"
+	"path/filepath"
+	"strings"
+	"time"
+
 	"fernlanding/internal/distribution"
 	"fernlanding/internal/distribution/httpapi"
 	"fernlanding/internal/scale/hollow"
 	"fernlanding/internal/scale/result"
 	"fernlanding/internal/scale/worker"
-	"fmt"
-	"path/filepath"
-	"strings"
-	"time"
 )
 
 const (
--- a/internal/scale/sweep/run.go
+++ b/internal/scale/sweep/run.go
@@ -5,9 +5,6 @@
 import (
 	"context"
 	"errors"
-	"fernlanding/internal/scale/result"
-	"fernlanding/internal/scale/scenario"
-	"fernlanding/internal/sleep"
 	"fmt"
 	"io"
 	"os"
@@ -15,6 +12,10 @@
 	"runtime"
 	"runtime/debug"
 	"time"
+
+	"fernlanding/internal/scale/result"
+	"fernlanding/internal/scale/scenario"
+	"fernlanding/internal/sleep"
 )
 
 // Options say how a sweep is played.
--- a/internal/scale/sweep/sweep_test.go
+++ b/internal/scale/sweep/sweep_test.go
@@ -2,16 +2,17 @@
 
 import (
 	"context"
-	"fernlanding/internal/scale/result"
-	"fernlanding/internal/scale/scenario"
-	"fernlanding/internal/scale/sweep"
-	"fernlanding/internal/scale/worker"
 	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"fernlanding/internal/scale/result"
+	"fernlanding/internal/scale/scenario"
+	"fernlanding/internal/scale/sweep"
+	"fernlanding/internal/scale/worker"
 )
 
 // workerVariable is set in the processes that this test starts from itself.
--- a/internal/scale/sweep/team.go
+++ b/internal/scale/sweep/team.go
@@ -5,14 +5,15 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/process"
-	"fernlanding/internal/scale/worker"
 	"fmt"
 	"io"
 	"strings"
 	"sync"
 	"time"
+
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/process"
+	"fernlanding/internal/scale/worker"
 )
 
 const (
--- a/internal/scale/topology/layout.go
+++ b/internal/scale/topology/layout.go
@@ -3,8 +3,6 @@
 package topology
 
 import (
-	"fernlanding/internal/scale/churn"
-	"fernlanding/internal/scale/result"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -12,6 +10,9 @@
 	"slices"
 	"strconv"
 	"strings"
+
+	"fernlanding/internal/scale/churn"
+	"fernlanding/internal/scale/result"
 )
 
 const (
--- a/internal/scale/worker/lists.go
+++ b/internal/scale/worker/lists.go
@@ -2,12 +2,13 @@
 
 import (
 	"context"
+	"sync"
+	"time"
+
 	"fernlanding/internal/scale/churn"
 	"fernlanding/internal/scale/hollow"
 	"fernlanding/internal/scale/topology"
 	"fernlanding/internal/standin"
-	"sync"
-	"time"
 )
 
 // lists is a list service: the stand-in of a registry, with what changes its lists.
--- a/internal/scale/worker/proxies.go
+++ b/internal/scale/worker/proxies.go
@@ -2,11 +2,12 @@
 
 import (
 	"context"
-	"fernlanding/internal/scale/hollow"
-	"fernlanding/internal/scale/topology"
 	"fmt"
 	"time"
 
+	"fernlanding/internal/scale/hollow"
+	"fernlanding/internal/scale/topology"
+
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
--- a/internal/scale/worker/publisher.go
+++ b/internal/scale/worker/publisher.go
@@ -3,14 +3,15 @@
 import (
 	"context"
 	"encoding/json"
+	"fmt"
+	"time"
+
 	"fernlanding/internal/distribution"
 	"fernlanding/internal/distribution/httpapi"
 	"fernlanding/internal/membership/relayed"
 	"fernlanding/internal/scale/churn"
 	"fernlanding/internal/scale/hollow"
 	"fernlanding/internal/scale/topology"
-	"fmt"
-	"time"
 )
 
 // putWithin bounds one write to the source.
--- a/internal/scale/worker/worker.go
+++ b/internal/scale/worker/worker.go
@@ -8,8 +8,6 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fernlanding/internal/scale/hollow"
-	"fernlanding/internal/scale/topology"
 	"fmt"
 	"io"
 	"os"
@@ -20,6 +18,9 @@
 	"syscall"
 	"time"
 
+	"fernlanding/internal/scale/hollow"
+	"fernlanding/internal/scale/topology"
+
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
