--- a/internal/fleetsim/race_on_test.go
+++ b/internal/fleetsim/race_on_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package fleet
+package fleetsim
 
 const raceOn = true // days take ten times as long
