--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -2,10 +2,11 @@
 
 import (
 	"context"
-	"fernlanding/internal/membership"
-	"fernlanding/logic"
 	"sync"
 	"time"
+
+	"fernlanding/internal/membership"
+	"fernlanding/logic"
 )
 
 // Upstream reaches the backends of one pool over one protocol. The pool calls UpdateEndpoints and
--- a/internal/core/duplicate_id_test.go
+++ b/internal/core/duplicate_id_test.go
@@ -1,9 +1,10 @@
 package core
 
 import (
-	"fernlanding/logic"
 	"testing"
 	"time"
+
+	"fernlanding/logic"
 )
 
 // waitForDuplicate waits until a request waits for the end of the open one with the same ID.
--- a/internal/core/endpoints_bench_test.go
+++ b/internal/core/endpoints_bench_test.go
@@ -1,13 +1,14 @@
 package core_test
 
 import (
-	"fernlanding/internal/core"
-	"fernlanding/internal/membership"
-	"fernlanding/logic"
 	"fmt"
 	"log/slog"
 	"testing"
 
+	"fernlanding/internal/core"
+	"fernlanding/internal/membership"
+	"fernlanding/logic"
+
 	upstream "fernlanding/internal/upstream/http1"
 )
 
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+
 	"fernlanding/logic"
 )
 
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -1,8 +1,9 @@
 package core
 
 import (
-	"fernlanding/logic"
 	"time"
+
+	"fernlanding/logic"
 )
 
 // Do takes a request and returns its one final answer, at the latest shortly after the request's
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -23,11 +23,12 @@
 
 import (
 	"context"
-	"fernlanding/logic"
 	"fmt"
 	"log/slog"
 	"sync"
 	"time"
+
+	"fernlanding/logic"
 )
 
 const (
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -2,12 +2,13 @@
 
 import (
 	"context"
-	"fernlanding/internal/membership"
-	"fernlanding/logic"
 	"log/slog"
 	"sync"
 	"testing"
 	"time"
+
+	"fernlanding/internal/membership"
+	"fernlanding/logic"
 )
 
 const testTimeout = 20 * time.Second // of a test's wait for an event that must come
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -1,10 +1,11 @@
 package core
 
 import (
-	"fernlanding/logic"
 	"fmt"
 	"strings"
 	"time"
+
+	"fernlanding/logic"
 )
 
 const (
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"context"
-	"fernlanding/logic"
 	"log/slog"
 	"strings"
 	"testing"
 	"time"
+
+	"fernlanding/logic"
 )
 
 // logLines is a slog.Handler that sends each record as text, and drops what the channel has no room
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -1,10 +1,11 @@
 package core
 
 import (
-	"fernlanding/internal/membership"
-	"fernlanding/logic"
 	"hash/fnv"
 	"io"
+
+	"fernlanding/internal/membership"
+	"fernlanding/logic"
 )
 
 // zoneNumbers numbers zones by name: the settings' own from 0, any other by a hash, so that an
