--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -1,4 +1,4 @@
-// Package durable replaces files so that a crash leaves the old one or the new one, whole.
+// Package durable replaces files atomically: a crash leaves the old file or the new one, complete.
 package durable
 
 import (
@@ -10,8 +10,9 @@
 	"path/filepath"
 )
 
-// WriteFile puts a file in the place of another, or where none is. Its folder has to be there. With sync the new one outlives
-// the machine's crash too, as far as the disk keeps its word; without, that of the process alone.
+// WriteFile replaces the named file, or creates it. Its directory has to exist. With sync the new
+// file also outlives a crash of the machine, as far as the disk keeps its word; without, that of
+// the process alone.
 func WriteFile(name string, data []byte, perm fs.FileMode, sync bool) error {
 	staged, err := Stage(name, data, perm, sync)
 	if err != nil {
@@ -20,43 +21,58 @@
 	return staged.Commit()
 }
 
-// Staged is a file that is written and not in its place yet. Commit or Discard has to follow.
-type Staged struct{ from, to string }
+// Staged is a file that is written but not in its place yet. Commit or Discard has to follow.
+type Staged struct{ temporary, name string }
 
-// Stage writes a file beside the place that it is to have, as Replace does.
-func Stage(name string, data []byte, perm fs.FileMode, sync bool) (s *Staged, err error) {
-	f, err := os.CreateTemp(filepath.Dir(name), "."+filepath.Base(name)+".new-")
+// Stage writes a file beside the place that it is to have, with the parameters of WriteFile.
+func Stage(name string, data []byte, perm fs.FileMode, sync bool) (*Staged, error) {
+	f, err := os.CreateTemp(filepath.Dir(name), stagedPrefix(name))
 	if err != nil {
 		return nil, fmt.Errorf("write: %w", err)
 	}
-	if _, err = f.Write(data); err == nil {
-		err = f.Chmod(perm)
-	}
-	if err == nil && sync {
-		err = f.Sync()
-	}
-	s = &Staged{f.Name(), name}
+	staged := &Staged{temporary: f.Name(), name: name}
+	err = fill(f, data, perm, sync)
 	if err = errors.Join(err, f.Close()); err != nil {
-		s.Discard()
+		staged.Discard()
 		return nil, fmt.Errorf("write: %w", err)
 	}
-	return s, nil
+	return staged, nil
+}
+
+// fill writes the contents of a new file.
+func fill(f *os.File, data []byte, perm fs.FileMode, sync bool) error {
+	if _, err := f.Write(data); err != nil {
+		return err
+	}
+	if err := f.Chmod(perm); err != nil {
+		return err
+	}
+	if !sync {
+		return nil
+	}
+	return f.Sync()
 }
 
-// Commit puts the file in its place. One that can't be is removed.
+// stagedPrefix returns what the names of the staged versions of a file begin with.
+func stagedPrefix(name string) string { return "." + filepath.Base(name) + ".new-" }
+
+// Commit puts the file in its place. If that fails, the staged file is removed.
 func (s *Staged) Commit() error {
-	if err := os.Rename(s.from, s.to); err != nil {
+	if err := os.Rename(s.temporary, s.name); err != nil {
 		s.Discard()
 		return fmt.Errorf("write: %w", err)
 	}
 	return nil
 }
 
-// Discard removes the file.
-func (s *Staged) Discard() { _ = os.Remove(s.from) }
+// Discard removes the staged file.
+func (s *Staged) Discard() {
+	_ = os.Remove(s.temporary) // one that stays is found by RemoveStaged
+}
 
-// ReadFile reads a file of no more bytes than most; a longer one is an error. A file that is not there is nil.
-func ReadFile(name string, most int64) ([]byte, error) {
+// ReadFile reads a file of at most limit bytes; a longer one is an error. It returns nil where
+// there is no file.
+func ReadFile(name string, limit int64) ([]byte, error) {
 	f, err := os.Open(name)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -64,21 +80,24 @@
 	if err != nil {
 		return nil, fmt.Errorf("read: %w", err)
 	}
-	defer f.Close()
-	data, err := io.ReadAll(io.LimitReader(f, most+1))
+	defer func() { _ = f.Close() }() // nothing was written
+	data, err := io.ReadAll(io.LimitReader(f, limit+1))
 	if err != nil {
 		return nil, fmt.Errorf("read: %w", err)
 	}
-	if int64(len(data)) > most {
-		return nil, fmt.Errorf("read: %s: more than %d bytes found, that many at most expected", name, most)
+	if int64(len(data)) > limit {
+		return nil, fmt.Errorf("read: %s: more than %d bytes found, that many at most expected", name, limit)
 	}
 	return data, nil
 }
 
-// RemoveStaged removes what Replace has left behind of a file where its process was killed.
+// RemoveStaged removes the staged versions of a file that processes have left behind that were
+// killed.
 func RemoveStaged(name string) {
-	left, _ := filepath.Glob(filepath.Join(filepath.Dir(name), "."+filepath.Base(name)+".new-*"))
-	for _, l := range left {
-		_ = os.Remove(l)
+	// Neither error matters: what stays is neither read nor in the way, and is removed another
+	// time.
+	staged, _ := filepath.Glob(filepath.Join(filepath.Dir(name), stagedPrefix(name)+"*"))
+	for _, temporary := range staged {
+		_ = os.Remove(temporary)
 	}
 }
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// A file is replaced whole, what a killed process has left beside it goes, and a reading is bounded.
-func TestReplaceAndRead(t *testing.T) {
+// A file is replaced as a whole, staged files of a killed process are removed, and a read is
+// bounded.
+func TestWriteAndReadFile(t *testing.T) {
 	dir := t.TempDir()
 	name := filepath.Join(dir, "a.json")
 	if data, err := ReadFile(name, 10); data != nil || err != nil {
@@ -26,8 +27,8 @@
 		t.Fatal(err)
 	}
 	RemoveStaged(name)
-	if left, err := os.ReadDir(dir); err != nil || len(left) != 1 {
-		t.Errorf("left: %v, %v", left, err)
+	if files, err := os.ReadDir(dir); err != nil || len(files) != 1 {
+		t.Errorf("files in the directory: %v, %v", files, err)
 	}
 	if err := WriteFile(name, []byte("1234567"), 0o600, false); err != nil {
 		t.Fatal(err)
@@ -35,7 +36,8 @@
 	if _, err := ReadFile(name, 6); err == nil || !strings.Contains(err.Error(), "more than 6 bytes") {
 		t.Errorf("too long: %v", err)
 	}
-	if err := WriteFile(filepath.Join(dir, "none", "b"), nil, 0o600, true); err == nil || strings.Contains(err.Error(), "\n") {
-		t.Errorf("no folder: %v", err)
+	err := WriteFile(filepath.Join(dir, "none", "b"), nil, 0o600, true)
+	if err == nil || strings.Contains(err.Error(), "\n") {
+		t.Errorf("no directory: %v", err)
 	}
 }
--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep waits for a time that a context can end before.
+// Package sleep has sleeps that a context can end early.
 package sleep
 
 import (
@@ -6,20 +6,22 @@
 	"time"
 )
 
-// For waits for a duration, none if it is not positive; it is false when the context has ended before.
+// For sleeps for a duration, not at all where it is not positive. It reports whether the duration
+// passed before the context ended.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// Until waits for a moment, which may be past; it is false when the context has ended before.
+// Until sleeps until a time, which may be past. It reports whether that time came before the
+// context ended.
 func Until(ctx context.Context, t time.Time) bool { return For(ctx, time.Until(t)) }
--- a/internal/sleep/sleep_test.go
+++ b/internal/sleep/sleep_test.go
@@ -2,41 +2,43 @@
 
 import (
 	"context"
-	"fernlanding/internal/sleep"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"fernlanding/internal/sleep"
 )
 
-// A sleep lasts its time, or until its context ends, whichever is first; none begins where the context has ended.
-func TestASleepEndsWithItsContext(t *testing.T) {
-	for name, c := range map[string]struct {
-		sleep, limit, want time.Duration
-		whole              bool
+// A sleep ends after its duration or with its context, whichever comes first; none begins where the
+// context has ended.
+func TestSleepEndsWithItsContext(t *testing.T) {
+	for name, test := range map[string]struct {
+		sleep, timeout, want time.Duration
+		completed            bool
 	}{
-		"whole":         {sleep: time.Second, limit: time.Minute, want: time.Second, whole: true},
-		"broken off":    {sleep: time.Minute, limit: time.Second, want: time.Second},
-		"none":          {limit: time.Second, whole: true},
-		"a past moment": {sleep: -time.Second, limit: time.Second, whole: true},
-		"ended before":  {sleep: -time.Second, limit: -time.Second},
+		"completed":            {sleep: time.Second, timeout: time.Minute, want: time.Second, completed: true},
+		"cut short":            {sleep: time.Minute, timeout: time.Second, want: time.Second},
+		"no duration":          {timeout: time.Second, completed: true},
+		"a past time":          {sleep: -time.Second, timeout: time.Second, completed: true},
+		"context ended before": {sleep: -time.Second, timeout: -time.Second},
 	} {
-		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				ctx, stop := context.WithTimeout(t.Context(), c.limit)
-				defer stop()
-				start := time.Now()
-				if whole := sleep.For(ctx, c.sleep); whole != c.whole || time.Since(start) != c.want {
-					t.Errorf("For: %v after %v, expected %v after %v", whole, time.Since(start), c.whole, c.want)
-				}
-			})
-			synctest.Test(t, func(t *testing.T) {
-				ctx, stop := context.WithTimeout(t.Context(), c.limit)
-				defer stop()
-				start := time.Now()
-				if whole := sleep.Until(ctx, start.Add(c.sleep)); whole != c.whole || time.Since(start) != c.want {
-					t.Errorf("Until: %v after %v, expected %v after %v", whole, time.Since(start), c.whole, c.want)
-				}
+		for function, sleepFor := range map[string]func(context.Context, time.Duration) bool{
+			"For": sleep.For,
+			"Until": func(ctx context.Context, d time.Duration) bool {
+				return sleep.Until(ctx, time.Now().Add(d))
+			},
+		} {
+			t.Run(name+"/"+function, func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) {
+					ctx, cancel := context.WithTimeout(t.Context(), test.timeout)
+					defer cancel()
+					start := time.Now()
+					completed := sleepFor(ctx, test.sleep)
+					if took := time.Since(start); completed != test.completed || took != test.want {
+						t.Errorf("%v after %v, want %v after %v", completed, took, test.completed, test.want)
+					}
+				})
 			})
-		})
+		}
 	}
 }
--- a/internal/start/record/record.go
+++ b/internal/start/record/record.go
@@ -1,93 +1,93 @@
-// Package record keeps what outlives a process of its starts, in a folder that lasts, so that a copy that dies again and
-// again right after its start can tell. What can't be read counts as nothing: a record never keeps a copy from starting.
+// Package record keeps the recent starts of a replica in a directory that outlives the process, so
+// that a replica that dies again and again right after its start can tell, and backs off. A file
+// that can't be read counts as empty: a record never keeps a replica from starting.
 package record
 
 import (
 	"encoding/json"
 	"errors"
-	"fernlanding/internal/durable"
 	"fmt"
 	"os"
 	"path/filepath"
 	"time"
+
+	"fernlanding/internal/durable"
 )
 
 const (
-	file    = "starts.json"
-	version = 1
+	fileName      = "starts.json"
+	formatVersion = 1
 
-	// StableAfter is how long a copy has to live for its starts to be forgotten.
+	// StableAfter is how long a replica has to run for its starts to be forgotten.
 	StableAfter = 2 * time.Minute
-	// Window is how long a start is remembered.
+	// Window is how long a start counts as recent.
 	Window = 10 * time.Minute
 
-	maxFile   = 4 << 10 // bytes
-	maxStarts = 32      // the latest are kept
+	maxFileBytes = 4 << 10
+	maxStarts    = 32 // the latest are kept
 )
 
-// state is the file.
+// state is the contents of the file.
 type state struct {
 	Version int     `json:"version"`
-	Starts  []int64 `json:"starts"` // Unix time in milliseconds, the earliest first
+	Starts  []int64 `json:"starts"` // Unix time in milliseconds, in order
 }
 
-// Record is a folder's record of starts.
+// Record is the record of starts in a directory. It is not safe for concurrent use.
 type Record struct{ dir string }
 
-// Open returns the record in a folder, which is made where it is missing.
-func Open(dir string) *Record { return &Record{dir} }
+// Open returns the record in a directory, which is created by the first write where it does not
+// exist.
+func Open(dir string) *Record { return &Record{dir: dir} }
 
-// RecordStart notes a start and returns how many there have been lately without a life that lasted. An error says what could not
-// be read or written; the count holds as far as it goes.
-func (r *Record) RecordStart(now time.Time) (lately int, err error) {
-	all, err := r.read()
-	var kept []int64
-	for _, at := range all {
-		// A clock that has stepped back leaves starts in the future, which tell nothing.
+// RecordStart notes a start, and returns how many recent ones there were before it since the last
+// Clear. An error says what could not be read or written; the count holds as far as it goes.
+func (r *Record) RecordStart(now time.Time) (recentStarts int, err error) {
+	previous, readErr := r.read()
+	var starts []int64
+	for _, at := range previous {
+		// A clock that has stepped back leaves starts in the future, which say nothing.
 		if age := now.Sub(time.UnixMilli(at)); age >= 0 && age < Window {
-			kept = append(kept, at)
+			starts = append(starts, at)
 		}
 	}
-	lately = len(kept)
-	kept = append(kept, now.UnixMilli())
-	if len(kept) > maxStarts {
-		kept = kept[len(kept)-maxStarts:]
+	recentStarts = len(starts)
+	starts = append(starts, now.UnixMilli())
+	if len(starts) > maxStarts {
+		starts = starts[len(starts)-maxStarts:]
 	}
-	return lately, errors.Join(err, r.write(kept))
+	return recentStarts, errors.Join(readErr, r.write(starts))
 }
 
-// Clear forgets the starts: this life has lasted.
+// Clear forgets all starts: this process runs stably.
 func (r *Record) Clear() error { return r.write(nil) }
 
+// read returns the starts on record; none where there is no file.
 func (r *Record) read() ([]int64, error) {
-	data, err := durable.ReadFile(r.path(), maxFile)
-	if err != nil || data == nil {
-		return nil, wrap(err)
+	data, err := durable.ReadFile(r.path(), maxFileBytes)
+	if err != nil {
+		return nil, fmt.Errorf("record of starts: %w", err)
+	}
+	if data == nil {
+		return nil, nil
 	}
-	all, err := parse(data)
+	starts, err := parse(data)
 	if err != nil {
-		return nil, wrap(fmt.Errorf("%s: %w", r.path(), err))
+		return nil, fmt.Errorf("record of starts: %s: %w", r.path(), err)
 	}
-	return all, nil
+	return starts, nil
 }
 
-func (r *Record) path() string { return filepath.Join(r.dir, file) }
-
-func wrap(err error) error {
-	if err == nil {
-		return nil
-	}
-	return fmt.Errorf("record of starts: %w", err)
-}
+func (r *Record) path() string { return filepath.Join(r.dir, fileName) }
 
-// parse reads a record.
+// parse decodes the contents of the file.
 func parse(data []byte) ([]int64, error) {
 	var s state
 	if err := json.Unmarshal(data, &s); err != nil {
 		return nil, fmt.Errorf("a record in JSON expected: %w", err)
 	}
-	if s.Version != version {
-		return nil, fmt.Errorf("version %d found, %d expected", s.Version, version)
+	if s.Version != formatVersion {
+		return nil, fmt.Errorf("version %d found, %d expected", s.Version, formatVersion)
 	}
 	if len(s.Starts) > maxStarts {
 		return nil, fmt.Errorf("%d starts found, %d at most expected", len(s.Starts), maxStarts)
@@ -95,15 +95,23 @@
 	return s.Starts, nil
 }
 
-// write replaces the file as a whole, so that a crash leaves the old or the new.
+// write replaces the file atomically.
 func (r *Record) write(starts []int64) error {
-	data, err := json.Marshal(state{version, starts})
-	if err == nil {
-		err = os.MkdirAll(r.dir, 0o700)
+	if err := r.replace(starts); err != nil {
+		return fmt.Errorf("record of starts: %w", err)
+	}
+	return nil
+}
+
+func (r *Record) replace(starts []int64) error {
+	data, err := json.Marshal(state{Version: formatVersion, Starts: starts})
+	if err != nil {
+		return err
 	}
-	if err == nil {
-		// Not synced: it has to outlive the process, and hundreds that start together would wait for the disk.
-		err = durable.WriteFile(r.path(), data, 0o600, false)
+	if err := os.MkdirAll(r.dir, 0o700); err != nil {
+		return err
 	}
-	return wrap(err)
+	// Not synced: it has to outlive the process, and hundreds that start together would wait for
+	// the disk.
+	return durable.WriteFile(r.path(), data, 0o600, false)
 }
