--- /dev/null
+++ b/internal/membership/cache/codec.go
@@ -0,0 +1,144 @@
+package cache
+
+import (
+	"encoding/json"
+	"fmt"
+	"hash/crc32"
+	"math"
+	"net"
+	"time"
+
+	"fernlanding/internal/membership"
+)
+
+const (
+	formatVersion = 1
+
+	// MaxFileBytes is the size of the largest file that is written or read. A larger list is not
+	// cached.
+	MaxFileBytes = 8 << 20
+	maxEntries   = 100_000
+	maxNameBytes = 256 // of a name, an address or a zone
+)
+
+// file is the contents of a file.
+type file struct {
+	Version   int             `json:"version"`
+	Source    string          `json:"source"`
+	Confirmed int64           `json:"confirmed_ms"` // Unix time in milliseconds
+	Sum       uint32          `json:"sum"`          // CRC-32C of the list's bytes
+	List      json.RawMessage `json:"list"`
+}
+
+// content is a list in a file.
+type content struct {
+	Index     int64   `json:"index"`
+	Endpoints []entry `json:"endpoints"`
+}
+
+// entry is an endpoint in a file.
+type entry struct {
+	Name     string  `json:"name"`
+	Address  string  `json:"address"`
+	Zone     string  `json:"zone,omitempty"`
+	Cell     int     `json:"cell,omitempty"`
+	Draining bool    `json:"draining,omitempty"`
+	Weight   float64 `json:"weight"`
+	SinceMs  int64   `json:"since_ms,omitempty"`
+}
+
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+
+// encode returns the contents of a file with a full list.
+func encode(list *membership.List, source string, confirmed time.Time) ([]byte, error) {
+	c := content{Index: list.Version}
+	for _, e := range list.Endpoints {
+		c.Endpoints = append(c.Endpoints, entry{
+			Name: e.Name, Address: e.Address, Zone: e.Zone, Cell: e.Cell,
+			Draining: e.Status == membership.Draining, Weight: e.Weight, SinceMs: e.SinceMs,
+		})
+	}
+	text, err := json.Marshal(c)
+	if err != nil {
+		return nil, err
+	}
+	return json.Marshal(file{
+		Version: formatVersion, Source: source, Confirmed: confirmed.UnixMilli(),
+		Sum: crc32.Checksum(text, castagnoli), List: text,
+	})
+}
+
+// parse decodes the contents of a file of a source: its list, and when that was confirmed.
+func parse(data []byte, source string) (*membership.List, time.Time, error) {
+	var f file
+	if err := json.Unmarshal(data, &f); err != nil {
+		return nil, time.Time{}, fmt.Errorf("a list in JSON expected: %w", err)
+	}
+	if f.Version != formatVersion {
+		return nil, time.Time{}, fmt.Errorf("version: %d found, %d expected", f.Version, formatVersion)
+	}
+	if f.Source != source {
+		return nil, time.Time{}, fmt.Errorf("source: %.100q found, %.100q expected", f.Source, source)
+	}
+	if sum := crc32.Checksum(f.List, castagnoli); sum != f.Sum {
+		return nil, time.Time{}, fmt.Errorf("sum: %d found, %d expected", f.Sum, sum)
+	}
+	var c content
+	if err := json.Unmarshal(f.List, &c); err != nil {
+		return nil, time.Time{}, fmt.Errorf("list: %w", err)
+	}
+	list, err := c.list()
+	if err != nil {
+		return nil, time.Time{}, err
+	}
+	return list, time.UnixMilli(f.Confirmed), nil
+}
+
+// list returns the list that a file has, or an error that says what is wrong with it.
+func (c *content) list() (*membership.List, error) {
+	if len(c.Endpoints) > maxEntries || len(c.Endpoints) == 0 || c.Index < 0 {
+		return nil, fmt.Errorf("list: %d endpoints of version %d found, 1 to %d and no negative version expected",
+			len(c.Endpoints), c.Index, maxEntries)
+	}
+	list := &membership.List{Version: c.Index, Full: true}
+	seen := make(map[string]bool, len(c.Endpoints))
+	for i, e := range c.Endpoints {
+		if err := e.check(); err != nil {
+			return nil, fmt.Errorf("list.endpoints[%d].%w", i, err)
+		}
+		if seen[e.Name] {
+			return nil, fmt.Errorf("list.endpoints[%d].name: %.100q is there twice", i, e.Name)
+		}
+		seen[e.Name] = true
+		list.Endpoints = append(list.Endpoints, e.endpoint())
+	}
+	return list, nil
+}
+
+// check returns an error where a field is out of its bounds.
+func (e *entry) check() error {
+	if e.Name == "" || len(e.Name) > maxNameBytes {
+		return fmt.Errorf("name: %d bytes found, 1 to %d expected", len(e.Name), maxNameBytes)
+	}
+	if len(e.Zone) > maxNameBytes {
+		return fmt.Errorf("zone: %d bytes found, %d at most expected", len(e.Zone), maxNameBytes)
+	}
+	if _, _, err := net.SplitHostPort(e.Address); err != nil || len(e.Address) > maxNameBytes {
+		return fmt.Errorf("address: %.100q found, host:port expected", e.Address)
+	}
+	if !(e.Weight >= 0) || math.IsInf(e.Weight, 0) {
+		return fmt.Errorf("weight: %g found, 0 or more expected", e.Weight)
+	}
+	return nil
+}
+
+// endpoint converts an entry.
+func (e *entry) endpoint() membership.Endpoint {
+	endpoint := membership.Endpoint{
+		Name: e.Name, Address: e.Address, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, SinceMs: e.SinceMs,
+	}
+	if e.Draining {
+		endpoint.Status = membership.Draining
+	}
+	return endpoint
+}
--- a/internal/membership/catalog/overload_test.go
+++ b/internal/membership/catalog/overload_test.go
@@ -1,7 +1,6 @@
 package catalog
 
 import (
-	"fmt"
 	"log/slog"
 	"math/rand/v2"
 	"net/http"
@@ -15,48 +14,51 @@
 const (
 	overloadClients  = 100
 	overloadCallCost = 20 * time.Millisecond
-	overloadTimeout  = 500 * time.Millisecond  // after which a call that waits is turned away
-	overloadQueue    = 1250 * time.Millisecond // beyond which a call is turned away at once
-	// Calls that may be turned away for each client until all are answered. Clients that come back within the queue's length make
-	// some ten a second each, for ever.
-	mostRefusedPerClient = 12
+	overloadTimeout  = 500 * time.Millisecond  // after which a call that waits is rejected
+	overloadMaxQueue = 1250 * time.Millisecond // beyond which a call is rejected at once
+	// maxRejectionsPerClient bounds the calls that may be rejected for each client until all are
+	// answered. Clients that come back within the queue's length make some ten a second each, for
+	// ever.
+	maxRejectionsPerClient = 12
 )
 
-// slowService works off new watches in turn. It works on a call that it has turned away for its wait as on any other, as a
-// service does that notices too late that nobody waits. Watches that go on cost it nothing.
-type slowService struct {
-	mu       sync.Mutex
-	busyTill time.Time
-	refused  int
-	tooMany  chan struct{} // closed once calls have been turned away more often than is allowed
+// overloadedService works off new watches in turn. It works on a call that it has rejected for its
+// wait as on any other, as a service does that notices too late that nobody waits. Watches that go
+// on cost it nothing.
+type overloadedService struct {
+	mu                sync.Mutex
+	busyUntil         time.Time
+	rejections        int
+	tooManyRejections chan struct{} // closed once more calls have been rejected than is allowed
 }
 
 // enqueue takes a call into the queue, where it is short enough, and returns how long it will wait.
-func (s *slowService) enqueue() (wait time.Duration, accepted bool) {
+func (s *overloadedService) enqueue() (wait time.Duration, accepted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if s.busyTill.Before(now) {
-		s.busyTill = now
+	if s.busyUntil.Before(now) {
+		s.busyUntil = now
 	}
-	wait = s.busyTill.Add(overloadCallCost).Sub(now)
-	if wait > overloadQueue {
+	wait = s.busyUntil.Add(overloadCallCost).Sub(now)
+	if wait > overloadMaxQueue {
 		return 0, false
 	}
-	s.busyTill = now.Add(wait)
+	s.busyUntil = now.Add(wait)
 	return wait, true
 }
 
-func (s *slowService) refuse(w http.ResponseWriter) {
+func (s *overloadedService) reject(w http.ResponseWriter) {
 	s.mu.Lock()
-	if s.refused++; s.refused == mostRefusedPerClient*overloadClients {
-		close(s.tooMany)
+	s.rejections++
+	if s.rejections == maxRejectionsPerClient*overloadClients {
+		close(s.tooManyRejections)
 	}
 	s.mu.Unlock()
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func (s *slowService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *overloadedService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("from") != "0" {
 		<-r.Context().Done()
 		return
@@ -70,38 +72,40 @@
 		}
 	}
 	if !accepted || wait > overloadTimeout {
-		s.refuse(w)
+		s.reject(w)
 		return
 	}
-	fmt.Fprint(w, `{"index":1,"snapshot":false,"endpoints":[]}`)
+	answer(w, noChange)
 }
 
-// resumes is a client that begins with a list of version 0.
-func resumes(addr string, seed uint64) *Client {
-	word := make(chan struct{}, 1)
-	word <- struct{}{}
+// newResumingClient returns a client that begins with a list of version 0.
+func newResumingClient(addr string, seed uint64) *Client {
+	requests := make(chan struct{}, 1)
+	requests <- struct{}{}
 	return New(Config{
-		Address: addr, Subscribe: true, AwaitFirstRequest: true, KnownVersion: 0, WatchRequested: word,
+		Address: addr, Subscribe: true, AwaitFirstRequest: true, KnownVersion: 0, WatchRequested: requests,
 		Rand: rand.New(rand.NewPCG(seed, 1)), Log: slog.New(slog.DiscardHandler),
 	})
 }
 
-// Clients that start together before a service that can't take all their calls at once leave it the time to work off its queue, and all of
-// them are answered. Where they come back sooner than that, its queue stays longer than calls may wait, and nobody is answered any more.
+// Clients that start together before a service that can't take all their calls at once leave it the
+// time to work off its queue, and all of them are answered. Where they come back sooner than that,
+// its queue stays longer than calls may wait, and nobody is answered any more.
 func TestClientsOfAnOverloadedServiceAreAllAnswered(t *testing.T) {
 	t.Parallel()
-	service := &slowService{tooMany: make(chan struct{})}
+	service := &overloadedService{tooManyRejections: make(chan struct{})}
 	server := httptest.NewServer(service)
 	t.Cleanup(server.Close)
-	lists := make(listed, overloadClients)
+	lists := make(listSink, overloadClients)
 	for seed := range uint64(overloadClients) {
-		follow(t, resumes(strings.TrimPrefix(server.URL, "http://"), seed), lists)
+		run(t, newResumingClient(strings.TrimPrefix(server.URL, "http://"), seed), lists)
 	}
 	for answered := range overloadClients {
 		select {
 		case <-lists:
-		case <-service.tooMany:
-			t.Fatalf("%d of %d clients are answered, and calls were turned away %d times", answered, overloadClients, mostRefusedPerClient*overloadClients)
+		case <-service.tooManyRejections:
+			t.Fatalf("%d of %d clients are answered, and %d calls were rejected",
+				answered, overloadClients, maxRejectionsPerClient*overloadClients)
 		}
 	}
 }
--- a/internal/membership/catalog/retry.go
+++ b/internal/membership/catalog/retry.go
@@ -6,98 +6,107 @@
 )
 
 const (
-	// An agent that says nothing is called this often, whatever became of the calls before: what it has when it speaks again counts
-	// as told at that moment, and it never answers what it got while it was silent.
+	// silentInterval is the time between calls to an agent that does not answer, whatever became of
+	// the calls before: what it has when it speaks again counts as notified at that moment, and it
+	// never answers what it got while it was silent.
 	silentInterval = 100 * time.Millisecond
-	// The bound of the wait after a refusal grows so with each.
-	refusedGrowth = 3
-	// What a Retry-After asks for is kept up to this, and up to half as much again is added to spread the callers that heard it.
-	mostHonoured = 2 * time.Second
-	// After a refusal, and after the call that follows its wait, a call that is open is taken for so long to stand in the service's
-	// queue, and none is made beside it. Later it may as well hang in an agent that has fallen silent.
-	queuedTime = 3 * time.Second
+	// backoffGrowth is the factor by which the bound of the backoff grows with each rejection.
+	backoffGrowth = 3
+	// maxKeptRetryAfter is the longest Retry-After that is kept. Up to half as much again is added,
+	// to spread the callers that got the same.
+	maxKeptRetryAfter = 2 * time.Second
+	// queueTime is for how long after a rejection, and after the call that follows its backoff, an
+	// open call is taken to be queued by the service, so that none is made beside it. Later it may
+	// as well hang in an agent that has fallen silent.
+	queueTime = 3 * time.Second
 )
 
-// backoff bounds the waits after refusals (503 or 429). Each wait is drawn from the upper half of a bound that grows from the first
-// to the most. A change counts as told 6 s after the service had it and could be reached, so the longest wait leaves some of that to the
+// backoffBounds bounds the backoffs after rejections (status 503 or 429). Each is drawn from the
+// upper half of a bound that grows from the first to the largest. A change counts as notified 6 s
+// after the service had it and could be reached, so the longest backoff leaves some of that to the
 // service's own queue.
-type backoff struct{ first, most time.Duration }
+type backoffBounds struct{ first, largest time.Duration }
 
 var (
-	// Where lists are pushed, a refusal is rare, and short where an agent on the own machine begins anew.
-	pushBackoff = backoff{250 * time.Millisecond, 3 * time.Second}
-	// Where all proxies ask one service, a refusal says that its queue is longer than it lets calls wait. All that are refused come
-	// back within a wait, so waits are long enough for the queue to shrink meanwhile.
-	askBackoff = backoff{time.Second, 4 * time.Second}
+	// pushedBackoff: where lists are pushed, a rejection is rare, and short where an agent on the
+	// replica's own machine restarts.
+	pushedBackoff = backoffBounds{first: 250 * time.Millisecond, largest: 3 * time.Second}
+	// onDemandBackoff: where all replicas call one service, a rejection says that its queue is
+	// longer than it lets calls wait. All that are rejected come back within a backoff, so backoffs
+	// are long enough for the queue to shrink meanwhile.
+	onDemandBackoff = backoffBounds{first: time.Second, largest: 4 * time.Second}
 )
 
-// retry decides when to call again for a list that is pushed, until one call is answered. It has no clock: times come in as
-// arguments, and the waits are drawn from its source of randomness. It is not safe for concurrent use.
-type retry struct {
+// retryTimer decides when to call again, until one call is answered. It has no clock: times come in
+// as arguments, and backoffs are drawn from its source of randomness. It is not safe for concurrent
+// use.
+type retryTimer struct {
 	random   *rand.Rand
-	interval time.Duration // between calls of an agent that is silent
-	backoff  backoff
+	interval time.Duration // between calls to a silent agent
+	bounds   backoffBounds
 
-	next    time.Time     // when to call again where no call is open, or the agent is silent
-	called  time.Time     // the last call
-	queued  time.Time     // until then an open call stands in a queue; zero: the agent has refused none, or has broken off since
-	waiting bool          // there was a refusal since the last call
-	bound   time.Duration // of the last wait after a refusal
+	next        time.Time     // when to call again where no call is open, or the agent is silent
+	called      time.Time     // when the last call was made
+	queuedUntil time.Time     // an open call counts as queued; zero: none does
+	rejected    bool          // there was a rejection since the last call
+	bound       time.Duration // of the last backoff; 0: none
 }
 
-// newRetry returns a retry whose first call is due at once, and which calls a silent agent as often as an interval says.
-func newRetry(now time.Time, interval time.Duration, bounds backoff, random *rand.Rand) *retry {
-	return &retry{random: random, interval: interval, backoff: bounds, next: now}
+// newRetryTimer returns a timer whose first call is due at once.
+func newRetryTimer(
+	now time.Time, interval time.Duration, bounds backoffBounds, random *rand.Rand,
+) *retryTimer {
+	return &retryTimer{random: random, interval: interval, bounds: bounds, next: now}
 }
 
-// due is when to call again. pending: a call is open.
-func (r *retry) due(pending bool) time.Time {
-	if pending && r.queued.After(r.next) {
-		return r.queued
+// due returns when to call again; callOpen says that a call is open.
+func (t *retryTimer) due(callOpen bool) time.Time {
+	if callOpen && t.queuedUntil.After(t.next) {
+		return t.queuedUntil
 	}
-	return r.next
+	return t.next
 }
 
-// call takes the news that a call is made.
-func (r *retry) call(now time.Time) {
-	if r.waiting {
-		r.queued = now.Add(queuedTime)
+// noteCall notes that a call is made.
+func (t *retryTimer) noteCall(now time.Time) {
+	if t.rejected {
+		t.queuedUntil = now.Add(queueTime)
 	}
-	r.called, r.waiting = now, false
-	r.next = now.Add(r.interval)
+	t.called, t.rejected = now, false
+	t.next = now.Add(t.interval)
 }
 
-// refuse takes the news that a call was turned away. retryAfter is when the service asked to come back; 0: it did not say.
-// Several calls that are refused with none made in between are one refusal.
-func (r *retry) refuse(now time.Time, retryAfter time.Duration) {
-	r.queued = now.Add(queuedTime)
-	if r.waiting {
+// noteRejection notes that a call was rejected; retryAfter is 0 where the service asked for none.
+// Several calls that are rejected with none made in between are one rejection.
+func (t *retryTimer) noteRejection(now time.Time, retryAfter time.Duration) {
+	t.queuedUntil = now.Add(queueTime)
+	if t.rejected {
 		return
 	}
-	r.waiting = true
-	r.next = now.Add(max(r.refusedWait(), r.honoured(retryAfter)))
+	t.rejected = true
+	t.next = now.Add(max(t.drawBackoff(), t.drawRetryAfter(retryAfter)))
 }
 
-// fail takes the news that a call was reset, refused by the kernel, or answered with what makes no sense: what was in the agent's
-// queue is lost, and it is called as one that is silent.
-func (r *retry) fail() {
-	r.queued, r.waiting, r.bound = time.Time{}, false, 0
-	r.next = r.called.Add(r.interval)
+// noteFailure notes that a call was reset, its connection refused, or its answer invalid: what was
+// in the agent's queue is lost, and it is called like one that is silent.
+func (t *retryTimer) noteFailure() {
+	t.queuedUntil, t.rejected, t.bound = time.Time{}, false, 0
+	t.next = t.called.Add(t.interval)
 }
 
-// refusedWait draws the wait after one more refusal.
-func (r *retry) refusedWait() time.Duration {
-	r.bound = min(max(refusedGrowth*r.bound, r.backoff.first), r.backoff.most)
-	return r.bound/2 + r.upTo(r.bound/2)
+// drawBackoff draws the backoff after one more rejection.
+func (t *retryTimer) drawBackoff() time.Duration {
+	t.bound = min(max(backoffGrowth*t.bound, t.bounds.first), t.bounds.largest)
+	return t.bound/2 + t.drawUpTo(t.bound/2)
 }
 
-// honoured draws the wait that a Retry-After asks for.
-func (r *retry) honoured(retryAfter time.Duration) time.Duration {
-	asked := min(retryAfter, mostHonoured)
-	return asked + r.upTo(asked/2)
+// drawRetryAfter draws the delay that a Retry-After asks for.
+func (t *retryTimer) drawRetryAfter(retryAfter time.Duration) time.Duration {
+	kept := min(retryAfter, maxKeptRetryAfter)
+	return kept + t.drawUpTo(kept/2)
 }
 
-// upTo draws a time from 0 to most, evenly.
-func (r *retry) upTo(most time.Duration) time.Duration {
-	return time.Duration(r.random.Int64N(int64(most) + 1))
+// drawUpTo returns a uniformly distributed duration from 0 to a longest one, included.
+func (t *retryTimer) drawUpTo(longest time.Duration) time.Duration {
+	return time.Duration(t.random.Int64N(int64(longest) + 1))
 }
--- /dev/null
+++ b/internal/membership/catalog/scheduled_test.go
@@ -0,0 +1,93 @@
+package catalog
+
+import (
+	"log/slog"
+	"math/rand/v2"
+	"sync"
+	"testing"
+	"time"
+
+	"fernlanding/internal/standin"
+	"fernlanding/internal/start"
+)
+
+// callLog keeps the calls that a stand-in of discovery has got.
+type callLog struct {
+	mu    sync.Mutex
+	calls []standin.DiscoveryCall
+}
+
+func (l *callLog) add(call standin.DiscoveryCall) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.calls = append(l.calls, call)
+}
+
+// matching returns the calls that match.
+func (l *callLog) matching(match func(standin.DiscoveryCall) bool) []standin.DiscoveryCall {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	var calls []standin.DiscoveryCall
+	for _, call := range l.calls {
+		if match(call) {
+			calls = append(calls, call)
+		}
+	}
+	return calls
+}
+
+// waitFor waits until more than a number of calls match.
+func (l *callLog) waitFor(t *testing.T, what string, more int, match func(standin.DiscoveryCall) bool) {
+	t.Helper()
+	deadline := time.Now().Add(20 * time.Second)
+	for len(l.matching(match)) <= more {
+		if time.Now().After(deadline) {
+			t.Fatalf("%s: not within 20 s", what)
+		}
+		time.Sleep(time.Millisecond) // calls have no channel
+	}
+}
+
+// A discovery that has lost all its members does not make a replica ready that has no list; of a
+// state that is older than the replica's the full list is read; a Retry-After is kept.
+func TestScheduledCallsToAFailingDiscovery(t *testing.T) {
+	const retryAfter = 400 * time.Millisecond
+	var log callLog
+	discovery, err := standin.NewDiscoveryWith(standin.DiscoveryConfig{RetryAfter: retryAfter, Report: log.add})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(discovery.Close)
+	for range 3 {
+		discovery.Put(
+			standin.Member{Name: "a", Address: "127.0.0.1:1"}, standin.Member{Name: "b", Address: "127.0.0.1:2"})
+	}
+	discovery.SetMode(standin.ListEmpty)
+	lists := make(listSink, 100)
+	run(t, New(Config{
+		Address: discovery.Addr(), Log: slog.New(slog.DiscardHandler), KnownVersion: -1,
+		Urgent:    func() bool { return true },
+		Scheduler: start.NewPollScheduler(start.PollConfig{Hold: 50 * time.Millisecond}, rand.New(rand.NewPCG(1, 1))),
+	}), lists)
+	log.waitFor(t, "calls while the list is empty", 3, func(standin.DiscoveryCall) bool { return true })
+	if len(lists) > 0 {
+		t.Fatalf("an empty list was passed on as the first: %+v", <-lists)
+	}
+	discovery.SetMode(standin.ListWell)
+	discovery.Put(standin.Member{Name: "c", Address: "127.0.0.1:3"})
+	if list := <-lists; len(list.Endpoints) == 0 {
+		t.Fatalf("the first list: %+v", list)
+	}
+	isFullRead := func(call standin.DiscoveryCall) bool { return call.From < 0 && call.Status == 200 }
+	fullReads := len(log.matching(isFullRead))
+	discovery.SetMode(standin.ListOlder)
+	discovery.SetMode(standin.ListWell)
+	log.waitFor(t, "a full read of the older state", fullReads, isFullRead)
+	discovery.Down(true)
+	isRejected := func(call standin.DiscoveryCall) bool { return call.Status == 503 }
+	log.waitFor(t, "two calls that are rejected", 1, isRejected)
+	rejected := log.matching(isRejected)
+	if delay := rejected[1].Began.Sub(rejected[0].Began); delay < retryAfter {
+		t.Errorf("called again %v after a rejection with Retry-After %v", delay, retryAfter)
+	}
+}
--- /dev/null
+++ b/internal/membership/consul/consul_test.go
@@ -0,0 +1,181 @@
+package consul
+
+import (
+	"context"
+	"log/slog"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"fernlanding/internal/membership"
+	"fernlanding/internal/membership/contract"
+	"fernlanding/internal/membership/reconcile"
+	"fernlanding/internal/standin"
+)
+
+// registry implements contract.Registry by the stand-in.
+type registry struct{ health *standin.Health }
+
+func (r registry) Put(endpoints ...membership.Endpoint) { r.health.Put(standin.Members(endpoints)...) }
+
+func (r registry) Delete(names ...string) { r.health.Delete(names...) }
+
+func (r registry) Mend() { r.health.Fail(standin.Fine) }
+
+func (r registry) Break(n int) (string, bool) {
+	faults := []struct {
+		what  string
+		fault standin.HealthFault
+	}{
+		{"down", standin.Down},
+		{"silent", standin.Silent},
+		{"no leader", standin.Leader},
+		{"cut short", standin.Cut},
+		{"no index", standin.NoIndex},
+	}
+	if n >= len(faults) {
+		return "", false
+	}
+	r.health.Fail(faults[n].fault)
+	return faults[n].what, true
+}
+
+// newHealth starts a stand-in of the health API.
+func newHealth(t *testing.T) *standin.Health {
+	t.Helper()
+	health, err := standin.NewHealth()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(health.Close)
+	return health
+}
+
+func newSource(health *standin.Health) *Source {
+	return New(Config{Address: health.Addr(), Service: "s", Log: slog.New(slog.DiscardHandler)})
+}
+
+func TestContract(t *testing.T) {
+	contract.Test(t, func(t *testing.T) (membership.Source, contract.Registry) {
+		t.Helper()
+		health := newHealth(t)
+		return newSource(health), registry{health: health}
+	})
+}
+
+// listSink passes on the lists that it is notified of.
+type listSink chan *membership.List
+
+func (s listSink) UpdateFailed() {}
+
+func (s listSink) UpdateEndpoints(list *membership.List) { s <- list }
+
+// run runs a source until stop, which waits until it has ended.
+func run(t *testing.T, source *Source, sink membership.Sink) (stop func()) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	var running sync.WaitGroup
+	running.Go(func() { source.Run(ctx, sink) })
+	stop = func() {
+		cancel()
+		running.Wait()
+	}
+	t.Cleanup(stop)
+	return stop
+}
+
+// An index that falls resets the queries; what a second query answers holds, and the source does
+// not stay behind.
+func TestIndexThatFallsResetsTheQueries(t *testing.T) {
+	health := newHealth(t)
+	for range 50 {
+		health.Put(standin.Member{Name: "a", Address: "127.0.0.1:1"})
+	}
+	lists := make(listSink, 100)
+	run(t, newSource(health), lists)
+	<-lists
+	health.Restart()
+	health.Put(standin.Member{Name: "b", Address: "127.0.0.1:2"})
+	for list := range lists {
+		if len(list.Endpoints) == 2 {
+			return
+		}
+	}
+}
+
+// Wake-ups without a change are no updates, and no storm either.
+func TestWakeUpsWithoutChangeAreSpaced(t *testing.T) {
+	health := newHealth(t)
+	health.Put(standin.Member{Name: "a", Address: "127.0.0.1:1"})
+	lists := make(listSink, 100)
+	stop := run(t, newSource(health), lists)
+	<-lists
+	health.Fail(standin.Spurious)
+	began, before := time.Now(), health.Reads()
+	for health.Reads() < before+5 {
+		time.Sleep(time.Millisecond) // reads have no channel
+	}
+	took := time.Since(began)
+	stop()
+	if len(lists) != 0 {
+		t.Errorf("%d more lists", len(lists))
+	}
+	if took < 3*minPause { // five queries with four pauses between them, the first of which may have begun
+		t.Errorf("five queries in %v", took)
+	}
+}
+
+// Instances become entries; those that are invalid are left out by the reconciler.
+func TestInstancesBecomeEntries(t *testing.T) {
+	entries, err := parse([]byte(`[
+		{"Node":{"Address":"10.0.0.1","Datacenter":"d"},
+			"Service":{"ID":"a","Port":80,"Weights":{"Passing":3,"Warning":1}},
+			"Checks":[{"Status":"passing"}]},
+		{"Node":{"Address":"10.0.0.1"},
+			"Service":{"ID":"b","Address":"10.0.0.2","Port":81,"Meta":{"zone":"z","cell":"4","since":"9"},
+				"Weights":{"Passing":3,"Warning":1}},
+			"Checks":[{"Status":"warning"}]},
+		{"Node":{"Address":"10.0.0.1"},
+			"Service":{"ID":"c","Port":82},
+			"Checks":[{"Status":"passing"},{"Status":"critical"}]},
+		{"Node":{"Address":"10.0.0.1"},"Service":{"ID":"d","Port":82,"Meta":{"cell":"x"}}},
+		{"Node":{"Address":"10.0.0.1"},"Service":{"ID":"e"}}, 7, {"Service":{"Port":"80"}}]`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	snapshot := reconcile.Snapshot{Count: -1, Entries: entries}
+	result, err := reconcile.New(reconcile.Config{}).ApplySnapshot(time.Now(), snapshot)
+	if err != nil || len(result.List.Endpoints) != 3 || len(result.Invalid) != 4 {
+		t.Fatalf("%+v, %v", result, err)
+	}
+	for i, want := range []membership.Endpoint{
+		{Name: "a", Address: "10.0.0.1:80", Zone: "d", Weight: 3},
+		{Name: "b", Address: "10.0.0.2:81", Zone: "z", Cell: 4, Weight: 1, SinceMs: 9},
+		{Name: "c", Address: "10.0.0.1:82", Weight: 1, Status: membership.Draining},
+	} {
+		if got := result.List.Endpoints[i]; got != want {
+			t.Errorf("got %+v, want %+v", got, want)
+		}
+	}
+	for _, bad := range []string{"", "{", "null", "{}", `"x"`} {
+		if _, err := parse([]byte(bad)); err == nil || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%q: %v", bad, err)
+		}
+	}
+}
+
+func FuzzParse(f *testing.F) {
+	f.Add([]byte(`[
+		{"Service":{"ID":"a/b","Port":-1,"Meta":{"status":"?"}}}, null, {"Service":{"Weights":{"Passing":-1}}}]`))
+	f.Fuzz(func(t *testing.T, data []byte) {
+		entries, err := parse(data)
+		if err != nil {
+			return
+		}
+		snapshot := reconcile.Snapshot{Count: -1, Entries: entries}
+		if _, err := reconcile.New(reconcile.Config{}).ApplySnapshot(time.Time{}, snapshot); err != nil {
+			t.Fatal(err)
+		}
+	})
+}
--- a/internal/membership/file/file.go
+++ b/internal/membership/file/file.go
@@ -1,115 +1,132 @@
-// Package file follows a list of backends in a file. It is meant for machines that something else keeps up to date, and
-// for tests; whoever writes the file replaces it as a whole, by a rename.
+// Package file follows an endpoint list in a file. It is meant for machines on which something else
+// keeps the file up to date, and for tests. Whoever writes the file replaces it as a whole, by a
+// rename.
+//
+// A file that is missing, cut short or no list changes nothing: the last list stands, and the
+// source counts as silent.
 package file
 
 import (
 	"context"
 	"encoding/json"
 	"errors"
-	"fernlanding/internal/membership"
-	"fernlanding/internal/membership/reconcile"
-	"fernlanding/internal/membership/staleness"
 	"fmt"
 	"io"
 	"log/slog"
 	"os"
 	"time"
+
+	"fernlanding/internal/membership"
+	"fernlanding/internal/membership/reconcile"
+	"fernlanding/internal/membership/staleness"
 )
 
 const (
-	// Every is how often the file is looked at: a drain in it is known well within the 250 ms of its rule.
-	Every   = 100 * time.Millisecond
-	maxFile = 32 << 20
-	// A file that was changed this short a time before it was read may change again unseen: clocks of file systems are
-	// coarse. It is read again.
-	racy = 2 * time.Second
+	// Interval is how often the file is checked: a drain in it is known well within the 250 ms that
+	// the protocol allows.
+	Interval     = 100 * time.Millisecond
+	maxFileBytes = 32 << 20
+	// timestampSlack is how shortly before a read a file may have been modified and then change
+	// again unseen, since the clocks of file systems are coarse. Such a file is read again.
+	timestampSlack = 2 * time.Second
 )
 
-// Source is a source.
+// Source is a membership.Source of one file.
 type Source struct {
-	path   string
-	log    *slog.Logger
-	teller *staleness.Notifier
-	last   os.FileInfo
-	read   time.Time
-	said   string // the fault that was logged last
+	path     string
+	log      *slog.Logger
+	notifier *staleness.Notifier
+	lastInfo os.FileInfo // of the last file read; nil: the last read failed, or there was none
+	lastRead time.Time
+	lastErr  string // logged last; empty: the last check succeeded
 }
 
-// New returns a source that follows a file: {"endpoints": [{"name", "address", "zone", "cell", "status", "weight",
-// "since"}]}. An entry that makes no sense is skipped and named once; a file that is none changes nothing.
+// New returns a source that follows a file: {"endpoints": [{"name", "address", "zone", "cell",
+// "status", "weight", "since"}]}. An invalid entry is left out and logged once.
 func New(path string, log *slog.Logger) *Source {
-	log = log.With("file", path)
-	return &Source{path: path, log: log, teller: staleness.NewNotifier("list in a file", log)}
+	log = log.With("source", "file", "file", path)
+	return &Source{path: path, log: log, notifier: staleness.NewNotifier(log)}
 }
 
 // Health implements membership.Source.
-func (s *Source) Health() membership.Health { return s.teller.Health() }
+func (s *Source) Health() membership.Health { return s.notifier.Health() }
 
 // Run implements membership.Source.
 func (s *Source) Run(ctx context.Context, sink membership.Sink) {
-	tick := time.NewTicker(Every)
-	defer tick.Stop()
+	ticker := time.NewTicker(Interval)
+	defer ticker.Stop()
 	for {
-		s.look(sink)
+		s.check(sink)
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// look reads the file if it may have changed.
-func (s *Source) look(sink membership.Sink) {
+// check reads the file if it may have changed.
+func (s *Source) check(sink membership.Sink) {
 	info, err := os.Stat(s.path)
-	if err == nil && s.last != nil && os.SameFile(info, s.last) && info.Size() == s.last.Size() && info.ModTime().Equal(s.last.ModTime()) &&
-		s.read.Sub(info.ModTime()) > racy {
-		if s.said == "" {
-			s.teller.Confirm()
-		}
+	if err == nil && s.isUnchanged(info) {
+		s.notifier.Confirm()
 		return
 	}
 	if err == nil {
-		s.last, s.read = info, time.Now()
-		err = s.take(sink)
+		s.lastInfo, s.lastRead = info, time.Now()
+		err = s.read(sink)
 	}
 	if err != nil {
-		s.last = nil
-		s.teller.Failed()
-		if err.Error() != s.said {
-			s.said = err.Error()
-			s.log.Warn("list in a file: the last one stands", "error", err)
-			sink.UpdateFailed()
-		}
+		s.fail(sink, err)
+		return
+	}
+	s.lastErr = ""
+}
+
+// isUnchanged reports whether the file is certainly the one that was read last.
+func (s *Source) isUnchanged(info os.FileInfo) bool {
+	return s.lastInfo != nil && os.SameFile(info, s.lastInfo) && info.Size() == s.lastInfo.Size() &&
+		info.ModTime().Equal(s.lastInfo.ModTime()) && s.lastRead.Sub(info.ModTime()) > timestampSlack
+}
+
+// fail notes that the file could not be read. Its sink is notified, and a line is logged, when the
+// error changes.
+func (s *Source) fail(sink membership.Sink, err error) {
+	s.lastInfo = nil
+	s.notifier.Failed()
+	if err.Error() == s.lastErr {
 		return
 	}
-	s.said = ""
+	s.lastErr = err.Error()
+	s.log.Warn("endpoint list not read, the last one stands", "error", err)
+	sink.UpdateFailed()
 }
 
-// take reads the file and tells what is new in it.
-func (s *Source) take(sink membership.Sink) error {
+// read reads the file, and notifies the sink of its list where that has changed.
+func (s *Source) read(sink membership.Sink) error {
 	f, err := os.Open(s.path)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	data, err := io.ReadAll(io.LimitReader(f, maxFile+1))
+	defer func() { _ = f.Close() }() // nothing was written
+	data, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 	if err != nil {
 		return err
 	}
-	if len(data) > maxFile {
-		return fmt.Errorf("over %d bytes", maxFile)
+	if len(data) > maxFileBytes {
+		return fmt.Errorf("over %d bytes", maxFileBytes)
 	}
 	entries, err := parse(data)
 	if err != nil {
 		return err
 	}
-	_, err = s.teller.Update(sink, entries)
+	_, err = s.notifier.Update(sink, entries)
 	return err
 }
 
-// parse takes a file apart. Its entries are judged one by one.
-func parse(data []byte) (entries []reconcile.Entry, err error) {
+// parse splits the contents of a file into entries, whose values the reconciler decodes and checks
+// one by one.
+func parse(data []byte) ([]reconcile.Entry, error) {
 	var raw struct {
 		Endpoints *[]json.RawMessage `json:"endpoints"`
 	}
@@ -119,26 +136,35 @@
 	if raw.Endpoints == nil {
 		return nil, errors.New("endpoints is missing")
 	}
+	var entries []reconcile.Entry
 	seen := map[string]bool{}
-	for i, e := range *raw.Endpoints {
-		var named struct {
-			Name    string `json:"name"`
-			Address string `json:"address"`
-		}
-		// A name that makes no sense shows again where the entry is judged.
-		_ = json.Unmarshal(e, &named)
-		key := named.Name
-		if key == "" {
-			key = named.Address
-		}
-		if key == "" || seen[key] {
-			if seen[key] && named.Name == "" {
-				e = nil // twice the same address: the second is nobody
-			}
-			key = fmt.Sprintf("(entry %d)", i+1)
-		}
-		seen[key] = true
-		entries = append(entries, reconcile.Entry{Key: "/" + key, Value: e})
+	for i, text := range *raw.Endpoints {
+		entry := parseEntry(text, i, seen)
+		seen[entry.Key] = true
+		entry.Key = "/" + entry.Key
+		entries = append(entries, entry)
 	}
 	return entries, nil
 }
+
+// parseEntry returns the entry of an endpoint in a file, by its index there. Its key is its name,
+// or else its address, or else its place, which is also the key where another entry has that name.
+func parseEntry(text json.RawMessage, index int, seen map[string]bool) reconcile.Entry {
+	var named struct {
+		Name    string `json:"name"`
+		Address string `json:"address"`
+	}
+	// An error shows again where the reconciler decodes the entry.
+	_ = json.Unmarshal(text, &named)
+	key := named.Name
+	if key == "" {
+		key = named.Address
+	}
+	if key == "" || seen[key] {
+		if seen[key] && named.Name == "" {
+			text = nil // the same address a second time, and no name: the entry is invalid
+		}
+		key = fmt.Sprintf("(entry %d)", index+1)
+	}
+	return reconcile.Entry{Key: key, Value: text}
+}
--- a/internal/membership/file/file_test.go
+++ b/internal/membership/file/file_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"encoding/json"
-	"fernlanding/internal/membership"
-	"fernlanding/internal/membership/contract"
 	"fmt"
 	"log/slog"
 	"maps"
@@ -13,24 +11,40 @@
 	"strings"
 	"sync"
 	"testing"
+
+	"fernlanding/internal/membership"
+	"fernlanding/internal/membership/contract"
 )
 
-// registry writes a file.
+// registry implements contract.Registry by a file.
 type registry struct {
 	t    *testing.T
 	path string
 
-	mu     sync.Mutex
-	all    map[string]membership.Endpoint
-	broken int // way, from 1
+	mu        sync.Mutex
+	endpoints map[string]membership.Endpoint // by name
+	fault     fault
 }
 
-func (r *registry) text() []byte {
+// fault is what is wrong with the file.
+type fault int
+
+const (
+	noFault fault = iota
+	missing
+	cutShort
+	otherContents
+	empty // torn: written in place, by a process that died
+)
+
+// contents returns the contents of a file with the endpoints.
+func (r *registry) contents() []byte {
 	list := []map[string]any{}
-	for _, name := range slices.Sorted(maps.Keys(r.all)) {
-		e := r.all[name]
+	for _, name := range slices.Sorted(maps.Keys(r.endpoints)) {
+		e := r.endpoints[name]
 		list = append(list, map[string]any{
-			"name": e.Name, "address": e.Address, "zone": e.Zone, "cell": e.Cell, "weight": e.Weight, "since": e.SinceMs,
+			"name": e.Name, "address": e.Address, "zone": e.Zone, "cell": e.Cell,
+			"weight": e.Weight, "since": e.SinceMs,
 			"status": []string{"serving", "draining"}[e.Status],
 		})
 	}
@@ -41,17 +55,19 @@
 	return data
 }
 
+// write replaces the file, or writes it as the fault says.
 func (r *registry) write() {
-	data := r.text()
-	switch r.broken {
-	case 1:
-		_ = os.Remove(r.path)
+	data := r.contents()
+	switch r.fault {
+	case noFault:
+	case missing:
+		_ = os.Remove(r.path) // it may be missing already
 		return
-	case 2:
+	case cutShort:
 		data = data[:len(data)/2]
-	case 3:
+	case otherContents:
 		data = []byte(`{"endpoint":[]}`)
-	case 4: // torn: written in place, by one who died
+	case empty:
 		if err := os.WriteFile(r.path, nil, 0o644); err != nil {
 			r.t.Error(err)
 		}
@@ -65,11 +81,11 @@
 	}
 }
 
-func (r *registry) Put(all ...membership.Endpoint) {
+func (r *registry) Put(endpoints ...membership.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, e := range all {
-		r.all[e.Name] = e
+	for _, e := range endpoints {
+		r.endpoints[e.Name] = e
 	}
 	r.write()
 }
@@ -77,81 +93,88 @@
 func (r *registry) Delete(names ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, n := range names {
-		delete(r.all, n)
+	for _, name := range names {
+		delete(r.endpoints, name)
 	}
 	r.write()
 }
 
 func (r *registry) Break(n int) (string, bool) {
-	ways := []string{"no file", "a file cut short", "another file", "an empty file"}
-	if n >= len(ways) {
+	faults := []string{"no file", "a file cut short", "another file", "an empty file"}
+	if n >= len(faults) {
 		return "", false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.broken = n + 1
+	r.fault = missing + fault(n)
 	r.write()
-	return ways[n], true
+	return faults[n], true
 }
 
 func (r *registry) Mend() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.broken = 0
+	r.fault = noFault
 	r.write()
 }
 
 func TestContract(t *testing.T) {
 	contract.Test(t, func(t *testing.T) (membership.Source, contract.Registry) {
-		r := &registry{t: t, path: filepath.Join(t.TempDir(), "list.json"), all: map[string]membership.Endpoint{}}
+		t.Helper()
+		path := filepath.Join(t.TempDir(), "list.json")
+		r := &registry{t: t, path: path, endpoints: map[string]membership.Endpoint{}}
 		r.write()
 		return New(r.path, slog.New(slog.DiscardHandler)), r
 	})
 }
 
-// kept notes lists.
-type kept struct{ lists []string }
+// sink records each list that it is notified of as one line: the names; "~" follows a draining
+// endpoint. A failure is the line "failed".
+type sink struct{ lists []string }
+
+func (s *sink) UpdateFailed() { s.lists = append(s.lists, "failed") }
 
-func (k *kept) UpdateFailed() { k.lists = append(k.lists, "missed") }
-func (k *kept) UpdateEndpoints(l *membership.List) {
+func (s *sink) UpdateEndpoints(list *membership.List) {
 	var words []string
-	for _, e := range l.Endpoints {
+	for _, e := range list.Endpoints {
 		words = append(words, e.Name+[...]string{"", "~", "-"}[e.Status])
 	}
-	k.lists = append(k.lists, strings.Join(words, " "))
+	s.lists = append(s.lists, strings.Join(words, " "))
 }
 
-// Entries that make no sense are left out and named once, ones that made sense before stand as draining, and the same list
-// written again is no news. An edit in place within the clock's tick, of the same size, is seen.
-func TestWhatAFileMaySay(t *testing.T) {
+// Invalid entries are left out and logged once, ones that were valid before stand as draining, and
+// the same list written again is no update. An edit in place within the clock's tick, of the same
+// size, is seen.
+func TestContentsOfAFile(t *testing.T) {
 	var log strings.Builder
 	path := filepath.Join(t.TempDir(), "list.json")
-	s, k := New(path, slog.New(slog.NewTextHandler(&log, nil))), &kept{}
-	say := func(entries ...string) {
+	source, sink := New(path, slog.New(slog.NewTextHandler(&log, nil))), &sink{}
+	write := func(entries ...string) {
 		t.Helper()
-		if err := os.WriteFile(path, fmt.Appendf(nil, `{"endpoints":[%s]}`, strings.Join(entries, ",")), 0o644); err != nil {
+		contents := fmt.Appendf(nil, `{"endpoints":[%s]}`, strings.Join(entries, ","))
+		if err := os.WriteFile(path, contents, 0o644); err != nil {
 			t.Fatal(err)
 		}
-		s.look(k)
+		source.check(sink)
 	}
 	a, b := `{"name":"a","address":"h:1"}`, `{"address":"h:2"}`
-	say(a, b)
-	say(a, b)
-	say(a, b, `{"name":"c","address":"h"}`, `7`, `{"name":"a","address":"h:9"}`, b)
-	say(a, b, `{"name":"c","address":"h"}`, `7`, `{"name":"a","address":"h:9"}`, b)
-	say(`{"name":"a","address":"x:1"}`, b)
-	say(`{"name":"a","address":"x/1"}`, b)
-	say(`{"name":"a","address":"x:2"}`)
+	noPort, number, secondA := `{"name":"c","address":"h"}`, `7`, `{"name":"a","address":"h:9"}`
+	write(a, b)
+	write(a, b)
+	write(a, b, noPort, number, secondA, b)
+	write(a, b, noPort, number, secondA, b)
+	write(`{"name":"a","address":"x:1"}`, b)
+	write(`{"name":"a","address":"x/1"}`, b)
+	write(`{"name":"a","address":"x:2"}`)
 	want := []string{"a h:2", "a h:2", "a~ h:2", "a"}
-	if !slices.Equal(k.lists, want) && !slices.Equal(k.lists, []string{"a h:2", "a h:2", "a h:2", "a~ h:2", "a"}) {
-		t.Errorf("got %q", k.lists)
+	if !slices.Equal(sink.lists, want) && !slices.Equal(sink.lists, append([]string{"a h:2"}, want...)) {
+		t.Errorf("got %q", sink.lists)
 	}
-	if n := strings.Count(log.String(), "an entry makes no sense"); n != 5 {
-		t.Errorf("%d entries named:\n%s", n, log.String())
+	if n := strings.Count(log.String(), "invalid endpoint entry"); n != 5 {
+		t.Errorf("%d entries logged:\n%s", n, log.String())
 	}
-	if !strings.Contains(log.String(), "more than half of the servers went in one step") {
-		t.Errorf("half of the servers went unsaid:\n%s", log.String())
+	if !strings.Contains(log.String(), "more than half of the serving endpoints were removed") {
+		t.Errorf("half of the endpoints were removed without a line:\n%s", log.String())
 	}
 }
 
--- a/internal/membership/parse.go
+++ b/internal/membership/parse.go
@@ -7,13 +7,14 @@
 	"net"
 )
 
+// The statuses as the platform's discovery writes them.
 const (
 	statusServing  = "SERVING"
 	statusDraining = "DRAINING"
 	statusDeleted  = "DELETED"
 )
 
-// entry is an entry of the list as discovery words it.
+// entry is an entry of a list as the platform's discovery writes it.
 type entry struct {
 	Name    string   `json:"name"`
 	Address string   `json:"address"`
@@ -24,6 +25,7 @@
 	SinceMs int64    `json:"since_ms"`
 }
 
+// endpoint converts an entry. Of a deleted one the address is not checked.
 func (e entry) endpoint() (Endpoint, error) {
 	out := Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Cell: e.Group, Weight: 1, SinceMs: e.SinceMs}
 	if e.Name == "" {
@@ -47,7 +49,8 @@
 	return out, err
 }
 
-// Parse reads a list in the form of the platform's discovery, which is also that of LB_CONFIG's known. A list with an entry that makes no sense is no list.
+// Parse decodes a list in the JSON form of the platform's discovery, which is also that of "known"
+// in LB_CONFIG. One invalid entry makes the list invalid as a whole.
 func Parse(data []byte) (*List, error) {
 	var raw struct {
 		Index     *int64   `json:"index"`
@@ -62,11 +65,11 @@
 	}
 	list := &List{Version: *raw.Index, Full: *raw.Snapshot}
 	for i, e := range *raw.Endpoints {
-		out, err := e.endpoint()
+		endpoint, err := e.endpoint()
 		if err != nil {
 			return nil, fmt.Errorf("endpoints[%d]: %w", i, err)
 		}
-		list.Endpoints = append(list.Endpoints, out)
+		list.Endpoints = append(list.Endpoints, endpoint)
 	}
 	return list, nil
 }
--- a/internal/membership/relayed/contract_test.go
+++ b/internal/membership/relayed/contract_test.go
@@ -3,67 +3,72 @@
 import (
 	"context"
 	"encoding/json"
+	"log/slog"
+	"sync"
+	"testing"
+
 	"fernlanding/internal/distribution"
 	"fernlanding/internal/distribution/follow"
 	"fernlanding/internal/distribution/node/nodetest"
 	"fernlanding/internal/membership"
 	"fernlanding/internal/membership/contract"
-	"log/slog"
-	"sync"
-	"testing"
 )
 
-// registry is a source with a relay on sockets, and a gate before the relay, in the hands of the contract's suite.
+// registry implements contract.Registry by a source of distribution with a relay on sockets, and a
+// gate before the relay.
 type registry struct {
 	t      *testing.T
 	source *nodetest.Node
 	relay  *nodetest.Node
 	gate   *nodetest.Gate
-	broken int // the way in which it fails; -1: none
+	fault  int // noFault or one of the faults
 }
 
-// The ways to fail.
+// The faults that a registry can have.
 const (
-	cut = iota
+	noFault = iota - 1
+	cut
 	stalled
 	relayKilled
-	waysToFail
+	faultCount
 )
 
-func (r *registry) Put(all ...membership.Endpoint) {
-	items := make([]distribution.Item, len(all))
-	for i, e := range all {
-		items[i] = distribution.Item{Key: e.Name, Value: value(e), Urgent: e.Status == membership.Draining}
+func (r *registry) Put(endpoints ...membership.Endpoint) {
+	items := make([]distribution.Item, len(endpoints))
+	for i, e := range endpoints {
+		items[i] = distribution.Item{Key: e.Name, Value: itemValue(e), Urgent: e.Status == membership.Draining}
 	}
 	r.source.Write(r.t, Resource("s"), items...)
 }
 
-// value words a backend as an item's value.
-func value(e membership.Endpoint) json.RawMessage {
-	v := map[string]any{"address": e.Address, "zone": e.Zone, "cell": e.Cell, "weight": e.Weight, "since": e.SinceMs}
+// itemValue returns the value of an endpoint's item.
+func itemValue(e membership.Endpoint) json.RawMessage {
+	value := map[string]any{
+		"address": e.Address, "zone": e.Zone, "cell": e.Cell, "weight": e.Weight, "since": e.SinceMs,
+	}
 	if e.Status == membership.Draining {
-		v["status"] = "draining"
+		value["status"] = "draining"
 	}
-	data, err := json.Marshal(v)
+	data, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // not possible: no figure is infinite
+		panic(err) // not possible: no number is infinite
 	}
 	return data
 }
 
 func (r *registry) Delete(names ...string) {
 	items := make([]distribution.Item, len(names))
-	for i, n := range names {
-		items[i] = distribution.Item{Key: n, Deleted: true, Urgent: true}
+	for i, name := range names {
+		items[i] = distribution.Item{Key: name, Deleted: true, Urgent: true}
 	}
 	r.source.Write(r.t, Resource("s"), items...)
 }
 
 func (r *registry) Break(n int) (string, bool) {
-	if n >= waysToFail {
+	if n >= faultCount {
 		return "", false
 	}
-	r.broken = n
+	r.fault = n
 	switch n {
 	case cut:
 		r.gate.Cut()
@@ -76,33 +81,36 @@
 }
 
 func (r *registry) Mend() {
-	if r.broken == relayKilled { // another process at its address, which has nothing yet
+	if r.fault == relayKilled { // another process at its address, which has nothing yet
 		r.relay = nodetest.Relay(r.t, "relay", r.relay.Address, r.source.Address)
 	}
-	r.broken = -1
+	r.fault = noFault
 	r.gate.Open()
 }
 
 // runFollower runs a follower until the test ends.
 func runFollower(t *testing.T, relays ...string) *follow.Follower {
-	f := follow.New(follow.Config{Name: "proxy", Kind: distribution.KindProxy, Relays: relays, Hold: nodetest.Hold})
+	t.Helper()
+	cfg := follow.Config{Name: "proxy", Kind: distribution.KindProxy, Relays: relays, Hold: nodetest.Hold}
+	follower := follow.New(cfg)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { f.Run(ctx) })
+	running.Go(func() { follower.Run(ctx) })
 	t.Cleanup(func() {
 		cancel()
 		running.Wait()
 	})
-	return f
+	return follower
 }
 
 func TestContract(t *testing.T) {
 	contract.Test(t, func(t *testing.T) (membership.Source, contract.Registry) {
+		t.Helper()
 		source := nodetest.Source(t)
 		relay := nodetest.Relay(t, "relay", "127.0.0.1:0", source.Address)
 		gate := nodetest.NewGate(t, relay.Address)
 		lists := NewLists(slog.New(slog.DiscardHandler))
 		lists.SetFollower(runFollower(t, gate.Address))
-		return NewSource(lists, "s"), &registry{t: t, source: source, relay: relay, gate: gate, broken: -1}
+		return NewSource(lists, "s"), &registry{t: t, source: source, relay: relay, gate: gate, fault: noFault}
 	})
 }
--- a/internal/membership/relayed/list.go
+++ b/internal/membership/relayed/list.go
@@ -1,119 +1,114 @@
 package relayed
 
 import (
-	"errors"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/membership"
-	"fernlanding/internal/membership/reconcile"
-	"fmt"
 	"log/slog"
 	"slices"
 	"sync"
 	"time"
-)
-
-const (
-	// keyPrefix is what a reconcile.Reconciler of no prefix and service expects before a key.
-	keyPrefix = "/"
 
-	// maxSourceAge is how long the relays may have heard nothing from the source before a list counts as old. A relay hears
-	// from it with each blocking read, so this is some lost reads in a row.
-	maxSourceAge = 15 * time.Second
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/membership"
+	"fernlanding/internal/membership/reconcile"
+	"fernlanding/internal/membership/staleness"
 )
 
-// The reasons for which an update is refused as a whole.
-var (
-	errResource  = errors.New("another resource")
-	errVersion   = errors.New("a version that is not after the one in force")
-	errBase      = errors.New("changes to another version than the one in force")
-	errDeleted   = errors.New("a deleted item in a whole list")
-	errSenseless = errors.New("no entry of the list makes sense")
-)
+// maxSourceAge is how long the relays may have heard nothing from the distribution's source before
+// a list counts as silent. A relay hears from it with each blocking read, so this is some lost
+// reads in a row.
+const maxSourceAge = 15 * time.Second
 
-// list is the state of one list, and whom it is told. It implements follow.Subscriber.
-type list struct {
+// followedList is the state of one list, and the sinks that are notified of it. It implements
+// follow.Subscriber. It is safe for concurrent use.
+type followedList struct {
 	name string
 	log  *slog.Logger
 	now  func() time.Time
 
-	users int // guarded by Lists.mu
+	references int // guarded by Lists.mu
 
-	following sync.Mutex
-	follower  Follower // nil: none
-	cancel    func()   // of the subscription there; nil: none
+	followMu sync.Mutex
+	follower Follower // nil: none
+	cancel   func()   // of the subscription there; nil: none
 
-	mu        sync.Mutex // held while sinks are told
-	sinks     []membership.Sink
-	book      *reconcile.Reconciler // its revisions count accepted updates: a version of distribution has two parts
-	inForce   distribution.Version  // zero: none yet
-	confirmed time.Time             // when that was put in force; before, when the list began
-	refused   int64
-	refusedAt time.Time // of the last update refused, if none has been accepted since; else zero
+	mu    sync.Mutex // held while sinks are notified
+	sinks []membership.Sink
+	// reconciler's revisions count accepted updates, since a version of distribution has two parts.
+	reconciler *reconcile.Reconciler
+	inForce    distribution.Version // zero: none yet
+	confirmed  time.Time            // when that was put in force; before, when the list was made
+	rejected   int64
+	rejectedAt time.Time // of the last update, if it was rejected; else zero
 }
 
-func newList(name string, log *slog.Logger, now func() time.Time) *list {
-	return &list{name: name, log: log.With("list", name), now: now, book: reconcile.New(reconcile.Config{}), confirmed: now()}
+func newFollowedList(name string, log *slog.Logger, now func() time.Time) *followedList {
+	return &followedList{
+		name: name, log: log.With("source", "relay", "list", name), now: now,
+		reconciler: reconcile.New(reconcile.Config{}), confirmed: now(),
+	}
 }
 
 // follow subscribes to a follower instead of the one before; nil: to none.
-func (l *list) follow(f Follower) {
-	l.following.Lock()
-	defer l.following.Unlock()
+func (l *followedList) follow(follower Follower) {
+	l.followMu.Lock()
+	defer l.followMu.Unlock()
 	if l.cancel != nil {
 		l.cancel()
 		l.cancel = nil
 	}
-	if l.follower = f; f != nil {
-		l.cancel = f.Subscribe(Resource(l.name), l.version(), l)
+	l.follower = follower
+	if follower != nil {
+		l.cancel = follower.Subscribe(Resource(l.name), l.versionInForce(), l)
 	}
 }
 
-func (l *list) version() distribution.Version {
+func (l *followedList) versionInForce() distribution.Version {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.inForce
 }
 
-// add has a sink told of the list, first as it stands.
-func (l *list) add(sink membership.Sink) {
+// addSink has a sink notified of the list, first as it stands.
+func (l *followedList) addSink(sink membership.Sink) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sinks = append(l.sinks, sink)
-	if stands := l.book.List(); stands != nil {
-		sink.UpdateEndpoints(stands)
+	if current := l.reconciler.List(); current != nil {
+		sink.UpdateEndpoints(current)
 	}
 }
 
-// remove has a sink told no more, once a call of it that is under way has returned.
-func (l *list) remove(sink membership.Sink) {
+// removeSink has a sink notified no more, once a call of it that is under way has returned.
+func (l *followedList) removeSink(sink membership.Sink) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sinks = slices.DeleteFunc(l.sinks, func(s membership.Sink) bool { return s == sink })
 }
 
-// ApplyUpdate implements follow.Subscriber. Once it has returned without an error, the update is in force.
-func (l *list) ApplyUpdate(u distribution.Update) error {
+// ApplyUpdate implements follow.Subscriber. Once it has returned without an error, the update is in
+// force: all sinks have been notified.
+func (l *followedList) ApplyUpdate(update distribution.Update) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	told, err := l.reconcile(&u)
+	result, err := l.reconcile(&update)
 	if err != nil {
-		l.refused++
-		l.refusedAt = l.now()
+		l.rejected++
+		l.rejectedAt = l.now()
 		return err
 	}
-	l.inForce, l.confirmed, l.refusedAt = u.Version, l.now(), time.Time{}
-	l.report(told)
-	if told.List == nil {
+	l.inForce, l.confirmed, l.rejectedAt = update.Version, l.now(), time.Time{}
+	staleness.LogInvalid(l.log, &result)
+	staleness.LogMajorityRemoved(l.log, &result)
+	if result.List == nil {
 		return nil
 	}
 	for _, sink := range l.sinks {
-		sink.UpdateEndpoints(told.List)
+		sink.UpdateEndpoints(result.List)
 	}
 	return nil
 }
 
 // UpdateFailed implements follow.Subscriber.
-func (l *list) UpdateFailed() {
+func (l *followedList) UpdateFailed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, sink := range l.sinks {
@@ -121,105 +116,33 @@
 	}
 }
 
-// reconcile takes an update into the book, or says why it makes no sense as a whole: then nothing has changed.
-func (l *list) reconcile(u *distribution.Update) (reconcile.Result, error) {
-	if want := Resource(l.name); u.Resource != want {
-		return reconcile.Result{}, fmt.Errorf("%w: %.128q found, %q expected", errResource, u.Resource, want)
-	}
-	if !u.Version.After(l.inForce) {
-		return reconcile.Result{}, fmt.Errorf("%w: %s found, %s stands", errVersion, u.Version, l.inForce)
-	}
-	if u.Full() {
-		return l.whole(u)
-	}
-	return l.changes(u)
-}
-
-// whole takes an update that has the whole list.
-func (l *list) whole(u *distribution.Update) (reconcile.Result, error) {
-	entries := make([]reconcile.Entry, len(u.Items))
-	for i := range u.Items {
-		if u.Items[i].Deleted {
-			return reconcile.Result{}, fmt.Errorf("%w: %.128q", errDeleted, u.Items[i].Key)
-		}
-		entries[i] = entry(&u.Items[i])
-	}
-	if err := sensible(entries, l.now()); err != nil {
-		return reconcile.Result{}, err
-	}
-	return l.book.ApplySnapshot(l.now(), snapshot(l.book.Revision()+1, entries))
-}
-
-// sensible refuses a whole list of entries none of which makes sense: it is something else, published by mistake. An
-// empty list is one.
-func sensible(entries []reconcile.Entry, now time.Time) error {
-	if len(entries) == 0 {
-		return nil
-	}
-	scratch := reconcile.New(reconcile.Config{})
-	told, err := scratch.ApplySnapshot(now, snapshot(1, entries))
-	if err != nil || len(told.List.Endpoints) > 0 {
-		return err
-	}
-	return fmt.Errorf("%w: %.128q: %w", errSenseless, told.Invalid[0].Key, told.Invalid[0].Err)
-}
-
-func snapshot(revision int64, entries []reconcile.Entry) reconcile.Snapshot {
-	return reconcile.Snapshot{Revision: revision, Count: -1, Entries: entries}
-}
-
-// changes takes an update that has what has changed since the version in force.
-func (l *list) changes(u *distribution.Update) (reconcile.Result, error) {
-	if u.From.Compare(l.inForce) != 0 {
-		return reconcile.Result{}, fmt.Errorf("%w: %s found, %s stands", errBase, u.From, l.inForce)
-	}
-	batch := reconcile.Delta{Revision: l.book.Revision() + 1}
-	for i := range u.Items {
-		batch.Events = append(batch.Events, reconcile.Event{Entry: entry(&u.Items[i]), Revision: batch.Revision, Deleted: u.Items[i].Deleted})
-	}
-	return l.book.ApplyDelta(l.now(), batch)
-}
-
-// entry is an item as an entry of a registry.
-func entry(item *distribution.Item) reconcile.Entry {
-	return reconcile.Entry{Key: keyPrefix + item.Key, Value: item.Value}
-}
-
-// report logs what an operator should look at in an update that has been accepted.
-func (l *list) report(told reconcile.Result) {
-	for _, skipped := range told.Invalid {
-		l.log.Warn("relayed list: an entry makes no sense", "entry", skipped.Key, "error", skipped.Err)
-	}
-	if told.Removed*2 > told.Before {
-		l.log.Warn("relayed list: more than half of the servers went in one step", "lost", told.Removed, "of", told.Before)
-	}
-}
-
-// health is what membership.Source.Health says of the list.
-func (l *list) health() membership.Health {
-	l.following.Lock()
+// health returns the health of a source of the list.
+func (l *followedList) health() membership.Health {
+	l.followMu.Lock()
 	follower := l.follower
-	l.following.Unlock()
+	l.followMu.Unlock()
 
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	h := membership.Health{Version: l.book.Revision(), Invalid: l.book.Invalid(), Rejected: l.refused}
-	confirmed, old := l.confirmed, true
+	health := membership.Health{
+		Version: l.reconciler.Revision(), Invalid: l.reconciler.InvalidCount(), Rejected: l.rejected,
+	}
+	confirmed, stale := l.confirmed, true
 	if follower != nil {
 		relays := follower.Health()
-		heard := relays.LastAnswer.Add(-relays.SourceAge) // from the source
+		heard := relays.LastAnswer.Add(-relays.SourceAge) // from the distribution's source
 		if heard.After(confirmed) {
 			confirmed = heard
 		}
-		old = !relays.SilentSince.IsZero() || relays.LastAnswer.IsZero() || l.now().Sub(heard) > maxSourceAge
+		stale = !relays.SilentSince.IsZero() || relays.LastAnswer.IsZero() || l.now().Sub(heard) > maxSourceAge
 	}
 	switch {
-	case h.Version == 0:
-		h.SilentSince = l.confirmed
-	case !l.refusedAt.IsZero():
-		h.SilentSince = l.refusedAt
-	case old:
-		h.SilentSince = confirmed
-	}
-	return h
+	case health.Version == 0:
+		health.SilentSince = l.confirmed
+	case !l.rejectedAt.IsZero():
+		health.SilentSince = l.rejectedAt
+	case stale:
+		health.SilentSince = confirmed
+	}
+	return health
 }
--- a/internal/membership/relayed/lists.go
+++ b/internal/membership/relayed/lists.go
@@ -1,72 +1,77 @@
 package relayed
 
 import (
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/follow"
 	"log/slog"
 	"sync"
 	"time"
+
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/follow"
 )
 
-// resourcePrefix begins the names of resources that are lists.
+// resourcePrefix begins the names of resources that are endpoint lists.
 const resourcePrefix = "lists/"
 
-// Resource is the name of the resource that has a list.
+// Resource returns the name of the resource that has the named list.
 func Resource(list string) string { return resourcePrefix + list }
 
 // Follower follows resources, usually a *follow.Follower.
 type Follower interface {
 	// Subscribe follows a resource from a version on until cancel is called.
-	Subscribe(resource string, has distribution.Version, s follow.Subscriber) (cancel func())
-	// Health is that of the connection to the relays.
+	Subscribe(resource string, has distribution.Version, subscriber follow.Subscriber) (cancel func())
+	// Health reports the state of the connection to the relays.
 	Health() follow.Health
 }
 
-// Lists are all lists that a process follows, over one follower at a time.
+// Lists is all lists that a process follows, over one follower at a time. It is safe for concurrent
+// use.
 type Lists struct {
 	log *slog.Logger
 	now func() time.Time
 
 	mu       sync.Mutex
 	follower Follower // nil: none, the lists stand as they are
-	lists    map[string]*list
+	lists    map[string]*followedList
 }
 
-// NewLists returns one that follows nothing.
+// NewLists returns a Lists that follows nothing.
 func NewLists(log *slog.Logger) *Lists {
-	return &Lists{log: log, now: time.Now, lists: map[string]*list{}}
+	return &Lists{log: log, now: time.Now, lists: map[string]*followedList{}}
 }
 
-// SetFollower follows the lists with another follower; nil: with none. The one before must have ended. Each list goes on from the
-// version that is in force.
-func (l *Lists) SetFollower(f Follower) {
+// SetFollower follows the lists with another follower; nil: with none. The one before must have
+// ended. Each list resumes from the version that is in force.
+func (l *Lists) SetFollower(follower Follower) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.follower = f
-	for _, one := range l.lists {
-		one.follow(f)
+	l.follower = follower
+	for _, list := range l.lists {
+		list.follow(follower)
 	}
 }
 
-// acquire returns the list of a name, which is followed until each that has acquired it has released it.
-func (l *Lists) acquire(name string) *list {
+// acquire returns the named list, which is followed until everyone who has acquired it has released
+// it.
+func (l *Lists) acquire(name string) *followedList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	one := l.lists[name]
-	if one == nil {
-		one = newList(name, l.log, l.now)
-		l.lists[name] = one
-		one.follow(l.follower)
+	list := l.lists[name]
+	if list == nil {
+		list = newFollowedList(name, l.log, l.now)
+		l.lists[name] = list
+		list.follow(l.follower)
 	}
-	one.users++
-	return one
+	list.references++
+	return list
 }
 
-func (l *Lists) release(one *list) {
+// release undoes one acquire.
+func (l *Lists) release(list *followedList) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if one.users--; one.users == 0 {
-		delete(l.lists, one.name)
-		one.follow(nil)
+	list.references--
+	if list.references == 0 {
+		delete(l.lists, list.name)
+		list.follow(nil)
 	}
 }
--- a/internal/membership/source.go
+++ b/internal/membership/source.go
@@ -5,29 +5,31 @@
 	"time"
 )
 
-// Source follows a registry of backends. What it yields keeps to a contract, which package contract tests:
+// Source follows a registry of endpoints. It keeps to a contract, which package contract tests:
 //
-//   - The first list is whole. Lists and changes come in the order in which the registry made them, one call at a time.
-//   - A change is never lost without a whole list after it.
-//   - What is no news (an answer cut short, an older state, a registry that does not answer) changes nothing: the last
-//     list stands, and the source counts as silent from when it last heard something that made sense.
-//   - Nothing comes after Run has returned.
+//   - The first list is full. Lists and deltas come in the order in which the registry made them,
+//     one call at a time.
+//   - A delta that was lost is always followed by a full list.
+//   - An answer that is no valid update (cut short, of an older state, from a registry that does
+//     not answer) changes nothing: the last list stands, and the source counts as silent since it
+//     last heard something valid.
+//   - The sink is not called after Run has returned.
 type Source interface {
 	// Run follows the registry until the context ends. It is called once.
 	Run(ctx context.Context, sink Sink)
-	// Health may be asked at any time.
+	// Health reports the state of the source. It is safe for concurrent use.
 	Health() Health
 }
 
-// Health is what a source says of itself.
+// Health is the state of a source.
 type Health struct {
 	Version     int64     // of the list that stands; 0 before the first
-	SilentSince time.Time // since when nothing that makes sense was heard; zero while it speaks
-	Invalid     int       // entries that make no sense now
-	Rejected    int64     // answers so far that were no news
+	SilentSince time.Time // since when nothing valid was heard; zero while the source is not silent
+	Invalid     int       // entries of the list that are invalid now
+	Rejected    int64     // answers so far that were no valid update
 }
 
-// Age is how long a source has been silent at a time; 0 while it speaks.
+// Age returns for how long a source has been silent at a time; 0 while it is not silent.
 func (h Health) Age(now time.Time) time.Duration {
 	if h.SilentSince.IsZero() {
 		return 0
--- a/internal/membership/staleness/staleness.go
+++ b/internal/membership/staleness/staleness.go
@@ -1,45 +1,50 @@
-// Package staleness keeps the health of a source: what sources of all kinds share.
+// Package staleness has what sources of all kinds share: the tracker of a source's health, and the
+// notifier of sources that read full lists.
 package staleness
 
 import (
-	"fernlanding/internal/membership"
 	"sync"
 	"time"
+
+	"fernlanding/internal/membership"
 )
 
-// Tracker is a source's health. It may be used by many goroutines.
+// Tracker keeps the health of a source. It is safe for concurrent use.
 type Tracker struct {
-	mu   sync.Mutex
-	last time.Time
-	h    membership.Health
+	mu            sync.Mutex
+	lastConfirmed time.Time
+	health        membership.Health
 }
 
-// New returns the health of a source that begins now, and has heard nothing.
-func New() *Tracker {
+// NewTracker returns the tracker of a source that begins now: it counts as silent until something
+// is confirmed.
+func NewTracker() *Tracker {
 	now := time.Now()
-	return &Tracker{last: now, h: membership.Health{SilentSince: now}}
+	return &Tracker{lastConfirmed: now, health: membership.Health{SilentSince: now}}
 }
 
-// Confirmed notes that something that made sense was heard, with the version that stands.
-func (s *Tracker) Confirmed(index int64, skipped int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.last = time.Now()
-	s.h.Version, s.h.Invalid, s.h.SilentSince = index, skipped, time.Time{}
+// Confirmed notes that the source has answered with a valid update, or with none where nothing has
+// changed: the version of the list that stands, and how many of its entries are invalid.
+func (t *Tracker) Confirmed(version int64, invalid int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.lastConfirmed = time.Now()
+	t.health.Version, t.health.Invalid, t.health.SilentSince = version, invalid, time.Time{}
 }
 
-// Failed notes that what was heard, or its absence, is no news.
-func (s *Tracker) Failed() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.h.Rejected++; s.h.SilentSince.IsZero() {
-		s.h.SilentSince = s.last
+// Failed notes that the source has not answered, or with what is no valid update.
+func (t *Tracker) Failed() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.health.Rejected++
+	if t.health.SilentSince.IsZero() {
+		t.health.SilentSince = t.lastConfirmed
 	}
 }
 
-// Health is the health as it stands.
-func (s *Tracker) Health() membership.Health {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.h
+// Health returns the health as it stands.
+func (t *Tracker) Health() membership.Health {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.health
 }
--- a/internal/sidecar/start_test.go
+++ b/internal/sidecar/start_test.go
@@ -73,9 +73,9 @@
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(ctx) }()
 	log.until(t, "msg=\"not ready\"", "no_list_of=[a]", "earlier_starts=0")
-	log.until(t, "msg=discovery", "list=false", "why=\"turned away\"", "next=")
+	log.until(t, "msg=\"discovery call failed\"", "has_list=false", "reason=rejected", "next=")
 	d.Down(false)
-	log.until(t, "msg=\"first list\"", "endpoints=1")
+	log.until(t, "msg=\"first endpoint list\"", "endpoints=1")
 	log.until(t, "msg=ready", "earlier_starts=0")
 	other := *app
 	other.StateDir = "elsewhere"
