--- a/internal/distribution/httpapi/client.go
+++ b/internal/distribution/httpapi/client.go
@@ -18,31 +18,26 @@
 )
 
 const (
-	dialTimeout   = time.Second
-	idleTimeout   = 90 * time.Second
-	bufferBytes   = 2 << 10   // of a connection, each way
-	maxErrorBytes = 512       // of an answer that is none
-	maxRetryAfter = time.Hour // beyond which what a relay asks for is no wait
+	dialTimeout       = time.Second
+	clientIdleTimeout = 90 * time.Second
+	maxIdleConns      = 2       // to each relay
+	bufferBytes       = 2 << 10 // of a connection, each way
+	maxErrorBytes     = 512     // of the body of an error, or of a small response
+	// maxRetryAfter is the longest Retry-After that is believed; a longer one is ignored.
+	maxRetryAfter = time.Hour
 )
 
-// OverloadedError is a relay that turns a call away for now.
-type OverloadedError struct {
-	RetryAfter time.Duration // 0: not told
-	Reason     string
-}
-
-func (e *OverloadedError) Error() string { return "turned away: " + e.Reason }
-
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // defaultDial returns the DialFunc of a client for which none is configured.
 func defaultDial() DialFunc { return (&net.Dialer{KeepAlive: -1}).DialContext }
 
-// Client calls sources and relays.
+// Client calls sources and relays. It is safe for concurrent use.
 type Client struct{ http *http.Client }
 
-// NewClient returns a client; dial nil: the usual one.
+// NewClient returns a client that opens connections with dial. Nil means TCP without keep-alive
+// probes: a read that is not answered in time shows a broken connection earlier.
 func NewClient(dial DialFunc) *Client {
 	if dial == nil {
 		dial = defaultDial()
@@ -52,39 +47,47 @@
 		defer cancel()
 		return dial(ctx, network, address)
 	}
-	return &Client{&http.Client{
+	return &Client{http: &http.Client{
 		Transport: &http.Transport{
-			DialContext: bounded, DisableCompression: true, IdleConnTimeout: idleTimeout,
-			ReadBufferSize: bufferBytes, WriteBufferSize: bufferBytes, MaxIdleConnsPerHost: 2,
+			DialContext:         bounded,
+			DisableCompression:  true,
+			IdleConnTimeout:     clientIdleTimeout,
+			ReadBufferSize:      bufferBytes,
+			WriteBufferSize:     bufferBytes,
+			MaxIdleConnsPerHost: maxIdleConns,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
 
-// Close ends the connections that are not in use.
+// Close closes the connections that are idle.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Follow reads, waiting for news as long as the request says. Errors:
-// distribution.ErrUnknownSession, BusyError, others.
-func (c *Client) Follow(ctx context.Context, address string, req *distribution.FollowRequest) (*distribution.FollowResponse, error) {
-	response := new(distribution.FollowResponse)
-	if err := c.call(ctx, http.MethodPost, address, PathFollow, req, response, distribution.MaxResponseBytes); err != nil {
+// Follow sends a long poll and waits for its response, as long as the request says. Errors:
+// distribution.ErrUnknownSession, *OverloadedError, others.
+func (c *Client) Follow(
+	ctx context.Context, address string, req *distribution.FollowRequest,
+) (*distribution.FollowResponse, error) {
+	resp := new(distribution.FollowResponse)
+	err := c.call(ctx, http.MethodPost, address, PathFollow, req, resp, distribution.MaxResponseBytes)
+	if err != nil {
 		return nil, err
 	}
-	if err := response.Validate(); err != nil {
+	if err := resp.Validate(); err != nil {
 		return nil, fmt.Errorf("%s: answer: %w", address, err)
 	}
-	return response, nil
+	return resp, nil
 }
 
-// Put writes to a resource at the source. Errors: distribution.ConflictError, BusyError, others.
+// Put writes to a resource at the source, and returns its new version. Errors:
+// *distribution.ConflictError, *OverloadedError, others.
 func (c *Client) Put(ctx context.Context, address string, req *distribution.PutRequest) (distribution.Version, error) {
-	var response distribution.PutResponse
-	err := c.call(ctx, http.MethodPost, address, PathPut, req, &response, maxErrorBytes)
-	return response.Version, err
+	var resp distribution.PutResponse
+	err := c.call(ctx, http.MethodPost, address, PathPut, req, &resp, maxErrorBytes)
+	return resp.Version, err
 }
 
-// Status asks how far a resource is in force at the proxies behind a source or relay.
+// Status returns how far a resource is in force at the proxies behind a source or relay.
 func (c *Client) Status(ctx context.Context, address, resource string) (*distribution.ResourceStatus, error) {
 	status := new(distribution.ResourceStatus)
 	path := PathStatus + "?resource=" + url.QueryEscape(resource)
@@ -97,7 +100,7 @@
 	return status, nil
 }
 
-// Resource reads a resource as a whole.
+// Resource returns a snapshot of a resource.
 func (c *Client) Resource(ctx context.Context, address, name string) (*distribution.Update, error) {
 	update := new(distribution.Update)
 	path := PathResource + "?name=" + url.QueryEscape(name)
@@ -110,23 +113,25 @@
 	return update, nil
 }
 
-// Stats reads the counters of a source or relay.
+// Stats returns the metrics of a source or relay.
 func (c *Client) Stats(ctx context.Context, address string) (*distribution.Stats, error) {
 	stats := new(distribution.Stats)
 	return stats, c.call(ctx, http.MethodGet, address, PathStats, nil, stats, distribution.MaxRequestBytes)
 }
 
-// Healthy asks whether a source or relay answers; nil: it does.
+// Healthy returns nil if a source or relay answers.
 func (c *Client) Healthy(ctx context.Context, address string) error {
 	return c.call(ctx, http.MethodGet, address, PathHealth, nil, nil, maxErrorBytes)
 }
 
-// Ready asks whether a source or relay answers and hears from the source; nil: it does.
+// Ready returns nil if a source or relay answers and is not disconnected from the source.
 func (c *Client) Ready(ctx context.Context, address string) error {
 	return c.call(ctx, http.MethodGet, address, PathReady, nil, nil, maxErrorBytes)
 }
 
-func (c *Client) call(ctx context.Context, method, address, path string, in, out any, most int64) error {
+// call sends a request with in (nil: none) as its JSON body, and decodes the response's body of up
+// to maxBytes into out (nil: none). Errors begin with the address.
+func (c *Client) call(ctx context.Context, method, address, path string, in, out any, maxBytes int64) error {
 	var body io.Reader
 	if in != nil {
 		data, err := json.Marshal(in)
@@ -139,32 +144,33 @@
 	if err != nil {
 		return fmt.Errorf("%s: request: %w", address, err)
 	}
-	req.Header["User-Agent"] = []string{""} // none
+	req.Header["User-Agent"] = []string{""} // keeps net/http from adding its own
 	resp, err := c.http.Do(req)
 	if err != nil {
-		var wrapped *url.Error
-		if errors.As(err, &wrapped) {
-			err = wrapped.Err
+		var urlErr *url.Error
+		if errors.As(err, &urlErr) {
+			err = urlErr.Err // without the URL, whose address is named below
 		}
 		return fmt.Errorf("%s: %w", address, err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // what was needed of it has been read
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s: %w", address, failure(resp))
+		return fmt.Errorf("%s: %w", address, responseError(resp))
 	}
 	if out == nil {
 		return nil
 	}
-	return decode(resp.Body, out, address, most)
+	return decodeBody(resp.Body, out, address, maxBytes)
 }
 
-func decode(body io.Reader, out any, address string, most int64) error {
-	data, err := io.ReadAll(io.LimitReader(body, most+1))
+// decodeBody decodes a body of up to maxBytes.
+func decodeBody(body io.Reader, out any, address string, maxBytes int64) error {
+	data, err := io.ReadAll(io.LimitReader(body, maxBytes+1))
 	if err != nil {
 		return fmt.Errorf("%s: answer: %w", address, err)
 	}
-	if int64(len(data)) > most {
-		return fmt.Errorf("%s: answer: more than %d bytes found, that many at most expected", address, most)
+	if int64(len(data)) > maxBytes {
+		return fmt.Errorf("%s: answer: more than %d bytes found, that many at most expected", address, maxBytes)
 	}
 	if err := json.Unmarshal(data, out); err != nil {
 		return fmt.Errorf("%s: answer: %w", address, err)
@@ -172,10 +178,11 @@
 	return nil
 }
 
-// failure is the error that an answer stands for.
-func failure(resp *http.Response) error {
+// responseError returns the error that a response stands for.
+func responseError(resp *http.Response) error {
+	// What can be read of the text is the reason; the status says what has happened.
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
-	reason := strings.TrimSpace(string(text))
+	reason := fmt.Sprintf("status %d: %.200s", resp.StatusCode, strings.TrimSpace(string(text)))
 	switch resp.StatusCode {
 	case http.StatusGone:
 		return distribution.ErrUnknownSession
@@ -185,13 +192,14 @@
 			return conflict
 		}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return &OverloadedError{retryAfter(resp.Header.Get("Retry-After")), fmt.Sprintf("status %d: %.200s", resp.StatusCode, reason)}
+		return &OverloadedError{RetryAfter: parseRetryAfter(resp.Header.Get("Retry-After")), Reason: reason}
 	}
-	return fmt.Errorf("status %d: %.200s", resp.StatusCode, reason)
+	return errors.New(reason)
 }
 
-// retryAfter reads a header; 0: it says nothing that makes sense.
-func retryAfter(text string) time.Duration {
+// parseRetryAfter parses a Retry-After header in seconds; 0: it has none, or one beyond
+// maxRetryAfter.
+func parseRetryAfter(text string) time.Duration {
 	seconds, err := strconv.ParseUint(text, 10, 32)
 	if err != nil || seconds > uint64(maxRetryAfter/time.Second) {
 		return 0
--- a/internal/distribution/httpapi/httpapi_test.go
+++ b/internal/distribution/httpapi/httpapi_test.go
@@ -15,29 +15,30 @@
 	"fernlanding/internal/distribution"
 )
 
-// scripted answers all calls as it is told.
-type scripted struct {
-	answer *EncodedResponse
-	err    error
+// scriptedService answers all calls with what a test sets.
+type scriptedService struct {
+	response *EncodedResponse
+	err      error
 }
 
-func (s *scripted) Follow(context.Context, *distribution.FollowRequest) (*EncodedResponse, func(), error) {
-	return s.answer, func() {}, s.err
+func (s *scriptedService) Follow(context.Context, *distribution.FollowRequest) (*EncodedResponse, func(), error) {
+	return s.response, func() {}, s.err
 }
 
-func (s *scripted) Put(*distribution.PutRequest) (distribution.Version, error) {
+func (s *scriptedService) Put(*distribution.PutRequest) (distribution.Version, error) {
 	return distribution.Version{Epoch: 1, Revision: 2}, s.err
 }
 
-func (s *scripted) Status(resource string) distribution.ResourceStatus {
+func (s *scriptedService) Status(resource string) distribution.ResourceStatus {
 	return distribution.ResourceStatus{Resource: resource}
 }
-func (s *scripted) Resource(string) *distribution.Update { return nil }
-func (s *scripted) Disconnected() bool                   { return s.err != nil }
-func (s *scripted) Stats() distribution.Stats            { return distribution.Stats{Name: "relay"} }
+func (s *scriptedService) Resource(string) *distribution.Update { return nil }
+func (s *scriptedService) Disconnected() bool                   { return s.err != nil }
+func (s *scriptedService) Stats() distribution.Stats            { return distribution.Stats{Name: "relay"} }
 
-// start serves a service, and returns its address and how many bytes went.
-func start(t *testing.T, service Service, most int) (string, *Traffic) {
+// start serves a service until the test ends, and returns its address and the bytes of its
+// connections.
+func start(t *testing.T, service Service, maxConns int) (string, *Traffic) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,7 +49,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = server.Serve(Listener(l, most, traffic))
+		_ = server.Serve(Listener(l, maxConns, traffic))
 	}()
 	t.Cleanup(func() {
 		_ = server.Close()
@@ -57,13 +58,19 @@
 	return l.Addr().String(), traffic
 }
 
+// heartbeat returns a read with nothing new.
 func heartbeat() *distribution.FollowRequest {
-	return &distribution.FollowRequest{Follower: "proxy-of-usual-length-12345", Kind: distribution.KindProxy, Session: "0123456789ab1f", HoldMs: 4_000}
+	return &distribution.FollowRequest{
+		Follower: "proxy-of-usual-length-12345",
+		Kind:     distribution.KindProxy,
+		Session:  "0123456789ab1f",
+		HoldMs:   4_000,
+	}
 }
 
-// Errors keep their meaning on the way.
+// Errors of a service reach the client as what they are.
 func TestErrorsOverTheWire(t *testing.T) {
-	service := &scripted{}
+	service := &scriptedService{}
 	address, _ := start(t, service, 10)
 	c := NewClient(nil)
 	defer c.Close()
@@ -74,13 +81,16 @@
 		t.Errorf("%v", err)
 	}
 	service.err = &OverloadedError{RetryAfter: 7 * time.Second, Reason: "full"}
-	var busy *OverloadedError
-	if _, err := c.Follow(ctx, address, heartbeat()); !errors.As(err, &busy) || busy.RetryAfter != 7*time.Second {
+	var overloaded *OverloadedError
+	_, err := c.Follow(ctx, address, heartbeat())
+	if !errors.As(err, &overloaded) || overloaded.RetryAfter != 7*time.Second {
 		t.Errorf("%v", err)
 	}
-	service.err = &distribution.ConflictError{Resource: "r", Found: distribution.Version{Epoch: 1, Revision: 2}}
+	sent := &distribution.ConflictError{Resource: "r", Found: distribution.Version{Epoch: 1, Revision: 2}}
+	service.err = sent
 	var conflict *distribution.ConflictError
-	if _, err := c.Put(ctx, address, &distribution.PutRequest{Resource: "r"}); !errors.As(err, &conflict) || *conflict != *service.err.(*distribution.ConflictError) {
+	_, err = c.Put(ctx, address, &distribution.PutRequest{Resource: "r"})
+	if !errors.As(err, &conflict) || *conflict != *sent {
 		t.Errorf("%v", err)
 	}
 	if _, err := c.Resource(ctx, address, "r"); err == nil || !strings.Contains(err.Error(), "no such resource") {
@@ -92,39 +102,53 @@
 	if err := c.Healthy(ctx, address); err != nil {
 		t.Error(err)
 	}
-	if err := c.Ready(ctx, address); !errors.As(err, &busy) {
-		t.Errorf("cut off, and ready: %v", err)
+	if err := c.Ready(ctx, address); !errors.As(err, &overloaded) {
+		t.Errorf("disconnected, and ready: %v", err)
 	}
-	if service.err = nil; c.Ready(ctx, address) != nil {
-		t.Error("not ready")
+	service.err = nil
+	if err := c.Ready(ctx, address); err != nil {
+		t.Errorf("not ready: %v", err)
 	}
 }
 
-// Updates go as they were encoded, and a heartbeat is small.
-func TestAnswers(t *testing.T) {
+// Updates are sent as they were encoded, and a heartbeat is small.
+func TestFollowResponse(t *testing.T) {
 	update := []byte(`{"resource":"r","version":"1.2","items":[{"key":"a","value":"<&>"}]}`)
-	service := &scripted{answer: &EncodedResponse{Session: "s1", SourceAge: 3 * time.Second, Disconnected: true, Updates: [][]byte{update, update}}}
+	service := &scriptedService{response: &EncodedResponse{
+		Session:      "s1",
+		SourceAge:    3 * time.Second,
+		Disconnected: true,
+		Updates:      [][]byte{update, update},
+	}}
 	address, traffic := start(t, service, 10)
 	c := NewClient(nil)
 	defer c.Close()
 	r, err := c.Follow(context.Background(), address, heartbeat())
-	if err != nil || r.Session != "s1" || r.SourceAgeMs != 3_000 || !r.Disconnected || len(r.Updates) != 2 || string(r.Updates[1].Items[0].Value) != `"<&>"` {
-		t.Errorf("%+v, %v", r, err)
+	if err != nil {
+		t.Fatal(err)
 	}
-	service.answer = &EncodedResponse{Session: "s1"}
-	in, out := traffic.In.Load(), traffic.Out.Load()
-	if r, err = c.Follow(context.Background(), address, heartbeat()); err != nil || len(r.Updates) > 0 {
+	if r.Session != "s1" || r.SourceAgeMs != 3_000 || !r.Disconnected {
+		t.Errorf("%+v", r)
+	}
+	if len(r.Updates) != 2 || string(r.Updates[1].Items[0].Value) != `"<&>"` {
+		t.Errorf("%+v", r.Updates)
+	}
+	service.response = &EncodedResponse{Session: "s1"}
+	inBefore, outBefore := traffic.In.Load(), traffic.Out.Load()
+	r, err = c.Follow(context.Background(), address, heartbeat())
+	if err != nil || len(r.Updates) > 0 {
 		t.Errorf("%+v, %v", r, err)
 	}
-	const most = 4 * 150 // of a read each 4 s, for 150 bytes a second
-	if in, out = traffic.In.Load()-in, traffic.Out.Load()-out; in > most || out > most {
-		t.Errorf("a heartbeat of %d bytes and an answer of %d, %d at most expected", in, out, most)
+	const limit = 4 * 150 // one read each 4 s, for 150 bytes a second
+	in, out := traffic.In.Load()-inBefore, traffic.Out.Load()-outBefore
+	if in > limit || out > limit {
+		t.Errorf("a heartbeat of %d bytes and a response of %d, %d at most expected", in, out, limit)
 	}
 }
 
-// What a relay sends is bounded and checked too.
-func TestAnswersThatMakeNoSense(t *testing.T) {
-	for want, answer := range map[string]string{
+// The client bounds and validates responses.
+func TestInvalidResponses(t *testing.T) {
+	for want, body := range map[string]string{
 		"unexpected end of JSON":             `{"session":`,
 		"session: 0 bytes found":             `{}`,
 		"updates[0]: resource: name of 0":    `{"session":"s","updates":[{}]}`,
@@ -133,10 +157,10 @@
 		"answer: more than 10 bytes found, ": strings.Repeat(" ", 100),
 	} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			if answer == "" {
+			if body == "" {
 				http.Error(w, "broken", http.StatusInternalServerError)
 			}
-			_, _ = io.WriteString(w, answer)
+			_, _ = io.WriteString(w, body)
 		}))
 		address := strings.TrimPrefix(server.URL, "http://")
 		c := NewClient(nil)
@@ -152,21 +176,36 @@
 	}
 }
 
-// Requests that make no sense are refused in one line, and too many connections are closed.
-func TestRequestsThatMakeNoSense(t *testing.T) {
-	address, _ := start(t, &scripted{}, 2)
-	for _, body := range []string{"{", `{"follower":"p"}`, `{"follower":"p","kind":"proxy","hold_ms":99999999}`, fmt.Sprintf(`{"x":"%s"`, strings.Repeat("x", 10_000))} {
+// An invalid request is answered with one line.
+func TestInvalidRequests(t *testing.T) {
+	address, _ := start(t, &scriptedService{}, 2)
+	for _, body := range []string{
+		"{",
+		`{"follower":"p"}`,
+		`{"follower":"p","kind":"proxy","hold_ms":99999999}`,
+		fmt.Sprintf(`{"x":"%s"`, strings.Repeat("x", 10_000)),
+	} {
 		resp, err := http.Post("http://"+address+PathFollow, "", strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
-		text, _ := io.ReadAll(resp.Body)
-		resp.Body.Close()
+		text, err := io.ReadAll(resp.Body)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := resp.Body.Close(); err != nil {
+			t.Fatal(err)
+		}
 		if resp.StatusCode != http.StatusBadRequest || strings.Count(string(text), "\n") != 1 {
 			t.Errorf("%.50s: status %d, %q", body, resp.StatusCode, text)
 		}
 	}
 	http.DefaultClient.CloseIdleConnections()
+}
+
+// Connections beyond the bound are closed.
+func TestConnectionsAreBounded(t *testing.T) {
+	address, _ := start(t, &scriptedService{}, 2)
 	var conns []net.Conn
 	closed := 0
 	for range 4 {
@@ -174,10 +213,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer conn.Close()
+		defer func() { _ = conn.Close() }()
 		conns = append(conns, conn)
 	}
 	for _, conn := range conns {
+		// Either fails on a connection that has been closed.
 		_, _ = io.WriteString(conn, "GET "+PathHealth+" HTTP/1.1\r\nHost: a\r\n\r\n")
 		if n, _ := conn.Read(make([]byte, 1)); n == 0 {
 			closed++
@@ -191,7 +231,7 @@
 func FuzzRetryAfter(f *testing.F) {
 	f.Add("5")
 	f.Fuzz(func(t *testing.T, text string) {
-		if d := retryAfter(text); d < 0 || d > maxRetryAfter {
+		if d := parseRetryAfter(text); d < 0 || d > maxRetryAfter {
 			t.Errorf("%q: %v", text, d)
 		}
 	})
