--- /dev/null
+++ b/internal/distribution/node/follow.go
@@ -0,0 +1,169 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/httpapi"
+)
+
+const (
+	// maxOpeningReads is how many reads may open a session at a time. Each may bring all resources.
+	maxOpeningReads = 64
+	// openingRetryAfter is the Retry-After beyond maxOpeningReads.
+	openingRetryAfter = time.Second
+	// sessionRetryAfter is the Retry-After beyond the limit of sessions.
+	sessionRetryAfter = 5 * time.Second
+	// disconnectedHold is the longest hold of reads while the node is disconnected from the source,
+	// because their followers may find a better relay.
+	disconnectedHold = time.Second
+	// holdTick and minHoldTicks: a hold of at least minHoldTicks ticks ends at a multiple of
+	// holdTick.
+	holdTick     = 200 * time.Millisecond
+	minHoldTicks = 5
+	// holdJitter is the largest part by which the hold after an update is shortened.
+	holdJitter = 0.75
+)
+
+// Follow implements httpapi.Service.
+func (n *Node) Follow(
+	ctx context.Context, req *distribution.FollowRequest,
+) (resp *httpapi.EncodedResponse, done func(), err error) {
+	done = func() {}
+	if req.Session == "" {
+		select {
+		case n.openingReads <- struct{}{}:
+			done = func() { <-n.openingReads }
+		default:
+			return nil, nil, n.rejectOpening()
+		}
+	}
+	resp, err = n.follow(ctx, req)
+	if err != nil {
+		done()
+		return nil, nil, err
+	}
+	return resp, done, nil
+}
+
+// rejectOpening returns the error of a read beyond maxOpeningReads.
+func (n *Node) rejectOpening() error {
+	n.mu.Lock()
+	n.stats.RejectedSessions++
+	n.mu.Unlock()
+	return &httpapi.OverloadedError{RetryAfter: openingRetryAfter, Reason: "too many first reads at a time"}
+}
+
+// follow applies a request and waits for its response.
+func (n *Node) follow(ctx context.Context, req *distribution.FollowRequest) (*httpapi.EncodedResponse, error) {
+	now := n.now()
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.stats.MessagesIn++
+	session, err := n.applyRequest(req, now)
+	if err != nil {
+		return nil, err
+	}
+	if req.Session == "" { // answered at once, so that the follower learns its session
+		return n.awaitUpdates(ctx, session, now)
+	}
+	if req.HoldMs == 0 || session.Ended() { // a report beside a read, or a session that was left
+		return n.respond(session, nil), nil
+	}
+	hold := time.Duration(req.HoldMs) * time.Millisecond
+	return n.awaitUpdates(ctx, session, n.holdUntil(session, now, hold))
+}
+
+// applyRequest opens or resumes the request's session and applies what it says. The lock is held.
+func (n *Node) applyRequest(req *distribution.FollowRequest, now time.Time) (*distribution.Session, error) {
+	session, err := n.openOrResume(req, now)
+	if err != nil {
+		return nil, err
+	}
+	for i := range req.Positions {
+		n.upstream.followed(req.Positions[i].Resource)
+	}
+	if len(req.Positions) > 0 || len(req.Statuses) > 0 {
+		n.upstream.statusChanged(n.completesAny(req))
+	}
+	if w := n.waiters[session]; w != nil && len(req.Positions) > 0 {
+		w.signal() // a report may make an update pending for the read that waits
+	}
+	return session, nil
+}
+
+// openOrResume returns the session of a request, which is a new one if the request names none. The
+// lock is held.
+func (n *Node) openOrResume(req *distribution.FollowRequest, now time.Time) (*distribution.Session, error) {
+	if req.Session != "" {
+		return n.resume(req, now)
+	}
+	n.lastSession++
+	id := fmt.Sprintf("%s%x", n.sessionPrefix, n.lastSession)
+	session, replaced, err := n.sessions.Open(id, req, now)
+	if replaced != nil {
+		n.sessionEnded(replaced)
+	}
+	if err != nil {
+		n.stats.RejectedSessions++
+		return nil, &httpapi.OverloadedError{RetryAfter: sessionRetryAfter, Reason: err.Error()}
+	}
+	return session, nil
+}
+
+// resume returns the session that a request names. The lock is held.
+func (n *Node) resume(req *distribution.FollowRequest, now time.Time) (*distribution.Session, error) {
+	session, err := n.sessions.Resume(req, now)
+	if errors.Is(err, distribution.ErrUnknownSession) {
+		n.stats.UnknownSessions++
+	}
+	if err == nil && session.Ended() { // the follower has left
+		n.sessionEnded(session)
+	}
+	return session, err
+}
+
+// completesAny reports whether the latest version of any resource that a request reports on is in
+// force at all proxies. The lock is held.
+func (n *Node) completesAny(req *distribution.FollowRequest) bool {
+	for i := range req.Positions {
+		if n.isInForce(req.Positions[i].Resource) {
+			return true
+		}
+	}
+	for i := range req.Statuses {
+		if n.isInForce(req.Statuses[i].Resource) {
+			return true
+		}
+	}
+	return false
+}
+
+// isInForce reports whether the latest version of a resource is in force at all proxies. The lock
+// is held.
+func (n *Node) isInForce(resource string) bool {
+	return n.sessions.InForce(resource, n.store.Version(resource))
+}
+
+// holdUntil returns when a read without an update is answered, at the end of its hold at the
+// latest. Responses that go out together in ticks cost a fraction of the same responses one by one.
+// After an update, which goes to many followers at once, the next holds are shortened at random, so
+// that these followers do not come back together each time. The lock is held.
+func (n *Node) holdUntil(session *distribution.Session, now time.Time, hold time.Duration) time.Time {
+	if w := n.waiters[session]; w != nil && w.lastHadUpdates {
+		w.lastHadUpdates = false
+		hold -= time.Duration(float64(hold) * holdJitter * rand.Float64())
+	}
+	if n.upstream.disconnected() {
+		hold = min(hold, disconnectedHold)
+	}
+	until := now.Add(hold)
+	if hold < minHoldTicks*holdTick {
+		return until
+	}
+	return until.Add(-time.Duration(until.UnixNano()) % holdTick)
+}
--- a/internal/distribution/node/node.go
+++ b/internal/distribution/node/node.go
@@ -1,4 +1,11 @@
-// Package node is a source or a relay at work: a Store and Sessions behind one lock, the reads that wait, and the clock.
+// Package node is a source or a relay at work: it joins the state machines of package distribution
+// (a Store and a Sessions) behind one lock, and adds what they lack: the reads that wait, timers
+// and the clock.
+//
+// A [Node] is a source if its Config has a Persist. A [Relay] is a Node that follows an upstream
+// with package follow. Both implement httpapi.Service. In short: a read (Follow) opens or resumes a
+// session, and waits until an update is pending or its hold is over; a write (Put, or Apply at a
+// relay) changes the store and wakes the reads it can answer.
 package node
 
 import (
@@ -12,76 +19,85 @@
 	"fernlanding/internal/distribution/httpapi"
 )
 
-// Bounds of what a node keeps and sends.
 const (
-	// DefaultStoreBytes bounds all keys and values.
+	// DefaultStoreBytes bounds the keys and values of a Node.
 	DefaultStoreBytes = 1 << 30
-	// responseBytes is after how many bytes of updates the rest of them waits for the next read.
-	responseBytes = 4 << 20
-	// cacheBytes bounds the encoded updates that are kept for the next follower.
-	cacheBytes = 16 << 20
-	// firstReads is how many first reads are answered at a time, each of which may bring everything.
-	firstReads = 64
-	// firstRetryAfter is what further ones are told.
-	firstRetryAfter = time.Second
-	// sessionRetryAfter is told where there are too many sessions.
-	sessionRetryAfter = 5 * time.Second
-	// expireEvery is how often sessions that do not read any more are looked for.
-	expireEvery = time.Second
-	// cutHold is the longest hold of reads while the node is cut off from the source: their followers may go elsewhere.
-	cutHold = time.Second
-	// holdTick is of the times at which reads without news are answered, where holds are leastTicks of it at least.
-	holdTick   = 200 * time.Millisecond
-	leastTicks = 5
-	// spreadShare is by how much of its hold the read after an update may be shortened.
-	spreadShare = 0.75
+	// expireInterval is how often sessions are checked for expiry.
+	expireInterval = time.Second
+	// sessionPrefixBytes is the length of the random part of session IDs.
+	sessionPrefixBytes = 6
 )
 
-// Config is what a Node is told.
+// Config is what a Node is made of.
 type Config struct {
 	Name       string
-	StoreBytes int64 // 0: DefaultStoreBytes
-	Limits     distribution.SessionLimits
-	// Persist makes a write durable before it is in force: the resource as it is to be. Nil: not a source.
+	StoreBytes int64                      // 0: DefaultStoreBytes
+	Limits     distribution.SessionLimits // no Sessions: DefaultSessionLimits
+	// Persist makes a write durable before it is in force. It gets a snapshot of the resource as it
+	// is to be. Nil: the node is not a source.
 	Persist func(*distribution.Update) error
-	// Epoch is that of a source's writes.
+	// Epoch is the epoch of a source's writes.
 	Epoch uint64
 	// Traffic counts the bytes of followers' connections; nil: nobody does.
 	Traffic *httpapi.Traffic
-	// Now is the clock; nil: the usual one.
+	// Now is the clock; nil: time.Now.
 	Now func() time.Time
 }
 
-// Node implements httpapi.Service.
+// Node is a source, or the serving side of a relay. It implements httpapi.Service.
 type Node struct {
-	cfg     Config
-	now     func() time.Time
-	prefix  string // of sessions: another process's are unknown
-	firsts  chan struct{}
-	writing sync.Mutex // held by a write
-
-	traffic *httpapi.Traffic
-
-	mu       sync.Mutex
-	store    *distribution.Store
-	sessions *distribution.Sessions
-	readers  map[*distribution.Session]*waiter
-	cache    *cache
-	opened   uint64
-	waiting  int
-	revision uint64
-	stats    distribution.Stats
-	release  *time.Timer // of what is held back
-	armed    bool
-	age      func() time.Duration // of what the source said last
-	cut      func() bool          // off from the source
-	upstream func(*distribution.Stats)
-	follows  func(resource string)
-	changed  func(complete bool)
-	closed   chan struct{}
-	closing  sync.Once
+	cfg      Config
+	now      func() time.Time
+	traffic  *httpapi.Traffic
+	upstream upstream
+	// sessionPrefix begins the IDs of all sessions, so that those of an earlier process are
+	// unknown.
+	sessionPrefix string
+	// openingReads is a semaphore of reads that open a session.
+	openingReads chan struct{}
+	closed       chan struct{}
+	closeOnce    sync.Once
+
+	// putMu is held by a Put, from its plan to its end. It is taken before mu.
+	putMu sync.Mutex
+
+	mu              sync.Mutex
+	store           *distribution.Store
+	sessions        *distribution.Sessions
+	waiters         map[*distribution.Session]*waiter
+	encoded         *updateCache
+	lastSession     uint64 // the number of the last session
+	lastRevision    uint64 // that a source has used
+	waitingReads    int
+	releaseTimer    *time.Timer // runs releaseCoalesced
+	releaseTimerSet bool
+	stats           distribution.Stats
 }
 
+// upstream is where a node's resources come from. All methods are called with the node's lock held.
+type upstream interface {
+	// sourceAge returns the time since the source was last heard from.
+	sourceAge() time.Duration
+	// disconnected reports whether no upstream is heard from, here or above.
+	disconnected() bool
+	// addStats fills in the upstream's part of the metrics.
+	addStats(stats *distribution.Stats)
+	// followed is called when a session follows a resource.
+	followed(resource string)
+	// statusChanged is called when in-force reports have arrived. Complete says that a version may
+	// have just come into force at all proxies.
+	statusChanged(complete bool)
+}
+
+// noUpstream is the upstream of a source.
+type noUpstream struct{}
+
+func (noUpstream) sourceAge() time.Duration     { return 0 }
+func (noUpstream) disconnected() bool           { return false }
+func (noUpstream) addStats(*distribution.Stats) {}
+func (noUpstream) followed(string)              {}
+func (noUpstream) statusChanged(bool)           {}
+
 // New returns a node without resources.
 func New(cfg Config) *Node {
 	if cfg.StoreBytes == 0 {
@@ -96,53 +112,66 @@
 	if cfg.Traffic == nil {
 		cfg.Traffic = new(httpapi.Traffic)
 	}
-	random := make([]byte, 6)
-	_, _ = rand.Read(random) // never fails
 	n := &Node{
-		cfg: cfg, now: cfg.Now, traffic: cfg.Traffic, prefix: hex.EncodeToString(random), firsts: make(chan struct{}, firstReads),
-		store: distribution.NewStore(cfg.StoreBytes), sessions: distribution.NewSessions(cfg.Limits),
-		readers: make(map[*distribution.Session]*waiter), cache: newCache(cacheBytes), closed: make(chan struct{}),
-		age: func() time.Duration { return 0 }, cut: func() bool { return false }, upstream: func(*distribution.Stats) {}, follows: func(string) {}, changed: func(bool) {},
+		cfg:           cfg,
+		now:           cfg.Now,
+		traffic:       cfg.Traffic,
+		upstream:      noUpstream{},
+		sessionPrefix: newSessionPrefix(),
+		openingReads:  make(chan struct{}, maxOpeningReads),
+		closed:        make(chan struct{}),
+		store:         distribution.NewStore(cfg.StoreBytes),
+		sessions:      distribution.NewSessions(cfg.Limits),
+		waiters:       make(map[*distribution.Session]*waiter),
+		encoded:       newUpdateCache(maxCacheBytes),
 	}
-	n.release = time.AfterFunc(time.Hour, n.releaseHeld)
-	n.release.Stop()
+	n.releaseTimer = time.AfterFunc(time.Hour, n.releaseCoalesced)
+	n.releaseTimer.Stop() // it is set when there is something to release
 	return n
 }
 
+// newSessionPrefix returns random hexadecimal digits.
+func newSessionPrefix() string {
+	random := make([]byte, sessionPrefixBytes)
+	_, _ = rand.Read(random) // never fails
+	return hex.EncodeToString(random)
+}
+
 // Close ends all reads. Run has to have ended.
 func (n *Node) Close() {
-	n.closing.Do(func() { close(n.closed) })
-	n.release.Stop()
+	n.closeOnce.Do(func() { close(n.closed) })
+	n.releaseTimer.Stop()
 }
 
-// Run ends sessions that do not read any more, until the context ends.
+// Run expires sessions until the context ends.
 func (n *Node) Run(ctx context.Context) {
-	ticker := time.NewTicker(expireEvery)
+	ticker := time.NewTicker(expireInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			n.expire()
+			n.expireSessions()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (n *Node) expire() {
+// expireSessions closes the sessions whose followers do not read any more.
+func (n *Node) expireSessions() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, session := range n.sessions.Expire(n.now()) {
 		n.stats.EndedSessions++
-		n.ended(session)
+		n.sessionEnded(session)
 	}
 }
 
-// ended wakes the read of a session that has ended, if there is one.
-func (n *Node) ended(session *distribution.Session) {
-	if w := n.readers[session]; w != nil {
+// sessionEnded wakes the read of a session that has been closed, if one waits.
+func (n *Node) sessionEnded(session *distribution.Session) {
+	if w := n.waiters[session]; w != nil {
 		w.signal()
-		delete(n.readers, session)
+		delete(n.waiters, session)
 	}
 }
 
@@ -164,24 +193,26 @@
 func (n *Node) Disconnected() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut()
+	return n.upstream.disconnected()
 }
 
 // Stats implements httpapi.Service.
 func (n *Node) Stats() distribution.Stats {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	s := n.stats
-	s.Name = n.cfg.Name
-	s.Sessions = n.sessions.Len()
-	s.Resources = n.store.Len()
-	s.StoreBytes = n.store.Bytes()
-	s.CacheBytes = n.cache.bytes
+	stats := n.stats
+	stats.Name = n.cfg.Name
+	stats.Sessions = n.sessions.Len()
+	stats.WaitingReads = n.waitingReads
+	stats.Resources = n.store.Len()
+	stats.StoreBytes = n.store.Bytes()
+	stats.CacheBytes = n.encoded.bytes
 	counters := n.sessions.Counters()
-	s.CoalescedUpdates, s.RejectedUpdates = counters.Coalesced, counters.Rejected
-	s.WaitingReads = n.waiting
-	s.BytesIn, s.BytesOut = n.traffic.In.Load(), n.traffic.Out.Load()
-	s.SourceAgeMs = n.age().Milliseconds()
-	n.upstream(&s)
-	return s
+	stats.CoalescedUpdates = counters.Coalesced
+	stats.RejectedUpdates = counters.Rejected
+	stats.BytesIn = n.traffic.In.Load()
+	stats.BytesOut = n.traffic.Out.Load()
+	stats.SourceAgeMs = n.upstream.sourceAge().Milliseconds()
+	n.upstream.addStats(&stats)
+	return stats
 }
--- a/internal/distribution/node/relay.go
+++ b/internal/distribution/node/relay.go
@@ -11,46 +11,53 @@
 )
 
 const (
-	// reportEvery is how often a relay reports how far its resources are in force, where that has changed.
-	reportEvery = time.Second
-	// reportGap is the least time between two reports, also where a version has come into force everywhere.
-	reportGap = 50 * time.Millisecond
-	// unfollowAfter is how long a relay follows a resource that nobody behind it follows any more.
-	unfollowAfter = time.Minute
-	// cutAfter is how long no upstream may answer until the relay counts as cut off: time to go to the next one.
-	cutAfter = 500 * time.Millisecond
+	// reportInterval is how often a relay reports how far its resources are in force, if that has
+	// changed.
+	reportInterval = time.Second
+	// minReportInterval is the least time between two reports, even if a version has come into
+	// force at all proxies.
+	minReportInterval = 50 * time.Millisecond
+	// unfollowDelay is how long a relay follows a resource that no session follows any more.
+	unfollowDelay = time.Minute
+	// disconnectedDelay is how long no upstream answers until the relay counts as disconnected:
+	// long enough to fail over.
+	disconnectedDelay = 500 * time.Millisecond
 )
 
-// Relay is a Node that follows its upstream: what its followers follow, and nothing else.
+// Relay is a Node whose resources come from an upstream. It follows what its own followers follow,
+// and nothing else.
 type Relay struct {
 	*Node
-	follower *follow.Follower
-	began    time.Time
-	complete chan struct{} // a version may have come into force everywhere
-	log      *slog.Logger
+	follower  *follow.Follower
+	startedAt time.Time
+	// inForce wakes the reports: a version may have come into force at all proxies.
+	inForce chan struct{}
 
-	following sync.Mutex // taken after the node's lock
+	followMu  sync.Mutex // taken after the node's lock
 	cancels   map[string]func()
-	idle      map[string]time.Time // since when nobody has followed a resource
+	idleSince map[string]time.Time // since when no session has followed a resource
 }
 
-// NewRelay returns a relay that follows by a Config of package follow, whose Kind and Name are filled in.
+// NewRelay returns a relay. The Name and Kind of upstream are filled in.
 func NewRelay(cfg Config, upstream follow.Config) *Relay {
-	upstream.Name, upstream.Kind = cfg.Name, distribution.KindRelay
+	upstream.Name = cfg.Name
+	upstream.Kind = distribution.KindRelay
 	if upstream.Log == nil {
 		upstream.Log = slog.New(slog.DiscardHandler)
 	}
 	r := &Relay{
-		Node: New(cfg), follower: follow.New(upstream), complete: make(chan struct{}, 1), log: upstream.Log,
-		cancels: make(map[string]func()), idle: make(map[string]time.Time),
+		Node:      New(cfg),
+		follower:  follow.New(upstream),
+		inForce:   make(chan struct{}, 1),
+		cancels:   make(map[string]func()),
+		idleSince: make(map[string]time.Time),
 	}
-	r.began = r.now()
-	r.Node.age, r.Node.upstream, r.Node.cut = r.sourceAge, r.upstreamStats, r.cutOff
-	r.Node.follows, r.Node.changed = r.followToo, r.statusChanged
+	r.startedAt = r.now()
+	r.upstream = &relayUpstream{relay: r}
 	return r
 }
 
-// Run follows until the context ends.
+// Run follows the upstream until the context ends.
 func (r *Relay) Run(ctx context.Context) {
 	var parts sync.WaitGroup
 	parts.Go(func() { r.Node.Run(ctx) })
@@ -59,81 +66,40 @@
 	parts.Wait()
 }
 
-// Upstream is how the relay itself follows.
+// Upstream returns how the relay stands with its upstreams.
 func (r *Relay) Upstream() follow.Health { return r.follower.Health() }
 
-// followToo follows what a follower follows. The node's lock is held.
-func (r *Relay) followToo(resource string) {
-	r.following.Lock()
-	defer r.following.Unlock()
-	delete(r.idle, resource)
-	if r.cancels[resource] == nil {
-		r.cancels[resource] = r.follower.Subscribe(resource, r.store.Version(resource), &relayed{r})
-	}
-}
-
-// statusChanged has a version that has come into force everywhere reported at once. The node's lock is held.
-func (r *Relay) statusChanged(complete bool) {
-	if !complete {
-		return
-	}
-	select {
-	case r.complete <- struct{}{}:
-	default:
-	}
-}
-
-// cutOff tells whether no upstream has answered yet, or for some time, or the one that does is cut off. The node's lock is held.
-func (r *Relay) cutOff() bool {
-	h := r.follower.Health()
-	return h.LastAnswer.IsZero() || h.Disconnected || !h.SilentSince.IsZero() && r.now().Sub(h.SilentSince) >= cutAfter
-}
-
-// sourceAge is since when the source was last heard. The node's lock is held.
-func (r *Relay) sourceAge() time.Duration {
-	h := r.follower.Health()
-	if h.LastAnswer.IsZero() {
-		return r.now().Sub(r.began)
-	}
-	return max(0, r.now().Sub(h.LastAnswer)) + h.SourceAge
-}
-
-// upstreamStats fills in the counters of the relay's own reads. The node's lock is held.
-func (r *Relay) upstreamStats(s *distribution.Stats) {
-	up := r.follower.Stats()
-	s.UpstreamBytesIn, s.UpstreamBytesOut = up.BytesIn, up.BytesOut
-	s.UpstreamMessages, s.UpstreamSwitches = up.MessagesOut, up.Switches
-}
-
-// reportLoop reports statuses upwards.
+// reportLoop reports statuses to the upstream until the context ends.
 func (r *Relay) reportLoop(ctx context.Context) {
-	ticker := time.NewTicker(reportEvery)
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
-	gap := time.NewTimer(reportGap)
-	defer gap.Stop()
-	wasCut := false
+	pause := time.NewTimer(minReportInterval)
+	defer pause.Stop()
+	wasDisconnected := false
 	for {
 		select {
 		case <-ticker.C:
-			r.unfollow()
-			if cut := r.Disconnected(); cut != wasCut {
-				wasCut = cut
-				r.hurry()
+			r.unfollowIdle()
+			disconnected := r.Disconnected()
+			if disconnected != wasDisconnected {
+				wasDisconnected = disconnected
+				r.answerAll() // tells the followers at once
 			}
-		case <-r.complete:
+		case <-r.inForce:
 		case <-ctx.Done():
 			return
 		}
 		r.report()
-		gap.Reset(reportGap)
+		pause.Reset(minReportInterval)
 		select {
-		case <-gap.C:
+		case <-pause.C:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
+// report reports the statuses that have changed.
 func (r *Relay) report() {
 	r.mu.Lock()
 	var statuses []distribution.ResourceStatus
@@ -146,34 +112,86 @@
 	}
 }
 
-// unfollow ends what nobody has followed for long.
-func (r *Relay) unfollow() {
+// unfollowIdle unfollows and forgets the resources that no session has followed for unfollowDelay.
+func (r *Relay) unfollowIdle() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.following.Lock()
-	defer r.following.Unlock()
+	r.followMu.Lock()
+	defer r.followMu.Unlock()
 	now := r.now()
 	for name, cancel := range r.cancels {
-		since, idle := r.idle[name]
+		since, idle := r.idleSince[name]
 		switch {
 		case r.sessions.IsFollowed(name):
-			delete(r.idle, name)
+			delete(r.idleSince, name)
 		case !idle:
-			r.idle[name] = now
-		case now.Sub(since) >= unfollowAfter:
+			r.idleSince[name] = now
+		case now.Sub(since) >= unfollowDelay:
 			cancel()
 			delete(r.cancels, name)
-			delete(r.idle, name)
+			delete(r.idleSince, name)
 			r.store.Drop(name)
 		}
 	}
 }
 
-// relayed takes what a relay follows.
-type relayed struct{ relay *Relay }
+// relayUpstream is the upstream of a relay's Node, and applies what the relay follows.
+type relayUpstream struct{ relay *Relay }
+
+// sourceAge implements upstream.
+func (u *relayUpstream) sourceAge() time.Duration {
+	r := u.relay
+	health := r.follower.Health()
+	if health.LastAnswer.IsZero() {
+		return r.now().Sub(r.startedAt)
+	}
+	return max(0, r.now().Sub(health.LastAnswer)) + health.SourceAge
+}
+
+// disconnected implements upstream. A relay is disconnected until an upstream has answered, while
+// none has for some time, and while the one that answers is itself disconnected.
+func (u *relayUpstream) disconnected() bool {
+	health := u.relay.follower.Health()
+	if health.LastAnswer.IsZero() || health.Disconnected {
+		return true
+	}
+	return !health.SilentSince.IsZero() && u.relay.now().Sub(health.SilentSince) >= disconnectedDelay
+}
+
+// addStats implements upstream.
+func (u *relayUpstream) addStats(stats *distribution.Stats) {
+	own := u.relay.follower.Stats()
+	stats.UpstreamBytesIn = own.BytesIn
+	stats.UpstreamBytesOut = own.BytesOut
+	stats.UpstreamMessages = own.MessagesOut
+	stats.UpstreamSwitches = own.Switches
+}
+
+// followed implements upstream: the relay follows the resource too.
+func (u *relayUpstream) followed(resource string) {
+	r := u.relay
+	r.followMu.Lock()
+	defer r.followMu.Unlock()
+	delete(r.idleSince, resource)
+	if r.cancels[resource] == nil {
+		r.cancels[resource] = r.follower.Subscribe(resource, r.store.Version(resource), u)
+	}
+}
+
+// statusChanged implements upstream: a version that has come into force at all proxies is reported
+// at once.
+func (u *relayUpstream) statusChanged(complete bool) {
+	if !complete {
+		return
+	}
+	select {
+	case u.relay.inForce <- struct{}{}:
+	default:
+	}
+}
 
 // ApplyUpdate implements follow.Subscriber.
-func (s *relayed) ApplyUpdate(u distribution.Update) error { return s.relay.Apply(&u) }
+func (u *relayUpstream) ApplyUpdate(update distribution.Update) error { return u.relay.Apply(&update) }
 
-// UpdateFailed implements follow.Subscriber: what stands is served on, and its age is told.
-func (s *relayed) UpdateFailed() {}
+// UpdateFailed implements follow.Subscriber. The relay serves on what it has, and reports its age.
+func (u *relayUpstream) UpdateFailed() {}
--- a/internal/distribution/node/write.go
+++ b/internal/distribution/node/write.go
@@ -2,110 +2,100 @@
 
 import (
 	"fmt"
-	"time"
 
 	"fernlanding/internal/distribution"
 	"fernlanding/internal/distribution/httpapi"
 )
 
-// Apply takes an update of the upstream, and wakes who waits for it.
-func (n *Node) Apply(u *distribution.Update) error {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.apply(u)
-}
-
-func (n *Node) apply(u *distribution.Update) error {
-	had := n.store.Version(u.Resource)
-	news, err := n.store.Apply(u)
-	if err != nil || !news {
-		return err
+// Put implements httpapi.Service. A write is durable before it is in force. Errors:
+// httpapi.ErrNotSource, *distribution.ConflictError, distribution.ErrFull, those of Persist.
+func (n *Node) Put(req *distribution.PutRequest) (distribution.Version, error) {
+	if n.cfg.Persist == nil {
+		return distribution.Version{}, httpapi.ErrNotSource
 	}
-	now := n.now()
-	urgent := n.store.Urgent(u.Resource, had)
-	for _, session := range n.sessions.ResourceChanged(u.Resource, urgent, now) {
-		w := n.readers[session]
-		if urgent && w.urgent.IsZero() {
-			w.urgent = now
-		}
-		w.signal()
+	n.putMu.Lock()
+	defer n.putMu.Unlock()
+	plan, err := n.planPut(req)
+	if err != nil {
+		return distribution.Version{}, err
 	}
-	n.arm(now)
-	return nil
-}
-
-// arm sets the timer of what is held back.
-func (n *Node) arm(now time.Time) {
-	if n.armed {
-		return
+	if plan.update == nil {
+		return plan.current, nil
 	}
-	wake, next := n.sessions.ReleaseCoalesced(now)
-	n.signal(wake)
-	if !next.IsZero() {
-		n.armed = true
-		n.release.Reset(next.Sub(now))
+	if err := n.cfg.Persist(plan.snapshot); err != nil {
+		return distribution.Version{}, fmt.Errorf("%s: not written: %w", req.Resource, err)
 	}
-}
-
-func (n *Node) releaseHeld() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.armed = false
-	n.arm(n.now())
+	if err := n.apply(plan.update); err != nil {
+		return distribution.Version{}, err
+	}
+	n.stats.Puts++
+	return plan.update.Version, nil
 }
 
-func (n *Node) signal(wake []*distribution.Session) {
-	for _, session := range wake {
-		if w := n.readers[session]; w != nil {
-			w.signal()
-		}
-	}
+// putPlan is what a write amounts to.
+type putPlan struct {
+	current  distribution.Version // of the resource, before the write
+	update   *distribution.Update // nil: the write changes nothing
+	snapshot *distribution.Update // the resource after the update
 }
 
-// Put implements httpapi.Service.
-func (n *Node) Put(req *distribution.PutRequest) (distribution.Version, error) {
-	if n.cfg.Persist == nil {
-		return distribution.Version{}, httpapi.ErrNotSource
-	}
-	n.writing.Lock()
-	defer n.writing.Unlock()
+// planPut plans a write, and gives it a revision if it changes something.
+func (n *Node) planPut(req *distribution.PutRequest) (putPlan, error) {
 	n.mu.Lock()
+	defer n.mu.Unlock()
 	n.stats.MessagesIn++
 	n.stats.MessagesOut++
-	next := distribution.Version{Epoch: n.cfg.Epoch, Revision: n.revision + 1}
+	next := distribution.Version{Epoch: n.cfg.Epoch, Revision: n.lastRevision + 1}
 	update, err := n.store.Plan(req, next)
-	stands := n.store.Version(req.Resource)
-	var whole *distribution.Update
-	if update != nil {
-		whole = n.store.Preview(update)
-		n.revision = next.Revision // never used again, also where the write fails: it may be on the disk all the same
-	}
-	n.mu.Unlock()
 	if err != nil {
-		return distribution.Version{}, err
-	}
-	if update == nil {
-		return stands, nil
+		return putPlan{}, err
 	}
-	if err := n.cfg.Persist(whole); err != nil {
-		return distribution.Version{}, fmt.Errorf("%s: not written: %w", req.Resource, err)
+	plan := putPlan{current: n.store.Version(req.Resource), update: update}
+	if update != nil {
+		plan.snapshot = n.store.Preview(update)
+		// A revision is never used again, even if the write fails: it may be on the disk all the
+		// same.
+		n.lastRevision = next.Revision
 	}
+	return plan, nil
+}
+
+// Apply applies an update of the upstream, and wakes the reads that it can answer.
+func (n *Node) Apply(u *distribution.Update) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if err := n.apply(update); err != nil {
-		return distribution.Version{}, err
+	return n.apply(u)
+}
+
+// apply applies an update, and wakes the reads that it can answer. The lock is held.
+func (n *Node) apply(u *distribution.Update) error {
+	previous := n.store.Version(u.Resource)
+	applied, err := n.store.Apply(u)
+	if err != nil || !applied {
+		return err
 	}
-	n.stats.Puts++
-	return next, nil
+	now := n.now()
+	urgent := n.store.Urgent(u.Resource, previous)
+	for _, session := range n.sessions.ResourceChanged(u.Resource, urgent, now) {
+		w := n.waiters[session]
+		if urgent && w.urgentSince.IsZero() {
+			w.urgentSince = now
+		}
+		w.signal()
+	}
+	n.setReleaseTimer(now)
+	return nil
 }
 
-// Load takes a resource as it was kept, before anything else.
+// Load restores a resource as it was persisted. It is called before anything else.
 func (n *Node) Load(u *distribution.Update) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if _, err := n.store.Apply(u); err != nil {
 		return err
 	}
-	n.revision = max(n.revision, u.Version.Revision)
+	n.lastRevision = max(n.lastRevision, u.Version.Revision)
 	return nil
 }
