--- a/internal/distribution/statedir/statedir.go
+++ b/internal/distribution/statedir/statedir.go
@@ -1,5 +1,6 @@
-// Package statedir keeps a source's resources in a folder, each write whole and durable before it is in force, and the
-// epoch of the source's writes.
+// Package statedir keeps a source's resources in a directory: a file with a snapshot of each
+// resource, and one with the epoch of the source's writes. A write is atomic, and durable before it
+// returns.
 package statedir
 
 import (
@@ -19,28 +20,36 @@
 	"golang.org/x/sys/unix"
 )
 
+// The files of a directory, which stay as they are: sources of other versions read them.
 const (
-	epochFile   = "epoch"
-	lockFile    = "lock"
-	suffix      = ".json"
-	maxEpoch    = 64      // bytes of the file
-	maxResource = 1 << 30 // bytes of a file
-	fileMode    = 0o600
-	folderMode  = 0o700
+	epochFile      = "epoch"
+	lockFile       = "lock"
+	resourceSuffix = ".json"
 )
 
-// Dir is a source's folder. One process at a time has it.
+const (
+	maxEpochBytes    = 64      // of the epoch's file
+	maxResourceBytes = 1 << 30 // of a resource's file
+	fileMode         = 0o600
+	dirMode          = 0o700
+	nameHashBytes    = 16 // of a resource's name in its file's name
+)
+
+// Dir is a source's directory. One process at a time has it open. Its methods are not safe for
+// concurrent use.
 type Dir struct {
 	path  string
 	lock  *os.File
 	epoch uint64
 }
 
-// Open takes a folder, which is made where it is not there, and begins an epoch that is later than all before. Clock is
-// Unix time in seconds: an epoch is no earlier than that, so that a source which has lost its folder, or got an older one
-// back, is believed again.
+// Open opens a directory, which it creates if necessary, and begins an epoch after all earlier
+// ones. The epoch is no less than clock, the Unix time in seconds: followers would ignore a source
+// that has lost its directory, or has an older copy of it, if its epoch were not after the ones
+// that they have seen. Errors: another process has the directory open, or it can't be read or
+// written.
 func Open(path string, clock int64) (*Dir, error) {
-	if err := os.MkdirAll(path, folderMode); err != nil {
+	if err := os.MkdirAll(path, dirMode); err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
 	lock, err := os.OpenFile(filepath.Join(path, lockFile), os.O_CREATE|os.O_RDWR, fileMode)
@@ -51,23 +60,24 @@
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return nil, errors.Join(fmt.Errorf("state: %s: another process has it: %w", path, err), lock.Close())
 	}
-	if err := d.begin(clock); err != nil {
+	if err := d.beginEpoch(clock); err != nil {
 		return nil, errors.Join(err, lock.Close())
 	}
 	return d, nil
 }
 
-// begin writes the next epoch.
-func (d *Dir) begin(clock int64) error {
+// beginEpoch writes the next epoch.
+func (d *Dir) beginEpoch(clock int64) error {
 	name := filepath.Join(d.path, epochFile)
 	durable.RemoveStaged(name)
-	data, err := durable.ReadFile(name, maxEpoch)
+	data, err := durable.ReadFile(name, maxEpochBytes)
 	if err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
 	var last uint64
-	if data != nil {
-		if last, err = strconv.ParseUint(strings.TrimSpace(string(data)), 10, 64); err != nil {
+	if data != nil { // the file exists
+		last, err = strconv.ParseUint(strings.TrimSpace(string(data)), 10, 64)
+		if err != nil {
 			return fmt.Errorf("state: %s: %.20q found, a whole number expected", name, data)
 		}
 	}
@@ -79,58 +89,60 @@
 	return nil
 }
 
-// Epoch is that of the writes of this process.
+// Epoch returns the epoch of this process's writes.
 func (d *Dir) Epoch() uint64 { return d.epoch }
 
-// Close lets another process have the folder.
+// Close lets another process open the directory.
 func (d *Dir) Close() error { return d.lock.Close() }
 
-// Save writes a whole resource in place of what was kept of it.
-func (d *Dir) Save(u *distribution.Update) error {
-	data, err := json.Marshal(u)
+// Save replaces the file of a resource by a snapshot of it.
+func (d *Dir) Save(snapshot *distribution.Update) error {
+	data, err := json.Marshal(snapshot)
 	if err != nil {
 		return err
 	}
-	return durable.WriteFile(d.file(u.Resource), data, fileMode, true)
+	return durable.WriteFile(d.resourceFile(snapshot.Resource), data, fileMode, true)
 }
 
-// file is where a resource is kept; its name can be too long for a file's.
-func (d *Dir) file(resource string) string {
+// resourceFile returns the path of a resource's file. It is named by a hash, because a resource's
+// name can be too long for a file's, and can have any character.
+func (d *Dir) resourceFile(resource string) string {
 	sum := sha256.Sum256([]byte(resource))
-	return filepath.Join(d.path, hex.EncodeToString(sum[:16])+suffix)
+	return filepath.Join(d.path, hex.EncodeToString(sum[:nameHashBytes])+resourceSuffix)
 }
 
-// Load hands each resource that is kept to f.
-func (d *Dir) Load(f func(*distribution.Update) error) error {
-	names, err := filepath.Glob(filepath.Join(d.path, "*"+suffix))
+// Load calls apply with the snapshot of each resource, and ends at the first error.
+func (d *Dir) Load(apply func(*distribution.Update) error) error {
+	names, err := filepath.Glob(filepath.Join(d.path, "*"+resourceSuffix))
 	if err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
 	for _, name := range names {
 		durable.RemoveStaged(name)
-		if err := d.load(name, f); err != nil {
+		if err := d.loadFile(name, apply); err != nil {
 			return fmt.Errorf("state: %s: %w", name, err)
 		}
 	}
 	return nil
 }
 
-func (d *Dir) load(name string, f func(*distribution.Update) error) error {
-	data, err := durable.ReadFile(name, maxResource)
+// loadFile calls apply with the snapshot in a file.
+func (d *Dir) loadFile(name string, apply func(*distribution.Update) error) error {
+	data, err := durable.ReadFile(name, maxResourceBytes)
 	if err != nil {
 		return err
 	}
-	u, err := Decode(data)
+	snapshot, err := Decode(data)
 	if err != nil {
 		return err
 	}
-	if d.file(u.Resource) != name {
-		return fmt.Errorf("resource %q found, another one's file", u.Resource)
+	if d.resourceFile(snapshot.Resource) != name {
+		return fmt.Errorf("resource %q found, another one's file", snapshot.Resource)
 	}
-	return f(u)
+	return apply(snapshot)
 }
 
-// Decode reads what Keep writes.
+// Decode decodes and validates the content of a resource's file.
 func Decode(data []byte) (*distribution.Update, error) {
 	u := new(distribution.Update)
 	if err := json.Unmarshal(data, u); err != nil {
--- a/internal/distribution/statedir/statedir_test.go
+++ b/internal/distribution/statedir/statedir_test.go
@@ -10,6 +10,7 @@
 	"fernlanding/internal/distribution"
 )
 
+// open opens a directory until the test ends.
 func open(t *testing.T, path string, clock int64) *Dir {
 	t.Helper()
 	d, err := Open(path, clock)
@@ -20,41 +21,50 @@
 	return d
 }
 
-func whole(resource string, revision uint64) *distribution.Update {
+// snapshot returns a resource with one item.
+func snapshot(resource string, revision uint64) *distribution.Update {
 	return &distribution.Update{
-		Resource: resource, Version: distribution.Version{Epoch: 1, Revision: revision},
-		Items: []distribution.Item{{Key: "b1", Value: json.RawMessage(`{"address":"127.0.0.1:1"}`)}},
+		Resource: resource,
+		Version:  distribution.Version{Epoch: 1, Revision: revision},
+		Items:    []distribution.Item{{Key: "b1", Value: json.RawMessage(`{"address":"127.0.0.1:1"}`)}},
 	}
 }
 
-// load is what a folder keeps, by name.
+// load returns the resources in a directory, by name.
 func load(t *testing.T, d *Dir) map[string]*distribution.Update {
 	t.Helper()
 	all := make(map[string]*distribution.Update)
-	if err := d.Load(func(u *distribution.Update) error { all[u.Resource] = u; return nil }); err != nil {
+	err := d.Load(func(u *distribution.Update) error {
+		all[u.Resource] = u
+		return nil
+	})
+	if err != nil {
 		t.Fatal(err)
 	}
 	return all
 }
 
-// The last write of each resource is there after a restart, whatever its name; each process has an epoch of its own, later
-// than all before, also in a folder that was lost.
-func TestKeepAndLoad(t *testing.T) {
+// The last write of each resource is loaded after a restart, whatever its name. Each process has
+// its own epoch, later than all before, even if the directory is lost.
+func TestSaveAndLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	d := open(t, path, 0)
 	names := []string{"service-a", "../service b", strings.Repeat("ü", distribution.MaxNameBytes/2)}
 	for _, name := range names {
 		for revision := range uint64(2) {
-			if err := d.Save(whole(name, revision+1)); err != nil {
+			if err := d.Save(snapshot(name, revision+1)); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	if _, err := Open(path, 0); err == nil || !strings.Contains(err.Error(), "another process has it") {
-		t.Errorf("two processes in one folder: %v", err)
+		t.Errorf("two processes in one directory: %v", err)
+	}
+	if err := d.Close(); err != nil {
+		t.Fatal(err)
 	}
-	_ = d.Close()
-	if err := os.WriteFile(filepath.Join(path, ".epoch.new-1"), []byte("9"), 0o600); err != nil { // of a killed process
+	staged := filepath.Join(path, ".epoch.new-1") // of a killed process
+	if err := os.WriteFile(staged, []byte("9"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	again := open(t, path, 0)
@@ -68,25 +78,24 @@
 		}
 	}
 	if lost := open(t, t.TempDir(), 1_000); lost.Epoch() != 1_000 {
-		t.Errorf("epoch %d of a folder that was lost, by the clock at 1000", lost.Epoch())
+		t.Errorf("epoch %d after a lost directory, with the clock at 1000", lost.Epoch())
 	}
 }
 
-// A spoilt folder is said in one line, and nothing is served by it.
-func TestSpoiltFolder(t *testing.T) {
-	for want, spoil := range map[string]func(path string) error{
-		"a whole number expected": func(path string) error { return os.WriteFile(filepath.Join(path, epochFile), []byte("x"), 0o600) },
-		"unexpected end of JSON":  func(path string) error { return os.WriteFile(filepath.Join(path, "1.json"), []byte("{"), 0o600) },
-		"another one's file": func(path string) error {
-			data, _ := json.Marshal(whole("r", 1))
-			return os.WriteFile(filepath.Join(path, "1.json"), data, 0o600)
-		},
-		"a whole resource expected": func(path string) error {
-			return os.WriteFile(filepath.Join(path, "1.json"), []byte(`{"resource":"r","from":"1.1","version":"1.2"}`), 0o600)
-		},
+// A directory with a corrupt file is rejected, in one line.
+func TestCorruptDirectory(t *testing.T) {
+	another, err := json.Marshal(snapshot("r", 1))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for want, file := range map[string]struct{ name, content string }{
+		"a whole number expected":   {epochFile, "x"},
+		"unexpected end of JSON":    {"1.json", "{"},
+		"another one's file":        {"1.json", string(another)},
+		"a whole resource expected": {"1.json", `{"resource":"r","from":"1.1","version":"1.2"}`},
 	} {
 		path := t.TempDir()
-		if err := spoil(path); err != nil {
+		if err := os.WriteFile(filepath.Join(path, file.name), []byte(file.content), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		d, err := Open(path, 0)
