--- /dev/null
+++ b/internal/upstream/http1/body.go
@@ -0,0 +1,145 @@
+package http1
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net/http"
+	"net/http/httputil"
+	"strconv"
+	"time"
+
+	"fernlanding/internal/core"
+)
+
+const (
+	maxTrailer   = 4 << 10  // bytes of the trailer section behind the chunks
+	bodyPartSize = 64 << 10 // bytes of a large body that are waited for at a time; also the most of a chunked one
+)
+
+// readBody reads the body that a head announces into the response.
+func (rt *roundTripper) readBody(a *core.Attempt, c *conn, h *head, resp *core.Response) error {
+	cfg := &rt.upstream.cfg
+	switch {
+	case a.Method == http.MethodHead && h.contentLength >= 0:
+		length := strconv.FormatInt(h.contentLength, 10)
+		resp.Header = append(resp.Header, core.Field{Name: "Content-Length", Value: length})
+		return nil
+	case a.Method == http.MethodHead || h.statusCode == http.StatusNoContent || h.statusCode == http.StatusNotModified:
+		return nil // RFC 9112, section 6.3
+	case h.contentLength > cfg.MaxResponse:
+		return errResponseTooLarge
+	case h.contentLength > cfg.UncountedBody:
+		return rt.readLargeBody(a, c, h.contentLength, resp)
+	case h.contentLength >= 0:
+		return readSmallBody(a, c, h.contentLength, resp)
+	case h.chunked:
+		return rt.readChunkedBody(a, c, resp)
+	}
+	return errUnknownLength // its end would look the same as a break
+}
+
+// readSmallBody reads a body that is not counted in Memory.
+func readSmallBody(a *core.Attempt, c *conn, length int64, resp *core.Response) error {
+	if int64(c.reader.Buffered()) < length {
+		if err := c.extendDeadline(a, time.Now().Add(responseStall)); err != nil {
+			return err
+		}
+	}
+	resp.Body = make([]byte, length)
+	_, err := io.ReadFull(c.reader, resp.Body)
+	return err
+}
+
+// readLargeBody reads a body for which memory is reserved first. Each part of it may take as long
+// as a small body.
+func (rt *roundTripper) readLargeBody(a *core.Attempt, c *conn, length int64, resp *core.Response) error {
+	if err := rt.reserveMemory(a, c, length, resp); err != nil {
+		return err
+	}
+	resp.Body = make([]byte, length)
+	var err error
+	for rest := resp.Body; len(rest) > 0 && err == nil; {
+		part := rest[:min(len(rest), bodyPartSize)]
+		rest = rest[len(part):]
+		if err = c.extendDeadline(a, time.Now().Add(responseStall)); err == nil {
+			_, err = io.ReadFull(c.reader, part)
+		}
+	}
+	rt.releaseAfterRead(resp, err)
+	return err
+}
+
+// readChunkedBody reads a body in the chunked coding. Its length is not known ahead: it counts as
+// the most that is read.
+func (rt *roundTripper) readChunkedBody(a *core.Attempt, c *conn, resp *core.Response) error {
+	limit := min(rt.upstream.cfg.MaxResponse, bodyPartSize)
+	if limit > rt.upstream.cfg.UncountedBody {
+		if err := rt.reserveMemory(a, c, limit, resp); err != nil {
+			return err
+		}
+	}
+	if err := c.extendDeadline(a, time.Now().Add(responseStall)); err != nil {
+		resp.Close()
+		return err
+	}
+	var err error
+	resp.Body, err = readChunks(c.reader, limit)
+	rt.releaseAfterRead(resp, err)
+	return err
+}
+
+// readChunks reads chunks of at most limit bytes together, and the trailer section.
+func readChunks(r *bufio.Reader, limit int64) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(httputil.NewChunkedReader(r), limit+1))
+	if err != nil {
+		return body, err
+	}
+	if int64(len(body)) > limit {
+		return body, errResponseTooLarge
+	}
+	return body, skipTrailer(r)
+}
+
+// skipTrailer reads over the trailer section: fields that nobody asked for, and an empty line.
+func skipTrailer(r *bufio.Reader) error {
+	for n := 0; n <= maxTrailer; {
+		line, err := r.ReadSlice('\n')
+		if err != nil {
+			return err
+		}
+		if len(line) <= len("\r\n") {
+			if string(line) != "\r\n" {
+				return errMalformedTrailer
+			}
+			return nil
+		}
+		n += len(line)
+	}
+	return errTrailerTooLarge
+}
+
+// reserveMemory waits for memory until the attempt ends. The response's Release gives it back.
+func (rt *roundTripper) reserveMemory(a *core.Attempt, c *conn, n int64, resp *core.Response) error {
+	memory := rt.upstream.cfg.Memory
+	ctx, release := a.Context()
+	err := memory.Reserve(ctx, n)
+	release()
+	if err != nil {
+		return err
+	}
+	if !a.SetCanceler(c) { // Context has taken its place
+		memory.Release(n)
+		return context.Canceled
+	}
+	resp.Release = func() { memory.Release(n) }
+	return nil
+}
+
+// releaseAfterRead gives a body's memory back once it has been read, unless it is to be held until
+// the response's Release. After an error it is always given back.
+func (rt *roundTripper) releaseAfterRead(resp *core.Response, readErr error) {
+	if readErr != nil || !rt.upstream.cfg.HoldUntilRelease {
+		resp.Close()
+	}
+}
--- a/internal/upstream/http1/head.go
+++ b/internal/upstream/http1/head.go
@@ -2,93 +2,117 @@
 
 import (
 	"bytes"
-	"errors"
-	"fernlanding/internal/core"
 	"net/textproto"
+
+	"fernlanding/internal/core"
 )
 
-// head is what the head of an answer says.
+// head is what the head of a response says.
 type head struct {
-	code       int
-	length     int64 // -1: not given
-	chunked    bool
-	close      bool // the connection ends with this answer
-	notStarted bool
-	fields     []core.Field // what goes on to the client
+	statusCode    int
+	contentLength int64 // -1: not given
+	chunked       bool
+	close         bool         // the connection ends with this response
+	notStarted    bool         // Not-Started: 1
+	fields        []core.Field // forwarded to the client
 }
 
-var errHead = errors.New("a head that makes no sense")
-
-// parseHead reads a status line and fields (RFC 9112, sections 4 and 5), each with its CRLF. It is strict: what two
-// readers could take for two things is no answer. With all, every field that does not concern the connection goes on;
-// otherwise Content-Type alone.
-func parseHead(b []byte, all bool) (h head, err error) {
+// parseHead parses a status line and fields (RFC 9112, sections 4 and 5), each with its CRLF. It is
+// strict: what two readers could take for two things is an error. With passAll every field that
+// does not concern the connection is forwarded; otherwise only Content-Type is. The result keeps
+// nothing of b.
+func parseHead(b []byte, passAll bool) (head, error) {
 	line, rest, ok := bytes.Cut(b, []byte("\r\n"))
-	// HTTP/1.x SP 3DIGIT [SP text]
-	if !ok || len(line) < 12 || string(line[:7]) != "HTTP/1." || line[7] != '0' && line[7] != '1' || line[8] != ' ' ||
-		len(line) > 12 && line[12] != ' ' {
-		return h, errHead
+	if !ok {
+		return head{}, errMalformedHead
 	}
-	for _, c := range line[9:12] {
-		if c < '0' || c > '9' {
-			return h, errHead
-		}
-		h.code = 10*h.code + int(c-'0')
+	h, err := parseStatusLine(line)
+	if err != nil {
+		return h, err
 	}
-	if h.code < 100 || !text(line[12:]) {
-		return h, errHead
-	}
-	h.length, h.close = -1, line[7] == '0'
 	for len(rest) > 0 {
-		if line, rest, ok = bytes.Cut(rest, []byte("\r\n")); !ok {
-			return h, errHead
-		}
-		colon := bytes.IndexByte(line, ':')
-		if colon <= 0 || !token(line[:colon]) || !text(line[colon+1:]) {
-			return h, errHead
+		line, rest, ok = bytes.Cut(rest, []byte("\r\n"))
+		if !ok {
+			return h, errMalformedHead
 		}
-		if err := h.field(line[:colon], bytes.Trim(line[colon+1:], " \t"), all); err != nil {
+		if err := h.parseFieldLine(line, passAll); err != nil {
 			return h, err
 		}
 	}
-	if h.chunked && h.length >= 0 {
-		return h, errors.New("two framings")
+	if h.chunked && h.contentLength >= 0 {
+		return h, errConflictingFraming
+	}
+	return h, nil
+}
+
+// parseStatusLine parses HTTP/1.x SP 3DIGIT [SP text].
+func parseStatusLine(line []byte) (head, error) {
+	h := head{contentLength: -1}
+	const prefix = len("HTTP/1.1 ")
+	const end = prefix + len("200")
+	if len(line) < end || len(line) > end && line[end] != ' ' {
+		return h, errMalformedHead
+	}
+	switch string(line[:prefix]) {
+	case "HTTP/1.1 ":
+	case "HTTP/1.0 ":
+		h.close = true
+	default:
+		return h, errMalformedHead
+	}
+	for _, c := range line[prefix:end] {
+		if c < '0' || c > '9' {
+			return h, errMalformedHead
+		}
+		h.statusCode = 10*h.statusCode + int(c-'0')
+	}
+	if h.statusCode < 100 || !isFieldText(line[end:]) {
+		return h, errMalformedHead
 	}
 	return h, nil
 }
 
-// field takes one field. Values keep nothing of b.
-func (h *head) field(name, value []byte, all bool) error {
+// parseFieldLine parses one field line and takes what it says.
+func (h *head) parseFieldLine(line []byte, passAll bool) error {
+	colon := bytes.IndexByte(line, ':')
+	if colon <= 0 || !isToken(line[:colon]) || !isFieldText(line[colon+1:]) {
+		return errMalformedHead
+	}
+	return h.applyField(line[:colon], bytes.Trim(line[colon+1:], " \t"), passAll)
+}
+
+// applyField takes what one field says. It keeps copies of name and value.
+func (h *head) applyField(name, value []byte, passAll bool) error {
 	switch {
-	case is(name, "Content-Length"):
-		n, err := length(value)
-		if err != nil || h.length >= 0 && n != h.length {
-			return errors.New("a length that makes no sense")
+	case equalFold(name, "Content-Length"):
+		length, err := parseContentLength(value)
+		if err != nil || h.contentLength >= 0 && length != h.contentLength {
+			return errMalformedLength
 		}
-		h.length = n
+		h.contentLength = length
 		return nil
-	case is(name, "Transfer-Encoding"):
-		if h.chunked || !is(value, "chunked") {
-			return errors.New("an unknown transfer coding")
+	case equalFold(name, "Transfer-Encoding"):
+		if h.chunked || !equalFold(value, "chunked") {
+			return errUnknownCoding
 		}
 		h.chunked = true
 		return nil
-	case is(name, "Connection"):
-		for part := range bytes.SplitSeq(value, []byte(",")) {
-			h.close = h.close || is(bytes.Trim(part, " \t"), "close")
+	case equalFold(name, "Connection"):
+		for option := range bytes.SplitSeq(value, []byte(",")) {
+			h.close = h.close || equalFold(bytes.Trim(option, " \t"), "close")
 		}
 		return nil
-	case is(name, "Not-Started"):
+	case equalFold(name, "Not-Started"):
 		h.notStarted = string(value) == "1"
 	}
-	if all && !oneConnection(name) || !all && is(name, "Content-Type") && len(h.fields) == 0 {
-		h.fields = append(h.fields, core.Field{Name: canonical(name), Value: string(value)})
+	if passAll && !isHopByHop(name) || !passAll && equalFold(name, "Content-Type") && len(h.fields) == 0 {
+		h.fields = append(h.fields, core.Field{Name: canonicalName(name), Value: string(value)})
 	}
 	return nil
 }
 
-// canonical is the canonical form of a name. The usual ones cost nothing.
-func canonical(name []byte) string {
+// canonicalName returns the canonical form of a field's name. The usual names allocate nothing.
+func canonicalName(name []byte) string {
 	switch string(name) {
 	case "Content-Type":
 		return "Content-Type"
@@ -98,55 +122,64 @@
 	return textproto.CanonicalMIMEHeaderKey(string(name))
 }
 
-// oneConnection tells whether a field concerns one connection (RFC 9110, section 7.6.1) or its framing.
-func oneConnection(name []byte) bool {
+// isHopByHop reports whether a field concerns one connection (RFC 9110, section 7.6.1) or its
+// framing.
+func isHopByHop(name []byte) bool {
 	for _, n := range [...]string{"Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Upgrade", "Proxy-Authenticate"} {
-		if is(name, n) {
+		if equalFold(name, n) {
 			return true
 		}
 	}
 	return false
 }
 
-// is compares ASCII without regard to case.
-func is(b []byte, word string) bool {
+// equalFold reports whether b is an ASCII word, in whatever case.
+func equalFold(b []byte, word string) bool {
 	return len(b) == len(word) && bytes.EqualFold(b, []byte(word))
 }
 
-// length reads 1*DIGIT, also repeated as a list of equal values (RFC 9110, section 8.6).
-func length(value []byte) (n int64, err error) {
+// parseContentLength parses 1*DIGIT, also repeated as a list of equal values (RFC 9110, section
+// 8.6).
+func parseContentLength(value []byte) (int64, error) {
 	first, rest, more := bytes.Cut(value, []byte(","))
 	first = bytes.Trim(first, " \t")
-	if len(first) == 0 || len(first) > 18 {
-		return 0, errHead
+	if len(first) == 0 || len(first) > 18 { // 18 digits always fit
+		return 0, errMalformedLength
 	}
+	var length int64
 	for _, c := range first {
 		if c < '0' || c > '9' {
-			return 0, errHead
+			return 0, errMalformedLength
 		}
-		n = 10*n + int64(c-'0')
+		length = 10*length + int64(c-'0')
 	}
 	if more {
-		if again, err := length(rest); err != nil || again != n {
-			return 0, errHead
+		if repeated, err := parseContentLength(rest); err != nil || repeated != length {
+			return 0, errMalformedLength
 		}
 	}
-	return n, nil
+	return length, nil
 }
 
-// token tells whether b is a token (RFC 9110, section 5.6.2).
-func token(b []byte) bool {
+// isToken reports whether b is a token (RFC 9110, section 5.6.2).
+func isToken(b []byte) bool {
 	for _, c := range b {
-		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' ||
-			bytes.IndexByte([]byte("!#$%&'*+-.^_`|~"), c) >= 0) {
+		if !isTokenChar(c) {
 			return false
 		}
 	}
 	return len(b) > 0
 }
 
-// text tells whether b may stand in a field's value or a reason (RFC 9110, section 5.5).
-func text(b []byte) bool {
+// isTokenChar reports whether c is a tchar (RFC 9110, section 5.6.2).
+func isTokenChar(c byte) bool {
+	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' ||
+		bytes.IndexByte([]byte("!#$%&'*+-.^_`|~"), c) >= 0
+}
+
+// isFieldText reports whether b may stand in a field's value or a reason phrase (RFC 9110, section
+// 5.5).
+func isFieldText(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
 			return false
--- a/internal/upstream/http1/head_test.go
+++ b/internal/upstream/http1/head_test.go
@@ -8,15 +8,20 @@
 	"testing"
 )
 
-func TestHeadsThatMakeNoSense(t *testing.T) {
+func TestParseHeadErrors(t *testing.T) {
 	for _, text := range []string{
-		"", "HTTP/1.1", "HTTP/1.1 200", "HTTP/1.1 20 OK\r\n", "HTTP/1.1  200 OK\r\n", "HTTP/2.0 200 OK\r\n", "http/1.1 200 OK\r\n",
-		"HTTP/1.1 099 OK\r\n", "HTTP/1.1 2x0 OK\r\n", "HTTP/1.1 2000 OK\r\n", "HTTP/1.1 200 O\x01K\r\n", "HTTP/1.1 200 OK\n\r\n",
-		"HTTP/1.1 200 OK\r\nno colon\r\n", "HTTP/1.1 200 OK\r\n: x\r\n", "HTTP/1.1 200 OK\r\nA : x\r\n", "HTTP/1.1 200 OK\r\n A: x\r\n",
-		"HTTP/1.1 200 OK\r\nA: 1\r\n folded\r\n", "HTTP/1.1 200 OK\r\nA: a\x00b\r\n", "HTTP/1.1 200 OK\r\nA: a\rb\r\n", "HTTP/1.1 200 OK\r\nA: a\nB: b\r\n",
-		"HTTP/1.1 200 OK\r\nContent-Length:\r\n", "HTTP/1.1 200 OK\r\nContent-Length: +1\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 1, 2\r\n",
-		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 9999999999999999999\r\n",
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
+		"", "HTTP/1.1", "HTTP/1.1 200", "HTTP/1.1 20 OK\r\n", "HTTP/1.1  200 OK\r\n", "HTTP/2.0 200 OK\r\n",
+		"http/1.1 200 OK\r\n", "HTTP/1.1 099 OK\r\n", "HTTP/1.1 2x0 OK\r\n", "HTTP/1.1 2000 OK\r\n",
+		"HTTP/1.1 200 O\x01K\r\n", "HTTP/1.1 200 OK\n\r\n", "HTTP/1.1 200 OK\r\nno colon\r\n",
+		"HTTP/1.1 200 OK\r\n: x\r\n", "HTTP/1.1 200 OK\r\nA : x\r\n", "HTTP/1.1 200 OK\r\n A: x\r\n",
+		"HTTP/1.1 200 OK\r\nA: 1\r\n folded\r\n", "HTTP/1.1 200 OK\r\nA: a\x00b\r\n",
+		"HTTP/1.1 200 OK\r\nA: a\rb\r\n", "HTTP/1.1 200 OK\r\nA: a\nB: b\r\n",
+		"HTTP/1.1 200 OK\r\nContent-Length:\r\n", "HTTP/1.1 200 OK\r\nContent-Length: +1\r\n",
+		"HTTP/1.1 200 OK\r\nContent-Length: 1, 2\r\n",
+		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n",
+		"HTTP/1.1 200 OK\r\nContent-Length: 9999999999999999999\r\n",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 0\r\n",
 	} {
 		if h, err := parseHead([]byte(text), true); err == nil {
@@ -25,26 +30,29 @@
 	}
 }
 
-func TestWhatAHeadSays(t *testing.T) {
-	h, err := parseHead([]byte("HTTP/1.1 200\r\ncontent-length: 5, 5\r\nCONTENT-LENGTH:5\r\nConnection: x, Close\r\nnot-started: 1\r\n"+
-		"content-type: \ttext/plain \r\nserver-load: a\r\nX-A:\r\nupgrade: h2c\r\n"), true)
-	if err != nil || h.code != 200 || h.length != 5 || !h.close || !h.notStarted || h.chunked || len(h.fields) != 4 ||
-		h.fields[1].Name != "Content-Type" || h.fields[1].Value != "text/plain" || h.fields[3].Name != "X-A" {
+func TestParseHead(t *testing.T) {
+	h, err := parseHead([]byte("HTTP/1.1 200\r\ncontent-length: 5, 5\r\nCONTENT-LENGTH:5\r\nConnection: x, Close\r\n"+
+		"not-started: 1\r\ncontent-type: \ttext/plain \r\nserver-load: a\r\nX-A:\r\nupgrade: h2c\r\n"), true)
+	if err != nil || h.statusCode != 200 || h.contentLength != 5 || !h.close || !h.notStarted || h.chunked ||
+		len(h.fields) != 4 || h.fields[1].Name != "Content-Type" || h.fields[1].Value != "text/plain" ||
+		h.fields[3].Name != "X-A" {
 		t.Errorf("got %+v, %v", h, err)
 	}
-	h, err = parseHead([]byte("HTTP/1.0 500 Server Error\r\nContent-Type: a\r\nContent-Type: b\r\nX: 1\r\nTransfer-Encoding: CHUNKED\r\n"), false)
-	if err != nil || h.code != 500 || !h.chunked || !h.close || len(h.fields) != 1 || h.fields[0].Value != "a" {
+	h, err = parseHead([]byte("HTTP/1.0 500 Server Error\r\nContent-Type: a\r\nContent-Type: b\r\nX: 1\r\n"+
+		"Transfer-Encoding: CHUNKED\r\n"), false)
+	if err != nil || h.statusCode != 500 || !h.chunked || !h.close || len(h.fields) != 1 || h.fields[0].Value != "a" {
 		t.Errorf("got %+v, %v", h, err)
 	}
 }
 
-// What this parser takes net/http takes too, and both see the same: it is the stricter of the two.
-func FuzzHead(f *testing.F) {
+// What this parser accepts net/http accepts too, and both see the same: it is the stricter of the
+// two.
+func FuzzParseHead(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX: y\r\n"))
 	f.Add([]byte("HTTP/1.0 503 No\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n"))
 	f.Add([]byte("HTTP/1.1 404\r\nContent-Length: 2, 2\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if bytes.Contains(b, []byte("\r\n\r\n")) || len(b) > answerHead {
+		if bytes.Contains(b, []byte("\r\n\r\n")) || len(b) > maxResponseHead {
 			return // no head
 		}
 		h, err := parseHead(b, true)
@@ -54,13 +62,13 @@
 		if strings.Contains(string(b), ",") || h.close && h.chunked {
 			return // net/http takes no list of equal lengths, and no chunks in HTTP/1.0
 		}
-		resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(append(b, "\r\n"...))), &http.Request{Method: "GET"})
+		reader := bufio.NewReader(bytes.NewReader(append(b, "\r\n"...)))
+		resp, err := http.ReadResponse(reader, &http.Request{Method: http.MethodGet})
 		if err != nil {
-			t.Fatalf("%q: taken as %+v, and net/http says %v", b, h, err)
+			t.Fatalf("%q: parsed as %+v, and net/http says %v", b, h, err)
 		}
-		if resp.StatusCode != h.code || h.length >= 0 && resp.ContentLength != h.length && h.code >= 200 && h.code != 204 && h.code != 304 ||
-			h.chunked && h.code >= 200 && h.code != 204 && h.code != 304 && len(resp.TransferEncoding) == 0 {
-			t.Fatalf("%q: taken as %+v, by net/http as %+v", b, h, resp)
+		if !agrees(&h, resp) {
+			t.Fatalf("%q: parsed as %+v, by net/http as %+v", b, h, resp)
 		}
 		for _, f := range h.fields {
 			if len(resp.Header[f.Name]) == 0 {
@@ -69,3 +77,16 @@
 		}
 	})
 }
+
+// agrees reports whether net/http sees the same status, and the same framing where the status
+// allows a body.
+func agrees(h *head, resp *http.Response) bool {
+	if resp.StatusCode != h.statusCode {
+		return false
+	}
+	if h.statusCode < 200 || h.statusCode == http.StatusNoContent || h.statusCode == http.StatusNotModified {
+		return true
+	}
+	return (h.contentLength < 0 || resp.ContentLength == h.contentLength) &&
+		(!h.chunked || len(resp.TransferEncoding) > 0)
+}
--- /dev/null
+++ b/internal/upstream/http1/request.go
@@ -0,0 +1,107 @@
+package http1
+
+import (
+	"errors"
+	"net/http"
+	"strconv"
+	"syscall"
+	"time"
+
+	"fernlanding/internal/core"
+)
+
+const (
+	// timeoutHeader tells a backend how many milliseconds its caller will wait.
+	timeoutHeader = "Request-Timeout-Ms"
+
+	maxKeptBuffer = 16 << 10 // a request buffer that has grown beyond this is not kept
+)
+
+// writeRequest writes a whole encoded request. An error means that its last byte was not written.
+func (rt *roundTripper) writeRequest(a *core.Attempt, c *conn, request []byte) error {
+	if c.raw == nil {
+		_, err := rt.beginWrite(a, func() (int, error) { return c.Write(request) })
+		return err
+	}
+	var written int
+	var err error
+	rawErr := c.raw.Write(func(fd uintptr) bool {
+		written, err = rt.beginWrite(a, func() (int, error) { return writeNonblocking(fd, request) })
+		return !errors.Is(err, syscall.EAGAIN)
+	})
+	switch {
+	case rawErr != nil:
+		return rawErr
+	case err == nil && written < len(request):
+		_, err = c.Write(request[written:])
+	}
+	return err
+}
+
+// beginWrite makes a request's first write if the endpoint is what it was when it was chosen and it
+// is not too late to begin. That check and the write are one step to UpdateEndpoints, which waits
+// for writeMu: once it has returned, nothing begins at an endpoint that has changed.
+func (rt *roundTripper) beginWrite(a *core.Attempt, write func() (int, error)) (int, error) {
+	rt.endpoint.writeMu.RLock()
+	defer rt.endpoint.writeMu.RUnlock()
+	if rt.endpoint.epoch != rt.epoch {
+		return 0, errEndpointChanged
+	}
+	if !a.SendBy.IsZero() && time.Now().After(a.SendBy) {
+		return 0, errSendTooLate
+	}
+	return write()
+}
+
+// writeNonblocking writes what the socket's buffer takes: EAGAIN if that is nothing.
+func writeNonblocking(fd uintptr, b []byte) (int, error) {
+	for {
+		n, err := syscall.Write(int(fd), b)
+		if !errors.Is(err, syscall.EINTR) {
+			return n, err
+		}
+	}
+}
+
+// encodeRequest encodes the whole request into one buffer, so that one write tells whether its last
+// byte was sent. The result is valid until the next call.
+func (c *conn) encodeRequest(a *core.Attempt) []byte {
+	r, b := a.Request, c.out[:0]
+	b = append(b, r.Method...)
+	b = append(b, ' ')
+	b = append(b, r.Target...)
+	b = append(b, " HTTP/1.1\r\n"...)
+	b = appendField(b, "Host", r.Host)
+	for _, field := range r.Header {
+		if field.Name != timeoutHeader {
+			b = appendField(b, field.Name, field.Value)
+		}
+	}
+	b = appendIntField(b, timeoutHeader, max(1, time.Until(a.Deadline).Milliseconds()))
+	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
+		b = appendIntField(b, "Content-Length", int64(len(r.Body)))
+	}
+	b = append(b, "\r\n"...)
+	b = append(b, r.Body...)
+	c.out = b
+	if cap(b) > maxKeptBuffer {
+		c.out = nil
+	}
+	return b
+}
+
+// appendField appends a header field line.
+func appendField(b []byte, name, value string) []byte {
+	b = append(b, name...)
+	b = append(b, ": "...)
+	b = append(b, value...)
+	return append(b, "\r\n"...)
+}
+
+// appendIntField appends a header field line whose value is a number.
+func appendIntField(b []byte, name string, value int64) []byte {
+	b = append(b, name...)
+	b = append(b, ": "...)
+	b = strconv.AppendInt(b, value, 10)
+	return append(b, "\r\n"...)
+}
--- /dev/null
+++ b/internal/upstream/http1/request_test.go
@@ -0,0 +1,163 @@
+package http1
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"fernlanding/internal/membership"
+	"fernlanding/internal/standin/backendtest"
+	"fernlanding/logic"
+)
+
+// gatedConn stops a request between the check of the endpoint list and its first byte.
+type gatedConn struct {
+	*net.TCPConn
+	reached chan struct{} // the request is at the gate
+	gate    chan struct{}
+}
+
+func (c gatedConn) Write(b []byte) (int, error) {
+	c.reached <- struct{}{}
+	<-c.gate
+	return c.TCPConn.Write(b)
+}
+
+func (c gatedConn) SyscallConn() (syscall.RawConn, error) {
+	raw, err := c.TCPConn.SyscallConn()
+	return gatedRawConn{raw, c}, err
+}
+
+type gatedRawConn struct {
+	syscall.RawConn
+	conn gatedConn
+}
+
+func (r gatedRawConn) Write(f func(uintptr) bool) error {
+	r.conn.reached <- struct{}{}
+	<-r.conn.gate
+	return r.RawConn.Write(f)
+}
+
+// A drain, an end or a restart that is notified between the check of the list and the first byte
+// holds the request back.
+func TestNoWriteBeginsAfterUpdateEndpoints(t *testing.T) {
+	restarted := newEndpoint("a", "", membership.Serving)
+	restarted.SinceMs = 7
+	for name, entry := range map[string]membership.Endpoint{
+		"drained":   newEndpoint("a", "", membership.Draining),
+		"gone":      newEndpoint("a", "", membership.Deleted),
+		"restarted": restarted,
+	} {
+		t.Run(name, func(t *testing.T) {
+			b := backendtest.Start(t, backendtest.Says(served, true))
+			u := newUpstream(4, b.Addr)
+			gated := gatedConn{reached: make(chan struct{}, 1), gate: make(chan struct{})}
+			hookDial(u, func(c net.Conn, err error) (net.Conn, error) {
+				if err == nil {
+					var ok bool
+					if gated.TCPConn, ok = c.(*net.TCPConn); !ok {
+						t.Errorf("dialed a %T", c)
+					}
+				}
+				return gated, err
+			})
+			results := newAttempt(u, "a", waitLimit).start()
+			receive(t, "request at the gate", gated.reached)
+			entry.Address = b.Addr
+			u.UpdateEndpoints(false, []membership.Endpoint{entry})
+			close(gated.gate)
+			if res := receive(t, "outcome", results); res.Status != logic.NotSent {
+				t.Errorf("got %v", res.Status)
+			}
+			receive(t, "close", b.Closed)
+			if n := b.Requests.Load(); n > 0 {
+				t.Errorf("%d requests came after the update", n)
+			}
+		})
+	}
+}
+
+// A retry whose connection comes up after its SendBy is not sent: its backend's dedup window may be
+// over.
+func TestNothingIsSentAfterSendBy(t *testing.T) {
+	b := backendtest.Start(t, backendtest.Says(served, true))
+	u := newUpstream(4, b.Addr)
+	a := newAttempt(u, "a", waitLimit)
+	hookDial(u, func(c net.Conn, err error) (net.Conn, error) {
+		a.SendBy = time.Now().Add(-1)
+		return c, err
+	})
+	if res := a.run(); res.Status != logic.NotSent {
+		t.Errorf("got %v", res.Status)
+	}
+	receive(t, "close", b.Closed)
+	if n := b.Requests.Load(); n > 0 {
+		t.Errorf("%d requests came", n)
+	}
+}
+
+// A client that leaves while its request is being written is no fault of the backend's, which has
+// read none of it.
+func TestCancelDuringWriteIsNotSent(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeAtEnd(t, l)
+	u := newUpstream(4, l.Addr().String())
+	a := newAttempt(u, "a", waitLimit)
+	a.Method, a.Body = http.MethodPost, []byte(strings.Repeat("x", 32<<20)) // more than the kernel takes
+	results := a.start()
+	c, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeAtEnd(t, c)
+	if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
+		t.Fatal(err)
+	}
+	a.Cancel()
+	if res := receive(t, "outcome", results); res.Status != logic.NotSent {
+		t.Errorf("got %v", res.Status)
+	}
+}
+
+// A write that breaks off before the last byte proves that the request never ran; one that ended
+// does not.
+func TestPartialWriteIsConnectFailed(t *testing.T) {
+	u := newUpstream(4, "127.0.0.1:1")
+	u.dialer = func(context.Context, string, string) (net.Conn, error) {
+		near, far := net.Pipe()
+		go func() {
+			_, _ = io.ReadFull(far, make([]byte, 5))
+			_ = far.Close()
+		}()
+		return near, nil
+	}
+	if res := newAttempt(u, "a", waitLimit).run(); res.Status != logic.ConnectFailed {
+		t.Errorf("got %v", res.Status)
+	}
+}
+
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	requests := make(chan *http.Request, 1)
+	b := backendtest.Start(t, func(w io.Writer, r *http.Request, _ int) bool {
+		requests <- r
+		_, _ = io.WriteString(w, served)
+		return true
+	})
+	newAttempt(newUpstream(4, b.Addr), "a", 900*time.Millisecond+waitLimit).run()
+	r := receive(t, "request", requests)
+	if r.RequestURI != "/look/k%2f1?x=%20y" || r.Host != "backend.local" || r.Header.Get("Request-Id") != "1" {
+		t.Errorf("got %s %s %v", r.RequestURI, r.Host, r.Header)
+	}
+	if ms := r.Header.Get("Request-Timeout-Ms"); len(ms) != 5 || ms > "20900" {
+		t.Errorf("Request-Timeout-Ms %q", ms)
+	}
+}
