--- a/internal/storedformat/storedformat_test.go
+++ b/internal/storedformat/storedformat_test.go
@@ -85,6 +85,9 @@
 func TestConfigurationInForceIsRead(t *testing.T) {
 	file := readFile(t, "app.toml")
 	dir := copyOf(t, "state")
+	if err := os.Remove(filepath.Join(dir, "list-api.json")); err != nil { // is too old by now, which would be logged
+		t.Fatal(err)
+	}
 	t.Chdir(filepath.Dir(dir))
 	app, err := config.Decode("app.toml", file)
 	if err != nil {
