--- a/internal/tomldoc/sections.go
+++ b/internal/tomldoc/sections.go
@@ -6,37 +6,39 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Section is a part of a TOML document: the lines before its first header, or a header with the lines below it.
+// Section is a part of a TOML document: the lines before its first header, or a header with the
+// lines below it.
 type Section struct {
 	Path []string // of the header's table; empty: before the first header
 	Text []byte   // a part of the document's bytes
 }
 
-// Sections divides a document that Parse takes into its sections, in its order. Together they are the document.
+// Sections divides a document that Parse accepts into its sections, in order. Together they are the
+// document.
 func Sections(data []byte) []Section {
 	var sections []Section
 	var path []string
 	begin := 0
-	p := unstable.Parser{}
-	p.Reset(data)
-	for p.NextExpression() {
-		e := p.Expression()
-		if e.Kind != unstable.Table && e.Kind != unstable.ArrayTable {
+	parser := unstable.Parser{}
+	parser.Reset(data)
+	for parser.NextExpression() {
+		expression := parser.Expression()
+		if expression.Kind != unstable.Table && expression.Kind != unstable.ArrayTable {
 			continue
 		}
-		next, header := headerOf(e, data)
-		sections = append(sections, Section{path, data[begin:header]})
-		path, begin = next, header
+		nextPath, next := headerOf(expression, data)
+		sections = append(sections, Section{Path: path, Text: data[begin:next]})
+		path, begin = nextPath, next
 	}
-	return append(sections, Section{path, data[begin:]})
+	return append(sections, Section{Path: path, Text: data[begin:]})
 }
 
-// headerOf is the path of a header and where its line begins.
-func headerOf(e *unstable.Node, data []byte) (path []string, begin int) {
-	key := e.Key()
-	for first := true; key.Next(); first = false {
+// headerOf returns the path of a header, and the offset at which its line begins.
+func headerOf(expression *unstable.Node, data []byte) (path []string, begin int) {
+	key := expression.Key()
+	for key.Next() {
 		node := key.Node()
-		if first {
+		if len(path) == 0 {
 			begin = bytes.LastIndexByte(data[:node.Raw.Offset], '\n') + 1
 		}
 		path = append(path, string(node.Data))
