--- a/internal/distribution/node/nodetest/gate.go
+++ b/internal/distribution/node/nodetest/gate.go
@@ -7,19 +7,20 @@
 	"testing"
 )
 
-// Gate passes connections on to an address. It can break them, or let them fall silent.
+// Gate forwards TCP connections to an address, and injects faults: it can break them, or let them
+// fall silent. It is safe for concurrent use.
 type Gate struct {
 	Address  string
 	target   string
 	listener net.Listener
-	parts    sync.WaitGroup
+	running  sync.WaitGroup
 	carried  atomic.Int64
 
-	mu       sync.Mutex
-	state    gateState
-	moved    chan struct{} // closed when the state changes, and made anew
-	conns    map[net.Conn]bool
-	accepted int
+	mu           sync.Mutex
+	state        gateState
+	stateChanged chan struct{} // closed when the state changes, and made anew
+	conns        map[net.Conn]bool
+	accepted     int
 }
 
 // gateState is what a Gate does with connections.
@@ -32,135 +33,150 @@
 	gateEnded
 )
 
-// NewGate starts a gate before an address, until the test ends.
-func NewGate(t testing.TB, target string) *Gate {
-	t.Helper()
+// closesConns reports whether connections are closed in this state.
+func (s gateState) closesConns() bool { return s == gateCut || s == gateEnded }
+
+// copyBufferBytes is how much of a connection is copied at a time.
+const copyBufferBytes = 16 << 10
+
+// NewGate starts a gate to an address, which ends with the test.
+func NewGate(tb testing.TB, target string) *Gate {
+	tb.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	g := &Gate{Address: listener.Addr().String(), target: target, listener: listener, moved: make(chan struct{}), conns: map[net.Conn]bool{}}
-	g.parts.Go(g.serve)
-	t.Cleanup(func() {
+	g := &Gate{
+		Address:      listener.Addr().String(),
+		target:       target,
+		listener:     listener,
+		stateChanged: make(chan struct{}),
+		conns:        make(map[net.Conn]bool),
+	}
+	g.running.Go(g.acceptLoop)
+	tb.Cleanup(func() {
 		_ = listener.Close()
-		g.set(gateEnded)
-		g.parts.Wait()
+		g.setState(gateEnded)
+		g.running.Wait()
 	})
 	return g
 }
 
-// Cut breaks all connections, and further ones at once.
-func (g *Gate) Cut() { g.set(gateCut) }
+// Cut closes all connections, and closes further ones at once.
+func (g *Gate) Cut() { g.setState(gateCut) }
 
-// Stall lets connections stay open and carries nothing.
-func (g *Gate) Stall() { g.set(gateStalled) }
+// Stall leaves connections open and forwards nothing.
+func (g *Gate) Stall() { g.setState(gateStalled) }
 
-// Open carries again what connections have left.
-func (g *Gate) Open() { g.set(gateOpen) }
+// Open forwards connections again.
+func (g *Gate) Open() { g.setState(gateOpen) }
 
-// Accepted is how many connections have come.
+// Accepted returns the number of connections so far.
 func (g *Gate) Accepted() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.accepted
 }
 
-// Carried is how many bytes have been passed on, both ways together.
+// Carried returns the number of bytes forwarded so far, in both directions.
 func (g *Gate) Carried() int64 { return g.carried.Load() }
 
-func (g *Gate) set(state gateState) {
+// setState changes the state, for open connections too.
+func (g *Gate) setState(state gateState) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.state = state
-	close(g.moved)
-	g.moved = make(chan struct{})
-	if state == gateCut || state == gateEnded {
+	close(g.stateChanged)
+	g.stateChanged = make(chan struct{})
+	if state.closesConns() {
 		for conn := range g.conns {
 			_ = conn.Close()
 		}
 	}
 }
 
-// pass waits until a stalled gate opens, and tells whether it carries.
-func (g *Gate) pass() bool {
+// awaitOpen waits while the gate is stalled, and reports whether it is open then.
+func (g *Gate) awaitOpen() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for g.state == gateStalled {
-		moved := g.moved
+		stateChanged := g.stateChanged
 		g.mu.Unlock()
-		<-moved
+		<-stateChanged
 		g.mu.Lock()
 	}
 	return g.state == gateOpen
 }
 
-func (g *Gate) serve() {
+// acceptLoop forwards connections until the listener is closed.
+func (g *Gate) acceptLoop() {
 	for {
 		conn, err := g.listener.Accept()
 		if err != nil {
 			return
 		}
-		g.parts.Go(func() { g.carry(conn) })
+		g.running.Go(func() { g.forward(conn) })
 	}
 }
 
-// carry passes a connection on until either end or the gate closes it.
-func (g *Gate) carry(near net.Conn) {
-	defer near.Close()
+// forward forwards a connection until either end or the gate closes it.
+func (g *Gate) forward(client net.Conn) {
+	defer func() { _ = client.Close() }()
 	g.mu.Lock()
 	g.accepted++
 	g.mu.Unlock()
-	if !g.hold(near) {
+	if !g.register(client) {
 		return
 	}
-	defer g.release(near)
-	far, err := net.Dial("tcp", g.target)
+	defer g.unregister(client)
+	server, err := net.Dial("tcp", g.target)
 	if err != nil {
 		return
 	}
-	defer far.Close()
-	if !g.hold(far) {
+	defer func() { _ = server.Close() }()
+	if !g.register(server) {
 		return
 	}
-	defer g.release(far)
-	var back sync.WaitGroup
-	back.Go(func() { g.copy(near, far) })
-	g.copy(far, near)
-	back.Wait()
+	defer g.unregister(server)
+	var responses sync.WaitGroup
+	responses.Go(func() { g.copy(client, server) })
+	g.copy(server, client)
+	responses.Wait()
 }
 
-// hold has the gate close a connection when it is cut; false: it is cut already.
-func (g *Gate) hold(conn net.Conn) bool {
+// register has a connection closed when the gate is cut. It returns false if it is cut already.
+func (g *Gate) register(conn net.Conn) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.state == gateCut || g.state == gateEnded {
+	if g.state.closesConns() {
 		return false
 	}
 	g.conns[conn] = true
 	return true
 }
 
-func (g *Gate) release(conn net.Conn) {
+// unregister forgets a connection.
+func (g *Gate) unregister(conn net.Conn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.conns, conn)
 }
 
-// copy passes bytes on, and closes both ends when one has ended.
+// copy copies bytes while the gate is open, and closes both connections when one has ended.
 func (g *Gate) copy(to, from net.Conn) {
-	defer to.Close()
-	defer from.Close()
-	buffer := make([]byte, 16<<10)
+	defer func() { _ = to.Close() }()
+	defer func() { _ = from.Close() }()
+	buffer := make([]byte, copyBufferBytes)
 	for {
-		n, err := from.Read(buffer)
-		if !g.pass() {
+		n, readErr := from.Read(buffer)
+		if !g.awaitOpen() {
 			return
 		}
 		g.carried.Add(int64(n))
-		if _, werr := to.Write(buffer[:n]); werr != nil {
+		if _, err := to.Write(buffer[:n]); err != nil {
 			return
 		}
-		if err != nil {
+		if readErr != nil {
 			return
 		}
 	}
--- a/internal/distribution/node/nodetest/nodetest.go
+++ b/internal/distribution/node/nodetest/nodetest.go
@@ -1,4 +1,5 @@
-// Package nodetest runs sources and relays of distribution on loopback sockets, for the tests of other packages.
+// Package nodetest runs sources and relays of distribution on loopback sockets, for the tests of
+// other packages, and a [Gate] that injects faults on the way to them.
 package nodetest
 
 import (
@@ -15,10 +16,10 @@
 	"fernlanding/internal/distribution/node"
 )
 
-// Hold is how long the reads of relays wait: short, so that what is broken shows soon.
+// Hold is how long the reads of relays wait: short, so that a fault shows soon.
 const Hold = 500 * time.Millisecond
 
-// maxConns is how many connections a node takes.
+// maxConns is how many connections a node accepts.
 const maxConns = 1_000
 
 // Node is a source or relay on a socket.
@@ -27,57 +28,60 @@
 	Address string
 	server  *http.Server
 	cancel  context.CancelFunc
-	parts   sync.WaitGroup
+	running sync.WaitGroup
 }
 
-// service is what answers at a socket, and works beside.
+// service is a node.Node or a node.Relay.
 type service interface {
 	httpapi.Service
 	Run(ctx context.Context)
 }
 
-// Source starts a source that keeps its writes in memory, until the test ends.
-func Source(t testing.TB) *Node {
-	t.Helper()
+// Source starts a source that has its writes in memory only. It ends with the test.
+func Source(tb testing.TB) *Node {
+	tb.Helper()
 	n := node.New(node.Config{Name: "source", Epoch: 1, Persist: func(*distribution.Update) error { return nil }})
-	return start(t, n, n, "127.0.0.1:0")
+	return start(tb, n, n, "127.0.0.1:0")
 }
 
-// Relay starts a relay at an address, such as 127.0.0.1:0, until the test ends.
-func Relay(t testing.TB, name, address string, upstream ...string) *Node {
-	t.Helper()
+// Relay starts a relay at an address, such as 127.0.0.1:0. It ends with the test.
+func Relay(tb testing.TB, name, address string, upstream ...string) *Node {
+	tb.Helper()
 	r := node.NewRelay(node.Config{Name: name}, follow.Config{Relays: upstream, Hold: Hold})
-	return start(t, r, r.Node, address)
+	return start(tb, r, r.Node, address)
 }
 
-func start(t testing.TB, s service, n *node.Node, address string) *Node {
-	t.Helper()
+// start serves a node at an address.
+func start(tb testing.TB, s service, n *node.Node, address string) *Node {
+	tb.Helper()
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	out := &Node{Node: n, Address: listener.Addr().String(), server: httpapi.NewServer(s), cancel: cancel}
-	out.parts.Go(func() { s.Run(ctx) })
-	out.parts.Go(func() { _ = out.server.Serve(httpapi.Listener(listener, maxConns, new(httpapi.Traffic))) })
-	t.Cleanup(out.Kill)
-	return out
+	served := &Node{Node: n, Address: listener.Addr().String(), server: httpapi.NewServer(s), cancel: cancel}
+	served.running.Go(func() { s.Run(ctx) })
+	served.running.Go(func() {
+		_ = served.server.Serve(httpapi.Listener(listener, maxConns, new(httpapi.Traffic))) // until Kill
+	})
+	tb.Cleanup(served.Kill)
+	return served
 }
 
-// Kill ends a node as a crash would: its connections break.
+// Kill ends a node as a crash does: its connections break. Killing it again has no effect.
 func (n *Node) Kill() {
 	n.cancel()
 	_ = n.server.Close()
 	n.Close()
-	n.parts.Wait()
+	n.running.Wait()
 }
 
-// Write writes items to a resource at a source.
-func (n *Node) Write(t testing.TB, resource string, items ...distribution.Item) distribution.Version {
-	t.Helper()
+// Write writes changes to a resource at a source, and returns the new version.
+func (n *Node) Write(tb testing.TB, resource string, items ...distribution.Item) distribution.Version {
+	tb.Helper()
 	version, err := n.Put(&distribution.PutRequest{Resource: resource, Items: items})
 	if err != nil {
-		t.Error(err)
+		tb.Error(err)
 	}
 	return version
 }
