--- a/cmd/fernrelay/main_test.go
+++ b/cmd/fernrelay/main_test.go
@@ -4,16 +4,17 @@
 	"bufio"
 	"bytes"
 	"context"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/httpapi"
 	"fmt"
 	"io"
 	"net"
 	"strings"
 	"testing"
+
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/httpapi"
 )
 
-// program is a run of the program.
+// program is a running program.
 type program struct {
 	address string
 	stop    context.CancelFunc
@@ -32,14 +33,14 @@
 		_ = in.Close()
 	}()
 	line, err := bufio.NewReader(out).ReadString('\n')
-	if _, scanned := fmt.Sscanf(line, "listening %s\n", &p.address); scanned != nil {
+	if _, scanErr := fmt.Sscanf(line, "listening %s\n", &p.address); scanErr != nil {
 		t.Fatalf("%q, %v: %s", line, err, p.log)
 	}
 	t.Cleanup(cancel)
 	return p
 }
 
-// end stops a program, and expects that it ends with 0.
+// end stops a program, and checks that it ends with code 0.
 func (p *program) end(t *testing.T) {
 	t.Helper()
 	p.stop()
@@ -48,7 +49,8 @@
 	}
 }
 
-// A source and a relay start, pass a write on, and end at a signal, also while a read waits.
+// A source and a relay start, distribute a write, and end, even while a read waits. A source that
+// restarts has the write.
 func TestSourceAndRelay(t *testing.T) {
 	state := t.TempDir()
 	source := start(t, "source", "-listen", "127.0.0.1:0", "-state", state)
@@ -56,18 +58,28 @@
 	ctx := context.Background()
 	client := httpapi.NewClient(nil)
 	defer client.Close()
-	version, err := client.Put(ctx, source.address, &distribution.PutRequest{Resource: "r", Items: []distribution.Item{{Key: "a", Value: []byte("1")}}})
+	version, err := client.Put(ctx, source.address, &distribution.PutRequest{
+		Resource: "r",
+		Items:    []distribution.Item{{Key: "a", Value: []byte("1")}},
+	})
 	if err != nil || version.Revision != 1 {
 		t.Fatalf("%v, %v", version, err)
 	}
-	req := &distribution.FollowRequest{Follower: "p", Kind: distribution.KindProxy, HoldMs: 10_000, Positions: []distribution.Position{{Resource: "r"}}}
+	req := &distribution.FollowRequest{
+		Follower:  "p",
+		Kind:      distribution.KindProxy,
+		HoldMs:    10_000,
+		Positions: []distribution.Position{{Resource: "r"}},
+	}
 	first, err := client.Follow(ctx, relay.address, req)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if req.Session = first.Session; len(first.Updates) == 0 { // the relay had not got it yet
-		if first, err = client.Follow(ctx, relay.address, req); err != nil || len(first.Updates) != 1 {
-			t.Fatalf("%+v, %v", first, err)
+	req.Session = first.Session
+	if len(first.Updates) == 0 { // the relay did not have it yet
+		second, err := client.Follow(ctx, relay.address, req)
+		if err != nil || len(second.Updates) != 1 {
+			t.Fatalf("%+v, %v", second, err)
 		}
 	}
 	req.Positions = []distribution.Position{{Resource: "r", InForce: version}}
@@ -83,7 +95,7 @@
 	}
 	relay.end(t)
 	if err := <-waiting; err == nil {
-		t.Error("a read is answered by a relay that has ended")
+		t.Error("a waiting read is answered by a relay that has ended")
 	}
 	source.end(t)
 	again := start(t, "source", "-listen", "127.0.0.1:0", "-state", state)
@@ -93,23 +105,27 @@
 	again.end(t)
 }
 
-// What can't run ends with 2 and one line.
+// A program that can't run ends with code 2 and says why.
 func TestCannotRun(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
+	relay := func(name, upstream string) []string {
+		return []string{"relay", "-listen", "127.0.0.1:0", "-name", name, "-upstream", upstream}
+	}
 	for want, args := range map[string][]string{
 		"one of source and relay expected": {},
 		"flag":                             {"source", "-listen", "127.0.0.1:0"},
-		"host:port expected":               {"relay", "-listen", "127.0.0.1:0", "-name", "r", "-upstream", "127.0.0.1:1,"},
-		"name of 0 bytes found":            {"relay", "-listen", "127.0.0.1:0", "-name", "", "-upstream", "127.0.0.1:1"},
+		"host:port expected":               relay("r", "127.0.0.1:1,"),
+		"name of 0 bytes found":            relay("", "127.0.0.1:1"),
 		"address already in use":           {"source", "-listen", l.Addr().String(), "-state", t.TempDir()},
 		"not a directory":                  {"source", "-listen", "127.0.0.1:0", "-state", "/dev/null/state"},
 	} {
 		var log bytes.Buffer
-		if code := run(context.Background(), args, io.Discard, &log); code != exitFailed || !strings.Contains(log.String(), want) {
+		code := run(context.Background(), args, io.Discard, &log)
+		if code != exitFailed || !strings.Contains(log.String(), want) {
 			t.Errorf("%v: ended with %d: %s", args, code, log.String())
 		}
 	}
