--- a/cmd/fernctl/rigrollout.go
+++ b/cmd/fernctl/rigrollout.go
@@ -32,7 +32,7 @@
 
 // rolloutPlay is one play and what came of it.
 type rolloutPlay struct {
-	check.Figures
+	check.Metrics
 	Verdicts []check.Verdict `json:"verdicts"`
 	history  string
 	err      error
@@ -116,7 +116,7 @@
 	if err != nil {
 		return nil, o, fmt.Errorf("rig rollout: %w", err)
 	}
-	sc, err := plan.Read(name, data)
+	sc, err := plan.Decode(name, data)
 	if err != nil {
 		return nil, o, err
 	}
@@ -159,12 +159,12 @@
 		p.err = fmt.Errorf("rig rollout: %w", err)
 		return p
 	}
-	p.Verdicts, p.Figures = check.Run(sc, all), check.Measure(sc, all)
+	p.Verdicts, p.Metrics = check.Run(sc, all), check.Measure(sc, all)
 	return p
 }
 
 func rolloutPrint(out io.Writer, p rolloutPlay) {
-	f := p.Figures
+	f := p.Metrics
 	fmt.Fprintf(out, "%s, seed %d, %.1f s, %d faults: %d puts (%d unanswered, %d within 1 ms of another), %d updates in force (%d whole), %d refused, %d resumed, %d reports\n",
 		f.Scenario, f.Seed, f.Seconds, f.Faults, f.Puts, f.Unanswered, f.Twins, f.InForce, f.Wholes, f.Refused, f.Resumed, f.Reports)
 	fmt.Fprintf(out, "in force, ways without faults: %.0f ms median, %.0f p99, %.0f last; urgent (%d judged): %.0f, %.0f, %.0f; with faults: %.2f s p99, %.2f last\n",
--- a/internal/harness/rollout/check/check.go
+++ b/internal/harness/rollout/check/check.go
@@ -22,7 +22,7 @@
 	Late      = "late"      // no version is in force too late with a follower that can reach the source
 	Urgent    = "urgent"    // nor is one that takes something out, where no fault touches the way
 	Bounds    = "bounds"    // traffic and memory stay within what the scenario says
-	Whole     = "whole"     // who resumes at a version that relays know is not sent everything
+	Snapshots = "whole"     // who resumes at a version that relays know is not sent everything
 	Converged = "converged" // a version has the same items everywhere, and in the end all have the source's
 	Durable   = "durable"   // what the source has answered it has for good
 	Status    = "status"    // the source's report agrees with what was in force
@@ -31,7 +31,7 @@
 
 // Names are the names of all checks.
 func Names() []string {
-	return []string{Backwards, Late, Urgent, Bounds, Whole, Converged, Durable, Status, Processes}
+	return []string{Backwards, Late, Urgent, Bounds, Snapshots, Converged, Durable, Status, Processes}
 }
 
 const (
@@ -193,7 +193,7 @@
 			has[key] = e.Version
 		case history.InForce:
 			if v := has[key]; e.From.IsZero() && !v.IsZero() && known[e.To][versionOf{e.Resource, v}] {
-				out = append(out, Verdict{Check: Whole, At: e.At, What: fmt.Sprintf("%s had %s of %s, which %s knew, and was sent the whole of %s", e.Who, v, e.Resource, e.To, e.Version)})
+				out = append(out, Verdict{Check: Snapshots, At: e.At, What: fmt.Sprintf("%s had %s of %s, which %s knew, and was sent the whole of %s", e.Who, v, e.Resource, e.To, e.Version)})
 			}
 			has[key] = e.Version
 			if known[e.To] == nil {
--- a/internal/harness/rollout/check/check_test.go
+++ b/internal/harness/rollout/check/check_test.go
@@ -55,7 +55,7 @@
 
 func scenario(t testing.TB) *plan.Scenario {
 	t.Helper()
-	sc, err := plan.Read("test.toml", []byte(text))
+	sc, err := plan.Decode("test.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -166,7 +166,7 @@
 			[]history.Event{put(1*second, 1, true), inForce(1*second+251*ms, 0, 1), waited("source", 1*second+310*ms, 30*ms)},
 		},
 		{
-			"a whole resource from the relay that had told the version", check.Whole, 2,
+			"a whole resource from the relay that had told the version", check.Snapshots, 2,
 			[]history.Event{inForce(1*second, 0, 1), subscribed(2*second, 1), inForce(3*second, 0, 2)},
 		},
 		{
--- a/internal/harness/rollout/check/figures.go
+++ b/internal/harness/rollout/check/figures.go
@@ -8,8 +8,8 @@
 	"slices"
 )
 
-// Figures are what a run measured.
-type Figures struct {
+// Metrics are what a run measured.
+type Metrics struct {
 	Scenario string  `json:"scenario"`
 	Seed     uint64  `json:"seed"`
 	Seconds  float64 `json:"seconds"`
@@ -45,10 +45,10 @@
 }
 
 // Measure works the figures out.
-func Measure(sc *plan.Scenario, all []history.Event) Figures { return figures(sc, read(sc, all)) }
+func Measure(sc *plan.Scenario, all []history.Event) Metrics { return measure(sc, read(sc, all)) }
 
-func figures(sc *plan.Scenario, r *record) Figures {
-	f := Figures{Scenario: sc.Name, Seed: sc.Seed, Seconds: seconds(r.end), Faults: len(r.faults)}
+func measure(sc *plan.Scenario, r *record) Metrics {
+	f := Metrics{Scenario: sc.Name, Seed: sc.Seed, Seconds: seconds(r.end), Faults: len(r.faults)}
 	f.count(r)
 	f.times(sc, r)
 	f.Unsettled = r.moved(sc, r.end)
@@ -67,7 +67,7 @@
 	return f
 }
 
-func (f *Figures) count(r *record) {
+func (f *Metrics) count(r *record) {
 	for _, e := range r.all {
 		switch e.Kind {
 		case history.Put:
@@ -101,7 +101,7 @@
 }
 
 // times works out how long versions take.
-func (f *Figures) times(sc *plan.Scenario, r *record) {
+func (f *Metrics) times(sc *plan.Scenario, r *record) {
 	var urgent, quiet, all []float64
 	for _, key := range pairs(sc) {
 		for _, d := range r.duties(key) {
@@ -143,7 +143,7 @@
 }
 
 // rest works out what followers use in the second half of the time without puts and faults.
-func (f *Figures) rest(sc *plan.Scenario, r *record) {
+func (f *Metrics) rest(sc *plan.Scenario, r *record) {
 	from := r.end - sc.Settle.Microseconds()/2
 	for _, process := range sc.Names(plan.OnFollowers) {
 		var first, last history.Event
@@ -165,7 +165,7 @@
 }
 
 func bounds(sc *plan.Scenario, r *record) (out []Verdict) {
-	b, f := sc.Bounds, figures(sc, r)
+	b, f := sc.Bounds, measure(sc, r)
 	hold := func(got, most float64, what string) {
 		if most > 0 && got > most {
 			out = append(out, Verdict{Check: Bounds, At: r.end, What: fmt.Sprintf("%s: %.1f, %.1f at most expected", what, got, most)})
--- a/internal/harness/rollout/check/record.go
+++ b/internal/harness/rollout/check/record.go
@@ -154,14 +154,14 @@
 	r.touches, r.clear = map[string][]span{}, map[string]map[string][]span{}
 	for _, follower := range sc.FollowerNames() {
 		r.clear[follower] = map[string][]span{}
-		for _, way := range sc.Ways(follower) {
+		for _, way := range sc.Paths(follower) {
 			var disturbed []span
 			for _, f := range r.faults {
-				if !slices.ContainsFunc(way, func(h plan.Hop) bool { return plan.Touches(f.Fault, h) }) {
+				if !slices.ContainsFunc(way, func(h plan.Hop) bool { return plan.Affects(f.Fault, h) }) {
 					continue
 				}
 				r.touches[follower] = append(r.touches[follower], f.span)
-				if f.Kind != plan.Restart {
+				if f.Kind != plan.RestartFollowers {
 					disturbed = append(disturbed, f.span)
 				}
 			}
--- a/internal/harness/rollout/plan/plan_test.go
+++ b/internal/harness/rollout/plan/plan_test.go
@@ -2,16 +2,18 @@
 
 import (
 	"encoding/json"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/harness/scenario"
 	"os"
 	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
 	"time"
+
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/harness/scenario"
 )
 
+// base is a valid scenario.
 const base = `
 name = "x"
 for = "20s"
@@ -20,9 +22,9 @@
 each = 3
 `
 
-// What is wrong is refused with its place, all of it, a line each.
-func TestBadScenariosAreRefused(t *testing.T) {
-	for _, c := range []struct{ text, place, want string }{
+// An invalid scenario is rejected with the place of the problem.
+func TestDecodeRejectsInvalidScenarios(t *testing.T) {
+	for _, test := range []struct{ text, place, want string }{
 		{"for = \"1s\"\n", "f.toml", "name"},
 		{base + "each = 0\n", "f.toml:7:", "DOUBLE-FIELD"},
 		{base + "colour = 1\n", "f.toml:7:1", "colour"},
@@ -40,76 +42,80 @@
 		{base + "[random]\ncount = 3\n", "f.toml", "kinds"},
 		{base + "[random]\nuntil = \"21s\"\n", "f.toml:8:", "at most the run's"},
 	} {
-		_, err := Read("f.toml", []byte(c.text))
+		_, err := Decode("f.toml", []byte(test.text))
 		if err == nil {
-			t.Errorf("accepted:\n%s", c.text)
+			t.Errorf("accepted:\n%s", test.text)
 			continue
 		}
-		if !strings.HasPrefix(err.Error(), c.place) || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %s... with %q expected", err, c.place, c.want)
+		if !strings.HasPrefix(err.Error(), test.place) || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%q: %s... with %q expected", err, test.place, test.want)
 		}
 	}
 }
 
-// The same seed gives the same schedule and the same puts, another one others.
-func TestDrawsFollowTheSeed(t *testing.T) {
-	read := func(seed uint64) *Scenario {
-		sc, err := Read("f.toml", []byte(base+"[publisher]\nrefused = 0.1\n[random]\ncount = 8\nkinds = [\"cut\", \"kill\", \"stop\", \"restart\"]\n"))
+// The same seed gives the same schedule and the same puts, another seed others.
+func TestSeedDeterminesPlan(t *testing.T) {
+	const random = "[publisher]\nrefused = 0.1\n" +
+		"[random]\ncount = 8\nkinds = [\"cut\", \"kill\", \"stop\", \"restart\"]\n"
+	decode := func(seed uint64) *Scenario {
+		sc, err := Decode("f.toml", []byte(base+random))
 		if err != nil {
 			t.Fatal(err)
 		}
 		sc.Seed = seed
 		return sc
 	}
-	if !reflect.DeepEqual(read(1).Schedule(), read(1).Schedule()) || !reflect.DeepEqual(read(1).Puts(), read(1).Puts()) {
+	first, again, other := decode(1), decode(1), decode(2)
+	if !reflect.DeepEqual(first.Schedule(), again.Schedule()) || !reflect.DeepEqual(first.Puts(), again.Puts()) {
 		t.Error("one seed, two plans")
 	}
-	if reflect.DeepEqual(read(1).Schedule(), read(2).Schedule()) || reflect.DeepEqual(read(1).Puts(), read(2).Puts()) {
+	if reflect.DeepEqual(first.Schedule(), other.Schedule()) || reflect.DeepEqual(first.Puts(), other.Puts()) {
 		t.Error("two seeds, one plan")
 	}
 }
 
-// No process is acted on twice at a time, and all faults end by the end of the run's faults.
+// No two faults act on a process at a time, and all faults end in time.
 func TestFaultsOfProcessesDoNotOverlap(t *testing.T) {
 	for seed := range uint64(200) {
 		sc := shipped(t, "full.toml")
 		sc.Seed = seed
-		until := map[string]time.Duration{}
+		busyUntil := map[string]time.Duration{}
 		for _, f := range sc.Schedule() {
 			if f.At+f.For > sc.For || len(f.Names) == 0 {
 				t.Fatalf("seed %d: %v", seed, f)
 			}
-			if IsOfLinks(f.Kind) {
+			if ActsOnLinks(f.Kind) {
 				continue
 			}
 			for _, name := range f.Names {
-				if f.At <= until[name] {
-					t.Fatalf("seed %d: %s is acted on before %v already: %v", seed, name, until[name], f)
+				if f.At <= busyUntil[name] {
+					t.Fatalf("seed %d: another fault acts on %s until %v: %v", seed, name, busyUntil[name], f)
 				}
-				until[name] = f.At + f.For
+				busyUntil[name] = f.At + f.For
 			}
 		}
 	}
 }
 
-// shipped reads one of the scenarios that come with the program.
-func shipped(t testing.TB, name string) *Scenario {
-	t.Helper()
+// shipped returns one of the scenarios that are shipped with the program.
+func shipped(tb testing.TB, name string) *Scenario {
+	tb.Helper()
 	data, err := os.ReadFile(filepath.Join("../../../../deploy/rig/rollout", name))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	sc, err := Read(name, data)
+	sc, err := Decode(name, data)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return sc
 }
 
-// The puts have what the scenario asks for: urgent deletions, two at a time, refusals and a last word.
-func TestPutsAreWhatTheScenarioSays(t *testing.T) {
+// The puts have what the scenario asks for: urgent deletions, two at a time, rejections and a final
+// snapshot.
+func TestPutsFollowScenario(t *testing.T) {
 	sc := shipped(t, "full.toml")
-	urgent, twins, refusals, last := 0, 0, 0, 0
+	urgent, twins, rejections, last := 0, 0, 0, 0
 	puts := sc.Puts()
 	for i, p := range puts {
 		var request distribution.PutRequest
@@ -123,32 +129,32 @@
 			twins++
 		}
 		for _, item := range request.Items {
-			if item.Key == RefuseKey && !item.Deleted {
-				refusals++
+			if item.Key == RejectKey && !item.Deleted {
+				rejections++
 			}
 			if item.Urgent && !item.Deleted {
-				t.Errorf("%s: an urgent item that stays", p.ID)
+				t.Errorf("%s: an urgent item that is not deleted", p.ID)
 			}
 		}
 		if p.At >= sc.For {
 			last++
-			if !p.Insist || !request.Replace || len(request.Items) != sc.Publisher.Items {
-				t.Errorf("%s is not the whole resource", p.ID)
+			if !p.Retry || !request.Replace || len(request.Items) != sc.Publisher.Items {
+				t.Errorf("%s does not replace the resource", p.ID)
 			}
 		}
 	}
-	if urgent < 20 || twins < 10 || refusals < 2 || last != sc.Publisher.Resources {
-		t.Errorf("%d urgent, %d at the time of another, %d refused, %d last", urgent, twins, refusals, last)
+	if urgent < 20 || twins < 10 || rejections < 2 || last != sc.Publisher.Resources {
+		t.Errorf("%d urgent, %d at the time of another, %d rejected, %d last", urgent, twins, rejections, last)
 	}
 }
 
-// Followers have the relays of their zone, and a way for each of these and each region.
-func TestWays(t *testing.T) {
+// Followers have the relays of their zone, and a path for each of these and each region.
+func TestPaths(t *testing.T) {
 	sc := shipped(t, "full.toml")
 	for _, follower := range sc.FollowerNames() {
-		relays, ways := sc.RelaysOf(follower), sc.Ways(follower)
-		if len(relays) != sc.Relays.PerZone || len(ways) != sc.Relays.PerZone*sc.Relays.Regions {
-			t.Errorf("%s: relays %v, %d ways", follower, relays, len(ways))
+		relays, paths := sc.RelaysOf(follower), sc.Paths(follower)
+		if len(relays) != sc.Relays.PerZone || len(paths) != sc.Relays.PerZone*sc.Relays.Regions {
+			t.Errorf("%s: relays %v, %d paths", follower, relays, len(paths))
 		}
 		for _, relay := range relays {
 			if sc.ZoneOf(relay) != sc.ZoneOf(follower) {
@@ -156,16 +162,16 @@
 			}
 		}
 	}
-	way := sc.Ways("follower-1")[0]
-	touched := func(f Fault) (n int) {
-		for _, h := range way {
-			if Touches(f, h) {
+	path := sc.Paths("follower-1")[0]
+	affected := func(f Fault) (n int) {
+		for _, hop := range path {
+			if Affects(f, hop) {
 				n++
 			}
 		}
 		return n
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		fault Fault
 		want  int
 	}{
@@ -176,17 +182,17 @@
 		{Fault{Kind: scenario.Cut, Link: ZonesToRegions, Names: []string{"region-1"}}, 1},
 		{Fault{Kind: scenario.Cut, Link: PublisherToSource, Names: []string{PublisherName}}, 0},
 	} {
-		if n := touched(c.fault); n != c.want {
-			t.Errorf("%v touches %d elements, %d expected", c.fault, n, c.want)
+		if n := affected(test.fault); n != test.want {
+			t.Errorf("%v affects %d hops, %d expected", test.fault, n, test.want)
 		}
 	}
 }
 
-func FuzzRead(f *testing.F) {
+func FuzzDecode(f *testing.F) {
 	f.Add([]byte(base))
 	f.Add([]byte(base + "[random]\ncount = 3\nkinds = [\"cut\", \"slow\"]\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		sc, err := Read("f.toml", data)
+		sc, err := Decode("f.toml", data)
 		if err == nil {
 			sc.Schedule()
 		}
--- a/internal/harness/rollout/play.go
+++ b/internal/harness/rollout/play.go
@@ -72,9 +72,9 @@
 	case scenario.Kill:
 		_ = each(func(name string) error { r.Processes.Kill(name); return nil })
 		return func() error { return each(func(name string) error { return r.startAgain(ctx, name) }) }, nil
-	case plan.Between:
+	case plan.KillBetweenPuts:
 		return r.betweenWrites(ctx, f), nil
-	case plan.Restart:
+	case plan.RestartFollowers:
 		restart := func(name string) error { return r.Processes.Say(name, worker.Command{Do: worker.DoRestart}) }
 		return func() error { return nil }, each(restart)
 	}
--- a/internal/harness/rollout/rollout_test.go
+++ b/internal/harness/rollout/rollout_test.go
@@ -47,7 +47,7 @@
 
 func decode(t testing.TB, text string) *plan.Scenario {
 	t.Helper()
-	sc, err := plan.Read("test.toml", []byte(text))
+	sc, err := plan.Decode("test.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,13 +55,13 @@
 }
 
 // play plays a scenario and judges it.
-func play(t *testing.T, sc *plan.Scenario, o rollout.Options) ([]check.Verdict, check.Figures) {
+func play(t *testing.T, sc *plan.Scenario, o rollout.Options) ([]check.Verdict, check.Metrics) {
 	t.Helper()
 	var log bytes.Buffer
 	o.Out = &log
 	if err := rollout.Run(context.Background(), sc, o); err != nil {
 		t.Error(err)
-		return nil, check.Figures{}
+		return nil, check.Metrics{}
 	}
 	all, err := history.Read(bytes.NewReader(log.Bytes()))
 	if err != nil {
@@ -147,7 +147,7 @@
 		{bugHoldBack, "", check.Urgent},
 		{bugHeartbeat, "", check.Bounds},
 		{bugBacklog, "", check.Bounds},
-		{bugWhole, "", check.Whole},
+		{bugWhole, "", check.Snapshots},
 		{bugDropItem, "", check.Converged},
 		{bugEarly, stopFaults, check.Status},
 		{noBug, sourceFaults, check.Durable}, // the stand-in keeps nothing over a restart
@@ -229,7 +229,7 @@
 `
 
 // hold plays a scenario with the programs of this tree, which have to pass all checks.
-func hold(t *testing.T, sc *plan.Scenario) check.Figures {
+func hold(t *testing.T, sc *plan.Scenario) check.Metrics {
 	sc.Bounds.RelayMB *= raceMemory
 	// A data race ends its process, which the checkers see.
 	o := rollout.Options{Relay: []string{program}, Actor: harnesstest.InRole(roleVar, roleActor), Env: []string{"GORACE=halt_on_error=1"}, Logs: os.Stderr}
--- a/internal/harness/rollout/run.go
+++ b/internal/harness/rollout/run.go
@@ -233,7 +233,7 @@
 		Name:   plan.PublisherName,
 		Group:  plan.OnPublisher,
 		Source: r.linkTo(plan.PublisherName, plan.Source),
-		First:  r.sc.First(),
+		First:  r.sc.InitialPuts(),
 		Puts:   r.sc.Puts(),
 		Began:  r.zero,
 	})
--- a/internal/harness/worker/followers.go
+++ b/internal/harness/worker/followers.go
@@ -200,7 +200,7 @@
 			items[item.Key] = string(item.Value)
 		}
 	}
-	if who, refused := items[plan.RefuseKey]; refused && who == `"`+s.follower+`"` {
+	if who, refused := items[plan.RejectKey]; refused && who == `"`+s.follower+`"` {
 		const why = "an item names this follower"
 		s.tell(history.Event{Kind: history.Refused, Who: s.follower, Resource: s.resource, Version: u.Version, Why: why})
 		return errors.New(why)
--- a/internal/harness/worker/publisher.go
+++ b/internal/harness/worker/publisher.go
@@ -71,7 +71,7 @@
 		from := p.clock.Now()
 		for _, put := range p.spec.Puts {
 			due := zero + put.At.Microseconds()
-			if due < from && !put.Insist {
+			if due < from && !put.Retry {
 				continue
 			}
 			if !sleep.For(p.ctx, time.Duration(due-p.clock.Now())*time.Microsecond) {
@@ -86,7 +86,7 @@
 func (p *publisher) publish(put plan.Put) {
 	for {
 		answered := p.try(put)
-		if answered || !put.Insist || !sleep.For(p.ctx, putAgain) {
+		if answered || !put.Retry || !sleep.For(p.ctx, putAgain) {
 			return
 		}
 	}
