--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,56 +1,62 @@
-// Package front holds what all fronts share: where a request goes, and the answers to those that make no sense.
+// Package front holds what the fronts of all protocols share: where a request is forwarded to, and
+// the error responses to requests that are forwarded nowhere.
 package front
 
 import (
-	"fernlanding/internal/core"
 	"net/http"
 	"time"
+
+	"fernlanding/internal/core"
 )
 
-// Pool takes requests; *core.Pool is one.
+// Pool takes requests; *core.Pool is one. It may be used by many goroutines.
 type Pool interface {
 	// Do takes a request and returns its one final answer.
 	Do(*core.Request) core.Answer
-	// Cancel ends a request that nobody waits for any more; it may come at any time.
+	// Cancel ends a request whose client has left. It may come at any time, also before Do.
 	Cancel(*core.Request)
-	// Clock is the time that the request's GiveUp is told in.
+	// Clock is the clock of the request's ClientDeadline.
 	Clock() core.Clock
 }
 
-// Destination is where a request goes, and as what.
+// Destination is where a request is forwarded to, and as what.
 type Destination struct {
 	Pool             Pool
 	ID               string
 	Class            int
-	Tenant           int                 // -1: not told
-	Key              string              // its subject, or empty
-	Target           string              // path and query that go on
-	Timeout          time.Duration       // from its coming to its answer at most
-	MaxBody          int64               // bytes of its body
-	NoBody           bool                // a body makes no sense
-	Memory           Memory              // that its body counts in; may be nil
-	MemoryRetryAfter time.Duration       // where that has none left: when to come again
-	Mirror           func(*core.Request) // has a copy sent elsewhere, without a wait; may be nil
-	Header           []core.Field        // stands in for the client's fields of these names
+	Tenant           int                 // -1: not given
+	Key              string              // what the request concerns; may be empty
+	Target           string              // forwarded path and query
+	Timeout          time.Duration       // from the request's arrival to its response
+	MaxBody          int64               // bytes of the body
+	NoBody           bool                // a body is an error
+	Memory           Memory              // that the body counts in; may be nil
+	MemoryRetryAfter time.Duration       // the Retry-After where Memory has none left
+	Mirror           func(*core.Request) // has a copy sent elsewhere, without waiting; may be nil
+	Header           []core.Field        // replaces the client's fields of these names
 }
 
-// Memory is a part of the process's memory for bodies.
+// Memory is a part of the process's memory for bodies. It may be used by many goroutines.
 type Memory interface {
-	// Acquire takes n bytes, or nothing and is false.
+	// Acquire takes n bytes, or none, and reports whether it has.
 	Acquire(n int64) bool
 	// Release gives n bytes back.
 	Release(n int64)
 }
 
-// RequestError is the answer to a request that makes no sense, or that nobody serves.
+// RequestError says why a request is not forwarded: it is invalid, or nobody serves it.
 type RequestError struct {
-	Status     int // 4xx or 5xx
-	Reason     string
-	Allow      string        // of 405: the methods that make sense
-	RetryAfter time.Duration // of 503: come again after this
+	Status     int           // 4xx or 5xx
+	Reason     string        // the response's body
+	Allow      string        // of 405: the allowed methods
+	RetryAfter time.Duration // of 503; 0: not given
 }
 
-// Resolver says where a request goes. Only its head is looked at. It may be called from many goroutines.
+// Error implements error.
+func (e *RequestError) Error() string { return e.Reason }
+
+// Resolver finds where a request is forwarded to by its head alone. It may be used by many
+// goroutines.
 type Resolver interface {
 	Resolve(r *http.Request) (Destination, *RequestError)
 }
--- a/internal/front/http1/conn.go
+++ b/internal/front/http1/conn.go
@@ -1,165 +1,201 @@
 package http1
 
 import (
-	"bytes"
 	"container/list"
 	"errors"
-	"fernlanding/internal/socket"
 	"io"
 	"net"
 	"os"
 	"sync"
 	"syscall"
 	"time"
+
+	"fernlanding/internal/socket"
 )
 
 const (
-	// What a client sends while its request waits is read on, so that its going is seen behind it: this much is kept for the
-	// next request, and the rest is thrown away and the connection ends with its answer.
-	mostAhead = maxHead
-	// One that sends this much behind a request is no client that waits: it sends one request at a time, of 64 KiB at most.
-	floodAhead = 1 << 20
-	aheadChunk = 4 << 10
+	// What a client sends while its request is in flight is read, so that its leaving is seen
+	// behind it. This much is kept for the next request; the rest is discarded, and the connection
+	// ends with its response.
+	maxPipelined = maxRequestHead
+	// A client that sends this much behind a request does not wait: one that does sends one request
+	// at a time, of 64 KiB at most.
+	maxPipelinedFlood = 1 << 20
+
+	pipelineChunk = 4 << 10 // bytes that are read at a time
 )
 
-// clientConn is one client's connection. While it carries no request it has a place in one of the lists.
+// clientConn is one client's connection. While it carries no request it is in one of the
+// connTracker's lists.
 //
-// It reads with its lock held, and never waits with it. So whoever closes it knows what has been read: a connection whose request
-// has been read whole is not closed before its answer, whatever net/http has made of it so far.
+// It reads with its lock held, and never waits with it. So whoever closes it knows what has been
+// read: a connection whose request has been read completely is not closed before its response,
+// whatever net/http has made of it so far.
 type clientConn struct {
 	net.Conn
-	raw  syscall.RawConn
-	came time.Time
+	raw        syscall.RawConn
+	acceptedAt time.Time
 
-	// Of clients.
-	since time.Time  // of its place
-	list  *list.List // nil while a request is open
-	place *list.Element
+	// Guarded by connTracker.mu.
+	enlistedAt time.Time
+	list       *list.List // nil while a request is open
+	element    *list.Element
 
-	mu        sync.Mutex
-	shut      bool // closed by clients: nothing more is read
-	open      bool // a head has been reported: what comes is its body, and then what the client sends ahead
-	asked     bool // a request has been answered
-	answering bool // the answer to the open request is being written
-	ahead     []byte
-	thrown    bool  // some of what came ahead is lost
-	flood     int64 // bytes that came ahead of the present answer
-	heard     time.Time
-	head      headEnd // of the next head, while none is open
+	mu             sync.Mutex
+	readsStopped   bool // nothing more is read: the connTracker closes the connection
+	requestOpen    bool // a head has been reported: what comes is its body, and then what is pipelined
+	hasServed      bool // a request has been answered
+	responding     bool // the response to the open request is being written
+	pipelined      []byte
+	pipelineLost   bool  // some of what was pipelined has been discarded
+	pipelinedBytes int64 // that came while the open request was in flight
+	lastRead       time.Time
+	nextHead       headScanner // while no request is open
 }
 
 var (
-	errShut  = &net.OpError{Op: "read", Net: "tcp", Err: net.ErrClosed}
-	errFlood = &net.OpError{Op: "read", Net: "tcp", Err: errors.New("a client that sends on and on while its request waits")}
-
-	emptyLine = []byte("\r\n\r\n")
-
-	chunks = sync.Pool{New: func() any { return new([aheadChunk]byte) }}
+	errReadsStopped  = &net.OpError{Op: "read", Net: "tcp", Err: net.ErrClosed}
+	errPipelineFlood = &net.OpError{
+		Op: "read", Net: "tcp", Err: errors.New("the client goes on sending while its request is in flight"),
+	}
+	errNoSocket = errors.New("connection is not a socket")
 )
 
-func newClientConn(nc net.Conn) (*clientConn, error) {
-	sc, ok := nc.(syscall.Conn)
+// pipelineChunks holds buffers of type *[pipelineChunk]byte.
+var pipelineChunks = sync.Pool{New: func() any { return new([pipelineChunk]byte) }}
+
+// newClientConn returns the clientConn of a connection that has just been accepted.
+func newClientConn(netConn net.Conn) (*clientConn, error) {
+	sc, ok := netConn.(syscall.Conn)
 	if !ok {
-		return nil, errors.New("no socket")
+		return nil, errNoSocket
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{Conn: nc, raw: raw, came: time.Now()}, nil
+	return &clientConn{Conn: netConn, raw: raw, acceptedAt: time.Now()}, nil
 }
 
-// Read implements net.Conn. While a request is open and its body has been read, net/http reads one byte, to see the client go, and looks
-// no further once it has one. So that read takes what comes and ends only with the connection, or when net/http calls it off.
-func (c *clientConn) Read(b []byte) (n int, err error) {
+// Read implements net.Conn. While a request is open and its body has been read, net/http reads one
+// byte, to see the client leave, and looks no further once it has one. So that read takes what
+// comes and ends only with the connection, or when net/http calls it off.
+func (c *clientConn) Read(b []byte) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
 	}
 	c.mu.Lock()
-	watching := c.open && len(b) == 1
-	if !watching && c.thrown { // what follows does not fit what was kept
+	switch {
+	case c.requestOpen && len(b) == 1:
+		c.mu.Unlock()
+		return 0, c.watch()
+	case c.pipelineLost: // what follows does not fit what was kept
 		c.mu.Unlock()
 		return 0, io.EOF
-	}
-	if !watching && len(c.ahead) > 0 {
-		n = copy(b, c.ahead)
-		if c.ahead = c.ahead[n:]; len(c.ahead) == 0 {
-			c.ahead = nil
-		}
+	case len(c.pipelined) > 0:
+		n := c.takePipelined(b)
 		c.mu.Unlock()
 		return n, nil
 	}
 	c.mu.Unlock()
-	if watching {
-		return 0, c.watch()
+	return c.readSocket(b)
+}
+
+// takePipelined moves what was pipelined to b. The caller holds mu.
+func (c *clientConn) takePipelined(b []byte) int {
+	n := copy(b, c.pipelined)
+	c.pipelined = c.pipelined[n:]
+	if len(c.pipelined) == 0 {
+		c.pipelined = nil
 	}
-	var got error
-	take := func(fd uintptr) bool {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		if c.shut {
-			got = errShut
-			return true
-		}
-		if n, got = receive(fd, b); n > 0 {
-			c.heard = time.Now()
-			if !c.open {
-				c.head.take(b[:n])
-			}
-		}
-		return !errors.Is(got, syscall.EAGAIN)
+	return n
+}
+
+// readSocket waits for bytes from the client.
+func (c *clientConn) readSocket(b []byte) (int, error) {
+	var n int
+	var readErr error
+	read := func(fd uintptr) (done bool) {
+		n, readErr = c.readAvailable(fd, b)
+		return !errors.Is(readErr, syscall.EAGAIN)
 	}
-	if err = c.raw.Read(take); errors.Is(err, os.ErrDeadlineExceeded) {
-		// What came before the time was up, and was not read for want of time, is the client's request all the same.
-		_ = c.raw.Control(func(fd uintptr) { take(fd) })
+	err := c.raw.Read(read)
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		// What came before the deadline, and was not read for want of time, is the client's request
+		// all the same.
+		_ = c.raw.Control(func(fd uintptr) { read(fd) })
 		if n > 0 {
 			return n, nil
 		}
 	}
 	if err == nil {
-		err = got
+		err = readErr
 	}
-	return n, readError(err)
+	return n, asReadError(err)
 }
 
-// watch reads what a client sends ahead until it goes.
-func (c *clientConn) watch() error {
-	var got error
-	err := c.raw.Read(func(fd uintptr) bool {
-		b := chunks.Get().(*[aheadChunk]byte)
-		defer chunks.Put(b)
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		for {
-			if c.shut {
-				got = errShut
-				return true
-			}
-			if c.answering {
-				return false // net/http calls this read off when the answer is out
-			}
-			var n int
-			if n, got = receive(fd, b[:]); got != nil {
-				return !errors.Is(got, syscall.EAGAIN)
-			}
-			c.heard = time.Now()
-			if c.flood += int64(n); c.flood > floodAhead {
-				got = errFlood
-				return true
-			}
-			room := min(n, mostAhead-len(c.ahead))
-			c.ahead = append(c.ahead, b[:room]...)
-			c.thrown = c.thrown || room < n
+// readAvailable reads what has come, without waiting.
+func (c *clientConn) readAvailable(fd uintptr, b []byte) (int, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.readsStopped {
+		return 0, errReadsStopped
+	}
+	n, err := readNonblocking(fd, b)
+	if n > 0 {
+		c.lastRead = time.Now()
+		if !c.requestOpen {
+			c.nextHead.scan(b[:n])
 		}
+	}
+	return n, err
+}
+
+// watch reads what a client sends while its request is in flight, until the client leaves.
+func (c *clientConn) watch() error {
+	var readErr error
+	err := c.raw.Read(func(fd uintptr) (done bool) {
+		done, readErr = c.readPipelined(fd)
+		return done
 	})
 	if err == nil {
-		err = got
+		err = readErr
 	}
-	return readError(err)
+	return asReadError(err)
 }
 
-// receive reads what is there, without a wait: EAGAIN where that is nothing, io.EOF at the end.
-func receive(fd uintptr, b []byte) (int, error) {
+// readPipelined reads all that has come and keeps it for the next request; done reports whether the
+// watch ends.
+func (c *clientConn) readPipelined(fd uintptr) (done bool, err error) {
+	chunk, _ := pipelineChunks.Get().(*[pipelineChunk]byte)
+	defer pipelineChunks.Put(chunk)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for {
+		if c.readsStopped {
+			return true, errReadsStopped
+		}
+		if c.responding {
+			return false, nil // net/http calls this read off when the response has been written
+		}
+		n, err := readNonblocking(fd, chunk[:])
+		if err != nil {
+			return !errors.Is(err, syscall.EAGAIN), err
+		}
+		c.lastRead = time.Now()
+		c.pipelinedBytes += int64(n)
+		if c.pipelinedBytes > maxPipelinedFlood {
+			return true, errPipelineFlood
+		}
+		room := min(n, maxPipelined-len(c.pipelined))
+		c.pipelined = append(c.pipelined, chunk[:room]...)
+		c.pipelineLost = c.pipelineLost || room < n
+	}
+}
+
+// readNonblocking reads what has come, without waiting: EAGAIN if that is nothing, io.EOF at the
+// end.
+func readNonblocking(fd uintptr, b []byte) (int, error) {
 	for {
 		n, err := syscall.Read(int(fd), b)
 		switch {
@@ -173,90 +209,76 @@
 	}
 }
 
-// readError words an error as net does, by which net/http tells a client that has gone from one that makes no sense.
-func readError(err error) error {
+// asReadError returns an error in the form that package net gives it, by which net/http tells a
+// client that has left from one that sends an invalid request.
+func asReadError(err error) error {
 	if err == nil || errors.Is(err, io.EOF) {
 		return err
 	}
-	var op *net.OpError
-	if errors.As(err, &op) {
-		if op.Op == "read" {
-			return op
+	var opErr *net.OpError
+	if errors.As(err, &opErr) {
+		if opErr.Op == "read" {
+			return opErr
 		}
-		err = op.Err
+		err = opErr.Err
 	}
 	return &net.OpError{Op: "read", Net: "tcp", Err: err}
 }
 
-// begin notes that a head has been reported.
-func (c *clientConn) begin() {
+// beginRequest notes that net/http has reported a head.
+func (c *clientConn) beginRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.open, c.flood = true, 0
-	c.head = headEnd{}
+	c.requestOpen, c.pipelinedBytes = true, 0
+	c.nextHead = headScanner{}
 }
 
-// end notes that an answer has been written.
-func (c *clientConn) end() {
+// endRequest notes that a response has been written.
+func (c *clientConn) endRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.open, c.asked, c.answering = false, true, false
-	c.head = headEnd{}
-	c.head.take(c.ahead)
+	c.requestOpen, c.hasServed, c.responding = false, true, false
+	c.nextHead = headScanner{}
+	c.nextHead.scan(c.pipelined)
 }
 
-// answer is for just before an answer is written, and tells whether it has to be the connection's last. From then on nothing is read
-// ahead: a client has an answer before its handler has ended, and may send its next request at once, of whatever size.
-func (c *clientConn) answer() (last bool) {
+// beginResponse is called just before a response is written and reports whether that has to be the
+// connection's last. From then on nothing that follows the request is read: a client has its
+// response before its handler has ended, and may send its next request at once, of whatever size.
+func (c *clientConn) beginResponse() (last bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answering = true
-	return c.thrown
+	c.responding = true
+	return c.pipelineLost
 }
 
-// first tells whether no request has been answered yet.
-func (c *clientConn) first() bool {
+// isFirstRequest reports whether no request has been answered yet.
+func (c *clientConn) isFirstRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.asked
+	return !c.hasServed
 }
 
-// shutQuiet has nothing more be read if no request is open, none has been read whole and nothing waits to be read; it is
-// false, and changes nothing, otherwise. One of which a part has come since then is spared too. Close follows.
-func (c *clientConn) shutQuiet(then time.Time) bool {
+// stopReadingIfQuiet has nothing more be read, before the connection is closed, if no request is
+// open, none has been read completely and nothing waits to be read. Otherwise it changes nothing
+// and returns false, also if a part of a request has come since partSince.
+func (c *clientConn) stopReadingIfQuiet(partSince time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open || c.head.whole || c.head.n > 0 && c.heard.After(then) || !socket.IsIdle(c.Conn) {
+	partIsRecent := c.nextHead.size > 0 && c.lastRead.After(partSince)
+	if c.requestOpen || c.nextHead.complete || partIsRecent || !socket.IsIdle(c.Conn) {
 		return false
 	}
-	c.shut = true
+	c.readsStopped = true
 	return true
 }
 
-// CloseWrite lets net/http end its side first, so that a client that is still sending reads its error.
-func (c *clientConn) CloseWrite() error { return c.Conn.(*net.TCPConn).CloseWrite() }
-
-// headEnd looks for the end of a head in what comes: an empty line. net/http takes a bare line feed for a line's end.
-type headEnd struct {
-	n     int  // bytes so far
-	empty bool // so far, the present line
-	whole bool
-}
-
-// take takes the next bytes.
-func (h *headEnd) take(b []byte) {
-	if h.n += len(b); h.whole || bytes.Contains(b, emptyLine) {
-		h.whole = true
-		return
-	}
-	for _, x := range b {
-		switch x {
-		case '\n':
-			h.whole = h.whole || h.empty
-			h.empty = true
-		case '\r':
-		default:
-			h.empty = false
-		}
+// CloseWrite lets net/http end its side first, so that a client that is still sending can read its
+// error.
+func (c *clientConn) CloseWrite() error {
+	half, ok := c.Conn.(interface{ CloseWrite() error })
+	if !ok {
+		return errNoSocket
 	}
+	return half.CloseWrite()
 }
--- a/internal/front/http1/conn_test.go
+++ b/internal/front/http1/conn_test.go
@@ -1,29 +1,80 @@
 package http1
 
 import (
-	"bytes"
+	"errors"
+	"net"
+	"net/http"
+	"os"
 	"testing"
+	"time"
+
+	"fernlanding/internal/socket"
 )
 
-// However a head is split, its end is found where an empty line stands, and not before.
-func FuzzHeadEnd(f *testing.F) {
-	for _, s := range []string{get("1"), "GET / HTTP/1.1\nHost: h\n\n", "\r\n\r\n", "GET / HTTP/1.1\r\nA: b\r\n", "\n\r", ""} {
-		f.Add([]byte(s), 1, 3)
-	}
-	f.Fuzz(func(t *testing.T, b []byte, i, j int) {
-		if len(b) > 1<<12 || bytes.Contains(b, []byte("\r\r")) { // a line of such is none that makes sense
-			return
+// Between net/http's reading of a request and its report the connection looks idle and quiet.
+// Closing it lost the request, which may have been forwarded; its client sends it once more.
+func TestConnectionWithCompleteRequestIsNotClosed(t *testing.T) {
+	for _, idle := range []bool{false, true} {
+		tracker, c, peer := acceptConn(t)
+		if idle {
+			tracker.onStateChange(c, http.StateActive)
+			tracker.onStateChange(c, http.StateIdle)
 		}
-		i, j = min(max(i, 0), len(b)), min(max(j, 0), len(b))
-		i, j = min(i, j), max(i, j)
-		var parts, one headEnd
-		for _, part := range [][]byte{b[:i], b[i:j], b[j:]} {
-			parts.take(part)
+		request := getRequest("1")
+		first, last := request[:len(request)-3], request[len(request)-3:]
+		for _, part := range []string{first, last} {
+			send(t, peer, part)
+			for got := 0; got < len(part); {
+				n, err := c.Read(make([]byte, 4096))
+				if err != nil {
+					t.Fatal(err)
+				}
+				got += n
+			}
+			c.mu.Lock()
+			c.lastRead = time.Now().Add(-time.Hour)
+			c.mu.Unlock()
+			if part == last {
+				now := time.Now()
+				if tracker.evictFrom(tracker.silent, now) || tracker.evictFrom(tracker.idle, now) {
+					t.Errorf("idle %v: evicted with a complete request", idle)
+				}
+			}
+			if busy := tracker.closeIdle(-time.Second); busy != 1 {
+				t.Errorf("idle %v: closed by the drain with %q read", idle, part)
+			}
 		}
-		one.take(b)
-		want := bytes.Contains(b, []byte("\n\n")) || bytes.Contains(b, []byte("\n\r\n"))
-		if one.whole != want || parts.whole != one.whole || parts.n != one.n {
-			t.Errorf("%q split at %d and %d: %+v, whole %+v, want %v", b, i, j, parts, one, want)
-		}
-	})
+	}
+}
+
+// What the connTracker closes is read no more: the client's request has not been read, and is sent
+// once more.
+func TestNothingIsReadAfterReadsStopped(t *testing.T) {
+	_, c, peer := acceptConn(t)
+	if !c.stopReadingIfQuiet(time.Time{}) {
+		t.Fatal("reads go on from a quiet connection")
+	}
+	send(t, peer, getRequest("1"))
+	waitUntil(t, func() bool { return !socket.IsIdle(c.Conn) })
+	var opErr *net.OpError
+	if n, err := c.Read(make([]byte, 4096)); n > 0 || !errors.As(err, &opErr) || opErr.Op != "read" {
+		t.Errorf("read %d bytes, %v", n, err)
+	}
+}
+
+// A request that has come before the read deadline is read: a process that was stalled has not
+// looked.
+func TestBytesBeforeDeadlineAreRead(t *testing.T) {
+	_, c, peer := acceptConn(t)
+	send(t, peer, getRequest("1"))
+	waitUntil(t, func() bool { return !socket.IsIdle(c.Conn) })
+	if err := c.SetReadDeadline(time.Unix(1, 0)); err != nil {
+		t.Fatal(err)
+	}
+	if n, err := c.Read(make([]byte, 4096)); n != len(getRequest("1")) || err != nil {
+		t.Errorf("read %d bytes, %v", n, err)
+	}
+	if _, err := c.Read(make([]byte, 4096)); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("with nothing there: %v", err)
+	}
 }
--- /dev/null
+++ b/internal/front/http1/handler.go
@@ -0,0 +1,106 @@
+package http1
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"fernlanding/internal/core"
+	"fernlanding/internal/front"
+	"fernlanding/logic"
+)
+
+const maxForwards = 4 // at finding a pool that admits a request, while a new configuration takes effect
+
+// ServeHTTP answers health checks and forwards requests.
+func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	arrived := time.Now()
+	conn, _ := r.Context().Value(connKey{}).(*clientConn)
+	if r.URL.Path == "/_health" {
+		conn.beginResponse()
+		f.serveHealth(w)
+		return
+	}
+	if reqErr := checkFraming(r); reqErr != nil {
+		f.writeError(w, reqErr)
+		return
+	}
+	dest, reqErr := f.cfg.Resolver.Resolve(r)
+	if reqErr != nil {
+		f.writeError(w, reqErr)
+		return
+	}
+	reserved, reqErr := reserveBodyMemory(r, &dest)
+	if reqErr != nil {
+		f.writeError(w, reqErr)
+		return
+	}
+	if reserved > 0 {
+		defer dest.Memory.Release(reserved)
+	}
+	body, reqErr := readBody(w, r, conn, &dest)
+	if reqErr != nil {
+		f.writeError(w, reqErr)
+		return
+	}
+	answer, reqErr := f.forward(r, arrived, dest, body)
+	if reqErr != nil {
+		f.writeError(w, reqErr)
+		return
+	}
+	if last := conn.beginResponse(); last {
+		w.Header().Set("Connection", "close")
+	}
+	f.writeAnswer(w, answer)
+}
+
+// serveHealth answers a health check.
+func (f *Front) serveHealth(w http.ResponseWriter) {
+	if f.cfg.IsHealthy() && !f.draining.Load() {
+		w.WriteHeader(http.StatusOK)
+		return
+	}
+	w.Header().Set("Connection", "close")
+	w.WriteHeader(http.StatusServiceUnavailable)
+}
+
+// forward hands a request to its destination's pool and waits for the answer. A pool may close
+// after it was named, and has then seen nothing of the request: it is resolved anew.
+func (f *Front) forward(
+	r *http.Request, arrived time.Time, dest front.Destination, body []byte,
+) (core.Answer, *front.RequestError) {
+	for n := 1; ; n++ {
+		answer := f.forwardOnce(r, arrived, &dest, body)
+		if answer.Verdict != core.NotAdmitted || n == maxForwards {
+			return answer, nil
+		}
+		var reqErr *front.RequestError
+		if dest, reqErr = f.cfg.Resolver.Resolve(r); reqErr != nil {
+			return core.Answer{}, reqErr
+		}
+		dest.Mirror = nil // the copy has been sent
+	}
+}
+
+// forwardOnce hands a request to one pool and waits for the answer. If the client leaves, the
+// request is canceled.
+func (f *Front) forwardOnce(r *http.Request, arrived time.Time, dest *front.Destination, body []byte) core.Answer {
+	req := &core.Request{
+		Request: logic.Request{
+			ID: dest.ID, Class: dest.Class, Tenant: dest.Tenant, Key: dest.Key,
+			ClientDeadline: dest.Pool.Clock().At(arrived.Add(dest.Timeout)),
+		},
+		Method: r.Method, Target: dest.Target, Host: r.Host,
+		Header: forwardedHeader(r.Header, dest.Header), Body: body,
+	}
+	if f.noNew.Load() {
+		req.ClientConnections, req.IdleClientConnections = f.conns.clientConnections()
+	}
+	if dest.Mirror != nil {
+		dest.Mirror(req)
+	}
+	// net/http cancels the context when the client leaves.
+	stop := context.AfterFunc(r.Context(), func() { dest.Pool.Cancel(req) })
+	defer stop()
+	return dest.Pool.Do(req)
+}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -686,7 +686,7 @@
 	}
 	waitUntil(t, func() bool { return p.stats().Idle == len(all) })
 	p.stop()
-	waitUntil(t, func() bool { return p.stats().Bound })
+	waitUntil(t, func() bool { return p.stats().NoNewConnections })
 	for i, c := range all[:5] {
 		c.send(t, look(fmt.Sprint("h", i), 8000))
 	}
