--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -78,13 +78,24 @@
 	a := backendtest.Start(t, backendtest.Says(served, true))
 	d := startDiscovery(t)
 	p := startProxy(t, d.address, 200, "")
+	previous, reply := "none", ""
 	for i, want := range []string{"", "from=5&hold_ms=2000", "", "from=6&hold_ms=2000"} {
-		if got := receive(t, "call", d.calls); got != want {
+		got := receive(t, "call", d.calls)
+		// An answer that takes over 100 ms, as on a busy machine, has the sidecar repeat its poll.
+		for repeats := 0; got != want && got == previous && repeats < 10; repeats++ {
+			if got == "" {
+				d.replies <- reply
+			}
+			got = receive(t, "call", d.calls)
+		}
+		if got != want {
 			t.Fatalf("call %d: query %q, want %q", i, got, want)
 		}
 		if want == "" {
-			d.replies <- listJSON(5+i/2, true, endpointJSON("a", a.Addr, "SERVING"))
+			reply = listJSON(5+i/2, true, endpointJSON("a", a.Addr, "SERVING"))
+			d.replies <- reply
 		}
+		previous = want
 	}
 	c := connect(t, p)
 	c.send(t, lookRequest("1", 4000))
--- a/internal/storedformat/storedformat_test.go
+++ b/internal/storedformat/storedformat_test.go
@@ -176,7 +176,7 @@
 }
 
 func TestRolloutHistoryIsRead(t *testing.T) {
-	played, err := plan.Read("rollout.toml", readFile(t, "rollout.toml"))
+	played, err := plan.Decode("rollout.toml", readFile(t, "rollout.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
