--- a/cmd/fernctl/fleet.go
+++ b/cmd/fernctl/fleet.go
@@ -4,47 +4,72 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fernlanding/internal/fleetsim"
-	"fernlanding/internal/fleetsim/plot"
-	"fernlanding/logic"
 	"fmt"
 	"io"
 	"os"
+	"strings"
 	"text/tabwriter"
 
 	"github.com/urfave/cli/v3"
+
+	"fernlanding/internal/fleetsim"
+	"fernlanding/internal/fleetsim/plot"
+	"fernlanding/logic"
 )
 
-const mostSeeds = 10_000
+const (
+	mostSeeds    = 10_000
+	defaultSeeds = 20
+)
 
+// fleetCommand returns the command that simulates days of a fleet.
 func fleetCommand() *cli.Command {
-	seed := &cli.Uint64Flag{Name: "seed", Usage: "in place of the day's own `SEED`"}
 	return &cli.Command{
 		Name: "fleet", Usage: "play days of a whole fleet on a virtual clock",
-		Action: func(_ context.Context, c *cli.Command) error {
+		Action: func(context.Context, *cli.Command) error {
 			return errors.New("fleet: one of run, sweep, explain and coldstart expected")
 		},
-		Commands: []*cli.Command{
-			{
-				Name: "run", Usage: "play the day that FILES describe, later ones over earlier ones", ArgsUsage: "FILE...",
-				Flags: []cli.Flag{jsonFlag(), seed}, Action: fleetRun,
-			},
-			{
-				Name: "sweep", Usage: "play a fleet over seeds and troubles", ArgsUsage: "FILE [TROUBLE...]",
-				Flags: []cli.Flag{
-					jsonFlag(), &cli.IntFlag{Name: "seeds", Value: 20, Usage: "`N` for each trouble"},
-					&cli.Uint64Flag{Name: "stream", Value: 1, Usage: "`NUMBER` that the seeds are drawn from"},
-				}, Action: fleetSweep,
-			},
-			{
-				Name: "explain", Usage: "draw a copy's counts over a day, with what caused its refusals", ArgsUsage: "FILE...",
-				Flags: []cli.Flag{
-					seed, &cli.IntFlag{Name: "tier", Usage: "its `NUMBER`, from 0"}, &cli.IntFlag{Name: "copy", Usage: "its `NUMBER`, from 0"},
-					&cli.BoolFlag{Name: "svg", Usage: "as a picture"},
-				}, Action: fleetExplain,
-			},
-			coldStartCommand(),
+		Commands: []*cli.Command{fleetRunCommand(), fleetSweepCommand(), fleetExplainCommand(), coldStartCommand()},
+	}
+}
+
+// seedFlag returns the flag of a day's seed.
+func seedFlag() cli.Flag {
+	return &cli.Uint64Flag{Name: "seed", Usage: "in place of the day's own `SEED`"}
+}
+
+// fleetRunCommand returns the command that simulates one day.
+func fleetRunCommand() *cli.Command {
+	return &cli.Command{
+		Name: "run", Usage: "play the day that FILES describe, later ones over earlier ones", ArgsUsage: "FILE...",
+		Flags: []cli.Flag{jsonFlag(), seedFlag()}, Action: fleetRun,
+	}
+}
+
+// fleetSweepCommand returns the command that simulates days over many seeds.
+func fleetSweepCommand() *cli.Command {
+	return &cli.Command{
+		Name: "sweep", Usage: "play a fleet over seeds and troubles", ArgsUsage: "FILE [TROUBLE...]",
+		Flags: []cli.Flag{
+			jsonFlag(),
+			&cli.IntFlag{Name: "seeds", Value: defaultSeeds, Usage: "`N` for each trouble"},
+			&cli.Uint64Flag{Name: "stream", Value: 1, Usage: "`NUMBER` that the seeds are drawn from"},
+		},
+		Action: fleetSweep,
+	}
+}
+
+// fleetExplainCommand returns the command that draws a replica's day.
+func fleetExplainCommand() *cli.Command {
+	return &cli.Command{
+		Name: "explain", Usage: "draw a copy's counts over a day, with what caused its refusals", ArgsUsage: "FILE...",
+		Flags: []cli.Flag{
+			seedFlag(),
+			&cli.IntFlag{Name: "tier", Usage: "its `NUMBER`, from 0"},
+			&cli.IntFlag{Name: "copy", Usage: "its `NUMBER`, from 0"},
+			&cli.BoolFlag{Name: "svg", Usage: "as a picture"},
 		},
+		Action: fleetExplain,
 	}
 }
 
@@ -54,12 +79,12 @@
 		return nil, errors.New("a day's file expected")
 	}
 	var files []fleetsim.File
-	for _, n := range names {
-		data, err := readBounded(n)
+	for _, name := range names {
+		data, err := readBounded(name)
 		if err != nil {
 			return nil, err
 		}
-		files = append(files, fleetsim.File{Name: n, Data: data})
+		files = append(files, fleetsim.File{Name: name, Data: data})
 	}
 	return fleetsim.Read(files...)
 }
@@ -70,12 +95,12 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	return io.ReadAll(io.LimitReader(f, fleetsim.MaxFile+1))
 }
 
-// seeded is the day of the command's files, with its seed.
-func seeded(c *cli.Command) (*fleetsim.Day, error) {
+// dayOf returns the day of the command's files, with its seed.
+func dayOf(c *cli.Command) (*fleetsim.Day, error) {
 	d, err := readDay(c.Args().Slice())
 	if err != nil {
 		return nil, fmt.Errorf("fleet %s: %w", c.Name, err)
@@ -86,106 +111,143 @@
 	return d, nil
 }
 
-// asJSON prints a value for machines.
-func asJSON(out io.Writer, v any) error {
-	e := json.NewEncoder(out)
+// asJSON writes a value for machines.
+func asJSON(w io.Writer, v any) error {
+	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
 }
 
+// fleetRun simulates a day and prints what it came to.
 func fleetRun(_ context.Context, c *cli.Command) error {
-	d, err := seeded(c)
+	d, err := dayOf(c)
 	if err != nil {
 		return err
 	}
 	out := c.Root().Writer
-	o, r := fleetsim.Judge(d)
+	o, r := fleetsim.Evaluate(d)
 	if c.Bool("json") {
-		if err := asJSON(out, o); err != nil {
-			return err
-		}
+		err = asJSON(out, o)
 	} else {
-		fmt.Fprintf(out, "%s, seed %d: %.1f requests a second, capacity %.1f\n", d.Name, d.Seed, d.RatePerSecond(), d.Capacity())
-		fmt.Fprintf(out, "service %.3f, without its troubles %.3f\n", o.Service, o.Calm)
-		fmt.Fprintf(out, "asked %d: served %d (late %d), refused %d, failed %d; %.2f attempts a request\n", r.Asked, r.Served, r.Late, r.Refused, r.Failed, float64(r.Attempts)/float64(max(1, r.Asked)))
-		fmt.Fprintf(out, "refused while capacity was free %.3f, of it by other rules than shares %.3f; overdriven %.3f of the time\n", o.Shadow, o.Gate, o.Overdriven)
-		for i, n := range r.Causes {
-			if n > 0 {
-				fmt.Fprintf(out, "refused by %v: %d, %d of them while capacity was free\n", logic.ShedCause(i), n, r.ShadowCauses[i])
-			}
+		_, err = io.WriteString(out, describeDay(d, o, r))
+	}
+	if err != nil {
+		return err
+	}
+	return reportViolations(c.Root().ErrWriter, []fleetsim.Outcome{o})
+}
+
+// describeDay returns what a day came to, for people.
+func describeDay(d *fleetsim.Day, o fleetsim.Outcome, r *fleetsim.Result) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "%s, seed %d: %.1f requests a second, capacity %.1f\n",
+		d.Name, d.Seed, d.RequestRate(), d.Capacity())
+	fmt.Fprintf(&b, "service %.3f, without its troubles %.3f\n", o.Service, o.CalmService)
+	fmt.Fprintf(&b, "asked %d: served %d (late %d), refused %d, failed %d; %.2f attempts a request\n",
+		r.Requests, r.Served, r.Late, r.Shed, r.Failed, float64(r.Attempts)/float64(max(1, r.Requests)))
+	fmt.Fprintf(&b, "refused while capacity was free %.3f, of it by other rules than shares %.3f; "+
+		"overdriven %.3f of the time\n", o.ExcessShedding, o.ExcessByLimits, o.OverloadedTime)
+	for cause, n := range r.ShedCauses {
+		if n > 0 {
+			fmt.Fprintf(&b, "refused by %v: %d, %d of them while capacity was free\n",
+				logic.ShedCause(cause), n, r.ExcessCauses[cause])
 		}
-		fmt.Fprintf(out, "seconds from the end of each trouble to %.0f%% of service: %v\n", 95.0, o.Recovery)
 	}
-	return broken(c.Root().ErrWriter, []fleetsim.Outcome{o})
+	fmt.Fprintf(&b, "seconds from the end of each trouble to %.0f%% of service: %v\n", 95.0, o.Recovery)
+	return b.String()
 }
 
-// broken ends a command with faults where a rule was broken.
-func broken(log io.Writer, all []fleetsim.Outcome) error {
-	some := false
-	for _, o := range all {
-		for _, b := range o.Broken {
-			fmt.Fprintf(log, "%s, seed %d: %s\n", o.Day, o.Seed, b)
-			some = true
+// reportViolations logs the rules that days broke. It returns errFaults if there are any.
+func reportViolations(log io.Writer, outcomes []fleetsim.Outcome) error {
+	found := false
+	for _, o := range outcomes {
+		for _, v := range o.Violations {
+			found = true
+			if _, err := fmt.Fprintf(log, "%s, seed %d: %s\n", o.Day, o.Seed, v); err != nil {
+				return err
+			}
 		}
 	}
-	if some {
+	if found {
 		return errFaults
 	}
 	return nil
 }
 
+// fleetSweep simulates days over many seeds and prints quantiles.
 func fleetSweep(_ context.Context, c *cli.Command) error {
-	names, n := c.Args().Slice(), c.Int("seeds")
-	if n < 1 || n > mostSeeds {
-		return fmt.Errorf("fleet sweep: -seeds %d, 1 to %d expected", n, mostSeeds)
+	names, seeds := c.Args().Slice(), c.Int("seeds")
+	if seeds < 1 || seeds > mostSeeds {
+		return fmt.Errorf("fleet sweep: -seeds %d, 1 to %d expected", seeds, mostSeeds)
 	}
 	if len(names) == 0 {
 		return errors.New("fleet sweep: a fleet's file expected")
 	}
-	var days []*fleetsim.Day
-	for _, t := range names[1:] {
-		d, err := readDay([]string{names[0], t})
+	days, err := readDays(names[0], names[1:])
+	if err != nil {
+		return fmt.Errorf("fleet sweep: %w", err)
+	}
+	outcomes := fleetsim.Sweep(days, fleetsim.Seeds(c.Uint64("stream"), seeds), spread)
+	out := c.Root().Writer
+	if c.Bool("json") {
+		err = asJSON(out, outcomes)
+	} else {
+		err = writeSummaries(out, outcomes)
+	}
+	if err != nil {
+		return err
+	}
+	return reportViolations(c.Root().ErrWriter, outcomes)
+}
+
+// readDays reads a fleet with each of the faults, or alone if there are none.
+func readDays(fleet string, faults []string) ([]*fleetsim.Day, error) {
+	if len(faults) == 0 {
+		d, err := readDay([]string{fleet})
 		if err != nil {
-			return fmt.Errorf("fleet sweep: %w", err)
+			return nil, err
 		}
-		days = append(days, d)
+		return []*fleetsim.Day{d}, nil
 	}
-	if len(days) == 0 {
-		d, err := readDay(names)
+	var days []*fleetsim.Day
+	for _, fault := range faults {
+		d, err := readDay([]string{fleet, fault})
 		if err != nil {
-			return fmt.Errorf("fleet sweep: %w", err)
+			return nil, err
 		}
 		days = append(days, d)
 	}
-	all := fleetsim.Sweep(days, fleetsim.Seeds(c.Uint64("stream"), n), spread)
-	out := c.Root().Writer
-	if c.Bool("json") {
-		if err := asJSON(out, all); err != nil {
-			return err
-		}
-		return broken(c.Root().ErrWriter, all)
-	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "day\tplays\tservice p10\tp50\tcalm p50\trecovery p50 s\tp90\tshadow\tof it gate\toverdriven\tbroken\t")
-	line := func(name string, os []fleetsim.Outcome) {
-		s := fleetsim.Summarize(os)
-		fmt.Fprintf(w, "%s\t%d\t%.3f\t%.3f\t%.3f\t%.1f\t%.1f\t%.3f\t%.3f\t%.3f\t%d\t\n", name, s.Days, s.Service10, s.Service50, s.Calm50, s.Recovery50, s.Recovery90, s.Shadow, s.Gate, s.Overdriven, s.Broken)
+	return days, nil
+}
+
+// writeSummaries writes a table with a line for each day, and one for all if there are several.
+func writeSummaries(out io.Writer, outcomes []fleetsim.Outcome) error {
+	var b strings.Builder
+	b.WriteString("day\tplays\tservice p10\tp50\tcalm p50\trecovery p50 s\tp90\t" +
+		"shadow\tof it gate\toverdriven\tbroken\t\n")
+	line := func(name string, outcomes []fleetsim.Outcome) {
+		s := fleetsim.Summarize(outcomes)
+		fmt.Fprintf(&b, "%s\t%d\t%.3f\t%.3f\t%.3f\t%.1f\t%.1f\t%.3f\t%.3f\t%.3f\t%d\t\n",
+			name, s.Days, s.Service10, s.Service50, s.CalmService50, s.Recovery50, s.Recovery90,
+			s.ExcessShedding, s.ExcessByLimits, s.OverloadedTime, s.DaysWithViolations)
 	}
-	order, groups := fleetsim.ByDay(all)
-	for _, name := range order {
+	names, groups := fleetsim.ByDay(outcomes)
+	for _, name := range names {
 		line(name, groups[name])
 	}
-	if len(order) > 1 {
-		line("all", all)
+	if len(names) > 1 {
+		line("all", outcomes)
 	}
-	if err := w.Flush(); err != nil {
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	if _, err := io.WriteString(w, b.String()); err != nil {
 		return err
 	}
-	return broken(c.Root().ErrWriter, all)
+	return w.Flush()
 }
 
+// fleetExplain draws a replica's day.
 func fleetExplain(_ context.Context, c *cli.Command) error {
-	d, err := seeded(c)
+	d, err := dayOf(c)
 	if err != nil {
 		return err
 	}
@@ -193,7 +255,8 @@
 	if c.Bool("svg") {
 		draw = plot.SVG
 	}
-	if err := draw(c.Root().Writer, fleetsim.Play(d, fleetsim.Options{Trace: true}), c.Int("tier"), c.Int("copy")); err != nil {
+	result := fleetsim.Run(d, fleetsim.Options{Trace: true})
+	if err := draw(c.Root().Writer, result, c.Int("tier"), c.Int("copy")); err != nil {
 		return fmt.Errorf("fleet explain: %w", err)
 	}
 	return nil
--- a/cmd/fernctl/fleet_test.go
+++ b/cmd/fernctl/fleet_test.go
@@ -10,6 +10,7 @@
 	"testing"
 )
 
+// oneTier is a day's description with one tier.
 const oneTier = `length = "6s"
 warmup = "1s"
 load = 0.6
@@ -27,7 +28,8 @@
 func TestFleetCommands(t *testing.T) {
 	dir := t.TempDir()
 	day, slow := filepath.Join(dir, "day.toml"), filepath.Join(dir, "slow.toml")
-	for name, text := range map[string]string{day: oneTier, slow: "name = \"slow\"\n[[trouble]]\nkind = \"slow\"\nat = \"2s\"\nfor = \"1s\"\n"} {
+	const slowFault = "name = \"slow\"\n[[trouble]]\nkind = \"slow\"\nat = \"2s\"\nfor = \"1s\"\n"
+	for name, text := range map[string]string{day: oneTier, slow: slowFault} {
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -61,8 +63,9 @@
 		}
 	}
 	var out bytes.Buffer
-	var o map[string]any
-	if run(context.Background(), []string{"fleet", "run", "-json", day}, &out, &bytes.Buffer{}) != 0 || json.Unmarshal(out.Bytes(), &o) != nil || o["calm"] == nil {
-		t.Errorf("%s", out.String())
+	code := run(context.Background(), []string{"fleet", "run", "-json", day}, &out, &bytes.Buffer{})
+	var outcome map[string]any
+	if err := json.Unmarshal(out.Bytes(), &outcome); err != nil || code != 0 || outcome["calm"] == nil {
+		t.Errorf("code %d, %v: %s", code, err, out.String())
 	}
 }
--- /dev/null
+++ b/internal/fleetsim/coldstart/event_queue.go
@@ -0,0 +1,53 @@
+package coldstart
+
+import (
+	"container/heap"
+	"time"
+)
+
+// noReplica is the replica of an event that does not depend on a replica's call.
+const noReplica = -1
+
+// event is something that happens at a time.
+type event struct {
+	at          time.Duration
+	replica     int // index, or noReplica
+	incarnation int // of the replica
+	call        int // of the replica in that incarnation
+	run         func(now time.Duration)
+}
+
+// eventQueue is a heap of events, by their times.
+type eventQueue []event
+
+// add adds an event to a heap.
+func (q *eventQueue) add(e event) { heap.Push(q, e) }
+
+// removeFirst removes and returns the first event of a heap.
+func (q *eventQueue) removeFirst() event {
+	first := (*q)[0]
+	heap.Pop(q)
+	return first
+}
+
+// Len implements heap.Interface.
+func (q eventQueue) Len() int { return len(q) }
+
+// Less implements heap.Interface.
+func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+
+// Swap implements heap.Interface.
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+// Push implements heap.Interface.
+func (q *eventQueue) Push(x any) {
+	*q = append(*q, x.(event)) //nolint:forcetypeassert // add pushes events only
+}
+
+// Pop implements heap.Interface.
+func (q *eventQueue) Pop() any {
+	old := *q
+	last := old[len(old)-1]
+	*q = old[:len(old)-1]
+	return last
+}
--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleet_test.go
@@ -1,7 +1,6 @@
 package fleetsim
 
 import (
-	"fernlanding/logic"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -9,26 +8,30 @@
 	"strings"
 	"sync"
 	"testing"
+
+	"fernlanding/logic"
 )
 
-func file(t testing.TB, name string) File {
-	t.Helper()
+// readFile reads a file of testdata.
+func readFile(tb testing.TB, name string) File {
+	tb.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	return File{name, data}
+	return File{Name: name, Data: data}
 }
 
-// hard are the hard days over a fleet.
-func hard(t testing.TB, base string) (days []*Day) {
+// hardDays returns the hard days of a fleet.
+func hardDays(t *testing.T, base string) []*Day {
 	t.Helper()
 	names, err := filepath.Glob("testdata/hard/*.toml")
 	if err != nil || len(names) < 10 {
 		t.Fatalf("%d hard days, %v", len(names), err)
 	}
-	for _, n := range names {
-		d, err := Read(file(t, base), file(t, filepath.Join("hard", filepath.Base(n))))
+	var days []*Day
+	for _, name := range names {
+		d, err := Read(readFile(t, base), readFile(t, filepath.Join("hard", filepath.Base(name))))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,8 +40,8 @@
 	return days
 }
 
-// each runs f with 0 to n-1 on all cores.
-func each(n int, f func(int)) {
+// forEach calls f with 0 to n-1 on all cores.
+func forEach(n int, f func(int)) {
 	var all sync.WaitGroup
 	cores := runtime.GOMAXPROCS(0)
 	for c := range cores {
@@ -51,195 +54,217 @@
 	all.Wait()
 }
 
-// No rule is broken on any hard day, and the gate stays what it has become: bounds are the figures in the operators'
-// page with a little room. Seeds are of a stream that nothing was tuned on.
+// No rule is broken on any hard day, and admission control stays what it has become: bounds are the
+// figures in the operators' page with a little room. Seeds are of a stream that nothing was tuned
+// on.
 func TestHardDaysKeepTheRules(t *testing.T) {
-	seeds := 8 // with their calm twins some 430 plays
-	if raceOn {
+	seeds := 8 // with their calm twins some 430 runs
+	if raceEnabled {
 		seeds = 1
 	}
 	for _, c := range []struct {
 		base     string
 		service  float64 // median, at least
 		recovery float64 // median seconds, at most
-		gate     float64 // mean shadow but for shares, at most
+		excess   float64 // mean excess shedding but for quotas, at most
 	}{{"base.toml", 0.77, 3, 0.12}, {"small.toml", 0.66, 3, 0.16}} {
-		days := hard(t, c.base)
-		if raceOn && c.base != "small.toml" {
+		days := hardDays(t, c.base)
+		if raceEnabled && c.base != "small.toml" {
 			continue
 		}
-		all := Sweep(days, Seeds(2, seeds), each)
-		for _, o := range all {
-			if len(o.Broken) > 0 {
-				t.Errorf("%s, %s, seed %d: %v", c.base, o.Day, o.Seed, o.Broken)
+		outcomes := Sweep(days, Seeds(2, seeds), forEach)
+		for _, o := range outcomes {
+			if len(o.Violations) > 0 {
+				t.Errorf("%s, %s, seed %d: %v", c.base, o.Day, o.Seed, o.Violations)
 			}
 		}
-		if s := Summarize(all); !raceOn && (s.Service50 < c.service || s.Recovery50 > c.recovery || s.Gate > c.gate) {
+		s := Summarize(outcomes)
+		withinBounds := s.Service50 >= c.service && s.Recovery50 <= c.recovery && s.ExcessByLimits <= c.excess
+		if !raceEnabled && !withinBounds {
 			t.Errorf("%s: %+v", c.base, s)
 		}
 	}
 }
 
-// The same day comes out the same, whatever runs beside it; another seed makes another.
-func TestADayIsAFunctionOfItsSeed(t *testing.T) {
-	for _, d := range hard(t, "small.toml") {
-		if raceOn && d.Name != "reload" {
+// The same day has the same result, whatever runs beside it; another seed has another.
+func TestDayIsAFunctionOfItsSeed(t *testing.T) {
+	for _, d := range hardDays(t, "small.toml") {
+		if raceEnabled && d.Name != "reload" {
 			continue
 		}
-		plays := make([]*Result, 3)
-		each(len(plays), func(i int) {
+		runs := make([]*Result, 3)
+		forEach(len(runs), func(i int) {
 			day := *d
 			day.Seed = uint64(1 + i/2)
-			plays[i] = Play(&day, Options{Trace: true})
-			plays[i].Day = nil
+			runs[i] = Run(&day, Options{Trace: true})
+			runs[i].Day = nil
 		})
-		if !reflect.DeepEqual(plays[0], plays[1]) {
-			t.Errorf("%s: two plays differ", d.Name)
+		if !reflect.DeepEqual(runs[0], runs[1]) {
+			t.Errorf("%s: two runs differ", d.Name)
 		}
-		if reflect.DeepEqual(plays[0].Figures, plays[2].Figures) {
+		if reflect.DeepEqual(runs[0].Metrics, runs[2].Metrics) {
 			t.Errorf("%s: two seeds do not differ", d.Name)
 		}
 	}
 }
 
-// What clients ask for, and its worth, hang on the seed alone: the calm twin is asked the same.
-func TestTwinsAreAskedTheSame(t *testing.T) {
-	for _, d := range hard(t, "base.toml") {
-		if d.Name == "overdriven" { // a burst asks for more
+// What clients request, and its weight, depend on the seed alone: the calm twin has the same
+// requests.
+func TestTwinsHaveTheSameRequests(t *testing.T) {
+	for _, d := range hardDays(t, "base.toml") {
+		if d.Name == "overdriven" { // a burst brings more
 			continue
 		}
 		d.Seed = 3
-		x, y := newFleet(d, Options{}).asked(), newFleet(d.Calm(), Options{}).asked()
+		x, y := newSimulation(d, Options{}).workload(), newSimulation(d.Calm(), Options{}).workload()
 		if len(x) == 0 || !reflect.DeepEqual(x, y) {
 			t.Errorf("%s: %d and %d requests", d.Name, len(x), len(y))
 		}
 	}
 }
 
-// The audit tells of each rule that is broken.
-func TestTheAuditSeesBrokenRules(t *testing.T) {
-	d, err := Read(file(t, "base.toml"))
+// The audit reports each rule that is broken.
+func TestAuditReportsViolations(t *testing.T) {
+	d, err := Read(readFile(t, "base.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	unsafe, keyed := d.class("post"), d.class("rate")
+	nonIdempotent, byKey := d.classIndex("post"), d.classIndex("rate")
 	for _, c := range []struct {
-		want string
-		do   func(f *fleet, job func(class int) *job)
+		want    string
+		violate func(s *simulation, job func(class int) *job)
 	}{
-		{"an unsafe request ran twice", func(f *fleet, job func(int) *job) {
-			f.audit.ran(f.backends[0][0], job(unsafe))
-			f.audit.ran(f.backends[0][0], job(unsafe))
+		{"an unsafe request ran twice", func(s *simulation, job func(int) *job) {
+			s.audit.ran(s.backends[0][0], job(nonIdempotent))
+			s.audit.ran(s.backends[0][0], job(nonIdempotent))
 		}},
-		{"ran in two cells", func(f *fleet, job func(int) *job) {
-			f.backends[0][0].cell, f.backends[0][1].cell = 0, 1
-			f.audit.ran(f.backends[0][0], job(keyed))
-			f.audit.ran(f.backends[0][1], job(keyed))
+		{"ran in two cells", func(s *simulation, job func(int) *job) {
+			s.backends[0][0].cell, s.backends[0][1].cell = 0, 1
+			s.audit.ran(s.backends[0][0], job(byKey))
+			s.audit.ran(s.backends[0][1], job(byKey))
 		}},
-		{"after its window", func(f *fleet, job func(int) *job) {
-			f.audit.ran(f.backends[0][0], job(keyed))
-			f.now += 8_000_000
-			f.audit.ran(f.backends[0][0], job(keyed))
+		{"after its window", func(s *simulation, job func(int) *job) {
+			s.audit.ran(s.backends[0][0], job(byKey))
+			s.now += 8_000_000
+			s.audit.ran(s.backends[0][0], job(byKey))
 		}},
-		{"a refusal of what has run", func(f *fleet, job func(int) *job) {
-			f.audit.ran(f.backends[0][0], job(unsafe))
-			f.audit.refused(job(unsafe).att.call)
+		{"a refusal of what has run", func(s *simulation, job func(int) *job) {
+			s.audit.ran(s.backends[0][0], job(nonIdempotent))
+			s.audit.wasShed(job(nonIdempotent).attempt.request)
 		}},
-		{"after its drain was told", func(f *fleet, job func(int) *job) {
-			c, b := f.front[0], f.backends[0][0]
-			c.calls["x"] = &call{id: "x", op: &op{}, copy: c}
+		{"after its drain was told", func(s *simulation, job func(int) *job) {
+			r, b := s.front[0], s.backends[0][0]
+			r.requests["x"] = &request{id: "x", client: &clientRequest{}, replica: r}
 			b.state = logic.Draining
-			c.list(logic.Delta, []logic.Endpoint{b.entry()})
-			f.now += drainGrace + 1
-			(*host)(c).Forward("x", b.id, 1)
+			r.updateEndpoints(logic.Delta, []logic.Endpoint{b.entry()})
+			s.now += drainGrace + 1
+			r.host().Forward("x", b.id, 1)
+		}},
+		{"a Send that cannot be", func(s *simulation, _ func(int) *job) {
+			s.front[0].host().Forward("none", s.backends[0][0].id, 1)
 		}},
-		{"a Send that cannot be", func(f *fleet, job func(int) *job) { (*host)(f.front[0]).Forward("none", f.backends[0][0].id, 1) }},
-		{"a cold backend was pushed over", func(f *fleet, job func(int) *job) {
-			b := f.backends[0][0]
-			b.launched, f.now = 1, 1
+		{"a cold backend was pushed over", func(s *simulation, job func(int) *job) {
+			b := s.backends[0][0]
+			b.startedAt, s.now = 1, 1
 			for range 100 {
-				b.cold(1e6)
+				b.recordColdWork(1e6)
 			}
 		}},
-		{"two final answers", func(f *fleet, job func(int) *job) {
-			q := &call{id: "x", op: &op{}, giveUp: 1 << 40, answer: func(answer) {}}
-			f.front[0].end(q, answer{})
-			f.front[0].end(q, answer{})
+		{"two final answers", func(s *simulation, job func(int) *job) {
+			q := &request{id: "x", client: &clientRequest{}, giveUpAt: 1 << 40, onAnswer: func(answer) {}}
+			s.front[0].end(q, answer{})
+			s.front[0].end(q, answer{})
 		}},
-		{"after its client gave up", func(f *fleet, job func(int) *job) {
-			f.front[0].end(&call{id: "x", op: &op{}, giveUp: f.now - 1, answer: func(answer) {}}, answer{})
+		{"after its client gave up", func(s *simulation, job func(int) *job) {
+			q := &request{id: "x", client: &clientRequest{}, giveUpAt: s.now - 1, onAnswer: func(answer) {}}
+			s.front[0].end(q, answer{})
 		}},
 	} {
-		f := newFleet(d, Options{})
-		c.do(f, func(class int) *job {
-			return &job{att: &attempt{call: &call{op: &op{class: class}, lineage: lineage{of: "it"}}}}
+		s := newSimulation(d, Options{})
+		c.violate(s, func(class int) *job {
+			return &job{attempt: &attempt{request: &request{client: &clientRequest{class: class}, effect: "it"}}}
 		})
-		if got := strings.Join(f.audit.broken, "; "); !strings.Contains(got, c.want) {
+		if got := strings.Join(s.audit.violations, "; "); !strings.Contains(got, c.want) {
 			t.Errorf("got %q, %q expected", got, c.want)
 		}
 	}
 }
 
-// The calm day has no trouble to recover from; a day that serves nothing after its trouble never does.
+// The calm day has no fault to recover from; a day that serves nothing after its fault never does.
 func TestRecoveryIsMeasuredAgainstTheCalmDay(t *testing.T) {
 	d := &Day{Length: seconds(20)}
-	day := func(got func(slot int) float64) *Result {
+	day := func(service func(slot int) float64) *Result {
 		r := &Result{Day: d}
 		for i := range 41 {
-			r.worth, r.got = append(r.worth, 1), append(r.got, got(i))
+			r.weight = append(r.weight, 1)
+			r.weightServed = append(r.weightServed, service(i))
 		}
 		return r
 	}
 	calm := day(func(int) float64 { return 0.8 })
-	trouble := Trouble{At: seconds(4), For: seconds(2)}
+	fault := Fault{At: seconds(4), Duration: seconds(2)}
 	for _, c := range []struct {
-		back int // slot
-		want float64
+		recovered int // slot
+		want      float64
 	}{{0, 0}, {12, 0}, {16, 2}, {99, 12.5}} {
 		r := day(func(i int) float64 {
-			if i < c.back {
+			if i < c.recovered {
 				return 0.1
 			}
 			return 0.8
 		})
-		if got, ok := r.Recovery(calm, trouble); !ok || got != c.want {
-			t.Errorf("back at slot %d: %.1f s, %.1f expected", c.back, got, c.want)
+		if got, ok := r.Recovery(calm, fault); !ok || got != c.want {
+			t.Errorf("recovered at slot %d: %.1f s, %.1f expected", c.recovered, got, c.want)
 		}
 	}
-	if _, ok := calm.Recovery(calm, Trouble{At: seconds(19), For: seconds(5)}); ok {
-		t.Error("a trouble that ends after the day was judged")
+	if _, ok := calm.Recovery(calm, Fault{At: seconds(19), Duration: seconds(5)}); ok {
+		t.Error("the recovery from a fault that ends after the day was measured")
 	}
 }
 
-// A fault is one line with the place or the field, what was found and what was expected.
-func TestFaultsOfADayFile(t *testing.T) {
-	base := string(file(t, "base.toml").Data)
-	for _, c := range []struct{ was, now, want string }{
+// An error is one line with the place or the field, what was found and what was expected.
+func TestReadReportsErrors(t *testing.T) {
+	base := string(readFile(t, "base.toml").Data)
+	for _, c := range []struct{ old, replacement, want string }{
 		{`load = 0.8`, `load = 80`, `day.toml: load: found 80, 0.001 to 5, or a rate, expected`},
 		{`load = 0.8`, `lod = 0.8`, `day.toml:5:1: unknown field ["lod"]`},
 		{`length = "36s"`, `length = "36"`, `day.toml:3:10: toml: found "36", a time such as "1.5s" expected`},
 		{`length = "36s"`, `length = "36h"`, `day.toml: length: found 36h0m0s, 1s to 10m expected`},
 		{`count = 3,`, `count = 0,`, `day.toml: tiers[0].kinds[0].count: found 0, 1 to 500 expected`},
-		{`repeat = "keyed"`, `repeat = "often"`, `day.toml: classes[1].repeat: found often, safe, keyed or unsafe expected`},
+		{
+			`repeat = "keyed"`, `repeat = "often"`,
+			`day.toml: classes[1].repeat: found often, safe, keyed or unsafe expected`,
+		},
 		{`window = "7.5s"`, ``, `day.toml: classes[1].window: found 0s, more than 0s to 1h expected`},
 		{`cv = 1.0`, `cv = nan`, `day.toml: classes[0].cv: found NaN, 0 to 5 expected`},
-		{`[clients]`, "[[trouble]]\nkind = \"fog\"\n[clients]", `day.toml: trouble[0].kind: found "fog", one of [slow hang`},
-		{`[clients]`, "[[trouble]]\nkind = \"burst\"\ntenant = \"x\"\n[clients]", `day.toml: trouble[0].tenant: found x, the name of a tenant expected`},
-		{`length = "36s"`, "length = \"10m\"\nrate = 90000.0", `day.toml: rate: found 54000000 requests a day, at most 1000000 expected`},
+		{
+			`[clients]`, "[[trouble]]\nkind = \"fog\"\n[clients]",
+			`day.toml: trouble[0].kind: found "fog", one of [slow hang`,
+		},
+		{
+			`[clients]`, "[[trouble]]\nkind = \"burst\"\ntenant = \"x\"\n[clients]",
+			`day.toml: trouble[0].tenant: found x, the name of a tenant expected`,
+		},
+		{
+			`length = "36s"`, "length = \"10m\"\nrate = 90000.0",
+			`day.toml: rate: found 54000000 requests a day, at most 1000000 expected`,
+		},
 		{`name = "base"`, strings.Repeat("#", MaxFile), `day.toml: `},
 	} {
-		_, err := Read(File{"day.toml", []byte(strings.Replace(base, c.was, c.now, 1))})
+		_, err := Read(File{Name: "day.toml", Data: []byte(strings.Replace(base, c.old, c.replacement, 1))})
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: got %v, %q expected", c.now, err, c.want)
+			t.Errorf("%q: got %v, %q expected", c.replacement, err, c.want)
 		}
 	}
 }
 
-// Whatever the text, it is a fault in one line or a day that can be begun.
+// Whatever the text, it is an error in one line or a day that can be simulated.
 func FuzzRead(f *testing.F) {
-	f.Add(file(f, "base.toml").Data)
-	f.Add(file(f, "hard/reload.toml").Data)
-	f.Add([]byte("length = \"5s\"\nrate = 1.0\n[[classes]]\nshare = 1.0\nwork = \"1ms\"\naim = \"1s\"\ndeadline = \"1s\"\n[[tiers]]\nwork = 1.0\nkinds = [{count = 1}]"))
+	f.Add(readFile(f, "base.toml").Data)
+	f.Add(readFile(f, "hard/reload.toml").Data)
+	f.Add([]byte("length = \"5s\"\nrate = 1.0\n" +
+		"[[classes]]\nshare = 1.0\nwork = \"1ms\"\naim = \"1s\"\ndeadline = \"1s\"\n" +
+		"[[tiers]]\nwork = 1.0\nkinds = [{count = 1}]"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		d, err := Read(File{"day.toml", data})
 		if err != nil {
@@ -250,25 +275,26 @@
 		}
 		backends := 0
 		for i := range d.Tiers {
-			backends += d.countOf(i)
+			backends += d.backendCount(i)
 		}
-		if d.RatePerSecond()*d.Length.Seconds()*d.busiest()*d.callsEach() > 500 || float64(backends)*d.Length.Seconds() > 1000 {
-			return // long to play
+		calls := d.RequestRate() * d.Length.Seconds() * d.maxBurst() * d.callsPerRequest()
+		if calls > 500 || float64(backends)*d.Length.Seconds() > 1000 {
+			return // long to simulate
 		}
-		if r := Play(d, Options{Trace: true}); len(r.Broken) > 0 && d.Network.Hop.micros() < 1000 {
-			t.Logf("broken: %v", r.Broken)
+		if r := Run(d, Options{Trace: true}); len(r.Violations) > 0 && d.Network.Latency.micros() < 1000 {
+			t.Logf("broken: %v", r.Violations)
 		}
 	})
 }
 
-// BenchmarkDay is one day of the small fleet with its hardest trouble.
+// BenchmarkDay simulates one day of the small fleet with its hardest fault.
 func BenchmarkDay(b *testing.B) {
-	d, err := Read(file(b, "small.toml"), file(b, "hard/reload.toml"))
+	d, err := Read(readFile(b, "small.toml"), readFile(b, "hard/reload.toml"))
 	if err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
 		d.Seed++
-		Play(d, Options{})
+		Run(d, Options{})
 	}
 }
--- a/internal/fleetsim/plot/plot_test.go
+++ b/internal/fleetsim/plot/plot_test.go
@@ -4,15 +4,17 @@
 	"bytes"
 	"encoding/xml"
 	"errors"
-	"fernlanding/internal/fleetsim"
 	"io"
 	"os"
 	"strings"
 	"testing"
+
+	"fernlanding/internal/fleetsim"
 )
 
-// A day in which a deeper tier fails: the plot names the evidence that cut the count, and a copy that is not there is a fault.
-func TestAPlotNamesWhatRefuses(t *testing.T) {
+// A day in which a deeper tier fails: the plot names the evidence that cut the limit, and a replica
+// that is not there is an error.
+func TestPlotNamesReasons(t *testing.T) {
 	var files []fleetsim.File
 	for _, n := range []string{"../testdata/base.toml", "../testdata/hard/fail-deep.toml"} {
 		data, err := os.ReadFile(n)
@@ -26,20 +28,21 @@
 		t.Fatal(err)
 	}
 	d.Seed = 7
-	r := fleetsim.Play(d, fleetsim.Options{Trace: true})
+	r := fleetsim.Run(d, fleetsim.Options{Trace: true})
 	var text, svg bytes.Buffer
 	if err := Text(&text, r, 0, 1); err != nil {
 		t.Fatal(err)
 	}
 	lines := strings.Split(strings.TrimSpace(text.String()), "\n")
-	if len(lines) != 38 || !strings.Contains(text.String(), "by failed calls") || !strings.Contains(text.String(), "tenant count of large, at") {
+	if len(lines) != 38 || !strings.Contains(text.String(), "by failed calls") ||
+		!strings.Contains(text.String(), "tenant count of large, at") {
 		t.Errorf("%d lines:\n%s", len(lines), text.String())
 	}
 	if err := SVG(&svg, r, 1, 0); err != nil {
 		t.Fatal(err)
 	}
-	for x := xml.NewDecoder(&svg); ; {
-		if _, err := x.Token(); errors.Is(err, io.EOF) {
+	for decoder := xml.NewDecoder(&svg); ; {
+		if _, err := decoder.Token(); errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
 			t.Fatal(err)
--- a/internal/fleetsim/race_off_test.go
+++ b/internal/fleetsim/race_off_test.go
@@ -2,4 +2,4 @@
 
 package fleetsim
 
-const raceOn = false
+const raceEnabled = false
--- a/internal/fleetsim/race_on_test.go
+++ b/internal/fleetsim/race_on_test.go
@@ -2,4 +2,4 @@
 
 package fleetsim
 
-const raceOn = true // days take ten times as long
+const raceEnabled = true // days take ten times as long
--- a/internal/fleetsim/sockets_test.go
+++ b/internal/fleetsim/sockets_test.go
@@ -2,58 +2,81 @@
 
 import (
 	"context"
-	"fernlanding/internal/fleetsim"
-	"fernlanding/internal/sidecar/sidecartest"
-	"fernlanding/internal/standin"
 	"fmt"
 	"math"
 	"testing"
 	"time"
+
+	"fernlanding/internal/fleetsim"
+	"fernlanding/internal/sidecar/sidecartest"
+	"fernlanding/internal/standin"
 )
 
-// The same day on sockets: a sidecar before stand-in workers, and the fleet's own backends of the same cores, speeds and
-// waiting rooms, with one that turns slow. Service is to lie within five points.
-func TestADayOnSocketsIsServedAlike(t *testing.T) {
+// The same day on sockets: a sidecar before stand-in workers, and the fleet's own backends of the
+// same cores, speeds and queues, with one that becomes slow. Service must lie within five points.
+func TestDayOnSocketsIsServedAlike(t *testing.T) {
 	if testing.Short() {
-		t.Skip("plays some seconds of load")
+		t.Skip("runs some seconds of load")
 	}
 	const (
-		work = 40 * time.Millisecond
-		long = 4 * time.Second
-		rate = 110.0
+		work   = 40 * time.Millisecond
+		length = 4 * time.Second
+		rate   = 110.0
 	)
 	speeds := []float64{2, 1.2, 1.2, 0.8}
-	class := standin.Class{Name: "lookup", Method: "GET", Path: "/lookup/%d", Share: 1, Objective: 200 * time.Millisecond, Deadline: time.Second}
+	class := standin.Class{
+		Name: "lookup", Method: "GET", Path: "/lookup/%d", Share: 1,
+		Objective: 200 * time.Millisecond, Deadline: time.Second,
+	}
 	for _, slow := range []bool{false, true} {
-		real := onSockets(t, speeds, work, class, rate, long, slow)
+		onSockets := serviceOnSockets(t, socketsDay{
+			speeds: speeds, work: work, class: class, rate: rate, length: length, slow: slow,
+		})
 		d := &fleetsim.Day{
-			Length: fleetsim.Span(long), Warmup: fleetsim.Span(time.Millisecond), Rate: rate,
-			Classes: []fleetsim.Class{{Name: "lookup", Share: 1, Work: fleetsim.Span(work), Aim: fleetsim.Span(class.Objective), Deadline: fleetsim.Span(class.Deadline)}},
-			Tiers:   []fleetsim.Tier{{Copies: 1, Work: 1}},
+			Length: fleetsim.Duration(length), Warmup: fleetsim.Duration(time.Millisecond), Rate: rate,
+			Classes: []fleetsim.Class{{
+				Name: "lookup", Share: 1, Work: fleetsim.Duration(work),
+				LatencyObjective: fleetsim.Duration(class.Objective), Deadline: fleetsim.Duration(class.Deadline),
+			}},
+			Tiers: []fleetsim.Tier{{Replicas: 1, Work: 1}},
 		}
 		for _, s := range speeds {
-			d.Tiers[0].Kinds = append(d.Tiers[0].Kinds, fleetsim.Kind{Count: 1, Cores: 2, Speed: s, Slots: 2, Waiting: 16})
+			group := fleetsim.BackendGroup{Count: 1, Cores: 2, Speed: s, Slots: 2, QueueLength: 16}
+			d.Tiers[0].Groups = append(d.Tiers[0].Groups, group)
 		}
 		if slow {
-			d.Trouble = []fleetsim.Trouble{{Kind: fleetsim.Slow, At: fleetsim.Span(long / 5), For: fleetsim.Span(long), Part: 0.25, Times: 8}}
+			d.Faults = []fleetsim.Fault{{
+				Kind: fleetsim.FaultSlow, At: fleetsim.Duration(length / 5), Duration: fleetsim.Duration(length),
+				Fraction: 0.25, Factor: 8,
+			}}
 		}
 		if err := d.Complete(); err != nil {
 			t.Fatal(err)
 		}
-		played := 0.0
-		const plays = 8
-		for seed := range uint64(plays) {
+		simulated := 0.0
+		const runs = 8
+		for seed := range uint64(runs) {
 			d.Seed = seed
-			played += fleetsim.Play(d, fleetsim.Options{}).Service() / plays
+			simulated += fleetsim.Run(d, fleetsim.Options{}).Service() / runs
 		}
-		if math.Abs(real-played) > 0.05 {
-			t.Errorf("slow %v: served %.3f on sockets, %.3f in the fleet", slow, real, played)
+		if math.Abs(onSockets-simulated) > 0.05 {
+			t.Errorf("slow %v: served %.3f on sockets, %.3f in the fleet", slow, onSockets, simulated)
 		}
 	}
 }
 
-// onSockets returns the part of the load that was answered in time.
-func onSockets(t *testing.T, speeds []float64, work time.Duration, class standin.Class, rate float64, long time.Duration, slow bool) float64 {
+// socketsDay is a day on sockets.
+type socketsDay struct {
+	speeds []float64 // of the workers
+	work   time.Duration
+	class  standin.Class
+	rate   float64 // requests per second
+	length time.Duration
+	slow   bool // one worker becomes slow
+}
+
+// serviceOnSockets returns the fraction of the load that was answered in time.
+func serviceOnSockets(t *testing.T, day socketsDay) float64 {
 	t.Helper()
 	d, err := standin.NewDiscovery()
 	if err != nil {
@@ -61,8 +84,8 @@
 	}
 	t.Cleanup(d.Close)
 	var workers []*standin.Worker
-	for i, s := range speeds {
-		w, err := standin.NewWorker(standin.WorkerConfig{Cores: 2, Waiting: 16, Work: work, Speed: s})
+	for i, s := range day.speeds {
+		w, err := standin.NewWorker(standin.WorkerConfig{Cores: 2, Waiting: 16, Work: day.work, Speed: s})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -88,12 +111,14 @@
 methods = ["GET"]
 service = "s"
 class = "lookup"
-`, d.Addr(), class.Objective, class.Deadline))
-	if slow {
-		trouble := time.AfterFunc(long/5, func() { workers[0].Slow(8) })
-		defer trouble.Stop()
+`, d.Addr(), day.class.Objective, day.class.Deadline))
+	if day.slow {
+		fault := time.AfterFunc(day.length/5, func() { workers[0].Slow(8) })
+		defer fault.Stop()
+	}
+	load := standin.Load{
+		Addr: s.Addr(), Classes: []standin.Class{day.class}, Rate: day.rate, For: day.length, Seed: 1, Tag: "day",
 	}
-	l := standin.Load{Addr: s.Addr(), Classes: []standin.Class{class}, Rate: rate, For: long, Seed: 1, Tag: "day"}
-	r := l.Run(context.Background())[0]
+	r := load.Run(context.Background())[0]
 	return float64(r.Served-r.Late) / float64(r.Sent)
 }
--- /dev/null
+++ b/internal/fleetsim/topology.go
@@ -0,0 +1,139 @@
+package fleetsim
+
+import (
+	"math/rand/v2"
+	"slices"
+	"strconv"
+
+	"fernlanding/logic"
+)
+
+// longAgo is the start of a backend that was warm before the day began.
+const longAgo = 0
+
+// newID returns an ID that no other process or request has.
+func (s *simulation) newID(prefix string) string {
+	s.ids++
+	return prefix + strconv.Itoa(s.ids)
+}
+
+// startAll starts all processes, the last tier first, since the replica beside each backend needs a
+// list.
+func (s *simulation) startAll() {
+	for tier := len(s.day.Tiers) - 1; tier >= 0; tier-- {
+		index := 0
+		for _, g := range s.day.Tiers[tier].Groups {
+			for range g.Count {
+				s.startBackend(tier, index, g, longAgo)
+				index++
+			}
+		}
+		// Speeds are mixed over indices, since faults concern the first ones.
+		backends := s.backends[tier]
+		rand.New(rand.NewPCG(s.day.Seed, 100+uint64(tier))).Shuffle(len(backends), func(i, j int) {
+			backends[i], backends[j] = backends[j], backends[i]
+		})
+	}
+	n := s.day.Tiers[0].Replicas
+	for i := range n {
+		s.front = append(s.front, s.startReplica(0, i, n))
+	}
+}
+
+// startReplica starts a replica, which knows the present endpoint list.
+func (s *simulation) startReplica(tier, index, replicas int) *replica {
+	r := s.newReplica(tier, index, replicas)
+	r.updateDelay = int64(float64(s.day.Network.UpdateDelay.micros()) * (0.5 + s.networkRand.Float64()))
+	var entries []logic.Endpoint
+	for _, b := range s.backends[tier] {
+		if !b.dead && b.state != logic.Removed {
+			entries = append(entries, b.entry())
+		}
+	}
+	r.updateEndpoints(logic.Snapshot, entries)
+	return r
+}
+
+// startBackend starts a backend's process; startedAt is in microseconds, or longAgo.
+func (s *simulation) startBackend(tier, index int, g BackendGroup, startedAt int64) *backend {
+	b := &backend{
+		sim: s, id: s.newID(s.day.Tiers[tier].Name + "-"), tier: tier, index: index,
+		cell: index % s.day.Tiers[tier].Cells, group: g, state: logic.Ready, startedAt: startedAt,
+		slowdown: 1, failClass: allClasses, clockAt: s.now, freeFraction: 1,
+	}
+	s.byID[b.id] = b
+	s.backends[tier] = append(s.backends[tier], b)
+	s.startReplicaBeside(b)
+	return b
+}
+
+// startReplicaBeside starts the replica by which a backend calls the next tier, if there is one.
+func (s *simulation) startReplicaBeside(b *backend) {
+	if b.tier+1 < len(s.day.Tiers) {
+		b.replica = s.startReplica(b.tier+1, b.index, s.day.backendCount(b.tier))
+	}
+}
+
+// notify notifies every replica before a backend's tier of its state, each after its delay.
+func (s *simulation) notify(b *backend) { s.notifyState(b, b.state) }
+
+// notifyState notifies them of a state that the backend itself need not know.
+func (s *simulation) notifyState(b *backend, state logic.State) {
+	entry := b.entry()
+	entry.State = state
+	for _, r := range s.replicas {
+		if r.tier == b.tier && !r.dead {
+			s.after(r.updateDelay, func() { r.updateEndpoints(logic.Delta, []logic.Endpoint{entry}) })
+		}
+	}
+}
+
+// drain has a backend reject new requests; its process ends once it is empty.
+func (s *simulation) drain(b *backend) {
+	if b.dead || b.state != logic.Ready {
+		return
+	}
+	b.settle()
+	b.state = logic.Draining
+	s.notify(b)
+	until := s.now + drainTimeout
+	var check func()
+	check = func() {
+		if b.usedSlots+len(b.queue) > 0 && s.now < until {
+			s.after(sampleInterval, check)
+			return
+		}
+		b.state = logic.Removed
+		s.notify(b)
+		s.after(drainTimeout, func() { s.remove(b) }) // attempts may be on their way
+	}
+	// Until the replicas are notified, requests go on coming: the backend rejects them.
+	s.after(int64(1.6*float64(s.day.Network.UpdateDelay.micros())), check)
+}
+
+// remove ends a backend's process for good.
+func (s *simulation) remove(b *backend) {
+	b.die()
+	i := slices.Index(s.backends[b.tier], b)
+	if i >= 0 {
+		s.backends[b.tier] = slices.Concat(s.backends[b.tier][:i], s.backends[b.tier][i+1:])
+	}
+}
+
+// kill ends a backend's process; the list service notices.
+func (s *simulation) kill(b *backend) {
+	b.die()
+	s.notifyState(b, logic.Removed)
+}
+
+// revive starts the process of a backend that was killed anew.
+func (s *simulation) revive(b *backend) {
+	if b.state != logic.Ready {
+		return
+	}
+	b.dead, b.startedAt, b.clockAt = false, s.now, s.now
+	b.overloaded, b.load = false, 0
+	b.hung, b.slowdown, b.failRate, b.corruptRate = false, 1, 0, 0
+	s.startReplicaBeside(b)
+	s.notify(b)
+}
--- a/internal/fleetsim/trace.go
+++ b/internal/fleetsim/trace.go
@@ -3,81 +3,86 @@
 import "fernlanding/logic"
 
 const (
-	sampleEvery = 500_000 // microseconds
-	mostNotes   = 200_000
+	traceInterval  = 500_000 // microseconds between samples of the replicas
+	maxTracedSheds = 200_000
 )
 
-// Trace is what a day shows of its copies. It is bounded by the day's length and by the refusals that it keeps.
+// Trace is what a day shows of its replicas. It is bounded by the day's length and by
+// maxTracedSheds.
 type Trace struct {
-	Samples  []Sample
-	Refusals []Refusal
-	Left     int // refusals that were too many to keep
+	Samples []Sample
+	Sheds   []Shed
+	Dropped int // shed requests that were too many to keep
 }
 
-// Sample is one copy at one time.
+// Sample is one replica at one time.
 type Sample struct {
-	At      int64 // microseconds
-	Tier    int
-	Copy    int // its number in the tier
-	Figures logic.Stats
-	Free    float64 // part of its tier's capacity that stands free
-	Over    int     // backends of its tier that are slowed by crowds
-	Can     float64 // cores of its tier that are free
+	At         int64 // microseconds
+	Tier       int
+	Replica    int // its index in the tier
+	Stats      logic.Stats
+	Free       float64 // fraction of its tier's capacity that is free
+	Overloaded int     // backends of its tier that are slowed by overload
+	FreeCores  float64 // cores of its tier that are free
 }
 
-// Refusal is one refusal with what caused it.
-type Refusal struct {
-	At     int64
-	Tier   int
-	Copy   int
-	Class  int
-	Tenant int
-	Cause  logic.ShedCause
-	Figure logic.LimitStats // of the rule that refused, where it has a count
-	Free   float64          // least part of any tier that stood free
-	Shadow bool
+// Shed is one shed request with its cause.
+type Shed struct {
+	At       int64 // microseconds
+	Tier     int
+	Replica  int
+	Class    int
+	Tenant   int
+	Cause    logic.ShedCause
+	Limit    logic.LimitStats // of the rule that shed it, if it has a limit; of a quota the multiple
+	Free     float64          // fraction of every tier's capacity that was free
+	IsExcess bool             // by the first tier, while capacity was free in all tiers
 }
 
-func (f *fleet) sample() {
-	over := make([]int, len(f.backends))
-	cores := make([]float64, len(f.backends))
-	for tier, bs := range f.backends {
-		for _, b := range bs {
-			if b.over {
-				over[tier]++
+// traceReplicas samples the replicas that serve.
+func (s *simulation) traceReplicas() {
+	overloaded := make([]int, len(s.backends))
+	freeCores := make([]float64, len(s.backends))
+	for tier, backends := range s.backends {
+		for _, b := range backends {
+			if b.overloaded {
+				overloaded[tier]++
 			}
 			if !b.dead && !b.hung && b.state == logic.Ready {
-				cores[tier] += b.idle * float64(b.kind.Cores)
+				freeCores[tier] += b.freeFraction * float64(b.group.Cores)
 			}
 		}
 	}
-	for _, c := range f.all {
-		if c.dead || c.tier == 0 && f.front[c.index] != c {
+	for _, r := range s.replicas {
+		if r.dead || r.tier == 0 && s.front[r.index] != r {
 			continue
 		}
-		f.trace.Samples = append(f.trace.Samples, Sample{
-			At: f.now, Tier: c.tier, Copy: c.index, Figures: c.bal.Stats(),
-			Free: f.free[c.tier], Over: over[c.tier], Can: cores[c.tier],
+		s.trace.Samples = append(s.trace.Samples, Sample{
+			At: s.now, Tier: r.tier, Replica: r.index, Stats: r.balancer.Stats(),
+			Free: s.free[r.tier], Overloaded: overloaded[r.tier], FreeCores: freeCores[r.tier],
 		})
 	}
 }
 
-func (f *fleet) note(c *copyOf, q *call, cause logic.ShedCause, shadow bool) {
-	if len(f.trace.Refusals) >= mostNotes {
-		f.trace.Left++
+// traceShed keeps a shed request.
+func (s *simulation) traceShed(r *replica, q *request, cause logic.ShedCause, isExcess bool) {
+	if len(s.trace.Sheds) >= maxTracedSheds {
+		s.trace.Dropped++
 		return
 	}
-	r := Refusal{
-		At: f.now, Tier: c.tier, Copy: c.index, Class: q.op.class, Tenant: q.op.tenant, Cause: cause,
-		Free: f.leastFree(), Shadow: shadow,
+	entry := Shed{
+		At: s.now, Tier: r.tier, Replica: r.index, Class: q.client.class, Tenant: q.client.tenant, Cause: cause,
+		Free: s.minFree(), IsExcess: isExcess,
 	}
-	switch g := c.bal.Stats(); cause {
+	stats := r.balancer.Stats()
+	switch cause {
 	case logic.ByTierLimit:
-		r.Figure = g.Tier
+		entry.Limit = stats.Tier
 	case logic.ByClassLimit:
-		r.Figure = g.Classes[q.op.class]
+		entry.Limit = stats.Classes[q.client.class]
 	case logic.ByTenantQuota:
-		r.Figure.Limit = g.QuotaMultiple
+		entry.Limit.Limit = stats.QuotaMultiple
+	default:
 	}
-	f.trace.Refusals = append(f.trace.Refusals, r)
+	s.trace.Sheds = append(s.trace.Sheds, entry)
 }
