--- a/logic/checker_test.go
+++ b/logic/checker_test.go
@@ -42,6 +42,13 @@
 	ran      bool // may have run
 }
 
+// reset forgets all but what the module did and broke, as a restart of the balancer does.
+func (c *checker) reset() {
+	c.requests, c.listed, c.leftAt = map[string]*trackedRequest{}, map[string]Endpoint{}, map[string]int64{}
+	c.queues, c.paused = map[string][]*trackedRequest{}, map[string]int64{}
+	c.arrivals, c.retries, c.timers = nil, nil, nil
+}
+
 // breaks records that a rule is broken.
 func (c *checker) breaks(format string, a ...any) {
 	c.broken = append(c.broken, fmt.Sprintf("at %d: ", c.now-start)+fmt.Sprintf(format, a...))
@@ -50,12 +57,12 @@
 // Forward implements Host: it checks that the attempt is allowed.
 func (c *checker) Forward(id, endpoint string, timeout int64) {
 	c.lines = append(c.lines, fmt.Sprintf("%d send %s %s %d", c.now, id, endpoint, timeout))
-	k := c.requests[id]
-	if k == nil || k.closed {
+	q := c.requests[id]
+	if q == nil || q.closed {
 		c.breaks("rule 1: %s sent after its end", id)
 		return
 	}
-	s, known := c.listed[endpoint]
+	to, known := c.listed[endpoint]
 	if !known {
 		c.breaks("%s sent to unknown %s", id, endpoint)
 		return
@@ -63,24 +70,24 @@
 	if left, ok := c.leftAt[endpoint]; ok && c.now-left > c.settings.DrainGrace {
 		c.breaks("rule 3: %s sent to %s, which left %d us ago", id, endpoint, c.now-left)
 	}
-	if len(k.attempts) >= c.settings.MaxAttempts {
+	if len(q.attempts) >= c.settings.MaxAttempts {
 		c.breaks("%s sent more than %d times", id, c.settings.MaxAttempts)
 	}
-	for _, t := range k.attempts {
-		c.checkRetry(k, t, s)
+	for _, t := range q.attempts {
+		c.checkRetry(q, t, to)
 	}
-	if len(k.attempts) > 0 {
+	if len(q.attempts) > 0 {
 		c.checkBudget(id)
 	}
-	c.checkOrder(k)
-	if timeout < 0 || c.now+timeout > k.r.ClientDeadline {
-		c.breaks("rule 1: %s may run %d us past its time", id, c.now+timeout-k.r.ClientDeadline)
+	c.checkOrder(q)
+	if timeout < 0 || c.now+timeout > q.r.ClientDeadline {
+		c.breaks("rule 1: %s may run %d us past its time", id, c.now+timeout-q.r.ClientDeadline)
 	}
 	if timeout == 0 {
-		timeout = k.r.ClientDeadline - c.now
+		timeout = q.r.ClientDeadline - c.now
 	}
-	k.pending = append(k.pending, len(k.attempts))
-	k.attempts = append(k.attempts, &trackedAttempt{endpoint: s, sent: c.now, timeout: timeout, ran: true})
+	q.pending = append(q.pending, len(q.attempts))
+	q.attempts = append(q.attempts, &trackedAttempt{endpoint: to, sent: c.now, timeout: timeout, ran: true})
 }
 
 // checkBudget checks a retry against rule 6.
@@ -102,28 +109,28 @@
 }
 
 // checkOrder checks an attempt against rule 5.
-func (c *checker) checkOrder(k *trackedRequest) {
-	if !c.settings.Classes[k.r.Class].Ordered || k.r.Key == "" {
+func (c *checker) checkOrder(q *trackedRequest) {
+	if !c.settings.Classes[q.r.Class].Ordered || q.r.Key == "" {
 		return
 	}
-	for _, earlier := range c.queues[k.r.Key] {
-		if earlier == k {
+	for _, earlier := range c.queues[q.r.Key] {
+		if earlier == q {
 			break
 		}
 		if !earlier.closed || len(earlier.pending) > 0 {
-			c.breaks("rule 5: %s sent before %s was over", k.r.ID, earlier.r.ID)
+			c.breaks("rule 5: %s sent before %s was over", q.r.ID, earlier.r.ID)
 		}
 	}
-	if len(k.attempts) == 0 && c.now < c.paused[k.r.Key] {
-		c.breaks("rule 5: %s sent %d us before the pause of its key was over", k.r.ID, c.paused[k.r.Key]-c.now)
+	if len(q.attempts) == 0 && c.now < c.paused[q.r.Key] {
+		c.breaks("rule 5: %s sent %d us before the pause of its key was over", q.r.ID, c.paused[q.r.Key]-c.now)
 	}
 }
 
 // checkRetry checks an attempt against an earlier one of its request by rule 2.
-func (c *checker) checkRetry(k *trackedRequest, earlier *trackedAttempt, to Endpoint) {
-	class := c.settings.Classes[k.r.Class]
+func (c *checker) checkRetry(q *trackedRequest, earlier *trackedAttempt, to Endpoint) {
+	class := c.settings.Classes[q.r.Class]
 	if !earlier.done {
-		c.breaks("%s has two attempts in flight", k.r.ID)
+		c.breaks("%s has two attempts in flight", q.r.ID)
 	}
 	if !earlier.ran || class.Idempotency == Idempotent {
 		return
@@ -131,20 +138,20 @@
 	sameScope := class.DedupScope == DedupTier || class.DedupScope == DedupZone && earlier.endpoint.Zone == to.Zone ||
 		class.DedupScope == DedupCell && earlier.endpoint.Cell == to.Cell
 	if class.Idempotency == NonIdempotent || !sameScope || c.now-earlier.sent > class.DedupWindow {
-		c.breaks("rule 2: %s of class %d sent again after it may have run", k.r.ID, k.r.Class)
+		c.breaks("rule 2: %s of class %d sent again after it may have run", q.r.ID, q.r.Class)
 	}
 }
 
 // Shed implements Host: it checks rule 2, and rule 1 as close does.
 func (c *checker) Shed(id string, _ int64) {
 	c.lines = append(c.lines, fmt.Sprintf("%d shed %s", c.now, id))
-	k := c.close(id)
-	if k == nil {
+	q := c.close(id)
+	if q == nil {
 		return
 	}
-	class := c.settings.Classes[k.r.Class]
+	class := c.settings.Classes[q.r.Class]
 	anywhere := class.Idempotency == IdempotentByKey && class.DedupScope == DedupTier
-	for _, t := range k.attempts {
+	for _, t := range q.attempts {
 		if t.ran && class.Idempotency != Idempotent && !anywhere {
 			c.breaks("rule 2: %s shed after it may have run", id)
 		}
@@ -159,16 +166,16 @@
 
 // close takes the final answer of a request and checks it against rule 1.
 func (c *checker) close(id string) *trackedRequest {
-	k := c.requests[id]
-	if k == nil || k.closed {
+	q := c.requests[id]
+	if q == nil || q.closed {
 		c.breaks("rule 1: %s answered twice", id)
 		return nil
 	}
-	if c.now > k.r.ClientDeadline {
-		c.breaks("rule 1: %s answered %d us late", id, c.now-k.r.ClientDeadline)
+	if c.now > q.r.ClientDeadline {
+		c.breaks("rule 1: %s answered %d us late", id, c.now-q.r.ClientDeadline)
 	}
-	k.closed = true
-	return k
+	q.closed = true
+	return q
 }
 
 // SetTimer implements Host.
--- a/logic/driver_test.go
+++ b/logic/driver_test.go
@@ -10,25 +10,23 @@
 
 // driver plays legal events against one balancer.
 type driver struct {
-	t    *testing.T
-	rnd  *rand.Rand
-	c    *checker
-	b    *Balancer
-	now  int64
-	next int
-	open []string // requests that have an attempt in flight or are owed an answer
+	t        *testing.T
+	rnd      *rand.Rand
+	checker  *checker
+	balancer *Balancer
+	now      int64
+	next     int
+	open     []string // requests that have an attempt in flight or are owed an answer
 }
 
 // restart replaces the balancer, as when its process restarts.
 func (d *driver) restart() {
-	b, err := New(d.c.settings, d.rnd.Uint64())
+	b, err := New(d.checker.settings, d.rnd.Uint64())
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	d.b, d.open = b, nil
-	d.c.requests, d.c.listed, d.c.leftAt = map[string]*trackedRequest{}, map[string]Endpoint{}, map[string]int64{}
-	d.c.queues, d.c.paused = map[string][]*trackedRequest{}, map[string]int64{}
-	d.c.arrivals, d.c.retries, d.c.timers = nil, nil, nil
+	d.balancer, d.open = b, nil
+	d.checker.reset()
 	d.snapshot(CachedSnapshot)
 }
 
@@ -39,7 +37,7 @@
 	case 0:
 		s.State = Draining
 	case 1:
-		s.StartedAt = d.now - d.rnd.Int64N(d.c.settings.SlowStartWindow)
+		s.StartedAt = d.now - d.rnd.Int64N(d.checker.settings.SlowStartWindow)
 	}
 	return s
 }
@@ -55,51 +53,51 @@
 			list = append(list, d.entry(i))
 		}
 	}
-	d.c.list(kind, list)
-	d.b.UpdateEndpoints(d.now, d.c, kind, list)
+	d.checker.list(kind, list)
+	d.balancer.UpdateEndpoints(d.now, d.checker, kind, list)
 }
 
 // delta sends one changed entry.
 func (d *driver) delta() {
 	e := d.entry(d.rnd.IntN(driverEndpoints))
-	if _, known := d.c.listed[e.ID]; known && d.rnd.IntN(4) == 0 {
+	if _, known := d.checker.listed[e.ID]; known && d.rnd.IntN(4) == 0 {
 		e.State = Removed
 	}
-	d.c.list(Delta, []Endpoint{e})
-	d.b.UpdateEndpoints(d.now, d.c, Delta, []Endpoint{e})
+	d.checker.list(Delta, []Endpoint{e})
+	d.balancer.UpdateEndpoints(d.now, d.checker, Delta, []Endpoint{e})
 }
 
 // request submits a random request.
 func (d *driver) request() {
 	d.next++
 	r := Request{
-		ID: fmt.Sprintf("r%d", d.next), Class: d.rnd.IntN(len(d.c.settings.Classes)),
-		Tenant: d.rnd.IntN(len(d.c.settings.Tenants) + 1), ClientDeadline: d.now + 1000 + d.rnd.Int64N(1_500_000),
+		ID: fmt.Sprintf("r%d", d.next), Class: d.rnd.IntN(len(d.checker.settings.Classes)),
+		Tenant: d.rnd.IntN(len(d.checker.settings.Tenants) + 1), ClientDeadline: d.now + 1000 + d.rnd.Int64N(1_500_000),
 	}
 	if n := d.rnd.IntN(8); n > 0 {
 		r.Key = fmt.Sprint("key", n)
 	}
-	k := &trackedRequest{r: r}
-	d.c.requests[r.ID] = k
-	d.c.arrivals = append(d.c.arrivals, d.now)
-	if d.c.settings.Classes[r.Class].Ordered {
-		d.c.queues[r.Key] = append(d.c.queues[r.Key], k)
+	q := &trackedRequest{r: r}
+	d.checker.requests[r.ID] = q
+	d.checker.arrivals = append(d.checker.arrivals, d.now)
+	if d.checker.settings.Classes[r.Class].Ordered {
+		d.checker.queues[r.Key] = append(d.checker.queues[r.Key], q)
 	}
 	d.open = append(d.open, r.ID)
-	d.b.Request(d.now, d.c, r)
+	d.balancer.Request(d.now, d.checker, r)
 	d.mustBeOwned(r.ID)
 }
 
 // mustBeOwned checks that a request is answered, in flight or waiting for its turn with a timer
 // set: none may be left with nobody to end it.
 func (d *driver) mustBeOwned(id string) {
-	k := d.c.requests[id]
-	hasTimer := slices.ContainsFunc(d.c.timers, func(t timer) bool {
-		return t.due <= k.r.ClientDeadline && strings.Contains(t.token, id)
+	q := d.checker.requests[id]
+	hasTimer := slices.ContainsFunc(d.checker.timers, func(t timer) bool {
+		return t.due <= q.r.ClientDeadline && strings.Contains(t.token, id)
 	})
-	waits := len(k.attempts) == 0 && d.c.settings.Classes[k.r.Class].Ordered && k.r.Key != "" && hasTimer
-	if !k.closed && len(k.pending) == 0 && !waits {
-		d.c.breaks("rule 1: %s is neither answered nor in flight", id)
+	waits := len(q.attempts) == 0 && d.checker.settings.Classes[q.r.Class].Ordered && q.r.Key != "" && hasTimer
+	if !q.closed && len(q.pending) == 0 && !waits {
+		d.checker.breaks("rule 1: %s is neither answered nor in flight", id)
 	}
 }
 
@@ -110,32 +108,33 @@
 	}
 	i := d.rnd.IntN(len(d.open))
 	id := d.open[i]
-	k := d.c.requests[id]
-	if len(k.pending) == 0 {
-		if k.closed {
+	q := d.checker.requests[id]
+	if len(q.pending) == 0 {
+		if q.closed {
 			d.open = slices.Delete(d.open, i, i+1)
 		}
 		return
 	}
-	d.end(k, []Status{OK, OK, OK, Error, Overloaded, TimedOut, ConnectFailed, Reset, Canceled, NotSent}[d.rnd.IntN(10)])
+	d.end(q, []Status{OK, OK, OK, Error, Overloaded, TimedOut, ConnectFailed, Reset, Canceled, NotSent}[d.rnd.IntN(10)])
 	d.mustBeOwned(id)
 }
 
 // end ends the earliest attempt of a request that is in flight.
-func (d *driver) end(k *trackedRequest, status Status) {
-	n := k.pending[0]
-	k.pending = k.pending[1:]
-	t := k.attempts[n]
+func (d *driver) end(q *trackedRequest, status Status) {
+	n := q.pending[0]
+	q.pending = q.pending[1:]
+	t := q.attempts[n]
 	t.done = true
-	if d.c.settings.Classes[k.r.Class].Ordered && (status == TimedOut || status == Reset || status == Canceled) {
-		d.c.paused[k.r.Key] = max(d.c.paused[k.r.Key], d.now+d.c.settings.OrderingDelay)
+	settings := &d.checker.settings
+	if settings.Classes[q.r.Class].Ordered && (status == TimedOut || status == Reset || status == Canceled) {
+		d.checker.paused[q.r.Key] = max(d.checker.paused[q.r.Key], d.now+settings.OrderingDelay)
 	}
-	t.ran = (status != Overloaded || d.c.settings.RejectionMayHaveRun) && status != ConnectFailed && status != NotSent
+	t.ran = (status != Overloaded || settings.RejectionMayHaveRun) && status != ConnectFailed && status != NotSent
 	if status == OK {
-		k.closed = true
+		q.closed = true
 	}
-	d.b.Outcome(d.now, d.c, Outcome{
-		ID: k.r.ID, Attempt: n, Status: status, Latency: d.now - t.sent, RequestDone: k.closed,
+	d.balancer.Outcome(d.now, d.checker, Outcome{
+		ID: q.r.ID, Attempt: n, Status: status, Latency: d.now - t.sent, RequestDone: q.closed,
 	})
 }
 
@@ -143,18 +142,18 @@
 // client's deadline.
 func (d *driver) expire() {
 	for {
-		i := slices.IndexFunc(d.c.timers, func(t timer) bool { return t.due <= d.now })
+		i := slices.IndexFunc(d.checker.timers, func(t timer) bool { return t.due <= d.now })
 		if i < 0 {
 			break
 		}
-		token := d.c.timers[i].token
-		d.c.timers = slices.Delete(d.c.timers, i, i+1)
-		d.b.Timer(d.now, d.c, token)
+		token := d.checker.timers[i].token
+		d.checker.timers = slices.Delete(d.checker.timers, i, i+1)
+		d.balancer.Timer(d.now, d.checker, token)
 	}
 	for _, id := range slices.Clone(d.open) {
-		k := d.c.requests[id]
-		for len(k.pending) > 0 && k.attempts[k.pending[0]].sent+k.attempts[k.pending[0]].timeout <= d.now {
-			d.end(k, TimedOut)
+		q := d.checker.requests[id]
+		for len(q.pending) > 0 && q.attempts[q.pending[0]].sent+q.attempts[q.pending[0]].timeout <= d.now {
+			d.end(q, TimedOut)
 			d.mustBeOwned(id)
 		}
 	}
@@ -164,11 +163,11 @@
 func (d *driver) nextDue() int64 {
 	due := d.now + 20_000
 	for _, id := range d.open {
-		for _, n := range d.c.requests[id].pending {
-			due = min(due, d.c.requests[id].attempts[n].sent+d.c.requests[id].attempts[n].timeout)
+		for _, n := range d.checker.requests[id].pending {
+			due = min(due, d.checker.requests[id].attempts[n].sent+d.checker.requests[id].attempts[n].timeout)
 		}
 	}
-	for _, t := range d.c.timers {
+	for _, t := range d.checker.timers {
 		due = min(due, t.due)
 	}
 	return max(due, d.now)
@@ -177,7 +176,7 @@
 // step plays what is due and one random event.
 func (d *driver) step() {
 	d.now = min(d.now+d.rnd.Int64N(20_000), d.nextDue())
-	d.c.now = d.now
+	d.checker.now = d.now
 	d.expire()
 	switch x := d.rnd.IntN(1000); {
 	case x < 450:
@@ -189,16 +188,16 @@
 	case x < 936:
 		d.snapshot(Snapshot)
 	case x < 942:
-		d.b.UpdateEndpoints(d.now, d.c, UpdateFailed, nil)
-	case x < 960 && len(d.c.timers) > 0: // a timer again that has expired
-		d.b.Timer(d.now, d.c, "watch")
+		d.balancer.UpdateEndpoints(d.now, d.checker, UpdateFailed, nil)
+	case x < 960 && len(d.checker.timers) > 0: // a timer again that has expired
+		d.balancer.Timer(d.now, d.checker, "watch")
 	case x < 975:
 		d.cancel()
 	case x < 985: // events that name nothing known
-		d.b.Outcome(d.now, d.c, Outcome{ID: "nobody", Attempt: 3, Status: Error})
-		d.b.Cancel(d.now, d.c, "nobody")
-		d.b.Timer(d.now, d.c, "nothing")
-		d.b.ResponseStarted(d.now, "nobody")
+		d.balancer.Outcome(d.now, d.checker, Outcome{ID: "nobody", Attempt: 3, Status: Error})
+		d.balancer.Cancel(d.now, d.checker, "nobody")
+		d.balancer.Timer(d.now, d.checker, "nothing")
+		d.balancer.ResponseStarted(d.now, "nobody")
 	case x < 988:
 		d.restart()
 	}
@@ -209,7 +208,7 @@
 	if len(d.open) == 0 {
 		return
 	}
-	k := d.c.requests[d.open[d.rnd.IntN(len(d.open))]]
-	k.closed = true
-	d.b.Cancel(d.now, d.c, k.r.ID)
+	q := d.checker.requests[d.open[d.rnd.IntN(len(d.open))]]
+	q.closed = true
+	d.balancer.Cancel(d.now, d.checker, q.r.ID)
 }
--- a/logic/limit_test.go
+++ b/logic/limit_test.go
@@ -9,16 +9,16 @@
 )
 
 func TestConcurrencyLimitCanPass(t *testing.T) {
-	r := concurrencyLimit{limit: 2.25}
+	l := concurrencyLimit{limit: 2.25}
 	for _, c := range []struct {
 		u    float64
 		want bool
 	}{{0, true}, {0, true}, {0.7, false}, {0.8, true}, {0.99, false}} {
-		if r.canPass(c.u) != c.want {
-			t.Fatalf("canPass is %v at %d in flight of 2.25 with %v", !c.want, r.inFlight, c.u)
+		if l.canPass(c.u) != c.want {
+			t.Fatalf("canPass is %v at %d in flight of 2.25 with %v", !c.want, l.inFlight, c.u)
 		}
 		if c.want {
-			r.enter()
+			l.enter()
 		}
 	}
 }
@@ -44,47 +44,47 @@
 }
 
 func TestLimitIsLearnedByRounds(t *testing.T) {
-	r := concurrencyLimit{
+	l := concurrencyLimit{
 		limit: initialLimit, floor: minLimit, late: evidenceRound{maxBad: maxBadFraction, window: second},
 	}
 	now := start
 	feed := func(n int, bad bool) {
 		for range n {
 			now++
-			r.learn(&r.late, now, now, bad, 1)
+			l.learn(&l.late, now, now, bad, 1)
 		}
 	}
 	for range 20 {
-		r.enter()
+		l.enter()
 	}
 	feed(roundSize, false)
-	if want := headroomFactor*20 + headroomAttempts; r.limit != want {
-		t.Errorf("after a good round: %v, want %v", r.limit, want)
+	if want := headroomFactor*20 + headroomAttempts; l.limit != want {
+		t.Errorf("after a good round: %v, want %v", l.limit, want)
 	}
 	// So many bad outcomes, and no good ones could save the round.
 	sure := int(math.Floor(maxBadFraction*roundSize)) + 1
 	feed(sure-1, true)
-	if want := headroomFactor*20 + headroomAttempts; r.limit != want {
-		t.Errorf("before its verdict is sure a round changed the limit to %v", r.limit)
+	if want := headroomFactor*20 + headroomAttempts; l.limit != want {
+		t.Errorf("before its verdict is sure a round changed the limit to %v", l.limit)
 	}
 	feed(1, true)
 	cut := 20 * (1 - cutStrength*float64(sure)/(roundSize/2))
-	if r.limit != cut {
-		t.Errorf("after a bad round: %v, want %v", r.limit, cut)
+	if l.limit != cut {
+		t.Errorf("after a bad round: %v, want %v", l.limit, cut)
 	}
 	sentBefore := now - 1
 	for range 3 * roundSize { // evidence from before the cut must not cut again
-		r.learn(&r.late, now, sentBefore, true, 1)
+		l.learn(&l.late, now, sentBefore, true, 1)
 	}
-	if r.limit != cut {
-		t.Errorf("old evidence changed the limit to %v", r.limit)
+	if l.limit != cut {
+		t.Errorf("old evidence changed the limit to %v", l.limit)
 	}
-	r.inFlight, r.peak = 0, 0
+	l.inFlight, l.peak = 0, 0
 	for range 50 {
 		feed(roundSize, true)
 	}
-	if r.limit != minLimit {
-		t.Errorf("the limit fell to %v, below its floor %v", r.limit, minLimit)
+	if l.limit != minLimit {
+		t.Errorf("the limit fell to %v, below its floor %v", l.limit, minLimit)
 	}
 }
 
@@ -146,29 +146,29 @@
 func TestLatenessAndFailuresAreNotAddedUp(t *testing.T) {
 	feed := func(late, failed func(i int) bool) *concurrencyLimit {
 		round := evidenceRound{maxBad: maxBadFraction, window: second}
-		r := &concurrencyLimit{limit: initialLimit, floor: minLimit, late: round, failures: round}
+		l := &concurrencyLimit{limit: initialLimit, floor: minLimit, late: round, failures: round}
 		for range 20 {
-			r.enter()
+			l.enter()
 		}
 		now := start
 		for i := range 20 * roundSize {
 			now++
-			r.learn(&r.late, now, now, late(i), 1)
-			r.cut(r.failures.add(now, now, failed(i)), &r.failures)
+			l.learn(&l.late, now, now, late(i), 1)
+			l.cut(l.failures.add(now, now, failed(i)), &l.failures)
 		}
-		return r
+		return l
 	}
 	never := func(int) bool { return false }
 	third := func(k int) func(int) bool { return func(i int) bool { return i%3 == k } }
-	if r := feed(third(0), third(1)); r.limit < 20 {
-		t.Errorf("a third late and a third failed cut the limit to %v", r.limit)
+	if l := feed(third(0), third(1)); l.limit < 20 {
+		t.Errorf("a third late and a third failed cut the limit to %v", l.limit)
 	}
 	most := func(i int) bool { return i%3 != 0 }
-	if r := feed(most, never); r.limit > 10 {
-		t.Errorf("two thirds late left the limit at %v", r.limit)
+	if l := feed(most, never); l.limit > 10 {
+		t.Errorf("two thirds late left the limit at %v", l.limit)
 	}
-	if r := feed(never, most); r.limit > 10 {
-		t.Errorf("two thirds failed left the limit at %v", r.limit)
+	if l := feed(never, most); l.limit > 10 {
+		t.Errorf("two thirds failed left the limit at %v", l.limit)
 	}
 }
 
@@ -181,23 +181,23 @@
 		after    int  // clean outcomes that it takes from 1 to 16, a round for each doubling
 	}{{FailureEvidence, true, 3 + 4 + 8 + 12}, {PriorityEvidence, true, 3 + 4 + 8 + 12}, {LateEvidence, false, 0}} {
 		t.Run(c.kind.String(), func(t *testing.T) {
-			r := newConcurrencyLimit(maxBadFraction, minLimit, second)
-			r.limit, r.peak = 20, 20
+			l := newConcurrencyLimit(maxBadFraction, minLimit, second)
+			l.limit, l.peak = 20, 20
 			round := &evidenceRound{maxBad: maxBadFraction, window: second, kind: c.kind}
-			r.cut(0.05, round)
-			if r.limit != 1 || r.lastCut.Evidence != c.kind {
-				t.Fatalf("cut to %.1f by %v", r.limit, r.lastCut.Evidence)
+			l.cut(0.05, round)
+			if l.limit != 1 || l.lastCut.Evidence != c.kind {
+				t.Fatalf("cut to %.1f by %v", l.limit, l.lastCut.Evidence)
 			}
 			n := 0
-			for now := start; n < 100 && r.limit < 16; n++ {
+			for now := start; n < 100 && l.limit < 16; n++ {
 				now++
-				r.evaluate(round, now, now, false)
+				l.evaluate(round, now, now, false)
 			}
 			if c.restored && n != c.after || !c.restored && n != 100 {
-				t.Errorf("%.1f after %d outcomes", r.limit, n)
+				t.Errorf("%.1f after %d outcomes", l.limit, n)
 			}
-			if c.restored && r.limit > r.restoreTo {
-				t.Errorf("%.1f, over what it was cut from", r.limit)
+			if c.restored && l.limit > l.restoreTo {
+				t.Errorf("%.1f, over what it was cut from", l.limit)
 			}
 		})
 	}
@@ -205,12 +205,12 @@
 
 // One bad outcome keeps a short round from being a good one.
 func TestShortRoundMustBeClean(t *testing.T) {
-	r := newConcurrencyLimit(maxBadFraction, minLimit, second)
-	r.limit, r.peak = 20, 20
-	r.cut(0.05, &r.failures)
+	l := newConcurrencyLimit(maxBadFraction, minLimit, second)
+	l.limit, l.peak = 20, 20
+	l.cut(0.05, &l.failures)
 	for i := range 5 {
-		if v := r.evaluate(&r.failures, start+int64(i), start, i == 0); v != undecided || r.limit != 1 {
-			t.Fatalf("after %d outcomes, one of them bad: verdict %.2f, limit %.1f", i+1, v, r.limit)
+		if v := l.evaluate(&l.failures, start+int64(i), start, i == 0); v != undecided || l.limit != 1 {
+			t.Fatalf("after %d outcomes, one of them bad: verdict %.2f, limit %.1f", i+1, v, l.limit)
 		}
 	}
 }
--- a/logic/quota_test.go
+++ b/logic/quota_test.go
@@ -9,12 +9,12 @@
 
 func TestTenantQuotaCanPassFractions(t *testing.T) {
 	for _, quota := range []float64{0.5, 3, 40} {
-		var r tenantQuota
+		var q tenantQuota
 		admitted := 0
 		const secs = 40
 		for now := start; now < start+secs*second; now += second / 100 {
-			if r.canPass(now, start, quota, 1, 0, 0.5) {
-				r.admitted.add(now, 1)
+			if q.canPass(now, start, quota, 1, 0, 0.5) {
+				q.admitted.add(now, 1)
 				admitted++
 			}
 		}
@@ -27,11 +27,11 @@
 // A fresh replica with a stretched window once admitted a long window's worth at once and choked
 // the front.
 func TestFreshReplicaDoesNotAdmitLongWindowAtOnce(t *testing.T) {
-	var r tenantQuota
+	var q tenantQuota
 	admitted := 0
 	for now := start; now < start+second; now += second / 100 {
-		if r.canPass(now, start, 3, 1, 0, 0.5) {
-			r.admitted.add(now, 1)
+		if q.canPass(now, start, 3, 1, 0, 0.5) {
+			q.admitted.add(now, 1)
 			admitted++
 		}
 	}
@@ -46,10 +46,10 @@
 	admitted := 0
 	rnd := rand.New(rand.NewPCG(5, 5))
 	for range 200 {
-		var r tenantQuota
+		var q tenantQuota
 		for now := start; now < start+8*second; now += second {
-			if r.canPass(now, start-100*second, 0.01, 1, 0, rnd.Float64()) {
-				r.admitted.add(now, 1)
+			if q.canPass(now, start-100*second, 0.01, 1, 0, rnd.Float64()) {
+				q.admitted.add(now, 1)
 				admitted++
 			}
 		}
@@ -198,14 +198,14 @@
 func TestCutMultipleStillAdmitsItsPart(t *testing.T) {
 	const quota = 20.0 // requests per second at a multiple of 1
 	for _, c := range []struct{ before, after float64 }{{2, 0.5}, {2, 1}, {1, 0.5}, {0.5, 2}, {1, 1}} {
-		r, admitted := &tenantQuota{}, 0
+		q, admitted := &tenantQuota{}, 0
 		for now := start; now < start+20*second; now += second / 200 {
 			multiple := c.before
 			if now >= start+10*second {
 				multiple = c.after
 			}
-			if r.canPass(now, start-100*second, quota, multiple, 0, 0.5) {
-				r.admitted.add(now, 1/multiple)
+			if q.canPass(now, start-100*second, quota, multiple, 0, 0.5) {
+				q.admitted.add(now, 1/multiple)
 				if now >= start+10*second && now < start+12*second {
 					admitted++
 				}
--- a/logic/random_test.go
+++ b/logic/random_test.go
@@ -21,12 +21,12 @@
 	if seed%5 > 1 {
 		s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 5*second, 3, 0.05
 	}
-	d := &driver{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), c: &checker{settings: s, now: start}, now: start}
+	d := &driver{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), checker: &checker{settings: s, now: start}, now: start}
 	d.restart()
 	for range steps {
 		d.step()
 	}
-	return d.c.lines, d.c.broken
+	return d.checker.lines, d.checker.broken
 }
 
 func TestRandomEventsKeepTheRules(t *testing.T) {
