--- a/internal/catalogue/model.go
+++ b/internal/catalogue/model.go
@@ -115,7 +115,7 @@
 const DefaultRetryFactor = 1.2
 
 func (m *model) service(s tomldoc.Scope, name string) *service {
-	config.Named(s, "", name)
+	config.CheckName(s, "", name)
 	v := &service{name: name, v: s.V, classes: map[string]*class{}, tenants: map[string]*tomldoc.Value{}}
 	if v.team = s.Text("team", ""); v.team == "" {
 		s.Bad(rules.Missing, "team", "the team that owns the service expected")
@@ -181,7 +181,7 @@
 	}
 	cells, addresses := map[string]*tomldoc.Value{}, map[string]*tomldoc.Value{}
 	for i, p := range scopes {
-		config.Named(p, "", names[i])
+		config.CheckName(p, "", names[i])
 		p.Take("zone")
 		if !p.Has("cell") {
 			p.Bad(rules.Missing, "cell", "the number of the pod expected: its members drop each other's repeats")
@@ -213,7 +213,7 @@
 }
 
 func (m *model) application(s tomldoc.Scope, name string) *application {
-	config.Named(s, "", name)
+	config.CheckName(s, "", name)
 	a := &application{name: name, v: s.V, serves: s.Texts("serves"), instances: int(s.Whole("instances", 1, 1, 100_000))}
 	s.Take("team", "host", "zone")
 	s.Get("process", tomldoc.Table)
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -1,54 +1,76 @@
 package config
 
 import (
+	"fmt"
+	"strings"
+
 	"fernlanding/internal/rules"
 	"fernlanding/internal/tomldoc"
 	"fernlanding/logic"
-	"fmt"
 )
 
-// check looks at a file that has been read as a whole: its limits, and what its parts say of each other.
-func (x *decoder) check(s tomldoc.Scope) {
-	a := x.app
-	if _, err := a.Descriptors(); err != nil {
-		s.Sub("process").Bad(rules.Sockets, "sockets", "%v", err)
-	}
-	if _, err := a.Memory(); err != nil {
-		s.Sub("process").Bad(rules.Memory, "memory_mb", "%v", err)
-	}
-	used := map[[2]string]bool{}
-	for i := range a.Routes {
-		r := &a.Routes[i]
-		at := tomldoc.Scope{Reader: s.Reader, V: s.V.Fields["routes"].Items[i], Path: fmt.Sprintf("routes[%d]", i+1)}
-		targets := r.To
-		if r.Mirror != nil {
-			targets = append(targets[:len(targets):len(targets)], *r.Mirror)
+// check checks a file that has been decoded as a whole: its limits, and whether its parts agree.
+func (dec *decoder) check(root tomldoc.Scope) {
+	if _, err := dec.app.Descriptors(); err != nil {
+		root.Sub("process").Bad(rules.Sockets, "sockets", "%v", err)
+	}
+	if _, err := dec.app.Memory(); err != nil {
+		root.Sub("process").Bad(rules.Memory, "memory_mb", "%v", err)
+	}
+	for i := range dec.app.Routes {
+		r := &dec.app.Routes[i]
+		scope := tomldoc.Scope{
+			Reader: root.Reader, V: root.V.Fields["routes"].Items[i], Path: fmt.Sprintf("routes[%d]", i+1),
 		}
-		for n, t := range targets {
-			used[[2]string{t.Service, t.Class}], used[[2]string{t.Service}] = true, true
-			if _, rule, ok := a.class(t); ok && n < len(r.To) && rule.Idempotency == logic.IdempotentByKey && rule.Resend != Never {
-				if limit := a.Deadline(r, t); limit > rule.DedupWindow {
-					at.Bad(rules.KeyedWindow, "timeout", "its requests may take %v, class %s of %s is recalled for %v", limit, t.Class, t.Service, rule.DedupWindow)
-				}
-			}
+		for _, target := range r.To {
+			dec.checkWindow(scope, r, target)
+		}
+	}
+	dec.checkUse(root)
+}
+
+// checkWindow reports a route whose requests may be retried after the dedup window of their class.
+func (dec *decoder) checkWindow(scope tomldoc.Scope, r *Route, target Target) {
+	_, policy, ok := dec.app.class(target)
+	if !ok || policy.Idempotency != logic.IdempotentByKey || policy.Resend == Never {
+		return
+	}
+	if deadline := dec.app.Deadline(r, target); deadline > policy.DedupWindow {
+		scope.Bad(rules.KeyedWindow, "timeout", "its requests may take %v, class %s of %s is recalled for %v",
+			deadline, target.Class, target.Service, policy.DedupWindow)
+	}
+}
+
+// checkUse warns of services and classes to which no route leads.
+func (dec *decoder) checkUse(root tomldoc.Scope) {
+	usedServices, usedClasses := map[string]bool{}, map[[2]string]bool{}
+	use := func(target Target) {
+		usedServices[target.Service] = true
+		usedClasses[[2]string{target.Service, target.Class}] = true
+	}
+	for _, r := range dec.app.Routes {
+		for _, target := range r.To {
+			use(target)
+		}
+		if r.Mirror != nil {
+			use(*r.Mirror)
 		}
 	}
-	for _, v := range a.Services {
-		at, _ := s.V.At("services", v.Name)
-		if !used[[2]string{v.Name}] {
-			s.Fault(at, rules.Unused, "services."+v.Name, "", "a route to it expected")
+	for _, s := range dec.app.Services {
+		if !usedServices[s.Name] {
+			dec.warnUnused(root, "services", s.Name)
 			continue
 		}
-		for _, c := range v.Classes {
-			if !used[[2]string{v.Name, c}] {
-				at, _ := s.V.At("services", v.Name, "classes", c)
-				s.Fault(at, rules.Unused, "services."+v.Name+".classes."+c, "", "a route to it expected")
+		for _, class := range s.Classes {
+			if !usedClasses[[2]string{s.Name, class}] {
+				dec.warnUnused(root, "services", s.Name, "classes", class)
 			}
 		}
 	}
 }
 
-// DedupScopeName is the word for a scope.
-func DedupScopeName(g logic.DedupScope) string {
-	return [...]string{logic.DedupTier: "service", logic.DedupZone: "zone", logic.DedupCell: "cell"}[g]
+// warnUnused warns of what is at a path.
+func (dec *decoder) warnUnused(root tomldoc.Scope, path ...string) {
+	at, _ := root.V.At(path...)
+	root.Fault(at, rules.Unused, strings.Join(path, "."), "", "a route to it expected")
 }
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -1,86 +1,91 @@
 package config
 
 import (
-	"fernlanding/internal/rules"
-	"fernlanding/internal/tomldoc"
 	"strconv"
 	"strings"
+
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
-// later are the fields that version 1 lacks.
-var later = map[string]int{
-	"team": 2, "host": 2, "serves": 2, "generated": 2, "owner": 2, "answers": 2, "cold_multiple": 2, "share": 2,
-	"path": 2, "registered_as": 2, "token_file": 2, "key": 2, "resend": 2, "early_data": 2, "hedge": 2, "formerly": 2, "for": 2, "state_dir": 2, "list_age": 2, "distribution": 2, "as": 2,
+// version2Fields are the fields that version 1 lacks.
+var version2Fields = []string{
+	"team", "host", "serves", "generated", "owner", "answers", "cold_multiple", "share",
+	"path", "registered_as", "token_file", "key", "resend", "early_data", "hedge", "formerly",
+	"for", "state_dir", "list_age", "distribution", "as",
 }
 
-// decoder reads one file. Each table of the format has a method of its own, in a file named after the table.
+// decoder decodes one file. Each table of the format has a method of its own, in a file named after
+// the table.
 type decoder struct {
 	*tomldoc.Reader
 	app     *App
-	version int
+	version int // of the format; the newest where the file does not say
 }
 
-// read reads the tree.
-func (d *Document) read() {
-	r := &tomldoc.Reader{}
-	s := tomldoc.NewScope(r, d.root)
-	defer func() { d.Diagnostics = append(d.Diagnostics, r.Faults...) }()
-	if newer := d.readVersion(s); newer {
+// decode decodes the document's tree.
+func (d *Document) decode() {
+	reader := &tomldoc.Reader{}
+	root := tomldoc.NewScope(reader, d.root)
+	defer func() { d.Diagnostics = append(d.Diagnostics, reader.Faults...) }()
+	if isNewer := d.decodeVersion(root); isNewer {
 		return // what else it says may mean something else there
 	}
-	s.Take("version")
+	root.Take("version")
 	if d.Version == 1 {
-		r.Later = later
-		s.Bad(rules.OldVersion, "version", "version %d is the newest", Version)
+		reader.Later = map[string]int{}
+		for _, field := range version2Fields {
+			reader.Later[field] = 2
+		}
+		root.Bad(rules.OldVersion, "version", "version %d is the newest", Version)
 	}
-	x := decoder{r, &App{Version: max(1, d.Version)}, max(1, d.Version)}
+	dec := decoder{Reader: reader, app: &App{Version: max(1, d.Version)}, version: d.Version}
 	if d.Version == 0 {
-		x.version = Version
+		dec.version = Version
 	}
-	x.read(s)
-	d.App = x.app
-	if len(d.refusedOf(r.Faults)) == 0 {
-		x.check(s)
+	dec.decode(root)
+	d.App = dec.app
+	if len(d.rejecting(reader.Faults)) == 0 {
+		dec.check(root)
 	}
 }
 
-// readVersion sets the version of the format; 0 where the file does not tell it. newer tells that this program can't read it.
-func (d *Document) readVersion(s tomldoc.Scope) (newer bool) {
+// decodeVersion sets the version of the format; 0 where the file does not say. It reports whether
+// the version is newer than this program can read.
+func (d *Document) decodeVersion(root tomldoc.Scope) (isNewer bool) {
 	v := d.root.Fields["version"]
 	if v == nil {
-		s.Bad(rules.Version, "version", "version = %d expected", Version)
+		root.Bad(rules.Version, "version", "version = %d expected", Version)
 		return false
 	}
 	if v.Kind != tomldoc.Integer {
-		s.Whole("version", 0, 1, Version)
+		root.Whole("version", 0, 1, Version) // which reports the kind
 		return false
 	}
 	n, err := parseInteger(v)
 	if err != nil || n < 1 {
-		s.Bad(rules.Version, "version", "1 to %d expected", Version)
+		root.Bad(rules.Version, "version", "1 to %d expected", Version)
 	} else if n > Version {
-		s.Bad(rules.Version, "version", "this program (%s) reads versions 1 to %d; the file is of version %d", Program, Version, n)
+		root.Bad(rules.Version, "version", "this program (%s) reads versions 1 to %d; the file is of version %d",
+			Program, Version, n)
 		return true
 	}
 	d.Version = int(n)
 	return false
 }
 
-// parseInteger is the number that an integer's text stands for, where it has 32 bits.
+// parseInteger returns the number that an integer's text stands for, if it has 32 bits.
 func parseInteger(v *tomldoc.Value) (int64, error) {
 	return strconv.ParseInt(strings.ReplaceAll(v.Text, "_", ""), 0, 32)
 }
 
-func (d *Document) refusedOf(f Diagnostics) Diagnostics {
-	return (&Document{Version: d.Version, Diagnostics: f}).refused()
-}
-
-func (x *decoder) read(s tomldoc.Scope) {
-	x.identity(s)
-	x.process(s)
-	x.distribution(s)
-	x.listeners(s)
-	x.services(s)
-	x.routes(s)
-	s.Done()
+// decode decodes all tables, in the order in which they depend on each other.
+func (dec *decoder) decode(root tomldoc.Scope) {
+	dec.identity(root)
+	dec.process(root)
+	dec.distribution(root)
+	dec.listeners(root)
+	dec.services(root)
+	dec.routes(root)
+	root.Done()
 }
--- a/internal/config/decode_distribution.go
+++ b/internal/config/decode_distribution.go
@@ -1,53 +1,51 @@
 package config
 
 import (
+	"fmt"
+
 	"fernlanding/internal/rules"
 	"fernlanding/internal/tomldoc"
-	"fmt"
 )
 
-// MaxRelays is how many relays a file may name: more than a follower tries before the first is asked again.
+// MaxRelays is how many relays a file may name: more than a follower tries before the first is
+// tried again.
 const MaxRelays = 16
 
-// distribution reads the table of that name, which version 1 lacks.
-func (x *decoder) distribution(s tomldoc.Scope) {
-	if x.version < 2 {
+// distribution decodes the table of that name, which version 1 lacks.
+func (dec *decoder) distribution(root tomldoc.Scope) {
+	if dec.version < 2 {
 		return
 	}
-	t := s.Sub("distribution")
-	out := &x.app.Distribution
-	if out.Name = t.Text("name", ""); t.Has("name") {
-		Named(t, "name", out.Name)
-	}
-	if out.Configuration = t.Text("configuration", ""); t.Has("configuration") {
-		Named(t, "configuration", out.Configuration)
-	}
-	out.Relays = t.Texts("relays")
-	switch n := len(out.Relays); {
-	case s.Has("distribution") && n == 0:
-		t.Bad(rules.Missing, "relays", "the address of one relay at least expected")
+	scope := root.Sub("distribution")
+	distribution := &dec.app.Distribution
+	distribution.Name = optionalName(scope, "name")
+	distribution.Configuration = optionalName(scope, "configuration")
+	distribution.Relays = scope.Texts("relays")
+	switch n := len(distribution.Relays); {
+	case root.Has("distribution") && n == 0:
+		scope.Bad(rules.Missing, "relays", "the address of one relay at least expected")
 	case n > MaxRelays:
-		t.Bad(rules.TooMany, "relays", "%d relays, %d expected at most", n, MaxRelays)
+		scope.Bad(rules.TooMany, "relays", "%d relays, %d expected at most", n, MaxRelays)
 	default:
-		relayAddresses(t)
+		checkRelays(scope)
 	}
-	t.Done()
+	scope.Done()
 }
 
-// relayAddresses checks the addresses of relays one by one.
-func relayAddresses(s tomldoc.Scope) {
-	v := s.Get("relays", tomldoc.Array)
+// checkRelays checks the addresses of relays one by one.
+func checkRelays(scope tomldoc.Scope) {
+	v := scope.Get("relays", tomldoc.Array)
 	if v == nil {
 		return
 	}
 	seen := map[string]bool{}
 	for i, item := range v.Items {
-		path := fmt.Sprintf("%s[%d]", s.Name("relays"), i+1)
+		path := fmt.Sprintf("%s[%d]", scope.Name("relays"), i+1)
 		if expect := expectedAddress(item.Text, false); item.Kind == tomldoc.String && expect != "" {
-			s.Fault(item, rules.Address, path, item.Say(), expect)
+			scope.Fault(item, rules.Address, path, item.Say(), expect)
 		}
 		if seen[item.Text] {
-			s.Fault(item, rules.DoubleName, path, item.Say(), "another relay has this address")
+			scope.Fault(item, rules.DoubleName, path, item.Say(), "another relay has this address")
 		}
 		seen[item.Text] = true
 	}
--- a/internal/config/decode_listener.go
+++ b/internal/config/decode_listener.go
@@ -1,68 +1,74 @@
 package config
 
 import (
-	"fernlanding/internal/rules"
-	"fernlanding/internal/tomldoc"
 	"net"
 	"strconv"
 	"strings"
+
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
-// listeners reads where clients connect.
-func (x *decoder) listeners(s tomldoc.Scope) {
+// listeners decodes where clients connect.
+func (dec *decoder) listeners(root tomldoc.Scope) {
 	seen := map[string]bool{}
-	for _, l := range s.List("listeners") {
-		one := Listener{Name: l.Text("name", "main"), Address: address(l, "address", true)}
-		Named(l, "name", one.Name)
-		l.Done()
-		if seen[one.Name] {
-			l.Bad(rules.DoubleName, "name", "another listener has this name")
+	for _, scope := range root.List("listeners") {
+		l := Listener{Name: scope.Text("name", "main"), Address: address(scope, "address", true)}
+		CheckName(scope, "name", l.Name)
+		scope.Done()
+		if seen[l.Name] {
+			scope.Bad(rules.DoubleName, "name", "another listener has this name")
 		}
-		seen[one.Name] = true
-		for i, o := range x.app.Listeners {
-			if Clash(o.Address, one.Address) {
-				l.Bad(rules.ListenerClash, "address", "listener %s of number %d has this address", o.Name, i+1)
+		seen[l.Name] = true
+		for i, other := range dec.app.Listeners {
+			if AddressesClash(other.Address, l.Address) {
+				scope.Bad(rules.ListenerClash, "address", "listener %s of number %d has this address", other.Name, i+1)
 			}
 		}
-		x.app.Listeners = append(x.app.Listeners, one)
+		dec.app.Listeners = append(dec.app.Listeners, l)
 	}
-	if !s.Has("listeners") {
-		s.Bad(rules.Missing, "listeners", "one listener at least expected")
+	if !root.Has("listeners") {
+		root.Bad(rules.Missing, "listeners", "one listener at least expected")
 	}
 }
 
-// Clash tells whether two listeners of one host could not both open: they have one port, and one address or one of them
-// all addresses.
-func Clash(a, b string) bool {
-	h1, p1, err1 := net.SplitHostPort(a)
-	h2, p2, err2 := net.SplitHostPort(b)
-	if err1 != nil || err2 != nil || p1 != p2 || p1 == "0" {
+// AddressesClash reports whether two listeners of one host could not both open: they have the same
+// port other than 0, and the same address, or one of them all addresses.
+func AddressesClash(a, b string) bool {
+	hostA, portA, errA := net.SplitHostPort(a)
+	hostB, portB, errB := net.SplitHostPort(b)
+	if errA != nil || errB != nil || portA != portB || portA == "0" {
 		return false
 	}
-	every := func(h string) bool { ip := net.ParseIP(h); return h == "" || ip != nil && ip.IsUnspecified() }
-	same := func() bool {
-		x, y := net.ParseIP(h1), net.ParseIP(h2)
-		return x != nil && y != nil && x.Equal(y) || strings.EqualFold(h1, h2)
+	if isAnyAddress(hostA) || isAnyAddress(hostB) || strings.EqualFold(hostA, hostB) {
+		return true
 	}
-	return every(h1) || every(h2) || same()
+	ipA, ipB := net.ParseIP(hostA), net.ParseIP(hostB)
+	return ipA != nil && ipB != nil && ipA.Equal(ipB)
+}
+
+// isAnyAddress reports whether a host stands for all addresses.
+func isAnyAddress(host string) bool {
+	ip := net.ParseIP(host)
+	return host == "" || ip != nil && ip.IsUnspecified()
 }
 
-// address reads host:port. Port 0, which stands for any free one, makes sense for listeners alone.
-func address(s tomldoc.Scope, field string, listener bool) string {
-	addr := s.Text(field, "")
-	if expect := expectedAddress(addr, listener); expect != "" {
-		s.Bad(rules.Address, field, "%s", expect)
+// address decodes host:port. Port 0, which stands for any free one, is valid for listeners alone.
+func address(scope tomldoc.Scope, field string, isListener bool) string {
+	addr := scope.Text(field, "")
+	if expect := expectedAddress(addr, isListener); expect != "" {
+		scope.Bad(rules.Address, field, "%s", expect)
 	}
 	return addr
 }
 
-// expectedAddress is what is expected in the place of an address that makes no sense; empty for one that does.
-func expectedAddress(addr string, listener bool) string {
+// expectedAddress returns what is expected instead of an invalid address; empty for a valid one.
+func expectedAddress(addr string, isListener bool) string {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil || host == "" {
 		return "host:port expected"
 	}
-	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 && !listener {
+	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 && !isListener {
 		return "host:port with a port of 1 to 65535 expected"
 	}
 	return ""
--- /dev/null
+++ b/internal/config/decode_listener_test.go
@@ -0,0 +1,24 @@
+package config
+
+import "testing"
+
+func TestAddressesClash(t *testing.T) {
+	for _, test := range []struct {
+		a, b  string
+		clash bool
+	}{
+		{"127.0.0.1:80", "127.0.0.1:80", true},
+		{"127.0.0.1:80", "127.0.0.1:81", false},
+		{"127.0.0.1:80", "127.0.0.2:80", false},
+		{"0.0.0.0:80", "127.0.0.2:80", true},
+		{"[::]:80", "127.0.0.2:80", true},
+		{"127.0.0.1:0", "127.0.0.1:0", false},
+		{"Localhost:80", "localhost:80", true},
+		{"[::1]:80", "[0:0::1]:80", true},
+		{"x", "x", false},
+	} {
+		if got := AddressesClash(test.a, test.b); got != test.clash || AddressesClash(test.b, test.a) != test.clash {
+			t.Errorf("%s, %s: got %v", test.a, test.b, got)
+		}
+	}
+}
--- a/internal/config/decode_route.go
+++ b/internal/config/decode_route.go
@@ -1,176 +1,134 @@
 package config
 
 import (
-	"errors"
-	"fernlanding/internal/route"
-	"fernlanding/internal/rules"
-	"fernlanding/internal/tomldoc"
-	"fmt"
 	"net/textproto"
 	"slices"
-	"strconv"
 	"strings"
+
+	"fernlanding/internal/route"
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
-const maxRouteTime = MaxDeadline
+const maxRouteTimeout = MaxDeadline
 
-// routes reads the rules, and checks where they lead.
-func (x *decoder) routes(s tomldoc.Scope) {
-	a := x.app
+// routes decodes the routes, and checks that each can be reached.
+func (dec *decoder) routes(root tomldoc.Scope) {
 	var scopes []tomldoc.Scope
 	names := map[string]bool{}
-	for _, r := range s.List("routes") {
-		one := x.route(r)
-		if names[one.Name] {
-			r.Bad(rules.DoubleName, "name", "another route has this name")
+	for _, scope := range root.List("routes") {
+		r := dec.route(scope)
+		if names[r.Name] {
+			scope.Bad(rules.DoubleName, "name", "another route has this name")
 		}
-		names[one.Name] = true
-		a.Routes, scopes = append(a.Routes, one), append(scopes, r)
+		names[r.Name] = true
+		dec.app.Routes = append(dec.app.Routes, r)
+		scopes = append(scopes, scope)
 	}
 	switch {
-	case !s.Has("routes"):
-		s.Bad(rules.Missing, "routes", "one route at least expected")
+	case !root.Has("routes"):
+		root.Bad(rules.Missing, "routes", "one route at least expected")
 	case len(scopes) > MaxRoutes:
-		s.Bad(rules.TooMany, "routes", "%d routes, %d expected at most", len(scopes), MaxRoutes)
+		root.Bad(rules.TooMany, "routes", "%d routes, %d expected at most", len(scopes), MaxRoutes)
 		return
 	}
-	for _, l := range a.Listeners {
-		x.compile(l.Name, scopes)
-	}
-}
-
-// compile faults the rules of a listener that can't be compiled, or that others before them shadow. scopes are those of all routes.
-func (x *decoder) compile(listener string, scopes []tomldoc.Scope) {
-	a := x.app
-	matches, numbers := a.rules(listener)
-	_, err := route.New(matches)
-	for _, e := range split(err) {
-		var re *route.RuleError
-		if !errors.As(e, &re) {
-			continue
-		}
-		at := scopes[numbers[re.Rule]]
-		var sh *route.ShadowedError
-		if errors.As(e, &sh) {
-			by := scopes[numbers[sh.By]]
-			x.Faults = append(x.Faults, Diagnostic{
-				Place: at.V.Place, Rule: rules.RouteDead, Field: at.Path,
-				Found: strconv.Quote(tomldoc.Clip(a.Routes[numbers[re.Rule]].Name)), See: by.V.Place,
-				Expect: fmt.Sprintf("it can't be reached at listener %s: %q takes all its requests before", listener, tomldoc.Clip(a.Routes[numbers[sh.By]].Name)),
-			})
-			continue
-		}
-		for _, why := range split(re.Err) {
-			at.Fault(at.V, rules.RouteMatch, at.Path, "", why.Error())
-		}
-	}
-}
-
-// split takes joined errors apart.
-func split(err error) []error {
-	if err == nil {
-		return nil
-	}
-	if many, ok := err.(interface{ Unwrap() []error }); ok {
-		return many.Unwrap()
-	}
-	return []error{err}
-}
-
-// rules are those of a listener, with their numbers among all.
-func (a *App) rules(listener string) (matches []route.Match, numbers []int) {
-	for i, r := range a.Routes {
-		if len(r.Listeners) == 0 || slices.Contains(r.Listeners, listener) {
-			matches, numbers = append(matches, r.Match), append(numbers, i)
-		}
+	for _, l := range dec.app.Listeners {
+		dec.checkTable(l.Name, scopes)
 	}
-	return matches, numbers
-}
-
-// Table compiles the rules of a listener; numbers are those of its rules among all. It can't fail on a decoded App.
-func (a *App) Table(listener string) (t *route.Table, numbers []int, err error) {
-	matches, numbers := a.rules(listener)
-	t, err = route.New(matches)
-	return t, numbers, err
 }
 
-// route reads one rule.
-func (x *decoder) route(s tomldoc.Scope) Route {
+// route decodes one route.
+func (dec *decoder) route(scope tomldoc.Scope) Route {
 	r := Route{
-		Name: s.Text("name", ""), Listeners: s.Texts("listeners"), Rewrite: s.Text("rewrite_prefix", ""),
-		Timeout: s.Span("timeout", 0, minTime, maxRouteTime),
+		Name: scope.Text("name", ""), Listeners: scope.Texts("listeners"), Rewrite: scope.Text("rewrite_prefix", ""),
+		Timeout: scope.Span("timeout", 0, minTime, maxRouteTimeout),
 	}
-	Named(s, "name", r.Name)
-	for _, l := range r.Listeners {
-		if !slices.ContainsFunc(x.app.Listeners, func(o Listener) bool { return o.Name == l }) {
-			s.Bad(rules.UnknownListener, "listeners", "no listener is named %q", tomldoc.Clip(l))
+	CheckName(scope, "name", r.Name)
+	for _, name := range r.Listeners {
+		if !slices.ContainsFunc(dec.app.Listeners, func(l Listener) bool { return l.Name == name }) {
+			scope.Bad(rules.UnknownListener, "listeners", "no listener is named %q", tomldoc.Clip(name))
 		}
 	}
-	x.causes(s, &r)
-	x.match(s, &r.Match)
-	x.rewrite(s, r)
-	if r.Sticky = s.Text("sticky_header", ""); s.Has("sticky_header") {
-		if r.Sticky = textproto.CanonicalMIMEHeaderKey(r.Sticky); !route.IsToken(r.Sticky) {
-			s.Bad(rules.RouteMatch, "sticky_header", "the name of a field expected")
-		}
-	}
-	x.targets(s, &r)
-	s.Done()
+	r.For = dec.causes(scope)
+	r.Match = dec.match(scope)
+	dec.checkRewrite(scope, r)
+	r.Sticky = dec.stickyField(scope)
+	dec.targets(scope, &r)
+	scope.Done()
 	return r
 }
 
-// causes reads which classes that the application serves cause a route's requests.
-func (x *decoder) causes(s tomldoc.Scope, r *Route) {
-	if x.version < 2 {
-		return
+// causes decodes which classes that the application serves cause a route's requests.
+func (dec *decoder) causes(scope tomldoc.Scope) []string {
+	if dec.version < 2 {
+		return nil
 	}
-	r.For = s.Texts("for")
-	for _, f := range r.For {
-		if service, class, ok := strings.Cut(f, "/"); !ok || !IsName(class) || !slices.Contains(x.app.Serves, service) {
-			s.Bad(rules.UnknownService, "for", "service/class of what the application serves expected, found %q", tomldoc.Clip(f))
+	causes := scope.Texts("for")
+	for _, cause := range causes {
+		service, class, ok := strings.Cut(cause, "/")
+		if !ok || !IsName(class) || !slices.Contains(dec.app.Serves, service) {
+			scope.Bad(rules.UnknownService, "for",
+				"service/class of what the application serves expected, found %q", tomldoc.Clip(cause))
 		}
 	}
+	return causes
 }
 
-// match reads which requests a rule takes.
-func (x *decoder) match(s tomldoc.Scope, m *route.Match) {
-	m.Hosts, m.Methods = s.Texts("hosts"), s.Texts("methods")
-	kinds := 0
+// match decodes which requests a route takes.
+func (dec *decoder) match(scope tomldoc.Scope) route.Match {
+	match := route.Match{Hosts: scope.Texts("hosts"), Methods: scope.Texts("methods")}
+	paths := 0
 	for i, field := range []string{"prefix", "exact", "template"} {
-		if s.Has(field) {
-			kinds++
-			m.Kind, m.Path = route.PathKind(i), s.Text(field, "")
+		if scope.Has(field) {
+			paths++
+			match.Kind, match.Path = route.PathKind(i), scope.Text(field, "")
 		} else {
-			s.Take(field)
+			scope.Take(field)
 		}
 	}
-	if kinds > 1 {
-		s.Fault(s.V, rules.Exclusive, s.Path, "", "one of prefix, exact and template expected, not several")
+	if paths > 1 {
+		scope.Fault(scope.V, rules.Exclusive, scope.Path, "",
+			"one of prefix, exact and template expected, not several")
 	}
-	h := s.Sub("headers")
-	for _, name := range h.V.Keys {
-		v := h.V.Fields[name]
-		h.Take(name)
+	headers := scope.Sub("headers")
+	for _, name := range headers.V.Keys {
+		v := headers.V.Fields[name]
+		headers.Take(name)
 		switch {
 		case v.Kind == tomldoc.String:
-			m.Headers = append(m.Headers, route.HeaderMatch{Name: name, Value: v.Text})
+			match.Headers = append(match.Headers, route.HeaderMatch{Name: name, Value: v.Text})
 		case v.Kind == tomldoc.Bool && v.Text == "true":
-			m.Headers = append(m.Headers, route.HeaderMatch{Name: name, Any: true})
+			match.Headers = append(match.Headers, route.HeaderMatch{Name: name, Any: true})
 		default:
-			h.Bad(rules.WrongType, name, "a string, or true for any value, expected")
+			headers.Bad(rules.WrongType, name, "a string, or true for any value, expected")
 		}
 	}
+	return match
 }
 
-// rewrite faults a prefix to go on that makes no sense, or that goes with no prefix.
-func (x *decoder) rewrite(s tomldoc.Scope, r Route) {
-	if !s.Has("rewrite_prefix") {
+// checkRewrite reports a replacement of the prefix that is not valid, or of a route without a
+// prefix.
+func (dec *decoder) checkRewrite(scope tomldoc.Scope, r Route) {
+	if !scope.Has("rewrite_prefix") {
 		return
 	}
-	if canon, err := route.CanonicalPath(r.Rewrite); err != nil || canon != r.Rewrite {
-		s.Bad(rules.Rewrite, "rewrite_prefix", "a path in canonical form expected")
+	if canonical, err := route.CanonicalPath(r.Rewrite); err != nil || canonical != r.Rewrite {
+		scope.Bad(rules.Rewrite, "rewrite_prefix", "a path in canonical form expected")
 	}
 	if r.Match.Kind != route.Prefix {
-		s.Bad(rules.Rewrite, "rewrite_prefix", "goes with prefix alone")
+		scope.Bad(rules.Rewrite, "rewrite_prefix", "goes with prefix alone")
+	}
+}
+
+// stickyField decodes the field by which the arm of a split is chosen.
+func (dec *decoder) stickyField(scope tomldoc.Scope) string {
+	field := scope.Text("sticky_header", "")
+	if !scope.Has("sticky_header") {
+		return field
+	}
+	field = textproto.CanonicalMIMEHeaderKey(field)
+	if !route.IsToken(field) {
+		scope.Bad(rules.RouteMatch, "sticky_header", "the name of a field expected")
 	}
+	return field
 }
--- a/internal/config/decode_source.go
+++ b/internal/config/decode_source.go
@@ -2,144 +2,156 @@
 
 import (
 	"cmp"
-	"fernlanding/internal/membership"
-	"fernlanding/internal/rules"
-	"fernlanding/internal/tomldoc"
 	"slices"
 	"strings"
 	"time"
+
+	"fernlanding/internal/membership"
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
 )
 
-// askInterval is the longest time that a sidecar goes without a subscription to its catalog or a call of it.
-const askInterval = 10 * time.Second
+// pollInterval is the longest time that a sidecar goes without a watch or a poll of its catalog.
+const pollInterval = 10 * time.Second
 
-// The words for where a list of backends comes from; version 1 lacks the later ones.
+// The words for the kinds of sources; version 1 lacks the later ones.
 var (
 	memberships         = []string{"static", "catalog", "file", "consul", "relay"}
 	version1Memberships = []string{"static", "catalog"}
 )
 
-// fieldsOfMembership are the fields that go with one kind of membership alone.
-var fieldsOfMembership = map[string]string{"path": "file", "registered_as": "consul", "token_file": "consul", "as": "relay"}
+// membershipOfField has the fields that go with one kind of membership alone.
+var membershipOfField = map[string]string{
+	"path": "file", "registered_as": "consul", "token_file": "consul", "as": "relay",
+}
 
-// source reads where the list of a service's backends comes from.
-func (x *decoder) source(s tomldoc.Scope, v *Service) {
-	before := len(s.Faults)
-	kinds := memberships
-	if x.version < 2 {
-		kinds = version1Memberships
-	}
-	kind := s.Word("membership", "static", kinds...)
-	if len(s.Faults) > before { // what goes with it can't be told
-		s.Take("discovery", "endpoints", "subscribe", "path", "registered_as", "token_file", "as")
+// source decodes where the endpoint list of a service comes from.
+func (dec *decoder) source(scope tomldoc.Scope, s *Service) {
+	before := len(scope.Faults)
+	words := memberships
+	if dec.version < 2 {
+		words = version1Memberships
+	}
+	kind := scope.Word("membership", "static", words...)
+	if len(scope.Faults) > before { // which fields go with it is not known
+		scope.Take("discovery", "endpoints", "subscribe", "path", "registered_as", "token_file", "as")
 		return
 	}
-	for field, with := range fieldsOfMembership {
-		if s.Has(field) && kind != with && x.version >= 2 {
-			s.Bad(rules.Exclusive, field, "goes with membership = %q", with)
-			s.Take(field)
+	for field, with := range membershipOfField {
+		if scope.Has(field) && kind != with && dec.version >= 2 {
+			scope.Bad(rules.Exclusive, field, "goes with membership = %q", with)
+			scope.Take(field)
 		}
 	}
 	switch kind {
 	case "file":
-		x.fileSource(s, v)
+		s.Source = fileSource(scope)
 	case "consul":
-		x.consulSource(s, v)
+		s.Source = consulSource(scope, s.Name)
 	case "relay":
-		x.relaySource(s, v)
+		s.Source = dec.relaySource(scope, s.Name)
 	case "catalog":
-		x.catalogSource(s, v)
+		s.Source = catalogSource(scope)
+		if scope.Flag("subscribe") {
+			s.Balancer.WatchEndpoints, s.Balancer.PollInterval = true, pollInterval.Microseconds()
+		}
 	default:
-		x.staticSource(s, v)
+		s.Source = dec.staticSource(scope, s)
 	}
 }
 
-func (x *decoder) fileSource(s tomldoc.Scope, v *Service) {
-	v.Source = Source{Kind: File, Path: s.Text("path", "")}
-	if v.Source.Path == "" {
-		s.Bad(rules.Missing, "path", "the file that has the list expected")
-	}
-	for _, f := range []string{"endpoints", "discovery"} {
-		if s.Has(f) {
-			s.Bad(rules.Exclusive, f, `does not go with membership = "file"`)
+// excludeFields reports fields that do not go with a kind of membership.
+func excludeFields(scope tomldoc.Scope, expect string, fields ...string) {
+	for _, field := range fields {
+		if scope.Has(field) {
+			scope.Bad(rules.Exclusive, field, "%s", expect)
 		}
+		scope.Take(field)
 	}
-	s.Take("endpoints", "discovery")
 }
 
-func (x *decoder) consulSource(s tomldoc.Scope, v *Service) {
-	v.Source = Source{Kind: Consul, Address: address(s, "discovery", false), RemoteName: s.Text("registered_as", v.Name), TokenFile: s.Text("token_file", "")}
-	if v.Source.RemoteName == "" {
-		s.Bad(rules.Missing, "registered_as", "the service's name in the registry expected")
-	}
-	if s.Has("endpoints") {
-		s.Bad(rules.Exclusive, "endpoints", `does not go with membership = "consul"`)
-	}
-	s.Take("endpoints")
+// fileSource decodes the source of a list in a file.
+func fileSource(scope tomldoc.Scope) Source {
+	source := Source{Kind: File, Path: scope.Text("path", "")}
+	if source.Path == "" {
+		scope.Bad(rules.Missing, "path", "the file that has the list expected")
+	}
+	excludeFields(scope, `does not go with membership = "file"`, "endpoints", "discovery")
+	return source
 }
 
-// relaySource reads the list that the relays of [distribution] pass on.
-func (x *decoder) relaySource(s tomldoc.Scope, v *Service) {
-	v.Source = Source{Kind: Relay, RemoteName: s.Text("as", v.Name)}
-	if s.Has("as") {
-		Named(s, "as", v.Source.RemoteName)
-	}
-	if len(x.app.Distribution.Relays) == 0 {
-		s.Bad(rules.Missing, "membership", "relays in [distribution] expected beside it")
-	}
-	for _, f := range []string{"endpoints", "discovery"} {
-		if s.Has(f) {
-			s.Bad(rules.Exclusive, f, `does not go with membership = "relay"`)
-		}
-		s.Take(f)
+// consulSource decodes the source of a list that a health API has.
+func consulSource(scope tomldoc.Scope, service string) Source {
+	source := Source{
+		Kind: Consul, Address: address(scope, "discovery", false),
+		RemoteName: scope.Text("registered_as", service), TokenFile: scope.Text("token_file", ""),
 	}
+	if source.RemoteName == "" {
+		scope.Bad(rules.Missing, "registered_as", "the service's name in the registry expected")
+	}
+	excludeFields(scope, `does not go with membership = "consul"`, "endpoints")
+	return source
 }
 
-func (x *decoder) catalogSource(s tomldoc.Scope, v *Service) {
-	v.Source = Source{Kind: Catalog, Address: address(s, "discovery", false)}
-	if s.Has("endpoints") {
-		s.Bad(rules.Exclusive, "endpoints", `stand in the file where membership is "static"`)
+// relaySource decodes the source of a list that the relays of [distribution] bring.
+func (dec *decoder) relaySource(scope tomldoc.Scope, service string) Source {
+	source := Source{Kind: Relay, RemoteName: scope.Text("as", service)}
+	if scope.Has("as") {
+		CheckName(scope, "as", source.RemoteName)
 	}
-	s.Take("endpoints")
-	if s.Flag("subscribe") {
-		v.Balancer.WatchEndpoints, v.Balancer.PollInterval = true, micros(askInterval)
+	if len(dec.app.Distribution.Relays) == 0 {
+		scope.Bad(rules.Missing, "membership", "relays in [distribution] expected beside it")
 	}
+	excludeFields(scope, `does not go with membership = "relay"`, "endpoints", "discovery")
+	return source
+}
+
+// catalogSource decodes the source of a list that discovery has.
+func catalogSource(scope tomldoc.Scope) Source {
+	source := Source{Kind: Catalog, Address: address(scope, "discovery", false)}
+	excludeFields(scope, `stand in the file where membership is "static"`, "endpoints")
+	return source
 }
 
-func (x *decoder) staticSource(s tomldoc.Scope, v *Service) {
-	if s.Has("discovery") {
-		s.Bad(rules.Exclusive, "discovery", `goes with membership = "catalog"`)
-		s.Take("discovery")
+// staticSource decodes a list that is in the file itself.
+func (dec *decoder) staticSource(scope tomldoc.Scope, s *Service) Source {
+	if scope.Has("discovery") {
+		scope.Bad(rules.Exclusive, "discovery", `goes with membership = "catalog"`)
+		scope.Take("discovery")
 	}
-	if !s.Has("endpoints") {
-		s.Bad(rules.Missing, "endpoints", `one at least expected where membership is "static"`)
+	if !scope.Has("endpoints") {
+		scope.Bad(rules.Missing, "endpoints", `one at least expected where membership is "static"`)
 	}
+	source := Source{Kind: Static}
 	seen := map[string]bool{}
-	for _, e := range s.List("endpoints") {
-		one := x.endpoint(e, v)
-		if seen[one.Name] {
-			e.Bad(rules.DoubleName, "name", "another endpoint of %s has this name", s.Path)
+	for _, endpointScope := range scope.List("endpoints") {
+		endpoint := dec.endpoint(endpointScope, s)
+		if seen[endpoint.Name] {
+			endpointScope.Bad(rules.DoubleName, "name", "another endpoint of %s has this name", scope.Path)
 		}
-		seen[one.Name] = true
-		e.Done()
-		v.Source.Endpoints = append(v.Source.Endpoints, one)
+		seen[endpoint.Name] = true
+		endpointScope.Done()
+		source.Endpoints = append(source.Endpoints, endpoint)
 	}
+	return source
 }
 
-// endpoint reads one backend that stands in the file; its name is its address where it has none.
-func (x *decoder) endpoint(e tomldoc.Scope, v *Service) membership.Endpoint {
-	one := membership.Endpoint{
-		Name: e.Text("name", ""), Address: address(e, "address", false), Zone: e.Text("zone", v.Zones[max(0, v.Balancer.Zone)]),
-		Cell: int(e.Whole("cell", 0, 0, 1<<30)), Weight: e.Number("weight", 1, 0, 1e6),
+// endpoint decodes one endpoint of a static list; its name is its address where it has none.
+func (dec *decoder) endpoint(scope tomldoc.Scope, s *Service) membership.Endpoint {
+	endpoint := membership.Endpoint{
+		Name: scope.Text("name", ""), Address: address(scope, "address", false),
+		Zone: scope.Text("zone", s.Zones[max(0, s.Balancer.Zone)]),
+		Cell: int(scope.Whole("cell", 0, 0, 1<<30)), Weight: scope.Number("weight", 1, 0, 1e6),
 	}
-	if e.Word("status", "serving", "serving", "draining") == "draining" {
-		one.Status = membership.Draining
+	if scope.Word("status", "serving", "serving", "draining") == "draining" {
+		endpoint.Status = membership.Draining
 	}
-	if one.Name == "" {
-		one.Name = one.Address
+	if endpoint.Name == "" {
+		endpoint.Name = endpoint.Address
 	}
-	if x.version >= 2 && !slices.Contains(v.Zones, one.Zone) {
-		e.Bad(rules.UnknownZone, "zone", "one of the zones of the service expected: %s", cmp.Or(strings.Join(v.Zones, ", "), "it names none"))
+	if dec.version >= 2 && !slices.Contains(s.Zones, endpoint.Zone) {
+		zones := cmp.Or(strings.Join(s.Zones, ", "), "it names none")
+		scope.Bad(rules.UnknownZone, "zone", "one of the zones of the service expected: %s", zones)
 	}
-	return one
+	return endpoint
 }
--- a/internal/config/decode_target.go
+++ b/internal/config/decode_target.go
@@ -1,175 +1,210 @@
 package config
 
 import (
-	"fernlanding/internal/route"
-	"fernlanding/internal/rules"
-	"fernlanding/internal/tomldoc"
-	"fernlanding/logic"
 	"fmt"
 	"slices"
 	"strings"
 	"time"
+
+	"fernlanding/internal/route"
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
+	"fernlanding/logic"
 )
 
-// targets reads where a route leads.
-func (x *decoder) targets(s tomldoc.Scope, r *Route) {
-	sides := s.List("split")
-	if len(sides) > 0 && (s.Has("service") || s.Has("class")) {
-		s.Bad(rules.Exclusive, "split", "either service and class or a split expected")
-	}
-	if len(sides) == 0 {
-		if s.Has("sticky_header") {
-			s.Bad(rules.Exclusive, "sticky_header", "goes with a split")
+// maxNamesListed is how many names a diagnostic lists.
+const maxNamesListed = 8
+
+// targets decodes where a route leads.
+func (dec *decoder) targets(scope tomldoc.Scope, r *Route) {
+	arms := scope.List("split")
+	if len(arms) > 0 && (scope.Has("service") || scope.Has("class")) {
+		scope.Bad(rules.Exclusive, "split", "either service and class or a split expected")
+	}
+	if len(arms) == 0 {
+		if scope.Has("sticky_header") {
+			scope.Bad(rules.Exclusive, "sticky_header", "goes with a split")
 		}
-		r.To = []Target{x.target(s, 1)}
-		s.Take("split")
+		r.To = []Target{dec.target(scope, 1)}
+		scope.Take("split")
 	} else {
-		s.Take("service", "class")
-		x.split(s, r, sides)
+		scope.Take("service", "class")
+		r.To = dec.split(scope, arms)
 	}
-	x.checkTargets(s, r)
-	x.mirror(s, r)
+	dec.checkTargets(scope, r)
+	r.Mirror = dec.mirror(scope, r.To)
 }
 
-// split reads the sides of a split and their weights.
-func (x *decoder) split(s tomldoc.Scope, r *Route, sides []tomldoc.Scope) {
+// split decodes the arms of a split and their weights.
+func (dec *decoder) split(scope tomldoc.Scope, arms []tomldoc.Scope) []Target {
+	var targets []Target
 	var weights []route.Arm
-	for _, side := range sides {
-		t := x.target(side, int(side.Whole("weight", 0, 0, route.MaxWeight)))
-		if !side.Has("weight") {
-			side.Bad(rules.Missing, "weight", "0 to %d expected", route.MaxWeight)
+	for _, arm := range arms {
+		target := dec.target(arm, int(arm.Whole("weight", 0, 0, route.MaxWeight)))
+		if !arm.Has("weight") {
+			arm.Bad(rules.Missing, "weight", "0 to %d expected", route.MaxWeight)
 		}
-		side.Done()
-		r.To, weights = append(r.To, t), append(weights, route.Arm{Name: t.Service, Weight: t.Weight})
+		arm.Done()
+		targets = append(targets, target)
+		weights = append(weights, route.Arm{Name: target.Service, Weight: target.Weight})
 	}
 	if _, err := route.NewSplit("", weights); err != nil {
-		s.Bad(rules.SplitWeights, "split", "%v", err)
+		scope.Bad(rules.SplitWeights, "split", "%v", err)
 	}
+	return targets
 }
 
-// checkTargets faults sides of a split that disagree on what may be repeated, and a time limit that doesn't fit its classes.
-func (x *decoder) checkTargets(s tomldoc.Scope, r *Route) {
-	first := -1
-	for i, t := range r.To {
-		k, rule, ok := x.app.class(t)
-		if !ok {
-			continue // said already
-		}
-		if first < 0 {
-			first = i
-		} else {
-			x.checkAgreement(s, r.To[first], t)
-		}
-		x.checkTimeout(s, r, t, k)
-		if rule.Idempotency == logic.IdempotentByKey && len(r.To) > 1 && r.Sticky != "" && r.Sticky != rule.Key && i == first {
-			s.Bad(rules.SplitScope, "sticky_header", "class %s of %s is keyed: one key may come with two values of %s", t.Class, t.Service, r.Sticky)
+// target decodes one service and class that a route leads to. The class may be missing where the
+// service has one alone.
+func (dec *decoder) target(scope tomldoc.Scope, weight int) Target {
+	target := Target{Service: scope.Text("service", ""), Class: scope.Text("class", ""), Weight: weight}
+	s := dec.app.Service(target.Service)
+	if s == nil {
+		var names []string
+		for _, other := range dec.app.Services {
+			names = append(names, other.Name)
 		}
+		scope.Bad(rules.UnknownService, "service", "%s",
+			expectOneOf("one of the services expected", target.Service, names))
+		return target
+	}
+	if target.Class == "" && len(s.Classes) == 1 && !scope.Has("class") {
+		target.Class = s.Classes[0]
 	}
+	if s.Class(target.Class) < 0 {
+		dec.reportUnknownClass(scope, s, target.Class)
+	}
+	return target
 }
 
-// checkAgreement faults two sides of a split whose classes state different things about a repeat.
-func (x *decoder) checkAgreement(s tomldoc.Scope, first, other Target) {
-	_, a, _ := x.app.class(first)
-	_, b, _ := x.app.class(other)
-	if a.Idempotency != b.Idempotency {
-		s.Bad(rules.SplitRepeat, "split", "its sides disagree on what may be repeated: %s of %s is %s, %s of %s is %s",
-			first.Class, first.Service, IdempotencyName(a.Idempotency), other.Class, other.Service, IdempotencyName(b.Idempotency))
+// reportUnknownClass reports a class that its service does not have, or has by another name now.
+func (dec *decoder) reportUnknownClass(scope tomldoc.Scope, s *Service, class string) {
+	renamed := slices.IndexFunc(s.ClassPolicies, func(policy ClassPolicy) bool {
+		return slices.Contains(policy.FormerNames, class)
+	})
+	if renamed >= 0 {
+		scope.Bad(rules.ClassRenamed, "class", "%s expected: that is its name now", s.Classes[renamed])
 		return
 	}
-	told := func(r ClassPolicy) bool { return r.Key != "" && r.DedupWindow > 0 }
-	if a.Idempotency == logic.IdempotentByKey && told(a) && told(b) {
-		sameScope(s, first, a, other, b)
-	}
+	scope.Bad(rules.UnknownClass, "class", "%s",
+		expectOneOf("one of the classes of "+s.Name+" expected", class, s.Classes))
 }
 
-// checkTimeout faults a time limit of a route that is over the deadline of a class that it leads to, or under its objective.
-func (x *decoder) checkTimeout(s tomldoc.Scope, r *Route, t Target, k logic.Class) {
-	if deadline := time.Duration(k.Deadline) * time.Microsecond; r.Timeout > deadline {
-		s.Bad(rules.LimitDeadline, "timeout", "the deadline of class %s (%v) expected at most", t.Class, deadline)
+// expectOneOf returns a text that is followed by the nearest of some names or, if there is none, by
+// the first of them.
+func expectOneOf(text, word string, names []string) string {
+	if guess := tomldoc.Guess(text, word, names); guess != text && word != "" {
+		return guess
 	}
-	if aim := time.Duration(k.LatencyObjective) * time.Microsecond; r.Timeout > 0 && r.Timeout < aim {
-		s.Bad(rules.LimitObjective, "timeout", "the objective of class %s of %s (%v) expected at least", t.Class, t.Service, aim)
+	if len(names) > maxNamesListed {
+		more := fmt.Sprintf("and %d more", len(names)-maxNamesListed)
+		names = append(slices.Clone(names[:maxNamesListed]), more)
 	}
+	return text + ": " + strings.Join(names, ", ")
 }
 
-// sameScope faults two sides of a keyed split that differ in what they say about their keys.
-func sameScope(s tomldoc.Scope, a Target, x ClassPolicy, b Target, y ClassPolicy) {
-	for _, c := range []struct {
-		what string
-		x, y any
-	}{{"dedup_scope", DedupScopeName(x.DedupScope), DedupScopeName(y.DedupScope)}, {"dedup_window", x.DedupWindow, y.DedupWindow}, {"key", x.Key, y.Key}} {
-		if c.x != c.y {
-			s.Bad(rules.SplitScope, "split", "its sides disagree on %s: %s of %s has %v, %s of %s has %v", c.what, a.Class, a.Service, c.x, b.Class, b.Service, c.y)
+// checkTargets reports arms of a split that disagree on idempotency, and a timeout that does not
+// fit their classes.
+func (dec *decoder) checkTargets(scope tomldoc.Scope, r *Route) {
+	first := -1 // index of the first target whose class is known; the others are reported already
+	for i, target := range r.To {
+		class, policy, ok := dec.app.class(target)
+		if !ok {
+			continue
+		}
+		if first < 0 {
+			first = i
+			dec.checkSticky(scope, r, target, policy)
+		} else {
+			dec.checkAgreement(scope, r.To[first], target)
 		}
+		checkTimeout(scope, r, target, class)
 	}
 }
 
-// mirror reads where copies go. A copy is sent beside the request itself and is nobody's retry: a class that may not
-// run twice has no copies.
-func (x *decoder) mirror(s tomldoc.Scope, r *Route) {
-	if !s.Has("mirror") {
-		s.Take("mirror")
+// checkSticky reports a split of a keyed class whose arm is chosen by another field than the key.
+func (dec *decoder) checkSticky(scope tomldoc.Scope, r *Route, target Target, policy ClassPolicy) {
+	if policy.Idempotency != logic.IdempotentByKey || len(r.To) == 1 || r.Sticky == "" || r.Sticky == policy.Key {
 		return
 	}
-	m := s.Sub("mirror")
-	t := x.target(m, 0)
-	m.Done()
-	for _, to := range r.To {
-		if _, rule, ok := x.app.class(to); ok && rule.Idempotency != logic.Idempotent {
-			s.Bad(rules.Mirror, "mirror", "the route's class is %s: a copy of its requests would let an effect happen twice", IdempotencyName(rule.Idempotency))
-			break
-		}
+	scope.Bad(rules.SplitScope, "sticky_header", "class %s of %s is keyed: one key may come with two values of %s",
+		target.Class, target.Service, r.Sticky)
+}
+
+// checkAgreement reports two arms of a split whose classes have different policies for running a
+// request again.
+func (dec *decoder) checkAgreement(scope tomldoc.Scope, first, other Target) {
+	_, a, _ := dec.app.class(first)
+	_, b, _ := dec.app.class(other)
+	if a.Idempotency != b.Idempotency {
+		scope.Bad(rules.SplitRepeat, "split",
+			"its sides disagree on what may be repeated: %s of %s is %s, %s of %s is %s",
+			first.Class, first.Service, IdempotencyName(a.Idempotency),
+			other.Class, other.Service, IdempotencyName(b.Idempotency))
+		return
 	}
-	if _, rule, ok := x.app.class(t); ok && rule.Idempotency != logic.Idempotent {
-		s.Bad(rules.Mirror, "mirror", "class %s of %s is %s: copies go to safe classes alone", t.Class, t.Service, IdempotencyName(rule.Idempotency))
+	if a.Idempotency == logic.IdempotentByKey && a.isDeduplicated() && b.isDeduplicated() {
+		checkSameDeduplication(scope, first, a, other, b)
 	}
-	r.Mirror = &t
 }
 
-// target reads one service and class that a route leads to; a service with one class alone needs no class beside it.
-func (x *decoder) target(s tomldoc.Scope, weight int) Target {
-	t := Target{Service: s.Text("service", ""), Class: s.Text("class", ""), Weight: weight}
-	v := x.app.Service(t.Service)
-	if v == nil {
-		var names []string
-		for _, o := range x.app.Services {
-			names = append(names, o.Name)
+// isDeduplicated reports whether the policy has a key and a window; a file without them is rejected
+// for that already.
+func (p ClassPolicy) isDeduplicated() bool { return p.Key != "" && p.DedupWindow > 0 }
+
+// checkSameDeduplication reports two arms of a keyed split that differ in their scope, window or
+// key.
+func checkSameDeduplication(scope tomldoc.Scope, first Target, a ClassPolicy, other Target, b ClassPolicy) {
+	for _, field := range []struct {
+		name string
+		a, b any
+	}{
+		{"dedup_scope", DedupScopeName(a.DedupScope), DedupScopeName(b.DedupScope)},
+		{"dedup_window", a.DedupWindow, b.DedupWindow},
+		{"key", a.Key, b.Key},
+	} {
+		if field.a != field.b {
+			scope.Bad(rules.SplitScope, "split", "its sides disagree on %s: %s of %s has %v, %s of %s has %v",
+				field.name, first.Class, first.Service, field.a, other.Class, other.Service, field.b)
 		}
-		s.Bad(rules.UnknownService, "service", "%s", oneOf("one of the services expected", t.Service, names))
-		return t
-	}
-	if t.Class == "" && len(v.Classes) == 1 && !s.Has("class") {
-		t.Class = v.Classes[0]
 	}
-	if v.Class(t.Class) >= 0 {
-		return t
-	}
-	renamed := slices.IndexFunc(v.ClassPolicies, func(r ClassPolicy) bool { return slices.Contains(r.FormerNames, t.Class) })
-	if renamed >= 0 {
-		s.Bad(rules.ClassRenamed, "class", "%s expected: that is its name now", v.Classes[renamed])
-	} else {
-		s.Bad(rules.UnknownClass, "class", "%s", oneOf("one of the classes of "+t.Service+" expected", t.Class, v.Classes))
-	}
-	return t
 }
 
-// oneOf words a list of names, and the near one where there is one.
-func oneOf(what, word string, names []string) string {
-	if guess := tomldoc.Guess(what, word, names); guess != what && word != "" {
-		return guess
-	}
-	if len(names) > 8 {
-		names = append(slices.Clone(names[:8]), fmt.Sprintf("and %d more", len(names)-8))
+// checkTimeout reports a timeout of a route that is over the deadline of a class that it leads to,
+// or under its latency objective.
+func checkTimeout(scope tomldoc.Scope, r *Route, target Target, class logic.Class) {
+	if deadline := deadlineOf(class); r.Timeout > deadline {
+		scope.Bad(rules.LimitDeadline, "timeout", "the deadline of class %s (%v) expected at most",
+			target.Class, deadline)
+	}
+	objective := time.Duration(class.LatencyObjective) * time.Microsecond
+	if r.Timeout > 0 && r.Timeout < objective {
+		scope.Bad(rules.LimitObjective, "timeout", "the objective of class %s of %s (%v) expected at least",
+			target.Class, target.Service, objective)
 	}
-	return what + ": " + strings.Join(names, ", ")
 }
 
-// class is what the module is told of a target's class, and what its owner states; false where there is no such class.
-func (a *App) class(t Target) (logic.Class, ClassPolicy, bool) {
-	if v := a.Service(t.Service); v != nil {
-		if i := v.Class(t.Class); i >= 0 {
-			return v.Balancer.Classes[i], v.ClassPolicies[i], true
+// mirror decodes where copies go; nil: nowhere. A copy is sent beside the request itself and is no
+// retry: a class that is not idempotent has no copies.
+func (dec *decoder) mirror(scope tomldoc.Scope, targets []Target) *Target {
+	if !scope.Has("mirror") {
+		scope.Take("mirror")
+		return nil
+	}
+	mirrorScope := scope.Sub("mirror")
+	mirror := dec.target(mirrorScope, 0)
+	mirrorScope.Done()
+	for _, target := range targets {
+		if _, policy, ok := dec.app.class(target); ok && policy.Idempotency != logic.Idempotent {
+			scope.Bad(rules.Mirror, "mirror",
+				"the route's class is %s: a copy of its requests would let an effect happen twice",
+				IdempotencyName(policy.Idempotency))
+			break
 		}
 	}
-	return logic.Class{}, ClassPolicy{}, false
+	if _, policy, ok := dec.app.class(mirror); ok && policy.Idempotency != logic.Idempotent {
+		scope.Bad(rules.Mirror, "mirror", "class %s of %s is %s: copies go to safe classes alone",
+			mirror.Class, mirror.Service, IdempotencyName(policy.Idempotency))
+	}
+	return &mirror
 }
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -10,7 +10,7 @@
 // ChangeKind is a kind of change.
 type ChangeKind int
 
-// The kinds of change.
+// The kinds of changes.
 const (
 	Added ChangeKind = iota
 	Removed
@@ -18,14 +18,14 @@
 	Renamed
 )
 
-// Change is what differs between two files of one application, by the path of a field.
+// Change is one difference between two files of an application.
 type Change struct {
 	Kind     ChangeKind
-	Path     string
+	Path     string // of the field; empty for Renamed, whose paths are Old and New
 	Old, New string
 }
 
-// String is the change as one line, with a sign as in other diffs.
+// String returns the change as one line, with a sign as in other diffs.
 func (c Change) String() string {
 	switch c.Kind {
 	case Added:
@@ -34,87 +34,91 @@
 		return fmt.Sprintf("- %s = %s", c.Path, c.Old)
 	case Renamed:
 		return fmt.Sprintf("~ %s renamed to %s", c.Old, c.New)
+	default:
+		return fmt.Sprintf("~ %s = %s, was %s", c.Path, c.New, c.Old)
 	}
-	return fmt.Sprintf("~ %s = %s, was %s", c.Path, c.New, c.Old)
 }
 
-// head is where a generated file says where it comes from. It changes with every edit of the catalogue and changes
-// nothing in a sidecar.
-const head = "generated."
+// headPrefix begins the paths of a generated file's head. It changes with every edit of the
+// catalogue and changes nothing in a sidecar.
+const headPrefix = "generated."
 
-// Diff lists what differs between two files, in the order of the newer and then of the older one; head tells that their
-// heads differ. A class that was renamed is one change.
-func Diff(old, fresh *Document) (changes []Change, heads bool) {
-	renames := renamedClasses(old, fresh)
-	changes = renames.changes()
-	oldPaths, oldValues := old.Values()
-	paths, values := fresh.Values()
-	moved := map[string]string{} // new path to old value
-	for _, p := range oldPaths {
-		moved[renames.path(p)] = oldValues[p]
+// Diff returns the differences between two files, in the order of the newer and then of the older
+// one, without those of their heads; headsDiffer reports whether there are any. A class that was
+// renamed is one change.
+func Diff(older, newer *Document) (changes []Change, headsDiffer bool) {
+	renames := renamedClasses(older, newer)
+	oldPaths, oldValues := older.Values()
+	newPaths, newValues := newer.Values()
+	oldByNewPath := map[string]string{}
+	for _, path := range oldPaths {
+		oldByNewPath[renames.newPath(path)] = oldValues[path]
 	}
-	add := func(c Change) {
-		if strings.HasPrefix(c.Path, head) {
-			heads = true
+	changes = renames.changes()
+	add := func(change Change) {
+		if strings.HasPrefix(change.Path, headPrefix) {
+			headsDiffer = true
 		} else {
-			changes = append(changes, c)
+			changes = append(changes, change)
 		}
 	}
-	for _, p := range paths {
-		was, known := moved[p]
-		if !known {
-			add(Change{Kind: Added, Path: p, New: values[p]})
-		} else if was != values[p] {
-			add(Change{Changed, p, was, values[p]})
+	for _, path := range newPaths {
+		oldValue, existed := oldByNewPath[path]
+		if !existed {
+			add(Change{Kind: Added, Path: path, New: newValues[path]})
+		} else if oldValue != newValues[path] {
+			add(Change{Kind: Changed, Path: path, Old: oldValue, New: newValues[path]})
 		}
 	}
-	for _, p := range oldPaths {
-		if _, stays := values[renames.path(p)]; !stays {
-			add(Change{Kind: Removed, Path: p, Old: oldValues[p]})
+	for _, path := range oldPaths {
+		if _, exists := newValues[renames.newPath(path)]; !exists {
+			add(Change{Kind: Removed, Path: path, Old: oldValues[path]})
 		}
 	}
-	return changes, heads
+	return changes, headsDiffer
 }
 
-// renames are the paths of classes that have another name now, old to new.
+// renames has the new paths of classes that were renamed, by their old paths.
 type renames map[string]string
 
-// renamedClasses are the classes that the newer file says are renamed, and that are in the older one.
-func renamedClasses(old, fresh *Document) renames {
-	out := renames{}
-	if fresh.App == nil || old.App == nil {
-		return out
+// renamedClasses returns the renames that the newer file states, of classes that are in the older
+// one.
+func renamedClasses(older, newer *Document) renames {
+	renamed := renames{}
+	if newer.App == nil || older.App == nil {
+		return renamed
 	}
-	for _, s := range fresh.App.Services {
-		was := old.App.Service(s.Name)
-		if was == nil {
+	for _, s := range newer.App.Services {
+		oldService := older.App.Service(s.Name)
+		if oldService == nil {
 			continue
 		}
 		for i, class := range s.Classes {
 			for _, former := range s.ClassPolicies[i].FormerNames {
-				if was.Class(former) >= 0 && was.Class(class) < 0 {
-					out[classPath(s.Name, former)] = classPath(s.Name, class)
+				if oldService.Class(former) >= 0 && oldService.Class(class) < 0 {
+					renamed[classPath(s.Name, former)] = classPath(s.Name, class)
 				}
 			}
 		}
 	}
-	return out
+	return renamed
 }
 
 func classPath(service, class string) string {
-	return join(join(join("services", service), "classes"), class)
+	return joinPath(joinPath(joinPath("services", service), "classes"), class)
 }
 
-// changes are the renamings, in the order of the old paths.
-func (r renames) changes() (out []Change) {
+// changes returns the renames as changes, in the order of the old paths.
+func (r renames) changes() []Change {
+	var changes []Change
 	for _, from := range slices.Sorted(maps.Keys(r)) {
-		out = append(out, Change{Kind: Renamed, Old: from, New: r[from]})
+		changes = append(changes, Change{Kind: Renamed, Old: from, New: r[from]})
 	}
-	return out
+	return changes
 }
 
-// path is an old path as it would be now.
-func (r renames) path(old string) string {
+// newPath returns the new path of a field at an old one.
+func (r renames) newPath(old string) string {
 	for from, to := range r {
 		if rest, within := strings.CutPrefix(old, from+"."); within {
 			return to + "." + rest
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -3,125 +3,91 @@
 import (
 	"fernlanding/internal/rules"
 	"fernlanding/internal/tomldoc"
-	"strconv"
-	"strings"
 )
 
-// Diagnostic and Faults are what is wrong with a file.
-type (
-	Diagnostic  = tomldoc.Diagnostic
-	Diagnostics = tomldoc.Diagnostics
-)
-
-// Document is an application's file that has been read: what it says, where it says it, and what is wrong with it.
+// Document is an application's file that has been read: what it says, where it says it, and what is
+// wrong with it.
 type Document struct {
 	File    string
 	Data    []byte
-	Version int
-	App     *App // nil where the sidecar would refuse the file
-	// Diagnostics is all that the rules object to, warnings included, and what a sidecar tolerates in an older format too.
-	Diagnostics Diagnostics
-	// Origin is, for each line of a generated file, where it comes from; nil for others.
+	Version int  // of the format; 0: the file does not say
+	App     *App // nil where a sidecar would reject the file
+	// Diagnostics is all violations, warnings included, and those that a sidecar tolerates in an
+	// older format.
+	Diagnostics tomldoc.Diagnostics
+	// Origin is, for each line of a generated file, the place that it comes from; nil for others.
 	Origin []tomldoc.Place
 	root   *tomldoc.Value
 }
 
-// Read reads an application's file. file is the name that faults give.
+// Read reads an application's file. file is the name that diagnostics have.
 func Read(file string, data []byte) *Document {
 	d := &Document{File: file, Data: data}
 	d.root, d.Diagnostics = tomldoc.Parse(file, data)
 	if d.root != nil {
-		d.read()
+		d.decode()
 	}
 	d.Diagnostics = d.Diagnostics.Sorted()
-	if len(d.refused()) > 0 {
+	if len(d.rejecting(d.Diagnostics)) > 0 {
 		d.App = nil
 	}
 	return d
 }
 
-// refused are the faults for which a sidecar refuses the file.
-func (d *Document) refused() (out Diagnostics) {
-	for _, f := range d.Diagnostics {
-		if r := rules.Get(f.Rule); r.Severity == rules.Error && (r.Since <= d.Version || d.Version == 0 && f.Rule != rules.FileCRLF) {
-			out = append(out, f)
+// rejecting returns those of some diagnostics for which a sidecar rejects the file.
+func (d *Document) rejecting(diagnostics tomldoc.Diagnostics) tomldoc.Diagnostics {
+	var rejecting tomldoc.Diagnostics
+	for _, diagnostic := range diagnostics {
+		if d.rejects(rules.Get(diagnostic.Rule)) {
+			rejecting = append(rejecting, diagnostic)
 		}
 	}
-	return out
+	return rejecting
 }
 
-// Decode reads an application's file as a sidecar does. The error is a Faults with all for which it refuses it.
+// rejects reports whether a sidecar rejects a file of the document's version for a violation of a
+// rule.
+func (d *Document) rejects(rule rules.Rule) bool {
+	switch {
+	case rule.Severity != rules.Error:
+		return false
+	case rule.Since <= d.Version:
+		return true
+	}
+	// A file that does not say its version is checked like one of the newest, except for its line
+	// ends.
+	return d.Version == 0 && rule.ID != rules.FileCRLF
+}
+
+// Decode reads an application's file as a sidecar does. The error is tomldoc.Diagnostics with all
+// violations for which it rejects the file.
 func Decode(file string, data []byte) (*App, error) {
 	d := Read(file, data)
-	if err := d.refused().Err(); err != nil {
+	if err := d.rejecting(d.Diagnostics).Err(); err != nil {
 		return nil, err
 	}
 	return d.App, nil
 }
 
-// Place is where a value stands that a path of names, and of numbers from 1 into arrays, leads to: in the file, or in the
-// sources that it was generated from. said tells whether the value stands there; otherwise the place is that of the table
-// which lacks it, and a default holds.
-func (d *Document) Place(path ...string) (at tomldoc.Place, said bool) {
+// Place returns the place of the value at a path of names, and of indexes from 1 into arrays: in
+// the file, or in the sources that it was generated from. isSet reports whether there is such a
+// value; otherwise the place is that of the table that lacks it, and a default holds.
+func (d *Document) Place(path ...string) (at tomldoc.Place, isSet bool) {
 	if d.root == nil {
 		return tomldoc.Place{File: d.File}, false
 	}
-	v, said := d.root.At(path...)
-	return d.From(v.Place), said
-}
-
-// From is where a place of the file comes from: the place itself, unless the file was generated.
-func (d *Document) From(p tomldoc.Place) tomldoc.Place {
-	if p.Line >= 1 && p.Line <= len(d.Origin) && d.Origin[p.Line-1].Line > 0 {
-		return d.Origin[p.Line-1]
-	}
-	return p
-}
-
-// Values lists the values of the file by the paths of their fields, in the order of the file. Tables in arrays that have
-// a name go by it.
-func (d *Document) Values() (paths []string, values map[string]string) {
-	values = map[string]string{}
-	var walk func(path string, v *tomldoc.Value)
-	walk = func(path string, v *tomldoc.Value) {
-		switch v.Kind {
-		case tomldoc.Table:
-			for _, k := range v.Keys {
-				walk(join(path, k), v.Fields[k])
-			}
-		case tomldoc.Array:
-			for i, item := range v.Items {
-				name := strconv.Itoa(i + 1)
-				if item.Kind == tomldoc.Table {
-					if n := item.Fields["name"]; n != nil && n.Kind == tomldoc.String {
-						name = n.Text
-					} else if n := item.Fields["service"]; n != nil && n.Kind == tomldoc.String {
-						name = n.Text
-					}
-				}
-				at := path + "[" + name + "]"
-				if _, twice := values[at]; twice {
-					at = path + "[" + strconv.Itoa(i+1) + "]"
-				}
-				walk(at, item)
-			}
-		default:
-			paths = append(paths, path)
-			values[path] = v.Say()
-		}
-	}
-	if d.root != nil {
-		walk("", d.root)
-	}
-	return paths, values
+	v, isSet := d.root.At(path...)
+	return d.From(v.Place), isSet
 }
 
-func join(path, field string) string {
-	if strings.ContainsAny(field, ". []\n\"") {
-		field = strconv.Quote(field)
+// From returns where a place of the file comes from: the place itself, unless the file was
+// generated.
+func (d *Document) From(place tomldoc.Place) tomldoc.Place {
+	if place.Line < 1 || place.Line > len(d.Origin) {
+		return place
 	}
-	if path == "" {
-		return field
+	if origin := d.Origin[place.Line-1]; origin.Line > 0 {
+		return origin
 	}
-	return path + "." + field
+	return place
 }
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -2,13 +2,14 @@
 
 import (
 	"bytes"
-	"fernlanding/internal/rules"
-	"fernlanding/internal/tomldoc"
-	"fernlanding/logic"
 	"fmt"
 	"path/filepath"
 	"slices"
 	"strings"
+
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
+	"fernlanding/logic"
 )
 
 // Step is one change of a migration.
@@ -18,44 +19,51 @@
 	Why   string
 }
 
-// String is the step as one line.
+// String returns the step as one line.
 func (s Step) String() string { return fmt.Sprintf("%s: %s; %s", s.Place, s.What, s.Why) }
 
-// edit puts a text in the place of some bytes.
-type edit struct {
-	at   tomldoc.Range
-	text string
-}
-
-// Migrate writes a file of an older version in the newest one. Comments, order and all values stay; what has to be said
-// that the older version left unsaid is said as it meant it. The error is a Faults with what the newest version refuses:
-// then nothing that means the same can be written, and an operator has to decide.
-func Migrate(file string, data []byte) (out []byte, steps []Step, err error) {
+// Migrate returns a file of an older version in the newest one, and the steps that were taken.
+// Comments, order and all values stay; what the older version left unsaid and the newest requires
+// is said as the older one meant it. The error is tomldoc.Diagnostics with what the newest version
+// rejects: then nothing that means the same can be written, and an operator has to decide.
+func Migrate(file string, data []byte) (migrated []byte, steps []Step, err error) {
 	d := Read(file, data)
 	if d.App == nil {
-		return nil, nil, d.refused()
+		return nil, nil, d.rejecting(d.Diagnostics)
 	}
 	if d.Version == Version {
 		return data, nil, nil
 	}
 	m := migration{doc: d, data: data}
-	m.run()
-	out = m.apply()
-	if d.crlf() {
-		out = bytes.ReplaceAll(out, []byte("\r\n"), []byte("\n"))
-		m.step(tomldoc.Place{File: file}, "lines end with LF", rules.Get(rules.FileCRLF).Why)
+	m.setVersion()
+	m.setName()
+	m.setKeys()
+	migrated = m.applyEdits()
+	if d.hasCRLF() {
+		migrated = bytes.ReplaceAll(migrated, []byte("\r\n"), []byte("\n"))
+		m.addStep(tomldoc.Place{File: file}, "lines end with LF", rules.Get(rules.FileCRLF).Why)
 	}
-	after := Read(file, out)
-	if f := after.refused(); len(f) > 0 {
-		return nil, nil, f
+	after := Read(file, migrated)
+	if diagnostics := after.rejecting(after.Diagnostics); len(diagnostics) > 0 {
+		return nil, nil, diagnostics
 	}
-	return out, m.steps, nil
+	return migrated, m.steps, nil
+}
+
+// hasCRLF reports whether lines of the file end with CR LF.
+func (d *Document) hasCRLF() bool {
+	return slices.ContainsFunc(d.Diagnostics, func(diagnostic tomldoc.Diagnostic) bool {
+		return diagnostic.Rule == rules.FileCRLF
+	})
 }
 
-func (d *Document) crlf() bool {
-	return slices.ContainsFunc(d.Diagnostics, func(f Diagnostic) bool { return f.Rule == rules.FileCRLF })
+// edit replaces a range of bytes by a text.
+type edit struct {
+	at   tomldoc.Range
+	text string
 }
 
+// migration collects the edits of a file.
 type migration struct {
 	doc   *Document
 	data  []byte
@@ -63,89 +71,108 @@
 	steps []Step
 }
 
-func (m *migration) step(at tomldoc.Place, what, why string) {
-	m.steps = append(m.steps, Step{at, what, why})
+func (m *migration) addStep(at tomldoc.Place, what, why string) {
+	m.steps = append(m.steps, Step{Place: at, What: what, Why: why})
 }
 
-func (m *migration) run() {
-	root, app := m.doc.root, m.doc.App
-	v := root.Fields["version"]
-	m.edits = append(m.edits, edit{v.Raw, fmt.Sprint(Version)})
-	m.step(v.Place, fmt.Sprintf("version = %d", Version), "the format that the file is in from here on")
-	if !IsName(app.Name) {
-		name := nameOf(m.doc.File)
-		if n := root.Fields["name"]; n != nil {
-			m.edits = append(m.edits, edit{n.Raw, fmt.Sprintf("%q", name)})
-		} else {
-			m.edits = append(m.edits, edit{m.lineEnd(v.Raw.To), fmt.Sprintf("\nname = %q", name)})
-		}
-		m.step(v.Place, fmt.Sprintf("name = %q", name), "checks over many files tell applications apart by it; it is the file's name")
+func (m *migration) replace(at tomldoc.Range, text string) {
+	m.edits = append(m.edits, edit{at: at, text: text})
+}
+
+// setVersion replaces the version.
+func (m *migration) setVersion() {
+	version := m.doc.root.Fields["version"]
+	m.replace(version.Raw, fmt.Sprint(Version))
+	m.addStep(version.Place, fmt.Sprintf("version = %d", Version), "the format that the file is in from here on")
+}
+
+// setName adds or replaces the application's name where it has none that is valid.
+func (m *migration) setName() {
+	if IsName(m.doc.App.Name) {
+		return
 	}
-	for _, s := range app.Services {
-		for i, c := range s.Classes {
+	root := m.doc.root
+	version := root.Fields["version"]
+	name := nameOfFile(m.doc.File)
+	if old := root.Fields["name"]; old != nil {
+		m.replace(old.Raw, fmt.Sprintf("%q", name))
+	} else {
+		m.replace(m.endOfLine(version.Raw.To), fmt.Sprintf("\nname = %q", name))
+	}
+	m.addStep(version.Place, fmt.Sprintf("name = %q", name),
+		"checks over many files tell applications apart by it; it is the file's name")
+}
+
+// setKeys adds the field that carries the idempotency key to all keyed classes.
+func (m *migration) setKeys() {
+	root := m.doc.root
+	for _, s := range m.doc.App.Services {
+		for i, name := range s.Classes {
 			if s.ClassPolicies[i].Idempotency != logic.IdempotentByKey {
 				continue
 			}
-			class, _ := root.At("services", s.Name, "classes", c)
-			m.add(class.Fields["repeat"], "key", DefaultKey)
-			m.step(class.Place, fmt.Sprintf("services.%s.classes.%s.key = %q", s.Name, c, DefaultKey), "what version 1 took for granted stands in the file")
+			class, _ := root.At("services", s.Name, "classes", name)
+			m.addField(class.Fields["repeat"], "key", DefaultKey)
+			m.addStep(class.Place, fmt.Sprintf("services.%s.classes.%s.key = %q", s.Name, name, DefaultKey),
+				"what version 1 took for granted stands in the file")
 		}
 	}
 }
 
-// add puts a field with a string behind another of the same table.
-func (m *migration) add(by *tomldoc.Value, field, value string) {
-	text := fmt.Sprintf(", %s = %q", field, value)
-	if by.Line.To > 0 { // on a line of its own: the same key with another last part
-		prefix := string(m.data[by.Line.From:by.Last.From])
-		begin := bytes.LastIndexByte(m.data[:by.Line.From], '\n') + 1
-		indent := string(m.data[begin:by.Line.From])
-		m.edits = append(m.edits, edit{m.lineEnd(by.Raw.To), fmt.Sprintf("\n%s%s%s = %q", indent, prefix, field, value)})
+// addField adds a field with a string behind another of the same table.
+func (m *migration) addField(after *tomldoc.Value, field, value string) {
+	if after.Line.To == 0 { // the table is inline
+		m.replace(tomldoc.Range{From: after.Raw.To, To: after.Raw.To}, fmt.Sprintf(", %s = %q", field, value))
 		return
 	}
-	m.edits = append(m.edits, edit{tomldoc.Range{From: by.Raw.To, To: by.Raw.To}, text})
+	// The new line has the same indent and the same key with another last part.
+	prefix := string(m.data[after.Line.From:after.Last.From])
+	lineStart := bytes.LastIndexByte(m.data[:after.Line.From], '\n') + 1
+	indent := string(m.data[lineStart:after.Line.From])
+	m.replace(m.endOfLine(after.Raw.To), fmt.Sprintf("\n%s%s%s = %q", indent, prefix, field, value))
 }
 
-// lineEnd is the empty range before the end of a line, behind a comment.
-func (m *migration) lineEnd(from int) tomldoc.Range {
+// endOfLine returns the empty range before the end of the line that an offset is in, behind a
+// comment.
+func (m *migration) endOfLine(offset int) tomldoc.Range {
 	end := len(m.data)
-	if n := bytes.IndexByte(m.data[from:], '\n'); n >= 0 {
-		end = from + n
+	if n := bytes.IndexByte(m.data[offset:], '\n'); n >= 0 {
+		end = offset + n
 	}
-	if end > from && m.data[end-1] == '\r' {
+	if end > offset && m.data[end-1] == '\r' {
 		end--
 	}
 	return tomldoc.Range{From: end, To: end}
 }
 
-// apply makes the edits, which do not overlap.
-func (m *migration) apply() []byte {
+// applyEdits returns the file with all edits, which do not overlap.
+func (m *migration) applyEdits() []byte {
 	slices.SortStableFunc(m.edits, func(a, b edit) int { return a.at.From - b.at.From })
-	var out bytes.Buffer
+	var file bytes.Buffer
 	from := 0
 	for _, e := range m.edits {
-		out.Write(m.data[from:e.at.From])
-		out.WriteString(e.text)
+		file.Write(m.data[from:e.at.From])
+		file.WriteString(e.text)
 		from = e.at.To
 	}
-	out.Write(m.data[from:])
-	return out.Bytes()
+	file.Write(m.data[from:])
+	return file.Bytes()
 }
 
-// nameOf makes a name of a file's.
-func nameOf(file string) string {
+// nameOfFile returns a valid name that is made of a file's name.
+func nameOfFile(file string) string {
 	name := strings.TrimSuffix(filepath.Base(file), ".toml")
 	name = strings.Map(func(r rune) rune {
-		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' || r == '.' {
+		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune("-_.", r) {
 			return r
 		}
 		return '-'
 	}, name)
-	if len(name) > maxNames {
-		name = name[:maxNames]
+	if len(name) > maxNameBytes {
+		name = name[:maxNameBytes]
 	}
 	if name == "" || name == "." {
-		name = "application"
+		return "application"
 	}
 	return name
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -3,17 +3,18 @@
 import (
 	"encoding/json"
 	"errors"
-	"fernlanding/internal/membership"
-	"fernlanding/internal/settings"
 	"fmt"
 	"strconv"
+
+	"fernlanding/internal/membership"
+	"fernlanding/internal/settings"
 )
 
 // PlatformService is the name of the platform's one service.
 const PlatformService = "tier"
 
-// DecodePlatform reads the file that the platform's LB_CONFIG names. listen and discovery stand in for addresses that
-// it lacks. Fields that it does not know are the platform's own and are ignored.
+// DecodePlatform decodes the file that the platform's LB_CONFIG names. listen and discovery replace
+// addresses that it lacks. Fields that it does not know are the platform's own and are ignored.
 func DecodePlatform(file string, data []byte, listen, discovery string) (*App, error) {
 	var raw struct {
 		Name      string `json:"name"`
@@ -44,35 +45,50 @@
 	if err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
 	}
-	l := raw.Limits
-	if l.Sockets < 0 || l.Cores < 0 || l.MemoryMB < 0 {
-		return nil, errors.New("limits: negative")
+	process, err := platformProcess(raw.Limits.Cores, raw.Limits.MemoryMB, raw.Limits.Sockets)
+	if err != nil {
+		return nil, err
+	}
+	service, err := platformService(raw.Settings, raw.Known)
+	if err != nil {
+		return nil, err
+	}
+	service.Source = Source{Kind: Catalog, Address: raw.Discovery}
+	return &App{
+		Name: raw.Name, Kind: Platform, Seed: seed, Process: process,
+		Listeners: []Listener{{Name: "main", Address: raw.Listen}}, Services: []*Service{service},
+	}, nil
+}
+
+// platformProcess returns what the process may use.
+func platformProcess(cores, memoryMB float64, sockets int) (Process, error) {
+	if sockets < 0 || cores < 0 || memoryMB < 0 {
+		return Process{}, errors.New("limits: negative")
 	}
-	if l.Sockets == 0 {
-		l.Sockets = defaultSockets
+	if sockets == 0 {
+		sockets = defaultSockets
 	}
-	if len(raw.Settings) == 0 {
+	return Process{Cores: cores, MemoryMB: memoryMB, Sockets: sockets}, nil
+}
+
+// platformService returns the platform's one service, without the source of its list.
+func platformService(settingsText, known json.RawMessage) (*Service, error) {
+	if len(settingsText) == 0 {
 		return nil, errors.New("settings is missing")
 	}
-	site, err := settings.Decode(raw.Settings)
+	deployment, err := settings.Decode(settingsText)
 	if err == nil {
-		err = site.CheckSockets()
+		err = deployment.CheckSockets()
 	}
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	s := &Service{
-		Name: PlatformService, Deployment: *site, MaxBody: 64 << 10, MaxResponse: 1 << 20,
-		Source: Source{Kind: Catalog, Address: raw.Discovery},
-	}
-	if len(raw.Known) > 0 && string(raw.Known) != "null" {
-		if s.KnownList, err = membership.Parse(raw.Known); err != nil {
+	s := &Service{Name: PlatformService, Deployment: *deployment, MaxBody: 64 << 10, MaxResponse: 1 << 20}
+	if len(known) > 0 && string(known) != "null" {
+		s.KnownList, err = membership.Parse(known)
+		if err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	return &App{
-		Name: raw.Name, Kind: Platform, Seed: seed,
-		Process:   Process{Cores: l.Cores, MemoryMB: l.MemoryMB, Sockets: l.Sockets},
-		Listeners: []Listener{{Name: "main", Address: raw.Listen}}, Services: []*Service{s},
-	}, nil
+	return s, nil
 }
--- a/internal/membership/consul/consul.go
+++ b/internal/membership/consul/consul.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	// A backoff is drawn from 0 to a bound that begins at firstBackoff and doubles up to maxBackoff.
+	// A backoff is drawn from 0 to a bound that doubles from firstBackoff up to maxBackoff.
 	firstBackoff = 100 * time.Millisecond
 	maxBackoff   = 2 * time.Second
 	// minPause is the pause after an answer without a change, lest wake-ups without a change become
