--- a/cmd/fernctl/rigrollout.go
+++ b/cmd/fernctl/rigrollout.go
@@ -166,15 +166,15 @@
 func rolloutPrint(out io.Writer, p rolloutPlay) {
 	f := p.Metrics
 	fmt.Fprintf(out, "%s, seed %d, %.1f s, %d faults: %d puts (%d unanswered, %d within 1 ms of another), %d updates in force (%d whole), %d refused, %d resumed, %d reports\n",
-		f.Scenario, f.Seed, f.Seconds, f.Faults, f.Puts, f.Unanswered, f.Twins, f.InForce, f.Wholes, f.Refused, f.Resumed, f.Reports)
+		f.Scenario, f.Seed, f.Seconds, f.Faults, f.Puts, f.Unanswered, f.Twins, f.InForce, f.Snapshots, f.Rejected, f.Resumed, f.Reports)
 	fmt.Fprintf(out, "in force, ways without faults: %.0f ms median, %.0f p99, %.0f last; urgent (%d judged): %.0f, %.0f, %.0f; with faults: %.2f s p99, %.2f last\n",
-		f.QuietP50, f.QuietP99, f.QuietMax, f.Judged, f.UrgentP50, f.UrgentP99, f.UrgentMax, f.WorstP99, f.WorstMax)
-	fmt.Fprintf(out, "the machine kept a process of the rig waiting for %.0f ms at most; %d urgent updates came late by no more than the processes on their way waited for a core\n", f.LagMax, f.Lagged)
+		f.FaultFreeP50Ms, f.FaultFreeP99Ms, f.FaultFreeMaxMs, f.UrgentEvaluated, f.UrgentP50Ms, f.UrgentP99Ms, f.UrgentMaxMs, f.AllP99Seconds, f.AllMaxSeconds)
+	fmt.Fprintf(out, "the machine kept a process of the rig waiting for %.0f ms at most; %d urgent updates came late by no more than the processes on their way waited for a core\n", f.MaxLagMs, f.UrgentDelayedByCPU)
 	if f.Unsettled {
 		fmt.Fprintln(out, "the last reports are not judged: the machine kept processes waiting for so long that reads broke")
 	}
 	fmt.Fprintf(out, "at rest, each follower: %.0f bytes and %.2f messages a second; a source or relay at most: %.1f MB, %.0f sessions, %.0f bytes of resources, %.0f encoded\n",
-		f.RestBytes, f.RestReads, f.Resident, f.Sessions, f.Store, f.Cache)
+		f.RestBytesPerSecond, f.RestReadsPerSecond, f.ResidentMB, f.MaxSessions, f.MaxStoreBytes, f.MaxCacheBytes)
 	for _, v := range p.Verdicts {
 		fmt.Fprintln(out, v)
 	}
--- /dev/null
+++ b/internal/harness/rollout/check/fixture_test.go
@@ -0,0 +1,163 @@
+package check_test
+
+import (
+	"slices"
+	"testing"
+
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/rollout/check"
+	"fernlanding/internal/harness/rollout/plan"
+)
+
+// scenarioText has one follower of one resource, one region's relay, and two relays in the
+// follower's zone.
+const scenarioText = `
+name = "judged"
+for = "60s"
+settle = "40s"
+[relays]
+regions = 1
+zones = 1
+per_zone = 2
+[followers]
+processes = 1
+each = 1
+follows = 1
+[publisher]
+resources = 1
+[bounds]
+relay_mb = 64
+rest_bytes_per_s = 100
+[[faults]]
+at = "20s"
+for = "4s"
+kind = "kill"
+on = "regions"
+[[faults]]
+at = "30s"
+for = "1s"
+kind = "restart"
+[[faults]]
+at = "40s"
+for = "1s"
+kind = "kill"
+on = "zones"
+names = ["zone-1"]
+`
+
+// The histories of the tests have times in microseconds, and one follower that reads from one
+// relay.
+const (
+	ms       = int64(1000)
+	second   = 1000 * ms
+	follower = "follower-1"
+	resource = "service-1"
+	relay    = "zone-1"
+)
+
+// scenario returns the scenario of all tests.
+func scenario(tb testing.TB) *plan.Scenario {
+	tb.Helper()
+	sc, err := plan.Decode("test.toml", []byte(scenarioText))
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return sc
+}
+
+// version returns a version of the first epoch.
+func version(n uint64) distribution.Version { return distribution.Version{Epoch: 1, Revision: n} }
+
+// put returns an answered put of version n.
+func put(at int64, n uint64, urgent bool) history.Event {
+	return history.Event{
+		At:       at,
+		Kind:     history.Put,
+		Who:      plan.PublisherName,
+		Resource: resource,
+		Version:  version(n),
+		Took:     ms,
+		Status:   200,
+		Urgent:   urgent,
+	}
+}
+
+// inForce returns that the follower puts version n in force, by a delta from a version or by a
+// snapshot (0).
+func inForce(at int64, from, n uint64) history.Event {
+	e := history.Event{
+		At:       at,
+		Kind:     history.InForce,
+		Who:      follower,
+		To:       relay,
+		Resource: resource,
+		Version:  version(n),
+		Digest:   "d" + version(n).String(),
+	}
+	if from > 0 {
+		e.From = version(from)
+	}
+	return e
+}
+
+// subscribed returns that the follower starts with version n, or with nothing (0).
+func subscribed(at int64, n uint64) history.Event {
+	e := history.Event{At: at, Kind: history.Subscribed, Who: follower, Resource: resource}
+	if n > 0 {
+		e.Version = version(n)
+	}
+	return e
+}
+
+// fault returns the beginning and the end of a fault of the schedule.
+func fault(id string, from, to int64) []history.Event {
+	return []history.Event{{At: from, Kind: history.Fault, ID: id, N: 1}, {At: to, Kind: history.Fault, ID: id}}
+}
+
+// report returns an in-force report with a number of proxies at version n.
+func report(at int64, n uint64, proxies int) history.Event {
+	counts := []distribution.VersionCount{{Version: version(n), Proxies: proxies}}
+	return history.Event{
+		At:       at,
+		Kind:     history.Reported,
+		Resource: resource,
+		Report:   &distribution.ResourceStatus{Resource: resource, Counts: counts},
+	}
+}
+
+// ending returns the end of a run whose last version is n.
+func ending(n uint64) []history.Event {
+	return []history.Event{
+		{
+			At: 100 * second, Kind: history.Source, Resource: resource, Version: version(n),
+			Digest: "d" + version(n).String(),
+		},
+		report(100*second, n, 1),
+		{At: 101 * second, Kind: history.Ended},
+	}
+}
+
+// run returns the verdicts on a history of events, in any order, that begins with nothing and ends
+// at version n.
+func run(tb testing.TB, n uint64, events ...history.Event) []check.Verdict {
+	tb.Helper()
+	all := slices.Concat([]history.Event{subscribed(0, 0)}, events, ending(n))
+	history.Sort(all)
+	return check.Run(scenario(tb), all)
+}
+
+// waited returns that a process's threads waited for a core.
+func waited(who string, at, took int64) history.Event {
+	return history.Event{At: at, Kind: history.Waited, Who: who, N: at - 50*ms, Took: took}
+}
+
+// used returns how many bytes the follower has sent and received.
+func used(at int64, bytes float64) history.Event {
+	return history.Event{
+		At:      at,
+		Kind:    history.Used,
+		Who:     "followers-1",
+		Figures: map[string]float64{history.UsedBytes: bytes, history.UsedFollowers: 1},
+	}
+}
--- a/internal/harness/rollout/rollout_test.go
+++ b/internal/harness/rollout/rollout_test.go
@@ -160,8 +160,8 @@
 			defer func() { <-together }()
 			o := rollout.Options{Relay: harnesstest.InRole(roleVar, roleNaiveNode), Actor: harnesstest.InRole(roleVar, roleNaiveActor), Env: []string{bugVar + "=" + string(c.bug)}, Logs: os.Stderr}
 			verdicts, f := play(t, decode(t, naiveScenario+c.faults), o)
-			if c.faults == "" && f.Judged < 20 {
-				t.Errorf("%d urgent updates judged: the run shows nothing", f.Judged)
+			if c.faults == "" && f.UrgentEvaluated < 20 {
+				t.Errorf("%d urgent updates judged: the run shows nothing", f.UrgentEvaluated)
 			}
 			if c.check == "" {
 				for _, v := range verdicts {
@@ -192,8 +192,8 @@
 			sc := decode(t, string(data))
 			sc.Seed += seed
 			f := hold(t, sc)
-			if f.InForce < 500 || f.Judged < 50 || f.Twins == 0 {
-				t.Errorf("seed %d: %d updates in force, %d urgent ones judged, %d puts within 1 ms: the run shows nothing", sc.Seed, f.InForce, f.Judged, f.Twins)
+			if f.InForce < 500 || f.UrgentEvaluated < 50 || f.Twins == 0 {
+				t.Errorf("seed %d: %d updates in force, %d urgent ones judged, %d puts within 1 ms: the run shows nothing", sc.Seed, f.InForce, f.UrgentEvaluated, f.Twins)
 			}
 		})
 	}
