--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,9 +1,10 @@
-// Package quota divides a bounded good of the process, descriptors or memory, among parties: clients and pools. It is
-// pure: no I/O, no clock.
+// Package quota divides a bounded resource of the process, file descriptors or memory, among
+// consumers: the clients and the pools. It is pure: no I/O, no clock.
 //
-// Each party has a floor that it can have at any time. What the floors leave is lent to whoever asks. A party that is
-// turned away counts as in want for a while, until it has been given something; as long, those that hold more than
-// their fair part of what is lent get no more, and Debtor names one that is to give back. The sum of what is held never passes the total.
+// Each consumer has a floor that it can have at any time. What the floors leave is borrowed by
+// whoever asks. A consumer that was denied counts as starved for a while, until it has been given
+// something; meanwhile those that have borrowed more than their fair share get no more, and
+// Excesses names those that are to give back. The sum of what is in use never exceeds the total.
 // Times are in microseconds of one clock.
 package quota
 
@@ -14,223 +15,177 @@
 	"slices"
 )
 
-// StarvedFor is how long a party that was turned away counts as in want, in microseconds. It asks again with its next
-// request; one that does not has no use for what others hold.
+// StarvedFor is how long a consumer that was denied counts as starved, in microseconds. It asks
+// again with its next request; one that does not has no use for what others have.
 const StarvedFor = 1_000_000
 
-// Allocator keeps the books. It is not safe for concurrent use.
+// Allocator counts what each consumer has in use. It is not safe for concurrent use.
 type Allocator struct {
-	total   int64
-	parties map[string]*party
-	order   []*party // as they were entered: every walk has this order
-	held    int64
+	total     int64
+	inUse     int64
+	consumers map[string]*consumer
+	order     []*consumer // in which they were added: every walk has this order
 }
 
-type party struct {
-	name  string
-	floor int64
-	held  int64
-	until int64 // counts as in want until then
+// consumer is one consumer's part.
+type consumer struct {
+	name         string
+	floor        int64
+	inUse        int64
+	starvedUntil int64
 }
 
-// lent is what a party holds beyond its floor.
-func (p *party) lent() int64 { return max(0, p.held-p.floor) }
+// borrowed returns what a consumer has in use beyond its floor.
+func (c *consumer) borrowed() int64 { return max(0, c.inUse-c.floor) }
 
-// New returns a ledger over a total in whatever unit, with no parties.
+// New returns an Allocator of a total in whatever unit, with no consumers.
 func New(total int64) (*Allocator, error) {
 	if total <= 0 {
 		return nil, fmt.Errorf("total: %d, more than 0 expected", total)
 	}
-	return &Allocator{total: total, parties: map[string]*party{}}, nil
+	return &Allocator{total: total, consumers: map[string]*consumer{}}, nil
 }
 
-// ErrFloors says that the floors together pass the total.
+// ErrFloors says that the floors together exceed the total.
 var ErrFloors = errors.New("the floors pass the total")
 
-// SetFloors gives all floors anew, in order. What parties hold they keep, those too that have no floor any more, until they
-// give it back. Floors that together pass the total are an error (ErrFloors) and change nothing.
-func (l *Allocator) SetFloors(names []string, floors []int64) error {
-	sum := int64(0)
-	for i, f := range floors {
-		if f < 0 {
-			return fmt.Errorf("floor of %s: %d, 0 or more expected", names[i], f)
+// SetFloors replaces all floors, in order. What consumers have in use they keep until they release
+// it, those too that have no floor any more. Floors that together exceed the total are an error
+// (ErrFloors) and change nothing.
+func (a *Allocator) SetFloors(names []string, floors []int64) error {
+	if err := a.checkFloors(names, floors); err != nil {
+		return err
+	}
+	for _, c := range a.order {
+		c.floor = 0
+	}
+	for i, name := range names {
+		c := a.consumers[name]
+		if c == nil {
+			c = &consumer{name: name}
+			a.consumers[name] = c
+			a.order = append(a.order, c)
 		}
-		sum += f
-	}
-	if sum > l.total {
-		return fmt.Errorf("%w: %d, %d expected at most", ErrFloors, sum, l.total)
-	}
-	for _, p := range l.order {
-		p.floor = 0
+		c.floor = floors[i]
 	}
-	for i, n := range names {
-		p := l.parties[n]
-		if p == nil {
-			p = &party{name: n}
-			l.parties[n] = p
-			l.order = append(l.order, p)
+	a.removeUnused(names)
+	return nil
+}
+
+// checkFloors reports a negative floor, or a sum beyond the total.
+func (a *Allocator) checkFloors(names []string, floors []int64) error {
+	sum := int64(0)
+	for i, floor := range floors {
+		if floor < 0 {
+			return fmt.Errorf("floor of %s: %d, 0 or more expected", names[i], floor)
 		}
-		p.floor = floors[i]
+		sum += floor
+	}
+	if sum > a.total {
+		return fmt.Errorf("%w: %d, %d expected at most", ErrFloors, sum, a.total)
 	}
-	l.tidy(names)
 	return nil
 }
 
-// tidy forgets parties that are not named and hold nothing.
-func (l *Allocator) tidy(names []string) {
+// removeUnused removes consumers that are not named and have nothing in use.
+func (a *Allocator) removeUnused(names []string) {
 	named := map[string]bool{}
-	for _, n := range names {
-		named[n] = true
+	for _, name := range names {
+		named[name] = true
 	}
-	kept := l.order[:0]
-	for _, p := range l.order {
-		if named[p.name] || p.held > 0 {
-			kept = append(kept, p)
+	kept := a.order[:0]
+	for _, c := range a.order {
+		if named[c.name] || c.inUse > 0 {
+			kept = append(kept, c)
 		} else {
-			delete(l.parties, p.name)
+			delete(a.consumers, c.name)
 		}
 	}
-	clear(l.order[len(kept):])
-	l.order = kept
+	clear(a.order[len(kept):])
+	a.order = kept
 }
 
-// Total is what there is.
-func (l *Allocator) Total() int64 { return l.total }
+// Total returns the total.
+func (a *Allocator) Total() int64 { return a.total }
 
-// InUse is what all parties hold together.
-func (l *Allocator) InUse() int64 { return l.held }
+// InUse returns what all consumers have in use together.
+func (a *Allocator) InUse() int64 { return a.inUse }
 
-// InUseBy is what a party holds.
-func (l *Allocator) InUseBy(name string) int64 {
-	if p := l.parties[name]; p != nil {
-		return p.held
+// InUseBy returns what one consumer has in use.
+func (a *Allocator) InUseBy(name string) int64 {
+	if c := a.consumers[name]; c != nil {
+		return c.inUse
 	}
 	return 0
 }
 
-// reserved is what no one can be lent: the floors, and what is held above them.
-func (l *Allocator) reserved() (n int64) {
-	for _, p := range l.order {
-		n += max(p.floor, p.held)
-	}
-	return n
-}
-
-// Acquire gives a party n more, or nothing and false.
-func (l *Allocator) Acquire(now int64, name string, n int64) bool {
-	p := l.parties[name]
-	if p == nil || n <= 0 || n > l.total {
+// Acquire gives a consumer n more, or nothing, and reports which.
+func (a *Allocator) Acquire(now int64, name string, n int64) bool {
+	c := a.consumers[name]
+	if c == nil || n <= 0 || n > a.total {
 		return false
 	}
-	if !l.may(now, p, n) {
+	if !a.allows(now, c, n) {
 		return false
 	}
-	p.held += n
-	l.held += n
-	p.until = 0
+	c.inUse += n
+	a.inUse += n
+	c.starvedUntil = 0
 	return true
 }
 
-// MarkStarved says that a party goes without what Take did not give it, whatever others could give back: it is in want.
-func (l *Allocator) MarkStarved(now int64, name string) {
-	if p := l.parties[name]; p != nil {
-		p.until = now + StarvedFor
-	}
-}
-
-// may tells whether a party can have n more.
-func (l *Allocator) may(now int64, p *party, n int64) bool {
-	if l.held+n > l.total {
-		return false
-	}
-	if p.held+n <= p.floor { // held back for it, unless the floors have just been raised over what others hold
-		return true
-	}
-	more := p.held + n - max(p.held, p.floor) // of what is lent
-	if l.reserved()+more > l.total {
-		return false
-	}
-	return !l.others(now, p) || p.lent()+more <= l.fair(now, p)
-}
-
-// wants tells whether a party is in want.
-func (l *Allocator) wants(now int64, p *party) bool {
-	return now < p.until && (p.held < p.floor || p.lent() < l.fair(now, p))
-}
-
-// others tells whether any other party is in want.
-func (l *Allocator) others(now int64, p *party) bool {
-	for _, q := range l.order {
-		if q != p && l.wants(now, q) {
-			return true
-		}
+// Release takes n back from a consumer; more than it has in use counts as all.
+func (a *Allocator) Release(name string, n int64) {
+	c := a.consumers[name]
+	if c == nil || n <= 0 {
+		return
 	}
-	return false
+	n = min(n, c.inUse)
+	c.inUse -= n
+	a.inUse -= n
 }
 
-// fair is a party's part of all that can be lent, shared evenly among those that have some or want some.
-func (l *Allocator) fair(now int64, p *party) int64 {
-	left, n := l.total, int64(0)
-	for _, q := range l.order {
-		left -= q.floor
-		if q.lent() > 0 || now < q.until || q == p {
-			n++
-		}
+// MarkStarved says that a consumer goes without what Acquire denied it, whatever others could give
+// back.
+func (a *Allocator) MarkStarved(now int64, name string) {
+	if c := a.consumers[name]; c != nil {
+		c.starvedUntil = now + StarvedFor
 	}
-	return max(0, left) / max(1, n)
 }
 
-// Excess is what a party holds beyond its floor.
+// Excess is what a consumer has in use beyond its floor.
 type Excess struct {
 	Name      string
-	Overdrawn bool // beyond its fair part too, or while the one in want has not its floor
+	Overdrawn bool // beyond its fair share too, or while the starved one lacks its floor
 }
 
-// Excesses are the others that hold something beyond their floors where name could have more of it, those first that
-// hold most.
-// What they keep idle is to be given back; what is in use only where they are Over, and by keeping nothing new.
-func (l *Allocator) Excesses(now int64, name string) (debts []Excess) {
-	p := l.parties[name]
-	if p == nil || p.held >= p.floor && l.others(now, p) && p.lent() >= l.fair(now, p) {
+// Excesses returns the others that have borrowed something, where name could have more of it, those
+// first that have borrowed most. What they keep idle is to be given back; what is in use only where
+// they are Overdrawn, and by keeping nothing new.
+func (a *Allocator) Excesses(now int64, name string) []Excess {
+	c := a.consumers[name]
+	if c == nil || c.inUse >= c.floor && a.othersStarve(now, c) && c.borrowed() >= a.fairShare(now, c) {
 		return nil // it would get nothing of what others give back
 	}
-	var who []*party
-	for _, q := range l.order {
-		if q != p && q.lent() > 0 {
-			who = append(who, q)
+	var borrowers []*consumer
+	for _, other := range a.order {
+		if other != c && other.borrowed() > 0 {
+			borrowers = append(borrowers, other)
 		}
 	}
-	slices.SortStableFunc(who, func(a, b *party) int { return cmp.Compare(b.lent(), a.lent()) })
-	for _, q := range who {
-		debts = append(debts, Excess{q.name, q.lent() > l.fair(now, q) || p.held < p.floor})
+	slices.SortStableFunc(borrowers, func(x, y *consumer) int { return cmp.Compare(y.borrowed(), x.borrowed()) })
+	var excesses []Excess
+	for _, b := range borrowers {
+		overdrawn := b.borrowed() > a.fairShare(now, b) || c.inUse < c.floor
+		excesses = append(excesses, Excess{Name: b.name, Overdrawn: overdrawn})
 	}
-	return debts
+	return excesses
 }
 
-// Overdrawn tells whether a party holds more than its fair part while another is in want: what it holds idle is to be
-// given back.
-func (l *Allocator) Overdrawn(now int64, name string) bool {
-	p := l.parties[name]
-	return p != nil && p.lent() > 0 && l.others(now, p) && (p.lent() > l.fair(now, p) || l.underFloor(now, p))
-}
-
-// underFloor tells whether another party is in want of its floor.
-func (l *Allocator) underFloor(now int64, p *party) bool {
-	for _, q := range l.order {
-		if q != p && now < q.until && q.held < q.floor {
-			return true
-		}
-	}
-	return false
-}
-
-// Release takes n back from a party; more than it holds counts as all.
-func (l *Allocator) Release(name string, n int64) {
-	p := l.parties[name]
-	if p == nil || n <= 0 {
-		return
-	}
-	n = min(n, p.held)
-	p.held -= n
-	l.held -= n
+// Overdrawn reports whether a consumer has borrowed more than its fair share while another is
+// starved: what it keeps idle is to be given back.
+func (a *Allocator) Overdrawn(now int64, name string) bool {
+	c := a.consumers[name]
+	return c != nil && c.borrowed() > 0 && a.othersStarve(now, c) &&
+		(c.borrowed() > a.fairShare(now, c) || a.othersLackFloor(now, c))
 }
