--- a/internal/fleetsim/replica.go
+++ b/internal/fleetsim/replica.go
@@ -127,7 +127,7 @@
 	return settings
 }
 
-// settings returns what a replica is told of the class.
+// settings returns the class as a replica is configured with it.
 func (c *Class) settings() logic.Class {
 	kinds := map[string]logic.Idempotency{
 		idempotent: logic.Idempotent, idempotentByKey: logic.IdempotentByKey, nonIdempotent: logic.NonIdempotent,
--- a/logic/outlier.go
+++ b/logic/outlier.go
@@ -39,11 +39,11 @@
 	return isOutlier
 }
 
-// updateOutlierState updates an endpoint's health by an outcome and reports whether that is a
-// failure of its own. One that its peers show as well is a deeper tier's and held against the
-// limits; a refused connection never is, lest a lost zone be one. An error that was answered
-// concerns its class only, lest endpoints that fail one class be lost to all; silence concerns the
-// whole endpoint.
+// updateOutlierState updates an endpoint's health by an outcome and reports whether that is a failure
+// of its own. A failure that its peers show as well comes from a deeper tier and counts against the
+// limits. A refused connection is always the endpoint's own: in a lost zone all peers refuse alike,
+// and none would be an outlier. An error that was answered concerns its class only, so that endpoints
+// that fail one class are not lost to all; silence concerns the whole endpoint.
 func (b *Balancer) updateOutlierState(e *endpoint, class int, status Status) bool {
 	c, failure := &b.classes[class], indicator(status != OK)
 	b.errorRate += (failure - b.errorRate) * ewmaGain
