--- a/cmd/simhost/serve_test.go
+++ b/cmd/simhost/server_test.go
@@ -9,35 +9,41 @@
 	"testing"
 )
 
-const testOptions = `{"contract":{"ask_every_us":10000000,"cold_us":24000000,"drain_grace_us":500000,` +
+// testSettings is an instance's settings, with keys that are unknown.
+const testSettings = `{"contract":{"ask_every_us":10000000,"cold_us":24000000,"drain_grace_us":500000,` +
 	`"start_capacity":0.13},"deductions":{"cross_zone":0.015},"failure_domains":["a","b"],"unheard_of":{"x":[1]},` +
-	`"limits":{"max_retry_after_us":750000,"retry_after":true,"try_limit":5},"membership_mode":"automatic","my_zone":1,` +
-	`"ordinal":0,"profiles":[{"dedup_scope":"cell","dedup_window_us":2000000,"give_up_us":1200000,"late_share":0.0,` +
+	`"limits":{"max_retry_after_us":750000,"retry_after":true,"try_limit":5},"membership_mode":"automatic",` +
+	`"my_zone":1,"ordinal":0,"profiles":[{"dedup_scope":"cell","dedup_window_us":2000000,"give_up_us":1200000,"late_share":0.0,` +
 	`"objective_us":500000,"repeat":"deduplicated","worth":1.0}],"siblings":3,"stage":0,"tenants":[],"tiers":["t"],` +
 	`"weights":"rough"}`
 
+// instanceLine returns the event that starts an instance.
 func instanceLine(who string) string {
-	return fmt.Sprintf(`{"new_instance":{"who":%q,"salt":7,"options":%s}}`, who, testOptions)
+	return fmt.Sprintf(`{"new_instance":{"who":%q,"salt":7,"options":%s}}`, who, testSettings)
 }
 
-func rosterLine(id int, servers ...string) string {
-	var e []string
-	for _, s := range servers {
-		e = append(e, fmt.Sprintf(`{"backend":%q,"dc":1,"flavor":0,"pack":0,"state":1,"power_hint":1.5,"launched_us":null}`, s))
+// listLine returns the event that defines an endpoint list.
+func listLine(number int, backends ...string) string {
+	var endpoints []string
+	for _, backend := range backends {
+		endpoints = append(endpoints, fmt.Sprintf(`{"backend":%q,"dc":1,"flavor":0,"pack":0,"state":1,`+
+			`"power_hint":1.5,"launched_us":null}`, backend))
 	}
-	return fmt.Sprintf(`{"ledger":{"roster_id":%d,"elements":[%s]}}`, id, strings.Join(e, ","))
+	return fmt.Sprintf(`{"ledger":{"roster_id":%d,"elements":[%s]}}`, number, strings.Join(endpoints, ","))
 }
 
+// batch returns a batch of events.
 func batch(now int, lines ...string) string {
 	return fmt.Sprintf("{\"mark\":{\"time_us\":%d}}\n%s\n{\"your_turn\":{}}\n", now, strings.Join(lines, "\n"))
 }
 
-func jobLine(who, ticket string) string {
+// requestLine returns the event of a request.
+func requestLine(who, ticket string) string {
 	return fmt.Sprintf(`{"job_in":{"who":%q,"ticket":%q,"band":0,"owner":0,"affinity":null,`+
 		`"give_up_at_us":9000000,"weight_hint_us":null,"opts":0}}`, who, ticket)
 }
 
-// run plays the input and returns the reply's lines.
+// run serves an input and returns the lines of output.
 func run(t *testing.T, input string) ([]string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -45,6 +51,7 @@
 	return strings.Split(strings.TrimSuffix(out.String(), "\n"), "\n"), err
 }
 
+// mustRun serves an input that is valid.
 func mustRun(t *testing.T, input string) []string {
 	t.Helper()
 	lines, err := run(t, input)
@@ -54,6 +61,7 @@
 	return lines
 }
 
+// An empty batch is answered with its end, and an empty input with nothing.
 func TestEmptyBatchesAndEndOfInput(t *testing.T) {
 	got := mustRun(t, batch(5)+batch(6))
 	if want := []string{`{"done":{}}`, `{"done":{}}`}; !slices.Equal(got, want) {
@@ -64,10 +72,11 @@
 	}
 }
 
-func TestARequestFromListToAnswer(t *testing.T) {
-	got := mustRun(t, batch(1, instanceLine("proxy_1"), rosterLine(0, "backend-x"),
+// A request is forwarded to a listed backend, and fails when its attempt has timed out.
+func TestRequestFromListToAnswer(t *testing.T) {
+	got := mustRun(t, batch(1, instanceLine("proxy_1"), listLine(0, "backend-x"),
 		`{"membership":{"who":"proxy_1","how":2,"seq_no":1,"roster_id":0}}`)+
-		batch(2_000_000, jobLine("proxy_1", "00ff"))+
+		batch(2_000_000, requestLine("proxy_1", "00ff"))+
 		batch(2_500_000, `{"completed":{"who":"proxy_1","ticket":"00ff","go":0,"backend":"backend-x","verdict":504,`+
 			`"took_us":500000,"terminal":false,"server_stats":null}}`))
 	want := []string{
@@ -80,12 +89,13 @@
 	}
 }
 
-// A roster's number is used again within a batch: each list must be read as it stood in order of events.
-func TestRosterReusedWithinABatch(t *testing.T) {
+// A list's number is reused within a batch: each instance gets the list that the number refers to
+// at its event.
+func TestListNumberReusedWithinBatch(t *testing.T) {
 	got := mustRun(t, batch(1, instanceLine("proxy_1"), instanceLine("proxy_2"),
-		rosterLine(3, "backend-one"), `{"membership":{"who":"proxy_1","how":1,"seq_no":1,"roster_id":3}}`,
-		rosterLine(3, "backend-two"), `{"membership":{"who":"proxy_2","how":1,"seq_no":1,"roster_id":3}}`,
-		jobLine("proxy_1", "aa"), jobLine("proxy_2", "bb")))
+		listLine(3, "backend-one"), `{"membership":{"who":"proxy_1","how":1,"seq_no":1,"roster_id":3}}`,
+		listLine(3, "backend-two"), `{"membership":{"who":"proxy_2","how":1,"seq_no":1,"roster_id":3}}`,
+		requestLine("proxy_1", "aa"), requestLine("proxy_2", "bb")))
 	all := strings.Join(got, "\n")
 	if !strings.Contains(all, `"ticket":"aa","timeout_us":500000,"backend":"backend-one"`) ||
 		!strings.Contains(all, `"ticket":"bb","timeout_us":500000,"backend":"backend-two"`) {
@@ -93,10 +103,12 @@
 	}
 }
 
-func TestStopAndRestartInOneBatchForgetsTheList(t *testing.T) {
-	got := mustRun(t, batch(1, instanceLine("proxy_1"), rosterLine(0, "backend-x"),
+// An instance that is stopped and started within a batch has no list. Events that concern nothing
+// it knows are ignored.
+func TestRestartWithinBatchForgetsList(t *testing.T) {
+	got := mustRun(t, batch(1, instanceLine("proxy_1"), listLine(0, "backend-x"),
 		`{"membership":{"who":"proxy_1","how":2,"seq_no":1,"roster_id":0}}`,
-		`{"power_off":{"who":"proxy_1"}}`, instanceLine("proxy_1"), jobLine("proxy_1", "aa"),
+		`{"power_off":{"who":"proxy_1"}}`, instanceLine("proxy_1"), requestLine("proxy_1", "aa"),
 		`{"withdrawn":{"who":"proxy_1","ticket":"never"}}`,
 		`{"tick_due":{"who":"proxy_1","nonce":"odd"}}`,
 		`{"probe_done":{"who":"proxy_1","backend":"backend-x","verdict":200,"took_us":1,"server_stats":null}}`,
@@ -107,40 +119,63 @@
 	}
 }
 
-func TestVeryLongLine(t *testing.T) {
+// A line that is longer than the buffer is read completely.
+func TestLineLongerThanBuffer(t *testing.T) {
 	var names []string
 	for i := range 20_000 {
 		names = append(names, fmt.Sprintf("backend-%d", i))
 	}
-	if line := rosterLine(0, names...); len(line) < readBuffer {
+	if line := listLine(0, names...); len(line) < bufferBytes {
 		t.Fatalf("the line has only %d bytes", len(line))
 	}
-	got := mustRun(t, batch(1, instanceLine("proxy_1"), rosterLine(0, names...),
-		`{"membership":{"who":"proxy_1","how":1,"seq_no":1,"roster_id":0}}`, jobLine("proxy_1", "aa")))
+	got := mustRun(t, batch(1, instanceLine("proxy_1"), listLine(0, names...),
+		`{"membership":{"who":"proxy_1","how":1,"seq_no":1,"roster_id":0}}`, requestLine("proxy_1", "aa")))
 	if len(got) != 2 || !strings.Contains(got[0], `"place"`) {
 		t.Errorf("got %q", got)
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+// Invalid input is an error that names its line and the event.
+func TestInvalidInputIsAnError(t *testing.T) {
 	for _, c := range []struct{ line, want string }{
 		{`nonsense`, "line 2: not an event"},
 		{`{"job_in":{"who":5}}`, "line 2: not an event"},
 		{`{"greeting":{}}`, "line 2: unknown event"},
 		{`{}`, "line 2: unknown event"},
 		{`null`, "line 2: unknown event"},
-		{jobLine("proxy_9", "aa"), `line 2: job_in: unknown instance "proxy_9"`},
+		{requestLine("proxy_9", "aa"), `line 2: job_in: unknown instance "proxy_9"`},
 		{`{"job_in":{"ticket":"aa"}}`, "line 2: job_in: who is missing"},
 		{`{"membership":{"who":"proxy_1","how":1,"roster_id":4}}`, `line 2: membership: unknown instance`},
-		{instanceLine("proxy_1") + "\n" + `{"membership":{"who":"proxy_1","how":1,"roster_id":4}}`, "line 3: membership: roster_id"},
-		{instanceLine("proxy_1") + "\n" + `{"membership":{"who":"proxy_1","how":7,"roster_id":4}}`, "line 3: membership: how"},
-		{instanceLine("proxy_1") + "\n" + `{"job_in":{"who":"proxy_1","ticket":"aa","give_up_at_us":5}}`, "line 3: job_in: ticket, band"},
-		{instanceLine("proxy_1") + "\n" + `{"completed":{"who":"proxy_1","ticket":"a","go":0,"verdict":299}}`, "line 3: completed: unknown verdict 299"},
+		{
+			instanceLine("proxy_1") + "\n" + `{"membership":{"who":"proxy_1","how":1,"roster_id":4}}`,
+			"line 3: membership: roster_id",
+		},
+		{
+			instanceLine("proxy_1") + "\n" + `{"membership":{"who":"proxy_1","how":7,"roster_id":4}}`,
+			"line 3: membership: how",
+		},
+		{
+			instanceLine("proxy_1") + "\n" + `{"job_in":{"who":"proxy_1","ticket":"aa","give_up_at_us":5}}`,
+			"line 3: job_in: ticket, band",
+		},
+		{
+			instanceLine("proxy_1") + "\n" + `{"completed":{"who":"proxy_1","ticket":"a","go":0,"verdict":299}}`,
+			"line 3: completed: unknown verdict 299",
+		},
 		{`{"ledger":{"roster_id":16,"elements":[]}}`, "line 2: ledger: roster_id 16"},
 		{`{"ledger":{"roster_id":1,"elements":[{"backend":"b","dc":0}]}}`, "line 2: ledger: elements[0]"},
-		{`{"ledger":{"roster_id":1,"elements":[{"backend":"b","dc":0,"state":3}]}}`, "line 2: ledger: elements[0].state"},
-		{strings.Replace(instanceLine("p"), "deduplicated", "sometimes", 1), `line 2: new_instance: options.profiles[0].repeat: unknown word "sometimes"`},
-		{strings.Replace(instanceLine("p"), `"my_zone":1`, `"my_zone":2`, 1), "line 2: new_instance: logic: Settings.Zone"},
+		{
+			`{"ledger":{"roster_id":1,"elements":[{"backend":"b","dc":0,"state":3}]}}`,
+			"line 2: ledger: elements[0].state",
+		},
+		{
+			strings.Replace(instanceLine("p"), "deduplicated", "sometimes", 1),
+			`line 2: new_instance: options.profiles[0].repeat: unknown word "sometimes"`,
+		},
+		{
+			strings.Replace(instanceLine("p"), `"my_zone":1`, `"my_zone":2`, 1),
+			"line 2: new_instance: logic: Settings.Zone",
+		},
 		{strings.Replace(instanceLine("p"), `"salt":7,`, "", 1), "line 2: new_instance: who, salt or options"},
 	} {
 		_, err := run(t, batch(1, c.line))
@@ -149,18 +184,19 @@
 		}
 	}
 	if _, err := run(t, instanceLine("p")); err == nil {
-		t.Error("an event before any mark is taken")
+		t.Error("an event before any mark is accepted")
 	}
 	if _, err := run(t, `{"mark":{"time_us":1}}`); err == nil {
-		t.Error("an end inside a batch is taken")
+		t.Error("an end inside a batch is accepted")
 	}
 }
 
+// Each action has its name and its keys on the wire.
 func TestActionsOnTheWire(t *testing.T) {
 	var out bytes.Buffer
-	enc := json.NewEncoder(&out)
-	enc.SetEscapeHTML(false)
-	h := &host{who: "proxy_1", out: enc}
+	encoder := json.NewEncoder(&out)
+	encoder.SetEscapeHTML(false)
+	h := &host{instance: "proxy_1", encoder: encoder}
 	h.Forward("aa", "backend-x", 7)
 	h.Shed("aa", 250000)
 	h.Fail("aa")
@@ -179,15 +215,19 @@
 	}
 }
 
-// A key that does not reach the module cannot keep its order.
-func TestAKeyReachesTheModule(t *testing.T) {
-	ordered := strings.Replace(instanceLine("proxy_1"), `"dedup_scope":"cell"`, `"by_arrival":true,"dedup_scope":"cell"`, 1)
-	keyed := func(ticket string) string {
-		return strings.Replace(jobLine("proxy_1", ticket), `"affinity":null`, `"affinity":"k:1"`, 1)
-	}
-	got := mustRun(t, batch(1, ordered, rosterLine(0, "backend-x", "backend-y"),
+// Requests with one ordering key are forwarded one after the other, which needs the key in the
+// module.
+func TestOrderingKeyReachesModule(t *testing.T) {
+	ordered := strings.Replace(
+		instanceLine("proxy_1"), `"dedup_scope":"cell"`, `"by_arrival":true,"dedup_scope":"cell"`,
+		1,
+	)
+	withKey := func(ticket string) string {
+		return strings.Replace(requestLine("proxy_1", ticket), `"affinity":null`, `"affinity":"k:1"`, 1)
+	}
+	got := mustRun(t, batch(1, ordered, listLine(0, "backend-x", "backend-y"),
 		`{"membership":{"who":"proxy_1","how":2,"seq_no":1,"roster_id":0}}`)+
-		batch(2_000_000, keyed("aa"), keyed("bb")))
+		batch(2_000_000, withKey("aa"), withKey("bb")))
 	all := strings.Join(got, "\n")
 	if strings.Count(all, `"place"`) != 1 || !strings.Contains(all, `"nonce":"held bb"`) {
 		t.Errorf("got\n%s", all)
