--- a/cmd/fernctl/rigrollout.go
+++ b/cmd/fernctl/rigrollout.go
@@ -134,7 +134,7 @@
 	if _, err := os.Stat(program); err != nil && !c.Bool("list") {
 		return nil, o, fmt.Errorf("rig rollout: the program under test: %w", err)
 	}
-	o = rollout.Options{Relay: []string{program}, Actor: []string{self, "rig", actorWord}}
+	o = rollout.Options{Program: []string{program}, Worker: []string{self, "rig", actorWord}}
 	if c.Bool("logs") {
 		o.Logs = c.Root().ErrWriter
 	}
--- /dev/null
+++ b/internal/harness/rollout/execute.go
@@ -0,0 +1,118 @@
+package rollout
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/launch"
+	"fernlanding/internal/harness/rollout/plan"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/harness/worker"
+	"fernlanding/internal/sleep"
+)
+
+// rigName names the rig itself in the history.
+const rigName = "rig"
+
+// execute lets the publisher write, carries out the schedule, waits until all has settled, and
+// records what the source has.
+func (r *run) execute(ctx context.Context) error {
+	waits := r.recordCPUWaits(nil) // the first sample: the next ones are compared with it, so that no wait is missed
+	began := time.Now()
+	r.startedAt = r.Clock.Now()
+	err := r.Processes.Say(plan.PublisherName, worker.Command{Do: worker.DoBegin, At: r.startedAt})
+	if err != nil {
+		return fmt.Errorf("rollout: %w", err)
+	}
+	observing, stop := context.WithCancel(ctx)
+	r.Faults.Go(func() { r.observeServers(observing) })
+	r.Faults.Go(func() { r.observeCPUWaits(observing, waits) })
+	r.Faults.Go(func() { history.WatchLag(observing, rigName, r.Clock, r.Tell) })
+	defer stop()
+	schedule := launch.Schedule{Faults: r.sc.Schedule(), Begin: r.beginFault, ToldMended: true}
+	if err := r.CarryOut(ctx, began, schedule); err != nil {
+		return fmt.Errorf("rollout: %w", err)
+	}
+	if !sleep.Until(ctx, began.Add(r.sc.For+r.sc.Settle)) {
+		return ctx.Err()
+	}
+	for _, resource := range r.sc.Resources() {
+		r.recordResource(ctx, resource)
+		r.recordStatus(ctx, resource)
+	}
+	return nil
+}
+
+// beginFault begins a fault, and returns what ends it.
+func (r *run) beginFault(ctx context.Context, f plan.Fault) (end func() error, err error) {
+	switch f.Kind {
+	case scenario.Stop:
+		for _, name := range f.Names {
+			r.Processes.Stop(name)
+		}
+		return func() error {
+			for _, name := range f.Names {
+				r.Processes.Continue(name)
+			}
+			return nil
+		}, nil
+	case scenario.Kill:
+		for _, name := range f.Names {
+			r.Processes.Kill(name)
+		}
+		return func() error {
+			return forEach(f.Names, func(name string) error { return r.restart(ctx, name) })
+		}, nil
+	case plan.KillBetweenPuts:
+		return r.killBetweenPuts(ctx), nil
+	case plan.RestartFollowers:
+		return func() error { return nil }, forEach(f.Names, func(name string) error {
+			return r.Processes.Say(name, worker.Command{Do: worker.DoRestart})
+		})
+	default: // a fault of links
+		endOnLinks := r.Links.Begin(f)
+		return func() error {
+			endOnLinks()
+			return nil
+		}, nil
+	}
+}
+
+// forEach calls do for each name, up to the first error.
+func forEach(names []string, do func(name string) error) error {
+	for _, name := range names {
+		if err := do(name); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// killBetweenPuts kills the publisher when its next put has been answered, and returns what starts
+// it again.
+func (r *run) killBetweenPuts(ctx context.Context) (end func() error) {
+	ctx, cancel := context.WithCancel(ctx)
+	done := make(chan struct{})
+	select {
+	case <-r.putAnswered: // one before the fault
+	default:
+	}
+	r.Faults.Go(func() {
+		defer close(done)
+		select {
+		case <-r.putAnswered:
+			r.Processes.Kill(plan.PublisherName)
+		case <-ctx.Done():
+		}
+	})
+	return func() error {
+		cancel()
+		<-done
+		if r.Processes.PID(plan.PublisherName) != 0 {
+			return nil // no put was answered in that time
+		}
+		return r.restart(ctx, plan.PublisherName)
+	}
+}
--- a/internal/harness/rollout/norace_test.go
+++ b/internal/harness/rollout/norace_test.go
@@ -2,6 +2,7 @@
 
 package rollout_test
 
+// Without the race detector.
 const (
 	raceEnabled = false
 	raceMemory  = 1
--- /dev/null
+++ b/internal/harness/rollout/observe.go
@@ -0,0 +1,149 @@
+package rollout
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"slices"
+	"time"
+
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/process"
+	"fernlanding/internal/harness/rollout/plan"
+	"fernlanding/internal/harness/worker"
+)
+
+const (
+	// requestTimeout bounds a request to the source or a relay.
+	requestTimeout = time.Second
+	// observeInterval is how often the source and relays are asked for their metrics and statuses.
+	observeInterval = 300 * time.Millisecond
+	// maxResponseBytes bounds a response of the source or a relay.
+	maxResponseBytes = 64 << 20
+	// cpuWaitInterval is how often the waits of processes for a core are sampled.
+	cpuWaitInterval = 50 * time.Millisecond
+	// minCPUWait is the least wait that is recorded.
+	minCPUWait = time.Millisecond
+)
+
+// observeServers records the metrics of the source and the relays, and the source's in-force
+// reports, until the context ends.
+func (r *run) observeServers(ctx context.Context) {
+	ticker := time.NewTicker(observeInterval)
+	defer ticker.Stop()
+	for {
+		for _, name := range r.servers() {
+			r.recordStats(ctx, name)
+		}
+		for _, resource := range r.sc.Resources() {
+			r.recordStatus(ctx, resource)
+		}
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// recordStats records the metrics of a server, and its resident memory.
+func (r *run) recordStats(ctx context.Context, name string) {
+	var stats map[string]any
+	if r.get(ctx, name, "/v1/stats", &stats) != nil {
+		return // it is down, or stopped
+	}
+	figures := map[string]float64{history.UsedResident: float64(process.Resident(r.Processes.PID(name)))}
+	for field, value := range stats {
+		if number, ok := value.(float64); ok {
+			figures[field] = number
+		}
+	}
+	r.Tell(history.Event{Kind: history.Used, Who: name, Figures: figures})
+}
+
+// recordStatus records the source's in-force report of a resource.
+func (r *run) recordStatus(ctx context.Context, resource string) {
+	var status distribution.ResourceStatus
+	if r.get(ctx, plan.Source, "/v1/status?resource="+url.QueryEscape(resource), &status) != nil {
+		return // it is down, or stopped
+	}
+	r.Tell(history.Event{Kind: history.Reported, Who: plan.Source, Resource: resource, Report: &status})
+}
+
+// recordResource records the version and the items of a resource that the source has.
+func (r *run) recordResource(ctx context.Context, resource string) {
+	began := r.Clock.Now()
+	var u distribution.Update
+	if err := r.get(ctx, plan.Source, "/v1/resource?name="+url.QueryEscape(resource), &u); err != nil {
+		r.Tell(history.Event{Kind: history.Log, Who: plan.Source, Resource: resource, Why: err.Error()})
+		return
+	}
+	now := r.Clock.Now()
+	r.Tell(history.Event{
+		At:       now,
+		Kind:     history.Source,
+		Who:      plan.Source,
+		Resource: resource,
+		Version:  u.Version,
+		Digest:   worker.DigestOf(u.Items),
+		Took:     now - began,
+	})
+}
+
+// get decodes the response of a server, which is asked directly and not over a link.
+func (r *run) get(ctx context.Context, server, path string, into any) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.address(server)+path, nil)
+	if err != nil {
+		return err
+	}
+	resp, err := r.client.Do(req)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = resp.Body.Close() }() // what was needed of it has been read
+	if resp.StatusCode != http.StatusOK {
+		return fmt.Errorf("%s: status %d", path, resp.StatusCode)
+	}
+	return json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(into)
+}
+
+// cpuSample is how long a process had waited for a core, in all, at a time.
+type cpuSample struct {
+	at     int64 // on the run's clock
+	waited time.Duration
+}
+
+// observeCPUWaits records how long the processes on the paths from the source to followers wait for
+// a core, until the context ends. It goes on from samples by process ID.
+func (r *run) observeCPUWaits(ctx context.Context, previous map[int]cpuSample) {
+	ticker := time.NewTicker(cpuWaitInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ticker.C:
+			previous = r.recordCPUWaits(previous)
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// recordCPUWaits samples all processes, and records how long they have waited since the previous
+// samples. It returns the samples by process ID.
+func (r *run) recordCPUWaits(previous map[int]cpuSample) map[int]cpuSample {
+	samples := make(map[int]cpuSample)
+	for _, name := range slices.Concat(r.servers(), r.sc.Names(plan.OnFollowers)) {
+		pid := r.Processes.PID(name)
+		samples[pid] = cpuSample{at: r.Clock.Now(), waited: process.Waited(pid)}
+		last, known := previous[pid]
+		waited := samples[pid].waited - last.waited
+		if known && waited >= minCPUWait {
+			r.Tell(history.Event{Kind: history.Waited, Who: name, N: last.at, Took: waited.Microseconds()})
+		}
+	}
+	return samples
+}
--- a/internal/harness/rollout/rollout_test.go
+++ b/internal/harness/rollout/rollout_test.go
@@ -3,13 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"fernlanding/internal/distribution/follow"
-	"fernlanding/internal/harness/harnesstest"
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/rollout"
-	"fernlanding/internal/harness/rollout/check"
-	"fernlanding/internal/harness/rollout/plan"
-	"fernlanding/internal/harness/worker"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -18,48 +11,60 @@
 	"strings"
 	"sync"
 	"testing"
+
+	"fernlanding/internal/distribution/follow"
+	"fernlanding/internal/harness/harnesstest"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/rollout"
+	"fernlanding/internal/harness/rollout/check"
+	"fernlanding/internal/harness/rollout/plan"
+	"fernlanding/internal/harness/worker"
 )
 
-// The test's own program is also the rig's actors and its stand-ins with a bug.
+// The test's own program is also the rig's workers and the stand-ins with seeded bugs, by its
+// environment.
 const (
 	roleVar = "ROLLOUT_TEST_ROLE"
 	bugVar  = "ROLLOUT_TEST_BUG"
-	keepVar = "ROLLOUT_TEST_KEEP" // a directory for the histories that do not pass
+	keepVar = "ROLLOUT_TEST_KEEP" // a directory for the histories that fail
 
-	roleActor      = "actor"
-	roleNaiveActor = "naive-actor"
-	roleNaiveNode  = "naive-node"
+	roleWorker      = "actor"
+	roleNaiveWorker = "naive-actor"
+	roleNaiveNode   = "naive-node"
 )
 
-var program string // fernrelay, built from this tree
+// program is fernrelay, built from this tree.
+var program string
 
 func TestMain(m *testing.M) {
 	switch os.Getenv(roleVar) {
-	case roleActor:
+	case roleWorker:
 		harnesstest.Exit(worker.Main(os.Stdin, os.Stdout))
-	case roleNaiveActor:
-		harnesstest.Exit(worker.MainWith(os.Stdin, os.Stdout, func(c follow.Config) worker.Follower { return newNaiveFollower(c) }))
+	case roleNaiveWorker:
+		newFollower := func(c follow.Config) worker.Follower { return newNaiveFollower(c) }
+		harnesstest.Exit(worker.MainWith(os.Stdin, os.Stdout, newFollower))
 	case roleNaiveNode:
-		harnesstest.Exit(naive(os.Args[1:], bug(os.Getenv(bugVar))))
+		harnesstest.Exit(runNaiveNode(os.Args[1:], bug(os.Getenv(bugVar))))
 	}
 	harnesstest.Main(m, "fernrelay", func(path string) { program = path }, "-race="+strconv.FormatBool(raceEnabled))
 }
 
-func decode(t testing.TB, text string) *plan.Scenario {
-	t.Helper()
+// decode decodes a scenario.
+func decode(tb testing.TB, text string) *plan.Scenario {
+	tb.Helper()
 	sc, err := plan.Decode("test.toml", []byte(text))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return sc
 }
 
-// play plays a scenario and judges it.
-func play(t *testing.T, sc *plan.Scenario, o rollout.Options) ([]check.Verdict, check.Metrics) {
+// run runs a scenario, and returns the verdicts and metrics.
+func run(t *testing.T, sc *plan.Scenario, opts rollout.Options) ([]check.Verdict, check.Metrics) {
 	t.Helper()
 	var log bytes.Buffer
-	o.Out = &log
-	if err := rollout.Run(context.Background(), sc, o); err != nil {
+	opts.Out = &log
+	if err := rollout.Run(context.Background(), sc, opts); err != nil {
 		t.Error(err)
 		return nil, check.Metrics{}
 	}
@@ -69,7 +74,10 @@
 	}
 	verdicts := check.Run(sc, all)
 	if dir := os.Getenv(keepVar); dir != "" && len(verdicts) > 0 {
-		_ = os.WriteFile(filepath.Join(dir, fmt.Sprintf("%s-%d.jsonl", strings.ReplaceAll(t.Name(), "/", "-"), sc.Seed)), log.Bytes(), 0o600)
+		name := fmt.Sprintf("%s-%d.jsonl", strings.ReplaceAll(t.Name(), "/", "-"), sc.Seed)
+		if err := os.WriteFile(filepath.Join(dir, name), log.Bytes(), 0o600); err != nil {
+			t.Error(err)
+		}
 	}
 	for _, v := range verdicts {
 		t.Logf("seed %d: %s", sc.Seed, v)
@@ -77,6 +85,7 @@
 	return verdicts, check.Measure(sc, all)
 }
 
+// naiveScenario is small enough for stand-ins, many at a time.
 const naiveScenario = `
 name = "bugs"
 for = "3s"
@@ -102,6 +111,7 @@
 cache_bytes = 10000
 `
 
+// Faults that are added to naiveScenario.
 const (
 	restartFaults = `
 [[faults]]
@@ -131,10 +141,11 @@
 `
 )
 
-// Each checker finds the stand-in with the one bug that it is there for, and only a stand-in without a bug passes all.
+// Each check finds the stand-in with the one bug that it is there for, and a stand-in without a bug
+// passes all of them.
 func TestCheckersFindSeededBugs(t *testing.T) {
-	together := make(chan struct{}, 5)
-	for _, c := range []struct {
+	slots := make(chan struct{}, 5) // runs at a time
+	for _, test := range []struct {
 		bug    bug
 		faults string
 		check  string
@@ -142,71 +153,79 @@
 		{noBug, "", ""},
 		{noBug, restartFaults, ""},
 		{noBug, stopFaults, ""},
-		{bugBack, "", check.Backwards},
-		{bugForget, "", check.Late},
-		{bugHoldBack, "", check.Urgent},
-		{bugHeartbeat, "", check.Bounds},
-		{bugBacklog, "", check.Bounds},
-		{bugWhole, "", check.Snapshots},
+		{bugBackwards, "", check.Backwards},
+		{bugDropUpdates, "", check.Late},
+		{bugDelayUrgent, "", check.Urgent},
+		{bugHeavyHeartbeat, "", check.Bounds},
+		{bugUnboundedCache, "", check.Bounds},
+		{bugSnapshotsOnly, "", check.Snapshots},
 		{bugDropItem, "", check.Converged},
-		{bugEarly, stopFaults, check.Status},
-		{noBug, sourceFaults, check.Durable}, // the stand-in keeps nothing over a restart
-		{bugUncounted, "", check.Status},
+		{bugReportEarly, stopFaults, check.Status},
+		{noBug, sourceFaults, check.Durable}, // the stand-in loses everything at a restart
+		{bugLeaveOut, "", check.Status},
 		{bugCrash, "", check.Processes},
 	} {
-		t.Run(fmt.Sprintf("%s/%s", c.bug, c.check), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%s/%s", test.bug, test.check), func(t *testing.T) {
 			t.Parallel()
-			together <- struct{}{}
-			defer func() { <-together }()
-			o := rollout.Options{Relay: harnesstest.InRole(roleVar, roleNaiveNode), Actor: harnesstest.InRole(roleVar, roleNaiveActor), Env: []string{bugVar + "=" + string(c.bug)}, Logs: os.Stderr}
-			verdicts, f := play(t, decode(t, naiveScenario+c.faults), o)
-			if c.faults == "" && f.UrgentEvaluated < 20 {
-				t.Errorf("%d urgent updates judged: the run shows nothing", f.UrgentEvaluated)
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			verdicts, metrics := run(t, decode(t, naiveScenario+test.faults), rollout.Options{
+				Program: harnesstest.InRole(roleVar, roleNaiveNode),
+				Worker:  harnesstest.InRole(roleVar, roleNaiveWorker),
+				Env:     []string{bugVar + "=" + string(test.bug)},
+				Logs:    os.Stderr,
+			})
+			if test.faults == "" && metrics.UrgentEvaluated < 20 {
+				t.Errorf("%d urgent updates evaluated: the run shows nothing", metrics.UrgentEvaluated)
 			}
-			if c.check == "" {
+			if test.check == "" {
 				for _, v := range verdicts {
 					t.Error(v)
 				}
 				return
 			}
-			if !slices.ContainsFunc(verdicts, func(v check.Verdict) bool { return v.Check == c.check }) {
-				t.Errorf("%s is not found by %s; verdicts: %v", c.bug, c.check, verdicts)
+			if !slices.ContainsFunc(verdicts, func(v check.Verdict) bool { return v.Check == test.check }) {
+				t.Errorf("%s is not found by %s; verdicts: %v", test.bug, test.check, verdicts)
 			}
 			t.Logf("%d verdicts, the first: %v", len(verdicts), verdicts[:min(len(verdicts), 1)])
 		})
 	}
 }
 
-// The programs keep the rules under drawn faults.
+// The programs pass all checks under random faults.
 func TestRulesHoldUnderFaults(t *testing.T) {
 	if testing.Short() {
-		t.Skip("plays whole runs in real time")
+		t.Skip("takes real time")
 	}
 	data, err := os.ReadFile("../../../deploy/rig/rollout/small.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all sync.WaitGroup
+	var runs sync.WaitGroup
 	for seed := range uint64(3) {
-		all.Go(func() {
+		runs.Go(func() {
 			sc := decode(t, string(data))
 			sc.Seed += seed
-			f := hold(t, sc)
-			if f.InForce < 500 || f.UrgentEvaluated < 50 || f.Twins == 0 {
-				t.Errorf("seed %d: %d updates in force, %d urgent ones judged, %d puts within 1 ms: the run shows nothing", sc.Seed, f.InForce, f.UrgentEvaluated, f.Twins)
+			m := runProgram(t, sc)
+			if m.InForce < 500 || m.UrgentEvaluated < 50 || m.Twins == 0 {
+				t.Errorf("seed %d: %d updates in force, %d urgent ones evaluated, %d twins: the run shows nothing",
+					sc.Seed, m.InForce, m.UrgentEvaluated, m.Twins)
 			}
 		})
 	}
-	all.Go(func() { // one relay of a zone is cut off from both regions for longer than a version may take
-		sc := decode(t, cutOffScenario)
-		if f := hold(t, sc); f.Faults != 1 || f.InForce < 200 {
-			t.Errorf("%s: %d faults, %d updates in force: the run shows nothing", sc.Name, f.Faults, f.InForce)
+	runs.Go(func() {
+		sc := decode(t, disconnectedScenario)
+		m := runProgram(t, sc)
+		if m.Faults != 1 || m.InForce < 200 {
+			t.Errorf("%s: %d faults, %d updates in force: the run shows nothing", sc.Name, m.Faults, m.InForce)
 		}
 	})
-	all.Wait()
+	runs.Wait()
 }
 
-const cutOffScenario = `
+// disconnectedScenario disconnects one relay of a zone from both regions for longer than a version
+// may take.
+const disconnectedScenario = `
 name = "cut-off"
 for = "14s"
 settle = "14s"
@@ -228,21 +247,26 @@
 names = ["zone-1"]
 `
 
-// hold plays a scenario with the programs of this tree, which have to pass all checks.
-func hold(t *testing.T, sc *plan.Scenario) check.Metrics {
+// runProgram runs a scenario with the programs of this tree, which must pass all checks.
+func runProgram(t *testing.T, sc *plan.Scenario) check.Metrics {
+	t.Helper()
 	sc.Bounds.RelayMB *= raceMemory
-	// A data race ends its process, which the checkers see.
-	o := rollout.Options{Relay: []string{program}, Actor: harnesstest.InRole(roleVar, roleActor), Env: []string{"GORACE=halt_on_error=1"}, Logs: os.Stderr}
-	verdicts, f := play(t, sc, o)
+	verdicts, metrics := run(t, sc, rollout.Options{
+		Program: []string{program},
+		Worker:  harnesstest.InRole(roleVar, roleWorker),
+		Env:     []string{"GORACE=halt_on_error=1"}, // a data race ends its process, which the checks see
+		Logs:    os.Stderr,
+	})
 	for _, v := range verdicts {
 		t.Errorf("%s, seed %d: %s", sc.Name, sc.Seed, v)
 	}
 	if len(verdicts) > 0 {
 		t.Logf("%s, seed %d's faults:\n%s", sc.Name, sc.Seed, strings.Join(describe(sc), "\n"))
 	}
-	return f
+	return metrics
 }
 
+// describe returns the schedule of a scenario, a line each fault.
 func describe(sc *plan.Scenario) (out []string) {
 	for _, f := range sc.Schedule() {
 		out = append(out, f.String())
