--- a/cmd/fernctl/rigrollout.go
+++ b/cmd/fernctl/rigrollout.go
@@ -2,27 +2,37 @@
 
 import (
 	"context"
-	"fernlanding/internal/harness/rollout"
-	"fernlanding/internal/harness/rollout/check"
-	"fernlanding/internal/harness/rollout/plan"
+	"errors"
 	"fmt"
 	"io"
 	"os"
 	"path/filepath"
+	"strings"
 
 	"github.com/urfave/cli/v3"
+
+	"fernlanding/internal/harness/rollout"
+	"fernlanding/internal/harness/rollout/check"
+	"fernlanding/internal/harness/rollout/plan"
 )
 
-// rigRolloutCommand plays distribution: a source, relays, followers and a publisher with faults between them.
+// rigRolloutCommand returns the command that runs distribution on the rig: a source, relays,
+// followers and a publisher with faults between them.
 func rigRolloutCommand() *cli.Command {
 	return &cli.Command{
-		Name: "rollout", Usage: "play the scenario of distribution in FILE and judge it", ArgsUsage: "FILE", Action: rigRollout,
+		Name: "rollout", Usage: "play the scenario of distribution in FILE and judge it", ArgsUsage: "FILE",
+		Action: rigRollout,
 		Flags: []cli.Flag{
 			&cli.Uint64Flag{Name: "seed", Usage: "in place of the scenario's own `SEED`"},
 			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "play `N` seeds, from the seed on"},
 			&cli.IntFlag{Name: "together", Value: 1, Usage: "`N` of them at a time"},
-			&cli.StringFlag{Name: "relay", Usage: "the `PROGRAM` under test; the fernrelay beside this program by default"},
-			&cli.StringFlag{Name: "history", Usage: "write what happened to `FILE`, of the last seed that failed or else the last"},
+			&cli.StringFlag{
+				Name: "relay", Usage: "the `PROGRAM` under test; the fernrelay beside this program by default",
+			},
+			&cli.StringFlag{
+				Name:  "history",
+				Usage: "write what happened to `FILE`, of the last seed that failed or else the last",
+			},
 			&cli.BoolFlag{Name: "logs", Usage: "print what the programs under test log"},
 			&cli.BoolFlag{Name: "list", Usage: "print the schedule, and play nothing"},
 			jsonFlag(),
@@ -30,73 +40,72 @@
 	}
 }
 
-// rolloutPlay is one play and what came of it.
-type rolloutPlay struct {
+// rolloutRun is one run and its result.
+type rolloutRun struct {
 	check.Metrics
-	Verdicts []check.Verdict `json:"verdicts"`
-	history  string
-	err      error
+	Verdicts    []check.Verdict `json:"verdicts"`
+	historyFile string
+	err         error
 }
 
+// rigRollout runs a scenario with one or more seeds, and prints the results.
 func rigRollout(ctx context.Context, c *cli.Command) error {
-	sc, o, err := rolloutPrepare(c)
+	sc, opts, err := prepareRollout(c)
 	if err != nil {
 		return err
 	}
 	if c.Bool("list") {
-		rolloutList(c.Root().Writer, sc)
-		return nil
+		_, err := io.WriteString(c.Root().Writer, describeSchedule(sc))
+		return err
 	}
 	seeds, together := c.Int("seeds"), c.Int("together")
 	if seeds < 1 || seeds > mostSeeds || together < 1 || together > seeds {
-		return fmt.Errorf("rig rollout: -seeds %d -together %d, 1 to %d seeds and at most as many together expected", seeds, together, mostSeeds)
+		return fmt.Errorf("rig rollout: -seeds %d -together %d, 1 to %d seeds and at most as many together expected",
+			seeds, together, mostSeeds)
 	}
 	dir, err := os.MkdirTemp("", "rollout")
 	if err != nil {
 		return fmt.Errorf("rig rollout: %w", err)
 	}
-	defer os.RemoveAll(dir)
-	plays := make([]chan rolloutPlay, seeds)
+	defer func() { _ = os.RemoveAll(dir) }() // a temporary directory, which the system removes too
+	runs := make([]chan rolloutRun, seeds)
 	slots := make(chan struct{}, together)
-	for i := range plays {
-		plays[i] = make(chan rolloutPlay, 1)
+	for i := range runs {
+		runs[i] = make(chan rolloutRun, 1)
 		go func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			x := *sc
-			x.Seed += uint64(i)
-			plays[i] <- rolloutOnce(ctx, &x, o, filepath.Join(dir, fmt.Sprintf("%d.jsonl", i)))
+			seeded := *sc
+			seeded.Seed += uint64(i)
+			runs[i] <- runRollout(ctx, &seeded, opts, filepath.Join(dir, fmt.Sprintf("%d.jsonl", i)))
 		}()
 	}
-	return rolloutReport(c, plays)
+	return reportRollouts(c, runs)
 }
 
-// rolloutReport prints the plays in the order of their seeds.
-func rolloutReport(c *cli.Command, plays []chan rolloutPlay) error {
-	out, failed := c.Root().Writer, false
-	for i := range plays {
-		p := <-plays[i]
-		if p.err != nil {
-			return p.err
-		}
-		if c.Bool("json") {
-			if err := asJSON(out, p); err != nil {
-				return err
-			}
-		} else {
-			rolloutPrint(out, p)
+// reportRollouts prints the runs in the order of their seeds. It returns errFaults if any of them
+// has a verdict.
+func reportRollouts(c *cli.Command, runs []chan rolloutRun) error {
+	failed := false
+	for i := range runs {
+		run := <-runs[i]
+		if run.err != nil {
+			return run.err
 		}
-		if keep := c.String("history"); keep != "" && (len(p.Verdicts) > 0 || !failed) {
-			if err := copyFile(p.history, keep); err != nil {
-				return fmt.Errorf("rig rollout: %w", err)
-			}
+		if err := printRollout(c, &run); err != nil {
+			return err
 		}
-		if err := os.Remove(p.history); err != nil {
+		if err := keepHistory(c, &run, failed); err != nil {
 			return fmt.Errorf("rig rollout: %w", err)
 		}
-		if len(p.Verdicts) > 0 {
-			failed = true
-			fmt.Fprintf(c.Root().ErrWriter, "again: fernctl rig rollout -seed %d %s\n", p.Seed, c.Args().First())
+		if len(run.Verdicts) == 0 {
+			continue
+		}
+		failed = true
+		file := c.Args().First()
+		_, err := fmt.Fprintf(c.Root().ErrWriter, "again: fernctl rig rollout -seed %d %s\n", run.Seed, file)
+		if err != nil {
+			return err
 		}
 	}
 	if failed {
@@ -105,88 +114,129 @@
 	return nil
 }
 
-// rolloutPrepare reads the scenario, and finds the programs.
-func rolloutPrepare(c *cli.Command) (*plan.Scenario, rollout.Options, error) {
-	var o rollout.Options
+// printRollout prints a run, for people or for machines.
+func printRollout(c *cli.Command, run *rolloutRun) error {
+	if c.Bool("json") {
+		return asJSON(c.Root().Writer, run)
+	}
+	_, err := io.WriteString(c.Root().Writer, describeRollout(run))
+	return err
+}
+
+// keepHistory copies the history of a run to the file that is asked for, unless that has one of a
+// failed run and this run has not failed. It removes the run's own file.
+func keepHistory(c *cli.Command, run *rolloutRun, anyFailed bool) error {
+	to := c.String("history")
+	if to != "" && (len(run.Verdicts) > 0 || !anyFailed) {
+		if err := copyFile(run.historyFile, to); err != nil {
+			return err
+		}
+	}
+	return os.Remove(run.historyFile)
+}
+
+// prepareRollout reads the scenario, and finds the programs.
+func prepareRollout(c *cli.Command) (*plan.Scenario, rollout.Options, error) {
+	var opts rollout.Options
 	if c.Args().Len() != 1 {
-		return nil, o, fmt.Errorf("rig rollout: %s expected", c.ArgsUsage)
+		return nil, opts, fmt.Errorf("rig rollout: %s expected", c.ArgsUsage)
 	}
 	name := c.Args().First()
 	data, err := readBounded(name)
 	if err != nil {
-		return nil, o, fmt.Errorf("rig rollout: %w", err)
+		return nil, opts, fmt.Errorf("rig rollout: %w", err)
 	}
 	sc, err := plan.Decode(name, data)
 	if err != nil {
-		return nil, o, err
+		return nil, opts, err
 	}
 	if c.IsSet("seed") {
 		sc.Seed = c.Uint64("seed")
 	}
 	self, err := os.Executable()
 	if err != nil {
-		return nil, o, fmt.Errorf("rig rollout: %w", err)
+		return nil, opts, fmt.Errorf("rig rollout: %w", err)
 	}
 	program := c.String("relay")
 	if program == "" {
 		program = filepath.Join(filepath.Dir(self), "fernrelay")
 	}
 	if _, err := os.Stat(program); err != nil && !c.Bool("list") {
-		return nil, o, fmt.Errorf("rig rollout: the program under test: %w", err)
+		return nil, opts, fmt.Errorf("rig rollout: the program under test: %w", err)
 	}
-	o = rollout.Options{Program: []string{program}, Worker: []string{self, "rig", actorWord}}
+	opts = rollout.Options{Program: []string{program}, Worker: []string{self, "rig", actorWord}}
 	if c.Bool("logs") {
-		o.Logs = c.Root().ErrWriter
+		opts.Logs = c.Root().ErrWriter
 	}
-	return sc, o, nil
+	return sc, opts, nil
 }
 
-// rolloutOnce plays a scenario once; its history goes to a file.
-func rolloutOnce(ctx context.Context, sc *plan.Scenario, o rollout.Options, path string) rolloutPlay {
-	p := rolloutPlay{history: path}
-	f, err := os.Create(path)
-	if err != nil {
-		p.err = fmt.Errorf("rig rollout: %w", err)
-		return p
-	}
-	defer f.Close()
-	o.Out = f
-	if p.err = rollout.Run(ctx, sc, o); p.err != nil {
-		return p
+// runRollout runs a scenario once, with its history in a file.
+func runRollout(ctx context.Context, sc *plan.Scenario, opts rollout.Options, path string) rolloutRun {
+	run := rolloutRun{historyFile: path}
+	run.err = recordRollout(ctx, sc, opts, path)
+	if run.err != nil {
+		return run
 	}
 	all, err := readHistory(path)
 	if err != nil {
-		p.err = fmt.Errorf("rig rollout: %w", err)
-		return p
+		run.err = fmt.Errorf("rig rollout: %w", err)
+		return run
 	}
-	p.Verdicts, p.Metrics = check.Run(sc, all), check.Measure(sc, all)
-	return p
+	run.Verdicts = check.Run(sc, all)
+	run.Metrics = check.Measure(sc, all)
+	return run
 }
 
-func rolloutPrint(out io.Writer, p rolloutPlay) {
-	f := p.Metrics
-	fmt.Fprintf(out, "%s, seed %d, %.1f s, %d faults: %d puts (%d unanswered, %d within 1 ms of another), %d updates in force (%d whole), %d refused, %d resumed, %d reports\n",
-		f.Scenario, f.Seed, f.Seconds, f.Faults, f.Puts, f.Unanswered, f.Twins, f.InForce, f.Snapshots, f.Rejected, f.Resumed, f.Reports)
-	fmt.Fprintf(out, "in force, ways without faults: %.0f ms median, %.0f p99, %.0f last; urgent (%d judged): %.0f, %.0f, %.0f; with faults: %.2f s p99, %.2f last\n",
-		f.FaultFreeP50Ms, f.FaultFreeP99Ms, f.FaultFreeMaxMs, f.UrgentEvaluated, f.UrgentP50Ms, f.UrgentP99Ms, f.UrgentMaxMs, f.AllP99Seconds, f.AllMaxSeconds)
-	fmt.Fprintf(out, "the machine kept a process of the rig waiting for %.0f ms at most; %d urgent updates came late by no more than the processes on their way waited for a core\n", f.MaxLagMs, f.UrgentDelayedByCPU)
-	if f.Unsettled {
-		fmt.Fprintln(out, "the last reports are not judged: the machine kept processes waiting for so long that reads broke")
-	}
-	fmt.Fprintf(out, "at rest, each follower: %.0f bytes and %.2f messages a second; a source or relay at most: %.1f MB, %.0f sessions, %.0f bytes of resources, %.0f encoded\n",
-		f.RestBytesPerSecond, f.RestReadsPerSecond, f.ResidentMB, f.MaxSessions, f.MaxStoreBytes, f.MaxCacheBytes)
-	for _, v := range p.Verdicts {
-		fmt.Fprintln(out, v)
-	}
-	if len(p.Verdicts) == 0 {
-		fmt.Fprintln(out, "all checks hold")
+// recordRollout runs a scenario once, and writes its history to a file.
+func recordRollout(ctx context.Context, sc *plan.Scenario, opts rollout.Options, path string) (err error) {
+	f, err := os.Create(path)
+	if err != nil {
+		return fmt.Errorf("rig rollout: %w", err)
 	}
+	defer func() { err = errors.Join(err, f.Close()) }()
+	opts.Out = f
+	return rollout.Run(ctx, sc, opts)
+}
+
+// describeRollout returns the result of a run, for people.
+func describeRollout(run *rolloutRun) string {
+	m := &run.Metrics
+	var b strings.Builder
+	fmt.Fprintf(&b, "%s, seed %d, %.1f s, %d faults: %d puts (%d unanswered, %d within 1 ms of another), "+
+		"%d updates in force (%d whole), %d refused, %d resumed, %d reports\n",
+		m.Scenario, m.Seed, m.Seconds, m.Faults, m.Puts, m.Unanswered, m.Twins,
+		m.InForce, m.Snapshots, m.Rejected, m.Resumed, m.Reports)
+	fmt.Fprintf(&b, "in force, ways without faults: %.0f ms median, %.0f p99, %.0f last; "+
+		"urgent (%d judged): %.0f, %.0f, %.0f; with faults: %.2f s p99, %.2f last\n",
+		m.FaultFreeP50Ms, m.FaultFreeP99Ms, m.FaultFreeMaxMs,
+		m.UrgentEvaluated, m.UrgentP50Ms, m.UrgentP99Ms, m.UrgentMaxMs, m.AllP99Seconds, m.AllMaxSeconds)
+	fmt.Fprintf(&b, "the machine kept a process of the rig waiting for %.0f ms at most; "+
+		"%d urgent updates came late by no more than the processes on their way waited for a core\n",
+		m.MaxLagMs, m.UrgentDelayedByCPU)
+	if m.Unsettled {
+		b.WriteString("the last reports are not judged: " +
+			"the machine kept processes waiting for so long that reads broke\n")
+	}
+	fmt.Fprintf(&b, "at rest, each follower: %.0f bytes and %.2f messages a second; "+
+		"a source or relay at most: %.1f MB, %.0f sessions, %.0f bytes of resources, %.0f encoded\n",
+		m.RestBytesPerSecond, m.RestReadsPerSecond, m.ResidentMB, m.MaxSessions, m.MaxStoreBytes, m.MaxCacheBytes)
+	for _, v := range run.Verdicts {
+		fmt.Fprintln(&b, v)
+	}
+	if len(run.Verdicts) == 0 {
+		b.WriteString("all checks hold\n")
+	}
+	return b.String()
 }
 
-func rolloutList(out io.Writer, sc *plan.Scenario) {
-	fmt.Fprintln(out, sc.Describe())
+// describeSchedule returns what a scenario starts, and its faults.
+func describeSchedule(sc *plan.Scenario) string {
+	var b strings.Builder
+	fmt.Fprintln(&b, sc.Describe())
 	for i, f := range sc.Schedule() {
-		fmt.Fprintf(out, "%-14s %s\n", f.Name(i), f)
+		fmt.Fprintf(&b, "%-14s %s\n", f.Name(i), f)
 	}
-	fmt.Fprintf(out, "%d puts\n", len(sc.Puts()))
+	fmt.Fprintf(&b, "%d puts\n", len(sc.Puts()))
+	return b.String()
 }
--- a/cmd/fernctl/rigrollout_test.go
+++ b/cmd/fernctl/rigrollout_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// A scenario is listed without being played; a bad one is refused with its place, and so is a call that makes no sense.
-func TestRigRolloutListsAndRefuses(t *testing.T) {
+// A scenario is listed without being run. An invalid one is rejected with the place of the problem,
+// and so is an invalid call.
+func TestRigRolloutList(t *testing.T) {
 	const small = "../../deploy/rig/rollout/small.toml"
 	expect(t, 0, "4 zone relays in 2 zones, 40 followers in 2 processes", "rig", "rollout", "-list", small)
 	expect(t, 0, "seed 7", "rig", "rollout", "-list", "-seed", "7", "../../deploy/rig/rollout/full.toml")
--- a/cmd/fernctl/rollout.go
+++ b/cmd/fernctl/rollout.go
@@ -4,20 +4,25 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/httpapi"
 	"fmt"
 	"io"
+	"strings"
 	"time"
 
 	"github.com/urfave/cli/v3"
+
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/httpapi"
 )
 
 const (
-	askTimeout = 3 * time.Second
-	askEvery   = 100 * time.Millisecond
+	// rolloutRequestTimeout bounds a request to the source or a relay.
+	rolloutRequestTimeout = 3 * time.Second
+	// statusInterval is how often a status is polled while a version is waited for.
+	statusInterval = 100 * time.Millisecond
 )
 
+// rolloutCommand returns the commands that write resources, and report where they are in force.
 func rolloutCommand() *cli.Command {
 	to := &cli.StringFlag{Name: "to", Usage: "the source at `ADDR`, host:port", Required: true}
 	from := &cli.StringFlag{Name: "from", Usage: "ask the source or relay at `ADDR`, host:port", Required: true}
@@ -27,21 +32,31 @@
 			return errors.New("rollout: one of put, config, status and wait expected")
 		},
 		Commands: []*cli.Command{
-			{Name: "put", Usage: "write the items in FILE to RESOURCE", ArgsUsage: "RESOURCE FILE", Action: rolloutPut, Flags: []cli.Flag{to}},
+			{
+				Name: "put", Usage: "write the items in FILE to RESOURCE", ArgsUsage: "RESOURCE FILE",
+				Action: rolloutPut, Flags: []cli.Flag{to},
+			},
 			rolloutConfigCommand(to),
-			{Name: "status", Usage: "who lacks the latest version of RESOURCE, and why", ArgsUsage: "RESOURCE", Action: rolloutStatus, Flags: []cli.Flag{from, jsonFlag()}},
 			{
-				Name: "wait", Usage: "wait until VERSION of RESOURCE is in force everywhere", ArgsUsage: "RESOURCE VERSION", Action: rolloutWait,
+				Name: "status", Usage: "who lacks the latest version of RESOURCE, and why", ArgsUsage: "RESOURCE",
+				Action: rolloutStatus, Flags: []cli.Flag{from, jsonFlag()},
+			},
+			{
+				Name: "wait", Usage: "wait until VERSION of RESOURCE is in force everywhere",
+				ArgsUsage: "RESOURCE VERSION", Action: rolloutWait,
 				Flags: []cli.Flag{
 					from, &cli.DurationFlag{Name: "timeout", Value: 30 * time.Second, Usage: "wait for `TIME` at most"},
-					&cli.IntFlag{Name: "proxies", Value: 1, Usage: "in force at `N` proxies at least: fewer are known while relays start anew"},
+					&cli.IntFlag{
+						Name: "proxies", Value: 1,
+						Usage: "in force at `N` proxies at least: fewer are known while relays start anew",
+					},
 				},
 			},
 		},
 	}
 }
 
-// rolloutArgs are a command's arguments, the first of them the name of a resource.
+// rolloutArgs returns a command's arguments, of which the first is the name of a resource.
 func rolloutArgs(c *cli.Command, count int) ([]string, error) {
 	if c.Args().Len() != count {
 		return nil, fmt.Errorf("rollout %s: %s expected", c.Name, c.ArgsUsage)
@@ -53,7 +68,7 @@
 	return args, nil
 }
 
-// rolloutPut writes a file's items. The file is a PutRequest without its resource.
+// rolloutPut writes the items of a file, which is a PutRequest without its resource.
 func rolloutPut(ctx context.Context, c *cli.Command) error {
 	args, err := rolloutArgs(c, 2)
 	if err != nil {
@@ -66,26 +81,28 @@
 	return writePut(ctx, c, put)
 }
 
-// writePut writes to the source, and prints the version.
+// writePut writes to the source, and prints the version, or why nothing was written.
 func writePut(ctx context.Context, c *cli.Command, put *distribution.PutRequest) error {
 	client := httpapi.NewClient(nil)
 	defer client.Close()
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, rolloutRequestTimeout)
 	defer cancel()
 	version, err := client.Put(ctx, c.String("to"), put)
 	var conflict *distribution.ConflictError
 	if errors.As(err, &conflict) {
-		fmt.Fprintf(c.Root().Writer, "not written: %v\n", conflict)
+		if _, err := fmt.Fprintf(c.Root().Writer, "not written: %v\n", conflict); err != nil {
+			return err
+		}
 		return errFaults
 	}
 	if err != nil {
 		return fmt.Errorf("rollout %s: %w", c.Name, err)
 	}
-	fmt.Fprintln(c.Root().Writer, version)
-	return nil
+	_, err = fmt.Fprintln(c.Root().Writer, version)
+	return err
 }
 
-// readPut reads a file of items.
+// readPut reads and validates a file of items for a resource.
 func readPut(resource, name string) (*distribution.PutRequest, error) {
 	data, err := readBounded(name)
 	if err != nil {
@@ -105,6 +122,7 @@
 	return put, nil
 }
 
+// rolloutStatus prints how far the latest version of a resource is in force.
 func rolloutStatus(ctx context.Context, c *cli.Command) error {
 	args, err := rolloutArgs(c, 1)
 	if err != nil {
@@ -112,63 +130,75 @@
 	}
 	client := httpapi.NewClient(nil)
 	defer client.Close()
-	status, err := askStatus(ctx, client, c.String("from"), args[0])
+	status, err := getStatus(ctx, client, c.String("from"), args[0])
 	if err != nil {
 		return fmt.Errorf("rollout status: %w", err)
 	}
 	if len(status.Counts) == 0 {
 		return fmt.Errorf("rollout status: %s: no version found, and nobody who follows it", args[0])
 	}
+	text := describeStatus(status)
 	if c.Bool("json") {
 		data, err := json.Marshal(status)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(c.Root().Writer, "%s\n", data)
-	} else {
-		printStatus(c.Root().Writer, status)
+		text = string(data) + "\n"
+	}
+	if _, err := io.WriteString(c.Root().Writer, text); err != nil {
+		return err
 	}
-	if progress := status.Progress(status.Counts[0].Version); !progress.Done() {
+	progress := status.Progress(status.Counts[0].Version)
+	if !progress.Done() {
 		return errFaults
 	}
 	return nil
 }
 
-func askStatus(ctx context.Context, client *httpapi.Client, address, resource string) (*distribution.ResourceStatus, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// getStatus returns the status of a resource at a source or relay.
+func getStatus(
+	ctx context.Context, client *httpapi.Client, address, resource string,
+) (*distribution.ResourceStatus, error) {
+	ctx, cancel := context.WithTimeout(ctx, rolloutRequestTimeout)
 	defer cancel()
 	return client.Status(ctx, address, resource)
 }
 
-// printStatus tells people a status: the latest version first.
-func printStatus(w io.Writer, status *distribution.ResourceStatus) {
+// describeStatus returns a status for people, the latest version first.
+func describeStatus(status *distribution.ResourceStatus) string {
 	latest := status.Counts[0].Version
 	progress := status.Progress(latest)
-	fmt.Fprintf(w, "%s: %d of %d proxies have the latest version, %v\n", status.Resource, progress.InForce, progress.Proxies, latest)
+	var b strings.Builder
+	fmt.Fprintf(&b, "%s: %d of %d proxies have the latest version, %v\n",
+		status.Resource, progress.InForce, progress.Proxies, latest)
 	for _, count := range status.Counts[1:] {
-		fmt.Fprintf(w, "version %v: %d proxies\n", count.Version, count.Proxies)
+		fmt.Fprintf(&b, "version %v: %d proxies\n", count.Version, count.Proxies)
 	}
-	printLaggards(w, status.Rejections, status.Laggards)
+	b.WriteString(describeLaggards(status.Rejections, status.Laggards))
+	return b.String()
 }
 
-// printLaggards tells who lacks a version, and why: with a reason where it was refused.
-func printLaggards(w io.Writer, refusals []distribution.Rejection, behind []distribution.Laggard) {
-	refused := make(map[string]bool)
-	for _, r := range refusals {
-		refused[r.Follower] = true
-		fmt.Fprintf(w, "%s refuses version %v: %s\n", r.Follower, r.Version, r.Reason)
+// describeLaggards returns which proxies lack a version: those that reject it with their reason.
+func describeLaggards(rejections []distribution.Rejection, laggards []distribution.Laggard) string {
+	var b strings.Builder
+	rejected := make(map[string]bool)
+	for _, rejection := range rejections {
+		rejected[rejection.Follower] = true
+		fmt.Fprintf(&b, "%s refuses version %v: %s\n", rejection.Follower, rejection.Version, rejection.Reason)
 	}
-	for _, l := range behind {
+	for _, laggard := range laggards {
 		switch {
-		case refused[l.Follower]:
-		case l.InForce.IsZero():
-			fmt.Fprintf(w, "%s has none yet\n", l.Follower)
+		case rejected[laggard.Follower]:
+		case laggard.InForce.IsZero():
+			fmt.Fprintf(&b, "%s has none yet\n", laggard.Follower)
 		default:
-			fmt.Fprintf(w, "%s still has version %v\n", l.Follower, l.InForce)
+			fmt.Fprintf(&b, "%s still has version %v\n", laggard.Follower, laggard.InForce)
 		}
 	}
+	return b.String()
 }
 
+// rolloutWait waits until a version is in force, and prints how far it is.
 func rolloutWait(ctx context.Context, c *cli.Command) error {
 	args, err := rolloutArgs(c, 2)
 	if err != nil {
@@ -178,48 +208,67 @@
 	if err != nil {
 		return fmt.Errorf("rollout wait: %w", err)
 	}
-	client := httpapi.NewClient(nil)
-	defer client.Close()
-	done := func(p *distribution.Progress) bool { return p.Done() && p.Proxies >= int(c.Int("proxies")) }
+	wait := versionWait{address: c.String("from"), resource: args[0], version: version, minProxies: c.Int("proxies")}
 	ctx, cancel := context.WithTimeout(ctx, c.Duration("timeout"))
 	defer cancel()
-	progress, err := awaitVersion(ctx, client, c.String("from"), args[0], version, done)
+	progress, err := wait.run(ctx)
 	if err != nil {
 		return fmt.Errorf("rollout wait: %w", err)
 	}
-	fmt.Fprintf(c.Root().Writer, "%s: %d of %d proxies have version %v or a later one\n", args[0], progress.InForce, progress.Proxies, version)
-	if done(progress) {
-		return nil
+	text := fmt.Sprintf("%s: %d of %d proxies have version %v or a later one\n",
+		args[0], progress.InForce, progress.Proxies, version)
+	done := wait.isDone(progress)
+	if !done {
+		text += describeLaggards(progress.Rejections, progress.Laggards)
+	}
+	if _, err := io.WriteString(c.Root().Writer, text); err != nil {
+		return err
 	}
-	printLaggards(c.Root().Writer, progress.Rejections, progress.Laggards)
-	return errFaults
+	if !done {
+		return errFaults
+	}
+	return nil
 }
 
-// awaitVersion asks until a version is in force as it is to be, somebody has refused it, or the context ends. An error: it
-// could not be asked at the end.
-func awaitVersion(ctx context.Context, client *httpapi.Client, address, resource string, version distribution.Version,
-	done func(*distribution.Progress) bool,
-) (*distribution.Progress, error) {
-	ticker := time.NewTicker(askEvery)
+// versionWait waits until a version of a resource is in force at all proxies, and at minProxies at
+// least.
+type versionWait struct {
+	address    string // of the source or a relay
+	resource   string
+	version    distribution.Version
+	minProxies int
+}
+
+// isDone reports whether the version is in force as it is to be.
+func (w *versionWait) isDone(p *distribution.Progress) bool {
+	return p.Done() && p.Proxies >= w.minProxies
+}
+
+// run polls until the version is in force, a proxy has rejected it, or the context ends, and
+// returns the last progress. An error says that no status could be got at the end.
+func (w *versionWait) run(ctx context.Context) (*distribution.Progress, error) {
+	client := httpapi.NewClient(nil)
+	defer client.Close()
+	ticker := time.NewTicker(statusInterval)
 	defer ticker.Stop()
 	var last *distribution.Progress
-	var failed error
+	var lastErr error
 	for {
-		status, err := askStatus(ctx, client, address, resource)
+		status, err := getStatus(ctx, client, w.address, w.resource)
 		switch {
 		case err == nil:
-			progress := status.Progress(version)
-			last, failed = &progress, nil
-			if done(last) || len(last.Rejections) > 0 {
+			progress := status.Progress(w.version)
+			last, lastErr = &progress, nil
+			if w.isDone(last) || len(last.Rejections) > 0 {
 				return last, nil
 			}
 		case ctx.Err() == nil || last == nil:
-			failed = err
+			lastErr = err
 		}
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return last, failed
+			return last, lastErr
 		}
 	}
 }
--- a/cmd/fernctl/rollout_config.go
+++ b/cmd/fernctl/rollout_config.go
@@ -3,24 +3,28 @@
 import (
 	"context"
 	"encoding/json"
-	"fernlanding/internal/config"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/sidecar"
 	"fmt"
 	"maps"
 	"slices"
 
+	"fernlanding/internal/config"
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/sidecar"
+
 	"github.com/urfave/cli/v3"
 )
 
+// rolloutConfigCommand returns the command that writes a configuration to the source at the flag
+// to.
 func rolloutConfigCommand(to cli.Flag) *cli.Command {
+	expected := &cli.StringFlag{Name: "expected", Usage: "only where `VERSION` stands; 0.0: where none does"}
 	return &cli.Command{
-		Name: "config", Usage: "write the application's configuration in FILE for the sidecars that follow it", ArgsUsage: "FILE", Action: rolloutConfig,
-		Flags: []cli.Flag{to, &cli.StringFlag{Name: "expected", Usage: "only where `VERSION` stands; 0.0: where none does"}},
+		Name: "config", Usage: "write the application's configuration in FILE for the sidecars that follow it",
+		ArgsUsage: "FILE", Action: rolloutConfig, Flags: []cli.Flag{to, expected},
 	}
 }
 
-// rolloutConfig writes a configuration under the name that it has in distribution.configuration.
+// rolloutConfig writes a configuration as the resource that it names in distribution.configuration.
 func rolloutConfig(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
 		return fmt.Errorf("rollout config: %s expected", c.ArgsUsage)
@@ -32,7 +36,9 @@
 	}
 	app, err := config.Decode(name, data)
 	if err != nil {
-		fmt.Fprintln(c.Root().Writer, err)
+		if _, err := fmt.Fprintln(c.Root().Writer, err); err != nil {
+			return err
+		}
 		return errFaults
 	}
 	put, err := configurationPut(name, app, data)
@@ -49,16 +55,19 @@
 	return writePut(ctx, c, put)
 }
 
-// configurationPut is the write that replaces a configuration. Its fragments have to mean what the file does.
+// configurationPut returns the write that replaces a configuration. It is divided into fragments if
+// these mean the same as the file, and is one item else.
 func configurationPut(name string, app *config.App, data []byte) (*distribution.PutRequest, error) {
 	if app.Distribution.Configuration == "" {
 		return nil, fmt.Errorf("%s: distribution.configuration: the name that sidecars follow expected", name)
 	}
 	fragments := config.Fragments(data)
-	if joined, err := config.Decode(name, config.Join(fragments)); err != nil || !config.SameMeaning(joined, app) {
+	joined, err := config.Decode(name, config.Join(fragments))
+	if err != nil || !config.SameMeaning(joined, app) {
 		fragments = config.Undivided(data)
 	}
-	put := &distribution.PutRequest{Resource: sidecar.ConfigurationResource(app.Distribution.Configuration), Replace: true}
+	resource := sidecar.ConfigurationResource(app.Distribution.Configuration)
+	put := &distribution.PutRequest{Resource: resource, Replace: true}
 	for _, key := range slices.Sorted(maps.Keys(fragments)) {
 		value, err := json.Marshal(string(fragments[key]))
 		if err != nil {
--- a/cmd/fernctl/rollout_config_test.go
+++ b/cmd/fernctl/rollout_config_test.go
@@ -2,15 +2,16 @@
 
 import (
 	"context"
-	"fernlanding/internal/distribution/httpapi"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"fernlanding/internal/distribution/httpapi"
 )
 
-// A configuration is written by its fragments, so that a change to one service is one item; one that no sidecar would take
-// is not written.
+// A configuration is written as fragments, so that a change to one service is one item. One that no
+// sidecar would accept is not written.
 func TestRolloutConfig(t *testing.T) {
 	address := startSource(t)
 	example, err := os.ReadFile("../../deploy/sidecar.example.toml")
@@ -36,16 +37,16 @@
 
 	client := httpapi.NewClient(nil)
 	defer client.Close()
-	stands, err := client.Resource(context.Background(), address, "config/shop")
+	written, err := client.Resource(context.Background(), address, "config/shop")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(stands.Items) < 3 {
-		t.Errorf("%d fragments, want the file divided", len(stands.Items))
+	if len(written.Items) < 3 {
+		t.Errorf("%d fragments, want the file divided", len(written.Items))
 	}
 }
 
-// replaceIn gives a file one more comment in its last table.
+// replaceIn writes a file with one more comment in its last table, and returns its name.
 func replaceIn(t *testing.T, file, text string) string {
 	t.Helper()
 	if err := os.WriteFile(file, []byte(text+"# of another day\n"), 0o600); err != nil {
