--- a/internal/conformance/http1_test.go
+++ b/internal/conformance/http1_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"fernlanding/internal/standin"
 	"fmt"
 	"io"
 	"net"
@@ -10,115 +9,134 @@
 	"strings"
 	"testing"
 	"time"
+
+	"fernlanding/internal/standin"
 )
 
 // http1Backends are stand-ins over HTTP/1.1.
 type http1Backends struct{}
 
-func (http1Backends) Config() string { return "" }
+func (http1Backends) config() string { return "" }
 
-func (http1Backends) Start(t testing.TB, script Script) string {
+func (http1Backends) start(tb testing.TB, s script) string {
+	tb.Helper()
 	b, err := standin.NewBackend(func(c *standin.Call) bool {
-		f, body := script()
-		return http1Fault(c, f, body)
+		f, body := s()
+		return respondHTTP1(c, f, body)
 	})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(b.Close)
+	tb.Cleanup(b.Close)
 	return b.Addr()
 }
 
-func http1Fault(c *standin.Call, f Fault, body string) (keep bool) {
-	say := func(text string) { _, _ = io.WriteString(c.Conn, text) }
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+// respondHTTP1 does with a call what a fault says, and reports whether its connection stays open.
+func respondHTTP1(c *standin.Call, f fault, body string) (keep bool) {
+	_, _ = io.WriteString(c.Conn, http1Response(f, body)) // the proxy may have closed the connection
 	switch f {
-	case Serve:
-		say(whole)
-		return true
-	case Created:
-		say(strings.Replace(whole, "200 OK", "201 Created", 1))
-		return true
-	case EarlyWords:
-		say("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + whole)
-		return true
-	case ServedAndMore:
-		say(whole + "\xfai\x19\xce")
+	case serve, created, informational, trailingBytes, overloaded, serverError, unavailable, invalidRequest:
 		return true
-	case Full:
-		say("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
-		return true
-	case Error:
-		say("HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nsoon")
-		return true
-	case Busy:
-		say("HTTP/1.1 503 No\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n")
-		return true
-	case Nonsense:
-		say("HTTP/1.1 422 No\r\nContent-Length: 0\r\n\r\n")
-		return true
-	case HalfHead:
-		say("HTTP/1.1 200 OK\r\nContent-")
-	case HalfBody:
-		say("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nans")
-	case Noise:
-		say("\xfai\x19\xce\xea\r\n\r\n")
-	case TwoFramings:
-		say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n")
-	case TooLong:
-		say("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<17))
-	case Stall:
-		say("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nans")
-		return standin.Hangs(c)
-	case Hang:
+	case stall, hang:
 		return standin.Hangs(c)
+	default:
+		return false
 	}
-	return false
+}
+
+// http1Response returns what a backend with a fault writes.
+func http1Response(f fault, body string) string {
+	complete := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	switch f {
+	case serve:
+		return complete
+	case created:
+		return strings.Replace(complete, "200 OK", "201 Created", 1)
+	case informational:
+		return "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + complete
+	case trailingBytes:
+		return complete + "\xfai\x19\xce"
+	case overloaded:
+		return "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+	case serverError:
+		return "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nsoon"
+	case unavailable:
+		return "HTTP/1.1 503 No\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
+	case invalidRequest:
+		return "HTTP/1.1 422 No\r\nContent-Length: 0\r\n\r\n"
+	case truncatedHead:
+		return "HTTP/1.1 200 OK\r\nContent-"
+	case truncatedBody, stall:
+		return "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nans"
+	case garbage:
+		return "\xfai\x19\xce\xea\r\n\r\n"
+	case conflictingFraming:
+		return "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"
+	case tooLarge:
+		return "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<17)
+	case notListening, reset, hang:
+	}
+	return ""
 }
 
 // http1Client speaks HTTP/1.1 by hand: net/http would send some requests again by itself.
 type http1Client struct{}
 
-func (http1Client) Send(t testing.TB, addr string, class Class, id string, timeout time.Duration) (Outcome, string) {
+func (http1Client) send(
+	tb testing.TB, addr string, class class, id string, timeout time.Duration,
+) (outcome, string) {
+	tb.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(timeout + 20*time.Second))
-	method, more := "POST", "Content-Length: 3\r\n"
-	switch class {
-	case Safe:
-		method, more = "GET", ""
-	case Keyed:
-		more += "Idempotency-Key: k-" + id + "\r\n"
+	defer func() { _ = c.Close() }()
+	if err := c.SetDeadline(time.Now().Add(timeout + 20*time.Second)); err != nil {
+		tb.Fatal(err)
 	}
-	fmt.Fprintf(c, "%s /%s/x HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\n%s\r\n", method, class, id, more)
-	if method == "POST" {
-		_, _ = io.WriteString(c, "abc")
+	if _, err := io.WriteString(c, http1Request(class, id)); err != nil {
+		tb.Fatal(err)
 	}
 	start := time.Now()
-	r := bufio.NewReader(c)
-	resp, err := http.ReadResponse(r, nil)
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		return Failed, err.Error()
+		return failed, err.Error()
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return Failed, err.Error()
+		return failed, err.Error()
 	}
 	if took := time.Since(start); took > timeout+15*time.Second {
-		t.Errorf("answered after %v", took)
+		tb.Errorf("answered after %v", took)
 	}
+	return http1Outcome(resp.StatusCode), string(body)
+}
+
+// http1Request returns a request of a class.
+func http1Request(class class, id string) string {
+	head := fmt.Sprintf("/%s/x HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\n", class, id)
+	switch class {
+	case idempotent:
+		return "GET " + head + "\r\n"
+	case idempotentByKey:
+		head += "Content-Length: 3\r\nIdempotency-Key: k-" + id + "\r\n"
+	case nonIdempotent:
+		head += "Content-Length: 3\r\n"
+	}
+	return "POST " + head + "\r\nabc"
+}
+
+// http1Outcome returns what a client makes of a status.
+func http1Outcome(status int) outcome {
 	switch {
-	case resp.StatusCode < 300:
-		return Served, string(body)
-	case resp.StatusCode == 503 || resp.StatusCode == 429:
-		return Refused, string(body)
-	case resp.StatusCode < 500:
-		return Rejected, string(body)
+	case status < 300:
+		return served
+	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
+		return shed
+	case status < 500:
+		return rejected
 	}
-	return Failed, string(body)
+	return failed
 }
 
-func TestHTTP1ToHTTP1(t *testing.T) { Run(t, http1Client{}, http1Backends{}) }
+func TestHTTP1ToHTTP1(t *testing.T) { runTable(t, http1Client{}, http1Backends{}) }
--- a/internal/socket/sock.go
+++ b/internal/socket/socket.go
@@ -7,8 +7,9 @@
 	"syscall"
 )
 
-// IsIdle tells whether a connection is open with nothing to read: an idle peer that has closed it, or sends
-// what nobody asked for, shows here without a wait.
+// IsIdle reports whether a connection is open with nothing to read. A peer that has closed an idle
+// connection, or that sends what nobody asked for, shows here without waiting. It returns false for
+// a connection that is not a socket.
 func IsIdle(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -18,12 +19,13 @@
 	if err != nil {
 		return false
 	}
-	open := false
-	// Control, not Read: Read waits for any other reader, and the server always has one on an idle client.
+	idle := false
+	// Control, not Read: Read waits for any other reader, and the server always has one on an idle
+	// client.
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		open = errors.Is(err, syscall.EAGAIN)
+		idle = errors.Is(err, syscall.EAGAIN) // the end of the stream is no error, nor is a byte
 	})
-	return err == nil && open
+	return err == nil && idle
 }
