--- a/internal/harness/worker/followers.go
+++ b/internal/harness/worker/followers.go
@@ -3,10 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fernlanding/internal/distribution"
-	"fernlanding/internal/distribution/follow"
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/rollout/plan"
 	"fmt"
 	"hash/fnv"
 	"log/slog"
@@ -17,6 +13,11 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"fernlanding/internal/distribution"
+	"fernlanding/internal/distribution/follow"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/rollout/plan"
 )
 
 // Follower follows resources: a follow.Follower, or a stand-in of it.
@@ -200,7 +201,7 @@
 			items[item.Key] = string(item.Value)
 		}
 	}
-	if who, refused := items[plan.RefuseKey]; refused && who == `"`+s.follower+`"` {
+	if who, refused := items[plan.RejectKey]; refused && who == `"`+s.follower+`"` {
 		const why = "an item names this follower"
 		s.tell(history.Event{Kind: history.Refused, Who: s.follower, Resource: s.resource, Version: u.Version, Why: why})
 		return errors.New(why)
--- a/internal/sidecar/run_test.go
+++ b/internal/sidecar/run_test.go
@@ -87,7 +87,7 @@
 	}
 	waitUntil(t, func() bool { return p.stats().Idle == len(all) })
 	p.stop()
-	waitUntil(t, func() bool { return p.stats().Bound })
+	waitUntil(t, func() bool { return p.stats().NoNewConnections })
 	for i, c := range all[:5] {
 		c.send(t, lookRequest(fmt.Sprint("h", i), 8000))
 	}
--- a/internal/sidecar/startup_test.go
+++ b/internal/sidecar/startup_test.go
@@ -78,9 +78,9 @@
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(ctx) }()
 	log.waitForLine(t, "msg=\"not ready\"", "services_without_list=[a]", "recent_starts=0")
-	log.waitForLine(t, "msg=discovery", "list=false", "why=\"turned away\"", "next=")
+	log.waitForLine(t, "msg=\"discovery call failed\"", "has_list=false", "reason=rejected", "next=")
 	d.Down(false)
-	log.waitForLine(t, "msg=\"first list\"", "endpoints=1")
+	log.waitForLine(t, "msg=\"first endpoint list\"", "endpoints=1")
 	log.waitForLine(t, "msg=ready", "recent_starts=0")
 	other := *app
 	other.StateDir = "elsewhere"
