--- a/internal/membership/reconcile/delta.go
+++ b/internal/membership/reconcile/delta.go
@@ -70,7 +70,7 @@
 // applyEvent applies one change, and notes the endpoints that it changes.
 func (r *Reconciler) applyEvent(event Event, changed map[string]membership.Endpoint) *InvalidEntry {
 	previous := r.keys[event.Key]
-	r.takeOut(event.Key, changed)
+	r.removeKey(event.Key, changed)
 	var invalid *InvalidEntry
 	if !event.Deleted {
 		invalid = r.setKey(event.Entry, previous)
@@ -79,13 +79,13 @@
 		changed[state.endpoint.Name] = state.endpoint
 	}
 	if previous != nil && previous.valid && r.owners[previous.endpoint.Name] == "" {
-		r.passOnName(previous.endpoint.Name, changed)
+		r.reassignName(previous.endpoint.Name, changed)
 	}
 	return invalid
 }
 
-// takeOut removes a key, its claim to a name, and its endpoint.
-func (r *Reconciler) takeOut(key string, changed map[string]membership.Endpoint) {
+// removeKey removes a key, its claim to a name, and its endpoint.
+func (r *Reconciler) removeKey(key string, changed map[string]membership.Endpoint) {
 	state := r.keys[key]
 	delete(r.waiting, key)
 	delete(r.keys, key)
--- a/internal/membership/reconcile/key.go
+++ b/internal/membership/reconcile/key.go
@@ -55,9 +55,9 @@
 	return &InvalidEntry{Key: e.Key, Err: err}
 }
 
-// passOnName gives a name that has become free to the first key that waits for it, and notes the
+// reassignName gives a name that has become free to the first key that waits for it, and notes the
 // endpoints that this changes.
-func (r *Reconciler) passOnName(name string, changed map[string]membership.Endpoint) {
+func (r *Reconciler) reassignName(name string, changed map[string]membership.Endpoint) {
 	first := ""
 	for key, waitsFor := range r.waiting {
 		if waitsFor == name && (first == "" || key < first) {
