--- a/internal/membership/cache/cache.go
+++ b/internal/membership/cache/cache.go
@@ -41,7 +41,7 @@
 }
 
 func (s *Store) load(now time.Time, maxAge time.Duration) (*membership.List, time.Duration, error) {
-	data, err := durable.ReadFile(s.path, MaxFileBytes)
+	data, err := durable.ReadFile(s.path, maxFileBytes)
 	if err != nil || data == nil {
 		return nil, 0, err
 	}
@@ -75,8 +75,8 @@
 	if err != nil {
 		return nil, wrap(err)
 	}
-	if len(data) > MaxFileBytes {
-		return nil, wrap(fmt.Errorf("%d bytes, %d at most expected", len(data), MaxFileBytes))
+	if len(data) > maxFileBytes {
+		return nil, wrap(fmt.Errorf("%d bytes, %d at most expected", len(data), maxFileBytes))
 	}
 	if err := os.MkdirAll(filepath.Dir(s.path), 0o700); err != nil {
 		return nil, wrap(err)
--- a/internal/membership/cache/cache_test.go
+++ b/internal/membership/cache/cache_test.go
@@ -108,7 +108,7 @@
 			of(membership.Endpoint{Name: "a", Address: "a:1"}, membership.Endpoint{Name: "a", Address: "a:2"}),
 			`"a" is there twice`,
 		},
-		{strings.Repeat(" ", MaxFileBytes+1), "that many at most expected"},
+		{strings.Repeat(" ", maxFileBytes+1), "that many at most expected"},
 	} {
 		store := NewStore(t.TempDir(), "x", "here")
 		if err := os.WriteFile(store.path, []byte(test.text), 0o600); err != nil {
--- a/internal/membership/cache/codec.go
+++ b/internal/membership/cache/codec.go
@@ -14,9 +14,9 @@
 const (
 	formatVersion = 1
 
-	// MaxFileBytes is the size of the largest file that is written or read. A larger list is not
+	// maxFileBytes is the size of the largest file that is written or read. A larger list is not
 	// cached.
-	MaxFileBytes = 8 << 20
+	maxFileBytes = 8 << 20
 	maxEntries   = 100_000
 	maxNameBytes = 256 // of a name, an address or a zone
 )
--- a/internal/membership/file/file.go
+++ b/internal/membership/file/file.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	// Interval is how often the file is checked: a drain in it is known well within the 250 ms that
-	// the protocol allows.
-	Interval     = 100 * time.Millisecond
-	maxFileBytes = 32 << 20
+	// checkInterval is how often the file is checked: a drain in it is known well within the 250 ms
+	// that the protocol allows.
+	checkInterval = 100 * time.Millisecond
+	maxFileBytes  = 32 << 20
 	// timestampSlack is how shortly before a read a file may have been modified and then change
 	// again unseen, since the clocks of file systems are coarse. Such a file is read again.
 	timestampSlack = 2 * time.Second
@@ -53,7 +53,7 @@
 
 // Run implements membership.Source.
 func (s *Source) Run(ctx context.Context, sink membership.Sink) {
-	ticker := time.NewTicker(Interval)
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
 		s.check(sink)
--- a/internal/membership/reconcile/entry.go
+++ b/internal/membership/reconcile/entry.go
@@ -30,7 +30,7 @@
 	if !ok || instance == "" || strings.Contains(instance, "/") || len(instance) > maxNameBytes {
 		return membership.Endpoint{}, errKeyPattern
 	}
-	if len(e.Value) > MaxValueBytes {
+	if len(e.Value) > maxValueBytes {
 		return membership.Endpoint{}, errValueTooLarge
 	}
 	var v value
--- a/internal/membership/reconcile/reconcile_test.go
+++ b/internal/membership/reconcile/reconcile_test.go
@@ -77,7 +77,7 @@
 		{"another cluster", Snapshot{Cluster: "d", Revision: 12, Count: 1, Entries: []Entry{c}}, ErrClusterChanged},
 		{
 			"too many",
-			Snapshot{Cluster: "c", Revision: 12, Count: -1, Entries: make([]Entry, MaxEntries+1)},
+			Snapshot{Cluster: "c", Revision: 12, Count: -1, Entries: make([]Entry, maxEntries+1)},
 			ErrTooManyEntries,
 		},
 	} {
--- a/internal/membership/reconcile/snapshot.go
+++ b/internal/membership/reconcile/snapshot.go
@@ -33,7 +33,7 @@
 // checkSnapshot returns why a snapshot is rejected, or nil.
 func (r *Reconciler) checkSnapshot(now time.Time, snapshot Snapshot) error {
 	switch {
-	case len(snapshot.Entries) > MaxEntries:
+	case len(snapshot.Entries) > maxEntries:
 		return ErrTooManyEntries
 	case snapshot.Count >= 0 && snapshot.Count != int64(len(snapshot.Entries)):
 		return fmt.Errorf("%w: %d and %d", ErrCountMismatch, snapshot.Count, len(snapshot.Entries))
--- a/internal/membership/reconcile/update.go
+++ b/internal/membership/reconcile/update.go
@@ -9,8 +9,8 @@
 
 // Bounds of what is accepted.
 const (
-	MaxValueBytes = 16 << 10 // of an entry's value
-	MaxEntries    = 100_000
+	maxValueBytes = 16 << 10 // of an entry's value
+	maxEntries    = 100_000
 	maxNameBytes  = 256
 )
 
@@ -55,7 +55,7 @@
 var (
 	errKeyPattern    = errors.New("a key outside the pattern PREFIX/SERVICE/INSTANCE")
 	errNameTaken     = errors.New("another key has this name")
-	errValueTooLarge = fmt.Errorf("over %d bytes", MaxValueBytes)
+	errValueTooLarge = fmt.Errorf("over %d bytes", maxValueBytes)
 )
 
 // Result is what an accepted snapshot or delta changes for a pool.
--- a/internal/start/record/record.go
+++ b/internal/start/record/record.go
@@ -20,8 +20,8 @@
 
 	// StableAfter is how long a replica has to run for its starts to be forgotten.
 	StableAfter = 2 * time.Minute
-	// Window is how long a start counts as recent.
-	Window = 10 * time.Minute
+	// window is how long a start counts as recent.
+	window = 10 * time.Minute
 
 	maxFileBytes = 4 << 10
 	maxStarts    = 32 // the latest are kept
@@ -47,7 +47,7 @@
 	var starts []int64
 	for _, at := range previous {
 		// A clock that has stepped back leaves starts in the future, which say nothing.
-		if age := now.Sub(time.UnixMilli(at)); age >= 0 && age < Window {
+		if age := now.Sub(time.UnixMilli(at)); age >= 0 && age < window {
 			starts = append(starts, at)
 		}
 	}
--- a/internal/start/record/record_test.go
+++ b/internal/start/record/record_test.go
@@ -32,14 +32,14 @@
 		t.Errorf("%d starts in the future count", n)
 	}
 	recordStart(t, dir, zero)
-	if n := recordStart(t, dir, zero.Add(Window)); n != 0 {
+	if n := recordStart(t, dir, zero.Add(window)); n != 0 {
 		t.Errorf("%d starts from before the window count", n)
 	}
-	recordStart(t, dir, zero.Add(Window+time.Second))
+	recordStart(t, dir, zero.Add(window+time.Second))
 	if err := Open(dir).Clear(); err != nil {
 		t.Fatal(err)
 	}
-	if n := recordStart(t, dir, zero.Add(Window+2*time.Second)); n != 0 {
+	if n := recordStart(t, dir, zero.Add(window+2*time.Second)); n != 0 {
 		t.Errorf("%d starts count after Clear", n)
 	}
 	if files, err := os.ReadDir(dir); err != nil || len(files) != 1 {
