--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -1,5 +1,6 @@
-// Package standin holds stand-ins for what a sidecar meets: backends, discovery and clients, with faults that are
-// scripted. Tests, benchmarks and `fernlanding try` share them. All of them listen on loopback addresses only.
+// Package standin holds stand-ins for what a sidecar meets: backends (Backend, Worker, Fleet),
+// discovery (Discovery, Health, Registry) and clients (Load), with scripted faults. Tests,
+// benchmarks and `fernlanding try` share them. All of them listen on loopback addresses only.
 package standin
 
 import (
@@ -7,6 +8,7 @@
 	"bytes"
 	"fmt"
 	"io"
+	"maps"
 	"net"
 	"net/http"
 	"sync"
@@ -15,7 +17,7 @@
 
 const maxBody = 16 << 20 // bytes of a request
 
-// Call is one request that has come whole to a backend.
+// Call is one request that a backend has received completely.
 type Call struct {
 	*http.Request
 	Content []byte // the body
@@ -25,10 +27,11 @@
 	Done    <-chan struct{} // closed when the backend ends
 }
 
-// Reply writes a whole answer with a length.
+// Reply writes a complete response with a length. Each line of the header ends in CRLF.
 func (c *Call) Reply(status int, header string, body []byte) error {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n", status, http.StatusText(status), header, len(body))
+	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n",
+		status, http.StatusText(status), header, len(body))
 	if c.Method != http.MethodHead {
 		b.Write(body)
 	}
@@ -36,18 +39,19 @@
 	return err
 }
 
-// Handler answers a call on its connection, in whatever way, and returns whether that stays open.
+// Handler answers a call on its connection, in whatever way, and reports whether that stays open.
 type Handler func(*Call) (keep bool)
 
-// Backend is an HTTP/1.1 server on a loopback socket that carries one request at a time on a connection.
+// Backend is an HTTP/1.1 server on a loopback socket that carries one request at a time on a
+// connection.
 type Backend struct {
-	handler  atomic.Pointer[Handler]
-	listener net.Listener
-	done     chan struct{}
-	all      sync.WaitGroup
+	handler    atomic.Pointer[Handler]
+	listener   net.Listener
+	done       chan struct{}
+	goroutines sync.WaitGroup
 
 	requests, opened, open, mostOpen atomic.Int64
-	bound                            atomic.Int64 // connections at once; further ones are closed; 0: any number
+	maxConns                         atomic.Int64 // connections at once; further ones are closed; 0: no limit
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
@@ -58,7 +62,7 @@
 // NewBackend starts a backend. Close ends it.
 func NewBackend(handler Handler) (*Backend, error) { return NewBackendAt("127.0.0.1:0", handler) }
 
-// NewBackendAt starts a backend at an address, which has to be one of loopback.
+// NewBackendAt starts a backend at an address, which has to be a loopback address.
 func NewBackendAt(address string, handler Handler) (*Backend, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -76,23 +80,24 @@
 		runs: map[string]int{}, keys: map[string]int{},
 	}
 	b.handler.Store(&handler)
-	b.all.Go(b.serve)
+	b.goroutines.Go(b.serve)
 	return b, nil
 }
 
-// SetHandler has the backend answer calls that come from now on in another way.
+// SetHandler replaces the handler of calls that come from now on.
 func (b *Backend) SetHandler(h Handler) { b.handler.Store(&h) }
 
-// Bound has the backend close connections beyond so many; 0: none.
-func (b *Backend) Bound(conns int) { b.bound.Store(int64(conns)) }
+// Bound limits the connections at once: the backend closes further ones; 0: no limit.
+func (b *Backend) Bound(conns int) { b.maxConns.Store(int64(conns)) }
 
-// Addr is where the backend listens.
+// Addr returns the address that the backend listens on.
 func (b *Backend) Addr() string { return b.listener.Addr().String() }
 
-// Done is closed when the backend ends; handlers that wait are to heed it.
+// Done returns a channel that is closed when the backend ends; handlers that wait have to watch it.
 func (b *Backend) Done() <-chan struct{} { return b.done }
 
-// Close ends the backend and its connections, as the end of its process would, and waits for its handlers.
+// Close ends the backend and its connections, as the end of its process would, and waits for its
+// handlers.
 func (b *Backend) Close() {
 	b.mu.Lock()
 	select {
@@ -100,53 +105,53 @@
 	default:
 		close(b.done)
 	}
-	b.listener.Close()
+	_ = b.listener.Close()
 	for c := range b.conns {
-		c.Close()
+		_ = c.Close() // its peer sees a reset or an end, as from a process that died
 	}
 	b.mu.Unlock()
-	b.all.Wait()
+	b.goroutines.Wait()
 }
 
-// Requests is how many requests have come whole.
+// Requests returns how many requests have been received completely.
 func (b *Backend) Requests() int { return int(b.requests.Load()) }
 
-// Conns is how many connections have been opened, how many are open, and how many were at once.
+// Conns returns how many connections have been opened, how many are open, and how many were open at
+// once at most.
 func (b *Backend) Conns() (opened, open, most int) {
 	return int(b.opened.Load()), int(b.open.Load()), int(b.mostOpen.Load())
 }
 
-// Runs is how often each Request-Id has come.
-func (b *Backend) Runs() map[string]int { return b.copyOf(b.runs) }
+// Runs returns how often each Request-Id has been received.
+func (b *Backend) Runs() map[string]int { return b.copyCounts(b.runs) }
 
-// Keys is how often each Idempotency-Key has come.
-func (b *Backend) Keys() map[string]int { return b.copyOf(b.keys) }
+// Keys returns how often each Idempotency-Key has been received.
+func (b *Backend) Keys() map[string]int { return b.copyCounts(b.keys) }
 
-func (b *Backend) copyOf(m map[string]int) map[string]int {
+// copyCounts returns a copy of one of the backend's maps.
+func (b *Backend) copyCounts(counts map[string]int) map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make(map[string]int, len(m))
-	for k, n := range m {
-		out[k] = n
-	}
-	return out
+	return maps.Clone(counts)
 }
 
+// serve accepts connections until the listener is closed.
 func (b *Backend) serve() {
 	for {
 		c, err := b.listener.Accept()
 		if err != nil {
 			return
 		}
-		if !b.enter(c) {
-			c.Close()
+		if !b.admit(c) {
+			_ = c.Close() // nothing has been read from it
 			continue
 		}
-		b.all.Go(func() { b.converse(c) })
+		b.goroutines.Go(func() { b.serveConn(c) })
 	}
 }
 
-func (b *Backend) enter(c net.Conn) bool {
+// admit counts a connection in; it returns false if the backend has ended or is at its limit.
+func (b *Backend) admit(c net.Conn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	select {
@@ -154,7 +159,7 @@
 		return false
 	default:
 	}
-	if most := b.bound.Load(); most > 0 && b.open.Load() >= most {
+	if limit := b.maxConns.Load(); limit > 0 && b.open.Load() >= limit {
 		return false
 	}
 	b.conns[c] = true
@@ -163,15 +168,17 @@
 	return true
 }
 
-func (b *Backend) converse(c net.Conn) {
+// serveConn answers the requests of a connection, one after another.
+func (b *Backend) serveConn(c net.Conn) {
 	defer func() {
 		b.mu.Lock()
 		delete(b.conns, c)
 		b.mu.Unlock()
 		b.open.Add(-1)
-		c.Close()
+		_ = c.Close()
 	}()
-	for r, n := bufio.NewReader(c), 1; ; n++ {
+	r := bufio.NewReader(c)
+	for n := 1; ; n++ {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
@@ -180,23 +187,27 @@
 		if err != nil {
 			return
 		}
-		if !(*b.handler.Load())(&Call{Request: req, Content: content, Number: b.count(req), OnConn: n, Conn: c, Done: b.done}) {
+		call := &Call{
+			Request: req, Content: content, Number: b.countRequest(req), OnConn: n, Conn: c, Done: b.done,
+		}
+		if handle := *b.handler.Load(); !handle(call) {
 			return
 		}
 	}
 }
 
-func (b *Backend) count(r *http.Request) int {
+// countRequest counts a request and returns its number.
+func (b *Backend) countRequest(r *http.Request) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.runs[r.Header.Get("Request-Id")]++
-	if k := r.Header.Get("Idempotency-Key"); k != "" {
-		b.keys[k]++
+	if key := r.Header.Get("Idempotency-Key"); key != "" {
+		b.keys[key]++
 	}
 	return int(b.requests.Add(1))
 }
 
-// Says is a handler that writes the same bytes each time.
+// Says returns a handler that writes the same bytes each time.
 func Says(text string, keep bool) Handler {
 	return func(c *Call) bool {
 		_, err := io.WriteString(c.Conn, text)
@@ -204,12 +215,13 @@
 	}
 }
 
-// Echo is a handler that serves each request with its own method, target and body.
+// Echo is a Handler that serves each request with its own method, target and body.
 func Echo(c *Call) bool {
-	return c.Reply(http.StatusOK, "Content-Type: text/plain\r\n", append([]byte(c.Method+" "+c.RequestURI+"\n"), c.Content...)) == nil
+	body := append([]byte(c.Method+" "+c.RequestURI+"\n"), c.Content...)
+	return c.Reply(http.StatusOK, "Content-Type: text/plain\r\n", body) == nil
 }
 
-// Hangs is a handler that answers nothing until the backend ends or the caller goes.
+// Hangs is a Handler that answers nothing until the backend ends or the caller leaves.
 func Hangs(c *Call) bool {
 	_, _ = c.Conn.Read(make([]byte, 1))
 	return false
--- a/internal/standin/backendtest/backendtest.go
+++ b/internal/standin/backendtest/backendtest.go
@@ -1,4 +1,5 @@
-// Package backendtest has a backend on a loopback socket for the tests of packages that send to one.
+// Package backendtest provides a scripted backend on a loopback socket for the tests of packages
+// that send to one.
 package backendtest
 
 import (
@@ -10,36 +11,38 @@
 	"testing"
 )
 
-// Served is an answer that serves a request, with the body "ok".
+// Served is a response that serves a request, with the body "ok".
 const Served = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-const maxClosed = 1000 // ends of connections that nobody has taken from Closed yet
+const maxClosed = 1000 // ends of connections that nobody has received from Closed yet
 
-// Reply writes what a backend answers to its nth request, from 1, to the connection, and returns whether that stays open.
+// Reply writes the response to a backend's nth request, from 1, to the connection, and reports
+// whether that stays open.
 type Reply func(connection io.Writer, r *http.Request, n int) (keep bool)
 
-// Backend is a backend that calls its Reply for each request that has come whole.
+// Backend calls its Reply for each request that it has received completely.
 type Backend struct {
 	Addr     string        // host:port
-	Requests atomic.Int32  // that have come whole
+	Requests atomic.Int32  // received completely
 	Conns    atomic.Int32  // connections that were opened
 	Closed   chan struct{} // one for each connection that has ended
 	reply    Reply
 }
 
-// Start starts a backend that takes connections until the test ends.
-func Start(t testing.TB, reply Reply) *Backend {
-	t.Helper()
+// Start starts a backend that accepts connections until the test ends.
+func Start(tb testing.TB, reply Reply) *Backend {
+	tb.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	tb.Cleanup(func() { _ = l.Close() })
 	b := &Backend{Addr: l.Addr().String(), Closed: make(chan struct{}, maxClosed), reply: reply}
 	go b.serve(l)
 	return b
 }
 
+// serve accepts connections until the listener is closed.
 func (b *Backend) serve(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -47,13 +50,18 @@
 			return
 		}
 		b.Conns.Add(1)
-		go b.converse(c)
+		go b.serveConn(c)
 	}
 }
 
-func (b *Backend) converse(c net.Conn) {
-	defer func() { c.Close(); b.Closed <- struct{}{} }()
-	for r := bufio.NewReader(c); ; {
+// serveConn answers the requests of a connection, one after another.
+func (b *Backend) serveConn(c net.Conn) {
+	defer func() {
+		_ = c.Close()
+		b.Closed <- struct{}{}
+	}()
+	r := bufio.NewReader(c)
+	for {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
@@ -67,7 +75,7 @@
 	}
 }
 
-// Says answers each request with the same bytes.
+// Says returns a Reply that writes the same bytes each time.
 func Says(text string, keep bool) Reply {
 	return func(connection io.Writer, _ *http.Request, _ int) bool {
 		_, _ = io.WriteString(connection, text)
@@ -75,9 +83,13 @@
 	}
 }
 
-// Hang answers nothing until the test ends.
-func Hang(t testing.TB) Reply {
-	over := make(chan struct{})
-	t.Cleanup(func() { close(over) })
-	return func(io.Writer, *http.Request, int) bool { <-over; return false }
+// Hang returns a Reply that writes nothing and returns when the test ends.
+func Hang(tb testing.TB) Reply {
+	tb.Helper()
+	ended := make(chan struct{})
+	tb.Cleanup(func() { close(ended) })
+	return func(io.Writer, *http.Request, int) bool {
+		<-ended
+		return false
+	}
 }
--- a/internal/standin/effects.go
+++ b/internal/standin/effects.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Effects is the book in which all backends of a service write what has had an effect: a POST, under its
-// Idempotency-Key or else its Request-Id. The members of a pod drop a key that one of them has written within the
-// window.
+// Effects record what has had an effect at any backend of a service: a POST, under its
+// Idempotency-Key or else its Request-Id. The backends of a pod drop a key that one of them has
+// recorded within the dedup window. Effects may be used by many goroutines.
 type Effects struct {
 	window time.Duration
 
@@ -16,53 +16,56 @@
 	keys map[string][]effect
 }
 
+// effect is one recorded effect.
 type effect struct {
 	pod int
 	at  time.Time
 }
 
-// NewEffects returns an empty book.
+// NewEffects returns an empty record with a dedup window.
 func NewEffects(window time.Duration) *Effects {
 	return &Effects{window: window, keys: map[string][]effect{}}
 }
 
-func (e *Effects) happen(pod int, c *Call) {
+// recordCall records a call, if it has an effect. A nil Effects records nothing.
+func (e *Effects) recordCall(pod int, c *Call) {
 	if e == nil || c.Method != http.MethodPost {
 		return
 	}
-	key, keyed := c.Header.Get("Idempotency-Key"), true
-	if key == "" {
-		key, keyed = c.Header.Get("Request-Id"), false
+	if key := c.Header.Get("Idempotency-Key"); key != "" {
+		e.Happen(pod, key, true)
+		return
 	}
-	e.Happen(pod, key, keyed)
+	e.Happen(pod, c.Header.Get("Request-Id"), false)
 }
 
-// Happen writes an effect down, unless the key is recalled by the pod.
+// Happen records an effect, unless it has an idempotency key that is within the pod's dedup window.
 func (e *Effects) Happen(pod int, key string, keyed bool) {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, old := range e.keys[key] {
-		if keyed && old.pod == pod && now.Sub(old.at) < e.window {
+	for _, earlier := range e.keys[key] {
+		if keyed && earlier.pod == pod && now.Sub(earlier.at) < e.window {
 			return
 		}
 	}
-	e.keys[key] = append(e.keys[key], effect{pod, now})
+	e.keys[key] = append(e.keys[key], effect{pod: pod, at: now})
 }
 
-// Twice is the keys that have had more than one effect.
-func (e *Effects) Twice() (keys []string) {
+// Twice returns the keys that have had more than one effect.
+func (e *Effects) Twice() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for k, all := range e.keys {
-		if len(all) > 1 {
-			keys = append(keys, k)
+	var keys []string
+	for key, effects := range e.keys {
+		if len(effects) > 1 {
+			keys = append(keys, key)
 		}
 	}
 	return keys
 }
 
-// Count is how many keys have had an effect.
+// Count returns how many keys have had an effect.
 func (e *Effects) Count() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// Window is how long a pod of the fleet's billing service recalls a key.
+// Window is the dedup window of the fleet's billing service.
 const Window = 7500 * time.Millisecond
 
-// Fleet is two services of five workers each, of three speeds, each service with a discovery of its own.
+// Fleet is two services of five workers each, of three speeds, each service with a discovery of its
+// own.
 type Fleet struct {
 	Workers []*Worker // the tariff service's, then the billing service's
 	Effects *Effects
@@ -17,39 +18,47 @@
 	billing *Discovery
 }
 
-const each = 5 // workers of a service
+const workersPerService = 5
 
 // NewFleet starts a fleet. Close ends it.
-func NewFleet() (f *Fleet, err error) {
-	f = &Fleet{Effects: NewEffects(Window)}
-	defer func() {
-		if err != nil {
-			f.Close()
-		}
-	}()
-	if f.tariff, err = NewDiscovery(); err != nil {
+func NewFleet() (*Fleet, error) {
+	f := &Fleet{Effects: NewEffects(Window)}
+	if err := f.start(); err != nil {
+		f.Close()
 		return f, err
 	}
-	if f.billing, err = NewDiscovery(); err != nil {
-		return f, err
+	return f, nil
+}
+
+// start starts the discoveries and the workers.
+func (f *Fleet) start() error {
+	var err error
+	f.tariff, err = NewDiscovery()
+	if err != nil {
+		return err
 	}
-	speeds := [each]float64{2, 1.2, 1.2, 0.8, 0.8}
-	for i := range 2 * each {
+	f.billing, err = NewDiscovery()
+	if err != nil {
+		return err
+	}
+	speeds := [workersPerService]float64{2, 1.2, 1.2, 0.8, 0.8}
+	for i := range 2 * workersPerService {
 		service, d := "tariff", f.tariff
-		if i >= each {
+		if i >= workersPerService {
 			service, d = "billing", f.billing
 		}
 		w, err := NewWorker(WorkerConfig{
-			Cores: 2, Waiting: 16, Work: 5 * time.Millisecond, Speed: speeds[i%each],
+			Cores: 2, Waiting: 16, Work: 5 * time.Millisecond, Speed: speeds[i%workersPerService],
 			Pod: i % 2, Effects: f.Effects,
 		})
 		if err != nil {
-			return f, err
+			return err
 		}
 		f.Workers = append(f.Workers, w)
-		d.Put(Member{Name: fmt.Sprintf("%s-%d", service, i%each+1), Address: w.Addr(), Zone: "a", Group: i % 2})
+		name := fmt.Sprintf("%s-%d", service, i%workersPerService+1)
+		d.Put(Member{Name: name, Address: w.Addr(), Zone: "a", Group: i % 2})
 	}
-	return f, nil
+	return nil
 }
 
 // Close ends the fleet.
@@ -64,11 +73,13 @@
 	}
 }
 
-// Trouble makes some workers slow and some hang, the first of each service in turn, or ends that.
+// Trouble makes some workers slow and some hang, the first of each service in turn; the others work
+// as usual.
 func (f *Fleet) Trouble(slow, hung int) {
 	for i, w := range f.Workers {
-		n := 2 * (i % each) // 0 2 4 .. of tariff, 1 3 5 .. of billing: troubles alternate between the services
-		if i >= each {
+		// 0 2 4 .. of tariff, 1 3 5 .. of billing: faults alternate between the services
+		n := 2 * (i % workersPerService)
+		if i >= workersPerService {
 			n++
 		}
 		w.Slow(1)
@@ -79,10 +90,13 @@
 	}
 }
 
-// Classes are the fleet's classes, as Config words them.
+// Classes returns the fleet's classes, as Config has them.
 func (f *Fleet) Classes() []Class {
 	return []Class{
-		{Name: "tariff-lookup", Method: "GET", Path: "/tariffs/%d", Share: 0.6, Objective: 300 * time.Millisecond, Deadline: time.Second},
+		{
+			Name: "tariff-lookup", Method: "GET", Path: "/tariffs/%d", Share: 0.6,
+			Objective: 300 * time.Millisecond, Deadline: time.Second,
+		},
 		{
 			Name: "usage-rate", Method: "POST", Path: "/usage", Body: `{"minutes":3}`, Keyed: true, Share: 0.25,
 			Objective: 500 * time.Millisecond, Deadline: 2 * time.Second,
@@ -94,7 +108,7 @@
 	}
 }
 
-// Config is the configuration of a sidecar before the fleet, in the application's format.
+// Config returns the configuration of a sidecar before the fleet, in the application's format.
 func (f *Fleet) Config(listen string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, `version = 1
@@ -114,20 +128,24 @@
 trusted = true
 
 `, listen, f.tariff.Addr(), f.billing.Addr())
+	paths := [...]string{ // of the classes
+		`prefix = "/tariffs"`, `exact = "/usage"`, `template = "/accounts/{account}/charges"`,
+	}
 	for i, c := range f.Classes() {
-		service, repeat := "billing", "unsafe"
+		service, retryRule := "billing", "unsafe"
 		switch {
 		case c.Keyed:
-			repeat = "keyed"
+			retryRule = "keyed"
 		case c.Method == "GET":
-			service, repeat = "tariff", "safe"
+			service, retryRule = "tariff", "safe"
 		}
-		fmt.Fprintf(&b, "[services.%s.classes.%s]\nrepeat = %q\nobjective = %q\ndeadline = %q\n", service, c.Name, repeat, c.Objective, c.Deadline)
+		fmt.Fprintf(&b, "[services.%s.classes.%s]\nrepeat = %q\nobjective = %q\ndeadline = %q\n",
+			service, c.Name, retryRule, c.Objective, c.Deadline)
 		if c.Keyed {
 			fmt.Fprintf(&b, "dedup_scope = \"cell\"\ndedup_window = %q\n", Window)
 		}
-		path := [...]string{"prefix = \"/tariffs\"", "exact = \"/usage\"", "template = \"/accounts/{account}/charges\""}[i]
-		fmt.Fprintf(&b, "\n[[routes]]\nname = %q\n%s\nmethods = [%q]\nservice = %q\nclass = %q\n\n", c.Name, path, c.Method, service, c.Name)
+		fmt.Fprintf(&b, "\n[[routes]]\nname = %q\n%s\nmethods = [%q]\nservice = %q\nclass = %q\n\n",
+			c.Name, paths[i], c.Method, service, c.Name)
 	}
 	return b.String()
 }
--- a/internal/standin/health.go
+++ b/internal/standin/health.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"maps"
 	"net"
 	"net/http"
 	"slices"
@@ -11,33 +12,34 @@
 	"time"
 )
 
-// Health is a health API with blocking reads on a loopback socket, as Consul publishes it, for one service of any name.
-// It can fail in the ways in which a registry does.
+// Health is a health API with blocking queries on a loopback socket, as Consul publishes it, for
+// one service of any name. It can fail in the ways in which a registry does. It may be used by many
+// goroutines.
 type Health struct {
-	served
+	server
 
 	mu      sync.Mutex
 	index   uint64
 	members map[string]Member
-	news    chan struct{} // closed at the next change
+	change  chan struct{} // closed at the next change
 	fault   HealthFault
-	old     []byte // what a stale server still says
-	listed  []byte // the answer at this index; nil: not worded yet
+	stale   []byte // the response of a server that lost its leader
+	encoded []byte // the response at this index; nil: not encoded yet
 	reads   int
 }
 
-// HealthFault is a way to fail.
+// HealthFault is a way in which a Health fails.
 type HealthFault int
 
-// The ways to fail.
+// The faults.
 const (
 	Fine     HealthFault = iota
 	Down                 // 500 to all
-	Silent               // takes reads and answers none
-	Leader               // answers what was true when it lost its leader, and says that it has none
-	Cut                  // cuts its answers short
-	NoIndex              // forgets the index
-	Spurious             // wakes all reads at once, with no change
+	Silent               // takes queries and answers none
+	Leader               // answers what was true when the leader was lost, and says that there is none
+	Cut                  // cuts its responses short
+	NoIndex              // sends no index
+	Spurious             // answers all queries at once, with no change
 )
 
 // NewHealth starts an API with no members. Close ends it.
@@ -49,37 +51,38 @@
 	return h, nil
 }
 
+// newHealth returns an API with no members that is not served yet.
 func newHealth() *Health {
-	return &Health{index: 1, members: map[string]Member{}, news: make(chan struct{})}
+	return &Health{index: 1, members: map[string]Member{}, change: make(chan struct{})}
 }
 
-// Put enters members or changes them, in one step of the index.
+// Put adds members or changes them, in one step of the index.
 func (h *Health) Put(members ...Member) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, m := range members {
 		h.members[m.Name] = m
 	}
-	h.tell()
+	h.advance()
 }
 
-// Delete takes members out, in one step of the index.
+// Delete removes members, in one step of the index.
 func (h *Health) Delete(names ...string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, n := range names {
-		delete(h.members, n)
+	for _, name := range names {
+		delete(h.members, name)
 	}
-	h.tell()
+	h.advance()
 }
 
 // Fail has the API fail in a way; Fine ends that.
-func (h *Health) Fail(f HealthFault) {
+func (h *Health) Fail(fault HealthFault) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.old = h.list()
-	h.fault = f
-	h.tell()
+	h.stale = h.encodedList()
+	h.fault = fault
+	h.advance()
 }
 
 // Restart has the index begin anew, as after a restore.
@@ -87,89 +90,97 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.index = 0
-	h.tell()
+	h.advance()
 }
 
-// Reads is how many reads have come.
+// Reads returns how many queries have come.
 func (h *Health) Reads() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.reads
 }
 
-func (h *Health) tell() {
+// advance takes the next index and wakes the queries that wait. The caller holds mu.
+func (h *Health) advance() {
 	h.index++
-	h.listed = nil
-	close(h.news)
-	h.news = make(chan struct{})
+	h.encoded = nil
+	close(h.change)
+	h.change = make(chan struct{})
 }
 
-// list is the answer as it would be now. It is worded once for each index.
-func (h *Health) list() []byte {
-	if h.listed == nil {
-		h.listed = h.word()
+// encodedList returns the response as it would be now. It is encoded once for each index. The
+// caller holds mu.
+func (h *Health) encodedList() []byte {
+	if h.encoded == nil {
+		h.encoded = h.encode()
 	}
-	return h.listed
+	return h.encoded
 }
 
-func (h *Health) word() []byte {
-	type object = map[string]any
-	all := []object{}
-	var names []string
-	for n := range h.members {
-		names = append(names, n)
+// encode returns the members as Consul's API lists them, in order of their names.
+func (h *Health) encode() []byte {
+	entries := []jsonObject{}
+	for _, name := range slices.Sorted(maps.Keys(h.members)) {
+		entries = append(entries, consulEntry(h.members[name]))
 	}
-	slices.Sort(names)
-	for _, n := range names {
-		m := h.members[n]
-		host, port, _ := net.SplitHostPort(m.Address)
-		number, _ := strconv.Atoi(port)
-		meta := map[string]string{"cell": strconv.Itoa(m.Group), "since": strconv.FormatInt(m.SinceMs, 10)}
-		if m.Status == "DRAINING" {
-			meta["status"] = "draining"
-		}
-		weight := m.Weight
-		if weight == 0 {
-			weight = 1
-		}
-		all = append(all, object{
-			"Node":    object{"Node": "n", "Address": host, "Datacenter": m.Zone},
-			"Service": object{"ID": m.Name, "Service": "s", "Port": number, "Meta": meta, "Weights": object{"Passing": weight, "Warning": 1}},
-			"Checks":  []object{{"CheckID": "serfHealth", "Status": "passing"}},
-		})
-	}
-	data, _ := json.Marshal(all)
+	data, _ := json.Marshal(entries) // cannot fail: strings, numbers and maps
 	return data
 }
 
+// jsonObject is an object of a JSON text.
+type jsonObject = map[string]any
+
+// consulEntry returns a member as Consul's API lists it.
+func consulEntry(m Member) jsonObject {
+	host, port, _ := net.SplitHostPort(m.Address) // an invalid address is listed empty
+	portNumber, _ := strconv.Atoi(port)
+	meta := map[string]string{"cell": strconv.Itoa(m.Group), "since": strconv.FormatInt(m.SinceMs, 10)}
+	if m.Status == statusDraining {
+		meta["status"] = "draining"
+	}
+	weight := m.Weight
+	if weight == 0 {
+		weight = 1
+	}
+	return jsonObject{
+		"Node": jsonObject{"Node": "n", "Address": host, "Datacenter": m.Zone},
+		"Service": jsonObject{
+			"ID": m.Name, "Service": "s", "Port": portNumber, "Meta": meta,
+			"Weights": jsonObject{"Passing": weight, "Warning": 1},
+		},
+		"Checks": []jsonObject{{"CheckID": "serfHealth", "Status": "passing"}},
+	}
+}
+
 // ServeHTTP answers GET /v1/health/service/NAME[?index=N&wait=T].
 func (h *Health) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !strings.HasPrefix(r.URL.Path, "/v1/health/service/") {
 		http.NotFound(w, r)
 		return
 	}
+	// Both are 0 where they are not given.
 	from, _ := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
 	wait, _ := time.ParseDuration(r.URL.Query().Get("wait"))
-	until := time.NewTimer(min(wait, time.Minute))
-	defer until.Stop()
+	waitEnd := time.NewTimer(min(wait, time.Minute))
+	defer waitEnd.Stop()
 	h.mu.Lock()
 	h.reads++
 	h.mu.Unlock()
-	for over := false; ; {
+	for waited := false; ; {
 		h.mu.Lock()
-		index, news, fault, data := h.index, h.news, h.fault, h.list()
+		index, change, fault, data := h.index, h.change, h.fault, h.encodedList()
 		if fault == Leader {
-			data = h.old
+			data = h.stale
 		}
 		h.mu.Unlock()
-		if fault != Silent && (from == 0 || index != from || over || fault != Fine) {
-			answer(w, index, fault, data)
+		if fault != Silent && (from == 0 || index != from || waited || fault != Fine) {
+			writeHealthResponse(w, index, fault, data)
 			return
 		}
 		select {
-		case <-news:
-		case <-until.C:
-			over = true
+		case <-change:
+		case <-waitEnd.C:
+			waited = true
 		case <-r.Context().Done():
 			return
 		case <-h.done:
@@ -178,7 +189,8 @@
 	}
 }
 
-func answer(w http.ResponseWriter, index uint64, fault HealthFault, data []byte) {
+// writeHealthResponse writes a response with the fault's defect.
+func writeHealthResponse(w http.ResponseWriter, index uint64, fault HealthFault, data []byte) {
 	w.Header().Set("X-Consul-Index", strconv.FormatUint(index, 10))
 	w.Header().Set("X-Consul-Knownleader", strconv.FormatBool(fault != Leader))
 	switch fault {
@@ -190,6 +202,7 @@
 	case Cut:
 		w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 		data = data[:len(data)/2]
+	default: // the body is complete
 	}
-	_, _ = w.Write(data)
+	_, _ = w.Write(data) // a caller that has left is no error
 }
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -8,6 +8,7 @@
 	"net"
 	"net/http"
 	"slices"
+	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -17,108 +18,123 @@
 type Class struct {
 	Name      string
 	Method    string
-	Path      string // a %d in it stands for a subject
+	Path      string // a %d in it stands for a random number
 	Body      string
-	Keyed     bool
+	Keyed     bool    // with an Idempotency-Key
 	Share     float64 // of all requests
 	Objective time.Duration
 	Deadline  time.Duration
 }
 
-// Load is requests at a rate, spread evenly at random over its time. Clients are open: they do not wait for each
-// other, and none asks again.
+// Load is requests at a rate, at random times spread evenly over its duration. It is an open loop:
+// clients do not wait for each other, and none retries.
 type Load struct {
 	Addr    string
 	Classes []Class
 	Rate    float64 // requests a second
 	For     time.Duration
 	Seed    uint64
-	Tag     string // begins all ids and keys
+	Tag     string // prefix of all request IDs and keys
 }
 
 // Result is what became of the requests of one class. Sent = Served + Refused + Failed.
 type Result struct {
-	Class    string        `json:"class"`
-	Sent     int           `json:"sent"`
-	Served   int           `json:"served"`
-	Late     int           `json:"late"` // of those served: after the objective
-	Refused  int           `json:"refused"`
-	Failed   int           `json:"failed"`
-	Attempts int           `json:"attempts"` // that reached a backend
-	Per      float64       `json:"attempts_per_request"`
-	P50      time.Duration `json:"p50_ns"` // of those served
-	P99      time.Duration `json:"p99_ns"`
-	times    []time.Duration
+	Class     string        `json:"class"`
+	Sent      int           `json:"sent"`
+	Served    int           `json:"served"`
+	Late      int           `json:"late"` // of those served: after the objective
+	Refused   int           `json:"refused"`
+	Failed    int           `json:"failed"`
+	Attempts  int           `json:"attempts"` // that reached a backend
+	Per       float64       `json:"attempts_per_request"`
+	P50       time.Duration `json:"p50_ns"` // of those served
+	P99       time.Duration `json:"p99_ns"`
+	latencies []time.Duration
 }
 
 const (
-	clientLeeway = 500 * time.Millisecond // that a client waits beyond the deadline, to see a late answer for what it is
-	mostClients  = 2000                   // connections
+	extraWait      = 500 * time.Millisecond // of a client beyond the deadline, so that a late response is seen
+	maxClientConns = 2000
+	maxSubject     = 10_000 // random numbers for Class.Path are below this
 )
 
-// Run plays the load until it is over or the context ends, and returns a result for each class, in order.
+// Run sends the load until its end, or until the context ends; requests that are in flight by then
+// get their response. It returns a result for each class, in order.
 func (l *Load) Run(ctx context.Context) []Result {
 	dialer := net.Dialer{}
 	client := &http.Client{Transport: &http.Transport{
-		DialContext: dialer.DialContext, MaxIdleConnsPerHost: mostClients,
-		MaxConnsPerHost: mostClients, DisableCompression: true,
+		DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxClientConns,
+		MaxConnsPerHost: maxClientConns, DisableCompression: true,
 	}}
 	defer client.CloseIdleConnections()
-	rnd := rand.New(rand.NewPCG(l.Seed, 1))
+	random := rand.New(rand.NewPCG(l.Seed, 1))
 	results := make([]Result, len(l.Classes))
 	for i, c := range l.Classes {
 		results[i].Class = c.Name
 	}
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	n := int(l.Rate * l.For.Seconds())
-	times := make([]time.Duration, n)
-	for i := range times {
-		times[i] = time.Duration(rnd.Int64N(int64(l.For)))
-	}
-	slices.Sort(times)
+	var inFlight sync.WaitGroup
+	sendTimes := l.sendTimes(random)
 	start := time.Now()
-	for i, at := range times {
-		class, subject := l.pick(rnd), rnd.IntN(10_000)
-		wait := time.NewTimer(time.Until(start.Add(at)))
-		select {
-		case <-wait.C:
-		case <-ctx.Done():
-			wait.Stop()
-		}
-		if ctx.Err() != nil {
+	for i, at := range sendTimes {
+		class, subject := l.pickClass(random), random.IntN(maxSubject)
+		if !waitUntil(ctx, start.Add(at)) {
 			break
 		}
-		all.Go(func() {
+		inFlight.Go(func() {
 			began := time.Now()
-			status := l.send(client, class, fmt.Sprintf("%s-%s-%d", l.Tag, l.Classes[class].Name, i), subject)
+			id := fmt.Sprintf("%s-%s-%d", l.Tag, l.Classes[class].Name, i)
+			status := l.send(context.WithoutCancel(ctx), client, class, id, subject)
 			took := time.Since(began)
 			mu.Lock()
 			defer mu.Unlock()
 			results[class].add(status, took, l.Classes[class])
 		})
 	}
-	all.Wait()
+	inFlight.Wait()
 	for i := range results {
-		results[i].sum()
+		results[i].summarize()
 	}
 	return results
 }
 
-func (l *Load) pick(rnd *rand.Rand) int {
-	x := rnd.Float64()
+// sendTimes draws when requests are sent, from the beginning of the load, in order.
+func (l *Load) sendTimes(random *rand.Rand) []time.Duration {
+	times := make([]time.Duration, int(l.Rate*l.For.Seconds()))
+	for i := range times {
+		times[i] = time.Duration(random.Int64N(int64(l.For)))
+	}
+	slices.Sort(times)
+	return times
+}
+
+// waitUntil waits for a time; it returns false if the context ends first.
+func waitUntil(ctx context.Context, t time.Time) bool {
+	timer := time.NewTimer(time.Until(t))
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+	return ctx.Err() == nil
+}
+
+// pickClass returns the index of a random class, by the classes' shares.
+func (l *Load) pickClass(random *rand.Rand) int {
+	left := random.Float64()
 	for i, c := range l.Classes {
-		if x -= c.Share; x < 0 {
+		left -= c.Share
+		if left < 0 {
 			return i
 		}
 	}
 	return len(l.Classes) - 1
 }
 
-// send sends one request and returns the status of its answer; 0 is none.
-func (l *Load) send(client *http.Client, class int, id string, subject int) int {
+// send sends one request and returns the status of its response; 0 is none.
+func (l *Load) send(ctx context.Context, client *http.Client, class int, id string, subject int) int {
 	c := l.Classes[class]
-	ctx, cancel := context.WithTimeout(context.Background(), c.Deadline+clientLeeway)
+	ctx, cancel := context.WithTimeout(ctx, c.Deadline+extraWait)
 	defer cancel()
 	path := c.Path
 	if strings.Contains(path, "%d") {
@@ -130,7 +146,7 @@
 	}
 	req.GetBody = nil // net/http sends nothing again by itself
 	req.Header.Set("Request-Id", id)
-	req.Header.Set("Request-Timeout-Ms", fmt.Sprint(c.Deadline.Milliseconds()))
+	req.Header.Set("Request-Timeout-Ms", strconv.FormatInt(c.Deadline.Milliseconds(), 10))
 	if c.Keyed {
 		req.Header.Set("Idempotency-Key", id)
 	}
@@ -138,19 +154,21 @@
 	if err != nil {
 		return 0
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // it has been read
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		return 0
 	}
 	return resp.StatusCode
 }
 
+// add counts one request.
 func (r *Result) add(status int, took time.Duration, c Class) {
 	r.Sent++
 	switch {
 	case status >= 200 && status < 300:
 		r.Served++
-		if r.times = append(r.times, took); took > c.Objective {
+		r.latencies = append(r.latencies, took)
+		if took > c.Objective {
 			r.Late++
 		}
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
@@ -161,25 +179,29 @@
 }
 
 // Add adds another class's result.
-func (r *Result) Add(o Result) {
+func (r *Result) Add(other Result) {
 	r.Class = "all"
-	r.Sent, r.Served, r.Late, r.Refused, r.Failed = r.Sent+o.Sent, r.Served+o.Served, r.Late+o.Late, r.Refused+o.Refused, r.Failed+o.Failed
-	r.Attempts += o.Attempts
-	r.times = append(r.times, o.times...)
-	if r.sum(); r.Sent > 0 {
-		r.Per = float64(r.Attempts) / float64(r.Sent)
-	}
+	r.Sent += other.Sent
+	r.Served += other.Served
+	r.Late += other.Late
+	r.Refused += other.Refused
+	r.Failed += other.Failed
+	r.Attempts += other.Attempts
+	r.latencies = append(r.latencies, other.latencies...)
+	r.summarize()
+	r.setAttemptsPerRequest()
 }
 
-func (r *Result) sum() {
-	if len(r.times) == 0 {
+// summarize takes the percentiles of the latencies.
+func (r *Result) summarize() {
+	if len(r.latencies) == 0 {
 		return
 	}
-	slices.Sort(r.times)
-	r.P50, r.P99 = r.times[len(r.times)/2], r.times[len(r.times)*99/100]
+	slices.Sort(r.latencies)
+	r.P50, r.P99 = r.latencies[len(r.latencies)/2], r.latencies[len(r.latencies)*99/100]
 }
 
-// Count adds what workers saw of the requests of a load with this tag.
+// Count adds the attempts that workers received of a load with this tag.
 func (r *Result) Count(tag string, workers []*Worker) {
 	prefix := tag + "-" + r.Class + "-"
 	for _, w := range workers {
@@ -189,6 +211,11 @@
 			}
 		}
 	}
+	r.setAttemptsPerRequest()
+}
+
+// setAttemptsPerRequest divides the attempts by the requests, if there are any.
+func (r *Result) setAttemptsPerRequest() {
 	if r.Sent > 0 {
 		r.Per = float64(r.Attempts) / float64(r.Sent)
 	}
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -6,12 +6,13 @@
 	"sync/atomic"
 )
 
-// Registry is the health API of Health for many services on one loopback socket, each with a list and an index of its own.
+// Registry is the health API of Health for many services on one loopback socket, each with a list
+// and an index of its own.
 type Registry struct {
-	served
-	services map[string]*Health // does not change
-	requests atomic.Int64
-	answers  atomic.Int64
+	server
+	services  map[string]*Health // does not change
+	requests  atomic.Int64
+	responses atomic.Int64
 }
 
 // NewRegistry starts an API that knows services of these names, with no members. Close ends it.
@@ -26,16 +27,16 @@
 	return r, nil
 }
 
-// Service is the service of a name, or nil.
+// Service returns the service of a name, or nil.
 func (r *Registry) Service(name string) *Health { return r.services[name] }
 
-// Messages is how many requests have come and how many have been answered.
-func (r *Registry) Messages() (requests, answers int64) { return r.requests.Load(), r.answers.Load() }
+// Messages returns how many requests have come and how many have been answered.
+func (r *Registry) Messages() (requests, answers int64) { return r.requests.Load(), r.responses.Load() }
 
 // ServeHTTP answers as the Health of the path's last part does.
 func (r *Registry) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	r.requests.Add(1)
-	defer r.answers.Add(1)
+	defer r.responses.Add(1)
 	h := r.services[path.Base(req.URL.Path)]
 	if h == nil {
 		http.NotFound(w, req)
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -2,108 +2,123 @@
 
 import (
 	"context"
-	"fernlanding/internal/membership"
 	"net"
 	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"fernlanding/internal/membership"
 )
 
-// served is an HTTP server on a loopback socket.
-type served struct {
-	listener net.Listener
-	server   *http.Server
-	done     chan struct{} // closed when it ends
-	over     sync.WaitGroup
-	traffic  traffic
+// server is an HTTP server on a loopback socket that counts its traffic.
+type server struct {
+	listener   net.Listener
+	httpServer *http.Server
+	done       chan struct{} // closed when the server ends
+	serving    sync.WaitGroup
+	traffic    traffic
 }
 
-// traffic counts what has gone over all connections of a server.
+// traffic counts the bytes of all connections of a server, and the open ones.
 type traffic struct{ in, out, open atomic.Int64 }
 
-// Traffic is what has gone over all connections of a server, and how many are open.
+// Traffic counts the bytes read and written on all connections of a server, and the connections
+// that are open.
 type Traffic struct{ BytesIn, BytesOut, Open int64 }
 
-// Traffic is what has been read and written so far.
-func (s *served) Traffic() Traffic {
-	return Traffic{s.traffic.in.Load(), s.traffic.out.Load(), s.traffic.open.Load()}
+// Traffic returns the counts so far.
+func (s *server) Traffic() Traffic {
+	return Traffic{BytesIn: s.traffic.in.Load(), BytesOut: s.traffic.out.Load(), Open: s.traffic.open.Load()}
 }
 
-func (s *served) serve(h http.Handler) (err error) {
-	if s.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+// serve starts the server.
+func (s *server) serve(h http.Handler) error {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
 		return err
 	}
+	s.listener = listener
 	s.done = make(chan struct{})
-	s.server = &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-		return context.WithValue(ctx, connKey{}, c)
-	}}
-	s.over.Go(func() { _ = s.server.Serve(counting{s.listener, &s.traffic}) })
+	s.httpServer = &http.Server{
+		Handler:           h,
+		ReadHeaderTimeout: 10 * time.Second,
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+			return context.WithValue(ctx, connKey{}, c)
+		},
+	}
+	s.serving.Go(func() {
+		_ = s.httpServer.Serve(countingListener{listener, &s.traffic}) // ends with Close
+	})
 	return nil
 }
 
-// connKey is the key of a request's connection in its context.
+// Addr returns the address that the server listens on.
+func (s *server) Addr() string { return s.listener.Addr().String() }
+
+// Close ends the server and all calls to it.
+func (s *server) Close() {
+	close(s.done)
+	_ = s.httpServer.Close() // the listener's error is of no use
+	s.serving.Wait()
+}
+
+// connKey is the context key of the countingConn on which a request came.
 type connKey struct{}
 
-// counted is a connection that counts what goes over it.
-type counted struct {
+// countingConn is a connection that counts its traffic.
+type countingConn struct {
 	net.Conn
 	all    *traffic
 	wrote  atomic.Int64
 	closed sync.Once
 }
 
-func (c *counted) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.all.in.Add(int64(n))
 	return n, err
 }
 
-func (c *counted) Close() error {
-	c.closed.Do(func() { c.all.open.Add(-1) })
-	return c.Conn.Close()
-}
-
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.wrote.Add(int64(n))
 	c.all.out.Add(int64(n))
 	return n, err
 }
 
-// counting is a listener of counted connections.
-type counting struct {
+func (c *countingConn) Close() error {
+	c.closed.Do(func() { c.all.open.Add(-1) })
+	return c.Conn.Close()
+}
+
+// countingListener is a listener of countingConns.
+type countingListener struct {
 	net.Listener
 	all *traffic
 }
 
-func (l counting) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	l.all.open.Add(1)
-	return &counted{Conn: c, all: l.all}, nil
-}
-
-// Addr is where it listens.
-func (s *served) Addr() string { return s.listener.Addr().String() }
-
-// Close ends it and all that it is asked.
-func (s *served) Close() {
-	close(s.done)
-	_ = s.server.Close()
-	s.over.Wait()
+	return &countingConn{Conn: c, all: l.all}, nil
 }
 
-// Members are backends as a registry lists them.
-func Members(all []membership.Endpoint) (out []Member) {
-	for _, e := range all {
-		status := "SERVING"
+// Members returns endpoints as a discovery lists them.
+func Members(endpoints []membership.Endpoint) []Member {
+	var members []Member
+	for _, e := range endpoints {
+		status := statusServing
 		if e.Status == membership.Draining {
-			status = "DRAINING"
+			status = statusDraining
 		}
-		out = append(out, Member{Name: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Cell, Weight: e.Weight, SinceMs: e.SinceMs, Status: status})
+		members = append(members, Member{
+			Name: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Cell, Weight: e.Weight, SinceMs: e.SinceMs,
+			Status: status,
+		})
 	}
-	return out
+	return members
 }
