--- a/cmd/fernlanding/herd_test.go
+++ b/cmd/fernlanding/herd_test.go
@@ -152,7 +152,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.calls = append(h.calls, call)
-	if copied := h.of[call.Caller]; call.Status == http.StatusOK && !call.GivenUp {
+	if copied := h.of[call.Caller]; call.Status == http.StatusOK && !call.CallerLeft {
 		h.index[copied] = max(h.index[copied], call.Index)
 	}
 }
@@ -236,7 +236,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range h.calls {
-		if c.GivenUp {
+		if c.CallerLeft {
 			n++
 		}
 	}
--- a/cmd/fernlanding/main_test.go
+++ b/cmd/fernlanding/main_test.go
@@ -139,7 +139,7 @@
 		t.Fatal(err)
 	}
 	for _, c := range append(r.Classes, r.Total) {
-		if c.Sent == 0 || c.Served == 0 || c.Served+c.Refused+c.Failed != c.Sent || c.Attempts < c.Served || c.P50 <= 0 {
+		if c.Sent == 0 || c.Served == 0 || c.Served+c.Shed+c.Failed != c.Sent || c.Attempts < c.Served || c.P50 <= 0 {
 			t.Errorf("got %+v", c)
 		}
 	}
--- a/cmd/fernlanding/try.go
+++ b/cmd/fernlanding/try.go
@@ -96,12 +96,12 @@
 		return nil
 	}
 	l := standin.Load{Addr: s.Addr(), Classes: fleet.Classes(), Rate: *load, For: *long, Seed: *seed, Tag: "try"}
-	trouble := time.AfterFunc(*long/quiet, func() { fleet.Trouble(*slow, *hang) })
+	trouble := time.AfterFunc(*long/quiet, func() { fleet.InjectFaults(*slow, *hang) })
 	defer trouble.Stop()
 	results := l.Run(ctx)
 	report := tryReport{
 		Listen: s.Addr(), Rate: *load, Seconds: long.Seconds(), Slow: *slow, Hung: *hang, Seed: *seed,
-		Twice: len(fleet.Effects.Twice()),
+		Twice: len(fleet.Effects.Duplicates()),
 	}
 	for _, r := range results {
 		r.Count(l.Tag, fleet.Workers)
@@ -120,7 +120,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "class\tsent\tserved\tlate\trefused\tfailed\tattempts/request\tp50 ms\tp99 ms\t")
 	for _, c := range append(r.Classes, r.Total) {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.1f\t%.1f\t\n", c.Class, c.Sent, c.Served, c.Late, c.Refused, c.Failed, c.Per,
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.1f\t%.1f\t\n", c.Class, c.Sent, c.Served, c.Late, c.Shed, c.Failed, c.AttemptsPerRequest,
 			float64(c.P50.Microseconds())/1000, float64(c.P99.Microseconds())/1000)
 	}
 	if err := w.Flush(); err != nil {
--- a/internal/harness/worker/backends.go
+++ b/internal/harness/worker/backends.go
@@ -130,7 +130,7 @@
 			w.warming = append(w.warming, time.AfterFunc(time.Until(w.born.Add(time.Duration(after))), func() { <-cores }))
 		}
 	}
-	b.Bound(w.spec.Conns)
+	b.LimitConns(w.spec.Conns)
 	w.backend = b
 	return nil
 }
@@ -191,7 +191,7 @@
 }
 
 func (w *worker) handle(c *standin.Call, cores chan struct{}) bool {
-	e := history.Event{Who: w.name, ID: c.Header.Get("Request-Id"), Key: c.Header.Get("Idempotency-Key"), Class: c.Method, Conn: c.Conn.RemoteAddr().String(), N: int64(c.OnConn), Pod: w.pod}
+	e := history.Event{Who: w.name, ID: c.Header.Get("Request-Id"), Key: c.Header.Get("Idempotency-Key"), Class: c.Method, Conn: c.Conn.RemoteAddr().String(), N: int64(c.NumberOnConn), Pod: w.pod}
 	w.mu.Lock()
 	fails, moved := w.fails, w.moved
 	w.mu.Unlock()
--- a/internal/harness/worker/lists.go
+++ b/internal/harness/worker/lists.go
@@ -31,9 +31,9 @@
 			host, _, _ := net.SplitHostPort(c.Caller)
 			e := history.Event{
 				At: t.clock.Now(), Kind: history.Call, Who: s.Name, To: s.Places[host], Conn: c.Caller, N: c.From, Status: c.Status,
-				Took: t.clock.Now() - t.clock.At(c.Began), Bytes: c.Wrote,
+				Took: t.clock.Now() - t.clock.At(c.Began), Bytes: c.BytesWritten,
 			}
-			for _, m := range c.Told {
+			for _, m := range c.Members {
 				mark := ""
 				if m.Status == "SERVING" {
 					mark = history.Serves
@@ -41,9 +41,9 @@
 				e.Names = append(e.Names, mark+m.Name)
 			}
 			switch {
-			case c.GivenUp:
+			case c.CallerLeft:
 				e.Why = history.GivenUp
-			case c.Whole:
+			case c.Full:
 				e.Why = history.Whole
 			}
 			t.tell(e)
--- a/internal/membership/consul/blocking_test.go
+++ b/internal/membership/consul/blocking_test.go
@@ -19,13 +19,13 @@
 func (r registry) Put(all ...membership.Endpoint) { r.h.Put(standin.Members(all)...) }
 
 func (r registry) Delete(names ...string) { r.h.Delete(names...) }
-func (r registry) Mend()                  { r.h.Fail(standin.Fine) }
+func (r registry) Mend()                  { r.h.Fail(standin.HealthOK) }
 
 func (r registry) Break(n int) (string, bool) {
 	ways := []struct {
 		what string
 		f    standin.HealthFault
-	}{{"down", standin.Down}, {"silent", standin.Silent}, {"no leader", standin.Leader}, {"cut short", standin.Cut}, {"no index", standin.NoIndex}}
+	}{{"down", standin.HealthDown}, {"silent", standin.HealthSilent}, {"no leader", standin.HealthNoLeader}, {"cut short", standin.HealthTruncated}, {"no index", standin.HealthNoIndex}}
 	if n >= len(ways) {
 		return "", false
 	}
@@ -106,7 +106,7 @@
 	var all sync.WaitGroup
 	all.Go(func() { s.Run(ctx, k) })
 	<-k.news
-	h.Fail(standin.Spurious)
+	h.Fail(standin.HealthSpurious)
 	began, before := time.Now(), h.Reads()
 	for h.Reads() < before+5 {
 		time.Sleep(time.Millisecond) // reads have no channel
--- a/internal/sidecar/app_test.go
+++ b/internal/sidecar/app_test.go
@@ -590,7 +590,7 @@
 	if n := served.Load() + refused.Load() + failed.Load() + none.Load(); n != sent.Load() || none.Load() > 0 || failed.Load() > 0 {
 		t.Errorf("sent %d: served %d, refused %d, failed %d, no answer %d", sent.Load(), served.Load(), refused.Load(), failed.Load(), none.Load())
 	}
-	if twice := effects.Twice(); len(twice) > 0 {
+	if twice := effects.Duplicates(); len(twice) > 0 {
 		t.Errorf("%d effects twice: %.200v", len(twice), twice)
 	}
 	t.Logf("%d sent, %d served, %d refused, %d effects", sent.Load(), served.Load(), refused.Load(), effects.Count())
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -20,11 +20,11 @@
 // Call is one request that a backend has received completely.
 type Call struct {
 	*http.Request
-	Content []byte // the body
-	Number  int    // of the backend's requests, from 1
-	OnConn  int    // of its connection's requests, from 1
-	Conn    net.Conn
-	Done    <-chan struct{} // closed when the backend ends
+	Content      []byte // the body
+	Number       int    // of the backend's requests, from 1
+	NumberOnConn int    // of its connection's requests, from 1
+	Conn         net.Conn
+	Done         <-chan struct{} // closed when the backend ends
 }
 
 // Reply writes a complete response with a length. Each line of the header ends in CRLF.
@@ -87,8 +87,8 @@
 // SetHandler replaces the handler of calls that come from now on.
 func (b *Backend) SetHandler(h Handler) { b.handler.Store(&h) }
 
-// Bound limits the connections at once: the backend closes further ones; 0: no limit.
-func (b *Backend) Bound(conns int) { b.maxConns.Store(int64(conns)) }
+// LimitConns limits the connections at once: the backend closes further ones; 0: no limit.
+func (b *Backend) LimitConns(conns int) { b.maxConns.Store(int64(conns)) }
 
 // Addr returns the address that the backend listens on.
 func (b *Backend) Addr() string { return b.listener.Addr().String() }
@@ -188,7 +188,7 @@
 			return
 		}
 		call := &Call{
-			Request: req, Content: content, Number: b.countRequest(req), OnConn: n, Conn: c, Done: b.done,
+			Request: req, Content: content, Number: b.countRequest(req), NumberOnConn: n, Conn: c, Done: b.done,
 		}
 		if handle := *b.handler.Load(); !handle(call) {
 			return
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -57,15 +57,15 @@
 
 // DiscoveryCall is a call that has ended.
 type DiscoveryCall struct {
-	Caller  string // host:port
-	From    int64  // the version that the call goes from; negative: for a snapshot
-	Began   time.Time
-	Status  int   // of the response; 0: none was written
-	GivenUp bool  // its caller had left before the response
-	Index   int64 // of the response
-	Whole   bool  // the response is a snapshot, which removes what it lacks
-	Told    []Member
-	Wrote   int64 // bytes written on its connection up to the response's end
+	Caller       string // host:port
+	From         int64  // the version that the call goes from; negative: for a snapshot
+	Began        time.Time
+	Status       int   // of the response; 0: none was written
+	CallerLeft   bool  // its caller had left before the response
+	Index        int64 // of the response
+	Full         bool  // the response is a snapshot, which removes what it lacks
+	Members      []Member
+	BytesWritten int64 // bytes written on its connection up to the response's end
 }
 
 // Mode is what is wrong with a discovery.
--- a/internal/standin/discovery_http.go
+++ b/internal/standin/discovery_http.go
@@ -29,7 +29,7 @@
 	defer func() { // also where a response is broken off, by a panic
 		if d.cfg.Report != nil {
 			if c, ok := r.Context().Value(connKey{}).(*countingConn); ok {
-				call.Wrote = c.wrote.Load()
+				call.BytesWritten = c.wrote.Load()
 			}
 			d.cfg.Report(call)
 		}
@@ -63,7 +63,7 @@
 		case <-holdEnd.C:
 			held = true
 		case <-r.Context().Done():
-			call.GivenUp = true
+			call.CallerLeft = true
 			return
 		case <-d.done:
 			return
@@ -93,7 +93,7 @@
 		return false
 	}
 	if r.Context().Err() != nil {
-		call.GivenUp = true
+		call.CallerLeft = true
 		return false
 	}
 	return true
@@ -170,7 +170,7 @@
 		flush(w)
 		panic(http.ErrAbortHandler)
 	}
-	call.Whole, call.Told = list.Snapshot, list.Endpoints
+	call.Full, call.Members = list.Snapshot, list.Endpoints
 	_, _ = w.Write(text) // a caller that has left is no error
 	flush(w)
 }
--- a/internal/standin/effects.go
+++ b/internal/standin/effects.go
@@ -33,14 +33,14 @@
 		return
 	}
 	if key := c.Header.Get("Idempotency-Key"); key != "" {
-		e.Happen(pod, key, true)
+		e.Record(pod, key, true)
 		return
 	}
-	e.Happen(pod, c.Header.Get("Request-Id"), false)
+	e.Record(pod, c.Header.Get("Request-Id"), false)
 }
 
-// Happen records an effect, unless it has an idempotency key that is within the pod's dedup window.
-func (e *Effects) Happen(pod int, key string, keyed bool) {
+// Record records an effect, unless it has an idempotency key that is within the pod's dedup window.
+func (e *Effects) Record(pod int, key string, keyed bool) {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -52,8 +52,8 @@
 	e.keys[key] = append(e.keys[key], effect{pod: pod, at: now})
 }
 
-// Twice returns the keys that have had more than one effect.
-func (e *Effects) Twice() []string {
+// Duplicates returns the keys that have had more than one effect.
+func (e *Effects) Duplicates() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var keys []string
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Window is the dedup window of the fleet's billing service.
-const Window = 7500 * time.Millisecond
+// FleetDedupWindow is the dedup window of the fleet's billing service.
+const FleetDedupWindow = 7500 * time.Millisecond
 
 // Fleet is two services of five workers each, of three speeds, each service with a discovery of its
 // own.
@@ -22,7 +22,7 @@
 
 // NewFleet starts a fleet. Close ends it.
 func NewFleet() (*Fleet, error) {
-	f := &Fleet{Effects: NewEffects(Window)}
+	f := &Fleet{Effects: NewEffects(FleetDedupWindow)}
 	if err := f.start(); err != nil {
 		f.Close()
 		return f, err
@@ -73,9 +73,9 @@
 	}
 }
 
-// Trouble makes some workers slow and some hang, the first of each service in turn; the others work
+// InjectFaults makes some workers slow and some hang, the first of each service in turn; the others work
 // as usual.
-func (f *Fleet) Trouble(slow, hung int) {
+func (f *Fleet) InjectFaults(slow, hung int) {
 	for i, w := range f.Workers {
 		// 0 2 4 .. of tariff, 1 3 5 .. of billing: faults alternate between the services
 		n := 2 * (i % workersPerService)
@@ -142,7 +142,7 @@
 		fmt.Fprintf(&b, "[services.%s.classes.%s]\nrepeat = %q\nobjective = %q\ndeadline = %q\n",
 			service, c.Name, retryRule, c.Objective, c.Deadline)
 		if c.Keyed {
-			fmt.Fprintf(&b, "dedup_scope = \"cell\"\ndedup_window = %q\n", Window)
+			fmt.Fprintf(&b, "dedup_scope = \"cell\"\ndedup_window = %q\n", FleetDedupWindow)
 		}
 		fmt.Fprintf(&b, "\n[[routes]]\nname = %q\n%s\nmethods = [%q]\nservice = %q\nclass = %q\n\n",
 			c.Name, paths[i], c.Method, service, c.Name)
--- a/internal/standin/health.go
+++ b/internal/standin/health.go
@@ -33,13 +33,13 @@
 
 // The faults.
 const (
-	Fine     HealthFault = iota
-	Down                 // 500 to all
-	Silent               // takes queries and answers none
-	Leader               // answers what was true when the leader was lost, and says that there is none
-	Cut                  // cuts its responses short
-	NoIndex              // sends no index
-	Spurious             // answers all queries at once, with no change
+	HealthOK        HealthFault = iota
+	HealthDown                  // 500 to all
+	HealthSilent                // takes queries and answers none
+	HealthNoLeader              // answers what was true when the leader was lost, and says that there is none
+	HealthTruncated             // cuts its responses short
+	HealthNoIndex               // sends no index
+	HealthSpurious              // answers all queries at once, with no change
 )
 
 // NewHealth starts an API with no members. Close ends it.
@@ -169,11 +169,11 @@
 	for waited := false; ; {
 		h.mu.Lock()
 		index, change, fault, data := h.index, h.change, h.fault, h.encodedList()
-		if fault == Leader {
+		if fault == HealthNoLeader {
 			data = h.stale
 		}
 		h.mu.Unlock()
-		if fault != Silent && (from == 0 || index != from || waited || fault != Fine) {
+		if fault != HealthSilent && (from == 0 || index != from || waited || fault != HealthOK) {
 			writeHealthResponse(w, index, fault, data)
 			return
 		}
@@ -192,14 +192,14 @@
 // writeHealthResponse writes a response with the fault's defect.
 func writeHealthResponse(w http.ResponseWriter, index uint64, fault HealthFault, data []byte) {
 	w.Header().Set("X-Consul-Index", strconv.FormatUint(index, 10))
-	w.Header().Set("X-Consul-Knownleader", strconv.FormatBool(fault != Leader))
+	w.Header().Set("X-Consul-Knownleader", strconv.FormatBool(fault != HealthNoLeader))
 	switch fault {
-	case Down:
+	case HealthDown:
 		w.WriteHeader(http.StatusInternalServerError)
 		return
-	case NoIndex:
+	case HealthNoIndex:
 		w.Header().Del("X-Consul-Index")
-	case Cut:
+	case HealthTruncated:
 		w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 		data = data[:len(data)/2]
 	default: // the body is complete
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -37,19 +37,19 @@
 	Tag     string // prefix of all request IDs and keys
 }
 
-// Result is what became of the requests of one class. Sent = Served + Refused + Failed.
+// Result is what became of the requests of one class. Sent = Served + Shed + Failed.
 type Result struct {
-	Class     string        `json:"class"`
-	Sent      int           `json:"sent"`
-	Served    int           `json:"served"`
-	Late      int           `json:"late"` // of those served: after the objective
-	Refused   int           `json:"refused"`
-	Failed    int           `json:"failed"`
-	Attempts  int           `json:"attempts"` // that reached a backend
-	Per       float64       `json:"attempts_per_request"`
-	P50       time.Duration `json:"p50_ns"` // of those served
-	P99       time.Duration `json:"p99_ns"`
-	latencies []time.Duration
+	Class              string        `json:"class"`
+	Sent               int           `json:"sent"`
+	Served             int           `json:"served"`
+	Late               int           `json:"late"` // of those served: after the objective
+	Shed               int           `json:"refused"`
+	Failed             int           `json:"failed"`
+	Attempts           int           `json:"attempts"` // that reached a backend
+	AttemptsPerRequest float64       `json:"attempts_per_request"`
+	P50                time.Duration `json:"p50_ns"` // of those served
+	P99                time.Duration `json:"p99_ns"`
+	latencies          []time.Duration
 }
 
 const (
@@ -172,7 +172,7 @@
 			r.Late++
 		}
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
-		r.Refused++
+		r.Shed++
 	default:
 		r.Failed++
 	}
@@ -184,7 +184,7 @@
 	r.Sent += other.Sent
 	r.Served += other.Served
 	r.Late += other.Late
-	r.Refused += other.Refused
+	r.Shed += other.Shed
 	r.Failed += other.Failed
 	r.Attempts += other.Attempts
 	r.latencies = append(r.latencies, other.latencies...)
@@ -217,6 +217,6 @@
 // setAttemptsPerRequest divides the attempts by the requests, if there are any.
 func (r *Result) setAttemptsPerRequest() {
 	if r.Sent > 0 {
-		r.Per = float64(r.Attempts) / float64(r.Sent)
+		r.AttemptsPerRequest = float64(r.Attempts) / float64(r.Sent)
 	}
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -52,8 +52,8 @@
 // Fail has the worker answer 500 at once, or ends that.
 func (w *Worker) Fail(on bool) { w.isFailing.Store(on) }
 
-// Full returns how many requests found the queue full.
-func (w *Worker) Full() int { return int(w.rejected.Load()) }
+// Rejected returns how many requests found the queue full.
+func (w *Worker) Rejected() int { return int(w.rejected.Load()) }
 
 // handle answers a call once it has waited for a core and for its work.
 func (w *Worker) handle(c *Call) bool {
