--- a/cmd/fernlanding/herd_test.go
+++ b/cmd/fernlanding/herd_test.go
@@ -165,7 +165,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.calls = append(h.calls, call)
-	if call.Status == http.StatusOK && !call.GivenUp {
+	if call.Status == http.StatusOK && !call.CallerLeft {
 		replica := h.replicas[call.Caller]
 		h.versions[replica] = max(h.versions[replica], call.Index)
 	}
@@ -246,7 +246,7 @@
 	defer h.mu.Unlock()
 	count := 0
 	for _, c := range h.calls {
-		if c.GivenUp {
+		if c.CallerLeft {
 			count++
 		}
 	}
--- a/cmd/fernlanding/main_test.go
+++ b/cmd/fernlanding/main_test.go
@@ -164,7 +164,7 @@
 		t.Fatal(err)
 	}
 	for _, c := range append(report.Classes, report.Total) {
-		isAccounted := c.Served+c.Refused+c.Failed == c.Sent && c.Attempts >= c.Served
+		isAccounted := c.Served+c.Shed+c.Failed == c.Sent && c.Attempts >= c.Served
 		if c.Sent == 0 || c.Served == 0 || !isAccounted || c.P50 <= 0 {
 			t.Errorf("got %+v", c)
 		}
--- a/cmd/fernlanding/try.go
+++ b/cmd/fernlanding/try.go
@@ -137,7 +137,7 @@
 		Seed:    options.seed,
 		Tag:     "try",
 	}
-	faults := time.AfterFunc(options.duration/faultDelayFraction, func() { fleet.Trouble(options.slow, options.hung) })
+	faults := time.AfterFunc(options.duration/faultDelayFraction, func() { fleet.InjectFaults(options.slow, options.hung) })
 	defer faults.Stop()
 	results := load.Run(ctx)
 	report := &tryReport{
@@ -148,7 +148,7 @@
 		Hung:    options.hung,
 		Seed:    options.seed,
 
-		DuplicateEffects: len(fleet.Effects.Twice()),
+		DuplicateEffects: len(fleet.Effects.Duplicates()),
 	}
 	for _, result := range results {
 		result.Count(load.Tag, fleet.Workers)
--- a/internal/membership/consul/consul_test.go
+++ b/internal/membership/consul/consul_test.go
@@ -21,18 +21,18 @@
 
 func (r registry) Delete(names ...string) { r.health.Delete(names...) }
 
-func (r registry) Mend() { r.health.Fail(standin.Fine) }
+func (r registry) Mend() { r.health.Fail(standin.HealthOK) }
 
 func (r registry) Break(n int) (string, bool) {
 	faults := []struct {
 		what  string
 		fault standin.HealthFault
 	}{
-		{"down", standin.Down},
-		{"silent", standin.Silent},
-		{"no leader", standin.Leader},
-		{"cut short", standin.Cut},
-		{"no index", standin.NoIndex},
+		{"down", standin.HealthDown},
+		{"silent", standin.HealthSilent},
+		{"no leader", standin.HealthNoLeader},
+		{"cut short", standin.HealthTruncated},
+		{"no index", standin.HealthNoIndex},
 	}
 	if n >= len(faults) {
 		return "", false
@@ -111,7 +111,7 @@
 	lists := make(listSink, 100)
 	stop := run(t, newSource(health), lists)
 	<-lists
-	health.Fail(standin.Spurious)
+	health.Fail(standin.HealthSpurious)
 	began, before := time.Now(), health.Reads()
 	for health.Reads() < before+5 {
 		time.Sleep(time.Millisecond) // reads have no channel
