--- a/cmd/fernrelay/main.go
+++ b/cmd/fernrelay/main.go
@@ -91,12 +91,14 @@
 	}
 }
 
+// sourceFlags returns the flags of the source command.
 func sourceFlags() []cli.Flag {
 	return append(commonFlags(),
 		&cli.StringFlag{Name: "state", Usage: "keep resources in `DIR`", Required: true},
 	)
 }
 
+// relayFlags returns the flags of the relay command.
 func relayFlags() []cli.Flag {
 	return append(commonFlags(),
 		&cli.StringFlag{Name: "name", Usage: "`NAME` of this process, unique in the fleet", Required: true},
--- a/internal/distribution/doc.go
+++ b/internal/distribution/doc.go
@@ -15,12 +15,12 @@
 //
 // # Reads, sessions and resume
 //
-// A follower has one long poll open for all resources that it follows ([FollowRequest]). The first
-// read opens a session at the relay and states all positions; each further read states what has
-// changed since. A [Position] is the version that the follower has in force, and a later one that
-// it has rejected. A relay answers with an [Update] for each resource that has a later version: a
-// delta (the items changed since the follower's version) where the [Store] still has that part of
-// the history, else a snapshot (all items).
+// A follower has one long poll (a read) open for all resources that it follows ([FollowRequest]).
+// The first read opens a session at the relay and states all positions; each further read states
+// what has changed since. A [Position] is the version that the follower has in force, and a later
+// one that it has rejected. A relay answers with an [Update] for each resource that has a later
+// version: a delta (the items changed since the follower's version) where the [Store] still has
+// that part of the history, else a snapshot (all items).
 //
 // A session is a cache of what its follower said and nothing more. A relay that does not know a
 // session answers status 410, and the follower opens a new one with all its positions. Resuming
--- a/internal/distribution/follow/apply.go
+++ b/internal/distribution/follow/apply.go
@@ -18,6 +18,7 @@
 	return nil
 }
 
+// applyUpdate hands one update to its subscriber. Errors are those of applyUpdates.
 func (f *Follower) applyUpdate(u *distribution.Update) error {
 	f.mu.Lock()
 	sub := f.subscriptions[u.Resource]
--- a/internal/distribution/httpapi/handler.go
+++ b/internal/distribution/httpapi/handler.go
@@ -25,6 +25,7 @@
 // handler has a method for each path.
 type handler struct{ service Service }
 
+// follow answers PathFollow.
 func (h *handler) follow(w http.ResponseWriter, r *http.Request) {
 	req := new(distribution.FollowRequest)
 	if !readMessage(w, r, req) {
@@ -39,6 +40,7 @@
 	writeFollowResponse(w, resp)
 }
 
+// put answers PathPut.
 func (h *handler) put(w http.ResponseWriter, r *http.Request) {
 	req := new(distribution.PutRequest)
 	if !readMessage(w, r, req) {
@@ -52,6 +54,7 @@
 	writeJSON(w, distribution.PutResponse{Version: version})
 }
 
+// status answers PathStatus.
 func (h *handler) status(w http.ResponseWriter, r *http.Request) {
 	name := r.URL.Query().Get("resource")
 	if err := distribution.ValidateName("resource", name); err != nil {
@@ -61,6 +64,7 @@
 	writeJSON(w, h.service.Status(name))
 }
 
+// resource answers PathResource.
 func (h *handler) resource(w http.ResponseWriter, r *http.Request) {
 	update := h.service.Resource(r.URL.Query().Get("name"))
 	if update == nil {
@@ -70,10 +74,13 @@
 	writeJSON(w, update)
 }
 
+// stats answers PathStats.
 func (h *handler) stats(w http.ResponseWriter, _ *http.Request) { writeJSON(w, h.service.Stats()) }
 
+// health answers PathHealth.
 func (h *handler) health(w http.ResponseWriter, _ *http.Request) { writeBody(w) }
 
+// ready answers PathReady.
 func (h *handler) ready(w http.ResponseWriter, _ *http.Request) {
 	if h.service.Disconnected() {
 		writeStatus(w, http.StatusServiceUnavailable, "cut off from the source")
--- a/internal/distribution/httpapi/httpapi_test.go
+++ b/internal/distribution/httpapi/httpapi_test.go
@@ -21,20 +21,29 @@
 	err      error
 }
 
+// Follow implements Service.
 func (s *scriptedService) Follow(context.Context, *distribution.FollowRequest) (*EncodedResponse, func(), error) {
 	return s.response, func() {}, s.err
 }
 
+// Put implements Service.
 func (s *scriptedService) Put(*distribution.PutRequest) (distribution.Version, error) {
 	return distribution.Version{Epoch: 1, Revision: 2}, s.err
 }
 
+// Status implements Service.
 func (s *scriptedService) Status(resource string) distribution.ResourceStatus {
 	return distribution.ResourceStatus{Resource: resource}
 }
+
+// Resource implements Service.
 func (s *scriptedService) Resource(string) *distribution.Update { return nil }
-func (s *scriptedService) Disconnected() bool                   { return s.err != nil }
-func (s *scriptedService) Stats() distribution.Stats            { return distribution.Stats{Name: "relay"} }
+
+// Disconnected implements Service.
+func (s *scriptedService) Disconnected() bool { return s.err != nil }
+
+// Stats implements Service.
+func (s *scriptedService) Stats() distribution.Stats { return distribution.Stats{Name: "relay"} }
 
 // start serves a service until the test ends, and returns its address and the bytes of its
 // connections.
@@ -228,6 +237,7 @@
 	}
 }
 
+// A Retry-After is ignored unless it is within its bound.
 func FuzzRetryAfter(f *testing.F) {
 	f.Add("5")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/internal/distribution/node/node.go
+++ b/internal/distribution/node/node.go
@@ -38,7 +38,8 @@
 	Persist func(*distribution.Update) error
 	// Epoch is the epoch of a source's writes.
 	Epoch uint64
-	// Traffic counts the bytes of followers' connections; nil: nobody does.
+	// Traffic has the bytes of followers' connections, which httpapi.Listener counts; nil: none are
+	// counted.
 	Traffic *httpapi.Traffic
 	// Now is the clock; nil: time.Now.
 	Now func() time.Time
@@ -92,11 +93,20 @@
 // noUpstream is the upstream of a source.
 type noUpstream struct{}
 
-func (noUpstream) sourceAge() time.Duration     { return 0 }
-func (noUpstream) disconnected() bool           { return false }
+// sourceAge implements upstream: the source is its own.
+func (noUpstream) sourceAge() time.Duration { return 0 }
+
+// disconnected implements upstream.
+func (noUpstream) disconnected() bool { return false }
+
+// addStats implements upstream.
 func (noUpstream) addStats(*distribution.Stats) {}
-func (noUpstream) followed(string)              {}
-func (noUpstream) statusChanged(bool)           {}
+
+// followed implements upstream.
+func (noUpstream) followed(string) {}
+
+// statusChanged implements upstream.
+func (noUpstream) statusChanged(bool) {}
 
 // New returns a node without resources.
 func New(cfg Config) *Node {
--- a/internal/distribution/node/nodetest/gate.go
+++ b/internal/distribution/node/nodetest/gate.go
@@ -18,7 +18,7 @@
 
 	mu           sync.Mutex
 	state        gateState
-	stateChanged chan struct{} // closed when the state changes, and made anew
+	stateChanged chan struct{} // closed when the state changes, and replaced
 	conns        map[net.Conn]bool
 	accepted     int
 }
--- a/internal/distribution/node/proxy_test.go
+++ b/internal/distribution/node/proxy_test.go
@@ -18,7 +18,7 @@
 	end func() // ends it
 
 	mu        sync.Mutex
-	change    chan struct{} // closed when anything changes, and made anew
+	change    chan struct{} // closed when anything changes, and replaced
 	items     map[string]string
 	version   distribution.Version
 	snapshots int    // applied
--- a/internal/distribution/node/relay.go
+++ b/internal/distribution/node/relay.go
@@ -83,7 +83,7 @@
 			disconnected := r.Disconnected()
 			if disconnected != wasDisconnected {
 				wasDisconnected = disconnected
-				r.answerAll() // tells the followers at once
+				r.answerAll() // so that the followers know at once
 			}
 		case <-r.inForce:
 		case <-ctx.Done():
--- a/internal/distribution/statedir/statedir_test.go
+++ b/internal/distribution/statedir/statedir_test.go
@@ -109,6 +109,7 @@
 	}
 }
 
+// What Decode accepts is a valid snapshot.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"resource":"r","version":"1.2","items":[{"key":"a","value":1}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/distribution/validate.go
+++ b/internal/distribution/validate.go
@@ -49,6 +49,7 @@
 	return r.validateStatuses()
 }
 
+// validatePositions checks the positions of a request.
 func (r *FollowRequest) validatePositions() error {
 	if err := validateCount("positions", len(r.Positions), MaxResources); err != nil {
 		return err
@@ -61,6 +62,7 @@
 	return nil
 }
 
+// validateUnfollowed checks the resources that are no longer followed.
 func (r *FollowRequest) validateUnfollowed() error {
 	if err := validateCount("unfollowed", len(r.Unfollowed), MaxResources); err != nil {
 		return err
@@ -73,6 +75,7 @@
 	return nil
 }
 
+// validateStatuses checks the statuses of a request, which only a relay sends.
 func (r *FollowRequest) validateStatuses() error {
 	if r.Kind != KindRelay && len(r.Statuses) > 0 {
 		return fmt.Errorf("statuses: %d found of a %s, none expected", len(r.Statuses), r.Kind)
@@ -159,6 +162,7 @@
 	return s.validateLaggards()
 }
 
+// validateCounts checks the counts of a status, and their order.
 func (s *ResourceStatus) validateCounts() error {
 	if err := validateCount("counts", len(s.Counts), MaxCounts); err != nil {
 		return err
@@ -178,6 +182,7 @@
 	return nil
 }
 
+// validateRejections checks the rejections of a status.
 func (s *ResourceStatus) validateRejections() error {
 	if err := validateCount("refusals", len(s.Rejections), MaxLaggards); err != nil {
 		return err
@@ -193,6 +198,7 @@
 	return nil
 }
 
+// validateLaggards checks the laggards of a status.
 func (s *ResourceStatus) validateLaggards() error {
 	if err := validateCount("behind", len(s.Laggards), MaxLaggards); err != nil {
 		return err
@@ -223,6 +229,7 @@
 	return nil
 }
 
+// validate checks an item; allowDeleted: it is a change.
 func (i *Item) validate(allowDeleted bool) error {
 	if err := ValidateName("key", i.Key); err != nil {
 		return err
--- a/internal/distribution/validate_test.go
+++ b/internal/distribution/validate_test.go
@@ -36,6 +36,7 @@
 	}
 }
 
+// A valid FollowRequest stays valid over a round trip.
 func FuzzFollowRequest(f *testing.F) {
 	f.Add([]byte(`{"follower":"p","kind":"proxy","session":"s","hold_ms":4000,"positions":[{"resource":"r",` +
 		`"in_force":"1.2","refused":"1.3","reason":"x"}],"unfollowed":["q"]}`))
@@ -45,17 +46,20 @@
 	f.Fuzz(func(t *testing.T, data []byte) { checkRoundTrip[FollowRequest](t, data) })
 }
 
+// A valid FollowResponse stays valid over a round trip.
 func FuzzFollowResponse(f *testing.F) {
 	f.Add([]byte(`{"session":"s","source_age_ms":3,"updates":[{"resource":"r","from":"1.1","version":"1.2",` +
 		`"items":[{"key":"a","deleted":true,"urgent":true},{"key":"b","value":{"x":1}}]}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) { checkRoundTrip[FollowResponse](t, data) })
 }
 
+// A valid PutRequest stays valid over a round trip.
 func FuzzPutRequest(f *testing.F) {
 	f.Add([]byte(`{"resource":"r","expected":"0.0","replace":true,"items":[{"key":"a","value":1}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) { checkRoundTrip[PutRequest](t, data) })
 }
 
+// A valid ResourceStatus stays valid over a round trip.
 func FuzzResourceStatus(f *testing.F) {
 	f.Add([]byte(`{"resource":"r","counts":[{"version":"1.2","proxies":3},{"version":"0.0","proxies":1}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) { checkRoundTrip[ResourceStatus](t, data) })
@@ -176,6 +180,7 @@
 	}
 }
 
+// ParseVersion parses what String returns, and nothing else.
 func TestVersionText(t *testing.T) {
 	for _, bad := range []string{"", "1", "1.", ".1", "1.2.3", "-1.2", "x.1"} {
 		if v, err := ParseVersion(bad); err == nil {
--- a/internal/harness/rollout/check/metrics.go
+++ b/internal/harness/rollout/check/metrics.go
@@ -59,6 +59,7 @@
 // Measure returns the metrics of a history, which is sorted by time.
 func Measure(sc *plan.Scenario, all []history.Event) Metrics { return measure(sc, newRecord(sc, all)) }
 
+// measure returns the metrics of a record.
 func measure(sc *plan.Scenario, r *record) Metrics {
 	m := Metrics{Scenario: sc.Name, Seed: sc.Seed, Seconds: seconds(r.end), Faults: len(r.faults)}
 	m.countEvents(r)
--- a/internal/harness/rollout/check/record.go
+++ b/internal/harness/rollout/check/record.go
@@ -117,11 +117,13 @@
 	}
 }
 
+// addState adds what a follower has in force, or rejects.
 func (r *record) addState(e history.Event) {
 	key := following{follower: e.Who, resource: e.Resource}
 	r.states[key] = append(r.states[key], e)
 }
 
+// addDigest adds the items that a follower has of a version, by their digest.
 func (r *record) addDigest(e history.Event) {
 	key := resourceVersion{resource: e.Resource, version: e.Version}
 	if r.digests[key] == nil {
--- a/internal/harness/rollout/naive_node_test.go
+++ b/internal/harness/rollout/naive_node_test.go
@@ -27,7 +27,7 @@
 	upstream *naiveFollower // nil at the source
 
 	mu        sync.Mutex
-	changed   chan struct{} // closed when a resource changes, and made anew
+	changed   chan struct{} // closed when a resource changes, and replaced
 	epoch     uint64
 	revision  uint64
 	resources map[string]*naiveResource
--- a/internal/harness/rollout/plan/decode.go
+++ b/internal/harness/rollout/plan/decode.go
@@ -30,6 +30,7 @@
 	return tomldoc.Decode(file, data, decodeScenario)
 }
 
+// decodeScenario decodes the top level of a file.
 func decodeScenario(s tomldoc.Scope) *Scenario {
 	sc := &Scenario{
 		Name:   s.Text("name", ""),
@@ -61,6 +62,7 @@
 	return sc
 }
 
+// decodeRelays decodes [relays].
 func decodeRelays(s tomldoc.Scope) Relays {
 	defer s.Done()
 	return Relays{
@@ -71,6 +73,7 @@
 	}
 }
 
+// decodeFollowers decodes [followers].
 func decodeFollowers(s tomldoc.Scope) Followers {
 	defer s.Done()
 	f := Followers{
@@ -85,6 +88,7 @@
 	return f
 }
 
+// decodePublisher decodes [publisher].
 func decodePublisher(s tomldoc.Scope) Publisher {
 	defer s.Done()
 	return Publisher{
@@ -98,6 +102,7 @@
 	}
 }
 
+// decodeBounds decodes [bounds].
 func decodeBounds(s tomldoc.Scope) Bounds {
 	defer s.Done()
 	return Bounds{
@@ -112,6 +117,7 @@
 	}
 }
 
+// decodeRandom decodes [random], and validates it against the run.
 func (sc *Scenario) decodeRandom(s tomldoc.Scope) Random {
 	defer s.Done()
 	r := Random{
--- a/internal/harness/rollout/plan/plan_test.go
+++ b/internal/harness/rollout/plan/plan_test.go
@@ -188,6 +188,7 @@
 	}
 }
 
+// Any scenario that Decode accepts has a schedule.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(base))
 	f.Add([]byte(base + "[random]\ncount = 3\nkinds = [\"cut\", \"slow\"]\n"))
--- a/internal/harness/rollout/rollout_test.go
+++ b/internal/harness/rollout/rollout_test.go
@@ -36,6 +36,7 @@
 // program is fernrelay, built from this tree.
 var program string
 
+// TestMain runs the tests, or the role that the environment names.
 func TestMain(m *testing.M) {
 	switch os.Getenv(roleVar) {
 	case roleWorker:
