--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -191,7 +191,7 @@
 			failed.Load(), unanswered.Load(),
 		)
 	}
-	if twice := effects.Twice(); len(twice) > 0 {
+	if twice := effects.Duplicates(); len(twice) > 0 {
 		t.Errorf("%d effects twice: %.200v", len(twice), twice)
 	}
 	t.Logf("%d sent, %d served, %d rejected, %d effects", sent.Load(), served.Load(), rejected.Load(), effects.Count())
