--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -16,5 +16,5 @@
 	})
 }
 
-// Close has the pool admit no more requests; those that it has go on.
+// Close has the pool admit no more requests; it completes those that it has.
 func (p *Pool) Close() { p.runEvent(func() { p.closed = true }) }
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -22,7 +22,7 @@
 
 // Trace has the pool log its module's stats twice a second for some time: the tier's concurrency
 // and what cut its limit last, the same of each class, the quota multiple, and shed requests by
-// cause. A trace that is on goes on until the later end.
+// cause. A trace that is on continues until the later end.
 func (p *Pool) Trace(span time.Duration) {
 	until := time.Now().Add(min(span, MaxTraceDuration))
 	p.runEvent(func() {
@@ -39,7 +39,7 @@
 	}
 }
 
-// logTrace logs the stats once, and reports whether the trace goes on.
+// logTrace logs the stats once, and reports whether the trace continues.
 func (p *Pool) logTrace(now time.Time) bool {
 	p.mu.Lock()
 	if now.After(p.tracer.until) {
--- a/internal/sidecar/allocator_test.go
+++ b/internal/sidecar/allocator_test.go
@@ -61,7 +61,7 @@
 	waitUntil(t, func() bool { return backends[1].Requests() == 10 })
 	check("b on its floor")
 	close(release[0])
-	wantServed("a", atLimit) // and its connections are kept
+	wantServed("a", atLimit) // and its connections stay idle
 	close(release[1])
 	wantServed("b", onFloor)
 	release[1] = make(chan struct{})
--- a/internal/sidecar/platform_test.go
+++ b/internal/sidecar/platform_test.go
@@ -68,7 +68,7 @@
 		"no time":           {strings.Replace(lookRequest("1", 9), "-Ms: 9", "-Ms: soon", 1), 400},
 		"empty time":        {strings.Replace(lookRequest("1", 9), "-Ms: 9", "-Ms:", 1), 400},
 		"negative time":     {lookRequest("1", -5), 400},
-		"time not told":     {strings.Replace(lookRequest("1", 9), "Request-Timeout-Ms", "Other", 1), 400},
+		"time unknown":      {strings.Replace(lookRequest("1", 9), "Request-Timeout-Ms", "Other", 1), 400},
 		"too large":         {postHead("3", "Content-Length: 65537"), 413},
 		"60 MB":             {postHead("3", "Content-Length: 60000000") + strings.Repeat("x", 100000), 413},
 		"negative length":   {postHead("3", "Content-Length: -4"), 400},
--- a/internal/sidecar/resolve_test.go
+++ b/internal/sidecar/resolve_test.go
@@ -7,7 +7,8 @@
 	"fernlanding/internal/standin"
 )
 
-// Each request goes where the first route that matches says, and the bytes that came go on.
+// The first route that matches a request selects its service, and the client's bytes are forwarded
+// unchanged.
 func TestRoutesSelectServices(t *testing.T) {
 	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
 	const routes = `
--- a/internal/sidecar/startup_test.go
+++ b/internal/sidecar/startup_test.go
@@ -172,7 +172,7 @@
 		l := second.services["a"].endpoints.snapshot()
 		return l != nil && len(l.Endpoints) == 2 && l.Endpoints[0].Name == "new"
 	})
-	waitUntil(t, func() bool { // and that is kept
+	waitUntil(t, func() bool { // and that list is cached
 		list, _, err := second.services["a"].cacheStore(app.Services[0].Source).Load(time.Now(), time.Minute)
 		return err == nil && list != nil && list.Endpoints[0].Name == "new"
 	})
