--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -113,6 +113,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
+// median returns the upper median.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
--- a/internal/bench/client_test.go
+++ b/internal/bench/client_test.go
@@ -22,6 +22,7 @@
 	maxInFlight       int64         // requests at backends at once; 0: not counted
 }
 
+// String returns the figures on one line.
 func (r result) String() string {
 	return fmt.Sprintf("%7.0f req/s  p50 %7.3f ms  p99 %7.3f ms  cpu %5.1f us/req  "+
 		"%4d backend connections at once, %5d opened, %d not served",
@@ -29,6 +30,7 @@
 		r.maxConns, r.openedConns, r.notServed)
 }
 
+// milliseconds returns a duration in milliseconds.
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 // sendLoad sends requests one after another on each of some connections for a duration. A request
--- a/internal/bench/proxy_test.go
+++ b/internal/bench/proxy_test.go
@@ -213,6 +213,7 @@
 	return pages * int64(os.Getpagesize())
 }
 
+// parseInt parses a decimal number of a file of /proc.
 func parseInt(tb testing.TB, s string) int64 {
 	tb.Helper()
 	n, err := strconv.ParseInt(s, 10, 64)
--- a/internal/conformance/http1_test.go
+++ b/internal/conformance/http1_test.go
@@ -16,8 +16,10 @@
 // http1Backends are stand-ins over HTTP/1.1.
 type http1Backends struct{}
 
+// config implements upstreamProtocol.
 func (http1Backends) config() string { return "" }
 
+// start implements upstreamProtocol.
 func (http1Backends) start(tb testing.TB, s script) string {
 	tb.Helper()
 	b, err := standin.NewBackend(func(c *standin.Call) bool {
@@ -82,6 +84,7 @@
 // http1Client speaks HTTP/1.1 by hand: net/http would send some requests again by itself.
 type http1Client struct{}
 
+// send implements frontProtocol.
 func (http1Client) send(
 	tb testing.TB, addr string, class class, id string, timeout time.Duration,
 ) (outcome, string) {
--- a/internal/conformance/table_test.go
+++ b/internal/conformance/table_test.go
@@ -29,6 +29,7 @@
 // mayHaveRun reports whether an attempt that ended so may have run.
 func (f fault) mayHaveRun() bool { return f > overloaded }
 
+// String returns the fault's name.
 func (f fault) String() string {
 	return [...]string{
 		"serve", "not listening", "overloaded", "server error", "unavailable", "reset", "truncated head",
--- a/internal/front/http1/drain_test.go
+++ b/internal/front/http1/drain_test.go
@@ -16,6 +16,7 @@
 	stalled chan struct{} // one for each Accept that has begun
 }
 
+// Accept implements net.Listener: it waits for the end of the stall.
 func (l *stallingListener) Accept() (net.Conn, error) {
 	l.stalled <- struct{}{}
 	<-l.stall
--- a/internal/front/http1/handler.go
+++ b/internal/front/http1/handler.go
@@ -74,10 +74,11 @@
 		if answer.Verdict != core.NotAdmitted || n == maxForwards {
 			return answer, nil
 		}
-		var reqErr *front.RequestError
-		if dest, reqErr = f.cfg.Resolver.Resolve(r); reqErr != nil {
+		next, reqErr := f.cfg.Resolver.Resolve(r)
+		if reqErr != nil {
 			return core.Answer{}, reqErr
 		}
+		dest = next
 		dest.Mirror = nil // the copy has been sent
 	}
 }
--- a/internal/front/http1/helpers_test.go
+++ b/internal/front/http1/helpers_test.go
@@ -52,6 +52,7 @@
 	release            func() // of each response; nil: none
 }
 
+// newGatedPool returns a pool whose gate is closed.
 func newGatedPool() *gatedPool {
 	return &gatedPool{
 		admitted: make(chan string, 100), canceled: make(chan string, 100),
@@ -59,8 +60,10 @@
 	}
 }
 
+// Clock implements front.Pool.
 func (p *gatedPool) Clock() core.Clock { return core.NewClock() }
 
+// Do implements front.Pool. It answers 200 with the request's ID.
 func (p *gatedPool) Do(r *core.Request) core.Answer {
 	p.admitted <- r.ID
 	for {
@@ -78,6 +81,7 @@
 	}
 }
 
+// Cancel implements front.Pool.
 func (p *gatedPool) Cancel(r *core.Request) { p.cancels <- r }
 
 // Resolve takes the path for a request's ID.
@@ -91,8 +95,11 @@
 // unlimitedQuota is a quota without a limit.
 type unlimitedQuota struct{}
 
+// Acquire implements Quota.
 func (unlimitedQuota) Acquire() bool { return true }
-func (unlimitedQuota) Release()      {}
+
+// Release implements Quota.
+func (unlimitedQuota) Release() {}
 
 // listen returns a listener on a loopback port.
 func listen(t *testing.T) *net.TCPListener {
--- a/internal/route/linear_test.go
+++ b/internal/route/linear_test.go
@@ -15,6 +15,7 @@
 	})
 }
 
+// hostMatches reports whether a canonical host matches a rule.
 func hostMatches(m Match, host string) bool {
 	return len(m.Hosts) == 0 || slices.ContainsFunc(m.Hosts, func(h string) bool {
 		suffix, isSuffix := strings.CutPrefix(h, "*")
@@ -25,6 +26,7 @@
 	})
 }
 
+// pathMatches reports whether a canonical path matches a rule.
 func pathMatches(m Match, path string) bool {
 	switch m.Kind {
 	case Exact:
@@ -43,8 +45,10 @@
 // randomRules draws rules and requests over few hosts and segments, so that they overlap.
 type randomRules struct{ *rand.Rand }
 
+// pick returns one of the words.
 func (r randomRules) pick(words ...string) string { return words[r.IntN(len(words))] }
 
+// path returns a path of one to maxSegments segments.
 func (r randomRules) path(maxSegments int, segments ...string) string {
 	path := ""
 	for range r.IntN(maxSegments) + 1 {
@@ -53,6 +57,7 @@
 	return path
 }
 
+// rules returns one to eight rules.
 func (r randomRules) rules() []Match {
 	var rules []Match
 	for range 1 + r.IntN(8) {
@@ -73,6 +78,7 @@
 	return rules
 }
 
+// request returns a request.
 func (r randomRules) request() Request {
 	host := r.pick("", "a", "b.a", "c.b.a", "c", "d")
 	return Request{
--- a/internal/route/split_test.go
+++ b/internal/route/split_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// newSplit returns a split of valid arms.
 func newSplit(t *testing.T, arms ...Arm) *Split {
 	t.Helper()
 	s, err := NewSplit("s", arms)
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -74,12 +74,14 @@
 	closed sync.Once
 }
 
+// Read implements net.Conn.
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.all.in.Add(int64(n))
 	return n, err
 }
 
+// Write implements net.Conn.
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.wrote.Add(int64(n))
@@ -87,6 +89,7 @@
 	return n, err
 }
 
+// Close implements net.Conn. It may be called more than once.
 func (c *countingConn) Close() error {
 	c.closed.Do(func() { c.all.open.Add(-1) })
 	return c.Conn.Close()
@@ -98,6 +101,7 @@
 	all *traffic
 }
 
+// Accept implements net.Listener.
 func (l countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
--- a/internal/upstream/http1/body.go
+++ b/internal/upstream/http1/body.go
@@ -58,18 +58,26 @@
 		return err
 	}
 	resp.Body = make([]byte, length)
-	var err error
-	for rest := resp.Body; len(rest) > 0 && err == nil; {
-		part := rest[:min(len(rest), bodyPartSize)]
-		rest = rest[len(part):]
-		if err = c.extendDeadline(a, time.Now().Add(responseStall)); err == nil {
-			_, err = io.ReadFull(c.reader, part)
-		}
-	}
+	err := readParts(a, c, resp.Body)
 	rt.releaseAfterRead(resp, err)
 	return err
 }
 
+// readParts fills a body part by part, each within responseStall.
+func readParts(a *core.Attempt, c *conn, body []byte) error {
+	for len(body) > 0 {
+		part := body[:min(len(body), bodyPartSize)]
+		body = body[len(part):]
+		if err := c.extendDeadline(a, time.Now().Add(responseStall)); err != nil {
+			return err
+		}
+		if _, err := io.ReadFull(c.reader, part); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // readChunkedBody reads a body in the chunked coding. Its length is not known ahead: it counts as
 // the most that is read.
 func (rt *roundTripper) readChunkedBody(a *core.Attempt, c *conn, resp *core.Response) error {
--- a/internal/upstream/http1/dial.go
+++ b/internal/upstream/http1/dial.go
@@ -18,7 +18,8 @@
 // forceNew, or else a new one. With Config.LimitDials it waits for whichever comes first.
 func (rt *roundTripper) connect(a *core.Attempt, forceNew bool) (c *conn, reused bool, err error) {
 	if !forceNew {
-		if c = rt.upstream.takeIdle(rt.endpoint, rt.epoch); c != nil {
+		c = rt.upstream.takeIdle(rt.endpoint, rt.epoch)
+		if c != nil {
 			return c, true, nil
 		}
 	}
@@ -52,7 +53,8 @@
 		if forceNew {
 			continue
 		}
-		if c = rt.upstream.takeIdle(rt.endpoint, rt.epoch); c != nil {
+		c = rt.upstream.takeIdle(rt.endpoint, rt.epoch)
+		if c != nil {
 			return c, true, nil
 		}
 	}
--- a/internal/upstream/http1/dial_limit_test.go
+++ b/internal/upstream/http1/dial_limit_test.go
@@ -23,6 +23,7 @@
 	end     chan error    // one for each dial that may end
 }
 
+// dial waits for end, and then dials or returns the error that came.
 func (d *gatedDialer) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	d.add(1)
 	defer d.add(-1)
@@ -38,6 +39,7 @@
 	return (&net.Dialer{}).DialContext(ctx, network, addr)
 }
 
+// add counts dials in or out.
 func (d *gatedDialer) add(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/upstream/http1/helpers_test.go
+++ b/internal/upstream/http1/helpers_test.go
@@ -62,6 +62,7 @@
 	max, inUse int
 }
 
+// Acquire implements Quota.
 func (q *fixedQuota) Acquire() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -72,17 +73,20 @@
 	return true
 }
 
+// Release implements Quota.
 func (q *fixedQuota) Release() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.inUse--
 }
 
+// Overdrawn implements Quota.
 func (q *fixedQuota) Overdrawn() bool { return false }
 
 // slotMemory is memory for as many bodies as the channel holds, of whatever size.
 type slotMemory chan struct{}
 
+// Reserve implements Memory.
 func (m slotMemory) Reserve(ctx context.Context, _ int64) error {
 	select {
 	case m <- struct{}{}:
@@ -92,6 +96,7 @@
 	}
 }
 
+// Release implements Memory.
 func (m slotMemory) Release(int64) { <-m }
 
 // newUpstream returns an upstream with endpoints "a", "b" and so on, and at most maxConns
@@ -135,6 +140,7 @@
 	rt core.RoundTripper
 }
 
+// run runs the attempt and returns its result.
 func (a testAttempt) run() core.AttemptResult { return a.rt.RoundTrip(a.Attempt) }
 
 // start runs the attempt in the background.
--- a/internal/upstream/http1/request_test.go
+++ b/internal/upstream/http1/request_test.go
@@ -22,22 +22,26 @@
 	gate    chan struct{}
 }
 
+// Write implements net.Conn: it waits at the gate.
 func (c gatedConn) Write(b []byte) (int, error) {
 	c.reached <- struct{}{}
 	<-c.gate
 	return c.TCPConn.Write(b)
 }
 
+// SyscallConn implements syscall.Conn: writes on the raw connection wait at the gate too.
 func (c gatedConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.TCPConn.SyscallConn()
 	return gatedRawConn{raw, c}, err
 }
 
+// gatedRawConn is the raw connection of a gatedConn.
 type gatedRawConn struct {
 	syscall.RawConn
 	conn gatedConn
 }
 
+// Write implements syscall.RawConn: it waits at the gate.
 func (r gatedRawConn) Write(f func(uintptr) bool) error {
 	r.conn.reached <- struct{}{}
 	<-r.conn.gate
@@ -60,10 +64,11 @@
 			gated := gatedConn{reached: make(chan struct{}, 1), gate: make(chan struct{})}
 			hookDial(u, func(c net.Conn, err error) (net.Conn, error) {
 				if err == nil {
-					var ok bool
-					if gated.TCPConn, ok = c.(*net.TCPConn); !ok {
+					tcpConn, ok := c.(*net.TCPConn)
+					if !ok {
 						t.Errorf("dialed a %T", c)
 					}
+					gated.TCPConn = tcpConn
 				}
 				return gated, err
 			})
