--- a/cmd/fernctl/commands.go
+++ b/cmd/fernctl/commands.go
@@ -60,7 +60,7 @@
 			if err := os.MkdirAll(name, 0o755); err != nil {
 				return fmt.Errorf("init: %w", err)
 			}
-			for _, f := range catalogue.Start() {
+			for _, f := range catalogue.StarterFiles() {
 				if err := os.WriteFile(filepath.Join(name, f.Name), f.Data, 0o644); err != nil {
 					return fmt.Errorf("init: %w", err)
 				}
--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -1,6 +1,10 @@
-// Package catalogue is the one description of a fleet from which each application's configuration is written: services
-// with their owners, applications with what they call, environments with other figures. It is pure: files come in as
-// bytes; package catalogue/dir reads and writes them.
+// Package catalogue reads the one description of a fleet and generates each application's
+// configuration file from it: services with their owners, applications with what they call,
+// environments with other values. It is pure: files come in as bytes; package catalogue/dir reads
+// and writes them.
+//
+// Read joins the files into one tree; Catalogue.Generate merges an environment into it, decodes it
+// to a model and writes the files of a Plan.
 package catalogue
 
 import (
@@ -10,7 +14,6 @@
 	"slices"
 	"strings"
 
-	"fernlanding/internal/config"
 	"fernlanding/internal/rules"
 	"fernlanding/internal/tomldoc"
 )
@@ -22,169 +25,111 @@
 const (
 	MaxFiles        = 4096
 	MaxBytes        = 64 << 20 // of all files together
-	MaxInclude      = 16       // includes below each other
+	MaxInclude      = 16       // depth of nested includes
 	MaxApplications = 20_000
 	MaxServices     = 10_000
 	MaxEnvironments = 64
 )
 
-// File is one file of a catalogue. Its name is relative to the catalogue, with slashes.
+// File is one file of a catalogue.
 type File struct {
-	Name string
+	Name string // relative to the catalogue, with slashes
 	Data []byte
 }
 
-// Catalogue is a catalogue as it stands in its files.
+// Catalogue is a catalogue whose files have been joined. It does not change.
 type Catalogue struct {
-	Digest string // of all files, by name and content
-	root   *tomldoc.Value
-	env    *tomldoc.Value
+	Digest       string // of all files, by name and content
+	root         *tomldoc.Value
+	environments *tomldoc.Value
 }
 
 // sections are the tables of a catalogue's file.
 var sections = []string{"services", "applications", "environments"}
 
-// Read joins the files of a catalogue. With faults the catalogue may be nil, or hold what could be read.
+// Read joins the files of a catalogue. With diagnostics the catalogue may be nil, or hold what
+// could be read.
 func Read(files []File) (*Catalogue, tomldoc.Diagnostics) {
-	files = slices.Clone(files)
-	slices.SortFunc(files, func(a, b File) int { return strings.Compare(a.Name, b.Name) })
-	r := &tomldoc.Reader{}
-	c := &Catalogue{Digest: Digest(files)}
-	j := joiner{Reader: r, root: tomldoc.NewTable(tomldoc.Place{}), env: tomldoc.NewTable(tomldoc.Place{})}
-	for _, s := range sections {
-		j.root.Set(s, tomldoc.NewTable(tomldoc.Place{}))
+	files = sortedByName(files)
+	reader := &tomldoc.Reader{}
+	if len(files) == 0 {
+		expect := "one file of a catalogue at least expected"
+		return nil, tomldoc.Diagnostics{{Rule: rules.Missing, Expect: expect}}
 	}
-	broken := len(files) == 0
-	for i, f := range files {
-		if i == 0 {
-			j.root.Place = tomldoc.Place{File: f.Name, Line: 1, Col: 1}
-		}
-		root, faults := tomldoc.Parse(f.Name, f.Data)
-		r.Faults = append(r.Faults, faults...)
+	j := newJoiner(reader, tomldoc.Place{File: files[0].Name, Line: 1, Col: 1})
+	isParsed := true
+	for _, file := range files {
+		root, faults := tomldoc.Parse(file.Name, file.Data)
+		reader.Faults = append(reader.Faults, faults...)
 		if root == nil {
-			broken = true
+			isParsed = false
 			continue
 		}
 		j.join(root)
 	}
-	if broken {
-		if len(files) == 0 {
-			r.Faults = append(r.Faults, tomldoc.Diagnostic{Rule: rules.Missing, Expect: "one file of a catalogue at least expected"})
-		}
-		return nil, r.Faults
+	if !isParsed || !j.withinBounds() {
+		return nil, reader.Faults
 	}
-	for _, b := range []struct {
+	c := &Catalogue{Digest: Digest(files), root: j.root, environments: j.root.Fields["environments"]}
+	return c, reader.Faults
+}
+
+// withinBounds reports whether no section has more entries than its bound; it adds a diagnostic of
+// the first that has.
+func (j *joiner) withinBounds() bool {
+	for _, bound := range []struct {
 		section string
-		most    int
-	}{{"services", MaxServices}, {"applications", MaxApplications}, {"environments", MaxEnvironments}} {
-		if n := len(j.root.Fields[b.section].Keys); n > b.most {
-			r.Fault(j.root.Fields[b.section], rules.TooMany, b.section, "", fmt.Sprintf("%d, %d expected at most", n, b.most))
-			return nil, r.Faults
+		limit   int
+	}{
+		{"services", MaxServices},
+		{"applications", MaxApplications},
+		{"environments", MaxEnvironments},
+	} {
+		table := j.root.Fields[bound.section]
+		if count := len(table.Keys); count > bound.limit {
+			expect := fmt.Sprintf("%d, %d expected at most", count, bound.limit)
+			j.Fault(table, rules.TooMany, bound.section, "", expect)
+			return false
 		}
 	}
-	c.root, c.env = j.root, j.root.Fields["environments"]
-	return c, r.Faults
+	return true
 }
 
-// Digest is a digest of files by name and content, whatever their order.
+// Digest returns a digest of files by name and content, whatever their order.
 func Digest(files []File) string {
+	hash := sha256.New()
+	for _, file := range sortedByName(files) {
+		// A hash's Write returns no error.
+		_, _ = fmt.Fprintf(hash, "%d %s %d\n", len(file.Name), file.Name, len(file.Data))
+		_, _ = hash.Write(file.Data)
+	}
+	return "sha256:" + hex.EncodeToString(hash.Sum(nil))
+}
+
+// sortedByName returns a copy of files in the order of their names.
+func sortedByName(files []File) []File {
 	files = slices.Clone(files)
 	slices.SortFunc(files, func(a, b File) int { return strings.Compare(a.Name, b.Name) })
-	h := sha256.New()
-	for _, f := range files {
-		fmt.Fprintf(h, "%d %s %d\n", len(f.Name), f.Name, len(f.Data))
-		h.Write(f.Data)
-	}
-	return "sha256:" + hex.EncodeToString(h.Sum(nil))
+	return files
 }
 
-// Includes are the files that a file includes, as it writes them, with their places. Faults of other kinds are left to
-// Read.
-func Includes(f File) (names []string, at []tomldoc.Place) {
-	root, _ := tomldoc.Parse(f.Name, f.Data)
+// Includes returns the files that a file includes, as it writes them, with their places. Other
+// violations are left to Read.
+func Includes(file File) (names []string, places []tomldoc.Place) {
+	root, _ := tomldoc.Parse(file.Name, file.Data)
 	if root == nil || root.Fields["include"] == nil {
 		return nil, nil
 	}
 	for _, item := range root.Fields["include"].Items {
 		if item.Kind == tomldoc.String {
-			names, at = append(names, item.Text), append(at, item.Place)
+			names = append(names, item.Text)
+			places = append(places, item.Place)
 		}
 	}
-	return names, at
+	return names, places
 }
 
-// Environments are the names of the environments, in order.
+// Environments returns the names of the environments, in order.
 func (c *Catalogue) Environments() []string {
-	names := slices.Clone(c.env.Keys)
-	slices.Sort(names)
-	return names
-}
-
-// joiner makes one tree of the files' trees.
-type joiner struct {
-	*tomldoc.Reader
-	root *tomldoc.Value
-	env  *tomldoc.Value
-}
-
-func (j *joiner) join(root *tomldoc.Value) {
-	s := tomldoc.NewScope(j.Reader, root)
-	if v := s.V.Fields["catalogue"]; v == nil {
-		s.Bad(rules.Version, "catalogue", "catalogue = %d expected", Version)
-	} else if v.Kind != tomldoc.Integer || v.Text != fmt.Sprint(Version) {
-		s.Bad(rules.Version, "catalogue", "this program (%s) reads catalogues of version %d", config.Program, Version)
-		return // what else it says may mean something else there
-	}
-	s.Take("catalogue")
-	s.Texts("include")
-	if v := s.Get("fleet", tomldoc.Table); v != nil {
-		if old := j.root.Fields["fleet"]; old != nil {
-			j.twice(rules.DoubleField, v, "fleet", old)
-		} else {
-			j.root.Set("fleet", v)
-		}
-	}
-	for _, section := range sections {
-		t := s.Sub(section)
-		into := j.root.Fields[section]
-		for _, name := range t.V.Keys {
-			v := t.Get(name, tomldoc.Table)
-			old := into.Fields[name]
-			switch {
-			case v == nil:
-			case old == nil:
-				into.Set(name, v)
-			case section == "environments":
-				j.merge(old, v, t.Name(name))
-			case section == "services":
-				j.twice(rules.OwnerTwice, v, t.Name(name), old)
-			default:
-				j.twice(rules.AppTwice, v, t.Name(name), old)
-			}
-		}
-	}
-	s.Done()
-}
-
-func (j *joiner) twice(rule rules.ID, v *tomldoc.Value, path string, old *tomldoc.Value) {
-	owner := ""
-	if t := old.Fields["team"]; rule == rules.OwnerTwice && t != nil {
-		owner = fmt.Sprintf("; team %s owns it there", t.Say())
-	}
-	j.Faults = append(j.Faults, tomldoc.Diagnostic{Place: v.Place, Rule: rule, Field: path, Expect: "stands elsewhere too" + owner, See: old.Place})
-}
-
-// merge puts one table of an environment into another of the same path.
-func (j *joiner) merge(into, v *tomldoc.Value, path string) {
-	for _, k := range v.Keys {
-		old, one := into.Fields[k], v.Fields[k]
-		switch {
-		case old == nil:
-			into.Set(k, one)
-		case old.Kind == tomldoc.Table && one.Kind == tomldoc.Table:
-			j.merge(old, one, path+"."+k)
-		default:
-			j.twice(rules.DoubleField, one, path+"."+k, old)
-		}
-	}
+	return slices.Sorted(slices.Values(c.environments.Keys))
 }
--- a/internal/catalogue/catalogue_test.go
+++ b/internal/catalogue/catalogue_test.go
@@ -11,10 +11,10 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// The same catalogue gives the same bytes, however its text is divided into files and in whatever order these come; only
-// the digest of the sources tells them apart.
-func TestOutputDependsOnWhatIsSaidAlone(t *testing.T) {
-	start := Start()
+// The same catalogue gives the same bytes, however its text is divided into files and in whatever
+// order these come; only the digest of the sources tells them apart.
+func TestOutputIsIndependentOfFileLayout(t *testing.T) {
+	start := StarterFiles()
 	joined := File{Name: "all.toml"}
 	for i, f := range start {
 		text := string(f.Data)
@@ -23,15 +23,16 @@
 		}
 		joined.Data = append(joined.Data, text...)
 	}
-	// The same tables in another order.
+	// The same tables in reverse order.
 	tables := strings.Split(string(joined.Data[len("catalogue = 1\n"):]), "\n[applications.")
 	for i := range tables[1:] {
 		tables[i+1] = "[applications." + tables[i+1]
 	}
-	turned := slices.Clone(tables)
-	slices.Reverse(turned)
+	reversed := slices.Clone(tables)
+	slices.Reverse(reversed)
 	var want []Output
-	for i, files := range [][]File{start, {start[2], start[0], start[1]}, {joined}, {{Name: "turned.toml", Data: []byte("catalogue = 1\n" + strings.Join(turned, "\n"))}}} {
+	reversedFile := File{Name: "turned.toml", Data: []byte("catalogue = 1\n" + strings.Join(reversed, "\n"))}
+	for i, files := range [][]File{start, {start[2], start[0], start[1]}, {joined}, {reversedFile}} {
 		for range 3 {
 			c, faults := Read(files)
 			if len(faults) > 0 {
@@ -58,17 +59,23 @@
 	}
 }
 
-// An environment's figures reach the files; others do not change.
-func TestAnEnvironmentChangesFigures(t *testing.T) {
-	c, _ := Read(Start())
+// changeTexts returns the texts of changes.
+func changeTexts(changes []config.Change) []string {
+	var texts []string
+	for _, change := range changes {
+		texts = append(texts, change.String())
+	}
+	return texts
+}
+
+// An environment's values reach the files; others do not change.
+func TestEnvironmentOverridesValues(t *testing.T) {
+	c, _ := Read(StarterFiles())
 	local, _ := c.Generate("local")
 	staging, _ := c.Generate("staging")
-	a, b := config.Read("a", local.Outputs[0].Data), config.Read("b", staging.Outputs[0].Data)
-	changes, heads := config.Diff(a, b)
-	var got []string
-	for _, ch := range changes {
-		got = append(got, ch.String())
-	}
+	changes, headsDiffer := config.Diff(
+		config.Read("a", local.Outputs[0].Data), config.Read("b", staging.Outputs[0].Data))
+	got := changeTexts(changes)
 	want := []string{
 		"~ process.memory_mb = 64, was 128",
 		`+ services.tariff.endpoints[tariff-s].name = "tariff-s"`,
@@ -81,28 +88,26 @@
 		`- services.tariff.endpoints[tariff-2].address = "127.0.0.1:9002"`,
 		"- services.tariff.endpoints[tariff-2].cell = 1",
 	}
-	if !slices.Equal(got, want) || !heads {
-		t.Errorf("heads %v, got\n%s", heads, strings.Join(got, "\n"))
+	if !slices.Equal(got, want) || !headsDiffer {
+		t.Errorf("heads differ %v, got\n%s", headsDiffer, strings.Join(got, "\n"))
 	}
 }
 
-// A renamed class is one change, not a class less and another more.
-func TestARenamedClassIsOneChange(t *testing.T) {
-	files := Start()
+// A renamed class is one change, not a removed class and an added one.
+func TestRenamedClassIsOneChange(t *testing.T) {
+	files := StarterFiles()
 	old, _ := Read(files)
-	files[0].Data = bytes.ReplaceAll(files[0].Data, []byte("[services.billing.classes.usage-rate]\n"), []byte("[services.billing.classes.rate]\nformerly = [\"usage-rate\"]\n"))
+	files[0].Data = bytes.ReplaceAll(files[0].Data, []byte("[services.billing.classes.usage-rate]\n"),
+		[]byte("[services.billing.classes.rate]\nformerly = [\"usage-rate\"]\n"))
 	files[1].Data = bytes.ReplaceAll(files[1].Data, []byte("classes.usage-rate"), []byte("classes.rate"))
-	fresh, _ := Read(files)
-	p, _ := old.Generate("local")
-	q, faults := fresh.Generate("local")
+	renamed, _ := Read(files)
+	before, _ := old.Generate("local")
+	after, faults := renamed.Generate("local")
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	changes, _ := config.Diff(config.Read("a", p.Outputs[0].Data), config.Read("a", q.Outputs[0].Data))
-	var got []string
-	for _, ch := range changes {
-		got = append(got, ch.String())
-	}
+	changes, _ := config.Diff(config.Read("a", before.Outputs[0].Data), config.Read("a", after.Outputs[0].Data))
+	got := changeTexts(changes)
 	want := []string{
 		"~ services.billing.classes.usage-rate renamed to services.billing.classes.rate",
 		`+ services.billing.classes.rate.formerly[1] = "usage-rate"`,
@@ -122,9 +127,10 @@
 	}
 }
 
-// A file whose lists come by relays has them, and asks for a program that knows them; others ask for what they did.
-func TestRelaysAskForTheirProgram(t *testing.T) {
-	files := Start()
+// A file whose endpoint lists come from relays names the relays, and requires a program that
+// supports them; other files require what they did before.
+func TestRelaysRequireNewerProgram(t *testing.T) {
+	files := StarterFiles()
 	plain, _ := Read(files)
 	before, _ := plain.Generate("local")
 	for _, o := range before.Outputs {
@@ -133,27 +139,36 @@
 		}
 	}
 	name := before.Outputs[0].Application
-	files = append(files, File{Name: "relays.toml", Data: fmt.Appendf(nil, "catalogue = 1\n[environments.local.applications.%s.distribution]\nrelays = [\"127.0.0.1:7401\"]\n", name)})
+	files = append(files, File{Name: "relays.toml", Data: fmt.Appendf(nil, `catalogue = 1
+[environments.local.applications.%s.distribution]
+relays = ["127.0.0.1:7401"]
+`, name)})
 	relayed, faults := Read(files)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	after, _ := relayed.Generate("local")
-	d := config.Read("f", after.Outputs[0].Data)
-	if d.App == nil || d.App.Head.Requires != RequiresRelay || !slices.Equal(d.App.Distribution.Relays, []string{"127.0.0.1:7401"}) {
-		t.Errorf("with relays:\n%s\n%v", after.Outputs[0].Data, d.Diagnostics)
+	doc := config.Read("f", after.Outputs[0].Data)
+	if doc.App == nil || doc.App.Head.Requires != RequiresRelay ||
+		!slices.Equal(doc.App.Distribution.Relays, []string{"127.0.0.1:7401"}) {
+		t.Errorf("with relays:\n%s\n%v", after.Outputs[0].Data, doc.Diagnostics)
 	}
 }
 
-// Any text gives a plan or faults that name a place, and what is generated reads as TOML whatever stands in strings.
+// Any text gives a plan or faults that name a place, and what is generated reads as TOML whatever
+// stands in strings.
 func FuzzCatalogue(f *testing.F) {
-	for _, s := range Start() {
+	for _, s := range StarterFiles() {
 		f.Add(s.Data, "staging")
 	}
-	f.Add([]byte("catalogue = 1\n[services.\"a\\\"b\\n\"]\nteam = \"x\\u0007\"\n[services.\"a\\\"b\\n\".classes.\"]\"]\nrepeat = \"safe\"\nroutes = [{ headers = { \"a b\" = \"\\\"\" } }]\n[applications.x]\nserves = [1]\n[applications.x.calls.\"a\\\"b\\n\"]\nshare = nan\n"), "")
-	f.Add([]byte("catalogue = 1\n[services.s]\nteam='t'\npods={p={cell=1,endpoints=[1,{address='x'}]}}\nclasses={c=5,d={routes=[7,{prefix=3}]}}\n[applications.a]\nlisteners=[1]\nprocess=5\ncalls={s={split=[{service='s'},9],classes={d={mirror={service='s'}}}}}\n"), "")
+	f.Add([]byte("catalogue = 1\n[services.\"a\\\"b\\n\"]\nteam = \"x\\u0007\"\n"+
+		"[services.\"a\\\"b\\n\".classes.\"]\"]\nrepeat = \"safe\"\nroutes = [{ headers = { \"a b\" = \"\\\"\" } }]\n"+
+		"[applications.x]\nserves = [1]\n[applications.x.calls.\"a\\\"b\\n\"]\nshare = nan\n"), "")
+	f.Add([]byte("catalogue = 1\n[services.s]\nteam='t'\npods={p={cell=1,endpoints=[1,{address='x'}]}}\n"+
+		"classes={c=5,d={routes=[7,{prefix=3}]}}\n[applications.a]\nlisteners=[1]\nprocess=5\n"+
+		"calls={s={split=[{service='s'},9],classes={d={mirror={service='s'}}}}}\n"), "")
 	f.Fuzz(func(t *testing.T, data []byte, env string) {
-		c, faults := Read([]File{{Name: "f.toml", Data: data}, Start()[2]})
+		c, faults := Read([]File{{Name: "f.toml", Data: data}, StarterFiles()[2]})
 		if c == nil {
 			if len(faults) == 0 {
 				t.Fatal("nothing, and no fault")
@@ -162,14 +177,14 @@
 		}
 		p, more := c.Generate(env)
 		for _, f := range append(faults, more...) {
-			if strings.ContainsAny(f.Report(), "\n\r") || f.Place.File == "" && f.Rule != "" && f.Place.Line > 0 {
+			if strings.ContainsAny(f.Report(), "\n\r") || f.File == "" && f.Rule != "" && f.Line > 0 {
 				t.Fatalf("%q", f.Report())
 			}
 		}
 		if p == nil {
 			return
 		}
-		for _, o := range append(p.Outputs, p.Probes...) {
+		for _, o := range append(p.Outputs, p.Uncalled...) {
 			root, faults := tomldoc.Parse(o.Name, o.Data)
 			for _, f := range faults {
 				if root == nil && f.Rule != "FILE-SIZE" && f.Rule != "FILE-DEPTH" && f.Rule != "DOUBLE-FIELD" {
--- /dev/null
+++ b/internal/catalogue/join.go
@@ -0,0 +1,98 @@
+package catalogue
+
+import (
+	"fmt"
+	"strconv"
+
+	"fernlanding/internal/config"
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
+)
+
+// joiner merges the trees of a catalogue's files into one.
+type joiner struct {
+	*tomldoc.Reader
+	root *tomldoc.Value
+}
+
+// newJoiner returns a joiner of an empty catalogue that begins at a place.
+func newJoiner(reader *tomldoc.Reader, at tomldoc.Place) *joiner {
+	j := &joiner{Reader: reader, root: tomldoc.NewTable(at)}
+	for _, section := range sections {
+		j.root.Set(section, tomldoc.NewTable(tomldoc.Place{}))
+	}
+	return j
+}
+
+// join adds the tree of a file.
+func (j *joiner) join(root *tomldoc.Value) {
+	scope := tomldoc.NewScope(j.Reader, root)
+	version := scope.V.Fields["catalogue"]
+	if version == nil {
+		scope.Bad(rules.Version, "catalogue", "catalogue = %d expected", Version)
+	} else if version.Kind != tomldoc.Integer || version.Text != strconv.Itoa(Version) {
+		scope.Bad(rules.Version, "catalogue", "this program (%s) reads catalogues of version %d",
+			config.Program, Version)
+		return // the other fields may mean something else in that version
+	}
+	scope.Take("catalogue")
+	scope.Texts("include")
+	if fleet := scope.Get("fleet", tomldoc.Table); fleet != nil {
+		if old := j.root.Fields["fleet"]; old != nil {
+			j.reportDuplicate(rules.DoubleField, fleet, "fleet", old)
+		} else {
+			j.root.Set("fleet", fleet)
+		}
+	}
+	for _, section := range sections {
+		j.joinSection(scope.Sub(section), section)
+	}
+	scope.Done()
+}
+
+// joinSection adds the tables of one section of a file. Only an environment may be described in
+// several files.
+func (j *joiner) joinSection(scope tomldoc.Scope, section string) {
+	into := j.root.Fields[section]
+	for _, name := range scope.V.Keys {
+		table := scope.Get(name, tomldoc.Table)
+		old := into.Fields[name]
+		switch {
+		case table == nil:
+		case old == nil:
+			into.Set(name, table)
+		case section == "environments":
+			j.merge(old, table, scope.Name(name))
+		case section == "services":
+			j.reportDuplicate(rules.OwnerTwice, table, scope.Name(name), old)
+		default:
+			j.reportDuplicate(rules.AppTwice, table, scope.Name(name), old)
+		}
+	}
+}
+
+// reportDuplicate reports a value that another file has at the same path.
+func (j *joiner) reportDuplicate(rule rules.ID, value *tomldoc.Value, path string, old *tomldoc.Value) {
+	owner := ""
+	if team := old.Fields["team"]; rule == rules.OwnerTwice && team != nil {
+		owner = fmt.Sprintf("; team %s owns it there", team.Say())
+	}
+	j.Faults = append(j.Faults, tomldoc.Diagnostic{
+		Place: value.Place, Rule: rule, Field: path, Expect: "stands elsewhere too" + owner, See: old.Place,
+	})
+}
+
+// merge adds the fields of an environment's table to those that other files have at the same path.
+func (j *joiner) merge(into, from *tomldoc.Value, path string) {
+	for _, key := range from.Keys {
+		old, value := into.Fields[key], from.Fields[key]
+		switch {
+		case old == nil:
+			into.Set(key, value)
+		case old.Kind == tomldoc.Table && value.Kind == tomldoc.Table:
+			j.merge(old, value, path+"."+key)
+		default:
+			j.reportDuplicate(rules.DoubleField, value, path+"."+key, old)
+		}
+	}
+}
--- a/internal/catalogue/overlay.go
+++ b/internal/catalogue/overlay.go
@@ -9,83 +9,102 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// repeatFields say what may run again. No environment touches them: what is tested is to be what runs.
-var repeatFields = []string{"repeat", "dedup_scope", "dedup_window", "key", "resend", "early_data", "hedge", "formerly", "in_order"}
+// retrySafetyFields decide which requests may run twice. No environment changes them: the tested
+// rules are to be those that run in production.
+var retrySafetyFields = []string{
+	"repeat", "dedup_scope", "dedup_window", "key", "resend", "early_data", "hedge", "formerly", "in_order",
+}
 
-// declared are the tables whose entries an environment can't invent.
-var declared = []string{"services", "applications", "classes", "calls"}
+// declaredTables are the tables to which an environment cannot add entries.
+var declaredTables = []string{"services", "applications", "classes", "calls"}
 
-// overlay is the catalogue with an environment's figures in it; the empty name stands for none.
-func (c *Catalogue) overlay(name string, r *tomldoc.Reader) (*tomldoc.Value, bool) {
+// overlay returns the catalogue's tree with the values of an environment; the empty name stands for
+// none. It reports false if there is no such environment.
+func (c *Catalogue) overlay(name string, reader *tomldoc.Reader) (*tomldoc.Value, bool) {
 	root := c.root.Clone()
 	if name == "" {
 		return root, true
 	}
-	env := c.env.Fields[name]
-	if env == nil {
-		expect := "one of the environments expected: " + strings.Join(c.Environments(), ", ")
-		if near := tomldoc.Nearest(name, c.Environments()); near != "" {
-			expect = near + " meant?"
-		}
-		r.Faults = append(r.Faults, tomldoc.Diagnostic{Place: tomldoc.Place{File: c.root.Place.File}, Rule: rules.UnknownEnv, Field: "environments", Found: fmt.Sprintf("%q", tomldoc.Clip(name)), Expect: expect})
+	environment := c.environments.Fields[name]
+	if environment == nil {
+		reader.Faults = append(reader.Faults, c.unknownEnvironment(name))
 		return nil, false
 	}
-	o := overlayer{r, name}
-	for _, k := range env.Keys {
-		v := env.Fields[k]
+	o := overlayer{Reader: reader, environment: name}
+	for _, section := range environment.Keys {
+		table := environment.Fields[section]
 		switch {
-		case k == "fleet" && v.Kind == tomldoc.Table:
+		case section == "fleet" && table.Kind == tomldoc.Table:
 			if root.Fields["fleet"] == nil {
-				root.Set("fleet", tomldoc.NewTable(v.Place))
+				root.Set("fleet", tomldoc.NewTable(table.Place))
 			}
-			o.put(root.Fields["fleet"], v, []string{"fleet"})
-		case (k == "services" || k == "applications") && v.Kind == tomldoc.Table:
-			o.put(root.Fields[k], v, []string{k})
+			o.merge(root.Fields["fleet"], table, []string{"fleet"})
+		case (section == "services" || section == "applications") && table.Kind == tomldoc.Table:
+			o.merge(root.Fields[section], table, []string{section})
 		default:
-			r.Fault(v, rules.UnknownField, "environments."+name+"."+k, "", "unknown field; known here: applications, fleet, services")
+			reader.Fault(table, rules.UnknownField, "environments."+name+"."+section, "",
+				"unknown field; known here: applications, fleet, services")
 		}
 	}
 	return root, true
 }
 
+// unknownEnvironment returns the diagnostic of an environment that the catalogue does not declare.
+func (c *Catalogue) unknownEnvironment(name string) tomldoc.Diagnostic {
+	expect := "one of the environments expected: " + strings.Join(c.Environments(), ", ")
+	if near := tomldoc.Nearest(name, c.Environments()); near != "" {
+		expect = near + " meant?"
+	}
+	return tomldoc.Diagnostic{
+		Place: tomldoc.Place{File: c.root.Place.File}, Rule: rules.UnknownEnv, Field: "environments",
+		Found: fmt.Sprintf("%q", tomldoc.Clip(name)), Expect: expect,
+	}
+}
+
+// overlayer merges an environment's tables into the catalogue's.
 type overlayer struct {
 	*tomldoc.Reader
-	env string
+	environment string
 }
 
-// put puts an environment's table over one of the catalogue. Arrays are replaced as a whole.
-func (o *overlayer) put(into, v *tomldoc.Value, path []string) {
-	for _, k := range v.Keys {
-		over, old := v.Fields[k], into.Fields[k]
-		at := append(path[:len(path):len(path)], k)
-		field := "environments." + o.env + "." + strings.Join(at, ".")
-		if slices.Contains(path, "classes") && slices.Contains(repeatFields, k) {
-			o.Fault(over, rules.OverlayRepeat, field, "", "the catalogue's own expected")
+// merge puts the values of an environment's table into the table at a path of the catalogue. Tables
+// are merged; arrays and scalars are replaced.
+func (o *overlayer) merge(into, from *tomldoc.Value, path []string) {
+	for _, key := range from.Keys {
+		value, old := from.Fields[key], into.Fields[key]
+		keyPath := append(path[:len(path):len(path)], key)
+		if !o.mayOverlay(into, value, keyPath) {
 			continue
 		}
-		if old == nil && slices.Contains(declared, path[len(path)-1]) {
-			var known []string
-			for name := range into.Fields {
-				known = append(known, name)
-			}
-			slices.Sort(known)
-			expect := "nothing of that name is declared"
-			if near := tomldoc.Nearest(k, known); near != "" {
-				expect += "; " + near + " meant?"
-			}
-			o.Fault(over, rules.OverlayNothing, field, "", expect)
+		if value.Kind != tomldoc.Table || old != nil && old.Kind != tomldoc.Table {
+			into.Set(key, value.Clone())
 			continue
 		}
-		if old != nil && old.Kind == tomldoc.Table && over.Kind == tomldoc.Table {
-			o.put(old, over, at)
-			continue
+		if old == nil {
+			// An optional table is merged and not cloned, since it may hold a forbidden field.
+			old = tomldoc.NewTable(value.Place)
+			into.Set(key, old)
 		}
-		if over.Kind == tomldoc.Table && old == nil { // an optional table, which may hold a forbidden field
-			old = tomldoc.NewTable(over.Place)
-			into.Set(k, old)
-			o.put(old, over, at)
-			continue
+		o.merge(old, value, keyPath)
+	}
+}
+
+// mayOverlay reports whether an environment may state a value at a path whose last element is a key
+// of the table into; if not, it adds a diagnostic.
+func (o *overlayer) mayOverlay(into, value *tomldoc.Value, path []string) bool {
+	parents, key := path[:len(path)-1], path[len(path)-1]
+	field := "environments." + o.environment + "." + strings.Join(path, ".")
+	if slices.Contains(parents, "classes") && slices.Contains(retrySafetyFields, key) {
+		o.Fault(value, rules.OverlayRepeat, field, "", "the catalogue's own expected")
+		return false
+	}
+	if into.Fields[key] == nil && slices.Contains(declaredTables, parents[len(parents)-1]) {
+		expect := "nothing of that name is declared"
+		if near := tomldoc.Nearest(key, sortedKeys(into.Fields)); near != "" {
+			expect += "; " + near + " meant?"
 		}
-		into.Set(k, over.Clone())
+		o.Fault(value, rules.OverlayNothing, field, "", expect)
+		return false
 	}
+	return true
 }
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -59,7 +59,7 @@
 	if o.RetryFactor == 0 {
 		o.RetryFactor = plan.RetryFactor
 	}
-	all := append(plan.Outputs[:len(plan.Outputs):len(plan.Outputs)], plan.Probes...)
+	all := append(plan.Outputs[:len(plan.Outputs):len(plan.Outputs)], plan.Uncalled...)
 	docs := make([]*config.Document, len(all))
 	o.each(len(all), func(i int) {
 		docs[i] = config.Read(all[i].Name, all[i].Data)
