--- /dev/null
+++ b/internal/catalogue/dir/deployed.go
@@ -0,0 +1,66 @@
+package dir
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"strings"
+
+	"fernlanding/internal/config"
+	"fernlanding/internal/durable"
+	"fernlanding/internal/tomldoc"
+)
+
+// Deployed decodes the files of a directory that Write has written; none if there is no such
+// directory.
+func Deployed(directory string) ([]*config.Document, error) {
+	entries, err := os.ReadDir(directory)
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, fmt.Errorf("deployed: %w", err)
+	}
+	var docs []*config.Document
+	for _, e := range entries {
+		if !strings.HasSuffix(e.Name(), ".toml") || e.IsDir() {
+			continue
+		}
+		data, err := ReadFile(filepath.Join(directory, e.Name()))
+		if err != nil {
+			return nil, fmt.Errorf("deployed: %w", err)
+		}
+		docs = append(docs, config.Read(e.Name(), data))
+	}
+	return docs, nil
+}
+
+// ReadFile reads a file. Of a file beyond the size of the largest document it returns one byte more
+// than that, so that the decoder reports the size.
+func ReadFile(name string) ([]byte, error) {
+	f, err := os.Open(name)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = f.Close() }() // it was only read from
+	if info, err := f.Stat(); err == nil && info.IsDir() {
+		return nil, &fs.PathError{Op: "read", Path: name, Err: errors.New("is a directory")}
+	}
+	return io.ReadAll(io.LimitReader(f, tomldoc.MaxFile+1))
+}
+
+// Replace replaces the content of a file atomically and keeps its mode. Of a link it replaces the
+// target.
+func Replace(name string, data []byte) error {
+	info, err := os.Stat(name)
+	if err != nil {
+		return fmt.Errorf("write: %w", err)
+	}
+	if target, err := filepath.EvalSymlinks(name); err == nil {
+		name = target
+	}
+	return durable.WriteFile(name, data, info.Mode().Perm(), true)
+}
--- /dev/null
+++ b/internal/catalogue/dir/exchange_other.go
@@ -0,0 +1,26 @@
+//go:build !linux
+
+package dir
+
+import (
+	"errors"
+	"io/fs"
+	"os"
+)
+
+// exchange puts the staged directory in the place of another and removes that. Here this takes two
+// renames; if the second fails, the first is undone.
+func exchange(staged, directory string) error {
+	old := staged + ".old"
+	err := os.Rename(directory, old)
+	if errors.Is(err, fs.ErrNotExist) {
+		return os.Rename(staged, directory)
+	}
+	if err != nil {
+		return err
+	}
+	if err := os.Rename(staged, directory); err != nil {
+		return errors.Join(err, os.Rename(old, directory))
+	}
+	return os.RemoveAll(old)
+}
--- a/internal/catalogue/dir/load.go
+++ b/internal/catalogue/dir/load.go
@@ -1,45 +1,47 @@
-// Package dir reads catalogues from a disk and writes what is generated from them, as a whole or not at all.
+// Package dir reads catalogues from a disk and writes what is generated from them, completely or
+// not at all.
 package dir
 
 import (
 	"errors"
 	"fmt"
-	"io"
 	"io/fs"
 	"os"
 	"path"
 	"path/filepath"
 	"slices"
 	"strings"
-	"time"
 
 	"fernlanding/internal/catalogue"
 	"fernlanding/internal/rules"
 	"fernlanding/internal/tomldoc"
 )
 
-const mostTries = 3 // readings of a catalogue that changes meanwhile
+// maxReads bounds how often a catalogue is read while it changes.
+const maxReads = 3
 
-// ErrChanged is the error of a catalogue that was edited each time while it was read.
+// ErrChanged is returned by Load for a catalogue that was edited during each read.
 var ErrChanged = errors.New("changed while it was read")
 
-// Load reads a catalogue: one file, or all files of a directory that end with .toml, and what they include. Nothing
-// outside of the directory is read, through links neither. Files that were edited while others were read are read again,
-// so that what is returned has stood on the disk at one time; ErrChanged if it never held still. Faults are those that
-// were found on the way to the files, not in them.
-func Load(name string) ([]catalogue.File, tomldoc.Diagnostics, error) { return load(name, func() {}) }
-
-// load calls read when all files have been read; a test edits them there.
-func load(name string, read func()) ([]catalogue.File, tomldoc.Diagnostics, error) {
-	for range mostTries {
-		l := &loader{at: map[string]state{}}
-		err := l.load(name)
+// Load reads a catalogue: one file, or all files of a directory that end with .toml, and what they
+// include. It reads nothing outside of the directory, not through links either. If a file was
+// edited while others were read, all are read again, so that the returned files were on the disk at
+// one time; ErrChanged if each read found an edit. The diagnostics are those of the includes, not
+// of the files' content.
+func Load(name string) ([]catalogue.File, tomldoc.Diagnostics, error) {
+	return load(name, func() {})
+}
+
+// load is Load; it calls afterRead when all files have been read, before it looks for edits.
+func load(name string, afterRead func()) ([]catalogue.File, tomldoc.Diagnostics, error) {
+	for range maxReads {
+		l, err := readAll(name)
 		if err != nil {
 			return nil, nil, err
 		}
-		read()
+		afterRead()
 		same, err := l.unchanged()
-		l.root.Close()
+		l.close()
 		if err != nil {
 			return nil, nil, err
 		}
@@ -47,64 +49,76 @@
 			return l.files, l.faults, nil
 		}
 	}
-	return nil, nil, fmt.Errorf("%s: %w %d times", name, ErrChanged, mostTries)
-}
-
-// state is what tells that a file has not been edited.
-type state struct {
-	size int64
-	time time.Time
-	info fs.FileInfo
+	return nil, nil, fmt.Errorf("%s: %w %d times", name, ErrChanged, maxReads)
 }
 
+// loader is one read of a catalogue.
 type loader struct {
-	root   *os.Root
-	dir    bool
-	names  []string // that the directory lists
-	files  []catalogue.File
-	at     map[string]state
-	bytes  int
-	faults tomldoc.Diagnostics
-	onWay  []string // of includes
+	root        *os.Root
+	isDirectory bool
+	names       []string // the files to begin with: those that the directory lists, or the one file
+	files       []catalogue.File
+	versions    map[string]version // of all files that were opened
+	size        int                // of all files, in bytes
+	faults      tomldoc.Diagnostics
+	including   []string // the files whose includes are being read, outermost first
 }
 
-func (l *loader) load(name string) error {
+// readAll reads a catalogue once. The loader has to be closed unless there is an error.
+func readAll(name string) (*loader, error) {
 	info, err := os.Stat(name)
 	if err != nil {
-		return fmt.Errorf("catalogue: %w", err)
+		return nil, fmt.Errorf("catalogue: %w", err)
 	}
-	l.dir = info.IsDir()
-	in := name
-	if !l.dir {
-		in = filepath.Dir(name)
+	l := &loader{isDirectory: info.IsDir(), versions: map[string]version{}}
+	directory := name
+	if !l.isDirectory {
+		directory = filepath.Dir(name)
+		l.names = []string{filepath.Base(name)}
 	}
-	if l.root, err = os.OpenRoot(in); err != nil {
-		return fmt.Errorf("catalogue: %w", err)
+	l.root, err = os.OpenRoot(directory)
+	if err != nil {
+		return nil, fmt.Errorf("catalogue: %w", err)
 	}
-	if l.dir {
-		if l.names, err = l.list(); err != nil {
-			l.root.Close()
+	if err := l.readNames(); err != nil {
+		l.close()
+		return nil, err
+	}
+	return l, nil
+}
+
+// close closes the directory.
+func (l *loader) close() {
+	_ = l.root.Close() // it was only read from
+}
+
+// readNames reads the files to begin with and what they include.
+func (l *loader) readNames() error {
+	if l.isDirectory {
+		names, err := l.list()
+		if err != nil {
 			return err
 		}
-	} else {
-		l.names = []string{filepath.Base(name)}
+		l.names = names
 	}
-	for _, n := range l.names {
-		if err := l.read(n, tomldoc.Place{File: n}); err != nil {
-			l.root.Close()
+	for _, name := range l.names {
+		if err := l.read(name, tomldoc.Place{File: name}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (l *loader) list() (names []string, err error) {
+// list returns the catalogue's files in the directory, in order.
+func (l *loader) list() ([]string, error) {
 	entries, err := fs.ReadDir(l.root.FS(), ".")
 	if err != nil {
 		return nil, fmt.Errorf("catalogue: %w", err)
 	}
+	var names []string
 	for _, e := range entries {
-		if !e.IsDir() && strings.HasSuffix(e.Name(), ".toml") && !strings.HasPrefix(e.Name(), ".") {
+		isHidden := strings.HasPrefix(e.Name(), ".")
+		if !e.IsDir() && !isHidden && strings.HasSuffix(e.Name(), ".toml") {
 			names = append(names, e.Name())
 		}
 	}
@@ -112,112 +126,89 @@
 	return names, nil
 }
 
-func (l *loader) fault(rule rules.ID, at tomldoc.Place, found, expect string) {
-	l.faults = append(l.faults, tomldoc.Diagnostic{Place: at, Rule: rule, Field: "include", Found: found, Expect: expect})
+// reportInclude adds a diagnostic of an include.
+func (l *loader) reportInclude(rule rules.ID, at tomldoc.Place, name, expect string) {
+	l.faults = append(l.faults, tomldoc.Diagnostic{
+		Place: at, Rule: rule, Field: "include", Found: fmt.Sprintf("%q", tomldoc.Clip(name)), Expect: expect,
+	})
 }
 
-// read reads a file and what it includes. from is where it is named.
-func (l *loader) read(name string, from tomldoc.Place) error {
-	if slices.Contains(l.onWay, name) {
-		l.fault(rules.IncludeLoop, from, fmt.Sprintf("%q", tomldoc.Clip(name)), "a circle: "+strings.Join(append(l.onWay, name), " -> "))
+// read reads a file and what it includes, unless it has been read already. at is where it is
+// included; its Line is 0 for a file to begin with.
+func (l *loader) read(name string, at tomldoc.Place) error {
+	if slices.Contains(l.including, name) {
+		l.reportInclude(rules.IncludeLoop, at, name, "a circle: "+strings.Join(append(l.including, name), " -> "))
 		return nil
 	}
-	if _, known := l.at[name]; known {
+	if _, isRead := l.versions[name]; isRead {
 		return nil
 	}
-	if len(l.onWay) > catalogue.MaxInclude {
-		l.fault(rules.IncludeLoop, from, fmt.Sprintf("%q", tomldoc.Clip(name)), fmt.Sprintf("%d files below each other at most", catalogue.MaxInclude))
+	if len(l.including) > catalogue.MaxInclude {
+		l.reportInclude(rules.IncludeLoop, at, name,
+			fmt.Sprintf("%d files below each other at most", catalogue.MaxInclude))
 		return nil
 	}
 	if len(l.files) >= catalogue.MaxFiles {
 		return fmt.Errorf("catalogue: over %d files", catalogue.MaxFiles)
 	}
-	data, err := l.content(name)
+	data, err := l.readFile(name)
+	if err != nil {
+		return l.reportUnreadable(name, at, err)
+	}
+	l.size += len(data)
+	if l.size > catalogue.MaxBytes {
+		return fmt.Errorf("catalogue: over %d bytes", catalogue.MaxBytes)
+	}
+	file := catalogue.File{Name: name, Data: data}
+	l.files = append(l.files, file)
+	return l.readIncludes(file)
+}
+
+// reportUnreadable reports an include that cannot be read; for a file to begin with it returns the
+// error.
+func (l *loader) reportUnreadable(name string, at tomldoc.Place, err error) error {
 	switch {
-	case escapes(err):
-		l.fault(rules.IncludeOutside, from, fmt.Sprintf("%q", tomldoc.Clip(name)), "a file in the catalogue's directory expected")
+	case escapesRoot(err):
+		l.reportInclude(rules.IncludeOutside, at, name, "a file in the catalogue's directory expected")
 		return nil
-	case err != nil && from.Line > 0:
-		l.fault(rules.IncludeMissing, from, fmt.Sprintf("%q", tomldoc.Clip(name)), plain(err))
+	case at.Line > 0:
+		l.reportInclude(rules.IncludeMissing, at, name, cause(err))
 		return nil
-	case err != nil:
+	default:
 		return fmt.Errorf("catalogue: %w", err)
 	}
-	if l.bytes += len(data); l.bytes > catalogue.MaxBytes {
-		return fmt.Errorf("catalogue: over %d bytes", catalogue.MaxBytes)
-	}
-	f := catalogue.File{Name: name, Data: data}
-	l.files = append(l.files, f)
-	l.onWay = append(l.onWay, name)
-	defer func() { l.onWay = l.onWay[:len(l.onWay)-1] }()
-	names, at := catalogue.Includes(f)
-	for i, n := range names {
-		inner := path.Join(path.Dir(name), n)
-		if path.IsAbs(n) || strings.Contains(n, `\`) || inner == ".." || strings.HasPrefix(inner, "../") {
-			l.fault(rules.IncludeOutside, at[i], fmt.Sprintf("%q", tomldoc.Clip(n)), "a file in the catalogue's directory expected")
+}
+
+// readIncludes reads the files that a file includes.
+func (l *loader) readIncludes(file catalogue.File) error {
+	l.including = append(l.including, file.Name)
+	defer func() { l.including = l.including[:len(l.including)-1] }()
+	names, places := catalogue.Includes(file)
+	for i, name := range names {
+		joined := path.Join(path.Dir(file.Name), name)
+		isOutside := joined == ".." || strings.HasPrefix(joined, "../")
+		if path.IsAbs(name) || strings.Contains(name, `\`) || isOutside {
+			l.reportInclude(rules.IncludeOutside, places[i], name, "a file in the catalogue's directory expected")
 			continue
 		}
-		if err := l.read(inner, at[i]); err != nil {
+		if err := l.read(joined, places[i]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// escapes tells whether a name, or a link on its way, leads out of the root.
-func escapes(err error) bool {
+// escapesRoot reports whether a file could not be opened since its name, or a link on its path,
+// leads out of the root. Package os has no error value for this.
+func escapesRoot(err error) bool {
 	return err != nil && strings.Contains(err.Error(), "path escapes from parent")
 }
 
-// plain is the cause of a file system's error.
-func plain(err error) string {
-	var pe *fs.PathError
-	if errors.As(err, &pe) {
-		return pe.Err.Error()
+// cause returns the text of a file system's error without the operation and the path.
+func cause(err error) string {
+	var pathError *fs.PathError
+	if errors.As(err, &pathError) {
+		return pathError.Err.Error()
 	}
 	return err.Error()
 }
-
-func (l *loader) content(name string) ([]byte, error) {
-	f, err := l.root.Open(filepath.FromSlash(name))
-	if err != nil {
-		return nil, err
-	}
-	defer f.Close()
-	info, err := f.Stat()
-	if err != nil {
-		return nil, err
-	}
-	if !info.Mode().IsRegular() {
-		return nil, &fs.PathError{Op: "open", Path: name, Err: errors.New("not a regular file")}
-	}
-	l.at[name] = state{info.Size(), info.ModTime(), info}
-	data, err := io.ReadAll(io.LimitReader(f, tomldoc.MaxFile+1))
-	if err == nil && int64(len(data)) != info.Size() && len(data) <= tomldoc.MaxFile {
-		l.at[name] = state{} // was edited while it was read
-	}
-	return data, err
-}
-
-// unchanged tells whether all files are still what was read.
-func (l *loader) unchanged() (bool, error) {
-	if l.dir {
-		names, err := l.list()
-		if err != nil || !slices.Equal(names, l.names) {
-			return false, err
-		}
-	}
-	for name, s := range l.at {
-		info, err := l.root.Stat(filepath.FromSlash(name))
-		if errors.Is(err, fs.ErrNotExist) {
-			return false, nil
-		}
-		if err != nil {
-			return false, fmt.Errorf("catalogue: %w", err)
-		}
-		if s.info == nil || info.Size() != s.size || !info.ModTime().Equal(s.time) || !os.SameFile(info, s.info) {
-			return false, nil
-		}
-	}
-	return true, nil
-}
--- a/internal/catalogue/dir/write.go
+++ b/internal/catalogue/dir/write.go
@@ -7,164 +7,133 @@
 	"io/fs"
 	"os"
 	"path/filepath"
-	"slices"
 	"strings"
 
 	"fernlanding/internal/catalogue"
-	"fernlanding/internal/config"
-	"fernlanding/internal/durable"
-	"fernlanding/internal/tomldoc"
 )
 
-// Marker is the file in a directory that Write has written, which tells that the directory is its own.
+// Marker is the name of the file by which Write recognizes a directory that it has written.
 const Marker = ".fernctl"
 
-// Deployed reads the files of a directory that Write has written. One that does not exist is empty.
-func Deployed(out string) ([]*config.Document, error) {
-	entries, err := os.ReadDir(out)
-	if errors.Is(err, fs.ErrNotExist) {
-		return nil, nil
-	}
-	if err != nil {
-		return nil, fmt.Errorf("deployed: %w", err)
-	}
-	var docs []*config.Document
-	for _, e := range entries {
-		if !strings.HasSuffix(e.Name(), ".toml") || e.IsDir() {
-			continue
-		}
-		data, err := ReadFile(filepath.Join(out, e.Name()))
-		if err != nil {
-			return nil, fmt.Errorf("deployed: %w", err)
-		}
-		docs = append(docs, config.Read(e.Name(), data))
-	}
-	return docs, nil
-}
+// markerText is the content of the marker.
+const markerText = "Written by fernctl as a whole. Change the catalogue, not these files.\n"
 
-// ReadFile reads a file up to the bound of a configuration and one byte more.
-func ReadFile(name string) ([]byte, error) {
-	f, err := os.Open(name)
-	if err != nil {
-		return nil, err
-	}
-	defer f.Close()
-	if info, err := f.Stat(); err == nil && info.IsDir() {
-		return nil, &fs.PathError{Op: "read", Path: name, Err: errors.New("is a directory")}
-	}
-	return io.ReadAll(io.LimitReader(f, tomldoc.MaxFile+1))
-}
-
-// Write puts files into a directory of their own: all of them, and nothing else. They are written beside it first, and
-// the two directories change places in one step; whatever fails before, a full or a read-only disk, leaves the old set
-// whole. A directory that holds anything which Write has not written is refused.
-func Write(out string, files []catalogue.Output) error { return write(out, files, create) }
-
-// create makes a file that has not been there.
-func create(name string) (file, error) {
-	return os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
+// Write puts files into a directory of their own: all of them, and nothing else. They are written
+// to a directory beside it first, and the two directories are exchanged in one step; if anything
+// fails before that, such as a full or a read-only disk, the old set stays complete. Write returns
+// an error for a directory that holds anything which it has not written.
+func Write(directory string, files []catalogue.Output) error {
+	return write(directory, files, createFile)
 }
 
-// file is what write needs of one.
-type file interface {
+// writableFile is what write needs of a file.
+type writableFile interface {
 	io.WriteCloser
 	Sync() error
 }
 
-func write(out string, files []catalogue.Output, create func(string) (file, error)) (err error) {
-	out = filepath.Clean(out)
-	if target, err := filepath.EvalSymlinks(out); err == nil {
-		out = target // a link stays, and what it leads to changes
+// createFile creates a file that does not exist.
+func createFile(name string) (writableFile, error) {
+	return os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
+}
+
+// write is Write; create creates each file.
+func write(directory string, files []catalogue.Output, create func(string) (writableFile, error)) error {
+	directory = filepath.Clean(directory)
+	if target, err := filepath.EvalSymlinks(directory); err == nil {
+		directory = target // the link stays, and its target is replaced
 	}
-	if err := own(out); err != nil {
+	if err := checkReplaceable(directory); err != nil {
 		return err
 	}
-	parent := filepath.Dir(out)
+	parent := filepath.Dir(directory)
 	if err := os.MkdirAll(parent, 0o755); err != nil {
 		return fmt.Errorf("write: %w", err)
 	}
-	fresh, err := os.MkdirTemp(parent, "."+filepath.Base(out)+".new-")
+	staged, err := os.MkdirTemp(parent, "."+filepath.Base(directory)+".new-")
 	if err != nil {
 		return fmt.Errorf("write: %w", err)
 	}
-	defer func() {
-		if e := os.RemoveAll(fresh); err == nil && e != nil {
-			err = fmt.Errorf("the new files hold, the old ones in %s could not be removed: %w", fresh, e)
-		}
-	}()
-	if err := os.Chmod(fresh, 0o755); err != nil {
+	err = writeSet(staged, directory, files, create)
+	// After the exchange the staged directory has the old files.
+	if removeErr := os.RemoveAll(staged); err == nil && removeErr != nil {
+		return fmt.Errorf("the new files hold, the old ones in %s could not be removed: %w", staged, removeErr)
+	}
+	return err
+}
+
+// writeSet writes the files and the marker to the staged directory and exchanges it for the other.
+func writeSet(
+	staged, directory string, files []catalogue.Output, create func(string) (writableFile, error),
+) error {
+	if err := os.Chmod(staged, 0o755); err != nil {
 		return fmt.Errorf("write: %w", err)
 	}
-	for _, f := range append(slices.Clone(files), catalogue.Output{Name: Marker, Data: []byte("Written by fernctl as a whole. Change the catalogue, not these files.\n")}) {
-		if err := put(filepath.Join(fresh, f.Name), f.Data, create); err != nil {
+	for _, file := range files {
+		if err := writeFile(filepath.Join(staged, file.Name), file.Data, create); err != nil {
 			return fmt.Errorf("write: %w", err)
 		}
 	}
-	if err := syncDir(fresh); err != nil {
+	if err := writeFile(filepath.Join(staged, Marker), []byte(markerText), create); err != nil {
+		return fmt.Errorf("write: %w", err)
+	}
+	if err := syncDirectory(staged); err != nil {
 		return fmt.Errorf("write: %w", err)
 	}
-	if err := swap(fresh, out); err != nil {
+	if err := exchange(staged, directory); err != nil {
 		return fmt.Errorf("write: %w", err)
 	}
-	return syncDir(parent)
+	return syncDirectory(filepath.Dir(directory))
 }
 
-// own tells whether a directory is one that Write has written, or empty, or not there.
-func own(out string) error {
-	entries, err := os.ReadDir(out)
+// checkReplaceable returns an error unless a directory is one that Write has written, or empty, or
+// does not exist.
+func checkReplaceable(directory string) error {
+	entries, err := os.ReadDir(directory)
 	if errors.Is(err, fs.ErrNotExist) || err == nil && len(entries) == 0 {
 		return nil
 	}
 	if err != nil {
 		return fmt.Errorf("write: %w", err)
 	}
-	marked := false
+	hasMarker := false
 	for _, e := range entries {
 		if e.Name() == Marker {
-			marked = true
+			hasMarker = true
 		} else if !strings.HasSuffix(e.Name(), ".toml") || e.IsDir() {
-			return fmt.Errorf("write: %s holds %s, which fernctl has not written: a directory of its own expected", out, e.Name())
+			return fmt.Errorf("write: %s holds %s, which fernctl has not written: a directory of its own expected",
+				directory, e.Name())
 		}
 	}
-	if !marked {
-		return fmt.Errorf("write: %s holds files that fernctl has not written: a directory of its own expected", out)
+	if !hasMarker {
+		return fmt.Errorf("write: %s holds files that fernctl has not written: a directory of its own expected",
+			directory)
 	}
 	return nil
 }
 
-func put(name string, data []byte, create func(string) (file, error)) (err error) {
+// writeFile creates a file, writes its content and syncs it to the disk.
+func writeFile(name string, data []byte, create func(string) (writableFile, error)) error {
 	f, err := create(name)
 	if err != nil {
 		return err
 	}
-	defer func() {
-		if e := f.Close(); err == nil {
-			err = e
-		}
-	}()
-	if _, err := f.Write(data); err != nil {
-		return err
+	_, err = f.Write(data)
+	if err == nil {
+		err = f.Sync()
+	}
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
-	return f.Sync()
+	return err
 }
 
-func syncDir(name string) error {
+// syncDirectory syncs a directory's entries to the disk.
+func syncDirectory(name string) error {
 	d, err := os.Open(name)
 	if err != nil {
 		return err
 	}
-	defer d.Close()
+	defer func() { _ = d.Close() }() // nothing is written through it
 	return d.Sync()
 }
-
-// Replace puts other bytes into a file, in one step.
-func Replace(name string, data []byte) error {
-	info, err := os.Stat(name)
-	if err != nil {
-		return fmt.Errorf("write: %w", err)
-	}
-	if target, err := filepath.EvalSymlinks(name); err == nil {
-		name = target
-	}
-	return durable.WriteFile(name, data, info.Mode().Perm(), true)
-}
