--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -1,9 +1,11 @@
-// Package check judges configurations: each file by itself, and all files of a fleet together. It is pure.
+// Package check checks configurations: each application's file by itself, and all files of a fleet
+// together. It is pure.
+//
+// Files checks files that exist; Catalogue checks what is generated from a catalogue; Fleet, which
+// both use, checks what files say of each other.
 package check
 
 import (
-	"fmt"
-	"strconv"
 	"strings"
 
 	"fernlanding/internal/catalogue"
@@ -12,16 +14,19 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// Options are bounds that a fleet states.
+// Options are what a check compares the files with.
 type Options struct {
-	// RetryFactor is how often attempts may multiply over all tiers; 0: catalogue.DefaultRetryFactor.
+	// RetryFactor is the bound of the product of all tiers' retry budgets;
+	// 0: catalogue.DefaultRetryFactor.
 	RetryFactor float64
-	// Deployed are the files that run now. What may not change in one step is compared with them.
+	// Deployed has the files that run now: what must not change in one step is compared with them.
 	Deployed []*config.Document
-	// Each calls f with 0 to n-1, in any order or at once, and returns when all have returned; nil: in order.
+	// Each calls f with 0 to n-1, in any order or concurrently, and returns when all calls have
+	// returned; nil: one call after the other.
 	Each func(n int, f func(i int))
 }
 
+// each calls Each or, where it is nil, calls f in order.
 func (o *Options) each(n int, f func(i int)) {
 	if o.Each != nil {
 		o.Each(n, f)
@@ -32,108 +37,92 @@
 	}
 }
 
-// File is a file to be read.
+// File is an application's file that has not been decoded.
 type File struct {
 	Name string
 	Data []byte
 }
 
-// Files judges applications' files, each by itself and all together.
+// Files checks applications' files, each by itself and all together. It returns them decoded, with
+// the diagnostics in order.
 func Files(files []File, o Options) ([]*config.Document, tomldoc.Diagnostics) {
 	docs := make([]*config.Document, len(files))
 	o.each(len(files), func(i int) { docs[i] = config.Read(files[i].Name, files[i].Data) })
-	var faults tomldoc.Diagnostics
-	for _, d := range docs {
-		faults = append(faults, d.Diagnostics...)
+	var diagnostics tomldoc.Diagnostics
+	for _, doc := range docs {
+		diagnostics = append(diagnostics, doc.Diagnostics...)
 	}
-	return docs, append(faults, Fleet(docs, o)...).Sorted()
+	return docs, append(diagnostics, Fleet(docs, o)...).Sorted()
 }
 
-// Catalogue judges a catalogue with one environment's figures: what it says itself, each file that it gives, and all of
-// them together. Faults stand at their places in the catalogue. The plan is nil where nothing could be written.
-func Catalogue(c *catalogue.Catalogue, environment string, o Options) (*catalogue.Plan, []*config.Document, tomldoc.Diagnostics) {
-	plan, faults := c.Generate(environment)
+// Catalogue checks a catalogue with one environment: its own statements, each file that is generated
+// from it, and all of them together. It returns the plan with its outputs decoded; the plan is nil if
+// nothing could be generated. The diagnostics have their places in the catalogue.
+func Catalogue(
+	c *catalogue.Catalogue, environment string, o Options,
+) (*catalogue.Plan, []*config.Document, tomldoc.Diagnostics) {
+	plan, diagnostics := c.Generate(environment)
 	if plan == nil {
-		return nil, nil, faults.Sorted()
+		return nil, nil, diagnostics.Sorted()
 	}
 	if o.RetryFactor == 0 {
 		o.RetryFactor = plan.RetryFactor
 	}
-	all := append(plan.Outputs[:len(plan.Outputs):len(plan.Outputs)], plan.Uncalled...)
-	docs := make([]*config.Document, len(all))
-	o.each(len(all), func(i int) {
-		docs[i] = config.Read(all[i].Name, all[i].Data)
-		docs[i].Origin = all[i].Origin
+	outputs := append(plan.Outputs[:len(plan.Outputs):len(plan.Outputs)], plan.Uncalled...)
+	docs := make([]*config.Document, len(outputs))
+	o.each(len(outputs), func(i int) {
+		docs[i] = config.Read(outputs[i].Name, outputs[i].Data)
+		docs[i].Origin = outputs[i].Origin
 	})
-	written := docs[:len(plan.Outputs)]
-	for i, d := range docs {
-		for _, f := range d.Diagnostics {
-			if i >= len(written) && (f.Warning() || !strings.HasPrefix(f.Field, "services.")) {
-				continue // a probe's own
+	generated := docs[:len(plan.Outputs)]
+	for i, doc := range docs {
+		isUncalled := i >= len(generated)
+		for _, d := range doc.Diagnostics {
+			if isUncalled && (d.Warning() || !strings.HasPrefix(d.Field, "services.")) {
+				continue // of the application that exists in the uncalled service's file alone
 			}
-			faults = append(faults, atSource(d, f, all[i].Application))
+			diagnostics = append(diagnostics, atSource(doc, d, outputs[i].Application))
 		}
 	}
-	return plan, written, once(append(faults, Fleet(written, o)...).Sorted())
+	diagnostics = append(diagnostics, Fleet(generated, o)...).Sorted()
+	return plan, generated, withoutDuplicates(diagnostics)
 }
 
-// atSource puts a fault of a generated file at its place in the catalogue.
-func atSource(d *config.Document, f tomldoc.Diagnostic, application string) tomldoc.Diagnostic {
-	f.Place = d.From(f.Place)
-	if f.See.File != "" {
-		f.See = d.From(f.See)
+// atSource returns a diagnostic of a generated file with its place in the catalogue.
+func atSource(doc *config.Document, d tomldoc.Diagnostic, application string) tomldoc.Diagnostic {
+	d.Place = doc.From(d.Place)
+	if d.See.File != "" {
+		d.See = doc.From(d.See)
 	}
-	if !strings.HasPrefix(f.Field, "services.") {
-		if f.Field == "" {
-			f.Field = "applications." + application
-		} else {
-			f.Field = "applications." + application + "." + f.Field
-		}
+	if strings.HasPrefix(d.Field, "services.") {
+		return d
+	}
+	field := "applications." + application
+	if d.Field != "" {
+		field += "." + d.Field
 	}
-	return f
+	d.Field = field
+	return d
 }
 
-// once leaves one of faults that differ in the application alone: what a service says wrong, every caller's file does.
-func once(faults tomldoc.Diagnostics) (out tomldoc.Diagnostics) {
-	type same struct {
-		at     tomldoc.Place
+// withoutDuplicates returns one of the diagnostics that differ only in the application: a violation
+// by a service's owner is found in the file of every caller.
+func withoutDuplicates(diagnostics tomldoc.Diagnostics) tomldoc.Diagnostics {
+	type identity struct {
+		place  tomldoc.Place
 		rule   rules.ID
 		found  string
 		expect string
 	}
-	seen := map[same]bool{}
-	for _, f := range faults {
-		k := same{f.Place, f.Rule, f.Found, f.Expect}
-		if f.Place.Line > 0 && seen[k] {
+	var unique tomldoc.Diagnostics
+	seen := map[identity]bool{}
+	for _, d := range diagnostics {
+		id := identity{place: d.Place, rule: d.Rule, found: d.Found, expect: d.Expect}
+		if d.Line > 0 && seen[id] {
 			continue
 		}
-		seen[k] = true
-		out = append(out, f)
+		seen[id] = true
+		unique = append(unique, d)
 	}
-	return out
+	return unique
 }
-
-// fault is a fault at a value of a document.
-func fault(d *config.Document, rule rules.ID, path []string, found, expect string, see tomldoc.Place) tomldoc.Diagnostic {
-	at, said := d.Place(path...)
-	field := ""
-	for i, p := range path {
-		switch _, err := strconv.Atoi(p); {
-		case err == nil:
-			field += "[" + p + "]"
-		case i > 0:
-			field += "." + p
-		default:
-			field = p
-		}
-	}
-	if !said && found != "" {
-		found += " by default"
-	}
-	if d.App != nil && len(path) > 0 && path[0] != "services" {
-		field = d.App.Name + ": " + field
-	}
-	return tomldoc.Diagnostic{Place: at, Rule: rule, Field: field, Found: found, Expect: expect, See: see}
-}
-
-func number(x float64) string { return fmt.Sprintf("%.4g", x) }
