--- a/internal/check/bench_test.go
+++ b/internal/check/bench_test.go
@@ -12,16 +12,17 @@
 	"fernlanding/internal/check"
 )
 
-// large is a catalogue of some applications and three tenths as many services, in a chain of three tiers. Each
-// application calls five services of the next tier, each of which has three classes in two pods of two backends.
-func large(applications int) []catalogue.File {
+// largeCatalogue returns a catalogue of some applications and three tenths as many services, in a
+// chain of three tiers. Each application calls five services of the next tier, each of which has
+// three classes in two pods of two backends.
+func largeCatalogue(applications int) []catalogue.File {
 	services := max(6, applications*3/10)
 	tier := services / 3
 	var s, a strings.Builder
 	s.WriteString("catalogue = 1\n")
 	a.WriteString("catalogue = 1\n")
 	for i := range 3 * tier {
-		left := 9 - 2*(i/tier) // seconds: inner tiers have less
+		deadline := 9 - 2*(i/tier) // seconds: inner tiers have less
 		fmt.Fprintf(&s, `
 [services.s%d]
 team = "team-%d"
@@ -53,20 +54,28 @@
 repeat = "unsafe"
 deadline = "%ds"
 routes = [{ template = "/s%d/{id}/post", methods = ["POST"] }]
-`, i, i%40, i, i/250, i%250, i/250, i%250, i, i/250, i%250, i/250, i%250, i, left, i, i, left, i, i, left, i)
+`, i, i%40, i, i/250, i%250, i/250, i%250, i, i/250, i%250, i/250, i%250, i, deadline, i, i, deadline,
+			i, i, deadline, i)
 	}
 	for i := range applications {
-		at := i % 4 // 0 and 1: outermost
-		fmt.Fprintf(&a, "\n[applications.a%d]\nteam = \"team-%d\"\nhost = \"host-%d\"\nzone = \"a\"\nlisteners = [{ address = \"127.0.0.1:%d\" }]\nprocess = { cores = 1, memory_mb = 128, sockets = 1024 }\n", i, i%40, i/8, 8000+i%8)
+		position := i % 4 // 0 and 1: outermost
+		fmt.Fprintf(&a, `
+[applications.a%d]
+team = "team-%d"
+host = "host-%d"
+zone = "a"
+listeners = [{ address = "127.0.0.1:%d" }]
+process = { cores = 1, memory_mb = 128, sockets = 1024 }
+`, i, i%40, i/8, 8000+i%8)
 		next := 0
-		if at > 1 {
-			next = at - 1
+		if position > 1 {
+			next = position - 1
 			fmt.Fprintf(&a, "serves = [\"s%d\"]\n", (next-1)*tier+i/4%tier)
 		}
 		for k := range 5 {
 			s := next*tier + (i*7+k*11)%tier
 			cause := func(class string) string {
-				if at < 2 {
+				if position < 2 {
 					return ""
 				}
 				return fmt.Sprintf("for = [\"s%d/%s\"]\n", (next-1)*tier+i/4%tier, class)
@@ -77,57 +86,61 @@
 			}
 		}
 	}
-	return []catalogue.File{{Name: "applications.toml", Data: []byte(a.String())}, {Name: "services.toml", Data: []byte(s.String())}}
+	return []catalogue.File{
+		{Name: "applications.toml", Data: []byte(a.String())},
+		{Name: "services.toml", Data: []byte(s.String())},
+	}
 }
 
-// spread uses all cores, as the tool does.
-func spread(n int, f func(int)) {
+// inParallel calls f with 0 to n-1 on all cores, as the tool does.
+func inParallel(n int, f func(int)) {
 	var next atomic.Int64
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
-		all.Go(func() {
+		workers.Go(func() {
 			for i := int(next.Add(1)) - 1; i < n; i = int(next.Add(1)) - 1 {
 				f(i)
 			}
 		})
 	}
-	all.Wait()
+	workers.Wait()
 }
 
-// BenchmarkCatalogue reads, generates and checks a catalogue; run it with -cpu 2. MB is the largest heap that the
-// garbage collector has seen live.
+// BenchmarkCatalogue reads, generates and checks a catalogue; run it with -cpu 2. MB is the largest
+// heap that the garbage collector has seen live.
 func BenchmarkCatalogue(b *testing.B) {
 	for _, n := range []int{100, 300, 1000} {
 		b.Run(fmt.Sprintf("applications=%d", n), func(b *testing.B) {
-			files := large(n)
-			var most uint64
+			files := largeCatalogue(n)
+			var largestHeap uint64
 			for b.Loop() {
 				c, faults := catalogue.Read(files)
 				if len(faults) > 0 {
 					b.Fatal(faults[0])
 				}
-				plan, docs, faults := check.Catalogue(c, "", check.Options{Each: spread})
+				plan, docs, faults := check.Catalogue(c, "", check.Options{Each: inParallel})
 				if len(faults) > 0 || len(plan.Outputs) != n {
-					b.Fatalf("%d files, %d faults, first %v", len(plan.Outputs), len(faults), faults[:min(1, len(faults))])
+					b.Fatalf("%d files, %d faults, first %v", len(plan.Outputs), len(faults),
+						faults[:min(1, len(faults))])
 				}
-				var m runtime.MemStats
-				runtime.ReadMemStats(&m)
-				most = max(most, m.HeapInuse)
+				var stats runtime.MemStats
+				runtime.ReadMemStats(&stats)
+				largestHeap = max(largestHeap, stats.HeapInuse)
 				runtime.KeepAlive(docs)
 			}
-			b.ReportMetric(float64(most)/(1<<20), "MB")
+			b.ReportMetric(float64(largestHeap)/(1<<20), "MB")
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/float64(n), "us/application")
 		})
 	}
 }
 
-// A large catalogue, as the benchmark has it, is without a fault.
-func TestALargeCatalogueIsAccepted(t *testing.T) {
-	c, faults := catalogue.Read(large(120))
+// A large catalogue, as the benchmark has it, is accepted without a diagnostic.
+func TestLargeCatalogueIsAccepted(t *testing.T) {
+	c, faults := catalogue.Read(largeCatalogue(120))
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	plan, _, faults := check.Catalogue(c, "", check.Options{Each: spread})
+	plan, _, faults := check.Catalogue(c, "", check.Options{Each: inParallel})
 	if len(faults) > 0 || len(plan.Outputs) != 120 {
 		t.Fatalf("%d files\n%.2000v", len(plan.Outputs), faults)
 	}
--- a/internal/check/chain.go
+++ b/internal/check/chain.go
@@ -11,7 +11,8 @@
 	"fernlanding/logic"
 )
 
-// chainChecker checks the chains of a graph without cycles. The maps cache what is derived of a node.
+// chainChecker checks the chains of a graph without cycles. The maps cache what is derived of a
+// node.
 type chainChecker struct {
 	*fleet
 	graph          *graph
@@ -62,8 +63,8 @@
 	c.report(e.doc, rules.LimitGrows, e.timeoutPath(), e.timeout.String(), expect, see)
 }
 
-// duplicateSpan is how long after a request's first attempt a duplicate of it may come to a node, and
-// the call that allows it.
+// duplicateSpan is how long after a request's first attempt a duplicate of it may come to a node,
+// and the call that allows it.
 type duplicateSpan struct {
 	duration time.Duration
 	by       *edge
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -55,9 +55,9 @@
 	return docs, append(diagnostics, Fleet(docs, o)...).Sorted()
 }
 
-// Catalogue checks a catalogue with one environment: its own statements, each file that is generated
-// from it, and all of them together. It returns the plan with its outputs decoded; the plan is nil if
-// nothing could be generated. The diagnostics have their places in the catalogue.
+// Catalogue checks a catalogue with one environment: its own statements, each file that is
+// generated from it, and all of them together. It returns the plan with its outputs decoded; the
+// plan is nil if nothing could be generated. The diagnostics have their places in the catalogue.
 func Catalogue(
 	c *catalogue.Catalogue, environment string, o Options,
 ) (*catalogue.Plan, []*config.Document, tomldoc.Diagnostics) {
--- a/internal/check/endpoint.go
+++ b/internal/check/endpoint.go
@@ -134,7 +134,8 @@
 	return longest
 }
 
-// dedupGroup names the group of backends with one record of idempotency keys that an endpoint is in.
+// dedupGroup names the group of backends with one record of idempotency keys that an endpoint is
+// in.
 func dedupGroup(cell int, zone string, scope logic.DedupScope) string {
 	switch scope {
 	case logic.DedupZone:
--- a/internal/check/service.go
+++ b/internal/check/service.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// findStatements sets the statement of each service that has none yet, by the owners' files alone or
-// by any.
+// findStatements sets the statement of each service that has none yet, by the owners' files alone
+// or by any.
 func (f *fleet) findStatements(ownersOnly bool) {
 	for _, doc := range f.docs {
 		for _, s := range doc.App.Services {
