--- a/cmd/fernctl/commands.go
+++ b/cmd/fernctl/commands.go
@@ -371,10 +371,10 @@
 			w := tabwriter.NewWriter(c.Root().Writer, 0, 0, 2, ' ', 0)
 			for _, l := range a.Lines {
 				where := l.Where
-				if l.Default {
+				if l.IsDefault {
 					where = "default (" + where + ")"
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\n", l.What, where, l.Says)
+				fmt.Fprintf(w, "%s\t%s\t%s\n", l.Part, where, l.Text)
 			}
 			return w.Flush()
 		},
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -7,7 +7,8 @@
 	"fernlanding/internal/config"
 )
 
-const file = `version = 2
+// configuration is the file of which the requests are explained.
+const configuration = `version = 2
 name = "gateway"
 
 [[listeners]]
@@ -74,25 +75,34 @@
 class = "post"
 `
 
-// find returns what an answer says of one thing, and where from.
-func find(a Answer, what string) string {
-	for _, l := range a.Lines {
-		if l.What == what {
+// partText returns the place and the text of a part of an explanation, or "" if it has no such
+// part.
+func partText(explanation Explanation, part string) string {
+	for _, l := range explanation.Lines {
+		if l.Part == part {
 			where := l.Where
-			if l.Default {
+			if l.IsDefault {
 				where = "default of " + where
 			}
-			return strings.TrimSpace(where + " " + l.Says)
+			return strings.TrimSpace(where + " " + l.Text)
 		}
 	}
 	return ""
 }
 
-func TestEachPartNamesItsLine(t *testing.T) {
-	d := config.Read("f", []byte(file))
-	if d.App == nil {
-		t.Fatal(d.Diagnostics)
+// readConfiguration decodes a file that a sidecar accepts.
+func readConfiguration(t *testing.T, text string) *config.Document {
+	t.Helper()
+	doc := config.Read("f", []byte(text))
+	if doc.App == nil {
+		t.Fatal(doc.Diagnostics)
 	}
+	return doc
+}
+
+// Each part of an explanation names the line of the file that it comes from.
+func TestExplainNamesSourceLines(t *testing.T) {
+	doc := readConfiguration(t, configuration)
 	for _, c := range []struct {
 		listener, method, url string
 		fields                []string
@@ -100,12 +110,17 @@
 		want                  map[string]string
 	}{
 		{"", "GET", "http://x.example.org:80/v1/tariffs/7?a=b", nil, 0, map[string]string{
-			"listener": "f:4 main, 127.0.0.1:8080", "route": "f:44 look, number 1 of 3", "service": "f:48 tariff", "class": "f:17 look",
-			"path": "f:49 goes on as /t/7", "time limit": "f:50 900ms", "objective": "f:19 300ms", "attempts": "f:14 2 at most, one at a time",
-			"repeat rule": "f:18 safe", "sent again": "default of f:17 to any backend, after any failed attempt, within its time limit",
-			"pool": "f:13 as the discovery at 127.0.0.1:8500 says", "failed": "f:16 500 when it may have run and no answer came, 504 when its time is up",
+			"listener": "f:4 main, 127.0.0.1:8080", "route": "f:44 look, number 1 of 3",
+			"service": "f:48 tariff", "class": "f:17 look",
+			"path": "f:49 goes on as /t/7", "time limit": "f:50 900ms", "objective": "f:19 300ms",
+			"attempts": "f:14 2 at most, one at a time", "repeat rule": "f:18 safe",
+			"sent again": "default of f:17 to any backend, after any failed attempt, within its time limit",
+			"pool":       "f:13 as the discovery at 127.0.0.1:8500 says",
+			"failed":     "f:16 500 when it may have run and no answer came, 504 when its time is up",
+		}},
+		{"", "GET", "/v1/tariffs/7", []string{"Host: y.example.org", "Request-Timeout-Ms: 20"}, 0, map[string]string{
+			"time limit": "20ms, by its own Request-Timeout-Ms",
 		}},
-		{"", "GET", "/v1/tariffs/7", []string{"Host: y.example.org", "Request-Timeout-Ms: 20"}, 0, map[string]string{"time limit": "20ms, by its own Request-Timeout-Ms"}},
 		{"", "GET", "/v1/tariffs/7", nil, 404, nil},
 		{"", "GET", "/../x", nil, 400, nil},
 		{"", "GET", "/_health", nil, 200, nil},
@@ -117,53 +132,62 @@
 		}},
 		{"inside", "POST", "/a/7/post", nil, 404, nil},
 		{"main", "POST", "/a/7/post", nil, 0, map[string]string{
-			"pool": "f:23 2 endpoints in 2 pods, 1 serving", "tenants": "f:32 acme; a tenant beyond its quota is refused first",
-			"sent again": "default of f:29 after an attempt that is proven not to have run (found no room, no connection): to any backend that is not draining; never once it may have run",
+			"pool":    "f:23 2 endpoints in 2 pods, 1 serving",
+			"tenants": "f:32 acme; a tenant beyond its quota is refused first",
+			"sent again": "default of f:29 after an attempt that is proven not to have run (found no room, " +
+				"no connection): to any backend that is not draining; never once it may have run",
 		}},
 	} {
 		r, err := ParseRequest(c.method, c.url, c.fields)
 		if err != nil {
 			t.Fatal(err)
 		}
-		a, err := Explain(d, c.listener, r)
-		if err != nil || a.Status != c.status {
-			t.Errorf("%s %s: %d, %v; want %d", c.method, c.url, a.Status, err, c.status)
+		explanation, err := Explain(doc, c.listener, r)
+		if err != nil || explanation.Status != c.status {
+			t.Errorf("%s %s: %d, %v; want %d", c.method, c.url, explanation.Status, err, c.status)
 		}
-		for what, want := range c.want {
-			if got := find(a, what); got != want {
-				t.Errorf("%s %s: %s: got %q, want %q", c.method, c.url, what, got, want)
+		for part, want := range c.want {
+			if got := partText(explanation, part); got != want {
+				t.Errorf("%s %s: %s: got %q, want %q", c.method, c.url, part, got, want)
 			}
 		}
 	}
-	if _, err := Explain(d, "outside", Request{Path: "/"}); err == nil {
-		t.Error("a listener that is not there")
+	if _, err := Explain(doc, "outside", Request{Path: "/"}); err == nil {
+		t.Error("a missing listener was accepted")
 	}
 	if _, err := Explain(config.Read("f", nil), "", Request{}); err == nil {
-		t.Error("a file that a sidecar refuses")
+		t.Error("a file that a sidecar rejects was accepted")
 	}
 }
 
-// A pool whose list comes by relays names them.
-func TestAPoolByRelaysNamesThem(t *testing.T) {
-	text := strings.Replace(file, "discovery = \"127.0.0.1:8500\"\n", "as = \"tariff.live\"\n", 1)
+// The part of a pool whose endpoint list comes from relays names them.
+func TestExplainNamesRelays(t *testing.T) {
+	text := strings.Replace(configuration, "discovery = \"127.0.0.1:8500\"\n", "as = \"tariff.live\"\n", 1)
 	text = strings.Replace(text, "membership = \"catalog\"", "membership = \"relay\"", 1)
-	text = strings.Replace(text, "[[listeners]]", "[distribution]\nrelays = [\"127.0.0.1:7401\", \"127.0.0.1:7402\"]\n[[listeners]]", 1)
-	d := config.Read("f", []byte(text))
-	if d.App == nil {
-		t.Fatal(d.Diagnostics)
-	}
+	text = strings.Replace(text, "[[listeners]]",
+		"[distribution]\nrelays = [\"127.0.0.1:7401\", \"127.0.0.1:7402\"]\n[[listeners]]", 1)
+	doc := readConfiguration(t, text)
 	r, err := ParseRequest("GET", "http://x.example.org/v1/tariffs/7", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := Explain(d, "", r)
-	if got := find(a, "pool"); err != nil || !strings.HasSuffix(got, "as the relays 127.0.0.1:7401, 127.0.0.1:7402 say of the list tariff.live") {
+	explanation, err := Explain(doc, "", r)
+	const want = "as the relays 127.0.0.1:7401, 127.0.0.1:7402 say of the list tariff.live"
+	if got := partText(explanation, "pool"); err != nil || !strings.HasSuffix(got, want) {
 		t.Errorf("got %q, %v", got, err)
 	}
 }
 
-func TestRequestsThatMakeNoSense(t *testing.T) {
-	for _, c := range []struct{ method, url, field string }{{"G T", "/", ""}, {"GET", "x", ""}, {"GET", "ftp://x/", ""}, {"GET", "/%zz", ""}, {"GET", "/", "a b: c"}, {"GET", "/", "ab"}} {
+// A method, a URL or a field that no client can send is an error.
+func TestParseRequestRejectsMalformedRequests(t *testing.T) {
+	for _, c := range []struct{ method, url, field string }{
+		{"G T", "/", ""},
+		{"GET", "x", ""},
+		{"GET", "ftp://x/", ""},
+		{"GET", "/%zz", ""},
+		{"GET", "/", "a b: c"},
+		{"GET", "/", "ab"},
+	} {
 		var fields []string
 		if c.field != "" {
 			fields = []string{c.field}
@@ -174,8 +198,9 @@
 	}
 }
 
+// Any request that ParseRequest accepts has an explanation.
 func FuzzExplain(f *testing.F) {
-	d := config.Read("f", []byte(file))
+	doc := config.Read("f", []byte(configuration))
 	f.Add("GET", "http://x.example.org/v1/tariffs/%2e%2e/7", "Record-Id: 7")
 	f.Add("POST", "/rate", "Early-Data: 1")
 	f.Add("POST", "/v1/tariffs//7", "Host: [::1]:8")
@@ -184,8 +209,8 @@
 		if err != nil {
 			return
 		}
-		if a, err := Explain(d, "", r); err != nil || len(a.Lines) == 0 {
-			t.Fatalf("%v, %v", a, err)
+		if explanation, err := Explain(doc, "", r); err != nil || len(explanation.Lines) == 0 {
+			t.Fatalf("%v, %v", explanation, err)
 		}
 	})
 }
--- a/internal/explain/sidecar_test.go
+++ b/internal/explain/sidecar_test.go
@@ -18,39 +18,44 @@
 	"fernlanding/internal/standin"
 )
 
-// What explain says of a request is what a sidecar of the same file does with it: the same status where none goes on, and
-// else the same service and path. The two share the routes' table and nothing else.
-func TestASidecarDoesWhatExplainSays(t *testing.T) {
+// A sidecar does with a request what Explain says by the same file: the same status where the
+// request is not forwarded, else the same service and path. The two share the table of routes and
+// nothing else.
+func TestExplainAgreesWithSidecar(t *testing.T) {
 	c := startComparison(t)
+	paths := []string{
+		"/v1/tariffs", "/v1/tariffs/7", "/v1//tariffs/7", "/v1/x/../tariffs", "/v1/tariff%73/7", "/rate", "/rate/",
+		"/a/7/post", "/a//post", "/a/%2f/post", "/../x", "/none",
+	}
 	for _, method := range []string{"GET", "POST"} {
 		for _, host := range []string{"x.example.org", "example.org", "[::1]:80", "a..b"} {
-			for _, path := range []string{"/v1/tariffs", "/v1/tariffs/7", "/v1//tariffs/7", "/v1/x/../tariffs", "/v1/tariff%73/7", "/rate", "/rate/", "/a/7/post", "/a//post", "/a/%2f/post", "/../x", "/none"} {
+			for _, path := range paths {
 				for _, field := range []string{"", "Record-Id: 7", "Record-Id: 11", "Early-Data: 1"} {
 					for n := range c.doc.App.Listeners {
-						c.request(t, n, method, host, path, field)
+						c.compare(t, n, method, host, path, field)
 					}
 				}
 			}
 		}
 	}
-	if c.passed < 20 {
-		t.Errorf("%d requests went on: the comparison says little", c.passed)
+	if c.forwarded < 20 {
+		t.Errorf("%d requests were forwarded: the comparison proves little", c.forwarded)
 	}
 }
 
-// comparison is a sidecar before backends that echo, and the file that it runs by.
+// comparison is a sidecar before echoing backends, and the file that it runs with.
 type comparison struct {
-	backends []*standin.Backend
-	doc      *config.Document
-	service  map[string]string // by address of a backend
-	sidecar  *sidecar.Sidecar
-	passed   int // requests that went on to a backend
+	backends  []*standin.Backend
+	doc       *config.Document
+	services  map[string]string // by address of a backend
+	sidecar   *sidecar.Sidecar
+	forwarded int // requests that came to a backend
 }
 
-// startComparison starts a sidecar by the file, with the addresses of backends that run.
+// startComparison starts a sidecar with the configuration, with the addresses of running backends.
 func startComparison(t *testing.T) *comparison {
 	t.Helper()
-	c := &comparison{service: map[string]string{}}
+	c := &comparison{services: map[string]string{}}
 	for range 4 {
 		b, err := standin.NewBackend(standin.Echo)
 		if err != nil {
@@ -59,112 +64,128 @@
 		t.Cleanup(b.Close)
 		c.backends = append(c.backends, b)
 	}
-	c.doc = config.Read("f", []byte(relocated(t, c.backends)))
-	if c.doc.App == nil {
-		t.Fatal(c.doc.Diagnostics)
-	}
+	c.doc = readConfiguration(t, relocated(t, c.backends))
 	for _, s := range c.doc.App.Services {
 		for _, e := range s.Source.Endpoints {
-			c.service[e.Address] = s.Name
+			c.services[e.Address] = s.Name
 		}
 	}
 	var err error
-	if c.sidecar, err = sidecar.New(c.doc.App, slog.New(slog.DiscardHandler)); err != nil {
+	c.sidecar, err = sidecar.New(c.doc.App, slog.New(slog.DiscardHandler))
+	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { _ = c.sidecar.Run(ctx) })
-	t.Cleanup(func() { stop(); running.Wait() })
+	t.Cleanup(func() {
+		stop()
+		running.Wait()
+	})
 	if err := c.sidecar.WaitReady(ctx, 10*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// relocated is the file with addresses that are there.
+// relocated returns the configuration with the addresses of running backends and free ports.
 func relocated(t *testing.T, backends []*standin.Backend) string {
 	t.Helper()
-	text := file
-	for old, fresh := range map[string]string{
-		"membership = \"catalog\"\ndiscovery = \"127.0.0.1:8500\"": fmt.Sprintf("endpoints = [{ address = %q }]", backends[0].Addr()),
-		"membership = \"catalog\"\ndiscovery = \"127.0.0.1:8501\"": fmt.Sprintf("endpoints = [{ address = %q }]", backends[1].Addr()),
-		`"127.0.0.1:9001"`: fmt.Sprintf("%q", backends[2].Addr()), `"127.0.0.1:9002"`: fmt.Sprintf("%q", backends[3].Addr()),
-		`"127.0.0.1:8080"`: `"127.0.0.1:0"`, `"127.0.0.1:8081"`: `"127.0.0.1:0"`,
+	text := configuration
+	staticEndpoint := func(b *standin.Backend) string { return fmt.Sprintf("endpoints = [{ address = %q }]", b.Addr()) }
+	for old, replacement := range map[string]string{
+		"membership = \"catalog\"\ndiscovery = \"127.0.0.1:8500\"": staticEndpoint(backends[0]),
+		"membership = \"catalog\"\ndiscovery = \"127.0.0.1:8501\"": staticEndpoint(backends[1]),
+		`"127.0.0.1:9001"`: fmt.Sprintf("%q", backends[2].Addr()),
+		`"127.0.0.1:9002"`: fmt.Sprintf("%q", backends[3].Addr()),
+		`"127.0.0.1:8080"`: `"127.0.0.1:0"`,
+		`"127.0.0.1:8081"`: `"127.0.0.1:0"`,
 	} {
 		if !strings.Contains(text, old) {
-			t.Fatalf("%q does not stand in the file", old)
+			t.Fatalf("the configuration has no %q", old)
 		}
-		text = strings.Replace(text, old, fresh, 1)
+		text = strings.Replace(text, old, replacement, 1)
 	}
 	return text
 }
 
-// request sends a request to a listener, and compares what comes of it with what explain says.
-func (c *comparison) request(t *testing.T, listener int, method, host, path, field string) {
+// compare sends a request to a listener, and compares its outcome with the explanation.
+func (c *comparison) compare(t *testing.T, listener int, method, host, path, field string) {
 	t.Helper()
-	var fields []string
+	fields := []string{"Host: " + host}
 	if field != "" {
-		fields = []string{field}
+		fields = append([]string{field}, fields...)
 	}
-	r, err := ParseRequest(method, path, append(fields, "Host: "+host))
+	r, err := ParseRequest(method, path, fields)
 	if err != nil {
 		t.Fatal(err)
 	}
 	name := c.doc.App.Listeners[listener].Name
-	a, err := Explain(c.doc, name, r)
+	explanation, err := Explain(c.doc, name, r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	status, body, by := ask(t, c.sidecar.Addrs()[listener], method, path, host, field, c.backends)
-	what := fmt.Sprintf("%s %s at %s of %s, %q", method, path, name, host, field)
-	if a.Status != 0 || status != http.StatusOK {
-		refusedAsRewritten := a.Status == 0 && status == http.StatusBadRequest && strings.Contains(find(a, "path"), "answered 400")
-		if a.Status != status && !refusedAsRewritten {
-			t.Errorf("%s: %d, and explain says %d", what, status, a.Status)
+	got := c.send(t, c.sidecar.Addrs()[listener], method, path, host, field)
+	request := fmt.Sprintf("%s %s at %s of %s, %q", method, path, name, host, field)
+	if explanation.Status != 0 || got.status != http.StatusOK {
+		isRewriteRejected := explanation.Status == 0 && got.status == http.StatusBadRequest &&
+			strings.Contains(partText(explanation, "path"), "answered 400")
+		if explanation.Status != got.status && !isRewriteRejected {
+			t.Errorf("%s: %d, and explained as %d", request, got.status, explanation.Status)
 		}
 		return
 	}
-	c.passed++
-	if said := find(a, "service"); !strings.Contains(said, " "+c.service[by]) {
-		t.Errorf("%s: went to %s, and explain says %q", what, c.service[by], said)
+	c.forwarded++
+	service := c.services[got.backend]
+	if text := partText(explanation, "service"); !strings.Contains(text, " "+service) {
+		t.Errorf("%s: forwarded to %s, and explained as %q", request, service, text)
 	}
-	if to := find(a, "path"); to != "" && !strings.HasSuffix(to, "goes on as "+strings.TrimSpace(strings.TrimPrefix(body, method))) {
-		t.Errorf("%s: went on as %q, and explain says %q", what, body, to)
+	forwardedPath := strings.TrimSpace(strings.TrimPrefix(got.echoed, method))
+	if text := partText(explanation, "path"); text != "" && !strings.HasSuffix(text, "goes on as "+forwardedPath) {
+		t.Errorf("%s: forwarded as %q, and explained as %q", request, got.echoed, text)
 	}
 }
 
-// ask sends a request by hand and returns the status, the first line of the echoed body, and the backend that has it.
-func ask(t *testing.T, addr, method, path, host, field string, backends []*standin.Backend) (status int, line, by string) {
+// outcome is what a sidecar did with a request.
+type outcome struct {
+	status  int
+	echoed  string // first line of the body, which a backend echoes
+	backend string // address of the backend that has received the request
+}
+
+// send writes a request to a sidecar as it is given, and reads the response.
+func (c *comparison) send(t *testing.T, addr, method, path, host, field string) outcome {
 	t.Helper()
-	before := make([]int, len(backends))
-	for i, b := range backends {
+	before := make([]int, len(c.backends))
+	for i, b := range c.backends {
 		before[i] = b.Requests()
 	}
-	c, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = conn.Close() }() // the response has been read
 	if field != "" {
 		field += "\r\n"
 	}
-	fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: %s\r\n%sContent-Length: 0\r\n\r\n", method, path, host, field)
-	_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	// A failed write shows as a missing response.
+	_, _ = fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: %s\r\n%sContent-Length: 0\r\n\r\n", method, path, host, field)
+	_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatalf("%s %s: %v", method, path, err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // the body has been read
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, b := range backends {
+	got := outcome{status: resp.StatusCode}
+	for i, b := range c.backends {
 		if b.Requests() > before[i] {
-			by = b.Addr()
+			got.backend = b.Addr()
 		}
 	}
-	line, _, _ = strings.Cut(string(body), "\n")
-	return resp.StatusCode, line, by
+	got.echoed, _, _ = strings.Cut(string(body), "\n")
+	return got
 }
