--- a/internal/sidecar/duplicate_id_test.go
+++ b/internal/sidecar/duplicate_id_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"fernlanding/internal/socket"
 	"fernlanding/internal/standin"
 )
 
@@ -99,15 +100,20 @@
 // the same ID, and the second reads both before it sees the first attempt's connection closed. The
 // request is served, and no two attempts of it are in flight at once.
 func TestRetryReadBeforeCloseOfFirstAttemptIsServed(t *testing.T) {
-	var hung atomic.Bool
-	var open, most atomic.Int32
+	var attempts, overlapping atomic.Int32
+	firstConn := make(chan net.Conn, 1) // that the first attempt came on
 	last := backend(t, func(c *standin.Call) bool {
-		most.Store(max(most.Load(), open.Add(1)))
-		defer open.Add(-1)
-		if c.URL.Path == "/a/hang" && hung.CompareAndSwap(false, true) {
+		if c.URL.Path != "/a/hang" {
+			return standin.Echo(c)
+		}
+		if attempts.Add(1) == 1 {
+			firstConn <- c.Conn
 			_, _ = c.Conn.Read(make([]byte, 1)) // until its caller gives it up
 			return false
 		}
+		if socket.IsIdle(<-firstConn) { // its caller has not closed it
+			overlapping.Add(1)
+		}
 		return standin.Echo(c)
 	})
 	routes := routeTo("a")
@@ -127,7 +133,7 @@
 	if resp.StatusCode != http.StatusOK || link.opened.Load() != 2 {
 		t.Fatalf("got %d %q over %d connections", resp.StatusCode, body, link.opened.Load())
 	}
-	if most.Load() != 1 {
-		t.Errorf("%d attempts at once", most.Load())
+	if attempts.Load() != 2 || overlapping.Load() != 0 {
+		t.Errorf("%d attempts, %d while the first was in flight", attempts.Load(), overlapping.Load())
 	}
 }
