--- a/cmd/fernctl/fleet.go
+++ b/cmd/fernctl/fleet.go
@@ -187,7 +187,7 @@
 	if err != nil {
 		return fmt.Errorf("fleet sweep: %w", err)
 	}
-	outcomes := fleetsim.Sweep(days, fleetsim.Seeds(c.Uint64("stream"), seeds), spread)
+	outcomes := fleetsim.Sweep(days, fleetsim.Seeds(c.Uint64("stream"), seeds), inParallel)
 	out := c.Root().Writer
 	if c.Bool("json") {
 		err = asJSON(out, outcomes)
