--- a/cmd/fernctl/main.go
+++ b/cmd/fernctl/main.go
@@ -1,19 +1,19 @@
 // Command fernctl writes and checks the configurations of sidecars, and runs the project's
-// experiments.
+// experiments:
 //
 //	fernctl init -catalogue DIR                         write a small catalogue to begin with
 //	fernctl generate -catalogue DIR -env NAME -out DIR  write one file for each application
-//	fernctl check FILE... | -catalogue DIR              report every violation of a rule, and why it matters
-//	fernctl explain FILE METHOD URL                     explain what a sidecar would do with a request
+//	fernctl check FILE... | -catalogue DIR              report violations of rules
+//	fernctl explain FILE METHOD URL                     what a sidecar would do with a request
 //	fernctl migrate FILE                                write an older file in the newest format
 //	fernctl rules                                       list every rule with its reason
 //	fernctl pcap info|requests|replay FILE              read a packet capture as traffic
-//	fernctl fleet run|sweep|explain FILE...             simulate days of a fleet on a virtual clock
-//	fernctl rig run|list|report|shrink FILE...          run many processes with faults between them
-//	fernctl rollout put|status|wait                     write a resource, and see where it is in force
+//	fernctl fleet run|sweep|explain FILE...             simulate days of a fleet
+//	fernctl rig run|list|report|shrink FILE...          run processes with faults between them
+//	fernctl rollout put|status|wait                     write a resource, see where it is in force
 //	fernctl scale run FILE                              measure what proxies cost, by size
 //
-// The exit code is 0, 1 if there are violations or changes, and 2 if the command could not run.
+// The exit code is 0, 1 if there are faults or changes, and 2 if the command could not run.
 package main
 
 import (
--- a/internal/catalogue/emitter.go
+++ b/internal/catalogue/emitter.go
@@ -8,15 +8,14 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// Requires is the oldest version of the program that reads the generated files, and RequiresRelay
-// the oldest one that reads a file whose endpoint lists come from relays.
+// The oldest versions of the program that read a generated file.
 const (
-	Requires      = "0.3"
-	RequiresRelay = "0.4"
+	minProgram      = "0.3"
+	minProgramRelay = "0.4" // of a file whose endpoint lists come from relays
 )
 
-// By is the name of the program in the head of a generated file.
-const By = "fernctl"
+// generatorName is the name of the program in the head of a generated file.
+const generatorName = "fernctl"
 
 // emitter writes one application's file line by line, with the place in the catalogue that each
 // line comes from.
@@ -132,7 +131,7 @@
 	e.fields(a.table, "team", "host", "serves")
 	e.line(at, "")
 	e.line(at, "[generated]")
-	e.line(at, "by = %s", quote(By+" "+config.Program))
+	e.line(at, "by = %s", quote(generatorName+" "+config.Program))
 	e.line(at, "requires = %s", quote(e.requiredProgram()))
 	e.line(at, "sources = %s", quote(digest))
 	if environment != "" {
@@ -143,9 +142,9 @@
 // requiredProgram returns the oldest version of the program that reads the file.
 func (e *emitter) requiredProgram() string {
 	if e.usesRelay() || e.app.table.Fields["distribution"] != nil {
-		return RequiresRelay
+		return minProgramRelay
 	}
-	return Requires
+	return minProgram
 }
 
 // usesRelay reports whether the endpoint list of a service in the file comes from relays.
--- a/internal/catalogue/starter.go
+++ b/internal/catalogue/starter.go
@@ -1,6 +1,9 @@
 package catalogue
 
-import _ "embed"
+import (
+	_ "embed" // for the files of the starter catalogue
+	"slices"
+)
 
 // The files of StarterFiles.
 var (
@@ -16,8 +19,8 @@
 // environments. It is accepted by all rules as it stands. The caller may change the files' data.
 func StarterFiles() []File {
 	return []File{
-		{Name: "services.toml", Data: append([]byte(nil), starterServices...)},
-		{Name: "applications.toml", Data: append([]byte(nil), starterApplications...)},
-		{Name: "environments.toml", Data: append([]byte(nil), starterEnvironments...)},
+		{Name: "services.toml", Data: slices.Clone(starterServices)},
+		{Name: "applications.toml", Data: slices.Clone(starterApplications)},
+		{Name: "environments.toml", Data: slices.Clone(starterEnvironments)},
 	}
 }
