--- a/cmd/fernctl/rig.go
+++ b/cmd/fernctl/rig.go
@@ -86,7 +86,7 @@
 	if _, err := os.Stat(program); err != nil {
 		return o, fmt.Errorf("rig: the program under test: %w", err)
 	}
-	return harness.Options{Sidecar: []string{program}, Actor: []string{self, "rig", actorWord}, Logs: c.Bool("logs")}, nil
+	return harness.Options{Sidecar: []string{program}, Worker: []string{self, "rig", actorWord}, Logs: c.Bool("logs")}, nil
 }
 
 // rigPrepare is what a command needs to play the scenario that it names.
@@ -225,7 +225,7 @@
 		return err
 	}
 	out := c.Root().Writer
-	fmt.Fprintf(out, "%s, seed %d, %v: %d sidecars over %v, %d list services, %d backends in %d processes, %.0f requests a second\n", sc.Name, sc.Seed, sc.For,
+	fmt.Fprintf(out, "%s, seed %d, %v: %d sidecars over %v, %d list services, %d backends in %d processes, %.0f requests a second\n", sc.Name, sc.Seed, sc.Duration,
 		sc.Sidecars.Count, sc.Sidecars.Sites, sc.Lists.Count, sc.Backends.Count, sc.Backends.Processes, sc.Clients.Rate)
 	for i, f := range sc.Schedule() {
 		fmt.Fprintf(out, "%-14s %s\n", f.Name(i), f)
--- a/internal/harness/check/check.go
+++ b/internal/harness/check/check.go
@@ -90,13 +90,13 @@
 // answers judges whether each request got one whole answer of its own in time, unless a fault excuses that it did not.
 func answers(r *record) (out []Verdict) {
 	for _, e := range r.all {
-		if e.Kind != history.Asked {
+		if e.Kind != history.Requested {
 			continue
 		}
 		end := e.At + e.Took
 		bad := ""
 		switch {
-		case e.Why == worker.WrongAnswer || e.Why == worker.AfterAnswer:
+		case e.Why == worker.WrongResponse || e.Why == worker.TrailingBytes:
 			bad = e.Why // no fault makes this
 		case e.Status == 0 && !r.excused(e.To, e.At, end):
 			bad = e.Why
@@ -114,7 +114,7 @@
 func effects(r *record) (out []Verdict) {
 	ran := map[string][]history.Event{}
 	for _, e := range r.all {
-		if e.Kind != history.Ran || e.Class != unsafeMethod {
+		if e.Kind != history.Executed || e.Class != unsafeMethod {
 			continue
 		}
 		what := "key " + e.Key
@@ -134,13 +134,13 @@
 
 // dropsRepeat tells whether the pod that ran a key first drops its repeat.
 func dropsRepeat(first, repeat history.Event) bool {
-	return repeat.Key != "" && first.Pod == repeat.Pod && repeat.At-first.At < worker.Window.Microseconds()
+	return repeat.Key != "" && first.Pod == repeat.Pod && repeat.At-first.At < worker.DedupWindow.Microseconds()
 }
 
 // cold judges whether a cold backend held more than it bears.
 func cold(r *record) (out []Verdict) {
 	for _, e := range r.all {
-		if e.Kind == history.Pushed && e.N == 1 {
+		if e.Kind == history.WarmupOverload && e.N == 1 {
 			out = append(out, Verdict{Cold, e.At, fmt.Sprintf("%s was cold and held %d requests, more than it bears", e.Who, e.Took)})
 		}
 	}
@@ -154,13 +154,13 @@
 	began := map[string]int64{} // sidecars' present lives
 	for _, e := range r.all {
 		switch e.Kind {
-		case history.Member:
+		case history.MemberStatus:
 			if delete(gone, e.Who); e.Why == "DELETED" {
 				gone[e.Who] = e.At
 			}
 		case history.Started:
 			began[e.Who] = e.At
-		case history.Strayed:
+		case history.Misrouted:
 			s, ok := r.sent[request{e.Conn, e.N}]
 			if at, lost := gone[e.Who]; ok && lost && e.Class == unsafeMethod && e.Key == "" && at < began[s.Who] {
 				out = append(out, Verdict{Strays, e.At, fmt.Sprintf("%s, started %d ms after the list lost %s, sent it request %s, which may not be repeated", s.Who, (began[s.Who]-at)/1000, e.Who, e.ID)})
@@ -175,7 +175,7 @@
 	ended := false
 	for _, e := range r.all {
 		switch {
-		case e.Kind == history.Gone && (strings.HasPrefix(e.Why, "by itself") || strings.Contains(e.Why, "exit status")):
+		case e.Kind == history.Exited && (strings.HasPrefix(e.Why, "by itself") || strings.Contains(e.Why, "exit status")):
 			out = append(out, Verdict{Processes, e.At, fmt.Sprintf("%s has ended: %s", e.Who, e.Why)})
 		case e.Kind == history.Ended:
 			if ended = true; e.N > 0 {
@@ -197,13 +197,13 @@
 			out = append(out, Verdict{Bounds, 0, fmt.Sprintf(format, args...)})
 		}
 	}
-	hold(b.Reads == 0 || f.Reads.Peak <= b.Reads, "%.0f whole readings in a second, %.0f at most expected", f.Reads.Peak, b.Reads)
-	hold(b.Connects == 0 || f.Connects <= b.Connects, "%.0f connections to a backend in a second, %.0f at most expected", f.Connects, b.Connects)
-	hold(b.ReadyIn == 0 || f.ReadyWithin(b.ReadyIn) >= b.ReadyFor, "%.3f of the sidecars ready within %v, %.3f expected", f.ReadyWithin(b.ReadyIn), b.ReadyIn, b.ReadyFor)
-	hold(b.ServedMin == 0 || f.Served >= b.ServedMin*float64(f.Asked), "%.0f of %d requests served, a part of %.3f expected", f.Served, f.Asked, b.ServedMin)
+	hold(b.MaxSnapshotRate == 0 || f.Reads.Peak <= b.MaxSnapshotRate, "%.0f whole readings in a second, %.0f at most expected", f.Reads.Peak, b.MaxSnapshotRate)
+	hold(b.MaxConnectRate == 0 || f.Connects <= b.MaxConnectRate, "%.0f connections to a backend in a second, %.0f at most expected", f.Connects, b.MaxConnectRate)
+	hold(b.ReadyWithin == 0 || f.ReadyWithin(b.ReadyWithin) >= b.MinReady, "%.3f of the sidecars ready within %v, %.3f expected", f.ReadyWithin(b.ReadyWithin), b.ReadyWithin, b.MinReady)
+	hold(b.MinServed == 0 || f.Served >= b.MinServed*float64(f.Asked), "%.0f of %d requests served, a part of %.3f expected", f.Served, f.Asked, b.MinServed)
 	for _, l := range f.Losses {
-		hold(b.LossIn == 0 || l.Within >= 0 && l.Within <= b.LossIn.Seconds(), "%s: 95%% of what can be served after %.1f s (-1: never), %v at most expected", l.Fault, l.Within, b.LossIn)
-		hold(l.Back >= b.BackMin, "%s: %.3f of the worth served from its end on, %.3f expected", l.Fault, l.Back, b.BackMin)
+		hold(b.LossRecoveryWithin == 0 || l.Within >= 0 && l.Within <= b.LossRecoveryWithin.Seconds(), "%s: 95%% of what can be served after %.1f s (-1: never), %v at most expected", l.Fault, l.Within, b.LossRecoveryWithin)
+		hold(l.Back >= b.MinServedAfterLoss, "%s: %.3f of the worth served from its end on, %.3f expected", l.Fault, l.Back, b.MinServedAfterLoss)
 	}
 	return out
 }
--- a/internal/harness/check/check_test.go
+++ b/internal/harness/check/check_test.go
@@ -24,15 +24,15 @@
 }
 
 func asked(at, took int64, status int, why string) history.Event {
-	return history.Event{At: at * ms, Kind: history.Asked, To: "sidecar-1", ID: "r", Class: "charge-post", Took: took * ms, Until: (at + 2000) * ms, Status: status, Why: why}
+	return history.Event{At: at * ms, Kind: history.Requested, To: "sidecar-1", ID: "r", Class: "charge-post", Took: took * ms, Until: (at + 2000) * ms, Status: status, Why: why}
 }
 
 func ran(at int64, id, key, who string, pod int) history.Event {
-	return history.Event{At: at * ms, Kind: history.Ran, Class: "POST", ID: id, Key: key, Who: who, Pod: pod}
+	return history.Event{At: at * ms, Kind: history.Executed, Class: "POST", ID: id, Key: key, Who: who, Pod: pod}
 }
 
 func call(at int64, why string, names ...string) history.Event {
-	return history.Event{At: at * ms, Kind: history.Call, To: "sidecar-1", Conn: "c", Bytes: at, Names: names, Why: why}
+	return history.Event{At: at * ms, Kind: history.ListPolled, To: "sidecar-1", Conn: "c", Bytes: at, Names: names, Why: why}
 }
 
 func delivered(at, bytes int64) history.Event {
@@ -49,16 +49,16 @@
 
 // lost is a backend that leaves the list, stray a request at the service that has its address.
 func lost(at int64) history.Event {
-	return history.Event{At: at * ms, Kind: history.Member, Who: "backend-1", Why: "DELETED"}
+	return history.Event{At: at * ms, Kind: history.MemberStatus, Who: "backend-1", Why: "DELETED"}
 }
 
 func stray(at int64, key string) history.Event {
-	return history.Event{At: at * ms, Kind: history.Strayed, Class: "POST", Who: "backend-1", ID: "r", Key: key}
+	return history.Event{At: at * ms, Kind: history.Misrouted, Class: "POST", Who: "backend-1", ID: "r", Key: key}
 }
 
 // Each check finds what it is for, and lets the near miss beside it pass.
 func TestChecks(t *testing.T) {
-	window := worker.Window.Milliseconds()
+	window := worker.DedupWindow.Milliseconds()
 	cut := func(at, n int64) history.Event {
 		return history.Event{At: at * ms, Kind: history.Fault, ID: "1-cut", N: n, To: "clients-sidecars", Names: []string{"sidecar-1"}}
 	}
@@ -70,13 +70,13 @@
 		{"served late, which earns nothing", "", []history.Event{asked(0, 2400, 200, "")}},
 		{"answered after its client has gone", check.OneAnswer, []history.Event{asked(0, 2600, 200, "")}},
 		{"no answer", check.OneAnswer, []history.Event{asked(0, 2500, 0, worker.TimedOut)}},
-		{"no answer of one that is killed", "", []history.Event{asked(0, 100, 0, worker.ClosedEarly), on(90, history.Told, "sidecar-1")}},
-		{"no answer long after another was killed", check.OneAnswer, []history.Event{asked(0, 100, 0, worker.ClosedEarly), on(90, history.Told, "sidecar-2")}},
-		{"no answer of one that is back since long", check.OneAnswer, []history.Event{on(0, history.Told, "sidecar-1"), on(500, history.Ready, "sidecar-1"), asked(1100, 100, 0, worker.ClosedEarly)}},
+		{"no answer of one that is killed", "", []history.Event{asked(0, 100, 0, worker.ClosedEarly), on(90, history.Terminating, "sidecar-1")}},
+		{"no answer long after another was killed", check.OneAnswer, []history.Event{asked(0, 100, 0, worker.ClosedEarly), on(90, history.Terminating, "sidecar-2")}},
+		{"no answer of one that is back since long", check.OneAnswer, []history.Event{on(0, history.Terminating, "sidecar-1"), on(500, history.Ready, "sidecar-1"), asked(1100, 100, 0, worker.ClosedEarly)}},
 		{"no answer of one that is stopped", "", []history.Event{asked(0, 2500, 0, worker.TimedOut), on(2000, history.Stopped, "sidecar-1")}},
 		{"no answer over a cut link", "", []history.Event{cut(0, 1), asked(10, 2500, 0, worker.TimedOut), cut(3000, 0)}},
 		{"no answer long after a cut", check.OneAnswer, []history.Event{cut(0, 1), cut(100, 0), asked(1000, 2500, 0, worker.TimedOut)}},
-		{"another's answer, whatever the link", check.OneAnswer, []history.Event{cut(0, 1), asked(10, 10, 200, worker.WrongAnswer)}},
+		{"another's answer, whatever the link", check.OneAnswer, []history.Event{cut(0, 1), asked(10, 10, 200, worker.WrongResponse)}},
 
 		{"a charge twice", check.Effects, []history.Event{ran(0, "r", "", "backend-1", 0), ran(50, "r", "", "backend-2", 0)}},
 		{"two charges", "", []history.Event{ran(0, "r", "", "backend-1", 0), ran(50, "s", "", "backend-2", 0)}},
@@ -88,7 +88,7 @@
 		{"sent after the grace", check.Drains, []history.Event{call(0, "", "backend-1"), delivered(10, 0), sent(400)}},
 		{"not handed on", "", []history.Event{call(5, "", "backend-1"), delivered(10, 4), sent(400)}},
 		{"handed on late", "", []history.Event{call(0, "", "backend-1"), delivered(200, 0), sent(500)}},
-		{"a whole list that lacks it", check.Drains, []history.Event{call(0, history.Whole, "+backend-2"), delivered(10, 0), sent(400)}},
+		{"a whole list that lacks it", check.Drains, []history.Event{call(0, history.Snapshot, "+backend-2"), delivered(10, 0), sent(400)}},
 		{"a change that does not name it", "", []history.Event{call(0, "", "backend-2"), delivered(10, 0), sent(400)}},
 		{"back in the list", "", []history.Event{call(0, "", "backend-1"), delivered(10, 0), call(300, "", "+backend-1"), sent(400)}},
 		{"its end noted after the next call", "", []history.Event{call(0, "", "backend-1"), call(20, "", "+backend-1"), delivered(30, 0), sent(400)}},
@@ -101,10 +101,10 @@
 		{"a stray by a life that was there before", "", []history.Event{on(0, history.Started, "sidecar-1"), lost(10), sent(20), stray(21, "")}},
 		{"a stray while the list has the address", "", []history.Event{on(0, history.Started, "sidecar-1"), sent(20), stray(21, ""), lost(30)}},
 
-		{"a cold backend pushed over", check.Cold, []history.Event{{At: 1, Kind: history.Pushed, Who: "backend-1", N: 1}, {At: 2, Kind: history.Pushed, Who: "backend-1"}}},
-		{"a process that ends by itself", check.Processes, []history.Event{{At: 1, Kind: history.Gone, Who: "sidecar-1", Why: "by itself: ended"}}},
-		{"a process that fails at its end", check.Processes, []history.Event{{At: 1, Kind: history.Gone, Who: "sidecar-1", Why: "exit status 1"}}},
-		{"one that was killed", "", []history.Event{{At: 1, Kind: history.Gone, Who: "sidecar-1", Why: "signal: killed"}}},
+		{"a cold backend pushed over", check.Cold, []history.Event{{At: 1, Kind: history.WarmupOverload, Who: "backend-1", N: 1}, {At: 2, Kind: history.WarmupOverload, Who: "backend-1"}}},
+		{"a process that ends by itself", check.Processes, []history.Event{{At: 1, Kind: history.Exited, Who: "sidecar-1", Why: "by itself: ended"}}},
+		{"a process that fails at its end", check.Processes, []history.Event{{At: 1, Kind: history.Exited, Who: "sidecar-1", Why: "exit status 1"}}},
+		{"one that was killed", "", []history.Event{{At: 1, Kind: history.Exited, Who: "sidecar-1", Why: "signal: killed"}}},
 	} {
 		all := append(slices.Clone(c.events), history.Event{At: 99_000_000, Kind: history.Ended})
 		history.Sort(all)
@@ -125,12 +125,12 @@
 
 func TestBoundsAndFigures(t *testing.T) {
 	var all []history.Event
-	all = append(all, on(0, history.Started, "sidecar-1"), on(1, history.Gone, "sidecar-1")) // which only measures
+	all = append(all, on(0, history.Started, "sidecar-1"), on(1, history.Exited, "sidecar-1")) // which only measures
 	for i, n := range []string{"sidecar-1", "sidecar-2"} {
 		all = append(all, on(1000, history.Started, n), history.Event{At: int64(1500+1000*i) * ms, Kind: history.Ready, To: n})
 	}
 	for i := range int64(30) {
-		all = append(all, history.Event{At: (2000 + i) * ms, Kind: history.Call, N: -1, Status: 200}, history.Event{At: (3000 + i) * ms, Kind: history.Opened, Who: "sidecar-1", To: "backend-2"})
+		all = append(all, history.Event{At: (2000 + i) * ms, Kind: history.ListPolled, N: -1, Status: 200}, history.Event{At: (3000 + i) * ms, Kind: history.Opened, Who: "sidecar-1", To: "backend-2"})
 	}
 	all = append(all, asked(4000, 10, 200, ""), asked(4001, 10, 503, ""), history.Event{At: 8_000_000, Kind: history.Ended})
 	x := sc(t, "")
@@ -190,7 +190,7 @@
 	if v := check.Run(x, all); len(v) != 0 {
 		t.Errorf("%v", v)
 	}
-	x.Bounds.LossIn, x.Bounds.BackMin = 500*time.Millisecond, 1.1
+	x.Bounds.LossRecoveryWithin, x.Bounds.MinServedAfterLoss = 500*time.Millisecond, 1.1
 	if v := check.Run(x, all); len(v) != 2 {
 		t.Errorf("%v", v)
 	}
--- a/internal/harness/check/drains.go
+++ b/internal/harness/check/drains.go
@@ -51,7 +51,7 @@
 		}
 	}
 	for _, e := range all {
-		if e.Kind != history.Call || len(e.Names) == 0 && e.Why != history.Whole {
+		if e.Kind != history.ListPolled || len(e.Names) == 0 && e.Why != history.Snapshot {
 			continue
 		}
 		a := answer{e, forever}
@@ -93,7 +93,7 @@
 func (a answer) changes(backends []string) (steps []listChange) {
 	named := map[string]bool{}
 	for _, n := range a.Names {
-		name, serves := strings.CutPrefix(n, history.Serves)
+		name, serves := strings.CutPrefix(n, history.ServingMark)
 		named[name] = true
 		if serves {
 			steps = append(steps, listChange{a.asked(), name, false})
@@ -101,7 +101,7 @@
 			steps = append(steps, listChange{a.read, name, true})
 		}
 	}
-	if a.Why != history.Whole || a.read == forever {
+	if a.Why != history.Snapshot || a.read == forever {
 		return steps
 	}
 	for _, name := range backends {
--- a/internal/harness/check/figures.go
+++ b/internal/harness/check/figures.go
@@ -128,20 +128,20 @@
 		m.started(e)
 	case history.Ready:
 		m.ready(e)
-	case history.Call:
+	case history.ListPolled:
 		m.called(e)
 	case history.Opened:
 		m.connected(e)
-	case history.Pushed:
+	case history.WarmupOverload:
 		if e.N == 1 {
 			m.pushed[e.Who] = e.At
 		} else if at, ok := m.pushed[e.Who]; ok {
 			m.push(e.At - at)
 			delete(m.pushed, e.Who)
 		}
-	case history.Ran:
+	case history.Executed:
 		m.Attempts++
-	case history.Asked:
+	case history.Requested:
 		m.asked(e)
 	}
 }
@@ -184,7 +184,7 @@
 	at := (e.At - e.Took) / second
 	if e.N < 0 {
 		m.reads[at]++
-		if e.Why == history.GivenUp {
+		if e.Why == history.CallerLeft {
 			m.GivenUp++
 		}
 	} else {
@@ -276,7 +276,7 @@
 // listBack is how long after each fault of the list services the last of those sidecars was ready that were not before.
 func listBack(sc *scenario.Scenario, r *record, firstReady map[string]int64) (out []float64) {
 	for i, x := range sc.Schedule() {
-		if x.On != scenario.OnLists {
+		if x.Group != scenario.OnLists {
 			continue
 		}
 		name := x.Name(i)
--- a/internal/harness/check/record.go
+++ b/internal/harness/check/record.go
@@ -64,7 +64,7 @@
 	r := &record{all: all, away: spans{}, stops: spans{}, links: spans{}, sent: map[request]history.Event{}}
 	for _, e := range all {
 		switch e.Kind {
-		case history.Told, history.Gone:
+		case history.Terminating, history.Exited:
 			r.away.open(e.Who, e.At)
 		case history.Ready:
 			r.away.end(e.To, e.At)
--- a/internal/harness/check/sites.go
+++ b/internal/harness/check/sites.go
@@ -39,7 +39,7 @@
 // losses takes the figures of all such faults.
 func losses(sc *scenario.Scenario, r *record) (out []Loss) {
 	for i, f := range sc.Schedule() {
-		if f.On != scenario.OnSites && !f.Across {
+		if f.Group != scenario.OnSites && !f.CrossSite {
 			continue
 		}
 		if from, to := r.faultSpan(f.Name(i)); from >= 0 {
@@ -66,9 +66,9 @@
 
 // loss takes the figures of one fault while it lasted and after it.
 func loss(sc *scenario.Scenario, r *record, f scenario.Fault, name string, from, to int64) Loss {
-	room := sc.Room()
+	room := sc.Capacity()
 	remaining := maps.Clone(room)
-	if f.On == scenario.OnSites {
+	if f.Group == scenario.OnSites {
 		delete(remaining, f.Site)
 	}
 	worth, cheapest := worths()
@@ -90,7 +90,7 @@
 func worths() (worth map[string]float64, cheapest string) {
 	worth = map[string]float64{}
 	for _, c := range worker.Classes() {
-		if worth[c.Name] = c.Worth; cheapest == "" || c.Worth < worth[cheapest] {
+		if worth[c.Name] = c.PriorityWeight; cheapest == "" || c.PriorityWeight < worth[cheapest] {
 			cheapest = c.Name
 		}
 	}
@@ -109,7 +109,7 @@
 func (r *record) refused(from, to int64, cheapest string) (parts map[string]float64, cheap float64) {
 	asked, turned, all := map[string]float64{}, map[string]float64{}, 0.0
 	for _, e := range r.all {
-		if e.Kind != history.Asked || e.At < from || e.At >= to {
+		if e.Kind != history.Requested || e.At < from || e.At >= to {
 			continue
 		}
 		if asked[e.Class]++; e.Status == http.StatusServiceUnavailable {
@@ -131,7 +131,7 @@
 func (r *record) part(from, to int64, worth map[string]float64) float64 {
 	asked, served := 0.0, 0.0
 	for _, e := range r.all {
-		if e.Kind != history.Asked || e.At < from || e.At >= to {
+		if e.Kind != history.Requested || e.At < from || e.At >= to {
 			continue
 		}
 		w := 1.0
@@ -156,7 +156,7 @@
 	}
 	asked, served := make([]float64, n+1), make([]float64, n+1)
 	for _, e := range r.all {
-		if e.Kind != history.Asked || e.At < from || e.At >= to {
+		if e.Kind != history.Requested || e.At < from || e.At >= to {
 			continue
 		}
 		i := int((e.At - from) / lossStep)
--- a/internal/harness/history/history.go
+++ b/internal/harness/history/history.go
@@ -24,47 +24,47 @@
 
 // The kinds of event. Whoever is named in Who tells it; To is the other side.
 const (
-	Began     Kind = "began"     // the run, with its scenario's name in ID and its seed in N
-	Ended     Kind = "ended"     // the run; N is how many of its processes are still there
-	Fault     Kind = "fault"     // a fault (ID) begins (N 1) or ends (N 0); Why says it
-	Started   Kind = "started"   // a process, with its number in N
-	Gone      Kind = "gone"      // a process has ended; Why says how
-	Stopped   Kind = "stopped"   // a process was stopped (SIGSTOP)
-	Continued Kind = "continued" // and let go on
-	Told      Kind = "told"      // a process is about to be told to end, or to be killed
-	Ready     Kind = "ready"     // a sidecar (To) has answered that it is ready
-	Log       Kind = "log"       // a line of a process
-
-	Call      Kind = "call"      // a list service answered a call of To; N is the version it went from, negative: the whole list
-	Delivered Kind = "delivered" // a relay has handed on the first Bytes of Conn to their reader
-	Member    Kind = "member"    // a backend's (Who) state in the list changed: Why is SERVING, DRAINING or DELETED
-	Opened    Kind = "opened"    // a relay took a connection from Who to To
-	Sent      Kind = "sent"      // a relay took the first byte of the Nth request on Conn, from Who to To
-
-	Ran     Kind = "ran"     // a backend (Who) began the request ID; N is its number on Conn, Pod drops its repeats
-	Full    Kind = "full"    // a backend turned a request away
-	Strayed Kind = "strayed" // another service, which has the backend's (Who) address, got the request ID; N is its number on Conn
-	Pushed  Kind = "pushed"  // a cold backend holds more than it bears (N 1), or no longer (N 0)
-
-	Quiet Kind = "quiet" // a client process's load has ended, and all its requests
-	Asked Kind = "asked" // a client sent request ID to To and had Status after Took; 0: none, and Why
-
-	Put        Kind = "put"        // a publisher wrote ID to Resource and had Status and Version after Took; Urgent: it takes something out
-	Subscribed Kind = "subscribed" // a follower begins to follow Resource and has Version; zero: nothing
-	InForce    Kind = "in-force"   // a follower put Version of Resource in force, told by To, from From (zero: the whole); Digest is of all items
-	Refused    Kind = "refused"    // a follower did not put Version of Resource in force; Why
-	Used       Kind = "used"       // what a process has used until now, or holds, in Figures
-	Reported   Kind = "reported"   // the source (Who) answered what it knows of a resource's being in force: Report
-	Waited     Kind = "waited"     // a process's threads waited for a core for Took in all since it was looked at before, at N
-	Lag        Kind = "lag"        // the machine let a process run only when Took had passed since it was to
-	Source     Kind = "source"     // the source has Version of Resource with Digest; it was asked Took before
+	Began       Kind = "began"     // the run, with its scenario's name in ID and its seed in N
+	Ended       Kind = "ended"     // the run; N is how many of its processes are still there
+	Fault       Kind = "fault"     // a fault (ID) begins (N 1) or ends (N 0); Why says it
+	Started     Kind = "started"   // a process, with its number in N
+	Exited      Kind = "gone"      // a process has ended; Why says how
+	Stopped     Kind = "stopped"   // a process was stopped (SIGSTOP)
+	Continued   Kind = "continued" // and let go on
+	Terminating Kind = "told"      // a process is about to be told to end, or to be killed
+	Ready       Kind = "ready"     // a sidecar (To) has answered that it is ready
+	Log         Kind = "log"       // a line of a process
+
+	ListPolled   Kind = "call"      // a list service answered a call of To; N is the version it went from, negative: the whole list
+	Delivered    Kind = "delivered" // a relay has handed on the first Bytes of Conn to their reader
+	MemberStatus Kind = "member"    // a backend's (Who) state in the list changed: Why is SERVING, DRAINING or DELETED
+	Opened       Kind = "opened"    // a relay took a connection from Who to To
+	Sent         Kind = "sent"      // a relay took the first byte of the Nth request on Conn, from Who to To
+
+	Executed       Kind = "ran"     // a backend (Who) began the request ID; N is its number on Conn, Pod drops its repeats
+	Overloaded     Kind = "full"    // a backend turned a request away
+	Misrouted      Kind = "strayed" // another service, which has the backend's (Who) address, got the request ID; N is its number on Conn
+	WarmupOverload Kind = "pushed"  // a cold backend holds more than it bears (N 1), or no longer (N 0)
+
+	LoadEnded Kind = "quiet" // a client process's load has ended, and all its requests
+	Requested Kind = "asked" // a client sent request ID to To and had Status after Took; 0: none, and Why
+
+	Put            Kind = "put"        // a publisher wrote ID to Resource and had Status and Version after Took; Urgent: it takes something out
+	Subscribed     Kind = "subscribed" // a follower begins to follow Resource and has Version; zero: nothing
+	InForce        Kind = "in-force"   // a follower put Version of Resource in force, told by To, from From (zero: the whole); Digest is of all items
+	UpdateRejected Kind = "refused"    // a follower did not put Version of Resource in force; Why
+	Usage          Kind = "used"       // what a process has used until now, or holds, in Figures
+	StatusReported Kind = "reported"   // the source (Who) answered what it knows of a resource's being in force: Report
+	CPUWaited      Kind = "waited"     // a process's threads waited for a core for Took in all since it was looked at before, at N
+	Lag            Kind = "lag"        // the machine let a process run only when Took had passed since it was to
+	Source         Kind = "source"     // the source has Version of Resource with Digest; it was asked Took before
 )
 
 // What Call events say.
 const (
-	Serves  = "+"        // before the name of a backend that serves
-	Whole   = "whole"    // Why: the answer takes out all backends that it does not name
-	GivenUp = "given up" // Why: its caller had gone before the answer
+	ServingMark = "+"        // before the name of a backend that serves
+	Snapshot    = "whole"    // Why: the answer takes out all backends that it does not name
+	CallerLeft  = "given up" // Why: its caller had gone before the answer
 )
 
 // Names of figures in Used events. Those of a source or a relay are also what its statistics call them.
@@ -133,15 +133,15 @@
 }
 
 const (
-	lagEvery = 10 * time.Millisecond
-	lagLeast = 30 * time.Millisecond // that is told
+	lagInterval = 10 * time.Millisecond
+	minLag      = 30 * time.Millisecond // that is told
 )
 
 // WatchLag tells whenever a process gets to run late, until the context ends.
 func WatchLag(ctx context.Context, who string, clock Clock, tell func(Event)) {
 	due := time.Now()
 	for {
-		due = due.Add(lagEvery)
+		due = due.Add(lagInterval)
 		timer := time.NewTimer(time.Until(due))
 		select {
 		case <-timer.C:
@@ -149,7 +149,7 @@
 			timer.Stop()
 			return
 		}
-		if late := time.Since(due); late >= lagLeast {
+		if late := time.Since(due); late >= minLag {
 			tell(Event{At: clock.Now(), Kind: Lag, Who: who, Took: late.Microseconds()})
 			due = time.Now()
 		}
--- a/internal/harness/history/history_test.go
+++ b/internal/harness/history/history_test.go
@@ -12,7 +12,7 @@
 func TestWhatIsWrittenIsReadInOrder(t *testing.T) {
 	var b bytes.Buffer
 	w := history.NewWriter(&b)
-	events := []history.Event{{At: 30, Kind: history.Asked, ID: "x", Status: 200}, {At: 10, Kind: history.Call, N: -1, Names: []string{"+a"}}, {At: 30, Kind: history.Gone}}
+	events := []history.Event{{At: 30, Kind: history.Requested, ID: "x", Status: 200}, {At: 10, Kind: history.ListPolled, N: -1, Names: []string{"+a"}}, {At: 30, Kind: history.Exited}}
 	for _, e := range events {
 		w.Write(e)
 	}
--- a/internal/harness/launch/launch.go
+++ b/internal/harness/launch/launch.go
@@ -19,25 +19,25 @@
 )
 
 const (
-	firstPort  = 20_000 // below those that the kernel deals out
-	lastPort   = 30_000
-	networks   = 200     // of loopback addresses
-	mostLine   = 4 << 20 // bytes of a line of an actor
-	firstLine  = 1 << 16 // the same, before more is asked for
-	networkGap = 7       // between the first networks of two rigs whose process numbers are neighbours
-	portGap    = 131     // the same of ports
-	portStep   = 997     // from one try to the next
+	firstPort        = 20_000 // below those that the kernel deals out
+	lastPort         = 30_000
+	networkCount     = 200     // of loopback addresses
+	maxLineBytes     = 4 << 20 // bytes of a line of an actor
+	initialLineBytes = 1 << 16 // the same, before more is asked for
+	networkGap       = 7       // between the first networks of two rigs whose process numbers are neighbours
+	portGap          = 131     // the same of ports
+	portStep         = 997     // from one try to the next
 )
 
-// Network finds a network of loopback addresses and a port, the first of a count, that nobody uses, and has open take them. Where open
+// FindNetwork finds a network of loopback addresses and a port, the first of a count, that nobody uses, and has open take them. Where open
 // fails it tries others; the error is that of the last try.
-func Network(count int, open func(network, port int) error) error {
+func FindNetwork(count int, open func(network, port int) error) error {
 	err := errors.New("no try has been made")
-	for try := range networks {
-		network := (os.Getpid()*networkGap + try) % networks
+	for try := range networkCount {
+		network := (os.Getpid()*networkGap + try) % networkCount
 		port := firstPort + (os.Getpid()*portGap+try*portStep)%(lastPort-firstPort-count)
 		var guard net.Listener
-		if guard, err = net.Listen("tcp4", net.JoinHostPort(link.PlaceOf(network, 0).String(), strconv.Itoa(port))); err != nil {
+		if guard, err = net.Listen("tcp4", net.JoinHostPort(link.AddrOf(network, 0).String(), strconv.Itoa(port))); err != nil {
 			continue
 		}
 		guard.Close()
@@ -48,28 +48,28 @@
 	return fmt.Errorf("no free ports from %d to %d: %w", firstPort, lastPort, err)
 }
 
-// Actors starts actors.
-type Actors struct {
+// WorkerStarter starts actors.
+type WorkerStarter struct {
 	Processes *process.Set
 	Program   []string // an actor and its first arguments
 	Env       []string // further environment
 	Clock     history.Clock
-	Heard     func(history.Event) // takes each event that an actor tells
+	OnEvent   func(history.Event) // takes each event that an actor tells
 }
 
 // Start starts an actor and returns its first line.
-func (a Actors) Start(ctx context.Context, spec worker.Spec) (hello worker.Hello, err error) {
-	spec.Zero = a.Clock.Zero()
+func (a WorkerStarter) Start(ctx context.Context, spec worker.Spec) (hello worker.Hello, err error) {
+	spec.ClockZero = a.Clock.Zero()
 	first, err := json.Marshal(spec)
 	if err != nil {
 		return hello, err
 	}
 	greeting := make(chan []byte, 1)
-	err = a.Processes.Start(process.Spec{Name: spec.Name, Args: a.Program, Env: a.Env, Talks: true, Read: func(out io.Reader) { a.read(out, greeting) }})
+	err = a.Processes.Start(process.Spec{Name: spec.Name, Args: a.Program, Env: a.Env, Stdin: true, ReadStdout: func(out io.Reader) { a.read(out, greeting) }})
 	if err != nil {
 		return hello, err
 	}
-	if err := a.Processes.Write(spec.Name, first); err != nil {
+	if err := a.Processes.WriteLine(spec.Name, first); err != nil {
 		return hello, err
 	}
 	select {
@@ -87,9 +87,9 @@
 }
 
 // read reads an actor's output to its end: the first line is its greeting, the others are events.
-func (a Actors) read(out io.Reader, greeting chan<- []byte) {
+func (a WorkerStarter) read(out io.Reader, greeting chan<- []byte) {
 	lines := bufio.NewScanner(out)
-	lines.Buffer(make([]byte, firstLine), mostLine)
+	lines.Buffer(make([]byte, initialLineBytes), maxLineBytes)
 	if lines.Scan() {
 		greeting <- append([]byte(nil), lines.Bytes()...)
 	}
@@ -97,7 +97,7 @@
 	for lines.Scan() {
 		var e history.Event
 		if json.Unmarshal(lines.Bytes(), &e) == nil && e.Kind != "" {
-			a.Heard(e)
+			a.OnEvent(e)
 		}
 	}
 	_, _ = io.Copy(io.Discard, out)
--- a/internal/harness/launch/run.go
+++ b/internal/harness/launch/run.go
@@ -22,17 +22,17 @@
 type Run struct {
 	Clock     history.Clock
 	Processes *process.Set
-	Links     *link.Net // nil until OpenLinks
-	Dir       string    // for files of the processes
+	Links     *link.Network // nil until OpenLinks
+	Dir       string        // for files of the processes
 	Faults    sync.WaitGroup
 
-	events    *history.Writer
+	history   *history.Writer
 	temporary bool // Dir is removed at the end
 }
 
 // Begin begins a run: its history goes to out. Dir empty: a temporary folder, which End removes.
 func Begin(out io.Writer, dir, name string, seed uint64) (*Run, error) {
-	r := &Run{Clock: history.NewClock(), Dir: dir, events: history.NewWriter(out)}
+	r := &Run{Clock: history.NewClock(), Dir: dir, history: history.NewWriter(out)}
 	if dir == "" {
 		var err error
 		if r.Dir, err = os.MkdirTemp("", "rig"); err != nil {
@@ -40,22 +40,22 @@
 		}
 		r.temporary = true
 	}
-	r.Tell(history.Event{Kind: history.Began, ID: name, N: int64(seed)})
-	r.Processes = process.New(r.Tell)
+	r.Record(history.Event{Kind: history.Began, ID: name, N: int64(seed)})
+	r.Processes = process.New(r.Record)
 	return r, nil
 }
 
-// Tell writes an event into the history; one without a time is of now.
-func (r *Run) Tell(e history.Event) {
+// Record writes an event into the history; one without a time is of now.
+func (r *Run) Record(e history.Event) {
 	if e.At == 0 {
 		e.At = r.Clock.Now()
 	}
-	r.events.Write(e)
+	r.history.Write(e)
 }
 
 // OpenLinks finds a network and a port, the first of a count, that nobody uses, and has open listen there on the run's links.
 func (r *Run) OpenLinks(count int, watcher link.Watcher, open func(network, port int) error) error {
-	return Network(count, func(network, port int) error {
+	return FindNetwork(count, func(network, port int) error {
 		r.Links = link.New(watcher)
 		err := open(network, port)
 		if err != nil {
@@ -68,13 +68,13 @@
 
 // End ends all processes, links and faults, and the history. It returns what the run came to, with the history's own error.
 func (r *Run) End(err error) error {
-	left := r.Processes.End()
+	left := r.Processes.Close()
 	if r.Links != nil {
 		r.Links.Close()
 	}
 	r.Faults.Wait()
-	r.Tell(history.Event{Kind: history.Ended, N: int64(left)})
-	err = errors.Join(err, r.events.Flush())
+	r.Record(history.Event{Kind: history.Ended, N: int64(left)})
+	err = errors.Join(err, r.history.Flush())
 	if r.temporary {
 		err = errors.Join(err, os.RemoveAll(r.Dir))
 	}
@@ -84,10 +84,10 @@
 // Schedule is the faults of a run, and how they are carried out.
 type Schedule struct {
 	Faults []scenario.Fault
-	// Begin begins a fault and returns what ends it.
-	Begin func(context.Context, scenario.Fault) (end func() error, err error)
-	// ToldMended has the history tell a fault's end when what it disturbed has been mended, not when that begins.
-	ToldMended bool
+	// BeginFault begins a fault and returns what ends it.
+	BeginFault func(context.Context, scenario.Fault) (end func() error, err error)
+	// RecordEndAfterRecovery has the history tell a fault's end when what it disturbed has been mended, not when that begins.
+	RecordEndAfterRecovery bool
 }
 
 // step is the beginning or the end of a fault.
@@ -97,8 +97,8 @@
 	end   bool
 }
 
-// CarryOut begins and ends all faults of a schedule at their times from began on.
-func (r *Run) CarryOut(ctx context.Context, began time.Time, schedule Schedule) error {
+// RunSchedule begins and ends all faults of a schedule at their times from began on.
+func (r *Run) RunSchedule(ctx context.Context, began time.Time, schedule Schedule) error {
 	ends := make([]func() error, len(schedule.Faults))
 	for _, s := range steps(schedule.Faults) {
 		if !sleep.Until(ctx, began.Add(s.at)) {
@@ -112,13 +112,13 @@
 		var err error
 		switch {
 		case !s.end:
-			r.Tell(e)
-			ends[s.fault], err = schedule.Begin(ctx, f)
-		case schedule.ToldMended:
+			r.Record(e)
+			ends[s.fault], err = schedule.BeginFault(ctx, f)
+		case schedule.RecordEndAfterRecovery:
 			err = ends[s.fault]()
-			r.Tell(e)
+			r.Record(e)
 		default:
-			r.Tell(e)
+			r.Record(e)
 			err = ends[s.fault]()
 		}
 		if err != nil {
@@ -131,7 +131,7 @@
 // steps are the beginnings and ends of faults in order of time.
 func steps(faults []scenario.Fault) (out []step) {
 	for i, f := range faults {
-		out = append(out, step{f.At, i, false}, step{f.At + f.For, i, true})
+		out = append(out, step{f.At, i, false}, step{f.At + f.Duration, i, true})
 	}
 	slices.SortStableFunc(out, func(a, b step) int { return cmp.Compare(a.at, b.at) })
 	return out
--- a/internal/harness/link/link_test.go
+++ b/internal/harness/link/link_test.go
@@ -24,19 +24,19 @@
 	back   int64
 }
 
-func (s *seen) Opened(link.Ends) { s.mu.Lock(); s.opened++; s.mu.Unlock() }
-func (s *seen) Sent(_ link.Ends, _ string, n int64, at time.Time) {
+func (s *seen) Opened(link.Peers) { s.mu.Lock(); s.opened++; s.mu.Unlock() }
+func (s *seen) Sent(_ link.Peers, _ string, n int64, at time.Time) {
 	s.mu.Lock()
 	s.sent, s.when = n, at
 	s.mu.Unlock()
 }
-func (s *seen) Delivered(_ link.Ends, _ string, n int64) { s.mu.Lock(); s.back = n; s.mu.Unlock() }
+func (s *seen) Delivered(_ link.Peers, _ string, n int64) { s.mu.Lock(); s.back = n; s.mu.Unlock() }
 
 const group = "sidecars-backends"
 
 // bed is a relay before an echoing backend.
 type bed struct {
-	*link.Net
+	*link.Network
 	*seen
 	at string
 }
@@ -49,12 +49,12 @@
 	}
 	t.Cleanup(b.Close)
 	s := &seen{}
-	place := link.PlaceOf(os.Getpid()%100, 7)
+	place := link.AddrOf(os.Getpid()%100, 7)
 	n := link.New(s)
 	t.Cleanup(n.Close)
 	for port := 31_000; port < 32_000; port++ {
-		err = n.Listen(link.Relay{Group: group, Port: port, Deliveries: true, To: func(at link.Place) (link.Ends, string, bool) {
-			return link.Ends{From: "sidecar-8", To: "backend-1"}, b.Addr(), at == place
+		err = n.Listen(link.Relay{Group: group, Port: port, Deliveries: true, Route: func(at link.Addr) (link.Peers, string, bool) {
+			return link.Peers{From: "sidecar-8", To: "backend-1"}, b.Addr(), at == place
 		}})
 		if err == nil {
 			return bed{n, s, fmt.Sprintf("%s:%d", place, port)}
@@ -123,15 +123,15 @@
 			answered(t, c)
 		}
 	}
-	t.Run("cut", held(scenario.Fault{Kind: scenario.Cut, Way: scenario.Both}))
+	t.Run("cut", held(scenario.Fault{Kind: scenario.Cut, Direction: scenario.BothDirections}))
 	t.Run("cut of one pair", held(scenario.Fault{Kind: scenario.Cut, Names: []string{"sidecar-8"}}))
-	t.Run("one way there", held(scenario.Fault{Kind: scenario.OneWay, Way: scenario.There}))
-	t.Run("one way back", held(scenario.Fault{Kind: scenario.OneWay, Way: scenario.Back}))
-	t.Run("held in the middle of a request", held(scenario.Fault{Kind: scenario.Hold, Way: scenario.There, Bytes: 10}))
+	t.Run("one way there", held(scenario.Fault{Kind: scenario.OneWay, Direction: scenario.ToServer}))
+	t.Run("one way back", held(scenario.Fault{Kind: scenario.OneWay, Direction: scenario.ToClient}))
+	t.Run("held in the middle of a request", held(scenario.Fault{Kind: scenario.Hold, Direction: scenario.ToServer, Bytes: 10}))
 	t.Run("held in the middle of an answer", func(t *testing.T) {
 		b := lay(t)
 		c := b.dial(t)
-		end := b.Begin(scenario.Fault{Kind: scenario.Hold, Link: group, Way: scenario.Back, Bytes: 5})
+		end := b.Begin(scenario.Fault{Kind: scenario.Hold, Link: group, Direction: scenario.ToClient, Bytes: 5})
 		ask(t, c)
 		if n, err := io.ReadFull(c, make([]byte, 5)); n != 5 || err != nil {
 			t.Fatal(n, err)
@@ -143,7 +143,7 @@
 	t.Run("late", func(t *testing.T) {
 		b := lay(t)
 		c := b.dial(t)
-		b.Begin(scenario.Fault{Kind: scenario.Delay, Link: group, Way: scenario.Back, Delay: 120 * time.Millisecond})
+		b.Begin(scenario.Fault{Kind: scenario.Delay, Link: group, Direction: scenario.ToClient, Delay: 120 * time.Millisecond})
 		ask(t, c)
 		silent(t, c)
 		answered(t, c)
@@ -151,7 +151,7 @@
 	t.Run("slow", func(t *testing.T) {
 		b := lay(t)
 		c := b.dial(t)
-		end := b.Begin(scenario.Fault{Kind: scenario.Slow, Link: group, Way: scenario.There, Rate: 100})
+		end := b.Begin(scenario.Fault{Kind: scenario.Slow, Link: group, Direction: scenario.ToServer, Rate: 100})
 		ask(t, c) // 28 bytes at 100 a second
 		silent(t, c)
 		end()
@@ -183,7 +183,7 @@
 		c := b.dial(t)
 		ask(t, c)
 		answered(t, c)
-		b.Begin(scenario.Fault{Kind: scenario.Half, Link: group, Way: scenario.Back})
+		b.Begin(scenario.Fault{Kind: scenario.Half, Link: group, Direction: scenario.ToClient})
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("after the far side's end: %v", err)
 		}
@@ -198,7 +198,7 @@
 	})
 	t.Run("a request on a connection made while its link is cut came when it came", func(t *testing.T) {
 		b := lay(t)
-		end := b.Begin(scenario.Fault{Kind: scenario.Cut, Link: group, Way: scenario.Both})
+		end := b.Begin(scenario.Fault{Kind: scenario.Cut, Link: group, Direction: scenario.BothDirections})
 		c := b.dial(t)
 		ask(t, c)
 		silent(t, c)
--- a/internal/harness/link/net.go
+++ b/internal/harness/link/net.go
@@ -20,22 +20,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// Place is the address of a process: 127.x.y.z.
-type Place [4]byte
+// Addr is the address of a process: 127.x.y.z.
+type Addr [4]byte
 
-// PlaceOf is the nth place, from 0, of a network that has a number of its own; both are at most 64,000 and 200.
-func PlaceOf(network, n int) Place {
-	return Place{127, byte(20 + network%200), byte(1 + n/250), byte(1 + n%250)}
+// AddrOf is the nth place, from 0, of a network that has a number of its own; both are at most 64,000 and 200.
+func AddrOf(network, n int) Addr {
+	return Addr{127, byte(20 + network%200), byte(1 + n/250), byte(1 + n%250)}
 }
 
 // String is the address.
-func (p Place) String() string { return net.IP(p[:]).String() }
+func (p Addr) String() string { return net.IP(p[:]).String() }
 
-// Ends are the two processes of a connection, by name: who has opened it and to whom.
-type Ends struct{ From, To string }
+// Peers are the two processes of a connection, by name: who has opened it and to whom.
+type Peers struct{ From, To string }
 
-// Rule is a fault that holds now.
-type Rule struct {
+// activeFault is a fault that holds now.
+type activeFault struct {
 	scenario.Fault
 	id int
 }
@@ -43,60 +43,60 @@
 // Watcher is told what goes over the relays. Its methods may be called from many goroutines, and are to return at once.
 type Watcher interface {
 	// Opened: a connection was taken.
-	Opened(e Ends)
+	Opened(e Peers)
 	// Sent: the first byte of the nth request (from 1) came at a time, on the connection that comes out at conn.
-	Sent(e Ends, conn string, n int64, at time.Time)
+	Sent(e Peers, conn string, n int64, at time.Time)
 	// Delivered: the first n bytes of what comes back on the connection have been handed on.
-	Delivered(e Ends, conn string, n int64)
+	Delivered(e Peers, conn string, n int64)
 }
 
-// Net is all relays of a run.
-type Net struct {
-	watch Watcher
-	all   sync.WaitGroup
-	done  chan struct{}
+// Network is all relays of a run.
+type Network struct {
+	watcher  Watcher
+	handlers sync.WaitGroup
+	done     chan struct{}
 
 	mu        sync.Mutex
-	rules     []Rule
+	faults    []activeFault
 	changed   chan struct{} // closed when the rules change
-	next      int
-	conns     map[*pair]bool
+	nextID    int
+	conns     map[*relayedConn]bool
 	listeners []net.Listener
 	closed    bool
 }
 
 // New returns a network without relays.
-func New(watch Watcher) *Net {
-	return &Net{watch: watch, done: make(chan struct{}), changed: make(chan struct{}), conns: map[*pair]bool{}}
+func New(watch Watcher) *Network {
+	return &Network{watcher: watch, done: make(chan struct{}), changed: make(chan struct{}), conns: map[*relayedConn]bool{}}
 }
 
 // Relay is where a relay leads.
 type Relay struct {
 	Group string // of the processes at its far end, which the links of faults name
 	Port  int    // where it listens, at all places
-	// To says where a connection that was made to a place goes on, and between whom it is. ok is false for a place that it
+	// Route says where a connection that was made to a place goes on, and between whom it is. ok is false for a place that it
 	// does not know.
-	To func(dialled Place) (e Ends, address string, ok bool)
+	Route func(dialled Addr) (e Peers, address string, ok bool)
 	// Deliveries: what comes back is reported to the watcher.
 	Deliveries bool
-	Accepts    float64 // connections a second that are taken from the queue; 0: as they come
+	AcceptRate float64 // connections a second that are taken from the queue; 0: as they come
 	Backlog    int     // length of that queue, beyond which no connection comes up; 0: the system's own
 }
 
 const (
-	relayBuffer = 16 << 10
-	relayAhead  = 16 // buffers on their way in one direction
-	dialTimeout = 2 * time.Second
+	chunkBytes      = 16 << 10
+	maxQueuedChunks = 16 // buffers on their way in one direction
+	dialTimeout     = 2 * time.Second
 )
 
 // Listen opens a relay.
-func (n *Net) Listen(r Relay) error {
+func (n *Network) Listen(r Relay) error {
 	l, err := Loopback(r.Port)
 	if err != nil {
 		return err
 	}
 	if r.Backlog > 0 {
-		if err := shorten(l.(*net.TCPListener), r.Backlog); err != nil {
+		if err := setBacklog(l.(*net.TCPListener), r.Backlog); err != nil {
 			l.Close()
 			return err
 		}
@@ -104,27 +104,27 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.listeners = append(n.listeners, l)
-	n.all.Go(func() {
+	n.handlers.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			if r.Accepts > 0 {
+			if r.AcceptRate > 0 {
 				select {
-				case <-time.After(time.Duration(float64(time.Second) / r.Accepts)):
+				case <-time.After(time.Duration(float64(time.Second) / r.AcceptRate)):
 				case <-n.done:
 				}
 			}
-			n.all.Go(func() { n.take(c.(*net.TCPConn), r) })
+			n.handlers.Go(func() { n.serve(c.(*net.TCPConn), r) })
 		}
 	})
 	return nil
 }
 
-// shorten gives a listener a queue of its own length: connections beyond it get no answer until there is room. listen(2) may be
+// setBacklog gives a listener a queue of its own length: connections beyond it get no answer until there is room. listen(2) may be
 // called again on a socket that listens.
-func shorten(l *net.TCPListener, backlog int) error {
+func setBacklog(l *net.TCPListener, backlog int) error {
 	c, err := l.SyscallConn()
 	if err != nil {
 		return fmt.Errorf("relay: %w", err)
@@ -150,15 +150,15 @@
 }
 
 // Begin has a fault hold, and returns what ends it.
-func (n *Net) Begin(f scenario.Fault) (end func()) {
+func (n *Network) Begin(f scenario.Fault) (end func()) {
 	n.mu.Lock()
-	n.next++
-	id := n.next
-	n.rules = append(n.rules, Rule{f, id})
-	n.change()
-	var struck []*pair
+	n.nextID++
+	id := n.nextID
+	n.faults = append(n.faults, activeFault{f, id})
+	n.notifyChanged()
+	var struck []*relayedConn
 	for p := range n.conns {
-		if applies(f, p.group, p.ends) {
+		if applies(f, p.group, p.peers) {
 			struck = append(struck, p)
 		}
 	}
@@ -168,39 +168,39 @@
 		case scenario.Reset:
 			p.reset()
 		case scenario.Half:
-			p.half(f.Way)
+			p.halfClose(f.Direction)
 		}
 	}
 	return func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.rules = slices.DeleteFunc(n.rules, func(r Rule) bool { return r.id == id })
-		n.change()
+		n.faults = slices.DeleteFunc(n.faults, func(r activeFault) bool { return r.id == id })
+		n.notifyChanged()
 	}
 }
 
-func (n *Net) change() {
+func (n *Network) notifyChanged() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
 // applies tells whether a fault holds for a connection.
-func applies(f scenario.Fault, group string, e Ends) bool {
+func applies(f scenario.Fault, group string, e Peers) bool {
 	if f.Link != group {
 		return false
 	}
-	if f.Across {
+	if f.CrossSite {
 		return slices.Contains(f.Names, e.From) != slices.Contains(f.Names, e.To)
 	}
 	return len(f.Names) == 0 || slices.Contains(f.Names, e.From) || slices.Contains(f.Names, e.To)
 }
 
-// now is the faults that hold for a connection in a direction, and what is closed when that changes.
-func (n *Net) now(p *pair, way string) (out []Rule, changed <-chan struct{}) {
+// activeFaults is the faults that hold for a connection in a direction, and what is closed when that changes.
+func (n *Network) activeFaults(p *relayedConn, way string) (out []activeFault, changed <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, r := range n.rules {
-		if applies(r.Fault, p.group, p.ends) && (r.Way == "" || r.Way == scenario.Both || r.Way == way) {
+	for _, r := range n.faults {
+		if applies(r.Fault, p.group, p.peers) && (r.Direction == "" || r.Direction == scenario.BothDirections || r.Direction == way) {
 			out = append(out, r)
 		}
 	}
@@ -208,7 +208,7 @@
 }
 
 // Close ends all relays and connections.
-func (n *Net) Close() {
+func (n *Network) Close() {
 	n.mu.Lock()
 	if !n.closed {
 		n.closed = true
@@ -221,18 +221,18 @@
 		p.close()
 	}
 	n.mu.Unlock()
-	n.all.Wait()
+	n.handlers.Wait()
 }
 
-// take carries one connection until it ends.
-func (n *Net) take(c *net.TCPConn, r Relay) {
-	dialled := placeOf(c.LocalAddr())
-	ends, to, ok := r.To(dialled)
+// serve carries one connection until it ends.
+func (n *Network) serve(c *net.TCPConn, r Relay) {
+	dialled := addrOf(c.LocalAddr())
+	ends, to, ok := r.Route(dialled)
 	if !ok {
 		c.Close()
 		return
 	}
-	p := &pair{net: n, ends: ends, group: r.Group, in: c, deliveries: r.Deliveries, over: make(chan struct{})}
+	p := &relayedConn{network: n, peers: ends, group: r.Group, client: c, deliveries: r.Deliveries, done: make(chan struct{})}
 	n.mu.Lock()
 	if n.closed {
 		n.mu.Unlock()
@@ -249,13 +249,13 @@
 		n.mu.Unlock()
 		p.close()
 	}()
-	n.watch.Opened(ends)
+	n.watcher.Opened(ends)
 	// A connection that is made while its link is cut has come up for whoever made it, since the kernel has taken it; it stays
 	// silent. While it is reset, it is reset too.
 	for looking := false; ; {
-		rules, changed := n.now(p, scenario.There)
-		blocked := slices.ContainsFunc(rules, func(r Rule) bool { return r.Kind == scenario.Cut || r.Kind == scenario.OneWay })
-		if slices.ContainsFunc(rules, func(r Rule) bool { return r.Kind == scenario.Reset }) {
+		rules, changed := n.activeFaults(p, scenario.ToServer)
+		blocked := slices.ContainsFunc(rules, func(r activeFault) bool { return r.Kind == scenario.Cut || r.Kind == scenario.OneWay })
+		if slices.ContainsFunc(rules, func(r activeFault) bool { return r.Kind == scenario.Reset }) {
 			p.reset()
 			return
 		}
@@ -264,7 +264,7 @@
 		}
 		if !looking { // what comes now is read later: when it came is what counts
 			looking = true
-			look.Go(p.await)
+			look.Go(p.awaitFirstByte)
 		}
 		select {
 		case <-changed:
@@ -279,15 +279,15 @@
 		return
 	}
 	p.mu.Lock()
-	p.out, p.name = out.(*net.TCPConn), out.LocalAddr().String()
+	p.server, p.serverSideAddr = out.(*net.TCPConn), out.LocalAddr().String()
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.carry(scenario.There, p.in, p.out) })
-	both.Go(func() { p.carry(scenario.Back, p.out, p.in) })
+	both.Go(func() { p.copyDirection(scenario.ToServer, p.client, p.server) })
+	both.Go(func() { p.copyDirection(scenario.ToClient, p.server, p.client) })
 	both.Wait()
 }
 
-func placeOf(a net.Addr) (p Place) {
+func addrOf(a net.Addr) (p Addr) {
 	if t, ok := a.(*net.TCPAddr); ok {
 		copy(p[:], t.IP.To4())
 	}
--- a/internal/harness/link/pair.go
+++ b/internal/harness/link/pair.go
@@ -13,56 +13,56 @@
 	"fernlanding/internal/harness/scenario"
 )
 
-// pair is one connection through a relay: the one that was taken and the one that goes on.
-type pair struct {
-	net        *Net
-	ends       Ends
-	group      string
-	deliveries bool
-	in         *net.TCPConn
-	name       string                    // of its far side, as the process there sees it
-	asked      atomic.Int64              // requests so far
-	answered   atomic.Bool               // something has come back since the last request began
-	came       atomic.Pointer[time.Time] // the first byte, of a connection that was made while its link was cut; nil: not before it was read
-
-	mu   sync.Mutex
-	out  *net.TCPConn
-	shut bool
-	over chan struct{} // closed with the connection
+// relayedConn is one connection through a relay: the one that was taken and the one that goes on.
+type relayedConn struct {
+	network        *Network
+	peers          Peers
+	group          string
+	deliveries     bool
+	client         *net.TCPConn
+	serverSideAddr string                    // of its far side, as the process there sees it
+	requests       atomic.Int64              // requests so far
+	responseBegun  atomic.Bool               // something has come back since the last request began
+	firstByteAt    atomic.Pointer[time.Time] // the first byte, of a connection that was made while its link was cut; nil: not before it was read
+
+	mu     sync.Mutex
+	server *net.TCPConn
+	closed bool
+	done   chan struct{} // closed with the connection
 }
 
-func (p *pair) close() {
+func (p *relayedConn) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.shut {
-		p.shut = true
-		close(p.over)
+	if !p.closed {
+		p.closed = true
+		close(p.done)
 	}
-	p.in.Close()
-	if p.out != nil {
-		p.out.Close()
+	p.client.Close()
+	if p.server != nil {
+		p.server.Close()
 	}
 }
 
 // reset ends both sides as a process that dies does.
-func (p *pair) reset() {
+func (p *relayedConn) reset() {
 	p.mu.Lock()
-	_ = p.in.SetLinger(0)
-	if p.out != nil {
-		_ = p.out.SetLinger(0)
+	_ = p.client.SetLinger(0)
+	if p.server != nil {
+		_ = p.server.SetLinger(0)
 	}
 	p.mu.Unlock()
 	p.close()
 }
 
-// half closes one direction.
-func (p *pair) half(way string) {
+// halfClose closes one direction.
+func (p *relayedConn) halfClose(way string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if way == scenario.Back {
-		_ = p.in.CloseWrite()
-	} else if p.out != nil {
-		_ = p.out.CloseWrite()
+	if way == scenario.ToClient {
+		_ = p.client.CloseWrite()
+	} else if p.server != nil {
+		_ = p.server.CloseWrite()
 	}
 }
 
@@ -72,38 +72,38 @@
 	due  time.Time
 }
 
-// carry hands on one direction, later or not at all where faults say so.
-func (p *pair) carry(way string, from, to *net.TCPConn) {
-	ahead := make(chan chunk, relayAhead)
+// copyDirection hands on one direction, later or not at all where faults say so.
+func (p *relayedConn) copyDirection(way string, from, to *net.TCPConn) {
+	ahead := make(chan chunk, maxQueuedChunks)
 	var writer sync.WaitGroup
-	writer.Go(func() { p.write(way, ahead, to) })
+	writer.Go(func() { p.writeDue(way, ahead, to) })
 	defer writer.Wait()
 	defer close(ahead)
 	var last time.Time
 	for {
-		buf := make([]byte, relayBuffer)
+		buf := make([]byte, chunkBytes)
 		n, err := from.Read(buf)
 		if n > 0 {
-			p.note(way)
+			p.countRequest(way)
 			due := time.Now()
-			rules, _ := p.net.now(p, way)
+			rules, _ := p.network.activeFaults(p, way)
 			for _, r := range rules {
 				if r.Kind == scenario.Delay {
-					due = due.Add(r.Delay + time.Duration(rand.Int64N(int64(r.More)+1)))
+					due = due.Add(r.Delay + time.Duration(rand.Int64N(int64(r.Jitter)+1)))
 				}
 			}
 			if due.Before(last) { // bytes keep their order
 				due = last
 			}
 			last = due
-			if !p.push(ahead, chunk{buf[:n], due}) {
+			if !p.enqueue(ahead, chunk{buf[:n], due}) {
 				return
 			}
 		}
 		switch {
 		case err == nil:
 		case errors.Is(err, io.EOF):
-			p.push(ahead, chunk{nil, last})
+			p.enqueue(ahead, chunk{nil, last})
 			return
 		default: // reset, or closed by us: the other side is to see that too
 			p.reset()
@@ -112,32 +112,32 @@
 	}
 }
 
-func (p *pair) push(ahead chan<- chunk, c chunk) bool {
+func (p *relayedConn) enqueue(ahead chan<- chunk, c chunk) bool {
 	select {
 	case ahead <- c:
 		return true
-	case <-p.over:
+	case <-p.done:
 		return false
 	}
 }
 
-// note counts requests: bytes that come after an answer has begun are the next one's.
-func (p *pair) note(way string) {
-	if way == scenario.Back {
-		p.answered.Store(true)
-	} else if n := p.asked.Load(); n == 0 || p.answered.Load() {
-		p.answered.Store(false)
+// countRequest counts requests: bytes that come after an answer has begun are the next one's.
+func (p *relayedConn) countRequest(way string) {
+	if way == scenario.ToClient {
+		p.responseBegun.Store(true)
+	} else if n := p.requests.Load(); n == 0 || p.responseBegun.Load() {
+		p.responseBegun.Store(false)
 		at := time.Now()
-		if came := p.came.Load(); n == 0 && came != nil {
+		if came := p.firstByteAt.Load(); n == 0 && came != nil {
 			at = *came
 		}
-		p.net.watch.Sent(p.ends, p.name, p.asked.Add(1), at)
+		p.network.watcher.Sent(p.peers, p.serverSideAddr, p.requests.Add(1), at)
 	}
 }
 
-// await notes when the first byte comes from whoever made the connection, and reads none. It ends with the connection.
-func (p *pair) await() {
-	raw, err := p.in.SyscallConn()
+// awaitFirstByte notes when the first byte comes from whoever made the connection, and reads none. It ends with the connection.
+func (p *relayedConn) awaitFirstByte() {
+	raw, err := p.client.SyscallConn()
 	if err != nil {
 		return
 	}
@@ -145,29 +145,29 @@
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		if now := time.Now(); err == nil && n > 0 {
-			p.came.Store(&now)
+			p.firstByteAt.Store(&now)
 		}
 		return !errors.Is(err, syscall.EAGAIN)
 	})
 }
 
-// write writes what is due.
-func (p *pair) write(way string, ahead <-chan chunk, to *net.TCPConn) {
+// writeDue writes what is due.
+func (p *relayedConn) writeDue(way string, ahead <-chan chunk, to *net.TCPConn) {
 	wrote := int64(0)
 	held := map[int]int{} // bytes that each holding fault has let pass
 	for c := range ahead {
-		if !p.wait(time.Until(c.due)) {
+		if !p.sleep(time.Until(c.due)) {
 			return
 		}
 		if c.data == nil {
-			if !p.clear(way) {
+			if !p.waitUnblocked(way) {
 				return
 			}
 			_ = to.CloseWrite()
 			continue
 		}
 		for len(c.data) > 0 {
-			n, rest, ok := p.pass(way, held, len(c.data))
+			n, rest, ok := p.waitForAllowance(way, held, len(c.data))
 			if !ok {
 				return
 			}
@@ -177,20 +177,20 @@
 			}
 			c.data = c.data[n:]
 			wrote += int64(n)
-			if !p.wait(rest) {
+			if !p.sleep(rest) {
 				return
 			}
 		}
-		if way == scenario.Back && p.deliveries {
-			p.net.watch.Delivered(p.ends, p.name, wrote)
+		if way == scenario.ToClient && p.deliveries {
+			p.network.watcher.Delivered(p.peers, p.serverSideAddr, wrote)
 		}
 	}
 }
 
-// pass waits until bytes may pass and says how many may, and how long it is until more may.
-func (p *pair) pass(way string, held map[int]int, want int) (n int, rest time.Duration, ok bool) {
+// waitForAllowance waits until bytes may pass and says how many may, and how long it is until more may.
+func (p *relayedConn) waitForAllowance(way string, held map[int]int, want int) (n int, rest time.Duration, ok bool) {
 	for {
-		rules, changed := p.net.now(p, way)
+		rules, changed := p.network.activeFaults(p, way)
 		n, rest = want, 0
 		for _, r := range rules {
 			switch r.Kind {
@@ -213,7 +213,7 @@
 		}
 		select {
 		case <-changed:
-		case <-p.over:
+		case <-p.done:
 			return 0, 0, false
 		}
 	}
@@ -221,13 +221,13 @@
 
 const slowTicks = 20 // pieces a second that a slowed link passes
 
-// clear waits until nothing blocks a direction.
-func (p *pair) clear(way string) bool {
-	_, _, ok := p.pass(way, map[int]int{}, 1)
+// waitUnblocked waits until nothing blocks a direction.
+func (p *relayedConn) waitUnblocked(way string) bool {
+	_, _, ok := p.waitForAllowance(way, map[int]int{}, 1)
 	return ok
 }
 
-func (p *pair) wait(d time.Duration) bool {
+func (p *relayedConn) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -236,7 +236,7 @@
 	select {
 	case <-t.C:
 		return true
-	case <-p.over:
+	case <-p.done:
 		return false
 	}
 }
--- a/internal/harness/play.go
+++ b/internal/harness/play.go
@@ -16,27 +16,27 @@
 	"fernlanding/internal/standin"
 )
 
-// play carries out the schedule.
-func (r *run) play(ctx context.Context) error {
+// runSchedule carries out the schedule.
+func (r *run) runSchedule(ctx context.Context) error {
 	began := time.Now()
-	if err := r.CarryOut(ctx, began, launch.Schedule{Faults: r.sc.Schedule(), Begin: r.begin}); err != nil {
+	if err := r.RunSchedule(ctx, began, launch.Schedule{Faults: r.spec.Schedule(), BeginFault: r.beginFault}); err != nil {
 		return fmt.Errorf("rig: %w", err)
 	}
-	if !sleep.Until(ctx, began.Add(r.sc.For)) {
+	if !sleep.Until(ctx, began.Add(r.spec.Duration)) {
 		return ctx.Err()
 	}
 	return nil
 }
 
-// begin begins a fault, and returns what ends it.
-func (r *run) begin(ctx context.Context, f scenario.Fault) (end func() error, err error) {
+// beginFault begins a fault, and returns what ends it.
+func (r *run) beginFault(ctx context.Context, f scenario.Fault) (end func() error, err error) {
 	none := func() error { return nil }
 	switch f.Kind {
 	case scenario.Cut, scenario.OneWay, scenario.Delay, scenario.Hold, scenario.Reset, scenario.Half, scenario.Slow:
 		stop := r.Links.Begin(f)
 		return func() error { stop(); return nil }, nil
 	case scenario.Stop:
-		names := r.processes(f)
+		names := r.targetProcesses(f)
 		for _, n := range names {
 			r.Processes.Stop(n)
 		}
@@ -47,48 +47,48 @@
 			return nil
 		}, nil
 	case scenario.Kill, scenario.Term:
-		return r.away(ctx, f)
+		return r.beginOutage(ctx, f)
 	case scenario.ListDown, scenario.ListSilent, scenario.ListHalf, scenario.ListEmpty, scenario.ListOlder:
 		mode := func(word string) error {
 			var all []error
 			for _, n := range f.Names {
-				all = append(all, r.Processes.Say(n, worker.Command{Do: worker.DoMode, Mode: word}))
+				all = append(all, r.Processes.SendCommand(n, worker.Command{Do: worker.DoMode, Mode: word}))
 			}
 			return errors.Join(all...)
 		}
 		return func() error { return mode(standin.ListWell.String()) }, mode(string(f.Kind))
 	case scenario.Choke, scenario.Fail:
 		do := map[scenario.Kind]string{scenario.Choke: worker.DoChoke, scenario.Fail: worker.DoFail}[f.Kind]
-		return func() error { return r.backends(worker.Command{Do: do, Names: f.Names}) }, r.backends(worker.Command{Do: do, Names: f.Names, On: true})
+		return func() error { return r.commandBackends(worker.Command{Do: do, Names: f.Names}) }, r.commandBackends(worker.Command{Do: do, Names: f.Names, On: true})
 	case scenario.Replace:
-		return r.replace(ctx, f)
+		return r.beginReplacement(ctx, f)
 	case scenario.Moved:
-		r.later(ctx, noticeAfter, func() { r.state("DELETED", f.Names...) })
+		r.runAfter(ctx, deregisterDelay, func() { r.setBackendStatus("DELETED", f.Names...) })
 		return func() error {
-			if err := r.backends(worker.Command{Do: worker.DoMove, Names: f.Names}); err != nil {
+			if err := r.commandBackends(worker.Command{Do: worker.DoMove, Names: f.Names}); err != nil {
 				return err
 			}
-			r.state("SERVING", f.Names...)
+			r.setBackendStatus("SERVING", f.Names...)
 			return nil
-		}, r.backends(worker.Command{Do: worker.DoMove, Names: f.Names, On: true})
+		}, r.commandBackends(worker.Command{Do: worker.DoMove, Names: f.Names, On: true})
 	}
 	return none, fmt.Errorf("no such fault: %s", f.Kind)
 }
 
-// processes are the processes that a fault acts on.
-func (r *run) processes(f scenario.Fault) []string {
-	if f.On == scenario.OnBackends {
-		return r.backs
+// targetProcesses are the processes that a fault acts on.
+func (r *run) targetProcesses(f scenario.Fault) []string {
+	if f.Group == scenario.OnBackends {
+		return r.backendProcesses
 	}
 	return f.Names
 }
 
-// away ends processes, and starts them again when the fault ends.
-func (r *run) away(ctx context.Context, f scenario.Fault) (func() error, error) {
-	names := r.processes(f)
-	lost := r.workersOf(names)
-	if len(lost) > 0 && !f.Unnoticed { // they leave the list a while after
-		r.later(ctx, noticeAfter, func() { r.state("DELETED", lost...) })
+// beginOutage ends processes, and starts them again when the fault ends.
+func (r *run) beginOutage(ctx context.Context, f scenario.Fault) (func() error, error) {
+	names := r.targetProcesses(f)
+	lost := r.backendsOf(names)
+	if len(lost) > 0 && !f.KeepListed { // they leave the list a while after
+		r.runAfter(ctx, deregisterDelay, func() { r.setBackendStatus("DELETED", lost...) })
 	}
 	if f.Kind == scenario.Kill {
 		for _, n := range names {
@@ -101,57 +101,57 @@
 		for _, n := range names {
 			r.Processes.Kill(n) // those that have not ended yet
 			var err error
-			switch i := scenario.Number(n); {
+			switch i := scenario.Index(n); {
 			case strings.HasPrefix(n, "sidecar-"):
 				err = r.startSidecar(i)
 			case strings.HasPrefix(n, "list-"):
-				err = r.startList(ctx, i)
+				err = r.startListService(ctx, i)
 			default:
-				err = r.startBackends(ctx, i, true)
+				err = r.startBackendProcess(ctx, i, true)
 			}
 			if err != nil {
 				return err
 			}
 		}
 		if len(lost) > 0 {
-			r.state("SERVING", lost...)
+			r.setBackendStatus("SERVING", lost...)
 		}
 		return nil
 	}, nil
 }
 
-// workersOf are the backends of those processes that have any.
-func (r *run) workersOf(names []string) (out []string) {
-	for i, w := range r.workers {
-		if slices.Contains(names, r.backs[i%len(r.backs)]) {
+// backendsOf are the backends of those processes that have any.
+func (r *run) backendsOf(names []string) (out []string) {
+	for i, w := range r.backendNames {
+		if slices.Contains(names, r.backendProcesses[i%len(r.backendProcesses)]) {
 			out = append(out, w)
 		}
 	}
 	return out
 }
 
-// replace drains backends, ends them a while after, and starts them again, cold, when the fault ends.
-func (r *run) replace(ctx context.Context, f scenario.Fault) (func() error, error) {
-	r.state("DRAINING", f.Names...)
+// beginReplacement drains backends, ends them a while after, and starts them again, cold, when the fault ends.
+func (r *run) beginReplacement(ctx context.Context, f scenario.Fault) (func() error, error) {
+	r.setBackendStatus("DRAINING", f.Names...)
 	down := make(chan struct{})
 	r.Faults.Go(func() {
 		defer close(down)
-		if sleep.For(ctx, min(drainFor, f.For)) {
-			_ = r.backends(worker.Command{Do: worker.DoEnd, Names: f.Names})
-			r.state("DELETED", f.Names...)
+		if sleep.For(ctx, min(drainDuration, f.Duration)) {
+			_ = r.commandBackends(worker.Command{Do: worker.DoEnd, Names: f.Names})
+			r.setBackendStatus("DELETED", f.Names...)
 		}
 	})
 	return func() error {
 		<-down
-		if err := r.backends(worker.Command{Do: worker.DoStart, Names: f.Names}); err != nil {
+		if err := r.commandBackends(worker.Command{Do: worker.DoStart, Names: f.Names}); err != nil {
 			return err
 		}
-		r.state("SERVING", f.Names...)
+		r.setBackendStatus("SERVING", f.Names...)
 		return nil
 	}, nil
 }
 
-func (r *run) later(ctx context.Context, after time.Duration, f func()) {
+func (r *run) runAfter(ctx context.Context, after time.Duration, f func()) {
 	r.Faults.Go(func() {
 		if sleep.For(ctx, after) {
 			f()
@@ -159,24 +159,24 @@
 	})
 }
 
-// backends tells all processes of backends; each knows which are its own.
-func (r *run) backends(c worker.Command) error {
+// commandBackends tells all processes of backends; each knows which are its own.
+func (r *run) commandBackends(c worker.Command) error {
 	var all []error
-	for _, p := range r.backs {
-		all = append(all, r.Processes.Say(p, c))
+	for _, p := range r.backendProcesses {
+		all = append(all, r.Processes.SendCommand(p, c))
 	}
 	return errors.Join(all...)
 }
 
-// state changes what the lists say of backends. One that serves again has started anew.
-func (r *run) state(status string, names ...string) {
+// setBackendStatus changes what the lists say of backends. One that serves again has started anew.
+func (r *run) setBackendStatus(status string, names ...string) {
 	var all []standin.Member
 	r.mu.Lock()
 	for _, n := range names {
 		m, ok := r.members[n]
 		if !ok {
-			i := r.names[n]
-			m = standin.Member{Name: n, Address: fmt.Sprintf(":%d", r.backPort[i]), Zone: r.sc.Site(i), Group: i % pods, Weight: 1}
+			i := r.backendIndex[n]
+			m = standin.Member{Name: n, Address: fmt.Sprintf(":%d", r.backendRelayPorts[i]), Zone: r.spec.Site(i), Group: i % podCount, Weight: 1}
 		}
 		if status == "SERVING" {
 			m.SinceMs = time.Now().UnixMilli()
@@ -185,11 +185,11 @@
 		all = append(all, m)
 	}
 	r.mu.Unlock()
-	r.change(all...)
+	r.updateMembers(all...)
 }
 
-// change enters members and tells the list services that run.
-func (r *run) change(all ...standin.Member) {
+// updateMembers enters members and tells the list services that run.
+func (r *run) updateMembers(all ...standin.Member) {
 	r.mu.Lock()
 	for _, m := range all {
 		if m.Status == "DELETED" {
@@ -200,9 +200,9 @@
 	}
 	r.mu.Unlock()
 	for _, m := range all {
-		r.Tell(history.Event{Kind: history.Member, Who: m.Name, Why: m.Status})
+		r.Record(history.Event{Kind: history.MemberStatus, Who: m.Name, Why: m.Status})
 	}
-	for _, l := range r.lists {
-		_ = r.Processes.Say(l, worker.Command{Do: worker.DoMembers, Members: all}) // one that is down is told all at its start
+	for _, l := range r.listNames {
+		_ = r.Processes.SendCommand(l, worker.Command{Do: worker.DoMembers, Members: all}) // one that is down is told all at its start
 	}
 }
--- a/internal/harness/process/process.go
+++ b/internal/harness/process/process.go
@@ -23,47 +23,47 @@
 
 // Spec is what a process is started from.
 type Spec struct {
-	Name    string
-	Args    []string
-	Env     []string
-	Talks   bool            // its standard input stays open for commands
-	Read    func(io.Reader) // reads its standard output until its end; nil: discarded
-	ReadErr func(io.Reader) // the same of its standard error; nil: the rig's own
-	Sockets int             // bound on its descriptors; 0: none
+	Name       string
+	Args       []string
+	Env        []string
+	Stdin      bool            // its standard input stays open for commands
+	ReadStdout func(io.Reader) // reads its standard output until its end; nil: discarded
+	ReadStderr func(io.Reader) // the same of its standard error; nil: the rig's own
+	MaxFiles   int             // bound on its descriptors; 0: none
 }
 
-// Running is a process that runs.
-type Running struct {
-	cmd    *exec.Cmd
-	in     io.WriteCloser
-	ended  chan struct{} // closed when it has been reaped and its output read
-	killed bool          // by the rig, or told to end
+// runningProcess is a process that runs.
+type runningProcess struct {
+	cmd           *exec.Cmd
+	stdin         io.WriteCloser
+	exited        chan struct{} // closed when it has been reaped and its output read
+	exitRequested bool          // by the rig, or told to end
 }
 
 // Set starts and ends the processes of a run. Each dies with the one that has started it.
 type Set struct {
-	tell    func(history.Event)
+	record  func(history.Event)
 	starter *spawn.Starter
 
-	mu    sync.Mutex
-	all   map[string]*Running
-	count int
-	done  bool
+	mu      sync.Mutex
+	running map[string]*runningProcess
+	started int
+	closed  bool
 }
 
 // New returns a set without processes; tell gets the events of their lives.
 func New(tell func(history.Event)) *Set {
-	return &Set{tell: tell, starter: spawn.New(), all: map[string]*Running{}}
+	return &Set{record: tell, starter: spawn.New(), running: map[string]*runningProcess{}}
 }
 
-var errNotThere = errors.New("no such process")
+var ErrNotRunning = errors.New("no such process")
 
 // Start starts a process. One of its name must not run.
 func (p *Set) Start(x Spec) error {
 	if len(x.Args) == 0 {
 		return fmt.Errorf("%s: no program", x.Name)
 	}
-	a := &Running{ended: make(chan struct{})}
+	a := &runningProcess{exited: make(chan struct{})}
 	a.cmd = exec.Command(x.Args[0], x.Args[1:]...)
 	a.cmd.Env = append(os.Environ(), x.Env...)
 	a.cmd.Stderr = os.Stderr
@@ -78,37 +78,37 @@
 		}
 		return err
 	}
-	if x.ReadErr != nil {
+	if x.ReadStderr != nil {
 		a.cmd.Stderr = nil
 	}
-	err := errors.Join(pipe(a.cmd.StdoutPipe, x.Read), pipe(a.cmd.StderrPipe, x.ReadErr))
-	if x.Talks && err == nil {
-		a.in, err = a.cmd.StdinPipe()
+	err := errors.Join(pipe(a.cmd.StdoutPipe, x.ReadStdout), pipe(a.cmd.StderrPipe, x.ReadStderr))
+	if x.Stdin && err == nil {
+		a.stdin, err = a.cmd.StdinPipe()
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", x.Name, err)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.done {
+	if p.closed {
 		return fmt.Errorf("%s: the run is over", x.Name)
 	}
-	if p.all[x.Name] != nil {
+	if p.running[x.Name] != nil {
 		return fmt.Errorf("%s runs already", x.Name)
 	}
 	if err := p.starter.Start(a.cmd); err != nil {
 		return fmt.Errorf("%s: %w", x.Name, err)
 	}
 	pid := a.cmd.Process.Pid
-	if x.Sockets > 0 {
-		bound := unix.Rlimit{Cur: uint64(x.Sockets), Max: uint64(x.Sockets)}
+	if x.MaxFiles > 0 {
+		bound := unix.Rlimit{Cur: uint64(x.MaxFiles), Max: uint64(x.MaxFiles)}
 		if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &bound, nil); err != nil {
-			p.tell(history.Event{Kind: history.Log, Who: x.Name, Why: "no bound on descriptors: " + err.Error()})
+			p.record(history.Event{Kind: history.Log, Who: x.Name, Why: "no bound on descriptors: " + err.Error()})
 		}
 	}
-	p.all[x.Name] = a
-	p.count++
-	p.tell(history.Event{Kind: history.Started, Who: x.Name, N: int64(pid)})
+	p.running[x.Name] = a
+	p.started++
+	p.record(history.Event{Kind: history.Started, Who: x.Name, N: int64(pid)})
 	go func() {
 		var all sync.WaitGroup
 		for _, r := range readers {
@@ -121,60 +121,60 @@
 			why = err.Error()
 		}
 		p.mu.Lock()
-		if !a.killed {
+		if !a.exitRequested {
 			why = "by itself: " + why
 		}
-		delete(p.all, x.Name)
+		delete(p.running, x.Name)
 		p.mu.Unlock()
-		p.tell(history.Event{Kind: history.Gone, Who: x.Name, Why: why})
-		close(a.ended)
+		p.record(history.Event{Kind: history.Exited, Who: x.Name, Why: why})
+		close(a.exited)
 	}()
 	return nil
 }
 
-func (p *Set) get(name string) *Running {
+func (p *Set) lookup(name string) *runningProcess {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.all[name]
+	return p.running[name]
 }
 
 // PID is the process's id; 0 where it does not run.
 func (p *Set) PID(name string) int {
-	if a := p.get(name); a != nil {
+	if a := p.lookup(name); a != nil {
 		return a.cmd.Process.Pid
 	}
 	return 0
 }
 
-// Write writes a line to a process's standard input.
-func (p *Set) Write(name string, line []byte) error {
-	a := p.get(name)
-	if a == nil || a.in == nil {
-		return fmt.Errorf("%s: %w", name, errNotThere)
+// WriteLine writes a line to a process's standard input.
+func (p *Set) WriteLine(name string, line []byte) error {
+	a := p.lookup(name)
+	if a == nil || a.stdin == nil {
+		return fmt.Errorf("%s: %w", name, ErrNotRunning)
 	}
-	_, err := a.in.Write(append(line, '\n'))
+	_, err := a.stdin.Write(append(line, '\n'))
 	return err
 }
 
-// Say gives a process a command.
-func (p *Set) Say(name string, command any) error {
+// SendCommand gives a process a command.
+func (p *Set) SendCommand(name string, command any) error {
 	line, err := json.Marshal(command)
 	if err != nil {
 		return err
 	}
-	return p.Write(name, line)
+	return p.WriteLine(name, line)
 }
 
 // signal sends a signal. A process that is gone gets none.
-func (p *Set) signal(name string, s syscall.Signal, ends bool) *Running {
+func (p *Set) signal(name string, s syscall.Signal, ends bool) *runningProcess {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	a := p.all[name]
+	a := p.running[name]
 	if a == nil {
 		return nil
 	}
 	if ends {
-		a.killed = true
+		a.exitRequested = true
 	}
 	_ = a.cmd.Process.Signal(s) // it may have ended just now; os.Process never signals another's id
 	return a
@@ -182,33 +182,33 @@
 
 // Kill kills a process and waits until it is gone.
 func (p *Set) Kill(name string) {
-	if p.get(name) != nil {
-		p.tell(history.Event{Kind: history.Told, Who: name, Why: "killed"}) // before anybody can feel it
+	if p.lookup(name) != nil {
+		p.record(history.Event{Kind: history.Terminating, Who: name, Why: "killed"}) // before anybody can feel it
 	}
 	if a := p.signal(name, syscall.SIGKILL, true); a != nil {
-		<-a.ended
+		<-a.exited
 	}
 }
 
 // Stop stops a process (SIGSTOP).
 func (p *Set) Stop(name string) {
 	if p.signal(name, syscall.SIGSTOP, false) != nil {
-		p.tell(history.Event{Kind: history.Stopped, Who: name})
+		p.record(history.Event{Kind: history.Stopped, Who: name})
 	}
 }
 
 // Continue lets a stopped process go on.
 func (p *Set) Continue(name string) {
 	if p.signal(name, syscall.SIGCONT, false) != nil {
-		p.tell(history.Event{Kind: history.Continued, Who: name})
+		p.record(history.Event{Kind: history.Continued, Who: name})
 	}
 }
 
 // Terminate tells processes to end, and waits for that, no longer than a time; 0: it does not wait.
 func (p *Set) Terminate(names []string, within time.Duration) error {
-	var told []*Running
+	var told []*runningProcess
 	for _, n := range names {
-		p.tell(history.Event{Kind: history.Told, Who: n})
+		p.record(history.Event{Kind: history.Terminating, Who: n})
 		if a := p.signal(n, syscall.SIGTERM, true); a != nil {
 			p.signal(n, syscall.SIGCONT, true) // a stopped one could not hear it
 			told = append(told, a)
@@ -222,7 +222,7 @@
 	left := 0
 	for _, a := range told {
 		select {
-		case <-a.ended:
+		case <-a.exited:
 		case <-late.C:
 			late.Reset(0)
 			left++
@@ -234,33 +234,33 @@
 	return nil
 }
 
-// End kills what is left, and returns how many of the processes that were ever started are still there after that.
-func (p *Set) End() (left int) {
+// Close kills what is left, and returns how many of the processes that were ever started are still there after that.
+func (p *Set) Close() (left int) {
 	p.mu.Lock()
-	p.done = true
-	var all []*Running
-	for _, a := range p.all {
-		a.killed = true
+	p.closed = true
+	var all []*runningProcess
+	for _, a := range p.running {
+		a.exitRequested = true
 		_ = a.cmd.Process.Kill()
 		all = append(all, a)
 	}
 	p.mu.Unlock()
 	for _, a := range all {
-		<-a.ended
+		<-a.exited
 	}
 	p.starter.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.all)
+	return len(p.running)
 }
 
-// Resident is what a process holds in memory, in bytes; 0 where that can't be read.
-func Resident(pid int) int64 {
-	return kilobytes(fmt.Sprintf("/proc/%d/status", pid), "VmRSS:")
+// ResidentBytes is what a process holds in memory, in bytes; 0 where that can't be read.
+func ResidentBytes(pid int) int64 {
+	return readKilobytes(fmt.Sprintf("/proc/%d/status", pid), "VmRSS:")
 }
 
-// Waited is how long all threads of a process have been ready to run and waited for a core; 0 where that can't be read.
-func Waited(pid int) (sum time.Duration) {
+// CPUWait is how long all threads of a process have been ready to run and waited for a core; 0 where that can't be read.
+func CPUWait(pid int) (sum time.Duration) {
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // the pattern is right
 	for _, file := range files {
 		data, err := os.ReadFile(file)
@@ -275,10 +275,10 @@
 	return sum
 }
 
-// Available is the machine's memory that is free for processes, in bytes; 0 where that can't be read.
-func Available() int64 { return kilobytes("/proc/meminfo", "MemAvailable:") }
+// AvailableBytes is the machine's memory that is free for processes, in bytes; 0 where that can't be read.
+func AvailableBytes() int64 { return readKilobytes("/proc/meminfo", "MemAvailable:") }
 
-func kilobytes(file, field string) int64 {
+func readKilobytes(file, field string) int64 {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return 0
--- a/internal/harness/rig_test.go
+++ b/internal/harness/rig_test.go
@@ -46,7 +46,7 @@
 
 // options are those of a run with this program under test, the naive stand-in where it is the test itself.
 func options(sidecar string, env ...string) harness.Options {
-	o := harness.Options{Sidecar: []string{sidecar}, Actor: harnesstest.InRole(roleVar, "actor"), Env: env}
+	o := harness.Options{Sidecar: []string{sidecar}, Worker: harnesstest.InRole(roleVar, "actor"), Env: env}
 	if sidecar == harnesstest.Self() {
 		o.Sidecar = harnesstest.InRole(roleVar, "naive")
 	}
--- a/internal/harness/rollout/check/breaches_test.go
+++ b/internal/harness/rollout/check/breaches_test.go
@@ -157,7 +157,7 @@
 			[]history.Event{
 				inForce(1*second, 0, 1),
 				{
-					At: 2 * second, Kind: history.Used, Who: relay,
+					At: 2 * second, Kind: history.Usage, Who: relay,
 					Figures: map[string]float64{history.UsedResident: 65 << 20},
 				},
 			},
@@ -170,7 +170,7 @@
 			"a process that ends by itself", check.Processes, 1,
 			[]history.Event{
 				inForce(1*second, 0, 1),
-				{At: 2 * second, Kind: history.Gone, Who: relay, Why: "by itself: exit status 2"},
+				{At: 2 * second, Kind: history.Exited, Who: relay, Why: "by itself: exit status 2"},
 			},
 		},
 	} {
--- a/internal/harness/rollout/check/delivery.go
+++ b/internal/harness/rollout/check/delivery.go
@@ -14,7 +14,7 @@
 		var latest distribution.Version
 		for _, e := range r.states[key] {
 			switch {
-			case e.Kind == history.Refused:
+			case e.Kind == history.UpdateRejected:
 			case e.Kind == history.Subscribed && e.Version.IsZero():
 				latest = distribution.Version{}
 			case latest.After(e.Version):
--- a/internal/harness/rollout/check/fixture_test.go
+++ b/internal/harness/rollout/check/fixture_test.go
@@ -120,7 +120,7 @@
 	counts := []distribution.VersionCount{{Version: version(n), Proxies: proxies}}
 	return history.Event{
 		At:       at,
-		Kind:     history.Reported,
+		Kind:     history.StatusReported,
 		Resource: resource,
 		Report:   &distribution.ResourceStatus{Resource: resource, Counts: counts},
 	}
@@ -149,14 +149,14 @@
 
 // waited returns that a process's threads waited for a core.
 func waited(who string, at, took int64) history.Event {
-	return history.Event{At: at, Kind: history.Waited, Who: who, N: at - 50*ms, Took: took}
+	return history.Event{At: at, Kind: history.CPUWaited, Who: who, N: at - 50*ms, Took: took}
 }
 
 // used returns how many bytes the follower has sent and received.
 func used(at int64, bytes float64) history.Event {
 	return history.Event{
 		At:      at,
-		Kind:    history.Used,
+		Kind:    history.Usage,
 		Who:     "followers-1",
 		Figures: map[string]float64{history.UsedBytes: bytes, history.UsedFollowers: 1},
 	}
--- a/internal/harness/rollout/check/metrics.go
+++ b/internal/harness/rollout/check/metrics.go
@@ -95,13 +95,13 @@
 			if e.From.IsZero() {
 				m.Snapshots++
 			}
-		case history.Refused:
+		case history.UpdateRejected:
 			m.Rejected++
 		case history.Subscribed:
 			if !e.Version.IsZero() {
 				m.Resumed++
 			}
-		case history.Reported:
+		case history.StatusReported:
 			m.Reports++
 		default: // not counted
 		}
--- a/internal/harness/rollout/check/near_misses_test.go
+++ b/internal/harness/rollout/check/near_misses_test.go
@@ -33,7 +33,7 @@
 		},
 		{"a version that is refused in time", 2, []history.Event{
 			put(1*second, 1, false),
-			{At: 2 * second, Kind: history.Refused, Who: follower, Resource: resource, Version: version(1)},
+			{At: 2 * second, Kind: history.UpdateRejected, Who: follower, Resource: resource, Version: version(1)},
 			put(20*second, 2, false), inForce(21*second, 0, 2),
 		}},
 		{
@@ -136,7 +136,7 @@
 		{"memory and bytes at their bounds", 1, []history.Event{
 			inForce(1*second, 0, 1), used(90*second, 0), used(95*second, 500),
 			{
-				At: 2 * second, Kind: history.Used, Who: relay,
+				At: 2 * second, Kind: history.Usage, Who: relay,
 				Figures: map[string]float64{history.UsedResident: 64 << 20},
 			},
 		}},
@@ -144,7 +144,7 @@
 			"a process that was killed", 1,
 			[]history.Event{
 				inForce(1*second, 0, 1),
-				{At: 2 * second, Kind: history.Gone, Who: relay, Why: "signal: killed"},
+				{At: 2 * second, Kind: history.Exited, Who: relay, Why: "signal: killed"},
 			},
 		},
 	} {
--- a/internal/harness/rollout/check/processes.go
+++ b/internal/harness/rollout/check/processes.go
@@ -13,7 +13,7 @@
 	ended := false
 	for _, e := range r.all {
 		switch {
-		case e.Kind == history.Gone && endedByItself(e.Why):
+		case e.Kind == history.Exited && endedByItself(e.Why):
 			verdicts = append(verdicts, verdict(Processes, e.At, "%s has ended: %s", e.Who, e.Why))
 		case e.Kind == history.Ended:
 			ended = true
--- a/internal/harness/rollout/check/record.go
+++ b/internal/harness/rollout/check/record.go
@@ -89,7 +89,7 @@
 // addEvent indexes an event.
 func (r *record) addEvent(schedule []plan.Fault, e history.Event) {
 	switch e.Kind {
-	case history.Subscribed, history.Refused:
+	case history.Subscribed, history.UpdateRejected:
 		r.addState(e)
 	case history.InForce:
 		r.addState(e)
@@ -100,18 +100,18 @@
 		}
 	case history.Fault:
 		r.addFault(schedule, e)
-	case history.Waited:
+	case history.CPUWaited:
 		r.cpuWaits[e.Who] = append(r.cpuWaits[e.Who], e)
 	case history.Lag:
 		if !r.wasStopped(e) {
 			r.lags = append(r.lags, span{from: e.At - e.Took, to: e.At})
 		}
-	case history.Reported:
+	case history.StatusReported:
 		r.reports[e.Resource] = append(r.reports[e.Resource], e)
 	case history.Source:
 		r.atSource[e.Resource] = e
 		r.sourceReads = append(r.sourceReads, e)
-	case history.Used:
+	case history.Usage:
 		r.usage[e.Who] = append(r.usage[e.Who], e)
 	default: // no check needs an index of it
 	}
@@ -175,7 +175,7 @@
 // no digest until the next update.
 func (r *record) last(key following) (last history.Event) {
 	for _, e := range r.states[key] {
-		if e.Kind != history.Refused {
+		if e.Kind != history.UpdateRejected {
 			last = e
 		}
 	}
--- a/internal/harness/rollout/check/status.go
+++ b/internal/harness/rollout/check/status.go
@@ -99,7 +99,7 @@
 func (r *record) hadBy(keys []following, v distribution.Version, at int64) (followers int) {
 	for _, key := range keys {
 		had := slices.ContainsFunc(r.states[key], func(e history.Event) bool {
-			return e.Kind != history.Refused && e.Version == v && e.At <= at
+			return e.Kind != history.UpdateRejected && e.Version == v && e.At <= at
 		})
 		if had {
 			followers++
--- a/internal/harness/rollout/execute.go
+++ b/internal/harness/rollout/execute.go
@@ -22,17 +22,17 @@
 	waits := r.recordCPUWaits(nil) // the first sample: the next ones are compared with it, so that no wait is missed
 	began := time.Now()
 	r.startedAt = r.Clock.Now()
-	err := r.Processes.Say(plan.PublisherName, worker.Command{Do: worker.DoBegin, At: r.startedAt})
+	err := r.Processes.SendCommand(plan.PublisherName, worker.Command{Do: worker.DoBegin, At: r.startedAt})
 	if err != nil {
 		return fmt.Errorf("rollout: %w", err)
 	}
 	observing, stop := context.WithCancel(ctx)
 	r.Faults.Go(func() { r.observeServers(observing) })
 	r.Faults.Go(func() { r.observeCPUWaits(observing, waits) })
-	r.Faults.Go(func() { history.WatchLag(observing, rigName, r.Clock, r.Tell) })
+	r.Faults.Go(func() { history.WatchLag(observing, rigName, r.Clock, r.Record) })
 	defer stop()
-	schedule := launch.Schedule{Faults: r.sc.Schedule(), Begin: r.beginFault, ToldMended: true}
-	if err := r.CarryOut(ctx, began, schedule); err != nil {
+	schedule := launch.Schedule{Faults: r.sc.Schedule(), BeginFault: r.beginFault, RecordEndAfterRecovery: true}
+	if err := r.RunSchedule(ctx, began, schedule); err != nil {
 		return fmt.Errorf("rollout: %w", err)
 	}
 	if !sleep.Until(ctx, began.Add(r.sc.For+r.sc.Settle)) {
@@ -69,7 +69,7 @@
 		return r.killBetweenPuts(ctx), nil
 	case plan.RestartFollowers:
 		return func() error { return nil }, forEach(f.Names, func(name string) error {
-			return r.Processes.Say(name, worker.Command{Do: worker.DoRestart})
+			return r.Processes.SendCommand(name, worker.Command{Do: worker.DoRestart})
 		})
 	default: // a fault of links
 		endOnLinks := r.Links.Begin(f)
--- a/internal/harness/rollout/network.go
+++ b/internal/harness/rollout/network.go
@@ -24,9 +24,9 @@
 	servers := r.servers()
 	return r.OpenLinks(len(servers)+extraPorts, noWatcher{}, func(network, port int) error {
 		r.serverPort = port
-		r.places = make(map[string]link.Place)
+		r.places = make(map[string]link.Addr)
 		for i, name := range slices.Concat(servers, []string{plan.PublisherName}, r.sc.FollowerNames()) {
-			r.places[name] = link.PlaceOf(network, i)
+			r.places[name] = link.AddrOf(network, i)
 		}
 		return r.listenOnLinks()
 	})
@@ -34,20 +34,20 @@
 
 // listenOnLinks opens the links to the source and to each relay.
 func (r *run) listenOnLinks() error {
-	names := make(map[link.Place]string, len(r.places))
+	names := make(map[link.Addr]string, len(r.places))
 	for name, place := range r.places {
 		names[place] = name
 	}
 	port := r.serverPort
 	for _, server := range r.servers() {
-		to := func(at link.Place) (link.Ends, string, bool) {
+		to := func(at link.Addr) (link.Peers, string, bool) {
 			name, known := names[at]
-			return link.Ends{From: name, To: server}, r.address(server), known
+			return link.Peers{From: name, To: server}, r.address(server), known
 		}
 		for _, group := range r.sc.LinksTo(server) {
 			port++
 			r.linkPorts[linkEnd{link: group, server: server}] = port
-			if err := r.Links.Listen(link.Relay{Group: group, Port: port, To: to}); err != nil {
+			if err := r.Links.Listen(link.Relay{Group: group, Port: port, Route: to}); err != nil {
 				return err
 			}
 		}
@@ -71,10 +71,10 @@
 type noWatcher struct{}
 
 // Opened implements link.Watcher.
-func (noWatcher) Opened(link.Ends) {}
+func (noWatcher) Opened(link.Peers) {}
 
 // Sent implements link.Watcher.
-func (noWatcher) Sent(link.Ends, string, int64, time.Time) {}
+func (noWatcher) Sent(link.Peers, string, int64, time.Time) {}
 
 // Delivered implements link.Watcher.
-func (noWatcher) Delivered(link.Ends, string, int64) {}
+func (noWatcher) Delivered(link.Peers, string, int64) {}
--- a/internal/harness/rollout/observe.go
+++ b/internal/harness/rollout/observe.go
@@ -56,13 +56,13 @@
 	if r.get(ctx, name, "/v1/stats", &stats) != nil {
 		return // it is down, or stopped
 	}
-	figures := map[string]float64{history.UsedResident: float64(process.Resident(r.Processes.PID(name)))}
+	figures := map[string]float64{history.UsedResident: float64(process.ResidentBytes(r.Processes.PID(name)))}
 	for field, value := range stats {
 		if number, ok := value.(float64); ok {
 			figures[field] = number
 		}
 	}
-	r.Tell(history.Event{Kind: history.Used, Who: name, Figures: figures})
+	r.Record(history.Event{Kind: history.Usage, Who: name, Figures: figures})
 }
 
 // recordStatus records the source's in-force report of a resource.
@@ -71,7 +71,7 @@
 	if r.get(ctx, plan.Source, "/v1/status?resource="+url.QueryEscape(resource), &status) != nil {
 		return // it is down, or stopped
 	}
-	r.Tell(history.Event{Kind: history.Reported, Who: plan.Source, Resource: resource, Report: &status})
+	r.Record(history.Event{Kind: history.StatusReported, Who: plan.Source, Resource: resource, Report: &status})
 }
 
 // recordResource records the version and the items of a resource that the source has.
@@ -79,11 +79,11 @@
 	began := r.Clock.Now()
 	var u distribution.Update
 	if err := r.get(ctx, plan.Source, "/v1/resource?name="+url.QueryEscape(resource), &u); err != nil {
-		r.Tell(history.Event{Kind: history.Log, Who: plan.Source, Resource: resource, Why: err.Error()})
+		r.Record(history.Event{Kind: history.Log, Who: plan.Source, Resource: resource, Why: err.Error()})
 		return
 	}
 	now := r.Clock.Now()
-	r.Tell(history.Event{
+	r.Record(history.Event{
 		At:       now,
 		Kind:     history.Source,
 		Who:      plan.Source,
@@ -138,11 +138,11 @@
 	samples := make(map[int]cpuSample)
 	for _, name := range slices.Concat(r.servers(), r.sc.Names(plan.OnFollowers)) {
 		pid := r.Processes.PID(name)
-		samples[pid] = cpuSample{at: r.Clock.Now(), waited: process.Waited(pid)}
+		samples[pid] = cpuSample{at: r.Clock.Now(), waited: process.CPUWait(pid)}
 		last, known := previous[pid]
 		waited := samples[pid].waited - last.waited
 		if known && waited >= minCPUWait {
-			r.Tell(history.Event{Kind: history.Waited, Who: name, N: last.at, Took: waited.Microseconds()})
+			r.Record(history.Event{Kind: history.CPUWaited, Who: name, N: last.at, Took: waited.Microseconds()})
 		}
 	}
 	return samples
--- a/internal/harness/rollout/plan/decode.go
+++ b/internal/harness/rollout/plan/decode.go
@@ -146,19 +146,19 @@
 // decodeFault decodes one fault, and validates it against the processes of the run.
 func (sc *Scenario) decodeFault(s tomldoc.Scope) Fault {
 	f := Fault{
-		At:    s.Span("at", 0, 0, MaxFor),
-		For:   s.Span("for", time.Second, time.Millisecond, MaxFor),
-		Kind:  scenario.Kind(s.Word("kind", "", kindNames...)),
-		Way:   s.Word("way", scenario.Both, scenario.Both, scenario.There, scenario.Back),
-		Site:  s.Text("zone", ""),
-		Names: s.Texts("names"),
-		Share: s.Number("share", 0, 0, 1),
-		Delay: s.Span("delay", 0, 0, time.Minute),
-		More:  s.Span("jitter", 0, 0, time.Minute),
-		Rate:  int(s.Whole("rate", 0, 0, 1<<30)),
+		At:        s.Span("at", 0, 0, MaxFor),
+		Duration:  s.Span("for", time.Second, time.Millisecond, MaxFor),
+		Kind:      scenario.Kind(s.Word("kind", "", kindNames...)),
+		Direction: s.Word("way", scenario.BothDirections, scenario.BothDirections, scenario.ToServer, scenario.ToClient),
+		Site:      s.Text("zone", ""),
+		Names:     s.Texts("names"),
+		Share:     s.Number("share", 0, 0, 1),
+		Delay:     s.Span("delay", 0, 0, time.Minute),
+		Jitter:    s.Span("jitter", 0, 0, time.Minute),
+		Rate:      int(s.Whole("rate", 0, 0, 1<<30)),
 	}
 	s.Take("link", "on")
-	if end := f.At + f.For; end > sc.For {
+	if end := f.At + f.Duration; end > sc.For {
 		s.Bad(rules.Range, "for", "the fault to end by the end of the run's faults, %v, expected; it ends at %v",
 			sc.For, end)
 	}
@@ -166,11 +166,11 @@
 	case ActsOnLinks(f.Kind):
 		sc.decodeLink(s, &f)
 	case f.Kind == KillBetweenPuts:
-		f.On = OnPublisher
+		f.Group = OnPublisher
 	case f.Kind == RestartFollowers:
-		f.On = OnFollowers
+		f.Group = OnFollowers
 	default:
-		f.On = s.Word("on", "", groupNames...)
+		f.Group = s.Word("on", "", groupNames...)
 	}
 	if f.Site != "" && !slices.Contains(sc.ZoneNames(), f.Site) {
 		s.Bad(rules.UnknownZone, "zone", "one of the zones expected: %s", strings.Join(sc.ZoneNames(), ", "))
@@ -193,11 +193,11 @@
 // decodeLink decodes what only faults of links have.
 func (sc *Scenario) decodeLink(s tomldoc.Scope, f *Fault) {
 	f.Link = s.Word("link", "", linkNames...)
-	f.On, _, _ = strings.Cut(f.Link, "-")
-	if f.Kind == scenario.OneWay && f.Way == scenario.Both {
+	f.Group, _, _ = strings.Cut(f.Link, "-")
+	if f.Kind == scenario.OneWay && f.Direction == scenario.BothDirections {
 		s.Bad(rules.Missing, "way", "the direction expected: there or back")
 	}
-	if f.Kind == scenario.Delay && f.Delay+f.More == 0 {
+	if f.Kind == scenario.Delay && f.Delay+f.Jitter == 0 {
 		s.Bad(rules.Missing, "delay", "the delay expected")
 	}
 	if f.Kind == scenario.Slow && f.Rate == 0 {
--- a/internal/harness/rollout/plan/plan_test.go
+++ b/internal/harness/rollout/plan/plan_test.go
@@ -81,7 +81,7 @@
 		sc.Seed = seed
 		busyUntil := map[string]time.Duration{}
 		for _, f := range sc.Schedule() {
-			if f.At+f.For > sc.For || len(f.Names) == 0 {
+			if f.At+f.Duration > sc.For || len(f.Names) == 0 {
 				t.Fatalf("seed %d: %v", seed, f)
 			}
 			if ActsOnLinks(f.Kind) {
@@ -91,7 +91,7 @@
 				if f.At <= busyUntil[name] {
 					t.Fatalf("seed %d: another fault acts on %s until %v: %v", seed, name, busyUntil[name], f)
 				}
-				busyUntil[name] = f.At + f.For
+				busyUntil[name] = f.At + f.Duration
 			}
 		}
 	}
--- a/internal/harness/rollout/plan/schedule.go
+++ b/internal/harness/rollout/plan/schedule.go
@@ -39,7 +39,7 @@
 		}
 		f.Names = slices.DeleteFunc(slices.Clone(f.Names), func(name string) bool { return f.At <= busy[name] })
 		for _, name := range f.Names {
-			busy[name] = f.At + f.For
+			busy[name] = f.At + f.Duration
 		}
 		if len(f.Names) > 0 {
 			out = append(out, f)
@@ -65,26 +65,26 @@
 // drawFault draws a fault. The order of the draws is part of what a seed means.
 func (sc *Scenario) drawFault(random *rand.Rand) Fault {
 	r := sc.Random
-	f := Fault{Kind: r.Kinds[random.IntN(len(r.Kinds))], Way: scenario.Both, Share: 0.1 + 0.8*random.Float64()}
+	f := Fault{Kind: r.Kinds[random.IntN(len(r.Kinds))], Direction: scenario.BothDirections, Share: 0.1 + 0.8*random.Float64()}
 	duration := minFaultDuration + time.Duration(random.Int64N(int64(r.MaxDuration)))
-	f.For = min(duration, r.Until-r.From).Round(time.Millisecond)
-	f.At = (r.From + time.Duration(random.Int64N(int64(r.Until-r.From-f.For)+1))).Round(time.Millisecond)
+	f.Duration = min(duration, r.Until-r.From).Round(time.Millisecond)
+	f.At = (r.From + time.Duration(random.Int64N(int64(r.Until-r.From-f.Duration)+1))).Round(time.Millisecond)
 	switch {
 	case f.Kind == KillBetweenPuts:
-		f.On = OnPublisher
+		f.Group = OnPublisher
 	case f.Kind == RestartFollowers:
-		f.On = OnFollowers
+		f.Group = OnFollowers
 	case ActsOnLinks(f.Kind):
 		f.Link = linkNames[random.IntN(len(linkNames))]
-		f.On = linkCallers[f.Link]
+		f.Group = linkCallers[f.Link]
 		if f.Kind == scenario.OneWay {
-			f.Way = []string{scenario.There, scenario.Back}[random.IntN(2)]
+			f.Direction = []string{scenario.ToServer, scenario.ToClient}[random.IntN(2)]
 		}
 		f.Delay = time.Duration(1+random.IntN(1000)) * time.Millisecond
-		f.More = time.Duration(random.IntN(200)) * time.Millisecond
+		f.Jitter = time.Duration(random.IntN(200)) * time.Millisecond
 		f.Rate = minSlowRate + random.IntN(20_000)
 	default:
-		f.On = groupNames[random.IntN(len(groupNames))]
+		f.Group = groupNames[random.IntN(len(groupNames))]
 	}
 	return f
 }
--- a/internal/harness/rollout/plan/topology.go
+++ b/internal/harness/rollout/plan/topology.go
@@ -153,7 +153,7 @@
 // possibleTargets returns the names that a fault may have.
 func (sc *Scenario) possibleTargets(f Fault) []string {
 	if !ActsOnLinks(f.Kind) {
-		return sc.Names(f.On)
+		return sc.Names(f.Group)
 	}
 	switch f.Link {
 	case FollowersToZones:
@@ -171,5 +171,5 @@
 	if f.Link == FollowersToZones {
 		return sc.FollowerNames()
 	}
-	return sc.Names(f.On)
+	return sc.Names(f.Group)
 }
--- a/internal/harness/rollout/run.go
+++ b/internal/harness/rollout/run.go
@@ -32,9 +32,9 @@
 	opts   Options
 	client *http.Client // for direct requests to the source and relays
 
-	places     map[string]link.Place // of all that open connections or listen, by name
-	serverPort int                   // where the source and relays listen
-	linkPorts  map[linkEnd]int       // where the links to them listen
+	places     map[string]link.Addr // of all that open connections or listen, by name
+	serverPort int                  // where the source and relays listen
+	linkPorts  map[linkEnd]int      // where the links to them listen
 
 	startedAt    int64 // when the faults began, on the run's clock
 	firstUpdates *firstUpdates
@@ -75,7 +75,7 @@
 
 // recordEvent records an event of a worker.
 func (r *run) recordEvent(e history.Event) {
-	r.Tell(e)
+	r.Record(e)
 	switch {
 	case e.Kind == history.InForce:
 		r.firstUpdates.add(e.Who, e.Resource)
--- a/internal/harness/rollout/start.go
+++ b/internal/harness/rollout/start.go
@@ -46,7 +46,7 @@
 			return err
 		}
 	}
-	if err := r.Processes.Say(plan.PublisherName, worker.Command{Do: worker.DoFirst}); err != nil {
+	if err := r.Processes.SendCommand(plan.PublisherName, worker.Command{Do: worker.DoFirst}); err != nil {
 		return err
 	}
 	select {
@@ -70,10 +70,10 @@
 		args = r.relayArgs(name, r.sc.Names(plan.OnRegions))
 	}
 	return r.Processes.Start(process.Spec{
-		Name:    name,
-		Args:    append(slices.Clone(r.opts.Program), args...),
-		Env:     r.opts.Env,
-		ReadErr: r.copyLog,
+		Name:       name,
+		Args:       append(slices.Clone(r.opts.Program), args...),
+		Env:        r.opts.Env,
+		ReadStderr: r.copyLog,
 	})
 }
 
@@ -132,12 +132,12 @@
 // startPublisher starts the publisher, which goes on with its puts if the faults have begun.
 func (r *run) startPublisher(ctx context.Context) error {
 	return r.startWorker(ctx, worker.Spec{
-		Name:   plan.PublisherName,
-		Group:  plan.OnPublisher,
-		Source: r.linkAddress(plan.PublisherName, plan.Source),
-		First:  r.sc.InitialPuts(),
-		Puts:   r.sc.Puts(),
-		Began:  r.startedAt,
+		Name:        plan.PublisherName,
+		Group:       plan.OnPublisher,
+		Source:      r.linkAddress(plan.PublisherName, plan.Source),
+		InitialPuts: r.sc.InitialPuts(),
+		Puts:        r.sc.Puts(),
+		RunStart:    r.startedAt,
 	})
 }
 
@@ -149,7 +149,7 @@
 			continue
 		}
 		relays := r.sc.RelaysOf(follower)
-		one := worker.FollowerSpec{Name: follower, Names: relays, Follows: r.sc.ResourcesOf(follower)}
+		one := worker.FollowerSpec{Name: follower, RelayNames: relays, Resources: r.sc.ResourcesOf(follower)}
 		for _, relay := range relays {
 			one.Relays = append(one.Relays, r.linkAddress(follower, relay))
 		}
@@ -160,12 +160,12 @@
 
 // startWorker starts a worker, whose events are recorded.
 func (r *run) startWorker(ctx context.Context, spec worker.Spec) error {
-	workers := launch.Actors{
+	workers := launch.WorkerStarter{
 		Processes: r.Processes,
 		Program:   r.opts.Worker,
 		Env:       r.opts.Env,
 		Clock:     r.Clock,
-		Heard:     r.recordEvent,
+		OnEvent:   r.recordEvent,
 	}
 	_, err := workers.Start(ctx, spec)
 	return err
--- a/internal/harness/scenario/scenario.go
+++ b/internal/harness/scenario/scenario.go
@@ -22,14 +22,14 @@
 	MaxFor      = 10 * time.Minute
 	MaxRate     = 20_000 // requests a second
 	maxFaults   = 1000
-	maxActors   = 64
+	maxWorkers  = 64
 )
 
 // Scenario is a run.
 type Scenario struct {
 	Name     string
 	Seed     uint64
-	For      time.Duration // from the moment when all has been started
+	Duration time.Duration // from the moment when all has been started
 	Sidecars Sidecars
 	Lists    Lists
 	Backends Backends
@@ -41,68 +41,68 @@
 
 // Sidecars are the processes under test.
 type Sidecars struct {
-	Count    int
-	Sites    []string      // dealt out in turn
-	Told     bool          // they are told how many they are
-	Start    time.Duration // they are started within this; 0: together
-	MemoryMB float64
-	Sockets  int
-	State    bool          // each has a folder that outlives its process
-	Skew     time.Duration // their clocks and that of the list services differ by up to this, either way
+	Count            int
+	Sites            []string      // dealt out in turn
+	KnowReplicaCount bool          // they are told how many they are
+	StartSpread      time.Duration // they are started within this; 0: together
+	MemoryMB         float64
+	Sockets          int
+	PersistState     bool          // each has a folder that outlives its process
+	ClockSkew        time.Duration // their clocks and that of the list services differ by up to this, either way
 }
 
 // Lists are the stand-in list services, one process each. Sidecars are dealt out to them in turn.
 type Lists struct {
-	Count      int
-	Rate       float64       // whole readings a second that each works off, in turn; 0: at once
-	Queue      int           // whole readings that wait; further ones get 503
-	RetryAfter time.Duration // that it says with 503
+	Count        int
+	SnapshotRate float64       // whole readings a second that each works off, in turn; 0: at once
+	QueueLength  int           // whole readings that wait; further ones get 503
+	RetryAfter   time.Duration // that it says with 503
 }
 
 // Backends are stand-ins.
 type Backends struct {
-	Count     int
-	Processes int
-	Cores     int
-	Waiting   int
-	Work      time.Duration
-	Cold      time.Duration // until a fresh one is warm; 0: at once
-	Part      float64       // of its capacity that a fresh one starts with
-	Bears     float64       // a cold one bears this many times its present capacity at once
-	Fresh     bool          // all of them have just started when the run begins
-	Conns     int           // connections that each holds; further ones are closed; 0: any number
-	Accepts   float64       // connections a second that each takes from its queue; 0: as they come
-	Backlog   int           // length of that queue; a connection beyond it does not come up; 0: the system's own
+	Count         int
+	Processes     int
+	Cores         int
+	QueueLength   int
+	ServiceTime   time.Duration
+	Warmup        time.Duration // until a fresh one is warm; 0: at once
+	StartCapacity float64       // of its capacity that a fresh one starts with
+	ColdMultiple  float64       // a cold one bears this many times its present capacity at once
+	StartCold     bool          // all of them have just started when the run begins
+	MaxConns      int           // connections that each holds; further ones are closed; 0: any number
+	AcceptRate    float64       // connections a second that each takes from its queue; 0: as they come
+	Backlog       int           // length of that queue; a connection beyond it does not come up; 0: the system's own
 }
 
 // Clients send the load.
 type Clients struct {
-	Rate      float64 // requests a second, over all
-	Processes int
-	Quota     float64       // requests a second that sidecars are told to be inside the one tenant's share; 0: no tenant
-	Poll      time.Duration // between two looks at whether a sidecar is ready
-	Roam      bool          // who finds no sidecar of its own site ready goes to another site's; otherwise it asks nothing
-	Worth     bool          // sidecars are told what classes are worth; otherwise they are alike
+	Rate            float64 // requests a second, over all
+	Processes       int
+	Quota           float64       // requests a second that sidecars are told to be inside the one tenant's share; 0: no tenant
+	HealthInterval  time.Duration // between two looks at whether a sidecar is ready
+	CrossSite       bool          // who finds no sidecar of its own site ready goes to another site's; otherwise it asks nothing
+	PriorityWeights bool          // sidecars are told what classes are worth; otherwise they are alike
 }
 
 // Bounds are what a run is held to beyond the rules; 0: not.
 type Bounds struct {
-	Reads     float64       // whole readings a second over all list services, in any second
-	Connects  float64       // connections a second to one backend, in any second
-	ReadyFor  float64       // part of the sidecars that are ready...
-	ReadyIn   time.Duration // ...this soon after their start
-	ServedMin float64       // part of the requests that is served
-	LossIn    time.Duration // after the beginning of each loss of a site 95% of what can be served is
-	BackMin   float64       // part of the worth that is served in the 30 s from its end
+	MaxSnapshotRate    float64       // whole readings a second over all list services, in any second
+	MaxConnectRate     float64       // connections a second to one backend, in any second
+	MinReady           float64       // part of the sidecars that are ready...
+	ReadyWithin        time.Duration // ...this soon after their start
+	MinServed          float64       // part of the requests that is served
+	LossRecoveryWithin time.Duration // after the beginning of each loss of a site 95% of what can be served is
+	MinServedAfterLoss float64       // part of the worth that is served in the 30 s from its end
 }
 
 // Random are faults that are drawn from the seed.
 type Random struct {
-	Count int
-	Kinds []Kind
-	From  time.Duration
-	Until time.Duration
-	Long  time.Duration // the longest
+	Count       int
+	Kinds       []Kind
+	From        time.Duration
+	Until       time.Duration
+	MaxDuration time.Duration // the longest
 }
 
 // Kind is a kind of fault.
@@ -145,49 +145,49 @@
 
 // Directions of a link.
 const (
-	Both  = "both"
-	There = "there" // from the side that opens connections
-	Back  = "back"
+	BothDirections = "both"
+	ToServer       = "there" // from the side that opens connections
+	ToClient       = "back"
 )
 
 // links are the links, by the side that opens connections.
 var links = []string{OnClients + "-" + OnSidecars, OnSidecars + "-" + OnLists, OnSidecars + "-" + OnBackends}
 
-// family says what a kind of fault acts on.
-type family int
+// target says what a kind of fault acts on.
+type target int
 
 const (
-	ofLinks family = iota
-	ofProcesses
-	ofLists
-	ofBackends
+	onLinks target = iota
+	onProcesses
+	onLists
+	onBackends
 )
 
-// kinds has every kind, with what it acts on.
-var kinds = map[Kind]family{
-	Cut: ofLinks, OneWay: ofLinks, Delay: ofLinks, Hold: ofLinks, Reset: ofLinks, Half: ofLinks, Slow: ofLinks,
-	Kill: ofProcesses, Stop: ofProcesses, Term: ofProcesses,
-	ListDown: ofLists, ListSilent: ofLists, ListHalf: ofLists, ListEmpty: ofLists, ListOlder: ofLists,
-	Replace: ofBackends, Moved: ofBackends, Choke: ofBackends, Fail: ofBackends,
+// kindTargets has every kind, with what it acts on.
+var kindTargets = map[Kind]target{
+	Cut: onLinks, OneWay: onLinks, Delay: onLinks, Hold: onLinks, Reset: onLinks, Half: onLinks, Slow: onLinks,
+	Kill: onProcesses, Stop: onProcesses, Term: onProcesses,
+	ListDown: onLists, ListSilent: onLists, ListHalf: onLists, ListEmpty: onLists, ListOlder: onLists,
+	Replace: onBackends, Moved: onBackends, Choke: onBackends, Fail: onBackends,
 }
 
 // Fault is one fault. A drawn one names all that it acts on.
 type Fault struct {
-	At        time.Duration
-	For       time.Duration
-	Kind      Kind
-	Link      string   // of a fault of links: the two groups
-	Way       string   // the direction, of those that have one
-	On        string   // the group of which Names are members
-	Names     []string // of those that it acts on; empty: all that Site and Share say
-	Site      string   // only those of this site
-	Across    bool     // of a fault of links: only those that cross the border of Site
-	Unnoticed bool     // of Kill: the lists go on saying that the backends serve
-	Share     float64  // only this part of them, drawn from the seed; 0: all
-	Delay     time.Duration
-	More      time.Duration // jitter
-	Bytes     int           // of Hold: that still come
-	Rate      int           // of Slow: bytes a second
+	At         time.Duration
+	Duration   time.Duration
+	Kind       Kind
+	Link       string   // of a fault of links: the two groups
+	Direction  string   // the direction, of those that have one
+	Group      string   // the group of which Names are members
+	Names      []string // of those that it acts on; empty: all that Site and Share say
+	Site       string   // only those of this site
+	CrossSite  bool     // of a fault of links: only those that cross the border of Site
+	KeepListed bool     // of Kill: the lists go on saying that the backends serve
+	Share      float64  // only this part of them, drawn from the seed; 0: all
+	Delay      time.Duration
+	Jitter     time.Duration // jitter
+	Bytes      int           // of Hold: that still come
+	Rate       int           // of Slow: bytes a second
 }
 
 // Name is how the history names a fault; i is its number in the schedule.
@@ -200,18 +200,18 @@
 	if f.Link != "" {
 		fmt.Fprintf(&b, " %s", f.Link)
 	}
-	if f.Way != "" && f.Way != Both {
-		fmt.Fprintf(&b, " %s", f.Way)
+	if f.Direction != "" && f.Direction != BothDirections {
+		fmt.Fprintf(&b, " %s", f.Direction)
 	}
 	if f.Delay > 0 {
-		fmt.Fprintf(&b, " by %v+%v", f.Delay, f.More)
+		fmt.Fprintf(&b, " by %v+%v", f.Delay, f.Jitter)
 	}
 	if n := len(f.Names); n > 3 {
-		fmt.Fprintf(&b, " of %d %s", n, f.On)
+		fmt.Fprintf(&b, " of %d %s", n, f.Group)
 	} else if n > 0 {
 		fmt.Fprintf(&b, " of %s", strings.Join(f.Names, " "))
 	}
-	fmt.Fprintf(&b, ", %v to %v", f.At, f.At+f.For)
+	fmt.Fprintf(&b, ", %v to %v", f.At, f.At+f.Duration)
 	return b.String()
 }
 
@@ -221,15 +221,15 @@
 }
 
 func read(s tomldoc.Scope) *Scenario {
-	x := &Scenario{Name: s.Text("name", ""), Seed: uint64(s.Whole("seed", 1, 0, 1<<62)), For: s.Span("for", 10*time.Second, 100*time.Millisecond, MaxFor)}
+	x := &Scenario{Name: s.Text("name", ""), Seed: uint64(s.Whole("seed", 1, 0, 1<<62)), Duration: s.Span("for", 10*time.Second, 100*time.Millisecond, MaxFor)}
 	if x.Name == "" {
 		s.Bad(rules.Missing, "name", "the scenario's name expected")
 	}
 	v := s.Sub("sidecars")
 	x.Sidecars = Sidecars{
-		Count: int(v.Whole("count", 1, 1, MaxSidecars)), Sites: v.Texts("sites"), Told: v.Flag("told"), Start: v.Span("start", 0, 0, MaxFor),
-		MemoryMB: v.Number("memory_mb", 64, 16, 1<<16), Sockets: int(v.Whole("sockets", 512, 64, 1<<16)), State: v.Flag("state"),
-		Skew: v.Span("skew", 0, 0, MaxFor),
+		Count: int(v.Whole("count", 1, 1, MaxSidecars)), Sites: v.Texts("sites"), KnowReplicaCount: v.Flag("told"), StartSpread: v.Span("start", 0, 0, MaxFor),
+		MemoryMB: v.Number("memory_mb", 64, 16, 1<<16), Sockets: int(v.Whole("sockets", 512, 64, 1<<16)), PersistState: v.Flag("state"),
+		ClockSkew: v.Span("skew", 0, 0, MaxFor),
 	}
 	if len(x.Sidecars.Sites) == 0 {
 		x.Sidecars.Sites = []string{"a"}
@@ -242,16 +242,16 @@
 	v.Done()
 	v = s.Sub("lists")
 	x.Lists = Lists{
-		Count: int(v.Whole("count", 1, 1, MaxLists)), Rate: v.Number("rate", 0, 0, 1e6), Queue: int(v.Whole("queue", 100, 0, 1e6)),
+		Count: int(v.Whole("count", 1, 1, MaxLists)), SnapshotRate: v.Number("rate", 0, 0, 1e6), QueueLength: int(v.Whole("queue", 100, 0, 1e6)),
 		RetryAfter: v.Span("retry_after", 0, 0, MaxFor),
 	}
 	v.Done()
 	v = s.Sub("backends")
 	x.Backends = Backends{
-		Count: int(v.Whole("count", 4, 1, MaxBackends)), Processes: int(v.Whole("processes", 1, 1, maxActors)), Cores: int(v.Whole("cores", 4, 1, 1024)),
-		Waiting: int(v.Whole("waiting", 32, 0, 1e6)), Work: v.Span("work", 5*time.Millisecond, 0, time.Minute), Cold: v.Span("cold", 0, 0, MaxFor),
-		Part: v.Number("start_capacity", 1, 0.01, 1), Bears: v.Number("cold_multiple", 3, 1, 100), Conns: int(v.Whole("connections", 0, 0, 1e6)),
-		Fresh: v.Flag("fresh"), Accepts: v.Number("accepts", 0, 0, 1e6), Backlog: int(v.Whole("backlog", 0, 0, 1<<16)),
+		Count: int(v.Whole("count", 4, 1, MaxBackends)), Processes: int(v.Whole("processes", 1, 1, maxWorkers)), Cores: int(v.Whole("cores", 4, 1, 1024)),
+		QueueLength: int(v.Whole("waiting", 32, 0, 1e6)), ServiceTime: v.Span("work", 5*time.Millisecond, 0, time.Minute), Warmup: v.Span("cold", 0, 0, MaxFor),
+		StartCapacity: v.Number("start_capacity", 1, 0.01, 1), ColdMultiple: v.Number("cold_multiple", 3, 1, 100), MaxConns: int(v.Whole("connections", 0, 0, 1e6)),
+		StartCold: v.Flag("fresh"), AcceptRate: v.Number("accepts", 0, 0, 1e6), Backlog: int(v.Whole("backlog", 0, 0, 1<<16)),
 	}
 	if x.Backends.Processes > x.Backends.Count {
 		v.Bad(rules.Range, "processes", "1 to the %d backends expected", x.Backends.Count)
@@ -259,19 +259,19 @@
 	v.Done()
 	v = s.Sub("clients")
 	x.Clients = Clients{
-		Rate: v.Number("rate", 0, 0, MaxRate), Processes: int(v.Whole("processes", 1, 1, maxActors)),
-		Quota: v.Number("quota", 0, 0, 1e9), Poll: v.Span("poll", 200*time.Millisecond, 10*time.Millisecond, time.Minute),
-		Roam: v.Flag("roam"), Worth: v.Flag("worth"),
+		Rate: v.Number("rate", 0, 0, MaxRate), Processes: int(v.Whole("processes", 1, 1, maxWorkers)),
+		Quota: v.Number("quota", 0, 0, 1e9), HealthInterval: v.Span("poll", 200*time.Millisecond, 10*time.Millisecond, time.Minute),
+		CrossSite: v.Flag("roam"), PriorityWeights: v.Flag("worth"),
 	}
-	if x.Clients.Roam && x.Clients.Processes%len(x.Sidecars.Sites) != 0 {
+	if x.Clients.CrossSite && x.Clients.Processes%len(x.Sidecars.Sites) != 0 {
 		v.Bad(rules.Range, "processes", "as many for each of the %d sites expected with roam, %d found", len(x.Sidecars.Sites), x.Clients.Processes)
 	}
 	v.Done()
 	v = s.Sub("bounds")
 	x.Bounds = Bounds{
-		Reads: v.Number("reads_per_s", 0, 0, 1e9), Connects: v.Number("connects_per_s", 0, 0, 1e9), ReadyFor: v.Number("ready_part", 0, 0, 1),
-		ReadyIn: v.Span("ready_within", 0, 0, MaxFor), ServedMin: v.Number("served_part", 0, 0, 1),
-		LossIn: v.Span("loss_within", 0, 0, MaxFor), BackMin: v.Number("back_part", 0, 0, 1),
+		MaxSnapshotRate: v.Number("reads_per_s", 0, 0, 1e9), MaxConnectRate: v.Number("connects_per_s", 0, 0, 1e9), MinReady: v.Number("ready_part", 0, 0, 1),
+		ReadyWithin: v.Span("ready_within", 0, 0, MaxFor), MinServed: v.Number("served_part", 0, 0, 1),
+		LossRecoveryWithin: v.Span("loss_within", 0, 0, MaxFor), MinServedAfterLoss: v.Number("back_part", 0, 0, 1),
 	}
 	v.Done()
 	x.random(s.Sub("random"))
@@ -291,11 +291,11 @@
 
 func (x *Scenario) random(v tomldoc.Scope) {
 	x.Random = Random{
-		Count: int(v.Whole("count", 0, 0, 200)), From: v.Span("from", 0, 0, MaxFor), Until: v.Span("until", x.For, 0, MaxFor),
-		Long: v.Span("long", 2*time.Second, 10*time.Millisecond, MaxFor),
+		Count: int(v.Whole("count", 0, 0, 200)), From: v.Span("from", 0, 0, MaxFor), Until: v.Span("until", x.Duration, 0, MaxFor),
+		MaxDuration: v.Span("long", 2*time.Second, 10*time.Millisecond, MaxFor),
 	}
 	for _, w := range v.Texts("kinds") {
-		if _, ok := kinds[Kind(w)]; !ok {
+		if _, ok := kindTargets[Kind(w)]; !ok {
 			v.Bad(rules.Word, "kinds", "%s", tomldoc.Guess(fmt.Sprintf("%q is no kind of fault; one of %s expected", w, strings.Join(KindNames(), ", ")), w, KindNames()))
 			continue
 		}
@@ -304,15 +304,15 @@
 	if x.Random.Count > 0 && len(x.Random.Kinds) == 0 {
 		v.Bad(rules.Missing, "kinds", "the kinds of faults that are drawn expected")
 	}
-	if x.Random.Until > x.For || x.Random.From >= x.Random.Until {
-		v.Bad(rules.Range, "until", "after from, and at most the run's %v expected", x.For)
+	if x.Random.Until > x.Duration || x.Random.From >= x.Random.Until {
+		v.Bad(rules.Range, "until", "after from, and at most the run's %v expected", x.Duration)
 	}
 	v.Done()
 }
 
 // KindNames are the words for all kinds of faults, in order.
 func KindNames() (out []string) {
-	for k := range kinds {
+	for k := range kindTargets {
 		out = append(out, string(k))
 	}
 	slices.Sort(out)
@@ -322,35 +322,35 @@
 // fault reads one fault and checks it against the processes of the run.
 func (x *Scenario) fault(v tomldoc.Scope) (f Fault) {
 	f = Fault{
-		At: v.Span("at", 0, 0, MaxFor), For: v.Span("for", 0, 0, MaxFor), Kind: Kind(v.Word("kind", "", KindNames()...)),
+		At: v.Span("at", 0, 0, MaxFor), Duration: v.Span("for", 0, 0, MaxFor), Kind: Kind(v.Word("kind", "", KindNames()...)),
 		Site: v.Text("site", ""), Share: v.Number("share", 0, 0, 1), Names: v.Texts("names"),
-		Delay: v.Span("delay", 0, 0, time.Minute), More: v.Span("jitter", 0, 0, time.Minute), Bytes: int(v.Whole("bytes", 100, 0, 1<<20)),
-		Rate: int(v.Whole("rate", 0, 0, 1<<30)), Across: v.Flag("across"), Unnoticed: v.Flag("unnoticed"),
+		Delay: v.Span("delay", 0, 0, time.Minute), Jitter: v.Span("jitter", 0, 0, time.Minute), Bytes: int(v.Whole("bytes", 100, 0, 1<<20)),
+		Rate: int(v.Whole("rate", 0, 0, 1<<30)), CrossSite: v.Flag("across"), KeepListed: v.Flag("unnoticed"),
 	}
-	if f.At+f.For > x.For {
-		v.Bad(rules.Range, "for", "the fault to end by the run's end, %v, expected; it ends at %v", x.For, f.At+f.For)
+	if f.At+f.Duration > x.Duration {
+		v.Bad(rules.Range, "for", "the fault to end by the run's end, %v, expected; it ends at %v", x.Duration, f.At+f.Duration)
 	}
-	f.Way, f.Link = v.Word("way", Both, Both, There, Back), ""
-	switch kinds[f.Kind] {
-	case ofLinks:
+	f.Direction, f.Link = v.Word("way", BothDirections, BothDirections, ToServer, ToClient), ""
+	switch kindTargets[f.Kind] {
+	case onLinks:
 		x.linkFault(v, &f)
-	case ofProcesses:
+	case onProcesses:
 		x.processFault(v, &f)
-	case ofLists:
-		f.On = OnLists
+	case onLists:
+		f.Group = OnLists
 		v.Take("on")
-	case ofBackends:
-		f.On = OnBackends
+	case onBackends:
+		f.Group = OnBackends
 		v.Take("on")
 	}
 	v.Take("link", "on")
 	if f.Site != "" && !slices.Contains(x.Sidecars.Sites, f.Site) {
 		v.Bad(rules.UnknownZone, "site", "one of the sites expected: %s", strings.Join(x.Sidecars.Sites, ", "))
 	}
-	known := x.Names(f.On)
+	known := x.Names(f.Group)
 	for _, n := range f.Names {
 		if !slices.Contains(known, n) {
-			v.Bad(rules.UnknownService, "names", "%q is no process of this run; %s-1 to %s-%d expected", n, single(f.On), single(f.On), len(known))
+			v.Bad(rules.UnknownService, "names", "%q is no process of this run; %s-1 to %s-%d expected", n, singular(f.Group), singular(f.Group), len(known))
 		}
 	}
 	return f
@@ -359,37 +359,37 @@
 // linkFault reads which links a fault is of, and checks what its kind needs.
 func (x *Scenario) linkFault(v tomldoc.Scope, f *Fault) {
 	f.Link = v.Word("link", "", links...)
-	f.On = v.Word("on", OnSidecars, OnSidecars, OnBackends, OnLists)
-	if f.On != OnSidecars && !strings.HasSuffix(f.Link, f.On) {
-		v.Bad(rules.Exclusive, "on", "%s are at no end of the link %s", f.On, f.Link)
+	f.Group = v.Word("on", OnSidecars, OnSidecars, OnBackends, OnLists)
+	if f.Group != OnSidecars && !strings.HasSuffix(f.Link, f.Group) {
+		v.Bad(rules.Exclusive, "on", "%s are at no end of the link %s", f.Group, f.Link)
 	}
 	switch {
-	case f.Kind == OneWay && f.Way == Both:
+	case f.Kind == OneWay && f.Direction == BothDirections:
 		v.Bad(rules.Missing, "way", "the direction expected: there or back")
-	case f.Kind == Delay && f.Delay+f.More == 0:
+	case f.Kind == Delay && f.Delay+f.Jitter == 0:
 		v.Bad(rules.Missing, "delay", "the delay expected")
 	case f.Kind == Slow && f.Rate == 0:
 		v.Bad(rules.Missing, "rate", "bytes a second expected")
 	}
-	if f.Across && (f.Site == "" || f.Link == links[0]) {
+	if f.CrossSite && (f.Site == "" || f.Link == links[0]) {
 		v.Bad(rules.Missing, "across", "a site expected beside it, and a link between processes that have one")
 	}
 }
 
 // processFault reads which processes a fault is of, and checks that they can be told apart.
 func (x *Scenario) processFault(v tomldoc.Scope, f *Fault) {
-	f.On = v.Word("on", OnSidecars, OnSidecars, OnLists, OnBackends, OnSites)
+	f.Group = v.Word("on", OnSidecars, OnSidecars, OnLists, OnBackends, OnSites)
 	sites := len(x.Sidecars.Sites)
-	if f.On == OnSites && (f.Site == "" || x.Backends.Processes%sites != 0 || x.Lists.Count%sites != 0) {
+	if f.Group == OnSites && (f.Site == "" || x.Backends.Processes%sites != 0 || x.Lists.Count%sites != 0) {
 		v.Bad(rules.Missing, "site", "one of the sites expected, and as many list services and processes of backends for each")
 	}
 	chosen := f.Share > 0 || f.Site != "" || len(f.Names) > 0
-	if f.On == OnBackends && chosen && f.Kind != Stop {
+	if f.Group == OnBackends && chosen && f.Kind != Stop {
 		v.Bad(rules.Exclusive, "on", "backends share processes: all of them, or single ones by kind = %q, expected", Replace)
 	}
 }
 
-func single(group string) string { return strings.TrimSuffix(group, "s") }
+func singular(group string) string { return strings.TrimSuffix(group, "s") }
 
 // Names are the members of a group, in order.
 func (x *Scenario) Names(group string) (out []string) {
@@ -401,31 +401,31 @@
 	}
 	n := map[string]int{OnSidecars: x.Sidecars.Count, OnLists: x.Lists.Count, OnBackends: x.Backends.Count, OnClients: x.Clients.Processes}[group]
 	for i := range n {
-		out = append(out, fmt.Sprintf("%s-%d", single(group), i+1))
+		out = append(out, fmt.Sprintf("%s-%d", singular(group), i+1))
 	}
 	return out
 }
 
-// Number is the number of a process or a backend by its name, from 0.
-func Number(name string) int {
+// Index is the number of a process or a backend by its name, from 0.
+func Index(name string) int {
 	n, _ := strconv.Atoi(name[strings.LastIndexByte(name, '-')+1:])
 	return n - 1
 }
 
 // SiteOf is the site of a process by its name, or of a backend.
-func (x *Scenario) SiteOf(name string) string { return x.Site(Number(name)) }
+func (x *Scenario) SiteOf(name string) string { return x.Site(Index(name)) }
 
 // Site is the site of the nth member of a group, from 0.
 func (x *Scenario) Site(n int) string { return x.Sidecars.Sites[n%len(x.Sidecars.Sites)] }
 
-// Room is how many requests a second the backends of each site can serve once they are warm.
-func (x *Scenario) Room() map[string]float64 {
+// Capacity is how many requests a second the backends of each site can serve once they are warm.
+func (x *Scenario) Capacity() map[string]float64 {
 	room := map[string]float64{}
-	if x.Backends.Work <= 0 {
+	if x.Backends.ServiceTime <= 0 {
 		return room
 	}
 	for i := range x.Backends.Count {
-		room[x.Site(i)] += float64(x.Backends.Cores) / x.Backends.Work.Seconds()
+		room[x.Site(i)] += float64(x.Backends.Cores) / x.Backends.ServiceTime.Seconds()
 	}
 	return room
 }
--- a/internal/harness/scenario/scenario_test.go
+++ b/internal/harness/scenario/scenario_test.go
@@ -83,7 +83,7 @@
 			t.Fatalf("seed %d gives two schedules", seed)
 		}
 		for _, f := range drawn {
-			if f.At < 0 || f.At+f.For > sc.For || len(f.Names) == 0 {
+			if f.At < 0 || f.At+f.Duration > sc.Duration || len(f.Names) == 0 {
 				t.Errorf("seed %d: %+v", seed, f)
 			}
 		}
@@ -94,7 +94,7 @@
 		}
 		for i, f := range again {
 			d := drawn[i]
-			if f.At != d.At || f.For != d.For || f.Kind != d.Kind || f.Link != d.Link || f.Way != d.Way || !slices.Equal(f.Names, d.Names) || f.Delay != d.Delay || f.Rate != d.Rate {
+			if f.At != d.At || f.Duration != d.Duration || f.Kind != d.Kind || f.Link != d.Link || f.Direction != d.Direction || !slices.Equal(f.Names, d.Names) || f.Delay != d.Delay || f.Rate != d.Rate {
 				t.Errorf("seed %d: written %+v, read %+v", seed, d, f)
 			}
 		}
@@ -137,7 +137,7 @@
 		if err != nil {
 			return
 		}
-		if sc.Sidecars.Count < 1 || sc.Sidecars.Count > scenario.MaxSidecars || sc.For > scenario.MaxFor {
+		if sc.Sidecars.Count < 1 || sc.Sidecars.Count > scenario.MaxSidecars || sc.Duration > scenario.MaxFor {
 			t.Errorf("out of bounds: %+v", sc)
 		}
 		sc.Schedule()
--- a/internal/harness/scenario/schedule.go
+++ b/internal/harness/scenario/schedule.go
@@ -44,12 +44,12 @@
 	if len(f.Names) > 0 {
 		return f.Names
 	}
-	group := x.Names(f.On)
-	if f.Across {
+	group := x.Names(f.Group)
+	if f.CrossSite {
 		group = slices.Concat(x.Names(OnSidecars), x.Names(OnBackends), x.Names(OnLists))
 	}
 	for _, n := range group {
-		if f.Site == "" || x.SiteOf(n) == f.Site || f.On == OnLists {
+		if f.Site == "" || x.SiteOf(n) == f.Site || f.Group == OnLists {
 			out = append(out, n)
 		}
 	}
@@ -71,28 +71,28 @@
 // draw draws one fault.
 func (x *Scenario) draw(rnd *rand.Rand) Fault {
 	r := x.Random
-	f := Fault{Kind: r.Kinds[rnd.IntN(len(r.Kinds))], Way: Both, Share: 0.1 + rnd.Float64()*(mostShare-0.1), Bytes: rnd.IntN(300)}
-	f.For = min(leastFault+time.Duration(rnd.Int64N(int64(r.Long))), r.Until-r.From).Round(time.Millisecond)
-	f.At = (r.From + time.Duration(rnd.Int64N(int64(r.Until-r.From-f.For)+1))).Round(time.Millisecond)
-	f.At = min(f.At, x.For-f.For)
-	switch kinds[f.Kind] {
-	case ofLinks:
-		f.Link, f.On = links[rnd.IntN(len(links))], OnSidecars
+	f := Fault{Kind: r.Kinds[rnd.IntN(len(r.Kinds))], Direction: BothDirections, Share: 0.1 + rnd.Float64()*(mostShare-0.1), Bytes: rnd.IntN(300)}
+	f.Duration = min(leastFault+time.Duration(rnd.Int64N(int64(r.MaxDuration))), r.Until-r.From).Round(time.Millisecond)
+	f.At = (r.From + time.Duration(rnd.Int64N(int64(r.Until-r.From-f.Duration)+1))).Round(time.Millisecond)
+	f.At = min(f.At, x.Duration-f.Duration)
+	switch kindTargets[f.Kind] {
+	case onLinks:
+		f.Link, f.Group = links[rnd.IntN(len(links))], OnSidecars
 		if f.Kind == OneWay || f.Kind == Delay || f.Kind == Hold || f.Kind == Half {
-			f.Way = []string{There, Back}[rnd.IntN(2)]
+			f.Direction = []string{ToServer, ToClient}[rnd.IntN(2)]
 		}
 		if f.Kind == Delay {
-			f.Delay, f.More = time.Duration(1+rnd.IntN(1000))*time.Millisecond, time.Duration(rnd.IntN(200))*time.Millisecond
+			f.Delay, f.Jitter = time.Duration(1+rnd.IntN(1000))*time.Millisecond, time.Duration(rnd.IntN(200))*time.Millisecond
 		}
 		if f.Kind == Slow {
 			f.Rate = 100 + rnd.IntN(20_000)
 		}
-	case ofProcesses:
-		f.On = OnSidecars
-	case ofLists:
-		f.On, f.Share = OnLists, 0
-	case ofBackends:
-		f.On = OnBackends
+	case onProcesses:
+		f.Group = OnSidecars
+	case onLists:
+		f.Group, f.Share = OnLists, 0
+	case onBackends:
+		f.Group = OnBackends
 	}
 	return f
 }
@@ -108,11 +108,11 @@
 func Text(faults []Fault) string {
 	var b strings.Builder
 	for _, f := range faults {
-		fmt.Fprintf(&b, "[[faults]]\nat = %q\nfor = %q\nkind = %q\n", f.At, f.For, f.Kind)
-		if kinds[f.Kind] == ofLinks {
-			fmt.Fprintf(&b, "link = %q\non = %q\nway = %q\n", f.Link, f.On, f.Way)
-		} else if kinds[f.Kind] == ofProcesses {
-			fmt.Fprintf(&b, "on = %q\n", f.On)
+		fmt.Fprintf(&b, "[[faults]]\nat = %q\nfor = %q\nkind = %q\n", f.At, f.Duration, f.Kind)
+		if kindTargets[f.Kind] == onLinks {
+			fmt.Fprintf(&b, "link = %q\non = %q\nway = %q\n", f.Link, f.Group, f.Direction)
+		} else if kindTargets[f.Kind] == onProcesses {
+			fmt.Fprintf(&b, "on = %q\n", f.Group)
 		}
 		var names []string
 		for _, n := range f.Names {
@@ -121,17 +121,17 @@
 		if len(names) > 0 {
 			fmt.Fprintf(&b, "names = [%s]\n", strings.Join(names, ", "))
 		}
-		if f.Across {
+		if f.CrossSite {
 			fmt.Fprintf(&b, "site = %q\nacross = true\n", f.Site)
 		}
-		if f.On == OnSites {
+		if f.Group == OnSites {
 			fmt.Fprintf(&b, "site = %q\n", f.Site)
 		}
-		if f.Unnoticed {
+		if f.KeepListed {
 			b.WriteString("unnoticed = true\n")
 		}
-		if f.Delay+f.More > 0 {
-			fmt.Fprintf(&b, "delay = %q\njitter = %q\n", f.Delay, f.More)
+		if f.Delay+f.Jitter > 0 {
+			fmt.Fprintf(&b, "delay = %q\njitter = %q\n", f.Delay, f.Jitter)
 		}
 		if f.Kind == Hold {
 			fmt.Fprintf(&b, "bytes = %d\n", f.Bytes)
--- a/internal/harness/timeline/draw.go
+++ b/internal/harness/timeline/draw.go
@@ -117,10 +117,10 @@
 func (c *chart) take(e history.Event) {
 	s := int(e.At / second)
 	switch e.Kind {
-	case history.Asked:
+	case history.Requested:
 		c.asked.at[s]++
 		c.outcome(e.Status).at[s]++
-	case history.Call:
+	case history.ListPolled:
 		c.call(e)
 	case history.Opened:
 		if strings.HasPrefix(e.To, "backend-") {
@@ -128,9 +128,9 @@
 		}
 	case history.Ready:
 		c.serving[e.To] = true
-	case history.Gone:
+	case history.Exited:
 		delete(c.serving, e.Who)
-	case history.Pushed:
+	case history.WarmupOverload:
 		c.overload += int(2*e.N - 1)
 	}
 	c.eventful[s] = true
--- a/internal/harness/worker/actor.go
+++ b/internal/harness/worker/actor.go
@@ -21,53 +21,53 @@
 
 // Spec is what an actor is.
 type Spec struct {
-	Name  string `json:"name"`
-	Zero  int64  `json:"zero"` // of the run's clock
-	Group string `json:"group"`
+	Name      string `json:"name"`
+	ClockZero int64  `json:"zero"` // of the run's clock
+	Group     string `json:"group"`
 
 	// Of list services.
-	Rate       float64           `json:"rate,omitempty"`
-	Queue      int               `json:"queue,omitempty"`
-	RetryAfter time.Duration     `json:"retry_after,omitempty"`
-	Places     map[string]string `json:"places,omitempty"` // names of sidecars by their addresses
-	Skews      map[string]int64  `json:"skews,omitempty"`  // milliseconds that a sidecar's clock is behind the service's, by address
+	SnapshotRate  float64           `json:"rate,omitempty"`
+	SnapshotQueue int               `json:"queue,omitempty"`
+	RetryAfter    time.Duration     `json:"retry_after,omitempty"`
+	SidecarNames  map[string]string `json:"places,omitempty"` // names of sidecars by their addresses
+	ClockSkews    map[string]int64  `json:"skews,omitempty"`  // milliseconds that a sidecar's clock is behind the service's, by address
 
 	// Of backends.
-	Backends []string      `json:"backends,omitempty"`
-	Pods     []int         `json:"pods,omitempty"`
-	Cores    int           `json:"cores,omitempty"`
-	Waiting  int           `json:"waiting,omitempty"`
-	Work     time.Duration `json:"work,omitempty"`
-	Cold     time.Duration `json:"cold,omitempty"`
-	Part     float64       `json:"part,omitempty"`
-	Bears    float64       `json:"bears,omitempty"`
-	Conns    int           `json:"conns,omitempty"`
-	Fresh    bool          `json:"fresh,omitempty"` // they have just started; otherwise they are warm
+	Backends      []string      `json:"backends,omitempty"`
+	Pods          []int         `json:"pods,omitempty"`
+	Cores         int           `json:"cores,omitempty"`
+	QueueLength   int           `json:"waiting,omitempty"`
+	ServiceTime   time.Duration `json:"work,omitempty"`
+	Warmup        time.Duration `json:"cold,omitempty"`
+	StartCapacity float64       `json:"part,omitempty"`
+	ColdMultiple  float64       `json:"bears,omitempty"`
+	MaxConns      int           `json:"conns,omitempty"`
+	StartCold     bool          `json:"fresh,omitempty"` // they have just started; otherwise they are warm
 
 	// Of clients.
-	Sidecars map[string]string `json:"sidecars,omitempty"` // addresses by name
-	Own      []string          `json:"own,omitempty"`      // those of its own site, which it prefers; empty: all are
-	Load     float64           `json:"load,omitempty"`     // requests a second
-	Poll     time.Duration     `json:"poll,omitempty"`
-	Seed     uint64            `json:"seed,omitempty"`
+	Sidecars       map[string]string `json:"sidecars,omitempty"` // addresses by name
+	LocalSidecars  []string          `json:"own,omitempty"`      // those of its own site, which it prefers; empty: all are
+	RequestRate    float64           `json:"load,omitempty"`     // requests a second
+	HealthInterval time.Duration     `json:"poll,omitempty"`
+	Seed           uint64            `json:"seed,omitempty"`
 
 	// Of followers of resources.
 	Followers []FollowerSpec `json:"followers,omitempty"`
 	Hold      time.Duration  `json:"hold,omitempty"`
 
 	// Of a publisher of resources.
-	Source string     `json:"source,omitempty"` // address
-	First  []plan.Put `json:"first,omitempty"`  // before the run
-	Puts   []plan.Put `json:"puts,omitempty"`
-	Began  int64      `json:"began,omitempty"` // when the run began, on its clock; 0: it is still to begin
+	Source      string     `json:"source,omitempty"` // address
+	InitialPuts []plan.Put `json:"first,omitempty"`  // before the run
+	Puts        []plan.Put `json:"puts,omitempty"`
+	RunStart    int64      `json:"began,omitempty"` // when the run began, on its clock; 0: it is still to begin
 }
 
 // FollowerSpec is one follower of resources.
 type FollowerSpec struct {
-	Name    string   `json:"name"`
-	Relays  []string `json:"relays"` // addresses
-	Names   []string `json:"names"`  // of the relays, in the same order
-	Follows []string `json:"follows"`
+	Name       string   `json:"name"`
+	Relays     []string `json:"relays"` // addresses
+	RelayNames []string `json:"names"`  // of the relays, in the same order
+	Resources  []string `json:"follows"`
 }
 
 // Command is one thing that an actor is told while it runs.
@@ -103,9 +103,9 @@
 
 const maxLine = 4 << 20
 
-// doer is an actor's inside.
-type doer interface {
-	do(Command) error
+// runner is an actor's inside.
+type runner interface {
+	execute(Command) error
 	close()
 }
 
@@ -126,8 +126,8 @@
 		return fmt.Errorf("actor: a line that says what it is expected: %w", err)
 	}
 	w := history.NewWriter(out)
-	t := teller{w: w, clock: history.ClockFrom(spec.Zero), build: build}
-	inside, hello, err := t.begin(spec)
+	t := recorder{history: w, clock: history.ClockFrom(spec.ClockZero), build: build}
+	inside, hello, err := t.newRunner(spec)
 	if err != nil {
 		return fmt.Errorf("actor %s: %w", spec.Name, err)
 	}
@@ -145,7 +145,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(flushed)
-		tick := time.NewTicker(flushEvery)
+		tick := time.NewTicker(flushInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -163,30 +163,30 @@
 		if err := json.Unmarshal(lines.Bytes(), &c); err != nil {
 			return fmt.Errorf("actor %s: a command expected: %w", spec.Name, err)
 		}
-		if err := inside.do(c); err != nil {
+		if err := inside.execute(c); err != nil {
 			return fmt.Errorf("actor %s: %s: %w", spec.Name, c.Do, err)
 		}
 	}
 	return nil
 }
 
-const flushEvery = 50 * time.Millisecond
+const flushInterval = 50 * time.Millisecond
 
-// teller writes events.
-type teller struct {
-	w     *history.Writer
-	clock history.Clock
-	build NewFollower
+// recorder writes events.
+type recorder struct {
+	history *history.Writer
+	clock   history.Clock
+	build   NewFollower
 }
 
-func (t teller) tell(e history.Event) {
+func (t recorder) record(e history.Event) {
 	if e.At == 0 {
 		e.At = t.clock.Now()
 	}
-	t.w.Write(e)
+	t.history.Write(e)
 }
 
-func (t teller) begin(s Spec) (doer, Hello, error) {
+func (t recorder) newRunner(s Spec) (runner, Hello, error) {
 	switch s.Group {
 	case "lists":
 		return newLists(s, t)
--- a/internal/harness/worker/clients.go
+++ b/internal/harness/worker/clients.go
@@ -21,14 +21,14 @@
 
 // Class is a class of requests that the rig's clients send, and its sidecars are configured for.
 type Class struct {
-	Name      string
-	Repeat    string
-	Method    string
-	Path      string
-	Share     float64
-	Objective time.Duration
-	Deadline  time.Duration
-	Worth     float64
+	Name           string
+	Idempotency    string
+	Method         string
+	Path           string
+	Share          float64
+	Objective      time.Duration
+	Deadline       time.Duration
+	PriorityWeight float64
 }
 
 // classes are those of every run.
@@ -44,54 +44,54 @@
 // Tenant is the one tenant of all requests.
 const Tenant = "roaming"
 
-// Window is how long a pod of backends drops a key's repeats.
-const Window = 7500 * time.Millisecond
+// DedupWindow is how long a pod of backends drops a key's repeats.
+const DedupWindow = 7500 * time.Millisecond
 
 const (
-	clientLeeway = 500 * time.Millisecond // that a client waits on to see a late answer for what it is
-	mostHeld     = 2000                   // requests under way at a client process
-	loadStream   = 7
-	pollWithin   = time.Second
-	keptFor      = 5 * time.Second // less than a sidecar keeps an idle one (10 s), lest its close cross a request
-	readyPolls   = 5               // times as long between two looks at one that is ready
-	spread       = 1_000_000
-	mostAnswer   = 1 << 20 // bytes of an answer's body that are read
+	clientLeeway     = 500 * time.Millisecond // that a client waits on to see a late answer for what it is
+	maxInFlight      = 2000                   // requests under way at a client process
+	loadStream       = 7
+	healthTimeout    = time.Second
+	idleTimeout      = 5 * time.Second // less than a sidecar keeps an idle one (10 s), lest its close cross a request
+	readyIntervals   = 5               // times as long between two looks at one that is ready
+	subjectCount     = 1_000_000
+	maxResponseBytes = 1 << 20 // bytes of an answer's body that are read
 )
 
-// clients send requests to sidecars that are ready.
-type clients struct {
-	spec Spec
-	t    teller
-	all  sync.WaitGroup
-	stop context.CancelFunc
-	ctx  context.Context
+// clientGroup send requests to sidecars that are ready.
+type clientGroup struct {
+	spec     Spec
+	recorder recorder
+	running  sync.WaitGroup
+	stop     context.CancelFunc
+	ctx      context.Context
 
-	mu    sync.Mutex
-	ready map[string]bool
-	idle  map[string][]*line
-	load  context.CancelFunc
+	mu       sync.Mutex
+	ready    map[string]bool
+	idle     map[string][]*clientConn
+	stopLoad context.CancelFunc
 }
 
-// line is a client's connection to a sidecar.
-type line struct {
+// clientConn is a client's connection to a sidecar.
+type clientConn struct {
 	net.Conn
-	r    *bufio.Reader
-	used bool
-	at   time.Time // when it was kept
+	reader    *bufio.Reader
+	reused    bool
+	idleSince time.Time // when it was kept
 }
 
-func newClients(s Spec, t teller) (doer, Hello, error) {
-	c := &clients{spec: s, t: t, ready: map[string]bool{}, idle: map[string][]*line{}}
+func newClients(s Spec, t recorder) (runner, Hello, error) {
+	c := &clientGroup{spec: s, recorder: t, ready: map[string]bool{}, idle: map[string][]*clientConn{}}
 	c.ctx, c.stop = context.WithCancel(context.Background())
 	for i, name := range slices.Sorted(maps.Keys(s.Sidecars)) {
-		c.all.Go(func() { c.poll(name, rand.New(rand.NewPCG(s.Seed, uint64(i)+loadStream+1))) })
+		c.running.Go(func() { c.pollHealth(name, rand.New(rand.NewPCG(s.Seed, uint64(i)+loadStream+1))) })
 	}
 	return c, Hello{}, nil
 }
 
-func (c *clients) close() {
+func (c *clientGroup) close() {
 	c.stop()
-	c.all.Wait()
+	c.running.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, all := range c.idle {
@@ -101,29 +101,29 @@
 	}
 }
 
-func (c *clients) do(cmd Command) error {
+func (c *clientGroup) execute(cmd Command) error {
 	if cmd.Do != DoLoad {
 		return errors.New("unknown command")
 	}
-	if c.load != nil {
-		c.load()
-		c.load = nil
+	if c.stopLoad != nil {
+		c.stopLoad()
+		c.stopLoad = nil
 	}
 	if cmd.On {
 		ctx, stop := context.WithCancel(c.ctx)
-		c.load = stop
-		c.all.Go(func() {
-			c.play(ctx)
-			c.t.tell(history.Event{Kind: history.Quiet, Who: c.spec.Name})
+		c.stopLoad = stop
+		c.running.Go(func() {
+			c.generateLoad(ctx)
+			c.recorder.record(history.Event{Kind: history.LoadEnded, Who: c.spec.Name})
 		})
 	}
 	return nil
 }
 
-// poll looks whether a sidecar is ready, again and again until it is, and now and then after that: as a front that deals out
+// pollHealth looks whether a sidecar is ready, again and again until it is, and now and then after that: as a front that deals out
 // clients does, which notices only after a while that one has died or started anew.
-func (c *clients) poll(name string, rnd *rand.Rand) {
-	tick := time.NewTimer(time.Duration(rnd.Int64N(int64(c.spec.Poll) + 1)))
+func (c *clientGroup) pollHealth(name string, rnd *rand.Rand) {
+	tick := time.NewTimer(time.Duration(rnd.Int64N(int64(c.spec.HealthInterval) + 1)))
 	defer tick.Stop()
 	for {
 		select {
@@ -131,33 +131,33 @@
 		case <-c.ctx.Done():
 			return
 		}
-		healthy := c.healthy(name)
+		healthy := c.checkHealth(name)
 		c.mu.Lock()
 		before := c.ready[name]
 		c.ready[name] = healthy
 		c.mu.Unlock()
-		if healthy && !before && c.owns(name) { // one client process for each tells of it
-			c.t.tell(history.Event{Kind: history.Ready, Who: c.spec.Name, To: name})
+		if healthy && !before && c.isLocal(name) { // one client process for each tells of it
+			c.recorder.record(history.Event{Kind: history.Ready, Who: c.spec.Name, To: name})
 		}
 		if healthy {
-			tick.Reset(readyPolls * c.spec.Poll)
+			tick.Reset(readyIntervals * c.spec.HealthInterval)
 		} else {
-			tick.Reset(c.spec.Poll)
+			tick.Reset(c.spec.HealthInterval)
 		}
 	}
 }
 
-func (c *clients) owns(name string) bool {
-	return len(c.spec.Own) == 0 || slices.Contains(c.spec.Own, name)
+func (c *clientGroup) isLocal(name string) bool {
+	return len(c.spec.LocalSidecars) == 0 || slices.Contains(c.spec.LocalSidecars, name)
 }
 
-func (c *clients) healthy(name string) bool {
-	conn, err := net.DialTimeout("tcp4", c.spec.Sidecars[name], pollWithin)
+func (c *clientGroup) checkHealth(name string) bool {
+	conn, err := net.DialTimeout("tcp4", c.spec.Sidecars[name], healthTimeout)
 	if err != nil {
 		return false
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(pollWithin))
+	_ = conn.SetDeadline(time.Now().Add(healthTimeout))
 	if _, err := io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"); err != nil {
 		return false
 	}
@@ -169,13 +169,13 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// play sends requests at random times until the context ends.
-func (c *clients) play(ctx context.Context) {
+// generateLoad sends requests at random times until the context ends.
+func (c *clientGroup) generateLoad(ctx context.Context) {
 	rnd := rand.New(rand.NewPCG(c.spec.Seed, loadStream))
-	held := make(chan struct{}, mostHeld)
+	held := make(chan struct{}, maxInFlight)
 	var own, others []string
 	for _, n := range slices.Sorted(maps.Keys(c.spec.Sidecars)) {
-		if c.owns(n) {
+		if c.isLocal(n) {
 			own = append(own, n)
 		} else {
 			others = append(others, n)
@@ -185,7 +185,7 @@
 	defer all.Wait()
 	next := time.Now()
 	for n := 0; ; n++ {
-		next = next.Add(time.Duration(rnd.ExpFloat64() / c.spec.Load * float64(time.Second)))
+		next = next.Add(time.Duration(rnd.ExpFloat64() / c.spec.RequestRate * float64(time.Second)))
 		wait := time.NewTimer(time.Until(next))
 		select {
 		case <-wait.C:
@@ -193,10 +193,10 @@
 			wait.Stop()
 			return
 		}
-		class, first, subject := pick(rnd), rnd.IntN(len(c.spec.Sidecars)), rnd.IntN(spread)
-		name := c.choose(own, first)
+		class, first, subject := pickClass(rnd), rnd.IntN(len(c.spec.Sidecars)), rnd.IntN(subjectCount)
+		name := c.pickReady(own, first)
 		if name == "" {
-			if name = c.choose(others, first); name == "" {
+			if name = c.pickReady(others, first); name == "" {
 				continue
 			}
 		}
@@ -208,12 +208,12 @@
 		id := fmt.Sprintf("%s-%d", c.spec.Name, n)
 		all.Go(func() {
 			defer func() { <-held }()
-			c.ask(name, classes[class], id, subject)
+			c.sendRequest(name, classes[class], id, subject)
 		})
 	}
 }
 
-func pick(rnd *rand.Rand) int {
+func pickClass(rnd *rand.Rand) int {
 	x := rnd.Float64()
 	for i, c := range classes {
 		if x -= c.Share; x < 0 {
@@ -223,8 +223,8 @@
 	return len(classes) - 1
 }
 
-// choose is a ready sidecar, from the nth on.
-func (c *clients) choose(names []string, n int) string {
+// pickReady is a ready sidecar, from the nth on.
+func (c *clientGroup) pickReady(names []string, n int) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range names {
@@ -235,8 +235,8 @@
 	return ""
 }
 
-// ask sends one request and tells what came of it.
-func (c *clients) ask(name string, k Class, id string, subject int) {
+// sendRequest sends one request and tells what came of it.
+func (c *clientGroup) sendRequest(name string, k Class, id string, subject int) {
 	target := fmt.Sprintf("%s/%d/%s", k.Path, subject, id)
 	body := ""
 	if k.Method == "POST" {
@@ -244,36 +244,36 @@
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nTenant: %s\r\nRequest-Timeout-Ms: %d\r\n", k.Method, target, id, Tenant, k.Deadline.Milliseconds())
-	if k.Repeat == "keyed" {
+	if k.Idempotency == "keyed" {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", id)
 	}
 	if body != "" {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(body))
 	}
 	b.WriteString("\r\n" + body)
-	e := history.Event{Kind: history.Asked, Who: c.spec.Name, To: name, ID: id, Class: k.Name, At: c.t.clock.Now()}
+	e := history.Event{Kind: history.Requested, Who: c.spec.Name, To: name, ID: id, Class: k.Name, At: c.recorder.clock.Now()}
 	e.Until = e.At + k.Deadline.Microseconds()
 	began := time.Now()
-	status, why := c.converse(name, b.String(), k, began.Add(k.Deadline+clientLeeway), k.Method+" "+target+"\n"+body)
+	status, why := c.roundTrip(name, b.String(), k, began.Add(k.Deadline+clientLeeway), k.Method+" "+target+"\n"+body)
 	e.Took, e.Status, e.Why = time.Since(began).Microseconds(), status, why
-	c.t.tell(e)
+	c.recorder.record(e)
 }
 
 // Why a request has no answer. The checkers know these words.
 const (
-	NoConnection = "no connection"
-	ClosedEarly  = "closed with no answer"
-	TimedOut     = "no answer in time"
-	NotWhole     = "an answer that is not whole"
-	WrongAnswer  = "another request's answer"
-	AfterAnswer  = "bytes after the answer"
+	NoConnection  = "no connection"
+	ClosedEarly   = "closed with no answer"
+	TimedOut      = "no answer in time"
+	Truncated     = "an answer that is not whole"
+	WrongResponse = "another request's answer"
+	TrailingBytes = "bytes after the answer"
 )
 
-// converse sends a request, and says what came of it. Where a kept connection breaks with no answer and the request is safe,
+// roundTrip sends a request, and says what came of it. Where a kept connection breaks with no answer and the request is safe,
 // it is sent once more.
-func (c *clients) converse(name, text string, k Class, until time.Time, expect string) (status int, why string) {
+func (c *clientGroup) roundTrip(name, text string, k Class, until time.Time, expect string) (status int, why string) {
 	for first := true; ; first = false {
-		l := c.take(name)
+		l := c.takeIdle(name)
 		if l == nil {
 			if l = c.dial(name, until); l == nil {
 				return 0, NoConnection
@@ -282,41 +282,41 @@
 		_ = l.SetDeadline(until)
 		resp, err := l.exchange(text, k.Method)
 		if err == nil {
-			return c.answer(name, l, resp, expect)
+			return c.readResponse(name, l, resp, expect)
 		}
 		l.Close()
 		if why = failure(err); why != ClosedEarly {
 			if why == TimedOut {
-				c.dead(name) // ask for its health before the next
+				c.markUnready(name) // ask for its health before the next
 			}
 			return 0, why
 		}
-		if !(l.used && first && k.Repeat == "safe") { // otherwise it was closed between two requests
-			c.dead(name)
+		if !(l.reused && first && k.Idempotency == "safe") { // otherwise it was closed between two requests
+			c.markUnready(name)
 			return 0, why
 		}
 	}
 }
 
 // dial connects to a sidecar; nil where that fails.
-func (c *clients) dial(name string, until time.Time) *line {
+func (c *clientGroup) dial(name string, until time.Time) *clientConn {
 	conn, err := net.DialTimeout("tcp4", c.spec.Sidecars[name], time.Until(until))
 	if err != nil {
-		c.dead(name)
+		c.markUnready(name)
 		return nil
 	}
-	return &line{Conn: conn, r: bufio.NewReader(conn)}
+	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}
 }
 
 // exchange writes a request and reads the head of its answer.
-func (l *line) exchange(text, method string) (*http.Response, error) {
+func (l *clientConn) exchange(text, method string) (*http.Response, error) {
 	if _, err := io.WriteString(l, text); err != nil {
 		return nil, err
 	}
-	if _, err := l.r.Peek(1); err != nil {
+	if _, err := l.reader.Peek(1); err != nil {
 		return nil, err
 	}
-	return http.ReadResponse(l.r, &http.Request{Method: method})
+	return http.ReadResponse(l.reader, &http.Request{Method: method})
 }
 
 // failure says why there is no head of an answer.
@@ -326,42 +326,42 @@
 	case errors.As(err, &network) && network.Timeout():
 		return TimedOut
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		return NotWhole
+		return Truncated
 	}
 	return ClosedEarly
 }
 
-// answer reads the rest of an answer and compares it with what is expected; a connection that can serve again is kept.
-func (c *clients) answer(name string, l *line, resp *http.Response, expect string) (status int, why string) {
-	data, err := io.ReadAll(io.LimitReader(resp.Body, mostAnswer))
+// readResponse reads the rest of an answer and compares it with what is expected; a connection that can serve again is kept.
+func (c *clientGroup) readResponse(name string, l *clientConn, resp *http.Response, expect string) (status int, why string) {
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	resp.Body.Close()
 	switch {
 	case err != nil:
 		l.Close()
-		return 0, NotWhole
+		return 0, Truncated
 	case resp.StatusCode == http.StatusOK && string(data) != expect:
 		l.Close()
-		return resp.StatusCode, WrongAnswer
-	case l.r.Buffered() > 0:
+		return resp.StatusCode, WrongResponse
+	case l.reader.Buffered() > 0:
 		l.Close()
-		return resp.StatusCode, AfterAnswer
+		return resp.StatusCode, TrailingBytes
 	}
-	if l.used = true; resp.Close {
+	if l.reused = true; resp.Close {
 		l.Close()
 	} else {
-		c.keep(name, l)
+		c.putIdle(name, l)
 	}
 	return resp.StatusCode, ""
 }
 
-// take takes a kept connection that its other end has left open and quiet.
-func (c *clients) take(name string) *line {
+// takeIdle takes a kept connection that its other end has left open and quiet.
+func (c *clientGroup) takeIdle(name string) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for all := c.idle[name]; len(all) > 0; all = c.idle[name] {
 		l := all[len(all)-1]
 		c.idle[name] = all[:len(all)-1]
-		if time.Since(l.at) < keptFor && socket.IsIdle(l.Conn) {
+		if time.Since(l.idleSince) < idleTimeout && socket.IsIdle(l.Conn) {
 			return l
 		}
 		l.Close()
@@ -369,15 +369,15 @@
 	return nil
 }
 
-func (c *clients) keep(name string, l *line) {
+func (c *clientGroup) putIdle(name string, l *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l.at = time.Now()
+	l.idleSince = time.Now()
 	c.idle[name] = append(c.idle[name], l)
 }
 
-// dead has a sidecar asked for its health before it gets further requests.
-func (c *clients) dead(name string) {
+// markUnready has a sidecar asked for its health before it gets further requests.
+func (c *clientGroup) markUnready(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ready[name] = false
--- a/internal/harness/worker/followers.go
+++ b/internal/harness/worker/followers.go
@@ -32,44 +32,44 @@
 
 func newFollower(c follow.Config) Follower { return follow.New(c) }
 
-const usedEvery = 500 * time.Millisecond // between two Used events
+const usageInterval = 500 * time.Millisecond // between two Used events
 
 // followers are all followers of a process.
 type followers struct {
-	teller
-	spec  Spec
-	bytes atomic.Int64 // sent and received
-	sent  atomic.Int64 // messages
-	each  []*subscriptions
-	ctx   context.Context
-	stop  context.CancelFunc
-	ended sync.WaitGroup
-}
-
-func newFollowers(s Spec, t teller) *followers {
-	f := &followers{teller: t, spec: s}
+	recorder
+	spec             Spec
+	bytesTransferred atomic.Int64 // sent and received
+	messagesSent     atomic.Int64 // messages
+	subscriptions    []*followerState
+	ctx              context.Context
+	stop             context.CancelFunc
+	running          sync.WaitGroup
+}
+
+func newFollowers(s Spec, t recorder) *followers {
+	f := &followers{recorder: t, spec: s}
 	f.ctx, f.stop = context.WithCancel(context.Background())
 	for i, spec := range s.Followers {
-		one := &subscriptions{followers: f, spec: spec, seed: s.Seed + uint64(i)}
-		for _, resource := range spec.Follows {
-			one.all = append(one.all, &subscription{followers: f, follower: spec.Name, resource: resource})
+		one := &followerState{followers: f, spec: spec, seed: s.Seed + uint64(i)}
+		for _, resource := range spec.Resources {
+			one.subscriptions = append(one.subscriptions, &subscription{followers: f, follower: spec.Name, resource: resource})
 		}
-		f.each = append(f.each, one)
+		f.subscriptions = append(f.subscriptions, one)
 		one.start()
 	}
-	f.ended.Go(f.report)
-	f.ended.Go(func() { history.WatchLag(f.ctx, s.Name, t.clock, t.tell) })
+	f.running.Go(f.reportUsage)
+	f.running.Go(func() { history.WatchLag(f.ctx, s.Name, t.clock, t.record) })
 	return f
 }
 
-func (f *followers) do(c Command) error {
+func (f *followers) execute(c Command) error {
 	if c.Do != DoRestart {
 		return fmt.Errorf("unknown command")
 	}
-	for _, one := range f.each {
-		one.end()
+	for _, one := range f.subscriptions {
+		one.halt()
 	}
-	for _, one := range f.each {
+	for _, one := range f.subscriptions {
 		one.start()
 	}
 	return nil
@@ -77,23 +77,23 @@
 
 func (f *followers) close() {
 	f.stop()
-	for _, one := range f.each {
-		one.end()
+	for _, one := range f.subscriptions {
+		one.halt()
 	}
-	f.ended.Wait()
+	f.running.Wait()
 }
 
-// report tells what the process uses, until it ends.
-func (f *followers) report() {
-	tick := time.NewTicker(usedEvery)
+// reportUsage tells what the process uses, until it ends.
+func (f *followers) reportUsage() {
+	tick := time.NewTicker(usageInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			f.tell(history.Event{Kind: history.Used, Who: f.spec.Name, Figures: map[string]float64{
-				history.UsedBytes:     float64(f.bytes.Load()),
-				history.UsedReads:     float64(f.sent.Load()),
-				history.UsedFollowers: float64(len(f.each)),
+			f.record(history.Event{Kind: history.Usage, Who: f.spec.Name, Figures: map[string]float64{
+				history.UsedBytes:     float64(f.bytesTransferred.Load()),
+				history.UsedReads:     float64(f.messagesSent.Load()),
+				history.UsedFollowers: float64(len(f.subscriptions)),
 			}})
 		case <-f.ctx.Done():
 			return
@@ -101,18 +101,18 @@
 	}
 }
 
-// subscriptions are what one follower follows. They outlive the follower, as files would its process.
-type subscriptions struct {
+// followerState are what one follower follows. They outlive the follower, as files would its process.
+type followerState struct {
 	*followers
-	spec FollowerSpec
-	seed uint64
-	all  []*subscription
-	stop context.CancelFunc
-	done chan struct{}
+	spec          FollowerSpec
+	seed          uint64
+	subscriptions []*subscription
+	stop          context.CancelFunc
+	done          chan struct{}
 }
 
 // start starts a new follower that has what the one before it had.
-func (s *subscriptions) start() {
+func (s *followerState) start() {
 	f := s.build(follow.Config{
 		Name:   s.spec.Name,
 		Kind:   distribution.KindProxy,
@@ -122,9 +122,9 @@
 		Log:    slog.New(slog.DiscardHandler),
 		Dial:   s.dial,
 	})
-	for _, one := range s.all {
-		one.relay = func() string { return s.relayName(f.Health().Relay) }
-		one.tell(history.Event{Kind: history.Subscribed, Who: one.follower, Resource: one.resource, Version: one.version})
+	for _, one := range s.subscriptions {
+		one.currentRelay = func() string { return s.relayName(f.Health().Relay) }
+		one.record(history.Event{Kind: history.Subscribed, Who: one.follower, Resource: one.resource, Version: one.version})
 		f.Subscribe(one.resource, one.version, one)
 	}
 	ctx, stop := context.WithCancel(s.ctx)
@@ -136,25 +136,25 @@
 }
 
 // relayName is the name of the relay with an address; empty: none.
-func (s *subscriptions) relayName(address string) string {
+func (s *followerState) relayName(address string) string {
 	if i := slices.Index(s.spec.Relays, address); i >= 0 {
-		return s.spec.Names[i]
+		return s.spec.RelayNames[i]
 	}
 	return ""
 }
 
-func (s *subscriptions) end() {
+func (s *followerState) halt() {
 	s.stop()
 	<-s.done
 }
 
 // dial opens a connection whose bytes are counted.
-func (s *subscriptions) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (s *followerState) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	c, err := (&net.Dialer{}).DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{Conn: c, bytes: &s.bytes, messages: &s.sent}, nil
+	return &countedConn{Conn: c, bytes: &s.bytesTransferred, messages: &s.messagesSent}, nil
 }
 
 // countedConn counts the bytes of both directions, and the messages that are sent.
@@ -182,7 +182,7 @@
 type subscription struct {
 	*followers
 	follower, resource string
-	relay              func() string // that the follower reads from
+	currentRelay       func() string // that the follower reads from
 
 	items   map[string]string
 	version distribution.Version
@@ -203,17 +203,17 @@
 	}
 	if who, refused := items[plan.RejectKey]; refused && who == `"`+s.follower+`"` {
 		const why = "an item names this follower"
-		s.tell(history.Event{Kind: history.Refused, Who: s.follower, Resource: s.resource, Version: u.Version, Why: why})
+		s.record(history.Event{Kind: history.UpdateRejected, Who: s.follower, Resource: s.resource, Version: u.Version, Why: why})
 		return errors.New(why)
 	}
 	s.items, s.version = items, u.Version
-	s.tell(history.Event{Kind: history.InForce, Who: s.follower, To: s.relay(), Resource: s.resource, Version: u.Version, From: u.From, N: int64(len(u.Items)), Digest: Digest(items)})
+	s.record(history.Event{Kind: history.InForce, Who: s.follower, To: s.currentRelay(), Resource: s.resource, Version: u.Version, From: u.From, N: int64(len(u.Items)), Digest: Digest(items)})
 	return nil
 }
 
 // UpdateFailed implements follow.Subscriber.
 func (s *subscription) UpdateFailed() {
-	s.tell(history.Event{Kind: history.Log, Who: s.follower, Resource: s.resource, Why: "no relay answers"})
+	s.record(history.Event{Kind: history.Log, Who: s.follower, Resource: s.resource, Why: "no relay answers"})
 }
 
 // Digest is a short text that is the same for the same items.
--- a/internal/harness/worker/lists.go
+++ b/internal/harness/worker/lists.go
@@ -9,14 +9,14 @@
 	"fernlanding/internal/standin"
 )
 
-// lists is one list service.
-type lists struct {
+// listService is one list service.
+type listService struct {
 	*standin.Discovery
 }
 
-func newLists(s Spec, t teller) (doer, Hello, error) {
+func newLists(s Spec, t recorder) (runner, Hello, error) {
 	d, err := standin.NewDiscoveryWith(standin.DiscoveryConfig{
-		Rate: s.Rate, Queue: s.Queue, RetryAfter: s.RetryAfter,
+		Rate: s.SnapshotRate, Queue: s.SnapshotQueue, RetryAfter: s.RetryAfter,
 		// Members are listed by the port of their relay; each caller reaches it at its own place.
 		Address: func(caller string, m standin.Member) string {
 			_, port, _ := strings.Cut(m.Address, ":")
@@ -26,37 +26,37 @@
 			if m.SinceMs == 0 {
 				return 0
 			}
-			return m.SinceMs + s.Skews[caller]
+			return m.SinceMs + s.ClockSkews[caller]
 		},
 		Report: func(c standin.DiscoveryCall) {
 			host, _, _ := net.SplitHostPort(c.Caller)
 			e := history.Event{
-				At: t.clock.Now(), Kind: history.Call, Who: s.Name, To: s.Places[host], Conn: c.Caller, N: c.From, Status: c.Status,
+				At: t.clock.Now(), Kind: history.ListPolled, Who: s.Name, To: s.SidecarNames[host], Conn: c.Caller, N: c.From, Status: c.Status,
 				Took: t.clock.Now() - t.clock.At(c.Began), Bytes: c.BytesWritten,
 			}
 			for _, m := range c.Members {
 				mark := ""
 				if m.Status == "SERVING" {
-					mark = history.Serves
+					mark = history.ServingMark
 				}
 				e.Names = append(e.Names, mark+m.Name)
 			}
 			switch {
 			case c.CallerLeft:
-				e.Why = history.GivenUp
+				e.Why = history.CallerLeft
 			case c.Full:
-				e.Why = history.Whole
+				e.Why = history.Snapshot
 			}
-			t.tell(e)
+			t.record(e)
 		},
 	})
 	if err != nil {
 		return nil, Hello{}, err
 	}
-	return lists{d}, Hello{Address: d.Addr()}, nil
+	return listService{d}, Hello{Address: d.Addr()}, nil
 }
 
-func (l lists) do(c Command) error {
+func (l listService) execute(c Command) error {
 	switch c.Do {
 	case DoMode:
 		m, ok := standin.ModeOf(c.Mode)
@@ -86,4 +86,4 @@
 	return nil
 }
 
-func (l lists) close() { l.Close() }
+func (l listService) close() { l.Close() }
--- a/internal/harness/worker/publisher.go
+++ b/internal/harness/worker/publisher.go
@@ -18,41 +18,41 @@
 )
 
 const (
-	putWithin   = 2 * time.Second
-	putAgain    = 100 * time.Millisecond // between two tries of a put that insists
-	answerBytes = 1 << 16
+	putTimeout          = 2 * time.Second
+	putRetryDelay       = 100 * time.Millisecond // between two tries of a put that insists
+	maxPutResponseBytes = 1 << 16
 )
 
 // publisher writes resources to the source, by a plan.
 type publisher struct {
-	teller
-	spec   Spec
-	client *http.Client
-	ctx    context.Context
-	stop   context.CancelFunc
-	ended  sync.WaitGroup
+	recorder
+	spec    Spec
+	client  *http.Client
+	ctx     context.Context
+	stop    context.CancelFunc
+	running sync.WaitGroup
 }
 
-func newPublisher(s Spec, t teller) *publisher {
-	p := &publisher{teller: t, spec: s, client: &http.Client{Timeout: putWithin, Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
+func newPublisher(s Spec, t recorder) *publisher {
+	p := &publisher{recorder: t, spec: s, client: &http.Client{Timeout: putTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
 	p.ctx, p.stop = context.WithCancel(context.Background())
-	p.ended.Go(func() { history.WatchLag(p.ctx, s.Name, t.clock, t.tell) })
-	if s.Began > 0 {
-		p.begin(s.Began)
+	p.running.Go(func() { history.WatchLag(p.ctx, s.Name, t.clock, t.record) })
+	if s.RunStart > 0 {
+		p.startPuts(s.RunStart)
 	}
 	return p
 }
 
-func (p *publisher) do(c Command) error {
+func (p *publisher) execute(c Command) error {
 	switch c.Do {
 	case DoFirst:
-		p.ended.Go(func() {
-			for _, put := range p.spec.First {
+		p.running.Go(func() {
+			for _, put := range p.spec.InitialPuts {
 				p.publish(put)
 			}
 		})
 	case DoBegin:
-		p.begin(c.At)
+		p.startPuts(c.At)
 	default:
 		return fmt.Errorf("unknown command")
 	}
@@ -61,14 +61,14 @@
 
 func (p *publisher) close() {
 	p.stop()
-	p.ended.Wait()
+	p.running.Wait()
 	p.client.CloseIdleConnections()
 }
 
-// begin writes all puts that are still due, each when its time comes, whatever has become of those before it. A process
+// startPuts writes all puts that are still due, each when its time comes, whatever has become of those before it. A process
 // before this one has written the others, or has died with them.
-func (p *publisher) begin(zero int64) {
-	p.ended.Go(func() {
+func (p *publisher) startPuts(zero int64) {
+	p.running.Go(func() {
 		from := p.clock.Now()
 		for _, put := range p.spec.Puts {
 			due := zero + put.At.Microseconds()
@@ -78,7 +78,7 @@
 			if !sleep.For(p.ctx, time.Duration(due-p.clock.Now())*time.Microsecond) {
 				return
 			}
-			p.ended.Go(func() { p.publish(put) })
+			p.running.Go(func() { p.publish(put) })
 		}
 	})
 }
@@ -86,15 +86,15 @@
 // publish writes one put, again and again if it insists.
 func (p *publisher) publish(put plan.Put) {
 	for {
-		answered := p.try(put)
-		if answered || !put.Retry || !sleep.For(p.ctx, putAgain) {
+		answered := p.attempt(put)
+		if answered || !put.Retry || !sleep.For(p.ctx, putRetryDelay) {
 			return
 		}
 	}
 }
 
-// try writes one put once and tells what came of it.
-func (p *publisher) try(put plan.Put) (answered bool) {
+// attempt writes one put once and tells what came of it.
+func (p *publisher) attempt(put plan.Put) (answered bool) {
 	var request distribution.PutRequest
 	_ = json.Unmarshal(put.Request, &request) // for its name alone; the source reads it whole
 	began := p.clock.Now()
@@ -109,7 +109,7 @@
 	}
 	e.At = p.clock.Now()
 	e.Took = e.At - began
-	p.tell(e)
+	p.record(e)
 	return err == nil
 }
 
@@ -124,7 +124,7 @@
 		return 0, v, err
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, answerBytes))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxPutResponseBytes))
 	if err != nil {
 		return response.StatusCode, v, err
 	}
--- a/internal/scale/sweep/team.go
+++ b/internal/scale/sweep/team.go
@@ -41,7 +41,7 @@
 
 // tell takes what happens to processes.
 func (t *team) tell(e history.Event) {
-	if e.Kind != history.Gone {
+	if e.Kind != history.Exited {
 		return
 	}
 	t.mu.Lock()
@@ -75,7 +75,7 @@
 			replies <- append([]byte(nil), lines.Bytes()...)
 		}
 	}
-	if err := t.group.Start(process.Spec{Name: name, Args: t.args, Talks: true, Read: read}); err != nil {
+	if err := t.group.Start(process.Spec{Name: name, Args: t.args, Stdin: true, ReadStdout: read}); err != nil {
 		return worker.Reply{}, err
 	}
 	return t.ask(ctx, name, spec)
@@ -95,7 +95,7 @@
 		}
 		_, _ = io.Copy(io.Discard, out)
 	}
-	if err := t.group.Start(process.Spec{Name: name, Args: args, Read: read}); err != nil {
+	if err := t.group.Start(process.Spec{Name: name, Args: args, ReadStdout: read}); err != nil {
 		return "", err
 	}
 	select {
@@ -125,7 +125,7 @@
 	t.mu.Lock()
 	replies, gone := t.replies[name], t.gone[name]
 	t.mu.Unlock()
-	if err := t.group.Say(name, line); err != nil {
+	if err := t.group.SendCommand(name, line); err != nil {
 		return r, errors.Join(t.failure(), fmt.Errorf("%s: %w", name, err))
 	}
 	late := time.NewTimer(answerWithin)
@@ -167,5 +167,5 @@
 	t.mu.Lock()
 	t.ending = true
 	t.mu.Unlock()
-	t.group.End()
+	t.group.Close()
 }
