--- /dev/null
+++ b/internal/harness/harness_test.go
@@ -0,0 +1,305 @@
+package harness_test
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"fernlanding/internal/harness"
+	"fernlanding/internal/harness/check"
+	"fernlanding/internal/harness/harnesstest"
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/scenario"
+	"fernlanding/internal/harness/worker"
+)
+
+// The test's own program also runs as the harness's workers, as faulty sidecars, and as the harness that is killed.
+const (
+	roleVar    = "RIG_TEST_ROLE"
+	bugVar     = "RIG_TEST_BUG"
+	programVar = "RIG_TEST_PROGRAM"
+)
+
+var program string // the sidecar, built from this tree
+
+func TestMain(m *testing.M) {
+	switch os.Getenv(roleVar) {
+	case "worker":
+		harnesstest.Exit(worker.Main(os.Stdin, os.Stdout))
+	case "naive":
+		harnesstest.Exit(runNaiveProxy(os.Args[2], os.Getenv(bugVar)))
+	case "rig":
+		harnesstest.Exit(runHarness(os.Getenv(programVar), os.Args[1]))
+	}
+	harnesstest.Main(m, "fernlanding", func(path string) { program = path })
+}
+
+// options returns the options of a run with a program under test. The test's own program stands for the naive proxy.
+func options(sidecar string, env ...string) harness.Options {
+	opts := harness.Options{Sidecar: []string{sidecar}, Worker: harnesstest.InRole(roleVar, "worker"), Env: env}
+	if sidecar == harnesstest.Self() {
+		opts.Sidecar = harnesstest.InRole(roleVar, "naive")
+	}
+	return opts
+}
+
+// runScenario runs a scenario and judges its history.
+func runScenario(t *testing.T, spec *scenario.Scenario, opts harness.Options) ([]check.Verdict, check.Figures) {
+	t.Helper()
+	var log bytes.Buffer
+	opts.Out = &log
+	if err := harness.Run(context.Background(), spec, opts); err != nil {
+		t.Fatal(err)
+	}
+	events, err := history.Read(&log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	result := check.Judge(spec, events)
+	return result.Verdicts, result.Figures
+}
+
+// decode returns the scenario that a text describes.
+func decode(t *testing.T, text string) *scenario.Scenario {
+	t.Helper()
+	spec, err := scenario.Read("test.toml", []byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return spec
+}
+
+// smallScenario is a short run with four faults that are drawn from the seed.
+const smallScenario = `
+name = "small"
+for = "1500ms"
+[sidecars]
+count = 24
+sites = ["a", "b", "c"]
+told = true
+[lists]
+count = 2
+rate = 100
+[backends]
+count = 12
+processes = 2
+cores = 8
+[clients]
+rate = 250
+poll = "50ms"
+[random]
+count = 4
+kinds = ["kill", "stop", "cut", "delay", "oneway", "hold", "reset", "half", "replace", "down"]
+from = "300ms"
+until = "1400ms"
+long = "700ms"
+`
+
+// Twenty-four sidecars pass all checks under thirty schedules of kills, stops, cuts, delays, one-way cuts, messages
+// held in their middle, resets, half-closed connections, drains and an absent list service.
+func TestRulesHoldUnderFaults(t *testing.T) {
+	if testing.Short() {
+		t.Skip("starts a thousand processes")
+	}
+	slots := make(chan struct{}, 3)
+	var all sync.WaitGroup
+	for seed := range uint64(30) {
+		all.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			spec := decode(t, smallScenario)
+			spec.Seed = seed
+			verdicts, figures := runScenario(t, spec, options(program))
+			for _, verdict := range verdicts {
+				t.Errorf("seed %d: %s", seed, verdict)
+			}
+			if figures.Asked < 100 || figures.Served < 0.3*float64(figures.Asked) {
+				t.Errorf("seed %d: %.0f of %d requests served: the run shows nothing",
+					seed, figures.Served, figures.Asked)
+			}
+			if t.Failed() {
+				t.Logf("seed %d's faults:\n%s", seed, scenario.Text(spec.Schedule()))
+			}
+		})
+	}
+	all.Wait()
+}
+
+// Each check finds the proxy with the bug that it is there for, and a proxy without a bug passes all.
+func TestCheckersFindSeededBugs(t *testing.T) {
+	const base = `
+name = "bugs"
+for = "1500ms"
+[sidecars]
+count = 4
+[backends]
+count = 6
+cores = 2
+waiting = 200
+work = "10ms"
+cold = "30s"
+start_capacity = 0.05
+[clients]
+rate = 200
+poll = "20ms"
+%s
+`
+	const drain = `[[faults]]
+at = "300ms"
+for = "1200ms"
+kind = "replace"
+names = ["backend-1", "backend-2"]
+`
+	const replaceOne = `[[faults]]
+at = "300ms"
+for = "300ms"
+kind = "replace"
+names = ["backend-1"]
+`
+	const addressReuse = `[[faults]]
+at = "250ms"
+for = "1200ms"
+kind = "down"
+[[faults]]
+at = "300ms"
+for = "1100ms"
+kind = "moved"
+names = ["backend-1", "backend-2", "backend-3"]
+[[faults]]
+at = "500ms"
+for = "400ms"
+kind = "kill"
+`
+	for _, c := range []struct{ bug, extra, check string }{
+		{"", "", ""},
+		{"", drain, ""},
+		{"forget", "", check.OneAnswer},
+		{"swap", "", check.OneAnswer},
+		{"twice", "", check.Effects},
+		{"drains", drain, check.Drains},
+		{"cold", replaceOne, check.Cold},
+		{"strays", addressReuse, check.Strays},
+		{"crash", "", check.Processes},
+		{"reads", "[bounds]\nreads_per_s = 50\n", check.Bounds},
+	} {
+		t.Run(c.bug+"/"+c.check, func(t *testing.T) {
+			spec := decode(t, fmt.Sprintf(base, c.extra))
+			verdicts, _ := runScenario(t, spec, options(harnesstest.Self(), bugVar+"="+c.bug))
+			found := false
+			for _, verdict := range verdicts {
+				found = found || verdict.Check == c.check
+				if c.check == "" {
+					t.Error(verdict)
+				}
+			}
+			if !found && c.check != "" {
+				t.Errorf("%s is not found", c.bug)
+			}
+		})
+	}
+}
+
+// runHarness runs the scenario in a file as a process of its own.
+func runHarness(program, file string) error {
+	data, err := os.ReadFile(file)
+	if err != nil {
+		return err
+	}
+	spec, err := scenario.Read(file, data)
+	if err != nil {
+		return err
+	}
+	opts := options(program)
+	opts.Out = os.Stdout
+	opts.Dir = filepath.Dir(file)
+	return harness.Run(context.Background(), spec, opts)
+}
+
+// No process that the harness has started outlives it, whenever it is killed.
+func TestNoProcessOutlivesKilledHarness(t *testing.T) {
+	const ms = time.Millisecond
+	for i, delay := range []time.Duration{30 * ms, 150 * ms, 400 * ms, 900 * ms} {
+		dir := t.TempDir()
+		file := filepath.Join(dir, "scenario.toml")
+		text := strings.Replace(smallScenario, `for = "1500ms"`, `for = "30s"`, 1)
+		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		cmd := exec.Command(harnesstest.Self(), file)
+		cmd.Env = append(os.Environ(), roleVar+"=rig", programVar+"="+program)
+		out, err := cmd.StdoutPipe()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := cmd.Start(); err != nil {
+			t.Fatal(err)
+		}
+		killed := time.AfterFunc(delay, func() { _ = cmd.Process.Kill() })
+		_, _ = io.Copy(io.Discard, out) // ends when no process holds the pipe: workers write to pipes of their own
+		_ = cmd.Wait()
+		killed.Stop()
+		deadline := time.Now().Add(20 * time.Second)
+		for {
+			left := processesMentioning(t, dir)
+			if len(left) == 0 {
+				break
+			}
+			if time.Now().After(deadline) {
+				t.Fatalf("kill %d: left behind: %v", i, left)
+			}
+			time.Sleep(5 * ms) // nothing announces the exit of another process's children
+		}
+	}
+}
+
+// processesMentioning returns the ids of the processes whose arguments contain a text.
+func processesMentioning(t *testing.T, text string) []string {
+	t.Helper()
+	files, err := filepath.Glob("/proc/[0-9]*/cmdline")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var ids []string
+	for _, file := range files {
+		data, err := os.ReadFile(file) // fails where the process has exited since
+		if err == nil && bytes.Contains(data, []byte(text)) {
+			ids = append(ids, filepath.Base(filepath.Dir(file)))
+		}
+	}
+	return ids
+}
+
+// A run whose context is done ends its processes, and records that.
+func TestContextEndsRun(t *testing.T) {
+	ctx, stop := context.WithTimeout(context.Background(), 500*time.Millisecond)
+	defer stop()
+	var log bytes.Buffer
+	opts := options(program)
+	opts.Out = &log
+	spec := decode(t, strings.Replace(smallScenario, `for = "1500ms"`, `for = "30s"`, 1))
+	if err := harness.Run(ctx, spec, opts); !errors.Is(err, context.DeadlineExceeded) {
+		t.Errorf("error %v", err)
+	}
+	events, err := history.Read(&log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, e := range events {
+		if e.Kind == history.Started && syscall.Kill(int(e.N), 0) == nil {
+			t.Errorf("%s, process %d, is still there", e.Who, e.N)
+		}
+	}
+	if last := events[len(events)-1]; last.Kind != history.Ended || last.N != 0 {
+		t.Errorf("last event %+v", last)
+	}
+}
--- /dev/null
+++ b/internal/harness/members.go
@@ -0,0 +1,80 @@
+package harness
+
+import (
+	"errors"
+	"strconv"
+	"time"
+
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/worker"
+	"fernlanding/internal/standin"
+)
+
+// The states of a backend in the endpoint list, as the catalog's protocol spells them.
+const (
+	statusServing  = "SERVING"
+	statusDraining = "DRAINING"
+	statusDeleted  = "DELETED"
+)
+
+// newMember returns the endpoint list's entry for a backend, without a status. Its address is the port of the backend's
+// relay; each sidecar reaches the relay at the sidecar's own address.
+func (r *run) newMember(name string, index int) standin.Member {
+	return standin.Member{
+		Name:    name,
+		Address: ":" + strconv.Itoa(r.backendRelayPorts[index]),
+		Zone:    r.spec.Site(index),
+		Group:   index % podCount,
+		Weight:  1,
+	}
+}
+
+// setBackendStatus changes the status of backends in the endpoint list. A backend that becomes SERVING has just
+// started.
+func (r *run) setBackendStatus(status string, names ...string) {
+	var all []standin.Member
+	r.mu.Lock()
+	for _, name := range names {
+		member, ok := r.members[name]
+		if !ok {
+			member = r.newMember(name, r.backendIndex[name])
+		}
+		if status == statusServing {
+			member.SinceMs = time.Now().UnixMilli()
+		}
+		member.Status = status
+		all = append(all, member)
+	}
+	r.mu.Unlock()
+	r.updateMembers(all...)
+}
+
+// updateMembers enters changed members into the endpoint list, records them, and sends them to the list services.
+func (r *run) updateMembers(changed ...standin.Member) {
+	r.mu.Lock()
+	for _, member := range changed {
+		if member.Status == statusDeleted {
+			delete(r.members, member.Name)
+		} else {
+			r.members[member.Name] = member
+		}
+	}
+	r.mu.Unlock()
+	for _, member := range changed {
+		r.Record(history.Event{Kind: history.MemberStatus, Who: member.Name, Why: member.Status})
+	}
+	for _, name := range r.listNames {
+		// A list service that is down gets the complete list when it starts.
+		_ = r.Processes.SendCommand(name, worker.Command{Do: worker.DoMembers, Members: changed})
+	}
+}
+
+// commandBackends sends a command to all processes of backends. Each carries it out for those of the named backends
+// that are its own.
+func (r *run) commandBackends(command worker.Command) error {
+	var all []error
+	for _, name := range r.backendProcesses {
+		all = append(all, r.Processes.SendCommand(name, command))
+	}
+	return errors.Join(all...)
+}
--- a/internal/harness/scenarios_test.go
+++ b/internal/harness/scenarios_test.go
@@ -8,10 +8,11 @@
 	"fernlanding/internal/harness/scenario"
 )
 
-// atOnce is how many scenarios are played beside each other.
-const atOnce = 3
+// maxConcurrent is how many scenarios run at the same time.
+const maxConcurrent = 3
 
-// Starts that something is wrong with, and sites that are killed, stopped or cut off: the rules hold, and each scenario's bounds.
+// The checks and each scenario's bounds hold at starts with something wrong, and while sites are killed, stopped or cut
+// off.
 func TestScenarios(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts some hundred processes")
@@ -20,27 +21,27 @@
 	if err != nil || len(files) < 15 {
 		t.Fatalf("%d scenarios, %v", len(files), err)
 	}
-	together := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxConcurrent)
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		sc, err := scenario.Read(file, text)
+		spec, err := scenario.Read(file, text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Run(sc.Name, func(t *testing.T) {
+		t.Run(spec.Name, func(t *testing.T) {
 			t.Parallel()
-			together <- struct{}{}
-			defer func() { <-together }()
-			verdicts, f := play(t, sc, options(program))
-			for _, v := range verdicts {
-				t.Error(v)
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			verdicts, figures := runScenario(t, spec, options(program))
+			for _, verdict := range verdicts {
+				t.Error(verdict)
 			}
-			t.Logf("%d asked, %.0f served, losses %+v", f.Asked, f.Served, f.Losses)
-			if f.Asked < 200 {
-				t.Errorf("%d requests: the run shows nothing\n%s", f.Asked, scenario.Text(sc.Schedule()))
+			t.Logf("%d asked, %.0f served, losses %+v", figures.Asked, figures.Served, figures.Losses)
+			if figures.Asked < 200 {
+				t.Errorf("%d requests: the run shows nothing\n%s", figures.Asked, scenario.Text(spec.Schedule()))
 			}
 		})
 	}
--- /dev/null
+++ b/internal/harness/sidecars.go
@@ -0,0 +1,121 @@
+package harness
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"slices"
+	"time"
+
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/process"
+	"fernlanding/internal/harness/worker"
+	"fernlanding/internal/sleep"
+)
+
+const (
+	maxMemoryShare = 0.8                    // of the machine's available memory that a run may take
+	measureDelay   = 100 * time.Millisecond // from a process's start until its runtime is set up
+)
+
+// startSidecars starts the clients with their load, and then the processes under test.
+func (r *run) startSidecars(ctx context.Context) error {
+	for i := range r.sidecarNames {
+		if err := os.WriteFile(r.configPath(i), []byte(r.configText(i)), 0o600); err != nil {
+			return err
+		}
+	}
+	if err := r.checkMemory(ctx); err != nil {
+		return err
+	}
+	if err := r.startClients(ctx); err != nil {
+		return err
+	}
+	for _, name := range r.clientNames {
+		command := worker.Command{Do: worker.DoLoad, On: r.spec.Clients.Rate > 0}
+		if err := r.Processes.SendCommand(name, command); err != nil {
+			return err
+		}
+	}
+	interval := r.spec.Sidecars.StartSpread / time.Duration(len(r.sidecarNames))
+	for i := range r.sidecarNames {
+		if err := r.startSidecar(i); err != nil {
+			return err
+		}
+		if interval > 0 && !sleep.For(ctx, interval) {
+			return ctx.Err()
+		}
+	}
+	return nil
+}
+
+// MemoryError says that a run does not fit into the machine's memory.
+type MemoryError struct {
+	Count          int   // sidecars of the run
+	EachBytes      int64 // resident memory of one sidecar
+	AvailableBytes int64 // that the run may take on this machine
+}
+
+// Error implements error. It begins with the scenario's key to change.
+func (e *MemoryError) Error() string {
+	need := e.EachBytes * int64(e.Count)
+	return fmt.Sprintf("sidecars.count: %d processes of %d MB take %d MB; %d MB at most expected on this machine",
+		e.Count, e.EachBytes>>20, need>>20, e.AvailableBytes>>20)
+}
+
+// checkMemory starts one sidecar to measure its memory, kills it, and returns a MemoryError if all sidecars together
+// would not fit into the machine's memory.
+func (r *run) checkMemory(ctx context.Context) error {
+	if err := r.startSidecar(0); err != nil {
+		return err
+	}
+	if !sleep.For(ctx, measureDelay) {
+		return ctx.Err()
+	}
+	each := process.ResidentBytes(r.Processes.PID(r.sidecarNames[0]))
+	r.Processes.Kill(r.sidecarNames[0])
+	// The run proper is to begin without the state of the process that was measured.
+	if err := os.RemoveAll(r.stateDir(0)); err != nil {
+		return err
+	}
+	available := process.AvailableBytes()
+	limit := maxMemoryShare * float64(available)
+	need := each * int64(len(r.sidecarNames))
+	if available > 0 && float64(need) > limit {
+		return &MemoryError{Count: len(r.sidecarNames), EachBytes: each, AvailableBytes: int64(limit)}
+	}
+	return nil
+}
+
+// startSidecar starts a process under test. Its standard error is read to its end, so that it never blocks on a full
+// pipe.
+func (r *run) startSidecar(index int) error {
+	name := r.sidecarNames[index]
+	return r.Processes.Start(process.Spec{
+		Name:     name,
+		Args:     append(slices.Clone(r.opts.Sidecar), "-config", r.configPath(index)),
+		Env:      r.opts.Env,
+		MaxFiles: r.spec.Sidecars.Sockets,
+		ReadStderr: func(stderr io.Reader) {
+			lines := bufio.NewScanner(stderr)
+			for lines.Scan() {
+				if r.opts.Logs {
+					r.Record(history.Event{Kind: history.Log, Who: name, Why: lines.Text()})
+				}
+			}
+			// The scanner stops at a line beyond its bound. What follows is not needed.
+			_, _ = io.Copy(io.Discard, stderr)
+		},
+	})
+}
+
+// stateDir returns the directory that outlives a sidecar's process, if the scenario gives it one.
+func (r *run) stateDir(index int) string { return filepath.Join(r.Dir, r.sidecarNames[index]) }
+
+// configPath returns the path of a sidecar's configuration file.
+func (r *run) configPath(index int) string {
+	return filepath.Join(r.Dir, r.sidecarNames[index]+".toml")
+}
