--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// beginListFault makes list services answer wrongly. They answer correctly again when the fault ends.
+// beginListFault makes list services answer wrongly. They answer correctly again when the fault
+// ends.
 func (r *run) beginListFault(fault scenario.Fault) (end func() error, err error) {
 	setMode := func(mode string) error {
 		var all []error
@@ -87,8 +88,8 @@
 	return func() error { return setMode(standin.ListWell.String()) }, setMode(string(fault.Kind))
 }
 
-// beginBackendFault switches a fault of backends on with a command. The same command switches it off when the fault
-// ends.
+// beginBackendFault switches a fault of backends on with a command. The same command switches it
+// off when the fault ends.
 func (r *run) beginBackendFault(do string, fault scenario.Fault) (end func() error, err error) {
 	end = func() error {
 		return r.commandBackends(worker.Command{Do: do, Names: fault.Names})
@@ -137,7 +138,8 @@
 	}
 }
 
-// beginReplacement drains backends and stops them a while later. They start again, cold, when the fault ends.
+// beginReplacement drains backends and stops them a while later. They start again, cold, when the
+// fault ends.
 func (r *run) beginReplacement(ctx context.Context, fault scenario.Fault) (end func() error, err error) {
 	r.setBackendStatus(statusDraining, fault.Names...)
 	stopped := make(chan struct{})
@@ -159,8 +161,8 @@
 	}, nil
 }
 
-// beginAddressReuse stops backends and gives their addresses to another service. The backends take their addresses back
-// when the fault ends.
+// beginAddressReuse stops backends and gives their addresses to another service. The backends take
+// their addresses back when the fault ends.
 func (r *run) beginAddressReuse(ctx context.Context, fault scenario.Fault) (end func() error, err error) {
 	r.runAfter(ctx, deregisterDelay, func() { r.setBackendStatus(statusDeleted, fault.Names...) })
 	end = func() error {
@@ -192,7 +194,8 @@
 	return backends
 }
 
-// runAfter calls f after a delay, on a goroutine that the run's end waits for, unless ctx is done before.
+// runAfter calls f after a delay, on a goroutine that the run's end waits for, unless ctx is done
+// before.
 func (r *run) runAfter(ctx context.Context, delay time.Duration, f func()) {
 	r.Faults.Go(func() {
 		if sleep.For(ctx, delay) {
--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -1,6 +1,6 @@
-// Package harness runs many sidecar processes between stand-ins of everything that they talk to. Every connection
-// between the processes goes through a relay that can inject faults, and everything that happens is written to one
-// history, which package check judges afterwards.
+// Package harness runs many sidecar processes between stand-ins of everything that they talk to.
+// Every connection between the processes goes through a relay that can inject faults, and
+// everything that happens is written to one history, which package check judges afterwards.
 package harness
 
 import (
@@ -29,8 +29,8 @@
 	Out io.Writer
 	// Logs adds the log lines of the sidecars to the history.
 	Logs bool
-	// Dir is where the sidecars' configuration files are written. If it is empty, a temporary directory is used and
-	// removed at the end.
+	// Dir is where the sidecars' configuration files are written. If it is empty, a temporary
+	// directory is used and removed at the end.
 	Dir string
 }
 
@@ -64,8 +64,9 @@
 	members      map[string]standin.Member // the endpoint list, by backend name; guarded by mu
 }
 
-// Run runs a scenario and writes its history to opts.Out. It returns after all processes of the run have exited. When
-// ctx is done, it ends the run early and returns an error that wraps the context's.
+// Run runs a scenario and writes its history to opts.Out. It returns after all processes of the run
+// have exited. When ctx is done, it ends the run early and returns an error that wraps the
+// context's.
 func Run(ctx context.Context, spec *scenario.Scenario, opts Options) error {
 	common, err := launch.Begin(opts.Out, opts.Dir, spec.Name, spec.Seed)
 	if err != nil {
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -23,7 +23,8 @@
 	"fernlanding/internal/harness/worker"
 )
 
-// The test's own program also runs as the harness's workers, as faulty sidecars, and as the harness that is killed.
+// The test's own program also runs as the harness's workers, as faulty sidecars, and as the harness
+// that is killed.
 const (
 	roleVar    = "RIG_TEST_ROLE"
 	bugVar     = "RIG_TEST_BUG"
@@ -44,7 +45,8 @@
 	harnesstest.Main(m, "fernlanding", func(path string) { program = path })
 }
 
-// options returns the options of a run with a program under test. The test's own program stands for the naive proxy.
+// options returns the options of a run with a program under test. The test's own program stands for
+// the naive proxy.
 func options(sidecar string, env ...string) harness.Options {
 	opts := harness.Options{Sidecar: []string{sidecar}, Worker: harnesstest.InRole(roleVar, "worker"), Env: env}
 	if sidecar == harnesstest.Self() {
@@ -105,8 +107,9 @@
 long = "700ms"
 `
 
-// Twenty-four sidecars pass all checks under thirty schedules of kills, stops, cuts, delays, one-way cuts, messages
-// held in their middle, resets, half-closed connections, drains and an absent list service.
+// Twenty-four sidecars pass all checks under thirty schedules of kills, stops, cuts, delays,
+// one-way cuts, messages held in their middle, resets, half-closed connections, drains and an
+// absent list service.
 func TestRulesHoldUnderFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts a thousand processes")
@@ -135,7 +138,8 @@
 	all.Wait()
 }
 
-// Each check finds the proxy with the bug that it is there for, and a proxy without a bug passes all.
+// Each check finds the proxy with the bug that it is there for, and a proxy without a bug passes
+// all.
 func TestCheckersFindSeededBugs(t *testing.T) {
 	const base = `
 name = "bugs"
--- a/internal/harness/harnesstest/harnesstest.go
+++ b/internal/harness/harnesstest/harnesstest.go
@@ -1,5 +1,5 @@
-// Package harnesstest holds what tests of the harness share: a program that is built from this tree, and the test's own
-// program in other roles.
+// Package harnesstest holds what tests of the harness share: a program that is built from this
+// tree, and the test's own program in other roles.
 package harnesstest
 
 import (
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// Main builds the program in a directory of cmd, with further flags of "go build", calls setPath with the program's
-// path, and runs the tests. It does not return.
+// Main builds the program in a directory of cmd, with further flags of "go build", calls setPath
+// with the program's path, and runs the tests. It does not return.
 func Main(m *testing.M, name string, setPath func(path string), flags ...string) {
 	os.Exit(run(m, name, setPath, flags))
 }
@@ -40,7 +40,8 @@
 	return m.Run()
 }
 
-// Exit ends the test's program in another role: with code 0 if err is nil, otherwise with the error's text and code 1.
+// Exit ends the test's program in another role: with code 0 if err is nil, otherwise with the
+// error's text and code 1.
 func Exit(err error) {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -58,7 +59,8 @@
 	return path
 }
 
-// InRole returns the command line of the test's own program with an environment variable that names its role.
+// InRole returns the command line of the test's own program with an environment variable that names
+// its role.
 func InRole(variable, role string) []string {
 	return []string{"/usr/bin/env", variable + "=" + role, Self()}
 }
--- a/internal/harness/history/clock.go
+++ b/internal/harness/history/clock.go
@@ -41,7 +41,8 @@
 	minLag      = 30 * time.Millisecond // that is recorded
 )
 
-// WatchLag records a Lag event whenever the machine schedules this process too late, until ctx is done.
+// WatchLag records a Lag event whenever the machine schedules this process too late, until ctx is
+// done.
 func WatchLag(ctx context.Context, who string, clock Clock, record func(Event)) {
 	due := time.Now()
 	for {
--- a/internal/harness/history/event.go
+++ b/internal/harness/history/event.go
@@ -1,5 +1,6 @@
-// Package history records what happens in a run of the harness, and reads it back. A history is a file of JSON lines,
-// one event a line. All times are from one clock, in microseconds from the run's start.
+// Package history records what happens in a run of the harness, and reads it back. A history is a
+// file of JSON lines, one event a line. All times are from one clock, in microseconds from the
+// run's start.
 package history
 
 import (
@@ -9,9 +10,11 @@
 // Kind is a kind of event. Its text is stored in histories.
 type Kind string
 
-// The kinds of event. Who is the process, backend or follower that an event is about, To is its peer.
+// The kinds of event. Who is the process, backend or follower that an event is about, To is its
+// peer.
 const (
 	// Of the run and its faults.
+
 	// Began: the run starts: ID is its scenario's name, N its seed.
 	Began Kind = "began"
 	// Ended: the run ends: N is how many of its processes still exist.
@@ -20,6 +23,7 @@
 	Fault Kind = "fault"
 
 	// Of processes.
+
 	// Started: a process has started: N is its process id.
 	Started Kind = "started"
 	// Exited: a process has exited: Why says how.
@@ -36,13 +40,14 @@
 	Log Kind = "log"
 	// Usage: Figures is what a process has used until now, or holds.
 	Usage Kind = "used"
-	// CPUWaited: a process's threads waited for a core for Took in all since the last such event;
-	// N is its process id.
+	// CPUWaited: a process's threads have waited for a core for Took in all since they were
+	// measured before, at N.
 	CPUWaited Kind = "waited"
 	// Lag: the machine scheduled a process Took too late.
 	Lag Kind = "lag"
 
 	// Of links and endpoint lists.
+
 	// ListPolled: a list service answered a poll of To: N is the version it has, negative for a
 	// snapshot.
 	ListPolled Kind = "call"
@@ -57,6 +62,7 @@
 	Sent Kind = "sent"
 
 	// Of backends.
+
 	// Executed: a backend began to execute the request ID, the Nth on Conn; Pod deduplicates by
 	// key.
 	Executed Kind = "ran"
@@ -70,6 +76,7 @@
 	WarmupOverload Kind = "pushed"
 
 	// Of clients.
+
 	// LoadEnded: a client process's load has ended, and all its requests with it.
 	LoadEnded Kind = "quiet"
 	// Requested: a client sent the request ID to To and had Status after Took; 0 is no response,
@@ -77,6 +84,7 @@
 	Requested Kind = "asked"
 
 	// Of the distribution of resources.
+
 	// Put: a publisher wrote ID to Resource and had Status and Version after Took; Urgent: it
 	// withdraws something.
 	Put Kind = "put"
@@ -89,7 +97,7 @@
 	UpdateRejected Kind = "refused"
 	// StatusReported: the source Who reported which versions are in force: Report.
 	StatusReported Kind = "reported"
-	// Source: the source holds Version of Resource with Digest, as polled Took before.
+	// Source: the source holds Version of Resource with Digest, and was polled Took before.
 	Source Kind = "source"
 )
 
@@ -127,7 +135,8 @@
 	Took   int64  `json:"took,omitempty"`   // microseconds
 	Until  int64  `json:"until,omitempty"`  // of Requested: the client's deadline
 	Pod    int    `json:"pod,omitempty"`
-	// Names are, of ListPolled, the backends in the response; those that serve have the prefix ServingMark.
+	// Names are, of ListPolled, the backends in the response; those that serve have the prefix
+	// ServingMark.
 	Names []string `json:"names,omitempty"`
 	Why   string   `json:"why,omitempty"`
 
--- a/internal/harness/launch/network.go
+++ b/internal/harness/launch/network.go
@@ -19,8 +19,9 @@
 	portStep     = 997 // from one attempt to the next
 )
 
-// FindNetwork finds a network of loopback addresses and a range of count ports that are free, and calls open to listen
-// there. If open fails, it tries others. The error is that of the last attempt.
+// FindNetwork finds a network of loopback addresses and a range of count ports that are free, and
+// calls open to listen there. If open fails, it tries others. The error is that of the last
+// attempt.
 func FindNetwork(count int, open func(network, port int) error) error {
 	err := errors.New("no attempt has been made")
 	for attempt := range networkCount {
--- a/internal/harness/launch/run.go
+++ b/internal/harness/launch/run.go
@@ -1,5 +1,6 @@
-// Package launch holds what the runs of the harness and of its rollout tests share: the search for free addresses and
-// ports, the start of worker processes, the fault schedule, and the history that is written meanwhile.
+// Package launch holds what the runs of the harness and of its rollout tests share: the search for
+// free addresses and ports, the start of worker processes, the fault schedule, and the history that
+// is written meanwhile.
 package launch
 
 import (
@@ -13,7 +14,8 @@
 	"fernlanding/internal/harness/process"
 )
 
-// Run is the state that every run has: a clock, a history, processes, the links between them, and a directory.
+// Run is the state that every run has: a clock, a history, processes, the links between them, and a
+// directory.
 type Run struct {
 	Clock     history.Clock
 	Processes *process.Set
@@ -26,7 +28,8 @@
 	isTempDir bool // Dir is removed at the end
 }
 
-// Begin begins a run whose history goes to out. If dir is empty, a temporary directory is used, which End removes.
+// Begin begins a run whose history goes to out. If dir is empty, a temporary directory is used,
+// which End removes.
 func Begin(out io.Writer, dir, name string, seed uint64) (*Run, error) {
 	r := &Run{Clock: history.NewClock(), Dir: dir, history: history.NewWriter(out)}
 	if dir == "" {
@@ -42,8 +45,8 @@
 	return r, nil
 }
 
-// Record writes an event to the history. An event without a time gets the current one. It may be called from any
-// goroutine.
+// Record writes an event to the history. An event without a time gets the current one. It may be
+// called from any goroutine.
 func (r *Run) Record(e history.Event) {
 	if e.At == 0 {
 		e.At = r.Clock.Now()
@@ -51,8 +54,8 @@
 	r.history.Write(e)
 }
 
-// OpenLinks finds a network and a range of count ports that are free, and calls open to listen there on the run's
-// links.
+// OpenLinks finds a network and a range of count ports that are free, and calls open to listen
+// there on the run's links.
 func (r *Run) OpenLinks(count int, watcher link.Watcher, open func(network, port int) error) error {
 	return FindNetwork(count, func(network, port int) error {
 		r.Links = link.New(watcher)
@@ -65,8 +68,8 @@
 	})
 }
 
-// End ends all processes, links and faults, and then the history. It returns runErr, the result of the run, joined with
-// the errors of its own.
+// End ends all processes, links and faults, and then the history. It returns runErr, the result of
+// the run, joined with the errors of its own.
 func (r *Run) End(runErr error) error {
 	left := r.Processes.Close()
 	if r.Links != nil {
--- a/internal/harness/launch/schedule.go
+++ b/internal/harness/launch/schedule.go
@@ -17,8 +17,8 @@
 	Faults []scenario.Fault
 	// BeginFault begins a fault and returns what ends it.
 	BeginFault func(context.Context, scenario.Fault) (end func() error, err error)
-	// RecordEndAfterRecovery records the end of a fault when what it disturbed is running again, instead of when its
-	// recovery begins.
+	// RecordEndAfterRecovery records the end of a fault when what it disturbed is running again,
+	// instead of when its recovery begins.
 	RecordEndAfterRecovery bool
 }
 
@@ -29,8 +29,8 @@
 	isEnd bool
 }
 
-// RunSchedule begins and ends all faults of a schedule at their times, counted from start. It returns after the last of
-// them, or at the first error.
+// RunSchedule begins and ends all faults of a schedule at their times, counted from start. It
+// returns after the last of them, or at the first error.
 func (r *Run) RunSchedule(ctx context.Context, start time.Time, schedule Schedule) error {
 	ends := make([]func() error, len(schedule.Faults))
 	for _, s := range steps(schedule.Faults) {
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// steps returns the beginnings and ends of faults in the order of their times. The sort is stable, so that a fault
-// without duration begins before it ends.
+// steps returns the beginnings and ends of faults in the order of their times. The sort is stable,
+// so that a fault without duration begins before it ends.
 func steps(faults []scenario.Fault) []step {
 	var all []step
 	for i, fault := range faults {
--- a/internal/harness/launch/worker.go
+++ b/internal/harness/launch/worker.go
@@ -24,11 +24,13 @@
 	Program   []string // command line of a worker
 	Env       []string // added to its environment
 	Clock     history.Clock
-	// OnEvent receives each event that a worker reports. It is called on one goroutine for each worker.
+	// OnEvent receives each event that a worker reports. It is called on one goroutine for each
+	// worker.
 	OnEvent func(history.Event)
 }
 
-// Start starts a worker and returns its first line of output. It waits for the line until ctx is done.
+// Start starts a worker and returns its first line of output. It waits for the line until ctx is
+// done.
 func (s WorkerStarter) Start(ctx context.Context, spec worker.Spec) (worker.Hello, error) {
 	spec.ClockZero = s.Clock.Zero()
 	specLine, err := json.Marshal(spec)
@@ -64,8 +66,8 @@
 	}
 }
 
-// readOutput reads a worker's output to its end. The first line goes to helloLine, which is closed after it; the others
-// are events.
+// readOutput reads a worker's output to its end. The first line goes to helloLine, which is closed
+// after it; the others are events.
 func (s WorkerStarter) readOutput(stdout io.Reader, helloLine chan<- []byte) {
 	lines := bufio.NewScanner(stdout)
 	lines.Buffer(make([]byte, initialLineBytes), maxLineBytes)
@@ -80,6 +82,7 @@
 			s.OnEvent(e)
 		}
 	}
-	// The scanner stops at a line beyond its bound. The rest is read so that the worker does not block.
+	// The scanner stops at a line beyond its bound. The rest is read so that the worker does not
+	// block.
 	_, _ = io.Copy(io.Discard, stdout)
 }
--- a/internal/harness/members.go
+++ b/internal/harness/members.go
@@ -17,8 +17,8 @@
 	statusDeleted  = "DELETED"
 )
 
-// newMember returns the endpoint list's entry for a backend, without a status. Its address is the port of the backend's
-// relay; each sidecar reaches the relay at the sidecar's own address.
+// newMember returns the endpoint list's entry for a backend, without a status. Its address is the
+// port of the backend's relay; each sidecar reaches the relay at the sidecar's own address.
 func (r *run) newMember(name string, index int) standin.Member {
 	return standin.Member{
 		Name:    name,
@@ -29,8 +29,8 @@
 	}
 }
 
-// setBackendStatus changes the status of backends in the endpoint list. A backend that becomes SERVING has just
-// started.
+// setBackendStatus changes the status of backends in the endpoint list. A backend that becomes
+// SERVING has just started.
 func (r *run) setBackendStatus(status string, names ...string) {
 	var all []standin.Member
 	r.mu.Lock()
@@ -49,7 +49,8 @@
 	r.updateMembers(all...)
 }
 
-// updateMembers enters changed members into the endpoint list, records them, and sends them to the list services.
+// updateMembers enters changed members into the endpoint list, records them, and sends them to the
+// list services.
 func (r *run) updateMembers(changed ...standin.Member) {
 	r.mu.Lock()
 	for _, member := range changed {
@@ -69,8 +70,8 @@
 	}
 }
 
-// commandBackends sends a command to all processes of backends. Each carries it out for those of the named backends
-// that are its own.
+// commandBackends sends a command to all processes of backends. Each carries it out for those of
+// the named backends that are its own.
 func (r *run) commandBackends(command worker.Command) error {
 	var all []error
 	for _, name := range r.backendProcesses {
--- a/internal/harness/naive_proxy_test.go
+++ b/internal/harness/naive_proxy_test.go
@@ -20,7 +20,8 @@
 	"fernlanding/internal/standin"
 )
 
-// naiveProxy is a stand-in sidecar with at most one bug. It forwards each request once, to a backend chosen at random.
+// naiveProxy is a stand-in sidecar with at most one bug. It forwards each request once, to a
+// backend chosen at random.
 type naiveProxy struct {
 	bug          string
 	listAddr     string
@@ -116,7 +117,8 @@
 	}
 }
 
-// pick chooses a backend at random. It avoids cold backends, except for the bug "cold", which prefers them.
+// pick chooses a backend at random. It avoids cold backends, except for the bug "cold", which
+// prefers them.
 func (p *naiveProxy) pick() (member standin.Member, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -157,8 +159,8 @@
 	p.mu.Lock()
 	p.requests++
 	isTwentieth := p.requests%20 == 0
-	// The bug "twice" takes every fifth POST, not the POSTs among every twentieth request: of those a run has some
-	// four, and none at times.
+	// The bug "twice" takes every fifth POST, not the POSTs among every twentieth request: of those
+	// a run has some four, and none at times.
 	if r.Method == http.MethodPost {
 		p.posts++
 	}
--- a/internal/harness/network.go
+++ b/internal/harness/network.go
@@ -27,8 +27,8 @@
 	})
 }
 
-// openRelays opens a relay to the sidecars, then one to each list service and to each backend, on consecutive ports.
-// The names of the sidecars are given by address.
+// openRelays opens a relay to the sidecars, then one to each list service and to each backend, on
+// consecutive ports. The names of the sidecars are given by address.
 func (r *run) openRelays(sidecars map[link.Addr]string, firstPort int) error {
 	r.listAddrs = make([]string, len(r.listNames))
 	r.listRelayPorts, r.backendRelayPorts = nil, nil
--- a/internal/harness/process/process.go
+++ b/internal/harness/process/process.go
@@ -1,4 +1,4 @@
-// Package process starts, stops, kills and watches the processes of a run of the rig.
+// Package process starts, stops, kills and measures the processes of a run of the harness.
 package process
 
 import (
@@ -8,9 +8,6 @@
 	"io"
 	"os"
 	"os/exec"
-	"path/filepath"
-	"strconv"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
@@ -23,271 +20,281 @@
 
 // Spec is what a process is started from.
 type Spec struct {
-	Name       string
-	Args       []string
-	Env        []string
-	Stdin      bool            // its standard input stays open for commands
-	ReadStdout func(io.Reader) // reads its standard output until its end; nil: discarded
-	ReadStderr func(io.Reader) // the same of its standard error; nil: the rig's own
-	MaxFiles   int             // bound on its descriptors; 0: none
+	Name string
+	Args []string // the program and its arguments
+	Env  []string // added to the harness's environment
+	// Stdin keeps the process's standard input open for WriteLine.
+	Stdin bool
+	// ReadStdout reads the standard output until its end. If it is nil, the output is discarded.
+	ReadStdout func(io.Reader)
+	// ReadStderr reads the standard error until its end. If it is nil, it goes to the harness's
+	// own.
+	ReadStderr func(io.Reader)
+	// MaxFiles bounds the file descriptors of the process; 0 is no bound.
+	MaxFiles int
 }
 
-// runningProcess is a process that runs.
+// Errors of Set. They come wrapped, with the process's name.
+var (
+	ErrNoProgram      = errors.New("no program")
+	ErrNotRunning     = errors.New("no such process")
+	ErrAlreadyRunning = errors.New("runs already")
+	ErrClosed         = errors.New("the run is over")
+)
+
+// TimeoutError says that processes have not exited in time after SIGTERM.
+type TimeoutError struct {
+	Left  int // still running
+	Total int // that were sent SIGTERM
+	After time.Duration
+}
+
+// Error implements error.
+func (e *TimeoutError) Error() string {
+	return fmt.Sprintf("%d of %d processes have not ended %v after SIGTERM", e.Left, e.Total, e.After)
+}
+
+// runningProcess is a process that has been started and not been reaped.
 type runningProcess struct {
-	cmd           *exec.Cmd
-	stdin         io.WriteCloser
-	exited        chan struct{} // closed when it has been reaped and its output read
-	exitRequested bool          // by the rig, or told to end
+	cmd     *exec.Cmd
+	stdin   io.WriteCloser
+	readers []func()      // of its pipes, each until the pipe's end
+	exited  chan struct{} // closed when it has been reaped and its output read
+
+	exitRequested bool // it was killed or terminated by the harness; guarded by Set.mu
 }
 
-// Set starts and ends the processes of a run. Each dies with the one that has started it.
+// Set starts and ends the processes of a run. Each of them is killed when the harness's own process
+// ends. Methods may be called from any goroutine.
 type Set struct {
 	record  func(history.Event)
 	starter *spawn.Starter
 
 	mu      sync.Mutex
-	running map[string]*runningProcess
-	started int
-	closed  bool
+	running map[string]*runningProcess // by name; guarded by mu
+	closed  bool                       // guarded by mu
 }
 
-// New returns a set without processes; tell gets the events of their lives.
-func New(tell func(history.Event)) *Set {
-	return &Set{record: tell, starter: spawn.New(), running: map[string]*runningProcess{}}
+// New returns a set without processes. record receives the events of their lifecycles.
+func New(record func(history.Event)) *Set {
+	return &Set{record: record, starter: spawn.New(), running: map[string]*runningProcess{}}
 }
 
-var ErrNotRunning = errors.New("no such process")
-
-// Start starts a process. One of its name must not run.
-func (p *Set) Start(x Spec) error {
-	if len(x.Args) == 0 {
-		return fmt.Errorf("%s: no program", x.Name)
-	}
-	a := &runningProcess{exited: make(chan struct{})}
-	a.cmd = exec.Command(x.Args[0], x.Args[1:]...)
-	a.cmd.Env = append(os.Environ(), x.Env...)
-	a.cmd.Stderr = os.Stderr
-	var readers []func()
-	pipe := func(open func() (io.ReadCloser, error), read func(io.Reader)) error {
-		if read == nil {
-			return nil
-		}
-		out, err := open()
-		if err == nil {
-			readers = append(readers, func() { read(out) })
-		}
-		return err
-	}
-	if x.ReadStderr != nil {
-		a.cmd.Stderr = nil
+// Start starts a process. No process of its name may be running.
+func (s *Set) Start(spec Spec) error {
+	p, err := prepare(spec)
+	if err != nil {
+		return fmt.Errorf("%s: %w", spec.Name, err)
 	}
-	err := errors.Join(pipe(a.cmd.StdoutPipe, x.ReadStdout), pipe(a.cmd.StderrPipe, x.ReadStderr))
-	if x.Stdin && err == nil {
-		a.stdin, err = a.cmd.StdinPipe()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
+		return fmt.Errorf("%s: %w", spec.Name, ErrClosed)
 	}
-	if err != nil {
-		return fmt.Errorf("%s: %w", x.Name, err)
+	if s.running[spec.Name] != nil {
+		return fmt.Errorf("%s %w", spec.Name, ErrAlreadyRunning)
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.closed {
-		return fmt.Errorf("%s: the run is over", x.Name)
+	if err := s.starter.Start(p.cmd); err != nil {
+		return fmt.Errorf("%s: %w", spec.Name, err)
 	}
-	if p.running[x.Name] != nil {
-		return fmt.Errorf("%s runs already", x.Name)
+	pid := p.cmd.Process.Pid
+	if spec.MaxFiles > 0 {
+		s.limitFiles(spec.Name, pid, uint64(spec.MaxFiles))
 	}
-	if err := p.starter.Start(a.cmd); err != nil {
-		return fmt.Errorf("%s: %w", x.Name, err)
+	s.running[spec.Name] = p
+	s.record(history.Event{Kind: history.Started, Who: spec.Name, N: int64(pid)})
+	go s.wait(spec.Name, p)
+	return nil
+}
+
+// prepare returns a process that is ready to start, with its pipes open.
+func prepare(spec Spec) (*runningProcess, error) {
+	if len(spec.Args) == 0 {
+		return nil, ErrNoProgram
 	}
-	pid := a.cmd.Process.Pid
-	if x.MaxFiles > 0 {
-		bound := unix.Rlimit{Cur: uint64(x.MaxFiles), Max: uint64(x.MaxFiles)}
-		if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &bound, nil); err != nil {
-			p.record(history.Event{Kind: history.Log, Who: x.Name, Why: "no bound on descriptors: " + err.Error()})
+	cmd := exec.Command(spec.Args[0], spec.Args[1:]...)
+	cmd.Env = append(os.Environ(), spec.Env...)
+	p := &runningProcess{cmd: cmd, exited: make(chan struct{})}
+	if spec.ReadStdout != nil {
+		stdout, err := cmd.StdoutPipe()
+		if err != nil {
+			return nil, err
 		}
+		p.readers = append(p.readers, func() { spec.ReadStdout(stdout) })
 	}
-	p.running[x.Name] = a
-	p.started++
-	p.record(history.Event{Kind: history.Started, Who: x.Name, N: int64(pid)})
-	go func() {
-		var all sync.WaitGroup
-		for _, r := range readers {
-			all.Go(r)
-		}
-		all.Wait() // the pipes are read to their ends before Wait closes them
-		err := a.cmd.Wait()
-		why := "ended"
+	if spec.ReadStderr != nil {
+		stderr, err := cmd.StderrPipe()
 		if err != nil {
-			why = err.Error()
+			return nil, err
 		}
-		p.mu.Lock()
-		if !a.exitRequested {
-			why = "by itself: " + why
+		p.readers = append(p.readers, func() { spec.ReadStderr(stderr) })
+	} else {
+		cmd.Stderr = os.Stderr
+	}
+	if spec.Stdin {
+		stdin, err := cmd.StdinPipe()
+		if err != nil {
+			return nil, err
 		}
-		delete(p.running, x.Name)
-		p.mu.Unlock()
-		p.record(history.Event{Kind: history.Exited, Who: x.Name, Why: why})
-		close(a.exited)
-	}()
-	return nil
+		p.stdin = stdin
+	}
+	return p, nil
 }
 
-func (p *Set) lookup(name string) *runningProcess {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.running[name]
+// limitFiles bounds the file descriptors of a process that has just been started.
+func (s *Set) limitFiles(name string, pid int, bound uint64) {
+	limit := unix.Rlimit{Cur: bound, Max: bound}
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
+		s.record(history.Event{Kind: history.Log, Who: name, Why: "no bound on descriptors: " + err.Error()})
+	}
+}
+
+// wait reads a process's output to its end, reaps the process, and records its exit.
+func (s *Set) wait(name string, p *runningProcess) {
+	var reading sync.WaitGroup
+	for _, read := range p.readers {
+		reading.Go(read)
+	}
+	reading.Wait() // the pipes are read to their ends before Wait closes them
+	reason := "ended"
+	if err := p.cmd.Wait(); err != nil {
+		reason = err.Error()
+	}
+	s.mu.Lock()
+	if !p.exitRequested {
+		reason = "by itself: " + reason // package check looks for this prefix
+	}
+	delete(s.running, name)
+	s.mu.Unlock()
+	s.record(history.Event{Kind: history.Exited, Who: name, Why: reason})
+	close(p.exited)
 }
 
-// PID is the process's id; 0 where it does not run.
-func (p *Set) PID(name string) int {
-	if a := p.lookup(name); a != nil {
-		return a.cmd.Process.Pid
+// lookup returns a running process by its name, nil if there is none.
+func (s *Set) lookup(name string) *runningProcess {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.running[name]
+}
+
+// PID returns a process's id, 0 if it is not running.
+func (s *Set) PID(name string) int {
+	if p := s.lookup(name); p != nil {
+		return p.cmd.Process.Pid
 	}
 	return 0
 }
 
-// WriteLine writes a line to a process's standard input.
-func (p *Set) WriteLine(name string, line []byte) error {
-	a := p.lookup(name)
-	if a == nil || a.stdin == nil {
+// WriteLine writes a line to a process's standard input. The error wraps ErrNotRunning if the
+// process is not running or has no open input.
+func (s *Set) WriteLine(name string, line []byte) error {
+	p := s.lookup(name)
+	if p == nil || p.stdin == nil {
 		return fmt.Errorf("%s: %w", name, ErrNotRunning)
 	}
-	_, err := a.stdin.Write(append(line, '\n'))
+	_, err := p.stdin.Write(append(line, '\n'))
 	return err
 }
 
-// SendCommand gives a process a command.
-func (p *Set) SendCommand(name string, command any) error {
+// SendCommand writes a command to a process's standard input, as a line of JSON.
+func (s *Set) SendCommand(name string, command any) error {
 	line, err := json.Marshal(command)
 	if err != nil {
 		return err
 	}
-	return p.WriteLine(name, line)
+	return s.WriteLine(name, line)
 }
 
-// signal sends a signal. A process that is gone gets none.
-func (p *Set) signal(name string, s syscall.Signal, ends bool) *runningProcess {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	a := p.running[name]
-	if a == nil {
+// signal sends a signal and returns the process, nil if it is not running. endsProcess marks the
+// exit that follows as requested.
+func (s *Set) signal(name string, signal syscall.Signal, endsProcess bool) *runningProcess {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	p := s.running[name]
+	if p == nil {
 		return nil
 	}
-	if ends {
-		a.exitRequested = true
+	if endsProcess {
+		p.exitRequested = true
 	}
-	_ = a.cmd.Process.Signal(s) // it may have ended just now; os.Process never signals another's id
-	return a
+	// The process may have exited just now. os.Process never signals another process with its id.
+	_ = p.cmd.Process.Signal(signal)
+	return p
 }
 
-// Kill kills a process and waits until it is gone.
-func (p *Set) Kill(name string) {
-	if p.lookup(name) != nil {
-		p.record(history.Event{Kind: history.Terminating, Who: name, Why: "killed"}) // before anybody can feel it
+// Kill kills a process (SIGKILL) and waits until it has been reaped.
+func (s *Set) Kill(name string) {
+	if s.lookup(name) != nil {
+		// Recorded first, so that the event precedes all effects.
+		s.record(history.Event{Kind: history.Terminating, Who: name, Why: "killed"})
 	}
-	if a := p.signal(name, syscall.SIGKILL, true); a != nil {
-		<-a.exited
+	if p := s.signal(name, syscall.SIGKILL, true); p != nil {
+		<-p.exited
 	}
 }
 
 // Stop stops a process (SIGSTOP).
-func (p *Set) Stop(name string) {
-	if p.signal(name, syscall.SIGSTOP, false) != nil {
-		p.record(history.Event{Kind: history.Stopped, Who: name})
+func (s *Set) Stop(name string) {
+	if s.signal(name, syscall.SIGSTOP, false) != nil {
+		s.record(history.Event{Kind: history.Stopped, Who: name})
 	}
 }
 
-// Continue lets a stopped process go on.
-func (p *Set) Continue(name string) {
-	if p.signal(name, syscall.SIGCONT, false) != nil {
-		p.record(history.Event{Kind: history.Continued, Who: name})
+// Continue continues a stopped process (SIGCONT).
+func (s *Set) Continue(name string) {
+	if s.signal(name, syscall.SIGCONT, false) != nil {
+		s.record(history.Event{Kind: history.Continued, Who: name})
 	}
 }
 
-// Terminate tells processes to end, and waits for that, no longer than a time; 0: it does not wait.
-func (p *Set) Terminate(names []string, within time.Duration) error {
-	var told []*runningProcess
-	for _, n := range names {
-		p.record(history.Event{Kind: history.Terminating, Who: n})
-		if a := p.signal(n, syscall.SIGTERM, true); a != nil {
-			p.signal(n, syscall.SIGCONT, true) // a stopped one could not hear it
-			told = append(told, a)
+// Terminate sends SIGTERM to processes and waits until they have exited, for at most timeout. It
+// returns a TimeoutError if some have not. With a timeout of 0 it does not wait.
+func (s *Set) Terminate(names []string, timeout time.Duration) error {
+	var terminating []*runningProcess
+	for _, name := range names {
+		s.record(history.Event{Kind: history.Terminating, Who: name})
+		if p := s.signal(name, syscall.SIGTERM, true); p != nil {
+			s.signal(name, syscall.SIGCONT, true) // a stopped process does not handle SIGTERM
+			terminating = append(terminating, p)
 		}
 	}
-	if within <= 0 {
+	if timeout <= 0 {
 		return nil
 	}
-	late := time.NewTimer(within)
-	defer late.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	left := 0
-	for _, a := range told {
+	for _, p := range terminating {
 		select {
-		case <-a.exited:
-		case <-late.C:
-			late.Reset(0)
+		case <-p.exited:
+		case <-timer.C:
+			timer.Reset(0)
 			left++
 		}
 	}
 	if left > 0 {
-		return fmt.Errorf("%d of %d processes have not ended %v after SIGTERM", left, len(told), within)
+		return &TimeoutError{Left: left, Total: len(terminating), After: timeout}
 	}
 	return nil
 }
 
-// Close kills what is left, and returns how many of the processes that were ever started are still there after that.
-func (p *Set) Close() (left int) {
-	p.mu.Lock()
-	p.closed = true
-	var all []*runningProcess
-	for _, a := range p.running {
-		a.exitRequested = true
-		_ = a.cmd.Process.Kill()
-		all = append(all, a)
-	}
-	p.mu.Unlock()
-	for _, a := range all {
-		<-a.exited
-	}
-	p.starter.Close()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return len(p.running)
-}
-
-// ResidentBytes is what a process holds in memory, in bytes; 0 where that can't be read.
-func ResidentBytes(pid int) int64 {
-	return readKilobytes(fmt.Sprintf("/proc/%d/status", pid), "VmRSS:")
-}
-
-// CPUWait is how long all threads of a process have been ready to run and waited for a core; 0 where that can't be read.
-func CPUWait(pid int) (sum time.Duration) {
-	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // the pattern is right
-	for _, file := range files {
-		data, err := os.ReadFile(file)
-		if err != nil {
-			continue // the thread has ended
-		}
-		if fields := strings.Fields(string(data)); len(fields) > 1 {
-			n, _ := strconv.ParseInt(fields[1], 10, 64)
-			sum += time.Duration(n)
-		}
-	}
-	return sum
-}
-
-// AvailableBytes is the machine's memory that is free for processes, in bytes; 0 where that can't be read.
-func AvailableBytes() int64 { return readKilobytes("/proc/meminfo", "MemAvailable:") }
-
-func readKilobytes(file, field string) int64 {
-	data, err := os.ReadFile(file)
-	if err != nil {
-		return 0
+// Close kills all processes that are left. It returns how many of the processes that were ever
+// started still exist after that. No process can be started any more.
+func (s *Set) Close() int {
+	s.mu.Lock()
+	s.closed = true
+	var killed []*runningProcess
+	for _, p := range s.running {
+		p.exitRequested = true
+		_ = p.cmd.Process.Kill() // fails only if it has exited
+		killed = append(killed, p)
 	}
-	for line := range strings.Lines(string(data)) {
-		if rest, ok := strings.CutPrefix(line, field); ok {
-			n, _ := strconv.ParseInt(strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(rest), "kB")), 10, 64)
-			return n << 10
-		}
+	s.mu.Unlock()
+	for _, p := range killed {
+		<-p.exited
 	}
-	return 0
+	s.starter.Close()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.running)
 }
--- a/internal/harness/scenarios_test.go
+++ b/internal/harness/scenarios_test.go
@@ -11,8 +11,8 @@
 // maxConcurrent is how many scenarios run at the same time.
 const maxConcurrent = 3
 
-// The checks and each scenario's bounds hold at starts with something wrong, and while sites are killed, stopped or cut
-// off.
+// The checks and each scenario's bounds hold at starts with something wrong, and while sites are
+// killed, stopped or cut off.
 func TestScenarios(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts some hundred processes")
--- a/internal/harness/sidecar_config.go
+++ b/internal/harness/sidecar_config.go
@@ -26,7 +26,8 @@
 	return text.String()
 }
 
-// writeService writes the service that a sidecar forwards to, and where it learns the service's endpoints.
+// writeService writes the service that a sidecar forwards to, and where it learns the service's
+// endpoints.
 func (r *run) writeService(text *strings.Builder, index int) {
 	sidecars, backends := r.spec.Sidecars, r.spec.Backends
 	relayPort := r.listRelayPorts[index%len(r.listRelayPorts)]
@@ -45,7 +46,8 @@
 	}
 }
 
-// writeClasses writes the request classes of the service, with their priority weights if priorities is set.
+// writeClasses writes the request classes of the service, with their priority weights if priorities
+// is set.
 func writeClasses(text *strings.Builder, priorities bool) {
 	for _, class := range worker.Classes() {
 		fmt.Fprintf(text, "[services.rating.classes.%s]\nrepeat = %q\nobjective = %q\ndeadline = %q\n",
--- a/internal/harness/sidecars.go
+++ b/internal/harness/sidecars.go
@@ -66,8 +66,8 @@
 		e.Count, e.EachBytes>>20, need>>20, e.AvailableBytes>>20)
 }
 
-// checkMemory starts one sidecar to measure its memory, kills it, and returns a MemoryError if all sidecars together
-// would not fit into the machine's memory.
+// checkMemory starts one sidecar to measure its memory, kills it, and returns a MemoryError if all
+// sidecars together would not fit into the machine's memory.
 func (r *run) checkMemory(ctx context.Context) error {
 	if err := r.startSidecar(0); err != nil {
 		return err
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// startSidecar starts a process under test. Its standard error is read to its end, so that it never blocks on a full
-// pipe.
+// startSidecar starts a process under test. Its standard error is read to its end, so that it never
+// blocks on a full pipe.
 func (r *run) startSidecar(index int) error {
 	name := r.sidecarNames[index]
 	return r.Processes.Start(process.Spec{
--- a/internal/harness/spawn/spawn.go
+++ b/internal/harness/spawn/spawn.go
@@ -1,4 +1,5 @@
-// Package spawn starts processes that the kernel kills when their parent process ends, whatever ends it.
+// Package spawn starts processes that the kernel kills when their parent process ends, whatever
+// ends it.
 package spawn
 
 import (
@@ -7,8 +8,9 @@
 	"syscall"
 )
 
-// Starter starts processes. The kernel kills each process when the thread that started it exits (PR_SET_PDEATHSIG), so
-// one thread starts all of them and lives until Close. Start may be called from any goroutine.
+// Starter starts processes. The kernel kills each process when the thread that started it exits
+// (PR_SET_PDEATHSIG), so one thread starts all of them and lives until Close. Start may be called
+// from any goroutine.
 type Starter struct {
 	commands chan func()
 	done     chan struct{} // closed when the thread is about to exit
--- a/internal/harness/standins.go
+++ b/internal/harness/standins.go
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// startBackendProcess starts one of the processes that backends share. Its backends are cold if startCold is set,
-// otherwise warm.
+// startBackendProcess starts one of the processes that backends share. Its backends are cold if
+// startCold is set, otherwise warm.
 func (r *run) startBackendProcess(ctx context.Context, index int, startCold bool) error {
 	b := r.spec.Backends
 	spec := worker.Spec{
@@ -120,8 +120,9 @@
 	return names
 }
 
-// clockSkews draws by how many milliseconds each sidecar's clock is behind that of the list services, by the sidecar's
-// address. The skews follow from the seed alone, so that all list services agree on them.
+// clockSkews draws by how many milliseconds each sidecar's clock is behind that of the list
+// services, by the sidecar's address. The skews follow from the seed alone, so that all list
+// services agree on them.
 func (r *run) clockSkews() map[string]int64 {
 	skews := map[string]int64{}
 	bound := r.spec.Sidecars.ClockSkew.Milliseconds()
