--- /dev/null
+++ b/internal/harness/worker/backend.go
@@ -0,0 +1,223 @@
+package worker
+
+import (
+	"math"
+	"net/http"
+	"sync"
+	"time"
+
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/socket"
+	"fernlanding/internal/standin"
+)
+
+const (
+	chokeSlowdown    = 20          // service time of a choked backend, in normal ones
+	overloadSlowdown = 4           // the same of a cold backend that is overloaded, and for a while after
+	overloadRecovery = time.Second // how long after
+)
+
+// backend is one backend: a queue before a number of cores, of which a cold backend has only a
+// part. A request whose caller has left while it waited for a core is not executed.
+type backend struct {
+	spec     Spec
+	recorder recorder
+	name     string
+	pod      int
+	address  string
+
+	// The group's lock guards what follows; requests are served only between start and stop.
+	startedAt time.Time
+	server    *standin.Backend // nil while it is stopped
+	warming   []*time.Timer    // each adds a core
+
+	mu         sync.Mutex // guards what follows
+	inFlight   int        // requests, with those that wait for a core
+	overloaded bool       // it is cold and has more requests than its warm-up allows
+	slowUntil  time.Time  // after it was overloaded
+	choked     bool
+	failing    bool
+	moved      bool // another service has its address
+}
+
+// execute carries out a command. The group's lock is held.
+func (b *backend) execute(command Command) error {
+	switch command.Do {
+	case DoEnd:
+		b.stop()
+	case DoStart:
+		b.startedAt = time.Now()
+		return b.start()
+	case DoMove:
+		b.stop()
+		b.update(func() { b.moved = command.On })
+		b.startedAt = time.Now()
+		return b.start()
+	case DoChoke:
+		b.update(func() { b.choked = command.On })
+	case DoFail:
+		b.update(func() { b.failing = command.On })
+	default:
+		return errUnknownCommand
+	}
+	return nil
+}
+
+// update changes the state that mu guards.
+func (b *backend) update(change func()) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	change()
+}
+
+// start begins to listen. It does nothing if the backend is running.
+func (b *backend) start() error {
+	if b.server != nil {
+		return nil
+	}
+	cores := make(chan struct{}, b.spec.Cores) // holds a value for each core that is busy or not there yet
+	server, err := standin.NewBackendAt(b.address, func(call *standin.Call) bool { return b.handle(call, cores) })
+	if err != nil {
+		return err
+	}
+	b.warmUp(cores)
+	server.LimitConns(b.spec.MaxConns)
+	b.server = server
+	return nil
+}
+
+// warmUp takes away the cores that a cold backend lacks, and gives them back when they are due.
+func (b *backend) warmUp(cores chan struct{}) {
+	start := b.spec.StartCapacity
+	for n := 2; n <= b.spec.Cores && b.capacity(time.Now()) < 1; n++ {
+		// The nth core is added as soon as the capacity is more than n-1 cores; see admit for the
+		// fractional part.
+		after := (float64(n-1)/float64(b.spec.Cores) - start) / (1 - start) * float64(b.spec.Warmup)
+		if after > 0 {
+			cores <- struct{}{}
+			due := time.Until(b.startedAt.Add(time.Duration(after)))
+			b.warming = append(b.warming, time.AfterFunc(due, func() { <-cores }))
+		}
+	}
+}
+
+// stop closes the listener and all connections. It does nothing if the backend is stopped.
+func (b *backend) stop() {
+	if b.server == nil {
+		return
+	}
+	for _, timer := range b.warming {
+		timer.Stop()
+	}
+	b.server.Close()
+	b.server = nil
+	b.warming = nil
+}
+
+// capacity returns the share of its full capacity that the backend has at a time.
+func (b *backend) capacity(now time.Time) float64 {
+	if b.spec.Warmup <= 0 {
+		return 1
+	}
+	age := min(1, float64(now.Sub(b.startedAt))/float64(b.spec.Warmup))
+	return b.spec.StartCapacity + (1-b.spec.StartCapacity)*age
+}
+
+// admit admits a request, and returns how many times the normal service time it takes. It returns 0
+// if the queue is full.
+func (b *backend) admit() float64 {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.inFlight >= b.spec.Cores+b.spec.QueueLength {
+		return 0
+	}
+	b.inFlight++
+	now := time.Now()
+	capacity := b.capacity(now)
+	cores := float64(b.spec.Cores)
+	if capacity < 1 && !b.overloaded && float64(b.inFlight) > math.Ceil(b.spec.ColdMultiple*capacity*cores) {
+		b.overloaded = true
+		b.recorder.record(history.Event{
+			Kind: history.WarmupOverload, Who: b.name, N: 1, Took: int64(b.inFlight),
+		})
+	}
+	// A backend has a whole number of cores. The fraction that is too much makes requests slower.
+	available := capacity * cores
+	slowdown := math.Ceil(available) / available
+	if b.overloaded || now.Before(b.slowUntil) {
+		slowdown *= overloadSlowdown
+	}
+	if b.choked {
+		slowdown *= chokeSlowdown
+	}
+	return slowdown
+}
+
+// release ends a request that was admitted.
+func (b *backend) release() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.inFlight--
+	now := time.Now()
+	if b.overloaded && float64(b.inFlight) <= b.spec.ColdMultiple*b.capacity(now)*float64(b.spec.Cores) {
+		b.overloaded = false
+		b.slowUntil = now.Add(overloadRecovery)
+		b.recorder.record(history.Event{Kind: history.WarmupOverload, Who: b.name})
+	}
+}
+
+// handle serves one request. It reports whether the connection can be used again.
+func (b *backend) handle(call *standin.Call, cores chan struct{}) bool {
+	e := history.Event{
+		Who:   b.name,
+		ID:    call.Header.Get("Request-Id"),
+		Key:   call.Header.Get("Idempotency-Key"),
+		Class: call.Method,
+		Conn:  call.Conn.RemoteAddr().String(),
+		N:     int64(call.NumberOnConn),
+		Pod:   b.pod,
+	}
+	b.mu.Lock()
+	failing, moved := b.failing, b.moved
+	b.mu.Unlock()
+	if moved {
+		e.Kind = history.Misrouted
+		b.recorder.record(e)
+		return call.Reply(http.StatusNotFound, "", nil) == nil
+	}
+	if failing {
+		return call.Reply(http.StatusInternalServerError, "", nil) == nil
+	}
+	slowdown := b.admit()
+	if slowdown == 0 {
+		e.Kind = history.Overloaded
+		b.recorder.record(e)
+		return call.Reply(http.StatusServiceUnavailable, "Not-Started: 1\r\n", nil) == nil
+	}
+	defer b.release()
+	select {
+	case cores <- struct{}{}:
+		defer func() { <-cores }()
+	case <-call.Done:
+		return false
+	}
+	if !socket.IsIdle(call.Conn) {
+		return false // the caller has closed the connection
+	}
+	e.Kind = history.Executed
+	b.recorder.record(e)
+	return b.work(call, slowdown)
+}
+
+// work takes the service time and then echoes the request. It reports whether the connection can be
+// used again.
+func (b *backend) work(call *standin.Call, slowdown float64) bool {
+	timer := time.NewTimer(time.Duration(slowdown * float64(b.spec.ServiceTime)))
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return standin.Echo(call)
+	case <-call.Done:
+		return false
+	}
+}
--- a/internal/harness/worker/clients.go
+++ b/internal/harness/worker/clients.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"maps"
@@ -16,147 +15,117 @@
 	"time"
 
 	"fernlanding/internal/harness/history"
-	"fernlanding/internal/socket"
 )
 
-// Class is a class of requests that the rig's clients send, and its sidecars are configured for.
-type Class struct {
-	Name           string
-	Idempotency    string
-	Method         string
-	Path           string
-	Share          float64
-	Objective      time.Duration
-	Deadline       time.Duration
-	PriorityWeight float64
-}
-
-// classes are those of every run.
-var classes = []Class{
-	{"tariff-lookup", "safe", "GET", "/tariffs", 0.6, 300 * time.Millisecond, time.Second, 1},
-	{"usage-rate", "keyed", "POST", "/usage", 0.25, 500 * time.Millisecond, 2 * time.Second, 3},
-	{"charge-post", "unsafe", "POST", "/charges", 0.15, 700 * time.Millisecond, 2 * time.Second, 10},
-}
-
-// Classes are the classes of every run.
-func Classes() []Class { return slices.Clone(classes) }
-
-// Tenant is the one tenant of all requests.
-const Tenant = "roaming"
-
-// DedupWindow is how long a pod of backends drops a key's repeats.
-const DedupWindow = 7500 * time.Millisecond
-
 const (
-	clientLeeway     = 500 * time.Millisecond // that a client waits on to see a late answer for what it is
-	maxInFlight      = 2000                   // requests under way at a client process
-	loadStream       = 7
-	healthTimeout    = time.Second
-	idleTimeout      = 5 * time.Second // less than a sidecar keeps an idle one (10 s), lest its close cross a request
-	readyIntervals   = 5               // times as long between two looks at one that is ready
-	subjectCount     = 1_000_000
-	maxResponseBytes = 1 << 20 // bytes of an answer's body that are read
+	// clientLeeway is how long a client waits beyond its deadline, to see a late response for what
+	// it is.
+	clientLeeway = 500 * time.Millisecond
+	// loadStream is the random stream of the load, under the process's seed. Those of the health
+	// checks follow it.
+	loadStream = 7
+
+	maxInFlight    = 2000 // requests of a client process
+	healthTimeout  = time.Second
+	readyIntervals = 5         // intervals between two health checks of a sidecar that is ready
+	subjectCount   = 1_000_000 // different subjects of requests
 )
 
-// clientGroup send requests to sidecars that are ready.
+// clientGroup is the clients of one process. They send requests to sidecars that are ready.
 type clientGroup struct {
 	spec     Spec
 	recorder recorder
 	running  sync.WaitGroup
-	stop     context.CancelFunc
-	ctx      context.Context
+	stopLoad context.CancelFunc // nil while there is no load; used by execute alone
 
-	mu       sync.Mutex
-	ready    map[string]bool
-	idle     map[string][]*clientConn
-	stopLoad context.CancelFunc
+	mu    sync.Mutex               // guards what follows
+	ready map[string]bool          // sidecars, by name
+	idle  map[string][]*clientConn // connections, by the sidecar's name; the last was used last
 }
 
-// clientConn is a client's connection to a sidecar.
-type clientConn struct {
-	net.Conn
-	reader    *bufio.Reader
-	reused    bool
-	idleSince time.Time // when it was kept
-}
-
-func newClients(s Spec, t recorder) (runner, Hello, error) {
-	c := &clientGroup{spec: s, recorder: t, ready: map[string]bool{}, idle: map[string][]*clientConn{}}
-	c.ctx, c.stop = context.WithCancel(context.Background())
-	for i, name := range slices.Sorted(maps.Keys(s.Sidecars)) {
-		c.running.Go(func() { c.pollHealth(name, rand.New(rand.NewPCG(s.Seed, uint64(i)+loadStream+1))) })
+// newClientGroup starts the health checks. The load starts with a command.
+func newClientGroup(ctx context.Context, spec Spec, r recorder) *clientGroup {
+	g := &clientGroup{spec: spec, recorder: r, ready: map[string]bool{}, idle: map[string][]*clientConn{}}
+	for i, name := range slices.Sorted(maps.Keys(spec.Sidecars)) {
+		rnd := rand.New(rand.NewPCG(spec.Seed, uint64(i)+loadStream+1))
+		g.running.Go(func() { g.pollHealth(ctx, name, rnd) })
 	}
-	return c, Hello{}, nil
+	return g
 }
 
-func (c *clientGroup) close() {
-	c.stop()
-	c.running.Wait()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, all := range c.idle {
-		for _, l := range all {
-			l.Close()
+// close implements runner.
+func (g *clientGroup) close() {
+	g.running.Wait()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for _, conns := range g.idle {
+		for _, conn := range conns {
+			conn.discard()
 		}
 	}
 }
 
-func (c *clientGroup) execute(cmd Command) error {
-	if cmd.Do != DoLoad {
-		return errors.New("unknown command")
+// execute implements runner.
+func (g *clientGroup) execute(ctx context.Context, command Command) error {
+	if command.Do != DoLoad {
+		return errUnknownCommand
 	}
-	if c.stopLoad != nil {
-		c.stopLoad()
-		c.stopLoad = nil
+	if g.stopLoad != nil {
+		g.stopLoad()
+		g.stopLoad = nil
 	}
-	if cmd.On {
-		ctx, stop := context.WithCancel(c.ctx)
-		c.stopLoad = stop
-		c.running.Go(func() {
-			c.generateLoad(ctx)
-			c.recorder.record(history.Event{Kind: history.LoadEnded, Who: c.spec.Name})
-		})
+	if !command.On {
+		return nil
 	}
+	loadCtx, stop := context.WithCancel(ctx)
+	g.stopLoad = stop
+	g.running.Go(func() {
+		g.generateLoad(loadCtx)
+		g.recorder.record(history.Event{Kind: history.LoadEnded, Who: g.spec.Name})
+	})
 	return nil
 }
 
-// pollHealth looks whether a sidecar is ready, again and again until it is, and now and then after that: as a front that deals out
-// clients does, which notices only after a while that one has died or started anew.
-func (c *clientGroup) pollHealth(name string, rnd *rand.Rand) {
-	tick := time.NewTimer(time.Duration(rnd.Int64N(int64(c.spec.HealthInterval) + 1)))
-	defer tick.Stop()
+// pollHealth checks the health of a sidecar until ctx is done: at an interval until it is ready,
+// and less often after that. A load balancer in front of sidecars does so too, which notices only
+// after a while that one has died or restarted.
+func (g *clientGroup) pollHealth(ctx context.Context, name string, rnd *rand.Rand) {
+	timer := time.NewTimer(time.Duration(rnd.Int64N(int64(g.spec.HealthInterval) + 1)))
+	defer timer.Stop()
 	for {
 		select {
-		case <-tick.C:
-		case <-c.ctx.Done():
+		case <-timer.C:
+		case <-ctx.Done():
 			return
 		}
-		healthy := c.checkHealth(name)
-		c.mu.Lock()
-		before := c.ready[name]
-		c.ready[name] = healthy
-		c.mu.Unlock()
-		if healthy && !before && c.isLocal(name) { // one client process for each tells of it
-			c.recorder.record(history.Event{Kind: history.Ready, Who: c.spec.Name, To: name})
+		isHealthy := g.checkHealth(name)
+		g.mu.Lock()
+		wasReady := g.ready[name]
+		g.ready[name] = isHealthy
+		g.mu.Unlock()
+		if isHealthy && !wasReady && g.isLocal(name) { // each sidecar is local to one client process
+			g.recorder.record(history.Event{Kind: history.Ready, Who: g.spec.Name, To: name})
 		}
-		if healthy {
-			tick.Reset(readyIntervals * c.spec.HealthInterval)
-		} else {
-			tick.Reset(c.spec.HealthInterval)
+		interval := g.spec.HealthInterval
+		if isHealthy {
+			interval *= readyIntervals
 		}
+		timer.Reset(interval)
 	}
 }
 
-func (c *clientGroup) isLocal(name string) bool {
-	return len(c.spec.LocalSidecars) == 0 || slices.Contains(c.spec.LocalSidecars, name)
+// isLocal reports whether a sidecar is in the site of the clients.
+func (g *clientGroup) isLocal(name string) bool {
+	return len(g.spec.LocalSidecars) == 0 || slices.Contains(g.spec.LocalSidecars, name)
 }
 
-func (c *clientGroup) checkHealth(name string) bool {
-	conn, err := net.DialTimeout("tcp4", c.spec.Sidecars[name], healthTimeout)
+// checkHealth reports whether a sidecar answers that it is healthy.
+func (g *clientGroup) checkHealth(name string) bool {
+	conn, err := net.DialTimeout("tcp4", g.spec.Sidecars[name], healthTimeout)
 	if err != nil {
 		return false
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }() // the response has been read
 	_ = conn.SetDeadline(time.Now().Add(healthTimeout))
 	if _, err := io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"); err != nil {
 		return false
@@ -165,220 +134,139 @@
 	if err != nil {
 		return false
 	}
-	resp.Body.Close()
+	_ = resp.Body.Close() // only the status counts
 	return resp.StatusCode == http.StatusOK
 }
 
-// generateLoad sends requests at random times until the context ends.
-func (c *clientGroup) generateLoad(ctx context.Context) {
-	rnd := rand.New(rand.NewPCG(c.spec.Seed, loadStream))
-	held := make(chan struct{}, maxInFlight)
-	var own, others []string
-	for _, n := range slices.Sorted(maps.Keys(c.spec.Sidecars)) {
-		if c.isLocal(n) {
-			own = append(own, n)
-		} else {
-			others = append(others, n)
-		}
-	}
-	var all sync.WaitGroup
-	defer all.Wait()
+// generateLoad sends requests at random times until ctx is done, and waits for their responses.
+func (g *clientGroup) generateLoad(ctx context.Context) {
+	rnd := rand.New(rand.NewPCG(g.spec.Seed, loadStream))
+	slots := make(chan struct{}, maxInFlight)
+	local, remote := g.sidecarsByLocality()
+	var requests sync.WaitGroup
+	defer requests.Wait()
 	next := time.Now()
 	for n := 0; ; n++ {
-		next = next.Add(time.Duration(rnd.ExpFloat64() / c.spec.RequestRate * float64(time.Second)))
-		wait := time.NewTimer(time.Until(next))
-		select {
-		case <-wait.C:
-		case <-ctx.Done():
-			wait.Stop()
+		next = next.Add(time.Duration(rnd.ExpFloat64() / g.spec.RequestRate * float64(time.Second)))
+		if !sleepUntil(ctx, next) {
 			return
 		}
-		class, first, subject := pickClass(rnd), rnd.IntN(len(c.spec.Sidecars)), rnd.IntN(subjectCount)
-		name := c.pickReady(own, first)
+		class := pickClass(rnd)
+		first := rnd.IntN(len(g.spec.Sidecars))
+		subject := rnd.IntN(subjectCount)
+		name := g.pickReady(local, first)
 		if name == "" {
-			if name = c.pickReady(others, first); name == "" {
-				continue
-			}
+			name = g.pickReady(remote, first)
+		}
+		if name == "" {
+			continue
 		}
 		select {
-		case held <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
-			continue // the client itself is at its bound
+			continue // the client process itself is at its bound
 		}
-		id := fmt.Sprintf("%s-%d", c.spec.Name, n)
-		all.Go(func() {
-			defer func() { <-held }()
-			c.sendRequest(name, classes[class], id, subject)
+		id := fmt.Sprintf("%s-%d", g.spec.Name, n)
+		requests.Go(func() {
+			defer func() { <-slots }()
+			g.sendRequest(name, class, id, subject)
 		})
 	}
 }
 
-func pickClass(rnd *rand.Rand) int {
-	x := rnd.Float64()
-	for i, c := range classes {
-		if x -= c.Share; x < 0 {
-			return i
-		}
+// sleepUntil waits until a time. It reports false if ctx was done before.
+func sleepUntil(ctx context.Context, at time.Time) bool {
+	timer := time.NewTimer(time.Until(at))
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return true
+	case <-ctx.Done():
+		return false
 	}
-	return len(classes) - 1
 }
 
-// pickReady is a ready sidecar, from the nth on.
-func (c *clientGroup) pickReady(names []string, n int) string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for i := range names {
-		if name := names[(n+i)%len(names)]; c.ready[name] {
-			return name
+// sidecarsByLocality returns the names of the sidecars in the clients' site and of the others,
+// sorted.
+func (g *clientGroup) sidecarsByLocality() (local, remote []string) {
+	for _, name := range slices.Sorted(maps.Keys(g.spec.Sidecars)) {
+		if g.isLocal(name) {
+			local = append(local, name)
+		} else {
+			remote = append(remote, name)
 		}
 	}
-	return ""
+	return local, remote
 }
 
-// sendRequest sends one request and tells what came of it.
-func (c *clientGroup) sendRequest(name string, k Class, id string, subject int) {
-	target := fmt.Sprintf("%s/%d/%s", k.Path, subject, id)
-	body := ""
-	if k.Method == "POST" {
-		body = `{"minutes":3}`
-	}
-	var b strings.Builder
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nTenant: %s\r\nRequest-Timeout-Ms: %d\r\n", k.Method, target, id, Tenant, k.Deadline.Milliseconds())
-	if k.Idempotency == "keyed" {
-		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", id)
-	}
-	if body != "" {
-		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(body))
+// pickClass draws the class of a request.
+func pickClass(rnd *rand.Rand) Class {
+	x := rnd.Float64()
+	for _, class := range classes {
+		x -= class.Share
+		if x < 0 {
+			return class
+		}
 	}
-	b.WriteString("\r\n" + body)
-	e := history.Event{Kind: history.Requested, Who: c.spec.Name, To: name, ID: id, Class: k.Name, At: c.recorder.clock.Now()}
-	e.Until = e.At + k.Deadline.Microseconds()
-	began := time.Now()
-	status, why := c.roundTrip(name, b.String(), k, began.Add(k.Deadline+clientLeeway), k.Method+" "+target+"\n"+body)
-	e.Took, e.Status, e.Why = time.Since(began).Microseconds(), status, why
-	c.recorder.record(e)
+	return classes[len(classes)-1]
 }
 
-// Why a request has no answer. The checkers know these words.
-const (
-	NoConnection  = "no connection"
-	ClosedEarly   = "closed with no answer"
-	TimedOut      = "no answer in time"
-	Truncated     = "an answer that is not whole"
-	WrongResponse = "another request's answer"
-	TrailingBytes = "bytes after the answer"
-)
-
-// roundTrip sends a request, and says what came of it. Where a kept connection breaks with no answer and the request is safe,
-// it is sent once more.
-func (c *clientGroup) roundTrip(name, text string, k Class, until time.Time, expect string) (status int, why string) {
-	for first := true; ; first = false {
-		l := c.takeIdle(name)
-		if l == nil {
-			if l = c.dial(name, until); l == nil {
-				return 0, NoConnection
-			}
-		}
-		_ = l.SetDeadline(until)
-		resp, err := l.exchange(text, k.Method)
-		if err == nil {
-			return c.readResponse(name, l, resp, expect)
-		}
-		l.Close()
-		if why = failure(err); why != ClosedEarly {
-			if why == TimedOut {
-				c.markUnready(name) // ask for its health before the next
-			}
-			return 0, why
-		}
-		if !(l.reused && first && k.Idempotency == "safe") { // otherwise it was closed between two requests
-			c.markUnready(name)
-			return 0, why
+// pickReady returns the first sidecar that is ready, from the nth name on. It returns "" if none
+// is.
+func (g *clientGroup) pickReady(names []string, n int) string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for i := range names {
+		if name := names[(n+i)%len(names)]; g.ready[name] {
+			return name
 		}
 	}
+	return ""
 }
 
-// dial connects to a sidecar; nil where that fails.
-func (c *clientGroup) dial(name string, until time.Time) *clientConn {
-	conn, err := net.DialTimeout("tcp4", c.spec.Sidecars[name], time.Until(until))
-	if err != nil {
-		c.markUnready(name)
-		return nil
-	}
-	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}
+// markUnready has a sidecar pass a health check before it gets further requests.
+func (g *clientGroup) markUnready(name string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.ready[name] = false
 }
 
-// exchange writes a request and reads the head of its answer.
-func (l *clientConn) exchange(text, method string) (*http.Response, error) {
-	if _, err := io.WriteString(l, text); err != nil {
-		return nil, err
+// sendRequest sends one request and records what came of it.
+func (g *clientGroup) sendRequest(name string, class Class, id string, subject int) {
+	req := newClientRequest(class, id, subject)
+	e := history.Event{
+		Kind: history.Requested, Who: g.spec.Name, To: name, ID: id, Class: class.Name, At: g.recorder.clock.Now(),
 	}
-	if _, err := l.reader.Peek(1); err != nil {
-		return nil, err
-	}
-	return http.ReadResponse(l.reader, &http.Request{Method: method})
+	e.Until = e.At + class.Deadline.Microseconds()
+	start := time.Now()
+	e.Status, e.Why = g.roundTrip(name, req, start.Add(class.Deadline+clientLeeway))
+	e.Took = time.Since(start).Microseconds()
+	g.recorder.record(e)
 }
 
-// failure says why there is no head of an answer.
-func failure(err error) string {
-	var network net.Error
-	switch {
-	case errors.As(err, &network) && network.Timeout():
-		return TimedOut
-	case errors.Is(err, io.ErrUnexpectedEOF):
-		return Truncated
-	}
-	return ClosedEarly
+// clientRequest is one request of a client.
+type clientRequest struct {
+	class    Class
+	text     string // as it is written
+	expected string // body of the right response
 }
 
-// readResponse reads the rest of an answer and compares it with what is expected; a connection that can serve again is kept.
-func (c *clientGroup) readResponse(name string, l *clientConn, resp *http.Response, expect string) (status int, why string) {
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
-	resp.Body.Close()
-	switch {
-	case err != nil:
-		l.Close()
-		return 0, Truncated
-	case resp.StatusCode == http.StatusOK && string(data) != expect:
-		l.Close()
-		return resp.StatusCode, WrongResponse
-	case l.reader.Buffered() > 0:
-		l.Close()
-		return resp.StatusCode, TrailingBytes
+// newClientRequest returns a request for a subject.
+func newClientRequest(class Class, id string, subject int) clientRequest {
+	target := fmt.Sprintf("%s/%d/%s", class.Path, subject, id)
+	body := ""
+	if class.Method == "POST" {
+		body = `{"minutes":3}`
 	}
-	if l.reused = true; resp.Close {
-		l.Close()
-	} else {
-		c.putIdle(name, l)
+	var text strings.Builder
+	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nTenant: %s\r\nRequest-Timeout-Ms: %d\r\n",
+		class.Method, target, id, Tenant, class.Deadline.Milliseconds())
+	if class.Idempotency == "keyed" {
+		fmt.Fprintf(&text, "Idempotency-Key: %s\r\n", id)
 	}
-	return resp.StatusCode, ""
-}
-
-// takeIdle takes a kept connection that its other end has left open and quiet.
-func (c *clientGroup) takeIdle(name string) *clientConn {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for all := c.idle[name]; len(all) > 0; all = c.idle[name] {
-		l := all[len(all)-1]
-		c.idle[name] = all[:len(all)-1]
-		if time.Since(l.idleSince) < idleTimeout && socket.IsIdle(l.Conn) {
-			return l
-		}
-		l.Close()
+	if body != "" {
+		fmt.Fprintf(&text, "Content-Length: %d\r\n", len(body))
 	}
-	return nil
-}
-
-func (c *clientGroup) putIdle(name string, l *clientConn) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	l.idleSince = time.Now()
-	c.idle[name] = append(c.idle[name], l)
-}
-
-// markUnready has a sidecar asked for its health before it gets further requests.
-func (c *clientGroup) markUnready(name string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.ready[name] = false
+	text.WriteString("\r\n" + body)
+	return clientRequest{class: class, text: text.String(), expected: class.Method + " " + target + "\n" + body}
 }
--- a/internal/harness/worker/followers.go
+++ b/internal/harness/worker/followers.go
@@ -27,93 +27,96 @@
 	Health() follow.Health
 }
 
-// NewFollower makes a Follower.
+// NewFollower returns a Follower that does not run yet.
 type NewFollower func(follow.Config) Follower
 
-func newFollower(c follow.Config) Follower { return follow.New(c) }
+// newFollower is the NewFollower of the program itself.
+func newFollower(config follow.Config) Follower { return follow.New(config) }
 
-const usageInterval = 500 * time.Millisecond // between two Used events
+const usageInterval = 500 * time.Millisecond // between two Usage events
 
-// followers are all followers of a process.
+// followers is all followers of a process.
 type followers struct {
 	recorder
 	spec             Spec
-	bytesTransferred atomic.Int64 // sent and received
-	messagesSent     atomic.Int64 // messages
-	subscriptions    []*followerState
-	ctx              context.Context
-	stop             context.CancelFunc
+	bytesTransferred atomic.Int64
+	messagesSent     atomic.Int64
+	followers        []*followerState
 	running          sync.WaitGroup
 }
 
-func newFollowers(s Spec, t recorder) *followers {
-	f := &followers{recorder: t, spec: s}
-	f.ctx, f.stop = context.WithCancel(context.Background())
-	for i, spec := range s.Followers {
-		one := &followerState{followers: f, spec: spec, seed: s.Seed + uint64(i)}
-		for _, resource := range spec.Resources {
-			one.subscriptions = append(one.subscriptions, &subscription{followers: f, follower: spec.Name, resource: resource})
+// newFollowers starts the followers of a spec.
+func newFollowers(ctx context.Context, spec Spec, r recorder) *followers {
+	f := &followers{recorder: r, spec: spec}
+	for i, followerSpec := range spec.Followers {
+		follower := &followerState{followers: f, spec: followerSpec, seed: spec.Seed + uint64(i)}
+		for _, resource := range followerSpec.Resources {
+			follower.subscriptions = append(follower.subscriptions,
+				&subscription{recorder: r, follower: followerSpec.Name, resource: resource})
 		}
-		f.subscriptions = append(f.subscriptions, one)
-		one.start()
+		f.followers = append(f.followers, follower)
+		follower.start(ctx)
 	}
-	f.running.Go(f.reportUsage)
-	f.running.Go(func() { history.WatchLag(f.ctx, s.Name, t.clock, t.record) })
+	f.running.Go(func() { f.reportUsage(ctx) })
+	f.running.Go(func() { history.WatchLag(ctx, spec.Name, r.clock, r.record) })
 	return f
 }
 
-func (f *followers) execute(c Command) error {
-	if c.Do != DoRestart {
-		return fmt.Errorf("unknown command")
+// execute implements runner.
+func (f *followers) execute(ctx context.Context, command Command) error {
+	if command.Do != DoRestart {
+		return errUnknownCommand
 	}
-	for _, one := range f.subscriptions {
-		one.halt()
+	for _, follower := range f.followers {
+		follower.stop()
 	}
-	for _, one := range f.subscriptions {
-		one.start()
+	for _, follower := range f.followers {
+		follower.start(ctx)
 	}
 	return nil
 }
 
+// close implements runner.
 func (f *followers) close() {
-	f.stop()
-	for _, one := range f.subscriptions {
-		one.halt()
+	for _, follower := range f.followers {
+		follower.stop()
 	}
 	f.running.Wait()
 }
 
-// reportUsage tells what the process uses, until it ends.
-func (f *followers) reportUsage() {
-	tick := time.NewTicker(usageInterval)
-	defer tick.Stop()
+// reportUsage records what the process uses, at an interval, until ctx is done.
+func (f *followers) reportUsage(ctx context.Context) {
+	ticker := time.NewTicker(usageInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 			f.record(history.Event{Kind: history.Usage, Who: f.spec.Name, Figures: map[string]float64{
 				history.UsedBytes:     float64(f.bytesTransferred.Load()),
 				history.UsedReads:     float64(f.messagesSent.Load()),
-				history.UsedFollowers: float64(len(f.subscriptions)),
+				history.UsedFollowers: float64(len(f.followers)),
 			}})
-		case <-f.ctx.Done():
+		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// followerState are what one follower follows. They outlive the follower, as files would its process.
+// followerState is one follower with its subscriptions, which outlive it as files would its
+// process.
 type followerState struct {
-	*followers
+	followers     *followers
 	spec          FollowerSpec
 	seed          uint64
 	subscriptions []*subscription
-	stop          context.CancelFunc
-	done          chan struct{}
+	cancel        context.CancelFunc
+	done          chan struct{} // closed when the follower has stopped
 }
 
-// start starts a new follower that has what the one before it had.
-func (s *followerState) start() {
-	f := s.build(follow.Config{
+// start starts a new follower with the versions that the one before it held. It runs until stop, or
+// until ctx is done.
+func (s *followerState) start(ctx context.Context) {
+	follower := s.followers.build(follow.Config{
 		Name:   s.spec.Name,
 		Kind:   distribution.KindProxy,
 		Relays: s.spec.Relays,
@@ -122,20 +125,24 @@
 		Log:    slog.New(slog.DiscardHandler),
 		Dial:   s.dial,
 	})
-	for _, one := range s.subscriptions {
-		one.currentRelay = func() string { return s.relayName(f.Health().Relay) }
-		one.record(history.Event{Kind: history.Subscribed, Who: one.follower, Resource: one.resource, Version: one.version})
-		f.Subscribe(one.resource, one.version, one)
+	for _, sub := range s.subscriptions {
+		sub.currentRelay = func() string { return s.relayName(follower.Health().Relay) }
+		sub.record(history.Event{
+			Kind: history.Subscribed, Who: sub.follower, Resource: sub.resource, Version: sub.version,
+		})
+		follower.Subscribe(sub.resource, sub.version, sub)
 	}
-	ctx, stop := context.WithCancel(s.ctx)
-	s.stop, s.done = stop, make(chan struct{})
-	go func(done chan<- struct{}) {
+	runCtx, cancel := context.WithCancel(ctx)
+	s.cancel = cancel
+	done := make(chan struct{})
+	s.done = done
+	go func() {
 		defer close(done)
-		f.Run(ctx)
-	}(s.done)
+		follower.Run(runCtx)
+	}()
 }
 
-// relayName is the name of the relay with an address; empty: none.
+// relayName returns the name of the relay with an address, "" if there is none.
 func (s *followerState) relayName(address string) string {
 	if i := slices.Index(s.spec.Relays, address); i >= 0 {
 		return s.spec.RelayNames[i]
@@ -143,21 +150,22 @@
 	return ""
 }
 
-func (s *followerState) halt() {
-	s.stop()
+// stop stops the follower and waits until it has.
+func (s *followerState) stop() {
+	s.cancel()
 	<-s.done
 }
 
 // dial opens a connection whose bytes are counted.
 func (s *followerState) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	c, err := (&net.Dialer{}).DialContext(ctx, network, address)
+	conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{Conn: c, bytes: &s.bytesTransferred, messages: &s.messagesSent}, nil
+	return &countedConn{Conn: conn, bytes: &s.followers.bytesTransferred, messages: &s.followers.messagesSent}, nil
 }
 
-// countedConn counts the bytes of both directions, and the messages that are sent.
+// countedConn counts the bytes of both directions and the messages that are sent.
 type countedConn struct {
 	net.Conn
 	bytes, messages *atomic.Int64
@@ -178,17 +186,22 @@
 	return n, err
 }
 
-// subscription is one resource as a follower has it in force.
+// errNamedInUpdate is why a follower rejects an update: a test has named it there.
+var errNamedInUpdate = errors.New("an item names this follower")
+
+// subscription is one resource as a follower has applied it. It implements follow.Subscriber.
 type subscription struct {
-	*followers
-	follower, resource string
-	currentRelay       func() string // that the follower reads from
+	recorder
+	follower     string
+	resource     string
+	currentRelay func() string // returns the name of the relay that the follower is connected to
 
 	items   map[string]string
 	version distribution.Version
 }
 
-// ApplyUpdate implements follow.Subscriber. It believes what it is told, so that the history shows what that was.
+// ApplyUpdate implements follow.Subscriber. It applies every update as it is, so that the history
+// shows what was received.
 func (s *subscription) ApplyUpdate(u distribution.Update) error {
 	items := map[string]string{}
 	if !u.Full() {
@@ -201,13 +214,25 @@
 			items[item.Key] = string(item.Value)
 		}
 	}
-	if who, refused := items[plan.RejectKey]; refused && who == `"`+s.follower+`"` {
-		const why = "an item names this follower"
-		s.record(history.Event{Kind: history.UpdateRejected, Who: s.follower, Resource: s.resource, Version: u.Version, Why: why})
-		return errors.New(why)
+	if name, ok := items[plan.RejectKey]; ok && name == `"`+s.follower+`"` {
+		s.record(history.Event{
+			Kind: history.UpdateRejected, Who: s.follower, Resource: s.resource, Version: u.Version,
+			Why: errNamedInUpdate.Error(),
+		})
+		return errNamedInUpdate
 	}
-	s.items, s.version = items, u.Version
-	s.record(history.Event{Kind: history.InForce, Who: s.follower, To: s.currentRelay(), Resource: s.resource, Version: u.Version, From: u.From, N: int64(len(u.Items)), Digest: Digest(items)})
+	s.items = items
+	s.version = u.Version
+	s.record(history.Event{
+		Kind:     history.InForce,
+		Who:      s.follower,
+		To:       s.currentRelay(),
+		Resource: s.resource,
+		Version:  u.Version,
+		From:     u.From,
+		N:        int64(len(u.Items)),
+		Digest:   Digest(items),
+	})
 	return nil
 }
 
@@ -216,20 +241,20 @@
 	s.record(history.Event{Kind: history.Log, Who: s.follower, Resource: s.resource, Why: "no relay answers"})
 }
 
-// Digest is a short text that is the same for the same items.
+// Digest returns a hash of items by key, in hexadecimal.
 func Digest(items map[string]string) string {
-	h := fnv.New64a()
+	hash := fnv.New64a()
 	for _, key := range slices.Sorted(maps.Keys(items)) {
-		fmt.Fprintf(h, "%d %s %d %s\n", len(key), key, len(items[key]), items[key])
+		_, _ = fmt.Fprintf(hash, "%d %s %d %s\n", len(key), key, len(items[key]), items[key]) // a hash.Hash never fails
 	}
-	return fmt.Sprintf("%016x", h.Sum64())
+	return fmt.Sprintf("%016x", hash.Sum64())
 }
 
-// DigestOf is the digest of a whole resource's items.
+// DigestOf returns the Digest of a complete resource's items.
 func DigestOf(items []distribution.Item) string {
-	all := map[string]string{}
+	byKey := map[string]string{}
 	for _, item := range items {
-		all[item.Key] = string(item.Value)
+		byKey[item.Key] = string(item.Value)
 	}
-	return Digest(all)
+	return Digest(byKey)
 }
--- /dev/null
+++ b/internal/harness/worker/list_service.go
@@ -0,0 +1,111 @@
+package worker
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"strings"
+
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/standin"
+)
+
+// listService is one list service.
+type listService struct {
+	*standin.Discovery
+}
+
+// newListService starts a list service.
+func newListService(spec Spec, r recorder) (runner, Hello, error) {
+	discovery, err := standin.NewDiscoveryWith(standin.DiscoveryConfig{
+		Rate:       spec.SnapshotRate,
+		Queue:      spec.SnapshotQueue,
+		RetryAfter: spec.RetryAfter,
+		// Members are listed by the port of their relay, which each caller reaches at the caller's
+		// own address.
+		Address: func(caller string, member standin.Member) string {
+			_, port, _ := strings.Cut(member.Address, ":")
+			return net.JoinHostPort(caller, port)
+		},
+		Since: func(caller string, member standin.Member) int64 {
+			if member.SinceMs == 0 {
+				return 0
+			}
+			return member.SinceMs + spec.ClockSkews[caller]
+		},
+		Report: func(call standin.DiscoveryCall) { r.record(pollEvent(spec, r.clock, call)) },
+	})
+	if err != nil {
+		return nil, Hello{}, err
+	}
+	return listService{discovery}, Hello{Address: discovery.Addr()}, nil
+}
+
+// pollEvent returns the event of an answered poll.
+func pollEvent(spec Spec, clock history.Clock, call standin.DiscoveryCall) history.Event {
+	host, _, _ := net.SplitHostPort(call.Caller) // a TCP connection's address has a port
+	e := history.Event{
+		At:     clock.Now(),
+		Kind:   history.ListPolled,
+		Who:    spec.Name,
+		To:     spec.SidecarNames[host],
+		Conn:   call.Caller,
+		N:      call.From,
+		Status: call.Status,
+		Took:   clock.Now() - clock.At(call.Began),
+		Bytes:  call.BytesWritten,
+	}
+	for _, member := range call.Members {
+		mark := ""
+		if member.Status == "SERVING" {
+			mark = history.ServingMark
+		}
+		e.Names = append(e.Names, mark+member.Name)
+	}
+	switch {
+	case call.CallerLeft:
+		e.Why = history.CallerLeft
+	case call.Full:
+		e.Why = history.Snapshot
+	}
+	return e
+}
+
+// execute implements runner.
+func (l listService) execute(_ context.Context, command Command) error {
+	switch command.Do {
+	case DoMode:
+		mode, ok := standin.ModeOf(command.Mode)
+		if !ok {
+			return fmt.Errorf("unknown mode %q", command.Mode)
+		}
+		l.SetMode(mode)
+	case DoMembers:
+		l.update(command.Members)
+	default:
+		return errUnknownCommand
+	}
+	return nil
+}
+
+// update enters changed members into the list. Those that are DELETED leave it.
+func (l listService) update(changed []standin.Member) {
+	var put []standin.Member
+	var deleted []string
+	for _, member := range changed {
+		if member.Status == "DELETED" {
+			deleted = append(deleted, member.Name)
+		} else {
+			put = append(put, member)
+		}
+	}
+	if len(put) > 0 {
+		l.Put(put...)
+	}
+	if len(deleted) > 0 {
+		l.Delete(deleted...)
+	}
+}
+
+// close implements runner.
+func (l listService) close() { l.Close() }
--- a/internal/harness/worker/publisher.go
+++ b/internal/harness/worker/publisher.go
@@ -19,8 +19,9 @@
 
 const (
 	putTimeout          = 2 * time.Second
-	putRetryDelay       = 100 * time.Millisecond // between two tries of a put that insists
+	putRetryDelay       = 100 * time.Millisecond // between two attempts of a put that is retried
 	maxPutResponseBytes = 1 << 16
+	maxIdleConns        = 8
 )
 
 // publisher writes resources to the source, by a plan.
@@ -28,115 +29,144 @@
 	recorder
 	spec    Spec
 	client  *http.Client
-	ctx     context.Context
-	stop    context.CancelFunc
 	running sync.WaitGroup
 }
 
-func newPublisher(s Spec, t recorder) *publisher {
-	p := &publisher{recorder: t, spec: s, client: &http.Client{Timeout: putTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
-	p.ctx, p.stop = context.WithCancel(context.Background())
-	p.running.Go(func() { history.WatchLag(p.ctx, s.Name, t.clock, t.record) })
-	if s.RunStart > 0 {
-		p.startPuts(s.RunStart)
+// newPublisher starts a publisher. If the run has started already, it goes on with the puts that
+// are due from now on.
+func newPublisher(ctx context.Context, spec Spec, r recorder) *publisher {
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConns}
+	p := &publisher{recorder: r, spec: spec, client: &http.Client{Timeout: putTimeout, Transport: transport}}
+	p.running.Go(func() { history.WatchLag(ctx, spec.Name, r.clock, r.record) })
+	if spec.RunStart > 0 {
+		p.startPuts(ctx, spec.RunStart)
 	}
 	return p
 }
 
-func (p *publisher) execute(c Command) error {
-	switch c.Do {
+// execute implements runner.
+func (p *publisher) execute(ctx context.Context, command Command) error {
+	switch command.Do {
 	case DoFirst:
 		p.running.Go(func() {
 			for _, put := range p.spec.InitialPuts {
-				p.publish(put)
+				p.publish(ctx, put)
 			}
 		})
 	case DoBegin:
-		p.startPuts(c.At)
+		p.startPuts(ctx, command.At)
 	default:
-		return fmt.Errorf("unknown command")
+		return errUnknownCommand
 	}
 	return nil
 }
 
+// close implements runner.
 func (p *publisher) close() {
-	p.stop()
 	p.running.Wait()
 	p.client.CloseIdleConnections()
 }
 
-// startPuts writes all puts that are still due, each when its time comes, whatever has become of those before it. A process
-// before this one has written the others, or has died with them.
-func (p *publisher) startPuts(zero int64) {
+// startPuts writes all puts that are still due, each at its time after the run's start, whatever
+// has become of those before it. A process before this one has written the others, or has died with
+// them.
+func (p *publisher) startPuts(ctx context.Context, runStart int64) {
 	p.running.Go(func() {
-		from := p.clock.Now()
+		startedAt := p.clock.Now()
 		for _, put := range p.spec.Puts {
-			due := zero + put.At.Microseconds()
-			if due < from && !put.Retry {
+			due := runStart + put.At.Microseconds()
+			if due < startedAt && !put.Retry {
 				continue
 			}
-			if !sleep.For(p.ctx, time.Duration(due-p.clock.Now())*time.Microsecond) {
+			if !sleep.For(ctx, time.Duration(due-p.clock.Now())*time.Microsecond) {
 				return
 			}
-			p.running.Go(func() { p.publish(put) })
+			p.running.Go(func() { p.publish(ctx, put) })
 		}
 	})
 }
 
-// publish writes one put, again and again if it insists.
-func (p *publisher) publish(put plan.Put) {
+// publish writes one put, and retries it if the put says so.
+func (p *publisher) publish(ctx context.Context, put plan.Put) {
 	for {
-		answered := p.attempt(put)
-		if answered || !put.Retry || !sleep.For(p.ctx, putRetryDelay) {
+		answered := p.attempt(ctx, put)
+		if answered || !put.Retry || !sleep.For(ctx, putRetryDelay) {
 			return
 		}
 	}
 }
 
-// attempt writes one put once and tells what came of it.
-func (p *publisher) attempt(put plan.Put) (answered bool) {
+// attempt writes one put once and records what came of it. It reports whether the source accepted
+// it.
+func (p *publisher) attempt(ctx context.Context, put plan.Put) (accepted bool) {
 	var request distribution.PutRequest
-	_ = json.Unmarshal(put.Request, &request) // for its name alone; the source reads it whole
-	began := p.clock.Now()
-	e := history.Event{Kind: history.Put, Who: p.spec.Name, ID: put.ID, Resource: request.Resource, Urgent: put.Urgent}
-	var err error
-	e.Status, e.Version, err = p.post(put.Request)
-	if p.ctx.Err() != nil {
+	_ = json.Unmarshal(put.Request, &request) // for the resource's name alone; the source checks the rest
+	start := p.clock.Now()
+	status, version, err := p.post(ctx, put.Request)
+	if ctx.Err() != nil {
 		return false
 	}
+	e := history.Event{
+		Kind:     history.Put,
+		At:       p.clock.Now(),
+		Who:      p.spec.Name,
+		ID:       put.ID,
+		Resource: request.Resource,
+		Urgent:   put.Urgent,
+		Status:   status,
+		Version:  version,
+	}
 	if err != nil {
 		e.Why = err.Error()
 	}
-	e.At = p.clock.Now()
-	e.Took = e.At - began
+	e.Took = e.At - start
 	p.record(e)
 	return err == nil
 }
 
-func (p *publisher) post(body []byte) (status int, v distribution.Version, err error) {
-	request, err := http.NewRequestWithContext(p.ctx, http.MethodPost, "http://"+p.spec.Source+"/v1/put", bytes.NewReader(body))
+// post sends a put to the source. It returns the response's status, 0 if there is none, and the
+// version that the put created.
+func (p *publisher) post(ctx context.Context, body []byte) (status int, version distribution.Version, err error) {
+	url := "http://" + p.spec.Source + "/v1/put"
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		return 0, v, err
+		return 0, distribution.Version{}, err
 	}
-	request.Header.Set("Content-Type", "application/json")
-	response, err := p.client.Do(request)
+	req.Header.Set("Content-Type", "application/json")
+	resp, err := p.client.Do(req)
 	if err != nil {
-		return 0, v, err
+		return 0, distribution.Version{}, err
 	}
-	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxPutResponseBytes))
+	defer func() { _ = resp.Body.Close() }() // only reading can fail
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxPutResponseBytes))
 	if err != nil {
-		return response.StatusCode, v, err
+		return resp.StatusCode, distribution.Version{}, err
 	}
-	if response.StatusCode != http.StatusOK {
-		return response.StatusCode, v, fmt.Errorf("status %d: %s", response.StatusCode, bytes.TrimSpace(data))
+	if resp.StatusCode != http.StatusOK {
+		statusErr := &StatusError{Status: resp.StatusCode, Body: bytes.TrimSpace(data)}
+		return resp.StatusCode, distribution.Version{}, statusErr
 	}
-	var answer distribution.PutResponse
-	if err := json.Unmarshal(data, &answer); err != nil {
-		return response.StatusCode, v, fmt.Errorf("an answer to a put expected: %w", err)
+	version, err = decodePutResponse(data)
+	return resp.StatusCode, version, err
+}
+
+// StatusError is a response of the source that is not 200.
+type StatusError struct {
+	Status int
+	Body   []byte
+}
+
+// Error implements error.
+func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Body) }
+
+// decodePutResponse returns the version in the source's response.
+func decodePutResponse(data []byte) (distribution.Version, error) {
+	var response distribution.PutResponse
+	if err := json.Unmarshal(data, &response); err != nil {
+		return distribution.Version{}, fmt.Errorf("an answer to a put expected: %w", err)
 	}
-	if answer.Version.IsZero() {
-		return response.StatusCode, v, errors.New("a version expected in the answer to a put")
+	if response.Version.IsZero() {
+		return distribution.Version{}, errors.New("a version expected in the answer to a put")
 	}
-	return response.StatusCode, answer.Version, nil
+	return response.Version, nil
 }
