--- a/internal/scale/result/read_test.go
+++ b/internal/scale/result/read_test.go
@@ -9,12 +9,22 @@
 
 // sample is a valid result.
 func sample() *Result {
-	return &Result{Format: Format, Scenario: "s", Source: SourceConsul, Dimension: Proxies, Hollow: true, Cores: 8, Points: []Point{
-		{Size: Size{Proxies: 10, Services: 2, ServicesInAll: 4, Backends: 23}, Rounds: []Round{{Seconds: 10, Proxies: Cost{Processes: 1, CPUSeconds: 0.5}}}},
-	}}
+	return &Result{
+		Format:    Format,
+		Scenario:  "s",
+		Source:    SourceConsul,
+		Dimension: Proxies,
+		Hollow:    true,
+		Cores:     8,
+		Points: []Point{{
+			Size:   Size{Proxies: 10, Services: 2, ServicesInAll: 4, Backends: 23},
+			Rounds: []Round{{Seconds: 10, Proxies: Cost{Processes: 1, CPUSeconds: 0.5}}},
+		}},
+	}
 }
 
-func written(t *testing.T, r *Result) string {
+// encode returns the result as a file's text.
+func encode(t *testing.T, r *Result) string {
 	t.Helper()
 	var out bytes.Buffer
 	if err := Write(&out, r); err != nil {
@@ -23,37 +33,47 @@
 	return out.String()
 }
 
-func TestReadTakesWhatWriteWrites(t *testing.T) {
+func TestReadReturnsWhatWriteWrote(t *testing.T) {
 	want := sample()
-	got, err := Read("a.json", []byte(written(t, want)))
+	got, err := Read("a.json", []byte(encode(t, want)))
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, %v", got, err)
 	}
 }
 
-func TestReadRefusesByPlace(t *testing.T) {
-	good := written(t, sample())
-	for _, c := range []struct{ old, put, want string }{
+func TestReadRejectsFaultsByLineAndField(t *testing.T) {
+	good := encode(t, sample())
+	for _, test := range []struct{ old, replacement, want string }{
 		{`"format": 1`, `"format": 2`, `a.json:2: format: 2 found, 1 expected`},
 		{`"format": 1`, `"format": 1, "format": 1`, `a.json:2: format: stands twice, once expected`},
 		{`"proxies": 10`, `"proxies": 0`, `a.json:15: points[0].size.proxies: 0 found, 1 to 1e+06 expected`},
 		{`"proxies": 10`, `"proxy": 10`, `a.json:15: points[0].size.proxy: unknown field`},
 		{`"proxies": 10`, `"proxies": "many"`, `a.json:15: points.size.proxies: string found, int expected`},
-		{`"services_in_all": 4`, `"services_in_all": 1`, `a.json:17: points[0].size.services_in_all: 1 found, 2 to 1e+06 expected`},
-		{`"cpu_seconds": 0.5`, `"cpu_seconds": -0.5`, `a.json:27: points[0].rounds[0].proxies.cpu_seconds: -0.5 found, 0 to 1e+15 expected`},
-		{`"source": "consul"`, `"source": "eureka"`, `a.json:4: source: "eureka" found, static, consul, catalog or relay expected`},
+		{
+			`"services_in_all": 4`, `"services_in_all": 1`,
+			`a.json:17: points[0].size.services_in_all: 1 found, 2 to 1e+06 expected`,
+		},
+		{
+			`"cpu_seconds": 0.5`, `"cpu_seconds": -0.5`,
+			`a.json:27: points[0].rounds[0].proxies.cpu_seconds: -0.5 found, 0 to 1e+15 expected`,
+		},
+		{
+			`"source": "consul"`, `"source": "eureka"`,
+			`a.json:4: source: "eureka" found, static, consul, catalog or relay expected`,
+		},
 		{good, `{"format": 1}`, `a.json:1: scenario: "" found, a name of 1 to 128 bytes expected`},
 		{good, `{"format": 1`, `a.json:1: the document ends early`},
 		{good, strings.Repeat("[", 1<<20), `deeper than 16 levels`},
 		{good, good + "{}", `something behind the document's end, nothing expected`},
 	} {
-		_, err := Read("a.json", []byte(strings.Replace(good, c.old, c.put, 1)))
-		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v; %s expected", c.put, err, c.want)
+		_, err := Read("a.json", []byte(strings.Replace(good, test.old, test.replacement, 1)))
+		if err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%s: %v; %s expected", test.replacement, err, test.want)
 		}
 	}
 }
 
+// FuzzRead checks that an error of Read is one line and that Write accepts what Read accepts.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"format": 1, "points": [{"size": {"proxies": 1}, "rounds": [{"seconds": 1}]}]}`))
 	f.Add([]byte("{\"a\nb\": [[]]}"))
--- a/internal/scale/result/result.go
+++ b/internal/scale/result/result.go
@@ -1,19 +1,21 @@
-// Package result is the file format of what a sweep of fernctl scale measured. Files are versioned and committed;
-// fits, predictions and the page on capacity are worked out from them alone.
+// Package result defines the file format of what a sweep of fernctl scale measures, and reads and writes it strictly.
+// Result files are versioned and committed; fits, predictions and docs/CAPACITY.md are computed from them alone.
+//
+// The package does no I/O but through the writer that it is given. Its functions may be called concurrently.
 package result
 
 // Format is the version of the file format that this program writes and reads.
 const Format = 1
 
-// Source says how lists of backends come to proxies.
+// Source is the way in which endpoint lists reach proxies.
 type Source string
 
-// The sources of lists that are measured.
+// The measured sources of endpoint lists.
 const (
-	SourceStatic  Source = "static"  // they stand in the configuration
-	SourceConsul  Source = "consul"  // blocking reads of whole lists, one stream a service
-	SourceCatalog Source = "catalog" // the platform's discovery, one stream a service
-	SourceRelay   Source = "relay"   // distribution: one stream a proxy, changes only
+	SourceStatic  Source = "static"  // they are part of the configuration
+	SourceConsul  Source = "consul"  // long polls for complete lists, one connection per service
+	SourceCatalog Source = "catalog" // the platform's discovery, one stream per service
+	SourceRelay   Source = "relay"   // distribution: one stream per proxy, deltas only
 )
 
 // Dimension is what a sweep varies.
@@ -34,7 +36,7 @@
 	Scenario   string    `json:"scenario"` // its name
 	Source     Source    `json:"source"`
 	Dimension  Dimension `json:"dimension"`
-	Hollow     bool      `json:"hollow"`  // proxies without data sockets, many in a process; false: real processes
+	Hollow     bool      `json:"hollow"`  // proxies without a data path, many in a process; false: real processes
 	Date       string    `json:"date"`    // RFC 3339
 	Program    string    `json:"program"` // revision of the sources that was built
 	GoVersion  string    `json:"go_version"`
@@ -43,20 +45,20 @@
 	Points     []Point   `json:"points"`      // by size, ascending
 }
 
-// Point is one size with its rounds.
+// Point is what the rounds at one size measured.
 type Point struct {
 	Size    Size    `json:"size"`
-	HeldOut bool    `json:"held_out,omitempty"` // played to judge predictions: no fit uses it
+	HeldOut bool    `json:"held_out,omitempty"` // measured to check predictions: no fit uses it
 	Rounds  []Round `json:"rounds"`
 }
 
-// Size is what was played.
+// Size is the size of the fleet and of its load at a point.
 type Size struct {
 	Proxies          int     `json:"proxies"`
 	Services         int     `json:"services"`           // that each proxy follows
 	ServicesInAll    int     `json:"services_in_all"`    // that the proxies choose from
 	Backends         int     `json:"backends"`           // of each service
-	ChangesPerSecond float64 `json:"changes_per_second"` // over all services; each changes one backend
+	ChangesPerSecond float64 `json:"changes_per_second"` // over all services; each affects one backend
 	CallsPerSecond   float64 `json:"calls_per_second"`   // of each proxy
 }
 
@@ -67,11 +69,13 @@
 	Lists   Cost    `json:"lists"`   // of the list service, or of distribution's source
 	Relays  Cost    `json:"relays"`  // zero where there are none
 	InForce Spread  `json:"in_force"`
-	Late    int64   `json:"late,omitempty"` // changes, each counted for each proxy that follows its service, that were not in force a while after the span (2.5 s if not said otherwise)
-	Call    Spread  `json:"call"`           // of one call's decision and bookkeeping; zero where no calls are made
+	// Late counts the changes that were not in force once the scenario's settle time (2.5 s by default) after the
+	// span had passed, each change once for each proxy that follows its service.
+	Late int64  `json:"late,omitempty"`
+	Call Spread `json:"call"` // of one call's decision and bookkeeping; zero where no calls are made
 }
 
-// Cost is what processes of one role used in a round. Bytes and messages are those of control traffic.
+// Cost is what the processes of one role use in a round. Bytes and messages are those of control traffic.
 type Cost struct {
 	Processes      int     `json:"processes"`
 	CPUSeconds     float64 `json:"cpu_seconds"`
@@ -87,8 +91,8 @@
 	MessagesOut    int64   `json:"messages_out"`
 }
 
-// Spread is a distribution of times in seconds: of InForce, from the moment a change was written at its origin until a
-// proxy had put it in force.
+// Spread summarizes a distribution of times, in seconds. That of Round.InForce is of the times from the write of a
+// change at its origin until a proxy has put it in force.
 type Spread struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
--- /dev/null
+++ b/internal/scale/result/validate.go
@@ -0,0 +1,143 @@
+package result
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+)
+
+// validate returns a *FieldError for the first field with an impossible value, nil where there is none.
+func (r *Result) validate() error {
+	switch {
+	case r.Format != Format:
+		return fieldErrorf("format", "%d found, %d expected", r.Format, Format)
+	case r.Scenario == "" || len(r.Scenario) > 128 || oneLine(r.Scenario) != r.Scenario:
+		return fieldErrorf("scenario", "%.40q found, a name of 1 to 128 bytes expected", r.Scenario)
+	case !slices.Contains([]Source{SourceStatic, SourceConsul, SourceCatalog, SourceRelay}, r.Source):
+		return fieldErrorf("source", "%.40q found, static, consul, catalog or relay expected", r.Source)
+	case !slices.Contains([]Dimension{Proxies, Services, Backends, Changes, Calls}, r.Dimension):
+		const want = "proxies, services, backends, changes or calls expected"
+		return fieldErrorf("dimension", "%.40q found, "+want, r.Dimension)
+	case r.Cores < 0 || r.Cores > 4096:
+		return fieldErrorf("cores", "%d found, 0 to 4096 expected", r.Cores)
+	case !isWithin(r.LoadBefore, 0, MaxFigure):
+		return fieldErrorf("load_before", "%g found, 0 or more expected", r.LoadBefore)
+	case len(r.Points) == 0 || len(r.Points) > MaxPoints:
+		return fieldErrorf("points", "%d found, 1 to %d expected", len(r.Points), MaxPoints)
+	}
+	for i := range r.Points {
+		if err := r.Points[i].validate(); err != nil {
+			return under(fmt.Sprintf("points[%d]", i), err)
+		}
+	}
+	return nil
+}
+
+func (p *Point) validate() error {
+	if err := p.Size.validate(); err != nil {
+		return under("size", err)
+	}
+	if len(p.Rounds) == 0 || len(p.Rounds) > MaxRounds {
+		return fieldErrorf("rounds", "%d found, 1 to %d expected", len(p.Rounds), MaxRounds)
+	}
+	for i := range p.Rounds {
+		if err := p.Rounds[i].validate(); err != nil {
+			return under(fmt.Sprintf("rounds[%d]", i), err)
+		}
+	}
+	return nil
+}
+
+func (s *Size) validate() error {
+	leastInAll := float64(min(s.Services, MaxProxies))
+	return firstOutside([]boundedField{
+		{name: "proxies", value: float64(s.Proxies), least: 1, most: MaxProxies},
+		{name: "services", value: float64(s.Services), most: MaxProxies},
+		{name: "services_in_all", value: float64(s.ServicesInAll), least: leastInAll, most: MaxProxies},
+		{name: "backends", value: float64(s.Backends), most: MaxProxies},
+		{name: "changes_per_second", value: s.ChangesPerSecond, most: MaxFigure},
+		{name: "calls_per_second", value: s.CallsPerSecond, most: MaxFigure},
+	})
+}
+
+func (r *Round) validate() error {
+	if !isWithin(r.Seconds, 1e-3, 1e6) {
+		return fieldErrorf("seconds", "%g found, 0.001 to 1e+06 expected", r.Seconds)
+	}
+	for _, part := range []struct {
+		field string
+		value interface{ validate() error }
+	}{
+		{"proxies", &r.Proxies},
+		{"lists", &r.Lists},
+		{"relays", &r.Relays},
+		{"in_force", &r.InForce},
+		{"call", &r.Call},
+	} {
+		if err := part.value.validate(); err != nil {
+			return under(part.field, err)
+		}
+	}
+	return nil
+}
+
+func (c *Cost) validate() error {
+	return firstOutside([]boundedField{
+		{name: "processes", value: float64(c.Processes), most: MaxProxies},
+		{name: "cpu_seconds", value: c.CPUSeconds, most: MaxFigure},
+		{name: "rss_bytes", value: float64(c.RSSBytes), most: MaxFigure},
+		{name: "heap_bytes", value: float64(c.HeapBytes), most: MaxFigure},
+		{name: "allocated_bytes", value: float64(c.AllocatedBytes), most: MaxFigure},
+		{name: "allocations", value: float64(c.Allocations), most: MaxFigure},
+		{name: "goroutines", value: float64(c.Goroutines), most: MaxFigure},
+		{name: "connections", value: float64(c.Connections), most: MaxFigure},
+		{name: "bytes_in", value: float64(c.BytesIn), most: MaxFigure},
+		{name: "bytes_out", value: float64(c.BytesOut), most: MaxFigure},
+		{name: "messages_in", value: float64(c.MessagesIn), most: MaxFigure},
+		{name: "messages_out", value: float64(c.MessagesOut), most: MaxFigure},
+	})
+}
+
+func (s *Spread) validate() error {
+	return firstOutside([]boundedField{
+		{name: "count", value: float64(s.Count), most: MaxFigure},
+		{name: "p50", value: s.P50, most: MaxFigure},
+		{name: "p99", value: s.P99, least: s.P50, most: MaxFigure},
+		{name: "max", value: s.Max, least: s.P99, most: MaxFigure},
+	})
+}
+
+// boundedField is the value of a numeric field with its bounds, both included.
+type boundedField struct {
+	name  string
+	value float64
+	least float64
+	most  float64
+}
+
+// firstOutside returns a *FieldError for the first field that is outside its bounds.
+func firstOutside(fields []boundedField) error {
+	for _, f := range fields {
+		if !isWithin(f.value, f.least, f.most) {
+			return fieldErrorf(f.name, "%g found, %g to %g expected", f.value, f.least, f.most)
+		}
+	}
+	return nil
+}
+
+// isWithin reports whether v is a number between both bounds, bounds included.
+func isWithin(v, least, most float64) bool { return !math.IsNaN(v) && v >= least && v <= most }
+
+func fieldErrorf(field, format string, args ...any) *FieldError {
+	return &FieldError{Field: field, Err: fmt.Errorf(format, args...)}
+}
+
+// under returns a field's error with the path of the struct that holds the field in front.
+func under(path string, err error) error {
+	var inner *FieldError
+	if errors.As(err, &inner) {
+		return &FieldError{Field: path + "." + inner.Field, Err: inner.Err}
+	}
+	return &FieldError{Field: path, Err: err}
+}
