--- a/internal/scale/fit/fit_test.go
+++ b/internal/scale/fit/fit_test.go
@@ -9,16 +9,26 @@
 	"fernlanding/internal/scale/result"
 )
 
-// slopes are the true costs of made-up measurements, in bytes in a second over all proxies.
+// slopes are the true costs behind synthetic measurements, in bytes per second over all proxies.
 type slopes struct{ proxy, followed, endpoint, delivered, changed float64 }
 
 func (s slopes) at(d Drivers) float64 {
-	return s.proxy*d.Proxies + s.followed*d.Followed + s.endpoint*d.EndpointsHeld + s.delivered*d.Delivered + s.changed*d.EndpointsChanged
+	return s.proxy*d.Proxies + s.followed*d.Followed + s.endpoint*d.EndpointsHeld +
+		s.delivered*d.Delivered + s.changed*d.EndpointsChanged
 }
 
-// play makes up a sweep of six sizes and three rounds in which truth is measured with a relative noise.
-func play(d result.Dimension, changes float64, truth func(Drivers) float64, noise float64, rng *rand.Rand) *result.Result {
-	r := &result.Result{Format: result.Format, Scenario: string(d), Source: result.SourceRelay, Dimension: d, Hollow: true}
+// sweepOfTruth returns a synthetic sweep of six sizes and three rounds, in which the truth is
+// measured with a relative noise.
+func sweepOfTruth(
+	d result.Dimension, changes float64, truth func(Drivers) float64, noise float64, rng *rand.Rand,
+) *result.Result {
+	r := &result.Result{
+		Format:    result.Format,
+		Scenario:  string(d),
+		Source:    result.SourceRelay,
+		Dimension: d,
+		Hollow:    true,
+	}
 	for k := range 6 {
 		size := result.Size{Proxies: 200, Services: 10, ServicesInAll: 100, Backends: 23, ChangesPerSecond: changes}
 		factor := 1 << k
@@ -31,44 +41,69 @@
 			size.Backends = 6 * factor
 		case result.Changes:
 			size.ChangesPerSecond = float64(factor)
+		case result.Calls:
+			panic("no sweep of calls is synthesized")
 		}
 		p := result.Point{Size: size}
 		for range 3 {
 			value := truth(DriversOf(size, 1, 0)) * (1 + noise*rng.NormFloat64())
-			p.Rounds = append(p.Rounds, result.Round{Seconds: 10, Proxies: result.Cost{Processes: 1, BytesIn: int64(10 * value)}})
+			cost := result.Cost{Processes: 1, BytesIn: int64(10 * value)}
+			p.Rounds = append(p.Rounds, result.Round{Seconds: 10, Proxies: cost})
 		}
 		r.Points = append(r.Points, p)
 	}
 	return r
 }
 
-func playAll(truth func(Drivers) float64, noise float64, rng *rand.Rand) (all []*result.Result) {
+// allSweepsOfTruth returns synthetic sweeps of four dimensions, that of backends twice: with and
+// without changes.
+func allSweepsOfTruth(truth func(Drivers) float64, noise float64, rng *rand.Rand) []*result.Result {
+	var all []*result.Result
 	for _, d := range []result.Dimension{result.Proxies, result.Services, result.Backends, result.Changes} {
-		all = append(all, play(d, 0, truth, noise, rng))
+		all = append(all, sweepOfTruth(d, 0, truth, noise, rng))
 	}
-	return append(all, play(result.Backends, 5, truth, noise, rng))
+	return append(all, sweepOfTruth(result.Backends, 5, truth, noise, rng))
 }
 
-func TestJointModelRecoversKnownTerms(t *testing.T) {
+func TestModelRecoversKnownTerms(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	for try := range 40 {
-		truth := slopes{proxy: 100 + 1000*rng.Float64(), endpoint: 50 + 50*rng.Float64(), delivered: 2000 * rng.Float64(), changed: 100 + 100*rng.Float64()}
-		m := Join(playAll(truth.at, 0.01, rng), result.SourceRelay, true).Get(Proxies, BytesIn)
-		target := Drivers{Processes: 28_000, Proxies: 28_000, Followed: 280_000, EndpointsHeld: 2e7, Delivered: 5000, EndpointsChanged: 1e6}
+	for trial := range 40 {
+		truth := slopes{
+			proxy:     100 + 1000*rng.Float64(),
+			endpoint:  50 + 50*rng.Float64(),
+			delivered: 2000 * rng.Float64(),
+			changed:   100 + 100*rng.Float64(),
+		}
+		m := NewModels(allSweepsOfTruth(truth.at, 0.01, rng), result.SourceRelay, true).Model(Proxies, BytesIn)
+		target := Drivers{
+			Processes:        28_000,
+			Proxies:          28_000,
+			Followed:         280_000,
+			EndpointsHeld:    2e7,
+			Delivered:        5000,
+			EndpointsChanged: 1e6,
+		}
 		if got, want := m.Predict(target), truth.at(target); math.Abs(got/want-1) > 0.05 {
-			t.Errorf("try %d: %.4g predicted at the target, %.4g true; terms %+v", try, got, want, m.Terms)
+			t.Errorf("trial %d: %.4g predicted at the target, %.4g true; terms %+v", trial, got, want, m.Terms)
 		}
 		term := m.Term("endpoint followed")
 		if math.Abs(term.Value-truth.endpoint) > 5*term.Error || term.Error > 0.05*truth.endpoint {
-			t.Errorf("try %d: an endpoint costs %.4g +- %.2g, %.4g true", try, term.Value, term.Error, truth.endpoint)
+			t.Errorf("trial %d: an endpoint costs %.4g +- %.2g, %.4g true",
+				trial, term.Value, term.Error, truth.endpoint)
 		}
 	}
 }
 
-func TestJointModelWithoutNoiseIsExact(t *testing.T) {
+func TestModelWithoutNoiseIsExact(t *testing.T) {
 	truth := slopes{proxy: 300, followed: 40, endpoint: 7, delivered: 500}
-	m := Join(playAll(truth.at, 0, rand.New(rand.NewPCG(1, 2))), result.SourceRelay, true).Get(Proxies, BytesIn)
-	for name, want := range map[string]float64{"proxy": 300, "service followed": 40, "endpoint followed": 7, "change delivered a second": 500} {
+	results := allSweepsOfTruth(truth.at, 0, rand.New(rand.NewPCG(1, 2)))
+	m := NewModels(results, result.SourceRelay, true).Model(Proxies, BytesIn)
+	for name, want := range map[string]float64{
+		"proxy":                     300,
+		"service followed":          40,
+		"endpoint followed":         7,
+		"change delivered a second": 500,
+	} {
 		if got := m.Term(name).Value; math.Abs(got/want-1) > 0.01 {
 			t.Errorf("%s: %.4g, %.4g expected", name, got, want)
 		}
@@ -78,14 +113,15 @@
 	}
 }
 
-// By consul changes end reads early: what they cost is that of the lists read, which is not linear in changes.
-func TestConsulIsFittedByTheListsThatAreRead(t *testing.T) {
+// Over consul a change ends a long poll early: the cost is that of the lists read, which is not
+// linear in changes.
+func TestConsulModelFitsListsRead(t *testing.T) {
 	truth := func(d Drivers) float64 { return 300*d.ListsRead + 110*d.EndpointsRead }
-	results := playAll(truth, 0.01, rand.New(rand.NewPCG(1, 2)))
+	results := allSweepsOfTruth(truth, 0.01, rand.New(rand.NewPCG(1, 2)))
 	for _, r := range results {
 		r.Source = result.SourceConsul
 	}
-	m := Join(results, result.SourceConsul, true).Get(Proxies, BytesIn)
+	m := NewModels(results, result.SourceConsul, true).Model(Proxies, BytesIn)
 	for name, want := range map[string]float64{TermListRead: 300, TermEndpointRead: 110} {
 		if got := m.Term(name); math.Abs(got.Value-want) > 5*got.Error || got.Error > 0.1*want {
 			t.Errorf("%s: %.4g +- %.2g, %.4g expected", name, got.Value, got.Error, want)
@@ -99,51 +135,57 @@
 	}
 }
 
-func TestModelNamesTermsThatTheSizesCannotTellApart(t *testing.T) {
+func TestModelReportsAliasedTerms(t *testing.T) {
 	truth := slopes{proxy: 300, delivered: 500}
-	r := play(result.Changes, 0, truth.at, 0, rand.New(rand.NewPCG(1, 2)))
-	m := Join([]*result.Result{r}, result.SourceRelay, true).Get(Proxies, BytesIn)
-	if !slices.Contains(m.Aliased, "endpoint of a changed list a second") && !slices.Contains(m.Aliased, "change delivered a second") {
+	r := sweepOfTruth(result.Changes, 0, truth.at, 0, rand.New(rand.NewPCG(1, 2)))
+	m := NewModels([]*result.Result{r}, result.SourceRelay, true).Model(Proxies, BytesIn)
+	if !slices.Contains(m.Aliased, "endpoint of a changed list a second") &&
+		!slices.Contains(m.Aliased, "change delivered a second") {
 		t.Errorf("aliased: %q; one of the two terms of changes expected: every list has 23 endpoints", m.Aliased)
 	}
 }
 
 func TestSweepSlopesAndShapes(t *testing.T) {
-	n := func(d Drivers) float64 { return d.Proxies }
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		truth func(Drivers) float64
 		kind  ShapeKind
 		from  float64
-		slope float64 // NaN: not asked
+		slope float64 // NaN: not checked
 	}{
-		{"flat", func(d Drivers) float64 { return 300 }, Flat, 0, 0},
-		{"linear", func(d Drivers) float64 { return 300 + 0.5*n(d) }, Linear, 0, 0.5},
-		{"square", func(d Drivers) float64 { return 300 + 0.001*n(d)*n(d) }, Faster, 400, math.NaN()},
-		{"saturates", func(d Drivers) float64 { return 300 + min(n(d), 800) }, Slower, 1600, math.NaN()},
-		{"knee", func(d Drivers) float64 { return 300 + 0.1*n(d) + 3*max(0, n(d)-1600) }, Faster, 3200, math.NaN()},
+		{"flat", func(Drivers) float64 { return 300 }, Flat, 0, 0},
+		{"linear", func(d Drivers) float64 { return 300 + 0.5*d.Proxies }, Linear, 0, 0.5},
+		{"square", func(d Drivers) float64 { return 300 + 0.001*d.Proxies*d.Proxies }, Faster, 400, math.NaN()},
+		{"saturates", func(d Drivers) float64 { return 300 + min(d.Proxies, 800) }, Slower, 1600, math.NaN()},
+		{
+			"knee", func(d Drivers) float64 { return 300 + 0.1*d.Proxies + 3*max(0, d.Proxies-1600) },
+			Faster, 3200, math.NaN(),
+		},
 	} {
-		r := play(result.Proxies, 0, c.truth, 0.005, rand.New(rand.NewPCG(3, 4)))
+		r := sweepOfTruth(result.Proxies, 0, test.truth, 0.005, rand.New(rand.NewPCG(3, 4)))
 		var line *Line
 		for _, s := range Sweeps(r) {
 			if s.Figure == BytesIn {
 				line = &s.Line
 			}
 		}
-		if line == nil || line.Shape != (Shape{c.kind, c.from}) {
-			t.Errorf("%s: %+v; %s from %g expected", c.name, line, c.kind, c.from)
+		if line == nil || line.Shape != (Shape{Kind: test.kind, From: test.from}) {
+			t.Errorf("%s: %+v; %s from %g expected", test.name, line, test.kind, test.from)
 			continue
 		}
-		if math.Abs(line.Slope-c.slope) > 5*line.SlopeError {
-			t.Errorf("%s: slope %.4g +- %.2g, %.4g expected", c.name, line.Slope, line.SlopeError, c.slope)
+		if math.Abs(line.Slope-test.slope) > 5*line.SlopeError {
+			t.Errorf("%s: slope %.4g +- %.2g, %.4g expected", test.name, line.Slope, line.SlopeError, test.slope)
 		}
 	}
 }
 
-func TestSlopesAreOfOneProxyWhereTheirNumberIsNotVaried(t *testing.T) {
+func TestSlopeIsPerProxyInOtherDimensions(t *testing.T) {
 	truth := slopes{proxy: 300, endpoint: 7}
-	for dimension, want := range map[result.Dimension]float64{result.Proxies: 300 + 7*230, result.Backends: 7 * 10} {
-		for _, s := range Sweeps(play(dimension, 0, truth.at, 0, rand.New(rand.NewPCG(1, 2)))) {
+	for dimension, want := range map[result.Dimension]float64{
+		result.Proxies:  300 + 7*230,
+		result.Backends: 7 * 10,
+	} {
+		for _, s := range Sweeps(sweepOfTruth(dimension, 0, truth.at, 0, rand.New(rand.NewPCG(1, 2)))) {
 			if s.Figure == BytesIn && math.Abs(s.Line.Slope/want-1) > 0.01 {
 				t.Errorf("along %s: slope %.4g, %.4g expected", dimension, s.Line.Slope, want)
 			}
@@ -151,11 +193,11 @@
 	}
 }
 
-func TestShapeOfStraightLinesIsNotCalledBent(t *testing.T) {
+func TestStraightLinesAreRarelyReportedAsBent(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	bent := 0
 	for range 200 {
-		r := play(result.Proxies, 0, func(d Drivers) float64 { return 100 + 0.3*d.Proxies }, 0.03, rng)
+		r := sweepOfTruth(result.Proxies, 0, func(d Drivers) float64 { return 100 + 0.3*d.Proxies }, 0.03, rng)
 		for _, s := range Sweeps(r) {
 			if s.Figure == BytesIn && s.Line.Shape.Kind != Linear {
 				bent++
@@ -167,9 +209,10 @@
 	}
 }
 
-func TestWhatIsNothingEverywhereHasNoTermsAndIsFlat(t *testing.T) {
-	r := play(result.Proxies, 0, slopes{proxy: 100}.at, 0, rand.New(rand.NewPCG(1, 2)))
-	if m := Join([]*result.Result{r}, result.SourceRelay, true).Get(Proxies, BytesOut); m == nil || len(m.Terms) > 0 || m.Predict(Drivers{Proxies: 1}) != 0 || m.R2 != 1 {
+func TestZeroFigureHasNoTermsAndIsFlat(t *testing.T) {
+	r := sweepOfTruth(result.Proxies, 0, slopes{proxy: 100}.at, 0, rand.New(rand.NewPCG(1, 2)))
+	m := NewModels([]*result.Result{r}, result.SourceRelay, true).Model(Proxies, BytesOut)
+	if m == nil || len(m.Terms) > 0 || m.Predict(Drivers{Proxies: 1}) != 0 || m.R2 != 1 {
 		t.Errorf("%+v; a model without terms expected", m)
 	}
 	for _, s := range Sweeps(r) {
@@ -182,8 +225,8 @@
 func TestHeldOutPointsAreComparedButNotFitted(t *testing.T) {
 	truth := slopes{proxy: 300, endpoint: 7}
 	rng := rand.New(rand.NewPCG(1, 2))
-	results := playAll(truth.at, 0, rng)
-	without := Join(results, result.SourceRelay, true).Get(Proxies, BytesIn).Terms
+	results := allSweepsOfTruth(truth.at, 0, rng)
+	without := NewModels(results, result.SourceRelay, true).Model(Proxies, BytesIn).Terms
 	alone := *results[0] // as a file of its own
 	alone.Points = results[0].Points[5:]
 	results[0].Points = results[0].Points[:5]
@@ -193,8 +236,8 @@
 	for k := range last.Rounds {
 		last.Rounds[k].Proxies.BytesIn *= 2
 	}
-	m := Join(results, result.SourceRelay, true)
-	with := m.Get(Proxies, BytesIn).Terms
+	m := NewModels(results, result.SourceRelay, true)
+	with := m.Model(Proxies, BytesIn).Terms
 	for i := range with {
 		if math.Abs(with[i].Value/without[i].Value-1) > 1e-6 {
 			t.Errorf("%s: %g with a held-out point, %g without", with[i].Name, with[i].Value, without[i].Value)
@@ -219,10 +262,11 @@
 
 func TestPairsCompareTheSameSizes(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	hollow := play(result.Proxies, 0, slopes{proxy: 100}.at, 0, rng)
-	real := play(result.Proxies, 0, slopes{proxy: 150}.at, 0, rng)
-	real.Hollow, real.Points = false, real.Points[:1]
-	pairs := Pairs([]*result.Result{hollow, real})
+	hollow := sweepOfTruth(result.Proxies, 0, slopes{proxy: 100}.at, 0, rng)
+	actual := sweepOfTruth(result.Proxies, 0, slopes{proxy: 150}.at, 0, rng)
+	actual.Hollow = false
+	actual.Points = actual.Points[:1]
+	pairs := Pairs([]*result.Result{hollow, actual})
 	if len(pairs) == 0 || pairs[len(pairs)-1].Size.Proxies != 100 {
 		t.Fatalf("%+v; pairs of 100 proxies expected", pairs)
 	}
--- a/internal/scale/predict/evidence.go
+++ b/internal/scale/predict/evidence.go
@@ -61,7 +61,7 @@
 	e.pairs = fit.Pairs(results)
 	for _, w := range []way{result.SourceStatic, result.SourceConsul, result.SourceCatalog, result.SourceRelay} {
 		hollow := slices.ContainsFunc(results, func(r *result.Result) bool { return r.Source == w && r.Hollow })
-		if m := fit.Join(results, w, hollow); len(m.Of) > 0 {
+		if m := fit.NewModels(results, w, hollow); len(m.All) > 0 {
 			e.models[w] = m
 		}
 	}
@@ -106,7 +106,7 @@
 
 // predict is a figure of a role over all its processes, without what a process costs that has nothing to do.
 func (e *Evidence) predict(w way, role fit.Role, f fit.Figure, d fit.Drivers) amount {
-	m := e.models[w].Get(role, f)
+	m := e.models[w].Model(role, f)
 	if m == nil {
 		return amount{}
 	}
@@ -129,7 +129,7 @@
 // hidden is how much more a real proxy used than a hollow one on the same work, by the mean of what was played of both;
 // 0 where no such pair was measured. Pairs of a way are those of its own runs.
 func (e *Evidence) hidden(w way, f fit.Figure) (more float64, measured bool) {
-	m := e.models[w].Get(fit.Proxies, f)
+	m := e.models[w].Model(fit.Proxies, f)
 	if m == nil || !m.Hollow {
 		return 0, m != nil
 	}
@@ -181,7 +181,7 @@
 // wholeReading takes the costs of a read list from what was measured with consul.
 func (e *Evidence) wholeReading(t *Target) wholeReading {
 	m := e.models[result.SourceConsul]
-	received, cores := m.Get(fit.Proxies, fit.BytesIn), m.Get(fit.Lists, fit.CPU)
+	received, cores := m.Model(fit.Proxies, fit.BytesIn), m.Model(fit.Lists, fit.CPU)
 	if received == nil || cores == nil {
 		return wholeReading{bytesAnEndpoint: t.Get(EndpointBytes)}
 	}
--- a/internal/scale/predict/measured.go
+++ b/internal/scale/predict/measured.go
@@ -116,9 +116,9 @@
 		if m == nil {
 			continue
 		}
-		for i := range m.Of {
-			if slices.Contains(figures, m.Of[i].Figure) {
-				t.Rows = append(t.Rows, modelRow(&m.Of[i]))
+		for i := range m.All {
+			if slices.Contains(figures, m.All[i].Figure) {
+				t.Rows = append(t.Rows, modelRow(&m.All[i]))
 			}
 		}
 		t.Notes = append(t.Notes, fmt.Sprintf("%s is fitted through %s.", w, strings.Join(e.runs(w), ", ")))
--- a/internal/scale/result/decode.go
+++ b/internal/scale/result/decode.go
@@ -19,11 +19,13 @@
 	errTrailing     = errors.New("something behind the document's end, nothing expected")
 )
 
-// fieldLines are the lines on which the fields of a file stand, by their paths such as "points[2].size.proxies".
+// fieldLines are the lines on which the fields of a file stand, by their paths such as
+// "points[2].size.proxies".
 type fieldLines map[string]int
 
-// decode reads a JSON document into v, a pointer to a struct. It rejects, with a *FileError, fields that the struct
-// lacks, repeated fields, and anything that follows the document: encoding/json alone accepts the latter two.
+// decode reads a JSON document into v, a pointer to a struct. It rejects, with a *FileError, fields
+// that the struct lacks, repeated fields, and anything that follows the document: encoding/json
+// alone accepts the latter two.
 func decode(name string, data []byte, v any) (fieldLines, error) {
 	if len(data) > MaxFile {
 		return nil, &FileError{File: name, Err: fmt.Errorf("%d bytes, at most %d expected", len(data), MaxFile)}
@@ -54,7 +56,8 @@
 	return 1 + bytes.Count(w.data[:min(offset, int64(len(w.data)))], []byte("\n"))
 }
 
-// walk consumes one value of type t. A value of another type is left to json.Unmarshal, which names both types.
+// walk consumes one value of type t. A value of another type is left to json.Unmarshal, which names
+// both types.
 func (w *walker) walk(path string, t reflect.Type) error {
 	token, err := w.decoder.Token()
 	if err != nil {
@@ -120,8 +123,8 @@
 	return nil
 }
 
-// fieldType returns the type of a struct's field by its JSON key. Every key is accepted for a type that is no struct:
-// json.Unmarshal rejects the object.
+// fieldType returns the type of a struct's field by its JSON key. Every key is accepted for a type
+// that is no struct: json.Unmarshal rejects the object.
 func fieldType(t reflect.Type, key string) (reflect.Type, bool) {
 	if t == nil || t.Kind() != reflect.Struct {
 		return nil, true
--- a/internal/scale/result/read.go
+++ b/internal/scale/result/read.go
@@ -66,8 +66,8 @@
 	return r, nil
 }
 
-// Write writes a result file that Read accepts. It returns an error that wraps a *FieldError, and writes nothing, where
-// Read would reject the file.
+// Write writes a result file that Read accepts. It returns an error that wraps a *FieldError, and
+// writes nothing, where Read would reject the file.
 func Write(w io.Writer, r *Result) error {
 	if err := r.validate(); err != nil {
 		return fmt.Errorf("result: %w", err)
--- a/internal/scale/result/result.go
+++ b/internal/scale/result/result.go
@@ -1,7 +1,9 @@
-// Package result defines the file format of what a sweep of fernctl scale measures, and reads and writes it strictly.
-// Result files are versioned and committed; fits, predictions and docs/CAPACITY.md are computed from them alone.
+// Package result defines the file format of what a sweep of fernctl scale measures, and reads and
+// writes it strictly. Result files are versioned and committed; fits, predictions and
+// docs/CAPACITY.md are computed from them alone.
 //
-// The package does no I/O but through the writer that it is given. Its functions may be called concurrently.
+// The package does no I/O but through the writer that it is given. Its functions may be called
+// concurrently.
 package result
 
 // Format is the version of the file format that this program writes and reads.
@@ -69,13 +71,14 @@
 	Lists   Cost    `json:"lists"`   // of the list service, or of distribution's source
 	Relays  Cost    `json:"relays"`  // zero where there are none
 	InForce Spread  `json:"in_force"`
-	// Late counts the changes that were not in force once the scenario's settle time (2.5 s by default) after the
-	// span had passed, each change once for each proxy that follows its service.
+	// Late counts the changes that were not in force once the scenario's settle time (2.5 s by
+	// default) after the span had passed, each change once for each proxy that follows its service.
 	Late int64  `json:"late,omitempty"`
 	Call Spread `json:"call"` // of one call's decision and bookkeeping; zero where no calls are made
 }
 
-// Cost is what the processes of one role use in a round. Bytes and messages are those of control traffic.
+// Cost is what the processes of one role use in a round. Bytes and messages are those of control
+// traffic.
 type Cost struct {
 	Processes      int     `json:"processes"`
 	CPUSeconds     float64 `json:"cpu_seconds"`
@@ -91,8 +94,8 @@
 	MessagesOut    int64   `json:"messages_out"`
 }
 
-// Spread summarizes a distribution of times, in seconds. That of Round.InForce is of the times from the write of a
-// change at its origin until a proxy has put it in force.
+// Spread summarizes a distribution of times, in seconds. That of Round.InForce is of the times from
+// the write of a change at its origin until a proxy has put it in force.
 type Spread struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
--- a/internal/scale/result/validate.go
+++ b/internal/scale/result/validate.go
@@ -7,7 +7,8 @@
 	"slices"
 )
 
-// validate returns a *FieldError for the first field with an impossible value, nil where there is none.
+// validate returns a *FieldError for the first field with an impossible value, nil where there is
+// none.
 func (r *Result) validate() error {
 	switch {
 	case r.Format != Format:
