--- a/internal/scale/predict/before.go
+++ b/internal/scale/predict/before.go
@@ -7,32 +7,30 @@
 	"fernlanding/internal/scale/result"
 )
 
-// BeforeAfter is the table of what was measured by consul and by distribution at the same size: the largest of each
-// dimension that both have.
+// BeforeAfter returns the table of what was measured over consul and over distribution at the same
+// size: the largest of each dimension at which both were measured.
 func (c *Calculator) BeforeAfter() Table {
-	t := Table{Head: []string{"size", "figure", "consul", "distribution", "consul to distribution"}}
+	table := Table{Head: []string{"size", "figure", "consul", "distribution", "consul to distribution"}}
 	for _, d := range []result.Dimension{result.Proxies, result.Services, result.Backends, result.Changes} {
 		if before, after := c.largestOfBoth(d); before != nil {
-			t.Rows = append(t.Rows, beforeAfterRows(before, after)...)
+			table.Rows = append(table.Rows, beforeAfterRows(before, after)...)
 		}
 	}
-	return t
+	return table
 }
 
-// largestOfBoth are the points of the largest size in a dimension that was measured both ways; nil: none was.
+// largestOfBoth returns the points of the largest size along a dimension that was measured over
+// both sources; nil where there is none.
 func (c *Calculator) largestOfBoth(d result.Dimension) (before, after *result.Point) {
-	for _, a := range c.e.Files {
-		for _, b := range c.e.Files {
-			x, y := a.Result, b.Result
-			if x.Dimension != d || y.Dimension != d || !x.Hollow || !y.Hollow || x.Source != result.SourceConsul || y.Source != result.SourceRelay {
-				continue
-			}
-			for i := range x.Points {
-				for k := range y.Points {
-					same := x.Points[i].Size == y.Points[k].Size
-					if same && (before == nil || fit.Along(d, x.Points[i].Size) >= fit.Along(d, before.Size)) {
-						before, after = &x.Points[i], &y.Points[k]
-					}
+	for _, consul := range c.evidence.hollowSweeps(result.SourceConsul, d) {
+		for _, relay := range c.evidence.hollowSweeps(result.SourceRelay, d) {
+			for i := range consul.Points {
+				size := consul.Points[i].Size
+				if before != nil && fit.Along(d, size) < fit.Along(d, before.Size) {
+					continue
+				}
+				if same := pointOfSize(relay, size); same != nil {
+					before, after = &consul.Points[i], same
 				}
 			}
 		}
@@ -40,17 +38,39 @@
 	return before, after
 }
 
-func beforeAfterRows(before, after *result.Point) (rows [][]string) {
-	n := float64(before.Size.Proxies)
-	for _, x := range []struct {
-		name   string
-		role   fit.Role
-		figure fit.Figure
-		share  float64
+// hollowSweeps returns the results of hollow proxies from a source along a dimension.
+func (e *Evidence) hollowSweeps(source result.Source, d result.Dimension) []*result.Result {
+	var sweeps []*result.Result
+	for _, f := range e.Files {
+		if f.Result.Hollow && f.Result.Source == source && f.Result.Dimension == d {
+			sweeps = append(sweeps, f.Result)
+		}
+	}
+	return sweeps
+}
+
+// pointOfSize returns the last point of a result that has a size; nil where none has.
+func pointOfSize(r *result.Result, size result.Size) *result.Point {
+	for i := len(r.Points) - 1; i >= 0; i-- {
+		if r.Points[i].Size == size {
+			return &r.Points[i]
+		}
+	}
+	return nil
+}
+
+func beforeAfterRows(before, after *result.Point) [][]string {
+	proxies := float64(before.Size.Proxies)
+	var rows [][]string
+	for _, line := range []struct {
+		name    string
+		role    fit.Role
+		figure  fit.Figure
+		divisor float64
 	}{
-		{"bytes to a proxy", fit.Proxies, fit.BytesIn, n},
-		{"bytes from a proxy", fit.Proxies, fit.BytesOut, n},
-		{"processor of a proxy", fit.Proxies, fit.CPU, n},
+		{"bytes to a proxy", fit.Proxies, fit.BytesIn, proxies},
+		{"bytes from a proxy", fit.Proxies, fit.BytesOut, proxies},
+		{"processor of a proxy", fit.Proxies, fit.CPU, proxies},
 		{"memory of all hollow proxies", fit.Proxies, fit.RSS, 1},
 		{"processor of the list service or source", fit.Lists, fit.CPU, 1},
 		{"messages from the list service or source", fit.Lists, fit.MessagesOut, 1},
@@ -60,23 +80,29 @@
 		{"in force, p99", fit.Proxies, fit.InForceP99, 1},
 		{"in force, last", fit.Proxies, fit.InForceLast, 1},
 	} {
-		a, aOK := fit.MeanOf(before, x.role, x.figure)
-		b, bOK := fit.MeanOf(after, x.role, x.figure)
-		if !aOK && !bOK {
+		valueBefore, okBefore := fit.MeanOf(before, line.role, line.figure)
+		valueAfter, okAfter := fit.MeanOf(after, line.role, line.figure)
+		if !okBefore && !okAfter {
 			continue
 		}
-		unit, base := x.figure.Unit()
-		show := func(v float64, ok bool) string {
+		unit, base := line.figure.Unit()
+		format := func(v float64, ok bool) string {
 			if !ok {
 				return "-"
 			}
-			return short(v/x.share/base) + " m"
+			return formatNumber(v/line.divisor/base) + " m"
 		}
 		ratio := "-"
-		if aOK && bOK && b > 0 {
-			ratio = short(a/b) + " w"
+		if okBefore && okAfter && valueAfter > 0 {
+			ratio = formatNumber(valueBefore/valueAfter) + " w"
 		}
-		rows = append(rows, []string{sizeText(before.Size), fmt.Sprintf("%s, %s", x.name, unit), show(a, aOK), show(b, bOK), ratio})
+		rows = append(rows, []string{
+			sizeText(before.Size),
+			fmt.Sprintf("%s, %s", line.name, unit),
+			format(valueBefore, okBefore),
+			format(valueAfter, okAfter),
+			ratio,
+		})
 	}
 	return rows
 }
--- a/internal/scale/predict/connections.go
+++ b/internal/scale/predict/connections.go
@@ -5,48 +5,54 @@
 	"slices"
 )
 
-// The subset of a service's backends that a caller spreads its calls over, as logic chooses it.
+// Constants of the subset of a service's backends over which a caller spreads its calls. They are
+// those of package logic, which does not export them; a test compares both.
 const (
-	subsetLeast = 4.0
-	subsetRoot  = 3.0
-	golden      = 0.618034
+	minSubset          = 4.0
+	subsetRateFactor   = 3.0
+	goldenRatioInverse = 0.618034
 )
 
-// subset is how many backends of service i a caller holds connections to.
-func (s *shape) subset(i int) float64 {
-	return min(s.sizes[i], math.Ceil(max(subsetLeast, subsetRoot*math.Sqrt(s.callRate(i)))))
+// subset returns the number of backends of service i that a caller holds connections to.
+func (m *fleetModel) subset(i int) float64 {
+	return min(m.sizes[i], math.Ceil(max(minSubset, subsetRateFactor*math.Sqrt(m.callRate(i)))))
 }
 
-// connectionsOut are those of a typical caller to backends.
-func (s *shape) connectionsOut() (sum float64) {
-	for i := range s.sizes {
-		sum += s.followed[i] * s.subset(i)
+// connectionsOut returns the number of connections of a typical caller to backends.
+func (m *fleetModel) connectionsOut() float64 {
+	sum := 0.0
+	for i := range m.sizes {
+		sum += m.followed[i] * m.subset(i)
 	}
 	return sum
 }
 
-// connectionsIn are those that one backend of service i gets from all its callers, where callers have ordinals of their own:
-// the mean, and that of the backend that gets most.
-func (s *shape) connectionsIn(i int) (mean, most float64) {
-	backends, callers, each := int(math.Round(s.sizes[i])), int(math.Round(s.callers(i))), int(s.subset(i))
+// connectionsIn returns the number of connections that a backend of service i receives from all its
+// callers if each caller has a replica index of its own: the mean, and that of the backend with
+// most.
+func (m *fleetModel) connectionsIn(i int) (mean, most float64) {
+	backends := int(math.Round(m.sizes[i]))
+	callers := int(math.Round(m.callers(i)))
 	if backends < 1 {
 		return 0, 0
 	}
+	perCaller := min(int(m.subset(i)), backends)
 	counts := make([]int, backends)
-	for ordinal := range callers {
-		_, start := math.Modf(float64(ordinal) * golden)
+	for index := range callers {
+		_, start := math.Modf(float64(index) * goldenRatioInverse)
 		first := int(start * float64(backends))
-		for k := range min(each, backends) {
+		for k := range perCaller {
 			counts[(first+k)%backends]++
 		}
 	}
-	return float64(callers*min(each, backends)) / float64(backends), float64(slices.Max(counts))
+	return float64(callers*perCaller) / float64(backends), float64(slices.Max(counts))
 }
 
-// unspread are the connections that one backend of service i gets where callers draw from all backends: a connection is kept
-// for idle seconds after its last call. dialled is the part of calls that finds none.
-func (s *shape) unspread(i int, idle float64) (connections, dialled float64) {
-	perPair := s.callRate(i) / s.sizes[i]
-	dialled = math.Exp(-perPair * idle)
-	return s.callers(i) * (1 - dialled), dialled
+// connectionsWithoutSubsets returns the number of connections that a backend of service i receives
+// if callers choose among all backends and keep a connection for some idle seconds after its last
+// call. The second result is the part of the calls that find no open connection.
+func (m *fleetModel) connectionsWithoutSubsets(i int, idle float64) (connections, dialled float64) {
+	ratePerPair := m.callRate(i) / m.sizes[i]
+	dialled = math.Exp(-ratePerPair * idle)
+	return m.callers(i) * (1 - dialled), dialled
 }
--- a/internal/scale/predict/curve.go
+++ b/internal/scale/predict/curve.go
@@ -2,85 +2,115 @@
 
 import (
 	"fmt"
+	"strconv"
+
+	"fernlanding/internal/scale/result"
 )
 
-// Curve is what a proxy costs by the number of services that it follows, and where each budget breaks.
+// Curve returns the table of what a proxy costs by the number of services that it follows, with
+// notes on where each budget is exceeded.
 func (c *Calculator) Curve() Table {
-	t := Table{Head: []string{"services followed", "endpoints", "connections to backends", "consul: bytes", "processor", "memory", "distribution: bytes", "processor", "memory"}}
-	breaks := map[string]string{}
-	for _, n := range c.t.Curve {
-		for _, largest := range []bool{false, true} {
-			t.Rows = append(t.Rows, c.curveRow(n, largest, breaks))
+	table := Table{Head: []string{
+		"services followed", "endpoints", "connections to backends", "consul: bytes", "processor", "memory",
+		"distribution: bytes", "processor", "memory",
+	}}
+	b := breaks{}
+	for _, n := range c.target.Curve {
+		for _, ofLargest := range []bool{false, true} {
+			table.Rows = append(table.Rows, c.curveRow(n, ofLargest, b))
 		}
 	}
-	for _, largest := range []bool{false, true} {
-		for _, w := range ways() {
-			t.Notes = append(t.Notes, c.breaksNote(w, largest, breaks))
+	for _, ofLargest := range []bool{false, true} {
+		for _, source := range comparedSources() {
+			table.Notes = append(table.Notes, c.breakNote(source, ofLargest, b))
 		}
 	}
-	return t
+	return table
 }
 
-// follower is a fleet whose proxies all follow n services: typical ones, or the n largest.
-func (c *Calculator) follower(n int, largest bool) (s *shape, endpoints float64) {
-	f := c.t.Target
+// breaks has the first number of followed services at which a budget is exceeded.
+type breaks map[budgetKey]int
+
+// budgetKey is a budget of a proxy that follows typical services or the largest ones. That of
+// descriptors has no source.
+type budgetKey struct {
+	source    result.Source
+	ofLargest bool
+	name      string
+}
+
+func (b breaks) record(key budgetKey, n int, isExceeded bool) {
+	if _, found := b[key]; isExceeded && !found {
+		b[key] = n
+	}
+}
+
+func (b breaks) text(key budgetKey) string {
+	if n, found := b[key]; found {
+		return fmt.Sprintf("%s at %d", key.name, n)
+	}
+	return key.name + " nowhere"
+}
+
+// modelFollowing returns a fleet whose proxies all follow n services, typical ones or the n
+// largest, and the number of endpoints that a proxy then holds.
+func (c *Calculator) modelFollowing(n int, ofLargest bool) (model *fleetModel, endpoints float64) {
+	f := c.target.Target
 	f.ServicesFollowed = min(float64(n), float64(f.Services))
-	s = shapeOf(f, c.t)
-	if !largest {
-		return s, s.endpointsFollowed()
+	model = newFleetModel(f, c.target)
+	if !ofLargest {
+		return model, model.endpointsFollowed()
 	}
-	for i := range s.followed {
-		s.followed[i] = 0
+	for i := range model.followed {
+		model.followed[i] = 0
 		if i < n {
-			s.followed[i] = 1
+			model.followed[i] = 1
 		}
 	}
-	return s, s.largestEndpoints(n)
+	return model, model.largestEndpoints(n)
 }
 
-func (c *Calculator) curveRow(n int, largest bool, breaks map[string]string) []string {
+func (c *Calculator) curveRow(n int, ofLargest bool, b breaks) []string {
 	kind := "typical"
-	if largest {
+	if ofLargest {
 		kind = "the largest"
 	}
-	s, endpoints := c.follower(n, largest)
-	connections := s.connectionsOut()
-	row := []string{fmt.Sprintf("%d, %s", n, kind), short(endpoints) + " w", short(connections) + " w"}
-	note(breaks, "", largest, "descriptors", n, connections > c.t.Get(Descriptors))
-	for _, w := range ways() {
-		p := c.proxyNeeds(w, c.ordinaryDrivers(s))
-		row = append(row, p.bytes.shown(WorkedOut, bytesASecond), p.cores.shown(WorkedOut, percent), p.memory.shown(WorkedOut, bytesOf))
-		note(breaks, w, largest, "bytes", n, p.bytes.value > c.t.Limits.ProxyBytesASec)
-		note(breaks, w, largest, "processor", n, p.cores.value > c.t.Limits.ProxyCores)
-		note(breaks, w, largest, "memory", n, p.memory.value > c.t.Limits.ProxyBytes)
+	model, endpoints := c.modelFollowing(n, ofLargest)
+	connections := model.connectionsOut()
+	row := []string{
+		strconv.Itoa(n) + ", " + kind,
+		formatNumber(endpoints) + " w",
+		formatNumber(connections) + " w",
 	}
-	return row
-}
-
-func breakKey(w way, largest bool, budget string) string { return fmt.Sprint(w, largest, budget) }
-
-// note keeps the first number of services at which a budget breaks.
-func note(breaks map[string]string, w way, largest bool, budget string, n int, broken bool) {
-	key := breakKey(w, largest, budget)
-	if broken && breaks[key] == "" {
-		breaks[key] = fmt.Sprint(n)
+	limits := c.target.Limits
+	b.record(budgetKey{"", ofLargest, "descriptors"}, n, connections > c.target.Assumed(Descriptors))
+	for _, source := range comparedSources() {
+		needs := c.proxyNeeds(source, c.ordinaryDrivers(model))
+		row = append(row,
+			needs.bytes.format(formatByteRate),
+			needs.cores.format(formatPercent),
+			needs.memory.format(formatBytes),
+		)
+		b.record(budgetKey{source, ofLargest, "bytes"}, n, needs.bytes.value > limits.ProxyBytesPerSecond)
+		b.record(budgetKey{source, ofLargest, "processor"}, n, needs.cores.value > limits.ProxyCores)
+		b.record(budgetKey{source, ofLargest, "memory"}, n, needs.memory.value > limits.ProxyBytes)
 	}
+	return row
 }
 
-func (c *Calculator) breaksNote(w way, largest bool, breaks map[string]string) string {
+func (c *Calculator) breakNote(source result.Source, ofLargest bool, b breaks) string {
 	kind := "typical services"
-	if largest {
+	if ofLargest {
 		kind = "the largest services"
 	}
-	text := fmt.Sprintf("By %s, following %s, it breaks on the curve", wayName(w), kind)
-	if c.e.models[w] == nil {
+	text := fmt.Sprintf("By %s, following %s, it breaks on the curve", sourceName(source), kind)
+	if c.evidence.models[source] == nil {
 		return text + ": not measured."
 	}
-	at := func(name string, w way) string {
-		if n := breaks[breakKey(w, largest, name)]; n != "" {
-			return fmt.Sprintf("%s at %s", name, n)
-		}
-		return name + " nowhere"
-	}
-	return fmt.Sprintf("%s: %s, %s, %s, %s.", text, at("bytes", w), at("processor", w), at("memory", w), at("descriptors", ""))
+	return fmt.Sprintf("%s: %s, %s, %s, %s.", text,
+		b.text(budgetKey{source, ofLargest, "bytes"}),
+		b.text(budgetKey{source, ofLargest, "processor"}),
+		b.text(budgetKey{source, ofLargest, "memory"}),
+		b.text(budgetKey{"", ofLargest, "descriptors"}),
+	)
 }
--- a/internal/scale/predict/events.go
+++ b/internal/scale/predict/events.go
@@ -4,167 +4,155 @@
 	"fmt"
 	"math"
 
-	"fernlanding/internal/scale/fit"
 	"fernlanding/internal/scale/result"
 )
 
-// event is something that changes lists or makes proxies read them anew.
+// event is something that changes lists or makes proxies read their lists again.
 type event struct {
-	name  string
-	load  load
-	reads float64 // whole lists that are read because of it, beyond those that changes bring
-	// Proxies that resume by their positions; by distribution they do so in place of reading whole lists.
-	resumes float64
-	resumed bool // by distribution nothing is read whole
-	// It is of configuration, not of lists: today nothing carries it.
-	configuration bool
-	note          string
+	name      string
+	note      string
+	load      load
+	listReads float64 // complete lists that are read, beyond those that changes cause
+	resumes   float64 // proxies that resume their stream from its position, over distribution
+	// canResume is set if over distribution proxies resume in place of reading complete lists.
+	canResume bool
+	// isConfiguration is set if the event changes configuration, which today nothing distributes.
+	isConfiguration bool
 }
 
-// events are those of a fleet.
-func (c *Calculator) events(s *shape) []event {
-	f := s.fleet
-	ordinary := s.ordinary(c.t)
-	minute := ordinary.scaled(c.t.Get(BusiestFactor)*60/day, 60)
-	zone := float64(f.ZoneProxies)
-	region := float64(f.Proxies) / float64(f.Regions)
-	largest := s.sizes[0]
-	cut := ordinary.scaled(c.t.Get(CutSeconds)/day, 1)
+const (
+	releaseChanges   = 4   // of a released backend: draining, removed, added, warmed up
+	immediateSeconds = 1.0 // over which the changes of a sudden event are counted
+)
+
+// events returns the events of the table, at the size of a fleet.
+func (c *Calculator) events(model *fleetModel) []event {
+	fleet := model.fleet
+	ordinary := model.ordinaryDay(c.target)
+	zone := float64(fleet.ZoneProxies)
+	region := float64(fleet.Proxies) / float64(fleet.Regions)
+	largest := model.sizes[0]
+	rack := min(c.target.Assumed(RackBackends), float64(fleet.Proxies))
+	duringCut := ordinary.scaled(c.target.Assumed(CutSeconds)/day, 1)
 	return []event{
-		{name: "an ordinary day", load: ordinary, reads: f.RestartsPerDay * f.ServicesFollowed},
-		{name: "its busiest minute", load: minute},
 		{
-			name: "a rolling release of the largest service", load: s.toLargest(releaseChanges*largest, c.t.Get(ReleaseMinutes)*60), reads: largest * f.ServicesFollowed,
-			note: fmt.Sprintf("%s backends, four changes each", short(largest)),
+			name:      "an ordinary day",
+			load:      ordinary,
+			listReads: fleet.RestartsPerDay * fleet.ServicesFollowed,
+		},
+		c.busiestMinute(model),
+		{
+			name:      "a rolling release of the largest service",
+			note:      fmt.Sprintf("%s backends, four changes each", formatNumber(largest)),
+			load:      model.changesToLargest(releaseChanges*largest, c.target.Assumed(ReleaseMinutes)*60),
+			listReads: largest * fleet.ServicesFollowed,
+		},
+		{
+			name: "a rack is lost",
+			load: model.changesPerBackend(rack, immediateSeconds),
+		},
+		{
+			name: "a zone is lost",
+			note: formatNumber(zone) + " proxies and backends",
+			load: model.changesPerBackend(zone, immediateSeconds),
 		},
-		{name: "a rack is lost", load: s.perBackend(min(c.t.Get(RackBackends), float64(f.Proxies)), atOnce)},
-		{name: "a zone is lost", load: s.perBackend(zone, atOnce), note: short(zone) + " proxies and backends"},
-		{name: "the zone returns", load: s.perBackend(zone, c.t.Get(ZoneReturnSeconds)), reads: zone * f.ServicesFollowed},
 		{
-			name: "the list services of a region restart", load: s.perBackend(0, atOnce), reads: region * f.ServicesFollowed, resumes: region, resumed: true,
-			note: short(region) + " proxies",
+			name:      "the zone returns",
+			load:      model.changesPerBackend(zone, c.target.Assumed(ZoneReturnSeconds)),
+			listReads: zone * fleet.ServicesFollowed,
 		},
 		{
-			name: "a region was cut off for an hour, the meeting again", load: c.missed(s, cut, region),
-			note: fmt.Sprintf("%s changes were missed", short(cut.total())),
+			name:      "the list services of a region restart",
+			note:      formatNumber(region) + " proxies",
+			load:      model.changesPerBackend(0, immediateSeconds),
+			listReads: region * fleet.ServicesFollowed,
+			resumes:   region,
+			canResume: true,
+		},
+		{
+			name: "a region was cut off for an hour, the meeting again",
+			note: fmt.Sprintf("%s changes were missed", formatNumber(duringCut.total())),
+			load: changesMissed(model, duringCut, region),
+		},
+		{
+			name:            "a bad configuration of the largest service is taken back",
+			note:            "its coming and its going",
+			load:            model.changesToLargest(2, immediateSeconds),
+			isConfiguration: true,
 		},
-		{name: "a bad configuration of the largest service is taken back", load: s.toLargest(2, atOnce), configuration: true, note: "its coming and its going"},
 	}
 }
 
-const (
-	releaseChanges = 4   // of a backend that is released: drains, is gone, comes, is warm
-	atOnce         = 1.0 // second
-)
-
-// scaled is a part of a load, over other seconds.
-func (l load) scaled(factor, seconds float64) load {
-	out := load{seconds: seconds, changes: make([]float64, len(l.changes))}
-	for i := range out.changes {
-		out.changes[i] = factor * l.changes[i]
+// busiestMinute is the event of the day's busiest minute.
+func (c *Calculator) busiestMinute(model *fleetModel) event {
+	ordinary := model.ordinaryDay(c.target)
+	return event{
+		name: "its busiest minute",
+		load: ordinary.scaled(c.target.Assumed(BusiestFactor)*60/day, 60),
 	}
-	return out
 }
 
-// missed are the changes as one region gets them after a cut: at most one of each backend, to its share of all proxies.
-func (c *Calculator) missed(s *shape, all load, region float64) load {
-	out := load{seconds: atOnce, changes: make([]float64, len(all.changes))}
+// changesMissed returns the changes that a region receives after it was cut off from all: at most
+// one of each backend, and only its share of the proxies receives them.
+func changesMissed(model *fleetModel, all load, regionProxies float64) load {
+	out := load{seconds: immediateSeconds, changes: make([]float64, len(all.changes))}
 	for i, n := range all.changes {
-		distinct := s.sizes[i] * (1 - math.Exp(-n/s.sizes[i]))
-		out.changes[i] = distinct * region / float64(s.fleet.Proxies)
+		distinct := model.sizes[i] * (1 - math.Exp(-n/model.sizes[i]))
+		out.changes[i] = distinct * regionProxies / float64(model.fleet.Proxies)
 	}
 	return out
 }
 
-// outcome is an event by one way. What goes on at rest is counted in.
-type outcome struct {
-	messages amount // answers to proxies, over the whole event
-	bytes    amount // to a typical proxy, over the whole event
-	cores    amount // of the tier in front of the proxies
-	inForce  amount // seconds until it is in force everywhere
-}
-
-func (c *Calculator) play(w way, s *shape, x event) outcome {
-	reads, resumes, hops := x.reads, 0.0, 1
-	if w == result.SourceRelay {
-		hops, resumes = relayHops, x.resumes
-		if x.resumed {
-			reads = 0
-		}
-	}
-	d := control(s.under(x.load, c.gap()))
-	whole := c.e.wholeReading(c.t)
-	endpoints := reads * s.endpointsFollowed() / s.fleet.ServicesFollowed
-	span, n := x.load.seconds, float64(s.fleet.Proxies)
-	out := outcome{messages: c.e.predict(w, fit.Proxies, fit.MessagesIn, d).times(span), bytes: c.e.predict(w, fit.Proxies, fit.BytesIn, d).times(span / n)}
-	out.messages.value += reads + resumes
-	out.bytes.value += (whole.bytes(reads, endpoints) + resumes*s.fleet.ServicesFollowed*c.t.Get(ResumeBytes)) / n
-	queue := known(0)
-	for i, tier := range c.tiersOf(w, s, d) {
-		need := c.e.predict(w, tier.role, fit.CPU, tier.d)
-		if i == 0 { // it answers the proxies
-			need.value += whole.cpuSeconds(reads+resumes, endpoints) / span
-			need.known = need.known && whole.measured
-			out.cores = need
+// Events returns the table of events at the size of a fleet.
+func (c *Calculator) Events(name string, f Fleet) Table {
+	model := newFleetModel(f, c.target)
+	table := Table{Title: name, Head: []string{
+		"event", "changes at the origin", "changes delivered", "way", "messages to proxies", "bytes to a proxy",
+		"cores that serve them", "in force everywhere", "verdict",
+	}}
+	for _, e := range c.events(model) {
+		for _, source := range comparedSources() {
+			table.Rows = append(table.Rows, c.eventRow(source, model, e))
 		}
-		queue = amount{max(queue.value, c.queue(need.value, span, tier.have)), queue.known && need.known}
 	}
-	out.inForce = c.inForce(w, hops).plus(queue)
-	return out
-}
-
-// queue is how many seconds a tier's machines are behind after a span in which they need so many cores.
-func (c *Calculator) queue(need, span, machines float64) float64 {
-	capacity := machines * c.t.Get(MachineCores) * c.t.Get(MachineUse)
-	return span * max(0, need/capacity-1)
+	return table
 }
 
-// relayHops are the hops from the source to a proxy: to the region's relay, to the zone's, to the proxy.
-const relayHops = 3
-
-// inForce is the measured time at one relay or none and the hops that were not played, without any queue.
-func (c *Calculator) inForce(w way, hops int) amount {
-	further := c.t.Get(RegionRoundTripMs) / 1000
-	if hops > 1 {
-		further += float64(hops-2) * c.t.Get(CoalescingMs) / 1000
+func (c *Calculator) eventRow(source result.Source, model *fleetModel, e event) []string {
+	name := e.name
+	if e.note != "" {
+		name += " (" + e.note + ")"
 	}
-	return c.e.inForce(w).plus(known(further))
-}
-
-// Events is the table of events at a size.
-func (c *Calculator) Events(name string, f Fleet) Table {
-	s := shapeOf(f, c.t)
-	t := Table{Title: name, Head: []string{"event", "changes at the origin", "changes delivered", "way", "messages to proxies", "bytes to a proxy", "cores that serve them", "in force everywhere", "verdict"}}
-	for _, x := range c.events(s) {
-		changes, _ := s.delivered(x.load)
-		at := []string{short(x.load.total()) + " w", short(changes) + " w"}
-		what := x.name
-		if x.note != "" {
-			what += " (" + x.note + ")"
-		}
-		for _, w := range ways() {
-			if x.configuration && w != result.SourceRelay {
-				t.Rows = append(t.Rows, []string{what, at[0], at[1], wayName(w), "-", "-", "-", "-", "**misses: nothing carries it**"})
-				continue
-			}
-			o := c.play(w, s, x)
-			t.Rows = append(t.Rows, []string{
-				what, at[0], at[1], wayName(w), o.messages.shown(WorkedOut, plain), o.bytes.shown(WorkedOut, bytesOf),
-				o.cores.shown(WorkedOut, plain), o.inForce.shown(WorkedOut, seconds), c.eventVerdict(x, o),
-			})
-		}
+	delivered, _ := model.delivered(e.load)
+	row := []string{
+		name,
+		formatNumber(e.load.total()) + " w",
+		formatNumber(delivered) + " w",
+		sourceName(source),
+	}
+	if e.isConfiguration && source != result.SourceRelay {
+		return append(row, "-", "-", "-", "-", "**misses: nothing carries it**")
 	}
-	return t
+	out := c.predictEvent(source, model, e)
+	return append(row,
+		out.messages.format(formatNumber),
+		out.bytes.format(formatBytes),
+		out.cores.format(formatNumber),
+		out.inForce.format(formatSeconds),
+		c.eventVerdict(e, out),
+	)
 }
 
-// eventVerdict holds the time until in force against what is allowed; of what lasts a minute or more, a proxy's bytes too.
-func (c *Calculator) eventVerdict(x event, o outcome) string {
-	text := verdict(o.inForce, c.t.Limits.InForceSeconds)
-	rate := o.bytes.over(x.load.seconds)
-	if x.load.seconds >= lasting && rate.known && rate.value > c.t.Limits.ProxyBytesASec {
-		text += "; bytes: " + verdict(rate, c.t.Limits.ProxyBytesASec)
+// minRateSeconds is the shortest event whose rate of bytes to a proxy is held against its limit.
+const minRateSeconds = 60.0
+
+// eventVerdict compares the time until the event's changes are in force with its limit, and the
+// rate of a proxy's bytes too if the event lasts.
+func (c *Calculator) eventVerdict(e event, out outcome) string {
+	text := verdict(out.inForce, c.target.Limits.InForceSeconds)
+	rate := out.bytes.dividedBy(e.load.seconds)
+	if e.load.seconds >= minRateSeconds && rate.known && rate.value > c.target.Limits.ProxyBytesPerSecond {
+		text += "; bytes: " + verdict(rate, c.target.Limits.ProxyBytesPerSecond)
 	}
 	return text
 }
-
-const lasting = 60.0 // seconds
--- a/internal/scale/predict/evidence.go
+++ b/internal/scale/predict/evidence.go
@@ -1,68 +1,77 @@
 package predict
 
 import (
+	"cmp"
 	"slices"
 
 	"fernlanding/internal/scale/fit"
 	"fernlanding/internal/scale/result"
 )
 
-// File is a result with the name of its file.
+// File is a sweep's result with the name of its file.
 type File struct {
 	Name   string
 	Result *result.Result
 }
 
-// Latency is what one case of a latency run gave: what the sidecars on the way add to a call. Times are in milliseconds.
+// Latency is the result of one case of a latency run: what the sidecars on the path add to a call.
+// Times are in milliseconds.
 type Latency struct {
-	File               string
-	Case               string
-	RatePerSecond      float64
-	Hops               int
-	AddedP99           Spread
-	SameP99            Spread  // the same way against itself: what the method and the machine differ by
-	Noise              float64 // half of the rounds differ from themselves by no more
-	CPUPerCallMicros   float64
-	DirectP99, Through float64
+	File             string
+	Case             string
+	RatePerSecond    float64
+	Hops             int
+	AddedP99         Spread
+	SameP99          Spread  // of the same path against itself: the error of the method and the machine
+	Noise            float64 // median over the rounds of a round's difference from itself
+	CPUPerCallMicros float64
+	DirectP99        float64
+	Through          float64 // 99th percentile through the sidecars
 }
 
-// Spread is the median of the rounds' figures, and how far they lie apart.
+// Spread is the median and the range of the rounds' figures.
 type Spread struct{ Median, Lowest, Highest float64 }
 
-// Evidence is all that was measured, with the fits through it.
+// Evidence is all that was measured, with the models fitted to it.
 type Evidence struct {
-	Files   []File
+	Files   []File // by name
 	Latency []Latency
 
-	models map[way]*fit.Models
+	models map[result.Source]*fit.Models
 	pairs  []fit.Pair
 }
 
-// way is how lists come to proxies.
-type way = result.Source
+// comparedSources returns the sources that predictions are made for: today's and distribution.
+func comparedSources() []result.Source {
+	return []result.Source{result.SourceConsul, result.SourceRelay}
+}
+
+// allSources returns the sources in the order in which tables list them.
+func allSources() []result.Source {
+	return []result.Source{result.SourceStatic, result.SourceConsul, result.SourceCatalog, result.SourceRelay}
+}
 
-// ways are those that are worked out: today's and that by distribution.
-func ways() []way { return []way{result.SourceConsul, result.SourceRelay} }
+// sourceName returns a source's name on the page.
+func sourceName(source result.Source) string {
+	if source == result.SourceRelay {
+		return "distribution"
+	}
+	return "consul"
+}
 
-// NewEvidence fits models through files. They are taken in the order of their names.
+// NewEvidence fits models to the results. Hollow proxies are preferred: those of a source are
+// fitted to real ones only where no hollow ones were measured.
 func NewEvidence(files []File, latencies []Latency) *Evidence {
 	files = slices.Clone(files)
-	slices.SortFunc(files, func(a, b File) int {
-		switch {
-		case a.Name < b.Name:
-			return -1
-		case a.Name > b.Name:
-			return 1
-		}
-		return 0
-	})
-	e := &Evidence{Files: files, Latency: latencies, models: map[way]*fit.Models{}}
+	slices.SortFunc(files, func(a, b File) int { return cmp.Compare(a.Name, b.Name) })
+	e := &Evidence{Files: files, Latency: latencies, models: map[result.Source]*fit.Models{}}
 	results := e.results()
 	e.pairs = fit.Pairs(results)
-	for _, w := range []way{result.SourceStatic, result.SourceConsul, result.SourceCatalog, result.SourceRelay} {
-		hollow := slices.ContainsFunc(results, func(r *result.Result) bool { return r.Source == w && r.Hollow })
-		if m := fit.NewModels(results, w, hollow); len(m.All) > 0 {
-			e.models[w] = m
+	for _, source := range allSources() {
+		isHollow := func(r *result.Result) bool { return r.Source == source && r.Hollow }
+		models := fit.NewModels(results, source, slices.ContainsFunc(results, isHollow))
+		if len(models.All) > 0 {
+			e.models[source] = models
 		}
 	}
 	return e
@@ -76,91 +85,73 @@
 	return out
 }
 
-// runs are the names of the files that a model of a way is fitted through.
-func (e *Evidence) runs(w way) (names []string) {
-	m := e.models[w]
+// fitted returns the files that the models of a source are fitted to.
+func (e *Evidence) fitted(source result.Source) []File {
+	models := e.models[source]
+	if models == nil {
+		return nil
+	}
+	var files []File
 	for _, f := range e.Files {
-		if m != nil && f.Result.Source == w && f.Result.Hollow == m.Hollow {
-			names = append(names, "`"+f.Name+"`")
+		if f.Result.Source == source && f.Result.Hollow == models.Hollow {
+			files = append(files, f)
 		}
 	}
-	return names
-}
-
-// amount is a figure that may not be known.
-type amount struct {
-	value float64
-	known bool
+	return files
 }
 
-func known(v float64) amount { return amount{v, true} }
-
-// over divides an amount.
-func (a amount) over(divisor float64) amount { return amount{a.value / divisor, a.known} }
-
-// times multiplies an amount.
-func (a amount) times(factor float64) amount { return amount{a.value * factor, a.known} }
-
-// plus adds two amounts; it is unknown where one is.
-func (a amount) plus(b amount) amount { return amount{a.value + b.value, a.known && b.known} }
-
-// predict is a figure of a role over all its processes, without what a process costs that has nothing to do.
-func (e *Evidence) predict(w way, role fit.Role, f fit.Figure, d fit.Drivers) amount {
-	m := e.models[w].Model(role, f)
+// predict returns a figure of a role over all its processes.
+func (e *Evidence) predict(source result.Source, role fit.Role, figure fit.Figure, drivers fit.Drivers) amount {
+	m := e.models[source].Model(role, figure)
 	if m == nil {
 		return amount{}
 	}
-	return known(m.Predict(d))
+	return known(m.Predict(drivers))
 }
 
-// proxy is a figure of one proxy: a share of what all cost, and what hollow proxies do not show of it; of memory that is
-// the bytes of a process, where no real one was measured.
-func (e *Evidence) proxy(w way, f fit.Figure, d fit.Drivers, process float64) amount {
-	d.Processes = 0
-	a := e.predict(w, fit.Proxies, f, d).over(max(d.Proxies, 1))
-	more, measured := e.hidden(w, f)
-	if !measured && f == fit.RSS {
-		more = process
+// predictProxy returns a figure of one proxy: its share of what all proxies cost, and what hollow
+// proxies do not show. Where no real proxy was measured, the latter is processBytes for memory and
+// 0 for other figures.
+func (e *Evidence) predictProxy(
+	source result.Source, figure fit.Figure, drivers fit.Drivers, processBytes float64,
+) amount {
+	drivers.Processes = 0
+	a := e.predict(source, fit.Proxies, figure, drivers).dividedBy(max(drivers.Proxies, 1))
+	hidden, isMeasured := e.hiddenCost(source, figure)
+	if !isMeasured && figure == fit.RSS {
+		hidden = processBytes
 	}
-	a.value += more
+	a.value += hidden
 	return a
 }
 
-// hidden is how much more a real proxy used than a hollow one on the same work, by the mean of what was played of both;
-// 0 where no such pair was measured. Pairs of a way are those of its own runs.
-func (e *Evidence) hidden(w way, f fit.Figure) (more float64, measured bool) {
-	m := e.models[w].Model(fit.Proxies, f)
+// hiddenCost returns how much more of a figure a real proxy uses than a hollow one under the same
+// load, by the mean of the pairs measured of a source; 0 where no pair was measured.
+func (e *Evidence) hiddenCost(source result.Source, figure fit.Figure) (cost float64, isMeasured bool) {
+	m := e.models[source].Model(fit.Proxies, figure)
 	if m == nil || !m.Hollow {
 		return 0, m != nil
 	}
 	sum, n := 0.0, 0
 	for _, p := range e.pairs {
-		if p.Source == w && p.Role == fit.Proxies && p.Figure == f {
-			d := fit.DriversOf(p.Size, 0, 0)
-			sum += (p.Real - m.Predict(d)) / d.Proxies
+		if p.Source == source && p.Role == fit.Proxies && p.Figure == figure {
+			drivers := fit.DriversOf(p.Size, 0, 0)
+			sum += (p.Real - m.Predict(drivers)) / drivers.Proxies
 			n++
 		}
 	}
 	return max(0, sum/float64(max(n, 1))), n > 0
 }
 
-// inForce is the median over all points that are not held out of the time until a change is in force, by its 99th percentile: source and
-// proxies on one machine, one relay between them at most.
-func (e *Evidence) inForce(w way) amount {
+// inForce returns the time in seconds until a change is in force: the median of the rounds' 99th
+// percentiles over all points that are not held out. It was measured with source and proxies on one
+// machine and at most one relay between.
+func (e *Evidence) inForce(source result.Source) amount {
 	var all []float64
-	for _, f := range e.Files {
-		m := e.models[w]
-		if m == nil || f.Result.Source != w || f.Result.Hollow != m.Hollow {
-			continue
-		}
+	for _, f := range e.fitted(source) {
 		for _, p := range f.Result.Points {
-			if p.HeldOut {
-				continue
-			}
-			for _, r := range p.Rounds {
-				if r.InForce.Count > 0 {
-					all = append(all, r.InForce.P99)
-				}
+			if !p.HeldOut {
+				all = append(all, inForceTimes(p.Rounds)...)
 			}
 		}
 	}
@@ -171,30 +162,12 @@
 	return known(all[len(all)/2])
 }
 
-// wholeReading is what a reading of a whole list costs its service, by what the blocking reads at rest cost.
-type wholeReading struct {
-	bytesARead, bytesAnEndpoint float64
-	coresARead, coresAnEndpoint float64 // CPU seconds of the list service
-	measured                    bool
-}
-
-// wholeReading takes the costs of a read list from what was measured with consul.
-func (e *Evidence) wholeReading(t *Target) wholeReading {
-	m := e.models[result.SourceConsul]
-	received, cores := m.Model(fit.Proxies, fit.BytesIn), m.Model(fit.Lists, fit.CPU)
-	if received == nil || cores == nil {
-		return wholeReading{bytesAnEndpoint: t.Get(EndpointBytes)}
-	}
-	return wholeReading{
-		bytesARead: received.Term(fit.TermListRead).Value, bytesAnEndpoint: received.Term(fit.TermEndpointRead).Value,
-		coresARead: cores.Term(fit.TermListRead).Value, coresAnEndpoint: cores.Term(fit.TermEndpointRead).Value, measured: true,
+func inForceTimes(rounds []result.Round) []float64 {
+	var times []float64
+	for _, r := range rounds {
+		if r.InForce.Count > 0 {
+			times = append(times, r.InForce.P99)
+		}
 	}
-}
-
-func (r wholeReading) bytes(reads, endpoints float64) float64 {
-	return r.bytesARead*reads + r.bytesAnEndpoint*endpoints
-}
-
-func (r wholeReading) cpuSeconds(reads, endpoints float64) float64 {
-	return r.coresARead*reads + r.coresAnEndpoint*endpoints
+	return times
 }
--- a/internal/scale/predict/order.go
+++ b/internal/scale/predict/order.go
@@ -10,19 +10,28 @@
 	"fernlanding/internal/scale/result"
 )
 
-// candidate is a mechanism that may be missing.
-type candidate struct {
+// mechanism is a part of the system, and how far the target is missed without it.
+type mechanism struct {
 	name    string
-	without amount // need over what is allowed, as it stands today
-	with    amount // the same with the mechanism
+	without amount // ratio of the need to its limit, as it is today
+	with    amount // the same ratio with the mechanism
 	figures string
 }
 
-// Order is the table of mechanisms by how far the target is missed without each.
+// Order returns the table of mechanisms, those without which the target is missed by most first.
 func (c *Calculator) Order() Table {
-	s := shapeOf(c.t.Target, c.t)
-	all := []candidate{c.configuration(s), c.listBytes(s), c.listCores(s), c.listMachines(s), c.subsets(s), c.ordinals(s), c.addedLatency(1), c.addedLatency(c.t.Target.Depth)}
-	slices.SortStableFunc(all, func(a, b candidate) int {
+	model := newFleetModel(c.target.Target, c.target)
+	all := []mechanism{
+		c.configurationDistribution(model),
+		c.listBytes(model),
+		c.listCores(model),
+		c.listMachines(model),
+		c.subsets(model),
+		c.replicaIndexes(model),
+		c.addedLatency(1),
+		c.addedLatency(c.target.Target.Depth),
+	}
+	slices.SortStableFunc(all, func(a, b mechanism) int {
 		if a.without.known != b.without.known {
 			if a.without.known {
 				return -1
@@ -31,99 +40,131 @@
 		}
 		return cmp.Compare(b.without.value, a.without.value)
 	})
-	t := Table{Head: []string{"mechanism", "need to allowed without it", "with it", "figures"}}
-	for _, x := range all {
-		t.Rows = append(t.Rows, []string{x.name, x.without.shown(WorkedOut, short), x.with.shown(WorkedOut, short), x.figures})
+	table := Table{Head: []string{"mechanism", "need to allowed without it", "with it", "figures"}}
+	for _, m := range all {
+		table.Rows = append(table.Rows, []string{
+			m.name, m.without.format(formatNumber), m.with.format(formatNumber), m.figures,
+		})
 	}
-	return t
-}
-
-// perWay divides a proxy's need by what is allowed, by consul and by distribution.
-func (c *Calculator) perWay(s *shape, allowed float64, need func(proxyNeeds) amount) (without, with amount) {
-	of := func(w way) amount { return need(c.proxyNeeds(w, c.ordinaryDrivers(s))).over(allowed) }
-	return of(result.SourceConsul), of(result.SourceRelay)
+	return table
 }
 
-func (c *Calculator) listBytes(s *shape) candidate {
-	x := candidate{name: "distribution of lists: bytes of a proxy"}
-	x.without, x.with = c.perWay(s, c.t.Limits.ProxyBytesASec, func(n proxyNeeds) amount { return n.bytes })
-	x.figures = fmt.Sprintf("%s allowed", bytesASecond(c.t.Limits.ProxyBytesASec))
-	return x
+// compareSources returns the ratio of a proxy's need to its limit, over consul and over
+// distribution.
+func (c *Calculator) compareSources(
+	model *fleetModel, limit float64, need func(proxyNeeds) amount,
+) (consul, distribution amount) {
+	ratio := func(source result.Source) amount {
+		return need(c.proxyNeeds(source, c.ordinaryDrivers(model))).dividedBy(limit)
+	}
+	return ratio(result.SourceConsul), ratio(result.SourceRelay)
 }
 
-// configuration is carried by nothing today: no change is in force anywhere in any time.
-func (c *Calculator) configuration(s *shape) candidate {
-	minute := c.play(result.SourceRelay, s, c.events(s)[1])
-	return candidate{
-		name: "distribution of configuration", without: known(math.Inf(1)), with: minute.inForce.over(c.t.Limits.InForceSeconds),
-		figures: fmt.Sprintf("%s changes a day; today nothing carries one to a proxy and nobody can say where it is in force; with it: the busiest minute", short(s.fleet.ChangesPerDay)),
+func (c *Calculator) listBytes(model *fleetModel) mechanism {
+	limit := c.target.Limits.ProxyBytesPerSecond
+	without, with := c.compareSources(model, limit, func(n proxyNeeds) amount { return n.bytes })
+	return mechanism{
+		name:    "distribution of lists: bytes of a proxy",
+		without: without,
+		with:    with,
+		figures: fmt.Sprintf("%s allowed", formatByteRate(limit)),
 	}
 }
 
-func (c *Calculator) listCores(s *shape) candidate {
-	x := candidate{name: "distribution of lists: processor of a proxy"}
-	x.without, x.with = c.perWay(s, c.t.Limits.ProxyCores, func(n proxyNeeds) amount { return n.cores })
-	x.figures = fmt.Sprintf("%s of a core allowed", percent(c.t.Limits.ProxyCores))
-	return x
+func (c *Calculator) listCores(model *fleetModel) mechanism {
+	limit := c.target.Limits.ProxyCores
+	without, with := c.compareSources(model, limit, func(n proxyNeeds) amount { return n.cores })
+	return mechanism{
+		name:    "distribution of lists: processor of a proxy",
+		without: without,
+		with:    with,
+		figures: fmt.Sprintf("%s of a core allowed", formatPercent(limit)),
+	}
 }
 
-func (c *Calculator) listMachines(s *shape) candidate {
-	of := func(w way) (sum amount) {
-		sum.known = true
-		for _, x := range c.tiersOf(w, s, c.ordinaryDrivers(s)) {
-			cpu, out := c.e.predict(w, x.role, fit.CPU, x.d), c.e.predict(w, x.role, fit.BytesOut, x.d)
+func (c *Calculator) listMachines(model *fleetModel) mechanism {
+	ratio := func(source result.Source) amount {
+		sum := known(0)
+		for _, tier := range c.controlTiers(source, model, c.ordinaryDrivers(model)) {
+			cpu := c.evidence.predict(source, tier.role, fit.CPU, tier.drivers)
+			out := c.evidence.predict(source, tier.role, fit.BytesOut, tier.drivers)
 			need := c.machines(cpu, out)
-			sum = sum.plus(amount{math.Ceil(need.value), need.known})
+			need.value = math.Ceil(need.value)
+			sum = sum.plus(need)
 		}
-		return sum.over(float64(c.t.Limits.ControlMachines))
+		return sum.dividedBy(float64(c.target.Limits.ControlMachines))
+	}
+	return mechanism{
+		name:    "distribution of lists: machines for control",
+		without: ratio(result.SourceConsul),
+		with:    ratio(result.SourceRelay),
+		figures: fmt.Sprintf("%d machines set aside", c.target.Limits.ControlMachines),
 	}
-	return candidate{
-		name: "distribution of lists: machines for control", without: of(result.SourceConsul), with: of(result.SourceRelay),
-		figures: fmt.Sprintf("%d machines set aside", c.t.Limits.ControlMachines),
+}
+
+// configurationDistribution has no bound without the mechanism: today no change is ever in force,
+// since nothing distributes configuration.
+func (c *Calculator) configurationDistribution(model *fleetModel) mechanism {
+	minute := c.predictEvent(result.SourceRelay, model, c.busiestMinute(model))
+	return mechanism{
+		name:    "distribution of configuration",
+		without: known(math.Inf(1)),
+		with:    minute.inForce.dividedBy(c.target.Limits.InForceSeconds),
+		figures: fmt.Sprintf("%s changes a day; today nothing carries one to a proxy and nobody can say where it is "+
+			"in force; with it: the busiest minute", formatNumber(model.fleet.ChangesPerDay)),
 	}
 }
 
-func (c *Calculator) subsets(s *shape) candidate {
-	_, most := s.connectionsIn(0)
-	all, dialled := s.unspread(0, c.t.Get(IdleSeconds))
-	allowed := c.t.Get(Descriptors)
-	return candidate{
-		name: "subsets of backends (there already: `logic`)", without: known(all / allowed), with: known(most / allowed),
-		figures: fmt.Sprintf("%s connections to a backend of the largest service, %s of calls on a new one; %s with subsets", short(all), percent(dialled), short(most)),
+func (c *Calculator) subsets(model *fleetModel) mechanism {
+	_, most := model.connectionsIn(0)
+	all, dialled := model.connectionsWithoutSubsets(0, c.target.Assumed(IdleSeconds))
+	limit := c.target.Assumed(Descriptors)
+	return mechanism{
+		name:    "subsets of backends (there already: `logic`)",
+		without: known(all / limit),
+		with:    known(most / limit),
+		figures: fmt.Sprintf(
+			"%s connections to a backend of the largest service, %s of calls on a new one; %s with subsets",
+			formatNumber(all), formatPercent(dialled), formatNumber(most)),
 	}
 }
 
-func (c *Calculator) ordinals(s *shape) candidate {
-	_, most := s.connectionsIn(0)
-	allowed := c.t.Get(Descriptors)
-	return candidate{
-		name: "an ordinal of its own for each caller (`ordinal` in its file; nothing deals them out)", without: known(s.callers(0) / allowed), with: known(most / allowed),
-		figures: fmt.Sprintf("all callers with ordinal 0 share one subset of %s backends", short(s.subset(0))),
+func (c *Calculator) replicaIndexes(model *fleetModel) mechanism {
+	_, most := model.connectionsIn(0)
+	limit := c.target.Assumed(Descriptors)
+	return mechanism{
+		name:    "an ordinal of its own for each caller (`ordinal` in its file; nothing deals them out)",
+		without: known(model.callers(0) / limit),
+		with:    known(most / limit),
+		figures: fmt.Sprintf("all callers with ordinal 0 share one subset of %s backends",
+			formatNumber(model.subset(0))),
 	}
 }
 
-func (c *Calculator) addedLatency(hops int) candidate {
-	x := candidate{name: fmt.Sprintf("a faster way through: p99 added, %d in a row", hops), figures: fmt.Sprintf("%s ms allowed", short(c.t.Limits.AddedP99Ms))}
-	for _, l := range c.e.Latency {
-		if l.Hops != hops || math.Abs(l.RatePerSecond/c.ratePerProxy()-1) >= sameRate {
+// sameRate is the part by which two rates may differ and still count as the same.
+const sameRate = 0.2
+
+func (c *Calculator) addedLatency(hops int) mechanism {
+	limit := c.target.Limits.AddedP99Ms
+	m := mechanism{
+		name:    fmt.Sprintf("a faster way through: p99 added, %d in a row", hops),
+		figures: fmt.Sprintf("%s ms allowed", formatNumber(limit)),
+	}
+	ratePerProxy := c.target.Target.CallsPerSecond / float64(c.target.Target.Proxies)
+	for _, l := range c.evidence.Latency {
+		if l.Hops != hops || math.Abs(l.RatePerSecond/ratePerProxy-1) >= sameRate {
 			continue
 		}
-		x.figures += fmt.Sprintf("; %s ms measured, the method against itself %s ms in half of the rounds", short(l.AddedP99.Median), short(l.Noise))
-		if l.decides(c.t.Limits.AddedP99Ms) {
-			x.without = known(l.AddedP99.Median / c.t.Limits.AddedP99Ms)
+		m.figures += fmt.Sprintf("; %s ms measured, the method against itself %s ms in half of the rounds",
+			formatNumber(l.AddedP99.Median), formatNumber(l.Noise))
+		if l.isConclusive(limit) {
+			m.without = known(l.AddedP99.Median / limit)
 		}
 	}
-	return x
+	return m
 }
 
-// decides tells whether the run says on which side of what is allowed the added latency lies.
-func (l *Latency) decides(allowed float64) bool {
-	return math.Abs(l.AddedP99.Median-allowed) > l.Noise
-}
-
-// sameRate is the part by which two rates may differ and count as the same.
-const sameRate = 0.2
-
-func (c *Calculator) ratePerProxy() float64 {
-	return c.t.Target.CallsPerSecond / float64(c.t.Target.Proxies)
+// isConclusive reports whether the run shows on which side of a limit the added latency is.
+func (l *Latency) isConclusive(limit float64) bool {
+	return math.Abs(l.AddedP99.Median-limit) > l.Noise
 }
--- a/internal/scale/predict/page.go
+++ b/internal/scale/predict/page.go
@@ -1,6 +1,7 @@
 package predict
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 	"strings"
@@ -9,46 +10,76 @@
 // Section names a generated part of the page.
 type Section string
 
-// Sections returns those that a page may have, in their order.
+// The sections.
+const (
+	sectionSizes       Section = "sizes"
+	sectionRoles       Section = "roles"
+	sectionCurve       Section = "curve"
+	sectionEvents      Section = "events"
+	sectionOrder       Section = "order"
+	sectionBeforeAfter Section = "beforeafter"
+	sectionLatency     Section = "latency"
+	sectionHeldOut     Section = "heldout"
+	sectionHollow      Section = "hollow"
+	sectionModels      Section = "models"
+	sectionLines       Section = "lines"
+	sectionFiles       Section = "files"
+	sectionAssumptions Section = "assumptions"
+)
+
+// Sections returns the sections that a page may have, in their order.
 func Sections() []Section {
-	return []Section{"sizes", "roles", "curve", "events", "order", "beforeafter", "latency", "heldout", "hollow", "models", "lines", "files", "assumptions"}
+	return []Section{
+		sectionSizes, sectionRoles, sectionCurve, sectionEvents, sectionOrder, sectionBeforeAfter, sectionLatency,
+		sectionHeldOut, sectionHollow, sectionModels, sectionLines, sectionFiles, sectionAssumptions,
+	}
 }
 
-// Tables are those of a section.
+// Tables returns the tables of a section. The error names the sections that there are.
 func (c *Calculator) Tables(s Section) ([]Table, error) {
+	today, target := c.target.Today, c.target.Target
 	switch s {
-	case "sizes":
+	case sectionSizes:
 		return []Table{c.Sizes()}, nil
-	case "roles":
-		return []Table{c.Roles("Today", c.t.Today), c.Roles("Target", c.t.Target)}, nil
-	case "curve":
+	case sectionRoles:
+		return []Table{c.Roles("Today", today), c.Roles("Target", target)}, nil
+	case sectionCurve:
 		return []Table{c.Curve()}, nil
-	case "events":
-		return []Table{c.Events("Today", c.t.Today), c.Events("Target", c.t.Target)}, nil
-	case "order":
+	case sectionEvents:
+		return []Table{c.Events("Today", today), c.Events("Target", target)}, nil
+	case sectionOrder:
 		return []Table{c.Order()}, nil
-	case "beforeafter":
+	case sectionBeforeAfter:
 		return []Table{c.BeforeAfter()}, nil
-	case "latency":
+	case sectionLatency:
 		return []Table{c.Latencies()}, nil
-	case "heldout":
-		return []Table{c.e.HeldOut(mainFigures())}, nil
-	case "hollow":
-		return []Table{c.e.Hollow(mainFigures())}, nil
-	case "models":
-		return []Table{c.e.Models(mainFigures())}, nil
-	case "lines":
-		return []Table{c.e.Lines(mainFigures())}, nil
-	case "files":
+	case sectionHeldOut:
+		return []Table{c.evidence.HeldOut(mainFigures())}, nil
+	case sectionHollow:
+		return []Table{c.evidence.Hollow(mainFigures())}, nil
+	case sectionModels:
+		return []Table{c.evidence.Models(mainFigures())}, nil
+	case sectionLines:
+		return []Table{c.evidence.Lines(mainFigures())}, nil
+	case sectionFiles:
 		return []Table{c.Files()}, nil
-	case "assumptions":
+	case sectionAssumptions:
 		return []Table{c.Assumptions()}, nil
+	default:
+		return nil, fmt.Errorf("section %.40q, one of %s expected", s, sectionNames(Sections()))
+	}
+}
+
+func sectionNames(all []Section) string {
+	names := make([]string, len(all))
+	for i, s := range all {
+		names[i] = string(s)
 	}
-	return nil, fmt.Errorf("section %.40q, one of %s expected", s, names(Sections()))
+	return strings.Join(names, ", ")
 }
 
-// text is a section's tables as they stand in the page.
-func (c *Calculator) text(s Section) (string, error) {
+// markdown returns a section's tables as text of the page.
+func (c *Calculator) markdown(s Section) (string, error) {
 	tables, err := c.Tables(s)
 	if err != nil {
 		return "", err
@@ -60,56 +91,85 @@
 	return strings.Join(texts, "\n"), nil
 }
 
-// The markers between which generated text stands in a page.
+// The markers that enclose the generated text in a page.
 const (
-	begin  = "<!-- generated: fernctl scale predict "
-	finish = "<!-- end -->"
-	closed = " -->"
+	markerBegin = "<!-- generated: fernctl scale predict "
+	markerClose = " -->" // of the marker that begins a section
+	markerEnd   = "<!-- end -->"
 )
 
-// Fill returns the page with the text between its markers generated anew. A marker of an unknown section, one that stands
-// twice or has no end is an error by the page's line.
+// PageError is a fault of a page's markers.
+type PageError struct {
+	Line int // from 1
+	Err  error
+}
+
+// Error returns the line and the fault.
+func (e *PageError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
+
+// Unwrap returns the fault without its line.
+func (e *PageError) Unwrap() error { return e.Err }
+
+// Fill returns the page with the text between its markers generated anew. The error is a
+// *PageError: a marker names an unknown or a repeated section, or does not end.
 func (c *Calculator) Fill(page string) (string, error) {
-	var out strings.Builder
-	var seen []Section
-	inside := 0 // the line of the marker that is open
+	f := pageFiller{calculator: c}
 	for i, line := range strings.SplitAfter(page, "\n") {
-		trimmed := strings.TrimSpace(line)
-		switch {
-		case strings.HasPrefix(trimmed, begin):
-			s := Section(strings.TrimSuffix(strings.TrimPrefix(trimmed, begin), closed))
-			if inside > 0 {
-				return "", fmt.Errorf("line %d: a marker begins, the end of that on line %d expected", i+1, inside)
-			}
-			if slices.Contains(seen, s) {
-				return "", fmt.Errorf("line %d: section %s stands twice, once expected", i+1, s)
-			}
-			text, err := c.text(s)
-			if err != nil {
-				return "", fmt.Errorf("line %d: %w", i+1, err)
-			}
-			seen, inside = append(seen, s), i+1
-			out.WriteString(line + "\n" + text + "\n")
-		case trimmed == finish:
-			if inside == 0 {
-				return "", fmt.Errorf("line %d: an end without a marker", i+1)
-			}
-			inside = 0
-			out.WriteString(line)
-		case inside == 0:
-			out.WriteString(line)
+		if err := f.line(i+1, line); err != nil {
+			return "", &PageError{Line: i + 1, Err: err}
 		}
 	}
-	if inside > 0 {
-		return "", fmt.Errorf("line %d: the marker has no end", inside)
+	if f.openLine > 0 {
+		return "", &PageError{Line: f.openLine, Err: errMarkerOpen}
 	}
-	return out.String(), nil
+	return f.out.String(), nil
 }
 
-func names(all []Section) string {
-	words := make([]string, len(all))
-	for i, s := range all {
-		words[i] = string(s)
+// pageFiller is the state of Fill between two lines.
+type pageFiller struct {
+	calculator *Calculator
+	out        strings.Builder
+	seen       []Section
+	openLine   int // of the marker that has begun and not ended; 0 where none has
+}
+
+var (
+	errMarkerOpen    = errors.New("the marker has no end")
+	errMarkerMissing = errors.New("an end without a marker")
+)
+
+// line copies a line of the page, or replaces it if it is generated.
+func (f *pageFiller) line(number int, line string) error {
+	trimmed := strings.TrimSpace(line)
+	switch {
+	case strings.HasPrefix(trimmed, markerBegin):
+		section := Section(strings.TrimSuffix(strings.TrimPrefix(trimmed, markerBegin), markerClose))
+		return f.begin(number, line, section)
+	case trimmed == markerEnd:
+		if f.openLine == 0 {
+			return errMarkerMissing
+		}
+		f.openLine = 0
+		f.out.WriteString(line)
+	case f.openLine == 0:
+		f.out.WriteString(line)
+	}
+	return nil
+}
+
+func (f *pageFiller) begin(number int, line string, s Section) error {
+	if f.openLine > 0 {
+		return fmt.Errorf("a marker begins, the end of that on line %d expected", f.openLine)
+	}
+	if slices.Contains(f.seen, s) {
+		return fmt.Errorf("section %s stands twice, once expected", s)
+	}
+	text, err := f.calculator.markdown(s)
+	if err != nil {
+		return err
 	}
-	return strings.Join(words, ", ")
+	f.seen = append(f.seen, s)
+	f.openLine = number
+	f.out.WriteString(line + "\n" + text + "\n")
+	return nil
 }
--- a/internal/scale/predict/predict_test.go
+++ b/internal/scale/predict/predict_test.go
@@ -11,77 +11,87 @@
 	"fernlanding/internal/scale/result"
 )
 
-const targetFile = "../../../deploy/scale/target.toml"
-
-func target(t testing.TB) *Target {
-	t.Helper()
-	data, err := os.ReadFile(targetFile)
-	if err != nil {
-		t.Fatal(err)
-	}
-	x, err := ReadTarget("target.toml", data)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return x
-}
-
-// True costs of made-up runs: of a proxy in bytes and cores a second, by the drivers.
+// True costs behind the synthetic sweeps, in bytes and cores per second.
 const (
-	readsAService  = 0.5
-	bytesAnEntry   = 100.0 // of a whole list
-	relayAtRest    = 80.0
-	bytesAChange   = 300.0
-	coresAnEntry   = 1e-6 // CPU seconds of the list service
-	memoryAnEntry  = 400.0
-	memoryAProcess = 1e7
+	readsPerService   = 0.5
+	bytesPerEndpoint  = 100.0 // of a complete list
+	relayBytesAtRest  = 80.0  // per proxy
+	bytesPerChange    = 300.0
+	cpuPerEndpoint    = 1e-6 // CPU seconds of the list service
+	memoryPerEndpoint = 400.0
+	memoryPerProcess  = 1e7
 )
 
-// play makes up the sweeps of a way.
-func play(w way) (files []File) {
+// syntheticSweeps returns sweeps of a source along four dimensions, each with and without changes.
+func syntheticSweeps(source result.Source) []File {
+	var files []File
 	for _, d := range []result.Dimension{result.Proxies, result.Services, result.Backends, result.Changes} {
 		for _, changes := range []float64{0, 4} {
-			r := &result.Result{Format: result.Format, Scenario: string(d), Source: w, Dimension: d, Hollow: true}
-			for k := range 5 {
-				size := result.Size{Proxies: 200, Services: 10, ServicesInAll: 100, Backends: 23, ChangesPerSecond: changes}
-				factor := 1 << k
-				switch d {
-				case result.Proxies:
-					size.Proxies *= factor
-				case result.Services:
-					size.Services, size.ServicesInAll = 2*factor, 50*factor
-				case result.Backends:
-					size.Backends = 10 * factor
-				case result.Changes:
-					size.ChangesPerSecond = float64(factor)
-				}
-				r.Points = append(r.Points, result.Point{Size: size, Rounds: []result.Round{made(w, size)}})
-			}
-			files = append(files, File{Name: string(w) + "-" + string(d) + short(changes) + ".json", Result: r})
+			files = append(files, File{
+				Name:   string(source) + "-" + string(d) + formatNumber(changes) + ".json",
+				Result: syntheticSweep(source, d, changes),
+			})
 		}
 	}
 	return files
 }
 
-func made(w way, size result.Size) result.Round {
+func syntheticSweep(source result.Source, d result.Dimension, changes float64) *result.Result {
+	r := &result.Result{Format: result.Format, Scenario: string(d), Source: source, Dimension: d, Hollow: true}
+	for k := range 5 {
+		size := result.Size{Proxies: 200, Services: 10, ServicesInAll: 100, Backends: 23, ChangesPerSecond: changes}
+		factor := 1 << k
+		switch d {
+		case result.Proxies:
+			size.Proxies *= factor
+		case result.Services:
+			size.Services = 2 * factor
+			size.ServicesInAll = 50 * factor
+		case result.Backends:
+			size.Backends = 10 * factor
+		case result.Changes:
+			size.ChangesPerSecond = float64(factor)
+		case result.Calls:
+			panic("no sweep of calls is synthesized")
+		}
+		r.Points = append(r.Points, result.Point{Size: size, Rounds: []result.Round{syntheticRound(source, size)}})
+	}
+	return r
+}
+
+func syntheticRound(source result.Source, size result.Size) result.Round {
 	const span = 10.0
 	d := fit.DriversOf(size, 2, 0)
+	in, reads := relayBytesAtRest*d.Proxies+bytesPerChange*d.Delivered, 0.25*d.Proxies
+	if source == result.SourceConsul {
+		reads = d.ListsRead
+		in = bytesPerEndpoint * d.EndpointsRead
+	}
+	endpoints := in / bytesPerEndpoint
 	r := result.Round{
-		Seconds: span, Proxies: result.Cost{Processes: 2, RSSBytes: int64(2*memoryAProcess + memoryAnEntry*d.EndpointsHeld), Connections: size.Proxies},
+		Seconds: span,
+		Proxies: result.Cost{
+			Processes:   2,
+			CPUSeconds:  span * cpuPerEndpoint * endpoints,
+			RSSBytes:    int64(2*memoryPerProcess + memoryPerEndpoint*d.EndpointsHeld),
+			BytesIn:     int64(span * in),
+			MessagesIn:  int64(span * reads),
+			Connections: size.Proxies,
+		},
 		Lists: result.Cost{Processes: 1, Connections: size.Proxies, RSSBytes: 1e7},
 	}
 	if d.Changes > 0 {
 		r.InForce = result.Spread{Count: 10, P50: 0.02, P99: 0.1, Max: 0.1}
 	}
-	in, reads := relayAtRest*d.Proxies+bytesAChange*d.Delivered, 0.25*d.Proxies
-	if w == result.SourceConsul {
-		reads = d.ListsRead
-		in = bytesAnEntry * d.EndpointsRead
+	served := result.Cost{
+		Processes:   1,
+		CPUSeconds:  span * cpuPerEndpoint * endpoints,
+		RSSBytes:    1e7,
+		BytesOut:    int64(span * in),
+		MessagesOut: int64(span * reads),
+		Connections: size.Proxies,
 	}
-	entries := in / bytesAnEntry
-	r.Proxies.BytesIn, r.Proxies.MessagesIn, r.Proxies.CPUSeconds = int64(span*in), int64(span*reads), span*coresAnEntry*entries
-	served := result.Cost{Processes: 1, CPUSeconds: span * coresAnEntry * entries, BytesOut: int64(span * in), MessagesOut: int64(span * reads), RSSBytes: 1e7, Connections: size.Proxies}
-	if w == result.SourceRelay {
+	if source == result.SourceRelay {
 		r.Relays = served
 	} else {
 		r.Lists = served
@@ -89,94 +99,111 @@
 	return r
 }
 
-func calculator(t testing.TB) *Calculator {
-	return NewCalculator(target(t), NewEvidence(append(play(result.SourceConsul), play(result.SourceRelay)...), nil))
+func newTestCalculator(tb testing.TB) *Calculator {
+	tb.Helper()
+	files := append(syntheticSweeps(result.SourceConsul), syntheticSweeps(result.SourceRelay)...)
+	return NewCalculator(readTestTarget(tb), NewEvidence(files, nil))
 }
 
+// near reports whether got differs from want by at most a part of it.
 func near(got, want, part float64) bool { return math.Abs(got-want) <= part*math.Abs(want) }
 
 func TestProxyNeedsFollowFromKnownCosts(t *testing.T) {
-	c := calculator(t)
-	s := shapeOf(c.t.Target, c.t)
-	endpoints := s.endpointsFollowed()
-	rest := control(s.atRest())
-	if got, want := c.proxyNeeds(result.SourceConsul, rest).in.value, bytesAnEntry*readsAService*endpoints; !near(got, want, 0.02) {
-		t.Errorf("consul at rest: %.0f B/s a proxy, %.0f expected", got, want)
+	c := newTestCalculator(t)
+	model := newFleetModel(c.target.Target, c.target)
+	endpoints := model.endpointsFollowed()
+	atRest := withoutCalls(model.driversAtRest())
+	consul := c.proxyNeeds(result.SourceConsul, atRest)
+	if want := bytesPerEndpoint * readsPerService * endpoints; !near(consul.in.value, want, 0.02) {
+		t.Errorf("consul at rest: %.0f B/s per proxy, %.0f expected", consul.in.value, want)
 	}
-	if got := c.proxyNeeds(result.SourceRelay, rest).in.value; !near(got, relayAtRest, 0.02) {
-		t.Errorf("distribution at rest: %.0f B/s a proxy, %.0f expected", got, relayAtRest)
+	if got := c.proxyNeeds(result.SourceRelay, atRest).in.value; !near(got, relayBytesAtRest, 0.02) {
+		t.Errorf("distribution at rest: %.0f B/s per proxy, %.0f expected", got, relayBytesAtRest)
 	}
-	if got, want := c.proxyNeeds(result.SourceConsul, rest).memory.value, c.t.Get(ProcessBytes)+memoryAnEntry*endpoints; !near(got, want, 0.02) {
-		t.Errorf("memory: %.0f a proxy, %.0f expected", got, want)
+	wantMemory := c.target.Assumed(ProcessBytes) + memoryPerEndpoint*endpoints
+	if !near(consul.memory.value, wantMemory, 0.02) {
+		t.Errorf("memory: %.0f per proxy, %.0f expected", consul.memory.value, wantMemory)
 	}
-	whole := c.e.wholeReading(c.t)
-	if !whole.measured || !near(whole.bytesAnEndpoint, bytesAnEntry, 0.02) || !near(whole.coresAnEndpoint, 1e-6*100/100, 0.02) {
-		t.Errorf("a whole reading costs %+v", whole)
+	cost := c.evidence.listReadCost(c.target)
+	if !cost.isMeasured || !near(cost.bytesPerEndpoint, bytesPerEndpoint, 0.02) ||
+		!near(cost.cpuPerEndpoint, 1e-6*100/100, 0.02) {
+		t.Errorf("a list read costs %+v", cost)
 	}
 }
 
-func TestShapeHasTheSumsThatAreTold(t *testing.T) {
-	x := target(t)
+func TestFleetModelHasTheStatedSums(t *testing.T) {
+	target := readTestTarget(t)
 	for _, followed := range []float64{0.5, 1, 10, 200, 1200} {
-		f := x.Target
+		f := target.Target
 		f.ServicesFollowed = followed
-		s := shapeOf(f, x)
-		if !near(total(s.sizes), 28_000, 1e-6) || s.sizes[0] != 1000 {
-			t.Errorf("%g followed: %.1f backends in all, the largest service has %.1f", followed, total(s.sizes), s.sizes[0])
+		model := newFleetModel(f, target)
+		if !near(total(model.sizes), 28_000, 1e-6) || model.sizes[0] != 1000 {
+			t.Errorf("%g followed: %.1f backends in all, the largest service has %.1f",
+				followed, total(model.sizes), model.sizes[0])
 		}
-		if !near(total(s.followed), followed, 1e-6) {
-			t.Errorf("%g followed: they add up to %g", followed, total(s.followed))
+		if !near(total(model.followed), followed, 1e-6) {
+			t.Errorf("%g followed: the parts add up to %g", followed, total(model.followed))
 		}
 	}
 }
 
 func TestConnectionsOfABackend(t *testing.T) {
-	s := shapeOf(target(t).Target, target(t))
-	mean, most := s.connectionsIn(0)
-	if !near(mean, s.callers(0)*s.subset(0)/1000, 0.01) || most < mean || most > 1.5*mean {
+	target := readTestTarget(t)
+	model := newFleetModel(target.Target, target)
+	mean, most := model.connectionsIn(0)
+	if !near(mean, model.callers(0)*model.subset(0)/1000, 0.01) || most < mean || most > 1.5*mean {
 		t.Errorf("%.0f connections in the mean, %.0f at most", mean, most)
 	}
-	all, dialled := s.unspread(0, 1e9)
-	if !near(all, s.callers(0), 1e-6) || dialled > 1e-6 {
-		t.Errorf("connections that are never closed: %.0f, %.3f of calls on new ones; %.0f and none expected", all, dialled, s.callers(0))
+	all, dialled := model.connectionsWithoutSubsets(0, 1e9)
+	if !near(all, model.callers(0), 1e-6) || dialled > 1e-6 {
+		t.Errorf("connections that are never closed: %.0f, %.3f of calls on new ones; %.0f and none expected",
+			all, dialled, model.callers(0))
 	}
 }
 
-func TestAZonesLossIsQueuedWhereMachinesAreTooFew(t *testing.T) {
-	c := calculator(t)
-	s := shapeOf(c.t.Target, c.t)
+func TestEventsQueueOnlyWhereMachinesAreTooFew(t *testing.T) {
+	c := newTestCalculator(t)
+	model := newFleetModel(c.target.Target, c.target)
 	if got := c.inForce(result.SourceConsul, 1).value; !near(got, 0.25, 0.01) {
 		t.Errorf("%.2f s, the measured 0.1 and a round trip expected", got)
 	}
 	if got := c.inForce(result.SourceRelay, relayHops).value; !near(got, 0.3, 0.01) {
-		t.Errorf("%.2f s by distribution, a relay's hold more expected", got)
+		t.Errorf("%.2f s over distribution, a relay's coalescing time more expected", got)
 	}
-	if enough, few := c.queue(100, 1, 50), c.queue(1e5, 1, 50); enough != 0 || !near(few, 1e5/400-1, 0.01) {
-		t.Errorf("queues of %.2f and %.2f s, none and that of what 400 cores cannot do expected", enough, few)
+	enough, few := c.queueDelay(100, 1, 50), c.queueDelay(1e5, 1, 50)
+	if enough != 0 || !near(few, 1e5/400-1, 0.01) {
+		t.Errorf("queues of %.2f and %.2f s, none and that of what exceeds 400 cores expected", enough, few)
 	}
-	for _, x := range c.events(s) {
-		a, b := c.play(result.SourceConsul, s, x), c.play(result.SourceRelay, s, x)
-		if !a.inForce.known || !b.inForce.known || b.bytes.value > a.bytes.value && x.load.total() > 100 && x.reads == 0 {
-			t.Errorf("%s: by consul %+v, by distribution %+v", x.name, a, b)
+	for _, e := range c.events(model) {
+		consul := c.predictEvent(result.SourceConsul, model, e)
+		relay := c.predictEvent(result.SourceRelay, model, e)
+		if !consul.inForce.known || !relay.inForce.known {
+			t.Errorf("%s: over consul %+v, over distribution %+v; both known expected", e.name, consul, relay)
+		}
+		if relay.bytes.value > consul.bytes.value && e.load.total() > 100 && e.listReads == 0 {
+			t.Errorf("%s: over consul %+v, over distribution %+v; fewer bytes expected", e.name, consul, relay)
 		}
 	}
 }
 
-func TestWithoutResultsEverySectionSaysSo(t *testing.T) {
-	c := NewCalculator(target(t), NewEvidence(nil, nil))
+func TestSectionsSayThatNothingIsMeasured(t *testing.T) {
+	c := NewCalculator(readTestTarget(t), NewEvidence(nil, nil))
 	for _, s := range Sections() {
-		text, err := c.text(s)
-		if err != nil || s != "sizes" && s != "assumptions" && !strings.Contains(strings.ToLower(text), "not measured") {
+		text, err := c.markdown(s)
+		isMeasured := s != sectionSizes && s != sectionAssumptions
+		if err != nil || isMeasured && !strings.Contains(strings.ToLower(text), "not measured") {
 			t.Errorf("%s: %v\n%s", s, err, text)
 		}
 	}
 }
 
-func TestLatencyIsJudgedOnlyWhereNoiseIsSmaller(t *testing.T) {
-	x := target(t)
-	quiet := Latency{Hops: 1, RatePerSecond: 271, AddedP99: Spread{0.68, 0.6, 0.7}, SameP99: Spread{0, -0.1, 0.1}, Noise: 0.1}
-	noisy := Latency{Hops: 7, RatePerSecond: 271, AddedP99: Spread{0.68, 0.6, 0.7}, SameP99: Spread{0, -4, 0.1}, Noise: 0.5}
-	c := NewCalculator(x, NewEvidence(nil, []Latency{quiet, noisy}))
+func TestLatencyVerdictNeedsLittleNoise(t *testing.T) {
+	added := Spread{Median: 0.68, Lowest: 0.6, Highest: 0.7}
+	quiet := Latency{Hops: 1, RatePerSecond: 271, AddedP99: added, Noise: 0.1}
+	quiet.SameP99 = Spread{Lowest: -0.1, Highest: 0.1}
+	noisy := Latency{Hops: 7, RatePerSecond: 271, AddedP99: added, Noise: 0.5}
+	noisy.SameP99 = Spread{Lowest: -4, Highest: 0.1}
+	c := NewCalculator(readTestTarget(t), NewEvidence(nil, []Latency{quiet, noisy}))
 	if got := c.addedLatency(1).without; !got.known || !near(got.value, 2, 1e-9) {
 		t.Errorf("one hop: %+v, 2 expected", got)
 	}
@@ -184,80 +211,48 @@
 		t.Errorf("seven hops: %+v, the noise expected", got)
 	}
 	rows := c.Latencies().Rows
-	if last := len(rows[0]) - 1; rows[0][last] != "**misses by 2 times**" || !strings.HasPrefix(rows[1][last], "cannot be told") {
+	last := len(rows[0]) - 1
+	if rows[0][last] != "**misses by 2 times**" || !strings.HasPrefix(rows[1][last], "cannot be told") {
 		t.Errorf("%q and %q", rows[0][last], rows[1][last])
 	}
 }
 
-func TestFillReplacesWhatStandsBetweenMarkers(t *testing.T) {
-	c := calculator(t)
-	page := "before\n" + begin + "sizes" + closed + "\nstale\n" + finish + "\nafter\n"
+func TestFillReplacesTheTextBetweenMarkers(t *testing.T) {
+	c := newTestCalculator(t)
+	page := "before\n" + markerBegin + "sizes" + markerClose + "\nstale\n" + markerEnd + "\nafter\n"
 	once, err := c.Fill(page)
-	if err != nil || strings.Contains(once, "stale") || !strings.HasPrefix(once, "before\n") || !strings.HasSuffix(once, finish+"\nafter\n") {
+	isKept := strings.HasPrefix(once, "before\n") && strings.HasSuffix(once, markerEnd+"\nafter\n")
+	if err != nil || strings.Contains(once, "stale") || !isKept {
 		t.Fatalf("%v\n%s", err, once)
 	}
 	if twice, err := c.Fill(once); err != nil || twice != once {
 		t.Errorf("filled again it differs: %v", err)
 	}
-	for _, c2 := range []struct{ page, want string }{
-		{begin + "sizes" + closed + "\n", "line 1: the marker has no end"},
-		{"\n" + finish + "\n", "line 2: an end without a marker"},
-		{begin + "size" + closed + "\n" + finish + "\n", `line 1: section "size", one of sizes, roles`},
-		{strings.Repeat(begin+"sizes"+closed+"\n"+finish+"\n", 2), "line 3: section sizes stands twice"},
-		{strings.Repeat(begin+"sizes"+closed+"\n", 2), "line 2: a marker begins"},
-	} {
-		if _, err := c.Fill(c2.page); err == nil || !strings.HasPrefix(err.Error(), c2.want) {
-			t.Errorf("%v; %s expected", err, c2.want)
-		}
-	}
-}
-
-func TestReadTargetRefusesByPlace(t *testing.T) {
-	data, err := os.ReadFile(targetFile)
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, c := range []struct{ old, put, want string }{
-		{"format = 1", "format = 2", "t.toml:3"},
-		{"proxies = 28_000", "proxies = 0", "target.proxies"},
-		{"proxies = 28_000\n", "", "target.proxies"},
-		{"services = 1_200", "services = 1_200\nservice = 3", "target.service"},
-		{"[1, 2, 5", "[0, 2, 5", "curve.services_followed[1]"},
-		{"[1, 2, 5", "[5, 2, 5", "ascending numbers expected"},
-		{`name = "rack_backends"`, `name = "rack_backend"`, "rack_backends meant?"},
-		{`name = "rack_backends"`, `name = "cut_seconds"`, "each assumption once expected"},
-		{"[limits]", "[limits]\nspeed = 1", "limits.speed"},
+	for _, test := range []struct{ page, want string }{
+		{markerBegin + "sizes" + markerClose + "\n", "line 1: the marker has no end"},
+		{"\n" + markerEnd + "\n", "line 2: an end without a marker"},
+		{markerBegin + "size" + markerClose + "\n" + markerEnd + "\n", `line 1: section "size", one of sizes, roles`},
+		{strings.Repeat(markerBegin+"sizes"+markerClose+"\n"+markerEnd+"\n", 2), "line 3: section sizes stands twice"},
+		{strings.Repeat(markerBegin+"sizes"+markerClose+"\n", 2), "line 2: a marker begins"},
 	} {
-		_, err := ReadTarget("t.toml", []byte(strings.Replace(string(data), c.old, c.put, 1)))
-		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), "t.toml:") {
-			t.Errorf("%s: %v; %s expected", c.put, err, c.want)
+		if _, err := c.Fill(test.page); err == nil || !strings.HasPrefix(err.Error(), test.want) {
+			t.Errorf("%v; %s expected", err, test.want)
 		}
 	}
 }
 
-func FuzzReadTarget(f *testing.F) {
-	data, err := os.ReadFile(targetFile)
-	if err != nil {
-		f.Fatal(err)
-	}
-	f.Add(data)
-	f.Add([]byte("format = 1\n[target]\nproxies = 3"))
-	f.Fuzz(func(t *testing.T, data []byte) {
-		x, err := ReadTarget("t.toml", data)
-		if (x == nil) == (err == nil) {
-			t.Errorf("%v and %v", x, err)
-		}
-	})
-}
-
-// The subset is worked out by the constants of package logic, which does not export them.
-func TestSubsetIsThatOfTheDecisionModule(t *testing.T) {
+// The subset is computed with the constants of package logic, which does not export them.
+func TestSubsetHasTheConstantsOfPackageLogic(t *testing.T) {
 	source, err := os.ReadFile("../../../logic/subset.go")
 	if err != nil {
 		t.Fatal(err)
 	}
 	words := strings.Join(strings.Fields(string(source)), " ")
-	for name, value := range map[string]float64{"minSubset": subsetLeast, "subsetRateFactor": subsetRoot, "goldenRatioInverse": golden} {
+	for name, value := range map[string]float64{
+		"minSubset":          minSubset,
+		"subsetRateFactor":   subsetRateFactor,
+		"goldenRatioInverse": goldenRatioInverse,
+	} {
 		if want := fmt.Sprintf("%s = %v", name, value); !strings.Contains(words, want) {
 			t.Errorf("logic does not say %q any more: connections.go follows it", want)
 		}
--- /dev/null
+++ b/internal/scale/predict/readtarget.go
@@ -0,0 +1,160 @@
+package predict
+
+import (
+	"fmt"
+	"slices"
+
+	"fernlanding/internal/rules"
+	"fernlanding/internal/tomldoc"
+)
+
+// Format is the version of target files that this program reads.
+const Format = 1
+
+// Bounds of a target.
+const (
+	maxProxies  = 1_000_000
+	maxServices = 8192
+	maxCurve    = 20
+	maxReason   = 400 // bytes of an assumption's reason
+)
+
+// ReadTarget reads a target file. The error lists all faults, one per line, each with file, line
+// and field.
+func ReadTarget(file string, data []byte) (*Target, error) {
+	return tomldoc.Decode(file, data, readTarget)
+}
+
+func readTarget(s tomldoc.Scope) *Target {
+	if !s.Has("format") {
+		s.Bad(rules.Version, "format", "the file's format, %d, expected", Format)
+	}
+	s.Whole("format", Format, Format, Format)
+	t := &Target{
+		Today:       readFleet(s.Sub("today")),
+		Target:      readFleet(s.Sub("target")),
+		Limits:      readLimits(s.Sub("limits")),
+		Curve:       readCurve(s.Sub("curve")),
+		Assumptions: readAssumptions(s),
+	}
+	s.Done()
+	return t
+}
+
+// requiredNumber reads a number that the file has to have.
+func requiredNumber(s tomldoc.Scope, field string, least, most float64) float64 {
+	if !s.Has(field) {
+		s.Bad(rules.Missing, field, "a number, %g to %g, expected", least, most)
+	}
+	return s.Number(field, least, least, most)
+}
+
+// requiredCount reads a whole number from 1 on that the file has to have.
+func requiredCount(s tomldoc.Scope, field string, most int64) int {
+	const least = 1
+	if !s.Has(field) {
+		s.Bad(rules.Missing, field, "a whole number, %d to %d, expected", least, most)
+	}
+	return int(s.Whole(field, least, least, most))
+}
+
+func readFleet(s tomldoc.Scope) Fleet {
+	f := Fleet{
+		Proxies:               requiredCount(s, "proxies", maxProxies),
+		Services:              requiredCount(s, "services", maxServices),
+		LargestService:        requiredCount(s, "largest_service", maxProxies),
+		ServicesFollowed:      requiredNumber(s, "services_followed", 0.1, maxServices),
+		CallsPerSecond:        requiredNumber(s, "calls_per_second", 0, 1e12),
+		Depth:                 requiredCount(s, "depth", 100),
+		Regions:               requiredCount(s, "regions", 1000),
+		Zones:                 requiredCount(s, "zones", 1000),
+		ChangesPerDay:         requiredNumber(s, "changes_per_day", 0, 1e9),
+		MachineFailuresPerDay: requiredNumber(s, "machine_failures_per_day", 0, 1e9),
+		RestartsPerDay:        requiredNumber(s, "restarts_per_day", 0, 1e9),
+		ZoneProxies:           requiredCount(s, "zone_proxies", maxProxies),
+	}
+	if f.Proxies < f.Services {
+		s.Bad(rules.Range, "services", "no more than there are proxies, %d, expected", f.Proxies)
+	}
+	if f.LargestService > f.Proxies {
+		s.Bad(rules.Range, "largest_service", "no more backends than there are proxies, %d, expected", f.Proxies)
+	}
+	if f.ServicesFollowed > float64(f.Services) {
+		s.Bad(rules.Range, "services_followed", "no more than there are services, %d, expected", f.Services)
+	}
+	s.Done()
+	return f
+}
+
+func readLimits(s tomldoc.Scope) Limits {
+	l := Limits{
+		AddedP99Ms:          requiredNumber(s, "added_p99_ms", 1e-3, 1e5),
+		InForceSeconds:      requiredNumber(s, "in_force_seconds", 1e-3, 1e5),
+		ProxyCores:          requiredNumber(s, "proxy_cores", 1e-6, 1e3),
+		ProxyBytes:          requiredNumber(s, "proxy_bytes", 1, 1e12),
+		ProxyBytesPerSecond: requiredNumber(s, "proxy_bytes_per_second", 1, 1e12),
+		ControlMachines:     requiredCount(s, "control_machines", 1e6),
+	}
+	s.Done()
+	return l
+}
+
+func readCurve(s tomldoc.Scope) []int {
+	defer s.Done()
+	v := s.Get("services_followed", tomldoc.Array)
+	if v == nil || len(v.Items) == 0 || len(v.Items) > maxCurve {
+		s.Bad(rules.Range, "services_followed", "1 to %d numbers of services expected", maxCurve)
+		return nil
+	}
+	var curve []int
+	for i, item := range v.Items {
+		var n int
+		_, err := fmt.Sscanf(item.Text, "%d", &n)
+		if item.Kind != tomldoc.Integer || err != nil || n < 1 || n > maxServices {
+			field := fmt.Sprintf("%s[%d]", s.Name("services_followed"), i+1)
+			want := fmt.Sprintf("a whole number, 1 to %d, expected", maxServices)
+			s.Fault(item, rules.Range, field, item.Say(), want)
+			continue
+		}
+		curve = append(curve, n)
+	}
+	if !slices.IsSorted(curve) {
+		s.Bad(rules.Range, "services_followed", "ascending numbers expected")
+	}
+	return curve
+}
+
+func readAssumptions(s tomldoc.Scope) []Assumption {
+	names := assumptionNames()
+	words := make([]string, len(names))
+	for i, n := range names {
+		words[i] = string(n)
+	}
+	var all []Assumption
+	for _, entry := range s.List("assumptions") {
+		a := Assumption{
+			Name:  AssumptionName(entry.Word("name", "", words...)),
+			Value: requiredNumber(entry, "value", 1e-9, 1e12),
+			Unit:  entry.Text("unit", ""),
+			Why:   entry.Text("why", ""),
+		}
+		if hasAssumption(all, a.Name) {
+			entry.Bad(rules.Range, "name", "each assumption once expected")
+		}
+		if a.Why == "" || len(a.Why) > maxReason {
+			entry.Bad(rules.Missing, "why", "the reason, 1 to %d bytes, expected", maxReason)
+		}
+		entry.Done()
+		all = append(all, a)
+	}
+	for _, n := range names {
+		if !hasAssumption(all, n) {
+			s.Bad(rules.Missing, "assumptions", "the assumption %s expected", n)
+		}
+	}
+	return all
+}
+
+func hasAssumption(all []Assumption, name AssumptionName) bool {
+	return slices.ContainsFunc(all, func(a Assumption) bool { return a.Name == name })
+}
