--- a/cmd/fernctl/pcap.go
+++ b/cmd/fernctl/pcap.go
@@ -99,34 +99,34 @@
 	if e.Request != nil {
 		c.requests++
 	}
-	if e.Answer != nil {
+	if e.Response != nil {
 		c.answers++
 	}
-	if e.Request != nil && e.Answer != nil {
+	if e.Request != nil && e.Response != nil {
 		c.paired++
 	}
 	if c.exchange != nil {
 		c.err = errors.Join(c.err, c.exchange(e))
 	}
-	for _, m := range []*http.Message{e.Request, e.Answer} {
+	for _, m := range []*http.Message{e.Request, e.Response} {
 		if m != nil {
-			c.err = errors.Join(c.err, m.Body.Drop())
+			c.err = errors.Join(c.err, m.Body.Remove())
 		}
 	}
 }
 
-// Stream implements http.Sink.
-func (c *collector) Stream(f *flow.Flow, d flow.Direction, x http.Fault) {
-	c.tell(f, d, faultLine{Kind: string(x.Kind), Why: x.Why, At: x.At, Bytes: x.Bytes, Packet: x.Packet})
+// StreamFault implements http.Sink.
+func (c *collector) StreamFault(f *flow.Flow, d flow.Direction, x http.Fault) {
+	c.tell(f, d, faultLine{Kind: string(x.Kind), Why: x.Reason, At: x.Offset, Bytes: x.Bytes, Packet: x.Packet})
 }
 
-// Segments implements http.Sink.
-func (c *collector) Segments(x flow.Fault) {
+// SegmentFault implements http.Sink.
+func (c *collector) SegmentFault(x flow.Fault) {
 	c.tell(x.Flow, x.Direction, faultLine{Kind: string(x.Kind), At: x.Offset, Bytes: x.Bytes, Packet: x.Packet})
 }
 
-// Done implements http.Sink.
-func (c *collector) Done(_ *flow.Flow, why flow.EndReason) { c.ends[why]++ }
+// FlowEnded implements http.Sink.
+func (c *collector) FlowEnded(_ *flow.Flow, why flow.EndReason) { c.ends[why]++ }
 
 // openPcap opens the file that a command names, and a store for its large bodies.
 func openPcap(c *cli.Command) (*os.File, *bodies.Dir, error) {
@@ -153,7 +153,7 @@
 func readFrom(ctx context.Context, c *cli.Command, in io.Reader, store *bodies.Dir, sink http.Sink, to *collector) (*pcap.Summary, error) {
 	opts := pcap.Options{
 		Flow: flow.Limits{Flows: c.Int("flows")}, HTTP: http.Limits{Body: int64(c.Int("body-mb")) << 20},
-		Bodies: store, Bad: func(f *packet.Fault) {
+		Bodies: store, OnMalformed: func(f *packet.DecodeError) {
 			to.tell(nil, 0, faultLine{Kind: "bad-packet", Why: f.Err.Error(), Packet: f.Packet})
 		},
 	}
@@ -161,10 +161,10 @@
 	if err = errors.Join(err, to.err); err != nil {
 		return nil, fmt.Errorf("pcap %s: %s: %w", c.Name, c.Args().First(), err)
 	}
-	if !sum.Whole() {
-		to.tell(nil, 0, faultLine{Kind: "broken-file", Why: *sum.Broken, Packet: sum.Packets + 1})
+	if !sum.Complete() {
+		to.tell(nil, 0, faultLine{Kind: "broken-file", Why: *sum.ReadFailure, Packet: sum.Packets + 1})
 	}
-	if n := sum.GivenUp; n > 0 {
+	if n := sum.DiscardedFragments; n > 0 {
 		to.kinds["fragments-given-up"] += n
 	}
 	return sum, sum.Check()
@@ -227,11 +227,11 @@
 func (r *infoReport) print(out io.Writer) {
 	s := r.Summary
 	fmt.Fprintf(out, "%s: %s, %d packets, %s from %s\n", r.File, s.Format, s.Packets, s.Last.Sub(s.First).Round(time.Millisecond), s.First.UTC().Format(time.RFC3339))
-	fmt.Fprintf(out, "packets   %d TCP, %d fragments waited, %d others, %d of no sense; time went back %d times\n", s.Segments, s.Fragments, s.Others, s.Bad, s.Backwards)
+	fmt.Fprintf(out, "packets   %d TCP, %d fragments waited, %d others, %d of no sense; time went back %d times\n", s.Segments, s.Fragments, s.OtherPackets, s.Malformed, s.TimeReversals)
 	p := s.Payload
 	fmt.Fprintf(out, "payload   %d bytes: %d in order, %d repeated, %d differing, %d not compared, %d behind gaps, %d outside\n",
 		p.Payload, p.Delivered, p.Repeated, p.Conflicts, p.Unverified, p.Untrusted, p.Outside)
-	fmt.Fprintf(out, "streams   %d bytes: %d of requests, %d of answers, %d of faults\n", s.Stream.Bytes, s.Stream.Request, s.Stream.Answer, s.Stream.Faulty)
+	fmt.Fprintf(out, "streams   %d bytes: %d of requests, %d of answers, %d of faults\n", s.Stream.Bytes, s.Stream.Request, s.Stream.Response, s.Stream.Faulty)
 	fmt.Fprintf(out, "messages  %d requests, %d answers, %d pairs\n", r.Requests, r.Answers, r.Paired)
 	for _, end := range slices.Sorted(maps.Keys(r.Flows)) {
 		fmt.Fprintf(out, "flows     %d %s\n", r.Flows[end], end)
@@ -292,13 +292,13 @@
 		}
 		l := requestLine{
 			Flow: e.Flow.ID, Number: e.Number, Packet: q.FirstPacket, At: q.Began.Sub(first).Seconds(), From: e.Flow.Addresses[0].String(),
-			Method: q.Method, Target: q.Target, Class: q.Get("Request-Class"), ID: q.Get("Request-Id"), Body: q.Body.Size,
+			Method: q.Method, Target: q.Target, Class: q.FieldValue("Request-Class"), ID: q.FieldValue("Request-Id"), Body: q.Body.Size,
 		}
 		if l.Digest, err = digest(q.Body); err != nil {
 			return err
 		}
-		if a := e.Answer; a != nil {
-			l.Status, l.Took, l.Answer = a.Code, float64(a.Ended.Sub(q.Ended).Microseconds())/1000, a.Body.Size
+		if a := e.Response; a != nil {
+			l.Status, l.Took, l.Answer = a.StatusCode, float64(a.Ended.Sub(q.Ended).Microseconds())/1000, a.Body.Size
 			if l.Answers, err = digest(a.Body); err != nil {
 				return err
 			}
--- a/cmd/fernctl/pcap_test.go
+++ b/cmd/fernctl/pcap_test.go
@@ -40,7 +40,7 @@
 				t.Fatal(err)
 			}
 			for _, p := range packets {
-				if err := w.WritePacket(gopacket.CaptureInfo{Timestamp: p.Time, CaptureLength: len(p.Data), Length: p.Whole}, p.Data); err != nil {
+				if err := w.WritePacket(gopacket.CaptureInfo{Timestamp: p.Time, CaptureLength: len(p.Data), Length: p.WireLength}, p.Data); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/cmd/fernctl/replay.go
+++ b/cmd/fernctl/replay.go
@@ -65,7 +65,7 @@
 // replayOptions are what the flags say of the plan.
 func replayOptions(c *cli.Command) (replay.Options, error) {
 	o := replay.Options{
-		Speed: c.Float("speed"), Single: c.Bool("single"), Unsafe: c.Bool("unsafe"), Class: c.String("class"), ID: c.String("id"),
+		Speed: c.Float("speed"), ConnectionPerRequest: c.Bool("single"), SendNonIdempotent: c.Bool("unsafe"), ClassField: c.String("class"), IDField: c.String("id"),
 		NewKeys: c.Bool("new-keys"),
 	}
 	var err error
@@ -103,7 +103,7 @@
 		}
 		allowed = append(allowed, a)
 	}
-	return to, replay.May(to, allowed)
+	return to, replay.CheckAddress(to, allowed)
 }
 
 // planner gathers a plan while a capture is read; bodies stay until the replay is over.
@@ -143,9 +143,9 @@
 
 // replayTarget is what the flags say of where requests go.
 func replayTarget(c *cli.Command) (t replay.Target, err error) {
-	t = replay.Target{Conns: c.Int("conns"), Wait: c.Duration("wait"), Pipeline: c.Bool("pipeline")}
-	if t.Conns < 1 || t.Conns > mostConns {
-		return t, fmt.Errorf("pcap replay: -conns: found %d, expected 1 to %d", t.Conns, mostConns)
+	t = replay.Target{MaxConnections: c.Int("conns"), Timeout: c.Duration("wait"), Pipeline: c.Bool("pipeline")}
+	if t.MaxConnections < 1 || t.MaxConnections > mostConns {
+		return t, fmt.Errorf("pcap replay: -conns: found %d, expected 1 to %d", t.MaxConnections, mostConns)
 	}
 	if !c.Bool("dry-run") {
 		t.Addr, err = address(c)
@@ -201,20 +201,20 @@
 	if err != nil {
 		return nil, fmt.Errorf("pcap replay: %w", err)
 	}
-	if target.Write, err = write.New(f, 0, "client"); err != nil {
+	if target.Capture, err = write.New(f, 0, "client"); err != nil {
 		return nil, errors.Join(err, f.Close())
 	}
-	return func() error { return errors.Join(target.Write.Flush(), f.Close()) }, nil
+	return func() error { return errors.Join(target.Capture.Flush(), f.Close()) }, nil
 }
 
 // printPlan prints what would be sent.
 func printPlan(out io.Writer, p *replay.Plan) {
 	for _, s := range p.Steps {
-		if s.Skip != "" {
-			fmt.Fprintf(out, "%10.4f conn %d: %s %s (%s): left out: %s\n", s.At.Seconds(), s.Conn, s.Method, s.Target, s.Repeat, s.Skip)
+		if s.SkipReason != "" {
+			fmt.Fprintf(out, "%10.4f conn %d: %s %s (%s): left out: %s\n", s.Offset.Seconds(), s.Connection, s.Method, s.Target, s.Idempotency, s.SkipReason)
 			continue
 		}
-		fmt.Fprintf(out, "%10.4f conn %d (%s)\n%s", s.At.Seconds(), s.Conn, s.Repeat, s.Head)
+		fmt.Fprintf(out, "%10.4f conn %d (%s)\n%s", s.Offset.Seconds(), s.Connection, s.Idempotency, s.Head)
 	}
 }
 
@@ -269,7 +269,7 @@
 	of := func(s *replay.Step) *sideBySide {
 		name := s.Class
 		if name == "" {
-			name = s.Method + " (" + s.Repeat.String() + ")"
+			name = s.Method + " (" + s.Idempotency.String() + ")"
 		}
 		if classes[name] == nil {
 			classes[name] = &sideBySide{Class: name, Captured: map[string]int{}, Replayed: map[string]int{}}
@@ -279,13 +279,13 @@
 	for _, s := range p.Steps {
 		c := of(s)
 		c.Requests++
-		c.Captured[status(s.Captured.Code)]++
-		if s.Captured.Code > 0 {
-			c.captured = append(c.captured, s.Captured.Took)
+		c.Captured[status(s.Captured.StatusCode)]++
+		if s.Captured.StatusCode > 0 {
+			c.captured = append(c.captured, s.Captured.Latency)
 		}
-		if s.Skip != "" {
+		if s.SkipReason != "" {
 			c.LeftOut++
-			r.LeftOut[s.Skip]++
+			r.LeftOut[s.SkipReason]++
 		}
 	}
 	for _, x := range results {
@@ -293,18 +293,18 @@
 		if x.Sent {
 			c.Sent++
 		}
-		c.late = append(c.late, x.Late)
-		c.Replayed[status(x.Got.Code)]++
+		c.late = append(c.late, x.Delay)
+		c.Replayed[status(x.Replayed.StatusCode)]++
 		if x.Err != nil {
 			c.NoAnswer++
 			r.Errors[x.Err.Error()]++
 			continue
 		}
-		c.replayed = append(c.replayed, x.Got.Took)
-		if x.Got.Code == x.Step.Captured.Code {
+		c.replayed = append(c.replayed, x.Replayed.Latency)
+		if x.Replayed.StatusCode == x.Step.Captured.StatusCode {
 			c.Statuses++
 		}
-		if x.Equal {
+		if x.BodyEqual {
 			c.Bodies++
 		}
 	}
--- a/internal/pcap/bench_test.go
+++ b/internal/pcap/bench_test.go
@@ -82,7 +82,7 @@
 				b.Fatal(err)
 			}
 			seqs = append(seqs, buf.Len()-pcapHead+recordHead+seqOffset)
-			if err := w.WritePacket(gopacket.CaptureInfo{Timestamp: noon, CaptureLength: len(packets[0].Data), Length: packets[0].Whole}, packets[0].Data); err != nil {
+			if err := w.WritePacket(gopacket.CaptureInfo{Timestamp: noon, CaptureLength: len(packets[0].Data), Length: packets[0].WireLength}, packets[0].Data); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -146,10 +146,10 @@
 // counting is a Sink that counts.
 type counting struct{ exchanges, faults int }
 
-func (c *counting) Exchange(*http.Exchange)                       { c.exchanges++ }
-func (c *counting) Stream(*flow.Flow, flow.Direction, http.Fault) { c.faults++ }
-func (c *counting) Segments(flow.Fault)                           { c.faults++ }
-func (c *counting) Done(*flow.Flow, flow.EndReason)               {}
+func (c *counting) Exchange(*http.Exchange)                            { c.exchanges++ }
+func (c *counting) StreamFault(*flow.Flow, flow.Direction, http.Fault) { c.faults++ }
+func (c *counting) SegmentFault(flow.Fault)                            { c.faults++ }
+func (c *counting) FlowEnded(*flow.Flow, flow.EndReason)               {}
 
 // discard is a flow.Sink that counts bytes, and a Stream of the library's.
 type discard struct{ bytes int64 }
--- a/internal/pcap/bodies/bodies.go
+++ b/internal/pcap/bodies/bodies.go
@@ -27,14 +27,14 @@
 	return &Dir{path: path, most: most}, nil
 }
 
-// Held is how many bytes the store holds.
-func (d *Dir) Held() int64 { return d.held.Load() }
+// StoredBytes is how many bytes the store holds.
+func (d *Dir) StoredBytes() int64 { return d.held.Load() }
 
 // Close removes the store and what is left in it.
 func (d *Dir) Close() error { return os.RemoveAll(d.path) }
 
 // New implements http.Store.
-func (d *Dir) New() (http.Room, error) {
+func (d *Dir) New() (http.StoredBody, error) {
 	f, err := os.CreateTemp(d.path, "body-")
 	if err != nil {
 		return nil, fmt.Errorf("bodies: %w", err)
@@ -94,8 +94,8 @@
 	return os.Open(r.name)
 }
 
-// Drop implements http.Room.
-func (r *room) Drop() error {
+// Remove implements http.Room.
+func (r *room) Remove() error {
 	r.dir.held.Add(-r.size)
 	r.size, r.wait = 0, nil
 	return os.Remove(r.name)
--- a/internal/pcap/bodies/bodies_test.go
+++ b/internal/pcap/bodies/bodies_test.go
@@ -42,11 +42,11 @@
 	if _, err := r.Write(make([]byte, 1<<20)); !errors.Is(err, ErrFull) {
 		t.Errorf("a full store: %v", err)
 	}
-	if err := r.Drop(); err != nil {
+	if err := r.Remove(); err != nil {
 		t.Error(err)
 	}
-	if d.Held() != 0 {
-		t.Errorf("%d bytes held after the last drop", d.Held())
+	if d.StoredBytes() != 0 {
+		t.Errorf("%d bytes held after the last drop", d.StoredBytes())
 	}
 	if err := d.Close(); err != nil {
 		t.Error(err)
--- a/internal/pcap/capture/capture.go
+++ b/internal/pcap/capture/capture.go
@@ -16,35 +16,35 @@
 	"github.com/gopacket/gopacket/pcapgo"
 )
 
-// MostPacket is the longest packet that is read, in bytes: what the tools of the field take at most.
-const MostPacket = 256 << 10
+// MaxPacketBytes is the longest packet that is read, in bytes: what the tools of the field take at most.
+const MaxPacketBytes = 256 << 10
 
 const buffer = 256 << 10
 
 // Packet is one packet of a file.
 type Packet struct {
-	Number int64 // from 1
-	Time   time.Time
-	Link   layers.LinkType
-	Iface  int // of a pcapng section
-	Data   []byte
-	Whole  int // bytes that it had on the wire
+	Number     int64 // from 1
+	Time       time.Time
+	Link       layers.LinkType
+	Interface  int // of a pcapng section
+	Data       []byte
+	WireLength int // bytes that it had on the wire
 }
 
-// Fault says that a file cannot be read on.
-type Fault struct {
+// ReadError says that a file cannot be read on.
+type ReadError struct {
 	Packet int64 // the number that the next packet would have had
 	Offset int64 // bytes read of the file, before decompression
 	Err    error
 }
 
 // Error implements error.
-func (f *Fault) Error() string {
+func (f *ReadError) Error() string {
 	return fmt.Sprintf("packet %d, at byte %d of the file: %v", f.Packet, f.Offset, f.Err)
 }
 
 // Unwrap returns the cause.
-func (f *Fault) Unwrap() error { return f.Err }
+func (f *ReadError) Unwrap() error { return f.Err }
 
 // ErrTruncated is the cause of a Fault where the file ends within a packet.
 var ErrTruncated = errors.New("the file ends within a packet")
@@ -124,20 +124,20 @@
 		return Packet{}, c.err
 	}
 	data, info, err := c.file.ZeroCopyReadPacketData()
-	if err == nil && len(data) > MostPacket {
-		err = fmt.Errorf("found a packet of %d bytes, expected at most %d", len(data), MostPacket)
+	if err == nil && len(data) > MaxPacketBytes {
+		err = fmt.Errorf("found a packet of %d bytes, expected at most %d", len(data), MaxPacketBytes)
 	}
 	if err != nil {
 		if c.err = io.EOF; !errors.Is(err, io.EOF) {
 			if errors.Is(err, io.ErrUnexpectedEOF) {
 				err = ErrTruncated
 			}
-			c.err = &Fault{c.number + 1, c.in.n, err}
+			c.err = &ReadError{c.number + 1, c.in.n, err}
 		}
 		return Packet{}, c.err
 	}
 	c.number++
-	p := Packet{Number: c.number, Time: info.Timestamp, Link: c.link, Iface: info.InterfaceIndex, Data: data, Whole: info.Length}
+	p := Packet{Number: c.number, Time: info.Timestamp, Link: c.link, Interface: info.InterfaceIndex, Data: data, WireLength: info.Length}
 	if len(info.AncillaryData) > 0 {
 		if link, ok := info.AncillaryData[0].(layers.LinkType); ok {
 			p.Link = link
--- a/internal/pcap/capture/capture_test.go
+++ b/internal/pcap/capture/capture_test.go
@@ -41,7 +41,7 @@
 				t.Fatal(err)
 			}
 			p, err := r.Next()
-			if err != nil || string(p.Data) != "hello" || p.Whole != 12 || !p.Time.Equal(at) || p.Link != layers.LinkTypeRaw || p.Number != 1 || r.Format() != "pcap" {
+			if err != nil || string(p.Data) != "hello" || p.WireLength != 12 || !p.Time.Equal(at) || p.Link != layers.LinkTypeRaw || p.Number != 1 || r.Format() != "pcap" {
 				t.Errorf("%v, nanoseconds %v: %+v, %v", order, nanos, p, err)
 			}
 			if _, err := r.Next(); !errors.Is(err, io.EOF) {
@@ -101,7 +101,7 @@
 
 // Lengths that cannot be are a fault with its place, and take no memory.
 func TestHostileLengths(t *testing.T) {
-	for _, n := range []uint32{MostPacket + 1, 1 << 30, 1<<32 - 1} {
+	for _, n := range []uint32{MaxPacketBytes + 1, 1 << 30, 1<<32 - 1} {
 		file := pcapFile(binary.LittleEndian, false, "hello")
 		binary.LittleEndian.PutUint32(file[32:], n)
 		binary.LittleEndian.PutUint32(file[36:], n)
@@ -109,7 +109,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var fault *Fault
+		var fault *ReadError
 		_, err = r.Next()
 		if !errors.As(err, &fault) || fault.Packet != 1 || !strings.Contains(err.Error(), "packet 1, at byte 45") {
 			t.Errorf("a length of %d: %v", n, err)
--- a/internal/pcap/http/body.go
+++ b/internal/pcap/http/body.go
@@ -8,98 +8,115 @@
 
 // Store keeps bodies that are too large for memory.
 type Store interface {
-	// New returns room for one body.
-	New() (Room, error)
+	// New returns an empty body to write to.
+	New() (StoredBody, error)
 }
 
-// Room keeps one body. It belongs to whoever has the message, who calls Drop when done with it.
-type Room interface {
+// StoredBody is one body of a Store. It belongs to whoever has the message, who calls Remove when
+// done with it.
+type StoredBody interface {
 	io.Writer
 	// Open returns the body from its start.
 	Open() (io.ReadCloser, error)
-	// Drop gives the room back.
-	Drop() error
+	// Remove removes the body from its store.
+	Remove() error
 }
 
 // Body is a message's body. The zero Body is empty.
 type Body struct {
-	Size  int64
-	small []byte
-	room  Room
+	Size   int64      // bytes
+	memory []byte     // the bytes, unless stored is set
+	stored StoredBody // nil for a body in memory
 }
 
-// Open returns the body's bytes from the start. It may be called again and again until Drop.
+// Open returns the body's bytes from the start. It may be called many times until Remove.
 func (b Body) Open() (io.ReadCloser, error) {
-	if b.room != nil {
-		r, err := b.room.Open()
-		if err != nil {
-			return nil, fmt.Errorf("open a kept body: %w", err)
-		}
-		return r, nil
+	if b.stored == nil {
+		return io.NopCloser(bytes.NewReader(b.memory)), nil
+	}
+	r, err := b.stored.Open()
+	if err != nil {
+		return nil, fmt.Errorf("open a kept body: %w", err)
 	}
-	return io.NopCloser(bytes.NewReader(b.small)), nil
+	return r, nil
 }
 
-// Bytes is the whole body.
+// Bytes returns all bytes of the body.
 func (b Body) Bytes() ([]byte, error) {
-	if b.room == nil {
-		return b.small, nil
+	if b.stored == nil {
+		return b.memory, nil
 	}
 	r, err := b.Open()
 	if err != nil {
 		return nil, err
 	}
-	defer r.Close()
+	defer func() { _ = r.Close() }() // it was only read: nothing can be lost
 	return io.ReadAll(r)
 }
 
-// Drop gives back what holds the body.
-func (b Body) Drop() error {
-	if b.room == nil {
+// Remove removes the body from its store.
+func (b Body) Remove() error {
+	if b.stored == nil {
 		return nil
 	}
-	return b.room.Drop()
+	return b.stored.Remove()
 }
 
-// filling is a body on its way.
-type filling struct {
-	size  int64
-	most  int
-	small []byte
-	store Store
-	room  Room
+// bodyBuffer gathers a body: in memory up to a limit, in a store beyond it.
+type bodyBuffer struct {
+	size        int64
+	memoryLimit int
+	memory      []byte
+	store       Store // may be nil
+	stored      StoredBody
 }
 
-func newFilling(store Store, most int) *filling { return &filling{store: store, most: most} }
+func newBodyBuffer(store Store, memoryLimit int) *bodyBuffer {
+	return &bodyBuffer{store: store, memoryLimit: memoryLimit}
+}
 
-func (f *filling) add(data []byte) error {
-	if f.room == nil && f.store != nil && len(f.small)+len(data) > f.most {
-		room, err := f.store.New()
-		if err != nil {
+// append adds bytes to the body. An error is the store's.
+func (b *bodyBuffer) append(data []byte) error {
+	if b.stored == nil && b.store != nil && len(b.memory)+len(data) > b.memoryLimit {
+		if err := b.moveToStore(); err != nil {
 			return err
 		}
-		if f.room = room; len(f.small) > 0 {
-			if _, err := room.Write(f.small); err != nil {
-				return err
-			}
-			f.small = nil
-		}
 	}
-	f.size += int64(len(data))
-	if f.room != nil {
-		_, err := f.room.Write(data)
+	b.size += int64(len(data))
+	if b.stored != nil {
+		_, err := b.stored.Write(data)
+		return err
+	}
+	b.memory = append(b.memory, data...)
+	return nil
+}
+
+// moveToStore moves what is in memory to the store.
+func (b *bodyBuffer) moveToStore() error {
+	stored, err := b.store.New()
+	if err != nil {
+		return err
+	}
+	b.stored = stored
+	if len(b.memory) == 0 {
+		return nil
+	}
+	if _, err := stored.Write(b.memory); err != nil {
 		return err
 	}
-	f.small = append(f.small, data...)
+	b.memory = nil
 	return nil
 }
 
-// drop gives back what a body that comes to nothing holds. A room that cannot be dropped is its store's to report.
-func (f *filling) drop() {
-	if f.room != nil {
-		_ = f.room.Drop()
+// discard drops a body that is not handed on.
+func (b *bodyBuffer) discard() {
+	if b.stored != nil {
+		_ = b.stored.Remove() // the store removes what is left when it closes
 	}
-	f.small, f.room = nil, nil
+	b.memory, b.stored = nil, nil
 }
 
-func (f *filling) body() Body { return Body{Size: f.size, small: f.small, room: f.room} }
+// body returns the body as gathered.
+func (b *bodyBuffer) body() Body {
+	return Body{Size: b.size, memory: b.memory, stored: b.stored}
+}
--- a/internal/pcap/packet/packet.go
+++ b/internal/pcap/packet/packet.go
@@ -22,10 +22,10 @@
 
 // The kinds of packet.
 const (
-	Segment  Kind = iota // of TCP
-	Other                // of another protocol
-	Fragment             // of an IP datagram of which more is to come
-	Bad                  // of no sense, or cut before its TCP header ends
+	Segment   Kind = iota // of TCP
+	Other                 // of another protocol
+	Fragment              // of an IP datagram of which more is to come
+	Malformed             // of no sense, or cut before its TCP header ends
 )
 
 const (
@@ -94,8 +94,8 @@
 	d.waiting, d.count = map[datagram]*pieces{}, 0
 }
 
-// GivenUp is how many fragments were given up, with those that still wait.
-func (d *Decoder) GivenUp() int64 { return d.given + int64(d.count) }
+// DiscardedFragments is how many fragments were given up, with those that still wait.
+func (d *Decoder) DiscardedFragments() int64 { return d.given + int64(d.count) }
 
 // Decode fills in s from a packet; its payload is good as long as the packet's data. The error says what makes a packet
 // Bad.
@@ -115,11 +115,11 @@
 			first = layers.LayerTypeIPv6
 		}
 	default:
-		return Bad, fmt.Errorf("found link type %d, expected Ethernet, Linux cooked, loopback or raw IP", p.Link)
+		return Malformed, fmt.Errorf("found link type %d, expected Ethernet, Linux cooked, loopback or raw IP", p.Link)
 	}
 	s.Packet, s.Time = p.Number, p.Time
 	if err := d.parsers[first].DecodeLayers(p.Data, &d.decoded); err != nil {
-		return Bad, fmt.Errorf("cannot be decoded: %w", err)
+		return Malformed, fmt.Errorf("cannot be decoded: %w", err)
 	}
 	var ip gopacket.LayerType
 	var fragment6 bool
@@ -222,7 +222,7 @@
 	ip.SrcIP, ip.DstIP = append([]byte(nil), ip.SrcIP...), append([]byte(nil), ip.DstIP...)
 	out, err := d.frag4.DefragIPv4WithTimestamp(&ip, s.Time)
 	if err != nil {
-		return Bad, fmt.Errorf("%w: %w", errFragment, err)
+		return Malformed, fmt.Errorf("%w: %w", errFragment, err)
 	}
 	k := datagram{addr(ip.SrcIP), addr(ip.DstIP), uint32(ip.Id)}
 	if out == nil {
@@ -252,19 +252,19 @@
 		return Other, nil
 	}
 	if err := d.parsers[layers.LayerTypeTCP].DecodeLayers(data, &d.decoded); err != nil || len(d.decoded) == 0 {
-		return Bad, fmt.Errorf("cannot be decoded when put together: %w", err)
+		return Malformed, fmt.Errorf("cannot be decoded when put together: %w", err)
 	}
 	return d.segment(ip, s, true), nil
 }
 
-// Fault is a packet of no sense.
-type Fault struct {
+// DecodeError is a packet of no sense.
+type DecodeError struct {
 	Packet int64
 	Err    error
 }
 
 // Error implements error.
-func (f *Fault) Error() string { return fmt.Sprintf("packet %d: %v", f.Packet, f.Err) }
+func (f *DecodeError) Error() string { return fmt.Sprintf("packet %d: %v", f.Packet, f.Err) }
 
 // Unwrap returns the cause.
-func (f *Fault) Unwrap() error { return f.Err }
+func (f *DecodeError) Unwrap() error { return f.Err }
--- a/internal/pcap/packet/packet_test.go
+++ b/internal/pcap/packet/packet_test.go
@@ -32,7 +32,7 @@
 }
 
 func raw(data []byte, n int64) *capture.Packet {
-	return &capture.Packet{Number: n, Time: noon, Link: layers.LinkTypeRaw, Data: data, Whole: len(data)}
+	return &capture.Packet{Number: n, Time: noon, Link: layers.LinkTypeRaw, Data: data, WireLength: len(data)}
 }
 
 // Extension headers before the segment are passed over (RFC 8200, section 4), and fragments are put together.
@@ -53,11 +53,11 @@
 		head := gopacket.Payload{byte(layers.IPProtocolTCP), 0, byte(from >> 8), byte(from) | more, 0, 0, 0, 9}
 		return serialize(t, v6(layers.IPProtocolIPv6Fragment), head, gopacket.Payload(whole[from:to]))
 	}
-	if k, _ := d.Decode(raw(piece(24, len(whole), 0), 3), &s); k != Fragment || d.GivenUp() != 1 {
-		t.Errorf("the last fragment first: %v, %d wait", k, d.GivenUp())
+	if k, _ := d.Decode(raw(piece(24, len(whole), 0), 3), &s); k != Fragment || d.DiscardedFragments() != 1 {
+		t.Errorf("the last fragment first: %v, %d wait", k, d.DiscardedFragments())
 	}
-	if k, err := d.Decode(raw(piece(0, 24, 1), 4), &s); k != Segment || err != nil || string(s.Payload) != "hello, this is a longer one" || d.GivenUp() != 0 {
-		t.Errorf("put together: %v, %v, %+v, %d wait", k, err, s, d.GivenUp())
+	if k, err := d.Decode(raw(piece(0, 24, 1), 4), &s); k != Segment || err != nil || string(s.Payload) != "hello, this is a longer one" || d.DiscardedFragments() != 0 {
+		t.Errorf("put together: %v, %v, %+v, %d wait", k, err, s, d.DiscardedFragments())
 	}
 }
 
@@ -77,8 +77,8 @@
 			t.Fatalf("%d fragments wait", d.count)
 		}
 	}
-	if d.GivenUp() != 3*mostFragments {
-		t.Errorf("%d fragments are counted, of %d", d.GivenUp(), 3*mostFragments)
+	if d.DiscardedFragments() != 3*mostFragments {
+		t.Errorf("%d fragments are counted, of %d", d.DiscardedFragments(), 3*mostFragments)
 	}
 }
 
@@ -94,12 +94,12 @@
 	}{
 		"UDP":         {raw(udp, 1), Other},
 		"ARP":         {&capture.Packet{Link: layers.LinkTypeEthernet, Data: arp}, Other},
-		"empty":       {raw(nil, 1), Bad},
-		"cut head":    {raw(udp[:20], 1), Bad},
-		"half a TCP":  {raw(serialize(t, v6(layers.IPProtocolTCP), gopacket.Payload(make([]byte, 9))), 1), Bad},
-		"other links": {&capture.Packet{Link: 195, Data: udp}, Bad},
+		"empty":       {raw(nil, 1), Malformed},
+		"cut head":    {raw(udp[:20], 1), Malformed},
+		"half a TCP":  {raw(serialize(t, v6(layers.IPProtocolTCP), gopacket.Payload(make([]byte, 9))), 1), Malformed},
+		"other links": {&capture.Packet{Link: 195, Data: udp}, Malformed},
 	} {
-		if k, err := d.Decode(c.p, &s); k != c.want || (err != nil) != (c.want == Bad) {
+		if k, err := d.Decode(c.p, &s); k != c.want || (err != nil) != (c.want == Malformed) {
 			t.Errorf("%s: %v, %v", name, k, err)
 		}
 	}
--- a/internal/pcap/pcap.go
+++ b/internal/pcap/pcap.go
@@ -18,37 +18,37 @@
 
 // Options bound and direct a reading. The zero value is fine.
 type Options struct {
-	Flow   flow.Limits
-	HTTP   http.Limits
-	Bodies http.Store          // of bodies too large for memory; nil: all stay there
-	Bad    func(*packet.Fault) // takes packets of no sense; may be nil
+	Flow        flow.Limits
+	HTTP        http.Limits
+	Bodies      http.Store                // of bodies too large for memory; nil: all stay there
+	OnMalformed func(*packet.DecodeError) // takes packets of no sense; may be nil
 }
 
 // Summary counts what was read.
 type Summary struct {
-	Format    string          `json:"format"`
-	Packets   int64           `json:"packets"`
-	Segments  int64           `json:"segments"`  // of TCP
-	Others    int64           `json:"others"`    // packets of other protocols
-	Fragments int64           `json:"fragments"` // that waited for others
-	GivenUp   int64           `json:"fragments_given_up"`
-	Bad       int64           `json:"bad"` // packets of no sense, or cut within a header
-	Backwards int64           `json:"time_went_back"`
-	First     time.Time       `json:"first"`
-	Last      time.Time       `json:"last"`
-	Payload   flow.ByteCounts `json:"payload"`
-	Stream    http.Account    `json:"stream"`
-	Broken    *string         `json:"broken,omitempty"` // why the file could not be read to its end
-	fault     *capture.Fault
+	Format             string          `json:"format"`
+	Packets            int64           `json:"packets"`
+	Segments           int64           `json:"segments"`  // of TCP
+	OtherPackets       int64           `json:"others"`    // packets of other protocols
+	Fragments          int64           `json:"fragments"` // that waited for others
+	DiscardedFragments int64           `json:"fragments_given_up"`
+	Malformed          int64           `json:"bad"` // packets of no sense, or cut within a header
+	TimeReversals      int64           `json:"time_went_back"`
+	First              time.Time       `json:"first"`
+	Last               time.Time       `json:"last"`
+	Payload            flow.ByteCounts `json:"payload"`
+	Stream             http.ByteCounts `json:"stream"`
+	ReadFailure        *string         `json:"broken,omitempty"` // why the file could not be read to its end
+	readError          *capture.ReadError
 }
 
-// Whole tells whether the file was read to its end.
-func (s *Summary) Whole() bool { return s.fault == nil }
+// Complete tells whether the file was read to its end.
+func (s *Summary) Complete() bool { return s.readError == nil }
 
 // Check tells whether every byte is accounted for. An error is a fault of this program.
 func (s *Summary) Check() error {
 	var wrong []string
-	if sum := s.Segments + s.Others + s.Fragments + s.Bad; sum != s.Packets {
+	if sum := s.Segments + s.OtherPackets + s.Fragments + s.Malformed; sum != s.Packets {
 		wrong = append(wrong, fmt.Sprintf("%d packets, %d accounted for", s.Packets, sum))
 	}
 	if sum := s.Payload.Sum(); sum != s.Payload.Payload {
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// lookEvery is how many packets pass between two looks at the context.
-const lookEvery = 4096
+// contextCheckInterval is how many packets pass between two looks at the context.
+const contextCheckInterval = 4096
 
 // Read reads a whole capture and tells sink what it holds. A file that breaks off is read as far as it goes, and the
 // Summary says so; an error means that nothing could be read, or that the context ended.
@@ -84,16 +84,16 @@
 	for {
 		p, err := file.Next()
 		if err != nil {
-			errors.As(err, &sum.fault)
+			errors.As(err, &sum.readError)
 			break
 		}
-		if sum.Packets%lookEvery == 0 && ctx.Err() != nil {
+		if sum.Packets%contextCheckInterval == 0 && ctx.Err() != nil {
 			return nil, fmt.Errorf("pcap: at packet %d: %w", p.Number, ctx.Err())
 		}
 		if sum.Packets++; sum.Packets == 1 {
 			sum.First, sum.Last = p.Time, p.Time
 		} else if p.Time.Before(sum.Last) {
-			sum.Backwards++
+			sum.TimeReversals++
 		} else {
 			sum.Last = p.Time
 		}
@@ -103,21 +103,21 @@
 			sum.Segments++
 			flows.Add(&segment)
 		case packet.Other:
-			sum.Others++
+			sum.OtherPackets++
 		case packet.Fragment:
 			sum.Fragments++
-		case packet.Bad:
-			if sum.Bad++; opts.Bad != nil {
-				opts.Bad(&packet.Fault{Packet: p.Number, Err: err})
+		case packet.Malformed:
+			if sum.Malformed++; opts.OnMalformed != nil {
+				opts.OnMalformed(&packet.DecodeError{Packet: p.Number, Err: err})
 			}
 		}
 	}
 	flows.Close()
-	sum.GivenUp = decoder.GivenUp()
-	sum.Payload, sum.Stream = flows.ByteCounts(), reader.Account()
-	if sum.fault != nil {
-		why := sum.fault.Error()
-		sum.Broken = &why
+	sum.DiscardedFragments = decoder.DiscardedFragments()
+	sum.Payload, sum.Stream = flows.ByteCounts(), reader.ByteCounts()
+	if sum.readError != nil {
+		why := sum.readError.Error()
+		sum.ReadFailure = &why
 	}
 	return sum, nil
 }
--- a/internal/pcap/pcap_test.go
+++ b/internal/pcap/pcap_test.go
@@ -39,7 +39,7 @@
 
 func (f *found) Exchange(e *http.Exchange) {
 	f.exchanges = append(f.exchanges, e)
-	for _, m := range []*http.Message{e.Request, e.Answer} {
+	for _, m := range []*http.Message{e.Request, e.Response} {
 		if m != nil {
 			body, err := m.Body.Bytes()
 			if err != nil {
@@ -50,13 +50,13 @@
 	}
 }
 
-func (f *found) Stream(c *flow.Flow, _ flow.Direction, x http.Fault) {
+func (f *found) StreamFault(c *flow.Flow, _ flow.Direction, x http.Fault) {
 	f.streams[c.ID] = append(f.streams[c.ID], x)
 }
 
-func (f *found) Segments(x flow.Fault)                 { f.segments[x.Flow.ID] = append(f.segments[x.Flow.ID], x) }
-func (f *found) Done(c *flow.Flow, why flow.EndReason) { f.ends[c.ID] = why }
-func (f *found) faults(id int64) int                   { return len(f.streams[id]) + len(f.segments[id]) }
+func (f *found) SegmentFault(x flow.Fault)                  { f.segments[x.Flow.ID] = append(f.segments[x.Flow.ID], x) }
+func (f *found) FlowEnded(c *flow.Flow, why flow.EndReason) { f.ends[c.ID] = why }
+func (f *found) faults(id int64) int                        { return len(f.streams[id]) + len(f.segments[id]) }
 
 // message is a message as it was made.
 type message struct {
@@ -97,18 +97,18 @@
 	if rnd.IntN(4) == 0 {
 		isn[0] = ^uint32(0) - uint32(rnd.IntN(2000)) // wraps
 	}
-	t := &talk{conn: synth.NewConn(client, server, synth.Link(rnd.IntN(int(synth.Links))), isn)}
+	t := &talk{conn: synth.NewConn(client, server, synth.Link(rnd.IntN(int(synth.LinkCount))), isn)}
 	t.conn.Open()
 	var at [2]int
 	size := 100 + rnd.IntN(1400)
 	for burst := range 1 + rnd.IntN(3) {
 		var ask, tell string
 		for n := range 1 + rnd.IntN(3) {
-			body := string(synth.Bytes(rnd, rnd.IntN(6000)))
+			body := string(synth.RandomBytes(rnd, rnd.IntN(6000)))
 			text := framed(rnd, fmt.Sprintf("POST /usage-rate/%d.%d.%d HTTP/1.1\r\nHost: b\r\nRequest-Id: %d-%d-%d\r\n", i, burst, n, i, burst, n), body)
 			t.asked = append(t.asked, message{text, body, at[0] + len(ask), at[0] + len(ask) + len(text)})
 			ask += text
-			body = string(synth.Bytes(rnd, rnd.IntN(3000)))
+			body = string(synth.RandomBytes(rnd, rnd.IntN(3000)))
 			text = framed(rnd, "HTTP/1.1 200 OK\r\n", body)
 			if rnd.IntN(5) == 0 {
 				text = "HTTP/1.1 100 Continue\r\n\r\n" + text
@@ -131,7 +131,7 @@
 func spoil(rnd *rand.Rand, c *synth.Conn) (reported bool) {
 	var with []int // parts with data
 	for i, p := range c.Parts {
-		if len(p.Data) > 2 && !p.Spoilt {
+		if len(p.Data) > 2 && !p.Altered {
 			with = append(with, i)
 		}
 	}
@@ -141,7 +141,7 @@
 	// No part is spoilt twice, lest one fault undo another.
 	pick := func() int {
 		i := with[rnd.IntN(len(with))]
-		c.Parts[i].Spoilt = true
+		c.Parts[i].Altered = true
 		return i
 	}
 	switch rnd.IntN(8) {
@@ -166,18 +166,18 @@
 		return true
 	case 4: // cut by the snap length
 		i := pick()
-		c.Parts[i].Cut = 1 + rnd.IntN(len(c.Parts[i].Data)-1)
+		c.Parts[i].Truncated = 1 + rnd.IntN(len(c.Parts[i].Data)-1)
 		return true
 	case 5: // a keep-alive probe
 		i := pick()
 		p := c.Parts[i]
-		probe := synth.Part{Dir: p.Dir, Seq: p.Seq + uint32(len(p.Data)) - 1, Data: []byte{0}}
+		probe := synth.Part{Direction: p.Direction, Seq: p.Seq + uint32(len(p.Data)) - 1, Data: []byte{0}}
 		c.Parts = slices.Insert(c.Parts, i+1, probe)
 	case 6: // overlapping its neighbour with the same bytes
 		for range 8 {
 			i := pick()
-			if i+1 < len(c.Parts) && c.Parts[i+1].Dir == c.Parts[i].Dir && len(c.Parts[i+1].Data) > 0 && !c.Parts[i+1].Spoilt {
-				c.Parts[i+1].Spoilt = true
+			if i+1 < len(c.Parts) && c.Parts[i+1].Direction == c.Parts[i].Direction && len(c.Parts[i+1].Data) > 0 && !c.Parts[i+1].Altered {
+				c.Parts[i+1].Altered = true
 				n := 1 + rnd.IntN(len(c.Parts[i].Data)-1)
 				c.Parts[i+1].Seq -= uint32(n)
 				c.Parts[i+1].Data = append(slices.Clone(c.Parts[i].Data[len(c.Parts[i].Data)-n:]), c.Parts[i+1].Data...)
@@ -185,7 +185,7 @@
 			}
 		}
 	case 7: // in fragments
-		c.Parts[pick()].Split = 2 + rnd.IntN(3)
+		c.Parts[pick()].Fragments = 2 + rnd.IntN(3)
 	}
 	return false
 }
@@ -195,9 +195,9 @@
 	type span struct{ from, to int }
 	var spans []span
 	for _, p := range c.Parts {
-		if p.Dir == dir && len(p.Data) > p.Cut {
+		if p.Direction == dir && len(p.Data) > p.Truncated {
 			from := int(int32(p.Seq - isn - 1))
-			spans = append(spans, span{from, from + len(p.Data) - p.Cut})
+			spans = append(spans, span{from, from + len(p.Data) - p.Truncated})
 		}
 	}
 	slices.SortFunc(spans, func(a, b span) int { return a.from - b.from })
@@ -221,7 +221,7 @@
 		}
 	}
 	info := func(p synth.Packet) gopacket.CaptureInfo {
-		return gopacket.CaptureInfo{Timestamp: p.Time, CaptureLength: len(p.Data), Length: p.Whole}
+		return gopacket.CaptureInfo{Timestamp: p.Time, CaptureLength: len(p.Data), Length: p.WireLength}
 	}
 	switch kind {
 	case 0, 1:
@@ -302,7 +302,7 @@
 func TestWhatWasWholeComesOutByteForByte(t *testing.T) {
 	for seed := range uint64(500) {
 		rnd := rand.New(rand.NewPCG(seed, 15))
-		link := synth.Link(rnd.IntN(int(synth.Links)))
+		link := synth.Link(rnd.IntN(int(synth.LinkCount)))
 		var talks []*talk
 		must := map[netip.AddrPort]bool{}
 		isn := map[*talk][2]uint32{}
@@ -318,14 +318,14 @@
 			talks = append(talks, x)
 		}
 		got, sum := read(t, file(t, int(seed%4), link, interleave(t, rnd, talks)))
-		if !sum.Whole() || sum.Bad > 0 || sum.GivenUp > 0 {
+		if !sum.Complete() || sum.Malformed > 0 || sum.DiscardedFragments > 0 {
 			t.Errorf("seed %d: %+v", seed, sum)
 		}
 		texts := map[string]*http.Exchange{}
 		reported := map[netip.AddrPort]int{}
 		for _, e := range got.exchanges {
 			if e.Request != nil {
-				texts[e.Request.Get("Request-Id")] = e
+				texts[e.Request.FieldValue("Request-Id")] = e
 			}
 			reported[e.Flow.Addresses[0]] += got.faults(e.Flow.ID)
 		}
@@ -343,10 +343,10 @@
 				if e == nil {
 					t.Fatalf("seed %d: request %s was whole up to %d of %d and did not come out", seed, id, m.end, reach[0])
 				}
-				if got.bodies[e.Request] != m.body || !strings.HasPrefix(m.text, string(e.Request.Head)) {
+				if got.bodies[e.Request] != m.body || !strings.HasPrefix(m.text, string(e.Request.RawHead)) {
 					t.Fatalf("seed %d: request %s came out changed", seed, id)
 				}
-				if told := x.told[n]; told.end <= reach[1] && (e.Answer == nil || got.bodies[e.Answer] != told.body) {
+				if told := x.told[n]; told.end <= reach[1] && (e.Response == nil || got.bodies[e.Response] != told.body) {
 					t.Fatalf("seed %d: the answer to %s came out changed, or not at all", seed, id)
 				}
 			}
@@ -381,7 +381,7 @@
 			if sum.Packets < last {
 				t.Errorf("kind %d, %d bytes: %d packets, with fewer bytes %d", kind, n, sum.Packets, last)
 			}
-			if last = sum.Packets; sum.Whole() && sum.Packets == int64(len(packets)) {
+			if last = sum.Packets; sum.Complete() && sum.Packets == int64(len(packets)) {
 				t.Errorf("kind %d: %d of %d bytes pass for the whole file", kind, n, len(data))
 			}
 		}
@@ -425,7 +425,7 @@
 			f.Fatal(err)
 		}
 		for _, p := range packets {
-			if err := w.WritePacket(gopacket.CaptureInfo{Timestamp: p.Time, CaptureLength: len(p.Data), Length: p.Whole}, p.Data); err != nil {
+			if err := w.WritePacket(gopacket.CaptureInfo{Timestamp: p.Time, CaptureLength: len(p.Data), Length: p.WireLength}, p.Data); err != nil {
 				f.Fatal(err)
 			}
 		}
--- a/internal/pcap/replay/plan.go
+++ b/internal/pcap/replay/plan.go
@@ -16,31 +16,31 @@
 	"fernlanding/internal/pcap/http"
 )
 
-// Repeat says what may happen when a request runs once more than in the capture.
-type Repeat int
+// Idempotency says what may happen when a request runs once more than in the capture.
+type Idempotency int
 
 // The kinds of request.
 const (
-	Safe   Repeat = iota // GET, HEAD, OPTIONS, TRACE (RFC 9110, section 9.2.1)
-	Keyed                // it carries an Idempotency-Key
-	Unsafe               // anything else: a replay runs its effect again
+	Idempotent      Idempotency = iota // GET, HEAD, OPTIONS, TRACE (RFC 9110, section 9.2.1)
+	IdempotentByKey                    // it carries an Idempotency-Key
+	NonIdempotent                      // anything else: a replay runs its effect again
 )
 
 // String names the kind.
-func (r Repeat) String() string { return [...]string{"safe", "keyed", "unsafe"}[r] }
+func (r Idempotency) String() string { return [...]string{"safe", "keyed", "unsafe"}[r] }
 
 // Options direct a plan. The zero value sends what is not unsafe, as captured.
 type Options struct {
-	Speed   float64           // 1 and 0: as captured; 2: twice as fast; negative: at once
-	Single  bool              // a connection for each request, not as captured
-	Unsafe  bool              // send unsafe requests too
-	Class   string            // the field that names a request's class in reports (Request-Class)
-	ID      string            // the field whose value is made new (Request-Id); empty: none is
-	NewKeys bool              // Idempotency-Key is made new, alike for alike
-	Set     map[string]string // fields that are set, whatever the capture has; an empty value takes the field out
-	Copy    map[string]string // fields that are set from others of the capture: new name to old name
-	Redact  []Redaction
-	Most    int // requests (default 1,000,000)
+	Speed                float64           // 1 and 0: as captured; 2: twice as fast; negative: at once
+	ConnectionPerRequest bool              // a connection for each request, not as captured
+	SendNonIdempotent    bool              // send unsafe requests too
+	ClassField           string            // the field that names a request's class in reports (Request-Class)
+	IDField              string            // the field whose value is made new (Request-Id); empty: none is
+	NewKeys              bool              // Idempotency-Key is made new, alike for alike
+	Set                  map[string]string // fields that are set, whatever the capture has; an empty value takes the field out
+	Copy                 map[string]string // fields that are set from others of the capture: new name to old name
+	Redact               []Redaction
+	MaxRequests          int // requests (default 1,000,000)
 }
 
 // Redaction replaces what matches in the value of a field, or in bodies of up to 1 MiB if Field is empty. A longer body
@@ -52,36 +52,36 @@
 }
 
 const (
-	defaultMost  = 1_000_000
-	mostRedacted = 1 << 20
-	keyField     = "Idempotency-Key"
-	speedLeast   = 1e-3
-	speedMost    = 1e6
+	defaultMaxRequests = 1_000_000
+	maxRedactedBody    = 1 << 20
+	keyField           = "Idempotency-Key"
+	minSpeed           = 1e-3
+	maxSpeed           = 1e6
 )
 
 // Step is one request of a plan.
 type Step struct {
-	Conn     int // connection of the replay, from 0
-	At       time.Duration
-	Repeat   Repeat
-	Class    string
-	OldID    string
-	NewID    string
-	Head     []byte // with the empty line
-	Body     http.Body
-	Bytes    []byte // stands in for Body if redacted
-	Redacted bool
-	Method   string
-	Target   string
-	Captured Outcome
-	Answer   http.Body // the captured one's
-	Skip     string    // why it is not sent; empty if it is
+	Connection   int // connection of the replay, from 0
+	Offset       time.Duration
+	Idempotency  Idempotency
+	Class        string
+	OldID        string
+	NewID        string
+	Head         []byte // with the empty line
+	Body         http.Body
+	RedactedBody []byte // stands in for Body if redacted
+	Redacted     bool
+	Method       string
+	Target       string
+	Captured     Outcome
+	CapturedBody http.Body // the captured one's
+	SkipReason   string    // why it is not sent; empty if it is
 }
 
 // Outcome is what became of a request: captured, or in the replay.
 type Outcome struct {
-	Code int // 0: no whole answer
-	Took time.Duration
+	StatusCode int // 0: no whole answer
+	Latency    time.Duration
 }
 
 // Plan is what a replay sends.
@@ -100,14 +100,14 @@
 	if opts.Speed == 0 {
 		opts.Speed = 1
 	}
-	if opts.Speed > 0 && (opts.Speed < speedLeast || opts.Speed > speedMost) {
-		return nil, fmt.Errorf("replay: speed: found %g, expected %g to %g", opts.Speed, speedLeast, speedMost)
+	if opts.Speed > 0 && (opts.Speed < minSpeed || opts.Speed > maxSpeed) {
+		return nil, fmt.Errorf("replay: speed: found %g, expected %g to %g", opts.Speed, minSpeed, maxSpeed)
 	}
-	if opts.Most == 0 {
-		opts.Most = defaultMost
+	if opts.MaxRequests == 0 {
+		opts.MaxRequests = defaultMaxRequests
 	}
-	if opts.Class == "" {
-		opts.Class = "Request-Class"
+	if opts.ClassField == "" {
+		opts.ClassField = "Request-Class"
 	}
 	for _, names := range []map[string]string{opts.Set, opts.Copy} {
 		for name, value := range names {
@@ -125,60 +125,60 @@
 		func(f string) bool { return strings.EqualFold(f, name) })
 }
 
-// ErrMost says that a capture has more requests than a plan takes.
-var ErrMost = errors.New("more requests than a replay takes")
+// ErrTooManyRequests says that a capture has more requests than a plan takes.
+var ErrTooManyRequests = errors.New("more requests than a replay takes")
 
 // Add takes the next request of a capture.
 func (p *Plan) Add(e *http.Exchange) error {
 	q := e.Request
-	if len(p.Steps) >= p.opts.Most {
-		return fmt.Errorf("replay: %w: %d", ErrMost, p.opts.Most)
+	if len(p.Steps) >= p.opts.MaxRequests {
+		return fmt.Errorf("replay: %w: %d", ErrTooManyRequests, p.opts.MaxRequests)
 	}
 	if len(p.Steps) == 0 {
 		p.first = q.Began
 	}
-	s := &Step{Method: q.Method, Target: q.Target, Body: q.Body, Class: q.Get(p.opts.Class), OldID: q.Get(p.opts.ID), Repeat: repeat(q)}
+	s := &Step{Method: q.Method, Target: q.Target, Body: q.Body, Class: q.FieldValue(p.opts.ClassField), OldID: q.FieldValue(p.opts.IDField), Idempotency: idempotencyOf(q)}
 	if p.opts.Speed > 0 {
-		s.At = max(0, time.Duration(float64(q.Began.Sub(p.first))/p.opts.Speed))
+		s.Offset = max(0, time.Duration(float64(q.Began.Sub(p.first))/p.opts.Speed))
 	}
-	if n, ok := p.conns[e.Flow.ID]; ok && !p.opts.Single {
-		s.Conn = n
+	if n, ok := p.conns[e.Flow.ID]; ok && !p.opts.ConnectionPerRequest {
+		s.Connection = n
 	} else {
-		s.Conn = p.next
+		s.Connection = p.next
 		p.conns[e.Flow.ID] = p.next
 		p.next++
 	}
-	if a := e.Answer; a != nil {
-		s.Captured, s.Answer = Outcome{a.Code, a.Ended.Sub(q.Ended)}, a.Body
+	if a := e.Response; a != nil {
+		s.Captured, s.CapturedBody = Outcome{a.StatusCode, a.Ended.Sub(q.Ended)}, a.Body
 	}
 	switch {
-	case s.Repeat == Unsafe && !p.opts.Unsafe:
-		s.Skip = "unsafe: its effect would happen again"
-	case q.Method == "CONNECT" || q.Get("Upgrade") != "":
-		s.Skip = "a tunnel"
+	case s.Idempotency == NonIdempotent && !p.opts.SendNonIdempotent:
+		s.SkipReason = "unsafe: its effect would happen again"
+	case q.Method == "CONNECT" || q.FieldValue("Upgrade") != "":
+		s.SkipReason = "a tunnel"
 	}
 	p.Steps = append(p.Steps, s)
-	if s.Skip == "" {
+	if s.SkipReason == "" {
 		return p.word(s, q)
 	}
 	return nil
 }
 
-// repeat is what may happen when a request runs again.
-func repeat(q *http.Message) Repeat {
+// idempotencyOf is what may happen when a request runs again.
+func idempotencyOf(q *http.Message) Idempotency {
 	switch {
 	case q.Method == "GET" || q.Method == "HEAD" || q.Method == "OPTIONS" || q.Method == "TRACE":
-		return Safe
-	case q.Get(keyField) != "":
-		return Keyed
+		return Idempotent
+	case q.FieldValue(keyField) != "":
+		return IdempotentByKey
 	}
-	return Unsafe
+	return NonIdempotent
 }
 
 // word writes the head of a step as it goes out.
 func (p *Plan) word(s *Step, q *http.Message) error {
 	size, err := p.redactBody(s, q)
-	if err != nil || s.Skip != "" {
+	if err != nil || s.SkipReason != "" {
 		return err
 	}
 	h := &headWriter{plan: p}
@@ -190,7 +190,7 @@
 	if !h.host {
 		h.text.WriteString("Host: replay\r\n")
 	}
-	if size > 0 || s.Repeat != Safe {
+	if size > 0 || s.Idempotency != Idempotent {
 		fmt.Fprintf(&h.text, "Content-Length: %d\r\n", size)
 	}
 	s.Head = []byte(h.text.String() + "\r\n")
@@ -205,8 +205,8 @@
 	if !redacted || size <= 0 {
 		return size, nil
 	}
-	if size > mostRedacted {
-		s.Skip = fmt.Sprintf("a body of %d bytes cannot be redacted, of at most %d", size, mostRedacted)
+	if size > maxRedactedBody {
+		s.SkipReason = fmt.Sprintf("a body of %d bytes cannot be redacted, of at most %d", size, maxRedactedBody)
 		return size, nil
 	}
 	body, err := q.Body.Bytes()
@@ -218,7 +218,7 @@
 			body = r.Pattern.ReplaceAll(body, []byte(r.With))
 		}
 	}
-	s.Bytes, s.Redacted = body, true
+	s.RedactedBody, s.Redacted = body, true
 	return int64(len(body)), nil
 }
 
@@ -238,7 +238,7 @@
 func (p *Plan) copyField(h *headWriter, s *Step, f http.Field) {
 	switch {
 	case p.owns(f.Name):
-	case p.opts.ID != "" && strings.EqualFold(f.Name, p.opts.ID):
+	case p.opts.IDField != "" && strings.EqualFold(f.Name, p.opts.IDField):
 		if s.NewID == "" {
 			s.NewID = p.fresh()
 			h.field(f.Name, s.NewID)
@@ -267,12 +267,12 @@
 
 // addFields writes the fields that the plan has of its own.
 func (p *Plan) addFields(h *headWriter, s *Step, q *http.Message) {
-	if p.opts.ID != "" && s.NewID == "" {
+	if p.opts.IDField != "" && s.NewID == "" {
 		s.NewID = p.fresh()
-		h.field(p.opts.ID, s.NewID)
+		h.field(p.opts.IDField, s.NewID)
 	}
 	for _, name := range sorted(p.opts.Copy) {
-		if v := q.Get(p.opts.Copy[name]); v != "" {
+		if v := q.FieldValue(p.opts.Copy[name]); v != "" {
 			h.field(name, v)
 		}
 	}
@@ -311,8 +311,8 @@
 	return names
 }
 
-// May tells whether a replay may go to an address: to loopback always, to another only if it is in the list.
-func May(to netip.AddrPort, allowed []netip.AddrPort) error {
+// CheckAddress tells whether a replay may go to an address: to loopback always, to another only if it is in the list.
+func CheckAddress(to netip.AddrPort, allowed []netip.AddrPort) error {
 	if to.Addr().Unmap().IsLoopback() || slices.Contains(allowed, to) {
 		return nil
 	}
--- a/internal/pcap/replay/replay_test.go
+++ b/internal/pcap/replay/replay_test.go
@@ -29,11 +29,11 @@
 }
 
 func (k *kept) Exchange(e *http.Exchange) { k.all = append(k.all, e) }
-func (k *kept) Stream(_ *flow.Flow, _ flow.Direction, f http.Fault) {
+func (k *kept) StreamFault(_ *flow.Flow, _ flow.Direction, f http.Fault) {
 	k.faults = append(k.faults, string(f.Kind))
 }
-func (k *kept) Segments(f flow.Fault)               { k.faults = append(k.faults, f.String()) }
-func (k *kept) Done(_ *flow.Flow, _ flow.EndReason) {}
+func (k *kept) SegmentFault(f flow.Fault)                { k.faults = append(k.faults, f.String()) }
+func (k *kept) FlowEnded(_ *flow.Flow, _ flow.EndReason) {}
 
 // captured reads conversations as if they had been captured: what the client and the server said, by connection.
 func captured(t *testing.T, talks ...[2]string) []*http.Exchange {
@@ -96,11 +96,11 @@
 func TestAPlanLeavesOutWhatIsUnsafe(t *testing.T) {
 	from := captured(t, [2]string{get + keyed + post, ok + ok + ok})
 	p := plan(t, Options{}, from)
-	if len(p.Steps) != 3 || p.Steps[0].Skip != "" || p.Steps[1].Skip != "" || p.Steps[2].Skip == "" || p.Steps[2].Head != nil {
+	if len(p.Steps) != 3 || p.Steps[0].SkipReason != "" || p.Steps[1].SkipReason != "" || p.Steps[2].SkipReason == "" || p.Steps[2].Head != nil {
 		t.Errorf("got %+v", p.Steps)
 	}
-	p = plan(t, Options{Unsafe: true}, from)
-	if s := p.Steps[2]; s.Skip != "" || !strings.Contains(string(s.Head), "Content-Length: 3\r\n") || strings.Contains(string(s.Head), "chunked") {
+	p = plan(t, Options{SendNonIdempotent: true}, from)
+	if s := p.Steps[2]; s.SkipReason != "" || !strings.Contains(string(s.Head), "Content-Length: 3\r\n") || strings.Contains(string(s.Head), "chunked") {
 		t.Errorf("got %+v, %q", s, s.Head)
 	}
 }
@@ -108,7 +108,7 @@
 func TestAPlanWordsWhatItSends(t *testing.T) {
 	from := captured(t, [2]string{get + keyed + keyed, ok + ok + ok})
 	p := plan(t, Options{
-		ID: "Request-Id", NewKeys: true, Set: map[string]string{"Tenant": "acme", "authorization": ""},
+		IDField: "Request-Id", NewKeys: true, Set: map[string]string{"Tenant": "acme", "authorization": ""},
 		Copy:   map[string]string{"X-Old": "Request-Id"},
 		Redact: []Redaction{{Pattern: regexp.MustCompile(`\d{4}`), With: "XX"}, {Field: "X-Old", Pattern: regexp.MustCompile("u"), With: "v"}},
 	}, from)
@@ -118,7 +118,7 @@
 			t.Errorf("%q is not in %q", want, head)
 		}
 	}
-	if p.Steps[1].OldID != "u1" || p.Steps[1].NewID == p.Steps[2].NewID || strings.Contains(head, "k1") || string(p.Steps[1].Bytes) != "card=XX" {
+	if p.Steps[1].OldID != "u1" || p.Steps[1].NewID == p.Steps[2].NewID || strings.Contains(head, "k1") || string(p.Steps[1].RedactedBody) != "card=XX" {
 		t.Errorf("got %+v", p.Steps[1])
 	}
 	if a, b := keyOf(p.Steps[1]), keyOf(p.Steps[2]); a == "" || a != b {
@@ -127,8 +127,8 @@
 	if strings.Contains(string(p.Steps[0].Head), "secret") {
 		t.Errorf("a field that was taken out goes out: %q", p.Steps[0].Head)
 	}
-	again := plan(t, Options{ID: "Request-Id", NewKeys: true}, from)
-	if same := plan(t, Options{ID: "Request-Id", NewKeys: true}, from); !bytes.Equal(again.Steps[1].Head, same.Steps[1].Head) {
+	again := plan(t, Options{IDField: "Request-Id", NewKeys: true}, from)
+	if same := plan(t, Options{IDField: "Request-Id", NewKeys: true}, from); !bytes.Equal(again.Steps[1].Head, same.Steps[1].Head) {
 		t.Error("one seed gave two plans")
 	}
 	for _, bad := range []Options{{Speed: 1e-9}, {Set: map[string]string{"Content-Length": "1"}}, {Set: map[string]string{"A": "b\r\nc: d"}}, {Copy: map[string]string{"a b": "c"}}} {
@@ -136,7 +136,7 @@
 			t.Errorf("%+v is taken", bad)
 		}
 	}
-	small, err := New(Options{Most: 1}, 1)
+	small, err := New(Options{MaxRequests: 1}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,7 +153,7 @@
 
 func TestOnlyLoopbackUnlessAllowed(t *testing.T) {
 	far := netip.MustParseAddrPort("192.0.2.1:80")
-	if May(far, nil) == nil || May(far, []netip.AddrPort{far}) != nil || May(netip.MustParseAddrPort("127.0.0.9:80"), nil) != nil || May(netip.MustParseAddrPort("[::1]:80"), nil) != nil {
+	if CheckAddress(far, nil) == nil || CheckAddress(far, []netip.AddrPort{far}) != nil || CheckAddress(netip.MustParseAddrPort("127.0.0.9:80"), nil) != nil || CheckAddress(netip.MustParseAddrPort("[::1]:80"), nil) != nil {
 		t.Error("the wrong addresses are allowed")
 	}
 }
@@ -212,13 +212,13 @@
 			t.Fatal(err)
 		}
 		p := plan(t, Options{Speed: -1}, from)
-		results := p.Run(context.Background(), Target{Addr: addr, Conns: 4, Pipeline: pipeline, Write: f})
+		results := p.Run(context.Background(), Target{Addr: addr, MaxConnections: 4, Pipeline: pipeline, Capture: f})
 		if len(results) != 40 {
 			t.Fatalf("%d results", len(results))
 		}
 		for _, r := range results {
-			if r.Err != nil || !r.Sent || r.Got.Code != r.Step.Captured.Code || r.Equal != (r.Step.Method == "POST") {
-				t.Errorf("pipeline %v: %s: %+v, captured %+v, %v", pipeline, r.Step.Target, r.Got, r.Step.Captured, r.Err)
+			if r.Err != nil || !r.Sent || r.Replayed.StatusCode != r.Step.Captured.StatusCode || r.BodyEqual != (r.Step.Method == "POST") {
+				t.Errorf("pipeline %v: %s: %+v, captured %+v, %v", pipeline, r.Step.Target, r.Replayed, r.Step.Captured, r.Err)
 			}
 		}
 		s.mu.Lock()
@@ -292,7 +292,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { <-got; cancel() }()
 	from := captured(t, [2]string{get + get, ok + ok}, [2]string{get, ok})
-	results := plan(t, Options{Speed: -1}, from).Run(ctx, Target{Addr: netip.MustParseAddrPort(l.Addr().String()), Conns: 1})
+	results := plan(t, Options{Speed: -1}, from).Run(ctx, Target{Addr: netip.MustParseAddrPort(l.Addr().String()), MaxConnections: 1})
 	for i, r := range results {
 		if r.Err == nil {
 			t.Errorf("request %d: %+v", i, r)
--- a/internal/pcap/replay/run.go
+++ b/internal/pcap/replay/run.go
@@ -20,62 +20,62 @@
 
 // Target is where a replay goes, and how.
 type Target struct {
-	Addr     netip.AddrPort
-	Conns    int           // open at a time (default 256); a connection waits for its turn
-	Wait     time.Duration // for an answer (default 30 s)
-	Pipeline bool          // send without a wait for the answer before, as far as the capture's times say so
-	Write    *write.File   // takes what goes over the connections; may be nil
+	Addr           netip.AddrPort
+	MaxConnections int           // open at a time (default 256); a connection waits for its turn
+	Timeout        time.Duration // for an answer (default 30 s)
+	Pipeline       bool          // send without a wait for the answer before, as far as the capture's times say so
+	Capture        *write.File   // takes what goes over the connections; may be nil
 }
 
 const (
-	defaultConns = 256
-	defaultWait  = 30 * time.Second
-	mostAnswer   = 64 << 20 // bytes of an answer
-	waiting      = 64       // requests on a connection without an answer
+	defaultMaxConnections = 256
+	defaultTimeout        = 30 * time.Second
+	maxResponseBody       = 64 << 20 // bytes of an answer
+	maxPipelined          = 64       // requests on a connection without an answer
 )
 
 // Result is what became of a step.
 type Result struct {
-	Step  *Step
-	Sent  bool // its last byte was written
-	Got   Outcome
-	Equal bool // the answer's body is the captured one
-	Size  int64
-	Err   error         // why there is no whole answer
-	Late  time.Duration // after its time
+	Step      *Step
+	Sent      bool // its last byte was written
+	Replayed  Outcome
+	BodyEqual bool // the answer's body is the captured one
+	Size      int64
+	Err       error         // why there is no whole answer
+	Delay     time.Duration // after its time
 }
 
 // Run carries a plan out and returns a result for each step that is not skipped, in their order. A request that may have
 // been sent is never sent again: where a connection breaks, what it carried has no answer, and what was still to come goes
 // over a new one.
 func (p *Plan) Run(ctx context.Context, to Target) []*Result {
-	if to.Conns <= 0 {
-		to.Conns = defaultConns
+	if to.MaxConnections <= 0 {
+		to.MaxConnections = defaultMaxConnections
 	}
-	if to.Wait <= 0 {
-		to.Wait = defaultWait
+	if to.Timeout <= 0 {
+		to.Timeout = defaultTimeout
 	}
 	lanes := map[int][]*Step{} // by connection
 	var order []int
 	results := map[*Step]*Result{}
 	var out []*Result
 	for _, s := range p.Steps {
-		if s.Skip != "" {
+		if s.SkipReason != "" {
 			continue
 		}
-		if lanes[s.Conn] == nil {
-			order = append(order, s.Conn)
+		if lanes[s.Connection] == nil {
+			order = append(order, s.Connection)
 		}
-		lanes[s.Conn] = append(lanes[s.Conn], s)
+		lanes[s.Connection] = append(lanes[s.Connection], s)
 		results[s] = &Result{Step: s}
 		out = append(out, results[s])
 	}
 	start := time.Now()
-	room := make(chan struct{}, to.Conns)
+	room := make(chan struct{}, to.MaxConnections)
 	var all sync.WaitGroup
 	for _, n := range order { // by the times of their first steps
 		left := lanes[n]
-		if !sleep.Until(ctx, start.Add(left[0].At)) {
+		if !sleep.Until(ctx, start.Add(left[0].Offset)) {
 			break
 		}
 		select {
@@ -108,19 +108,19 @@
 
 // carry sends steps over one connection, at least one, and returns those that were not begun on it.
 func (to *Target) carry(ctx context.Context, start time.Time, steps []*Step, results map[*Step]*Result) (left []*Step) {
-	if !sleep.Until(ctx, start.Add(steps[0].At)) {
+	if !sleep.Until(ctx, start.Add(steps[0].Offset)) {
 		return nil
 	}
-	d := net.Dialer{Timeout: to.Wait}
+	d := net.Dialer{Timeout: to.Timeout}
 	raw, err := d.DialContext(ctx, "tcp", to.Addr.String())
 	if err != nil {
 		results[steps[0]].Err = fmt.Errorf("not sent: %w", err)
 		return steps[1:]
 	}
-	c := &wire{Conn: raw}
-	if to.Write != nil {
+	c := &recordedConn{Conn: raw}
+	if to.Capture != nil {
 		local, _ := netip.ParseAddrPort(raw.LocalAddr().String())
-		c.to = to.Write.Open(0, local, to.Addr, time.Now())
+		c.to = to.Capture.Open(0, local, to.Addr, time.Now())
 	}
 	defer func() {
 		_ = raw.Close()
@@ -134,7 +134,7 @@
 	if !to.Pipeline {
 		return to.oneByOne(ctx, c, r, start, steps, results)
 	}
-	asked := make(chan asking, waiting)
+	asked := make(chan pendingResponse, maxPipelined)
 	var answers sync.WaitGroup
 	answers.Go(func() {
 		fine := true
@@ -149,14 +149,14 @@
 	n := 0
 	for n < len(steps) {
 		s := steps[n]
-		if n > 0 && (!sleep.Until(ctx, start.Add(s.At)) || c.ended()) {
+		if n > 0 && (!sleep.Until(ctx, start.Add(s.Offset)) || c.ended()) {
 			break
 		}
 		n++
 		if !to.send(c, start, s, results[s]) {
 			break
 		}
-		asked <- asking{s, time.Now()}
+		asked <- pendingResponse{s, time.Now()}
 	}
 	close(asked)
 	answers.Wait()
@@ -164,12 +164,12 @@
 }
 
 // oneByOne sends each step when the one before has its answer.
-func (to *Target) oneByOne(ctx context.Context, c *wire, r *bufio.Reader, start time.Time, steps []*Step, results map[*Step]*Result) (left []*Step) {
+func (to *Target) oneByOne(ctx context.Context, c *recordedConn, r *bufio.Reader, start time.Time, steps []*Step, results map[*Step]*Result) (left []*Step) {
 	for n, s := range steps {
-		if n > 0 && !sleep.Until(ctx, start.Add(s.At)) {
+		if n > 0 && !sleep.Until(ctx, start.Add(s.Offset)) {
 			return steps[n:]
 		}
-		if !to.send(c, start, s, results[s]) || !to.answer(ctx, c, r, asking{s, time.Now()}, results[s]) {
+		if !to.send(c, start, s, results[s]) || !to.answer(ctx, c, r, pendingResponse{s, time.Now()}, results[s]) {
 			return steps[n+1:]
 		}
 	}
@@ -177,9 +177,9 @@
 }
 
 // send writes a step's request; it is false if that has failed, which may be after its last byte.
-func (to *Target) send(c *wire, start time.Time, s *Step, r *Result) bool {
-	r.Late = max(0, time.Since(start)-s.At)
-	if err := c.send(s, time.Now().Add(to.Wait)); err != nil {
+func (to *Target) send(c *recordedConn, start time.Time, s *Step, r *Result) bool {
+	r.Delay = max(0, time.Since(start)-s.Offset)
+	if err := c.send(s, time.Now().Add(to.Timeout)); err != nil {
 		r.Err = fmt.Errorf("not sent whole: %w", err)
 		c.end()
 		return false
@@ -188,15 +188,15 @@
 	return true
 }
 
-// asking is a request that waits for its answer.
-type asking struct {
+// pendingResponse is a request that waits for its answer.
+type pendingResponse struct {
 	step *Step
 	at   time.Time
 }
 
 // answer reads an answer; it is false if the connection can bring no further one.
-func (to *Target) answer(ctx context.Context, c *wire, r *bufio.Reader, a asking, res *Result) bool {
-	_ = c.SetReadDeadline(time.Now().Add(to.Wait))
+func (to *Target) answer(ctx context.Context, c *recordedConn, r *bufio.Reader, a pendingResponse, res *Result) bool {
+	_ = c.SetReadDeadline(time.Now().Add(to.Timeout))
 	if ctx.Err() != nil {
 		_ = c.SetDeadline(time.Unix(1, 0))
 	}
@@ -212,14 +212,14 @@
 			break
 		}
 	}
-	same, size, err := compare(resp.Body, a.step.Answer)
+	same, size, err := compare(resp.Body, a.step.CapturedBody)
 	_ = resp.Body.Close()
 	if err != nil {
 		res.Err = fmt.Errorf("the answer broke off: %w", err)
 		c.end()
 		return false
 	}
-	res.Got, res.Equal, res.Size = Outcome{resp.StatusCode, time.Since(a.at)}, same, size
+	res.Replayed, res.BodyEqual, res.Size = Outcome{resp.StatusCode, time.Since(a.at)}, same, size
 	if resp.Close {
 		c.end()
 		return false
@@ -235,7 +235,7 @@
 	}
 	defer had.Close()
 	same = true
-	limited := io.LimitReader(got, mostAnswer+1)
+	limited := io.LimitReader(got, maxResponseBody+1)
 	a, b := make([]byte, 32<<10), make([]byte, 32<<10)
 	for {
 		n, err := limited.Read(a)
@@ -243,8 +243,8 @@
 		if m, _ := io.ReadFull(had, b[:n]); m != n || !bytes.Equal(a[:n], b[:n]) {
 			same = false
 		}
-		if size > mostAnswer {
-			return false, size, fmt.Errorf("over %d bytes", mostAnswer)
+		if size > maxResponseBody {
+			return false, size, fmt.Errorf("over %d bytes", maxResponseBody)
 		}
 		if errors.Is(err, io.EOF) {
 			if m, _ := had.Read(b[:1]); m > 0 {
@@ -258,8 +258,8 @@
 	}
 }
 
-// wire is a connection whose bytes are written down.
-type wire struct {
+// recordedConn is a connection whose bytes are written down.
+type recordedConn struct {
 	net.Conn
 	to *write.Conn
 
@@ -267,20 +267,20 @@
 	over bool
 }
 
-func (w *wire) end() {
+func (w *recordedConn) end() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.over = true
 }
 
-func (w *wire) ended() bool {
+func (w *recordedConn) ended() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.over
 }
 
 // Read implements io.Reader.
-func (w *wire) Read(b []byte) (int, error) {
+func (w *recordedConn) Read(b []byte) (int, error) {
 	n, err := w.Conn.Read(b)
 	if n > 0 && w.to != nil {
 		w.to.Data(1, b[:n], time.Now(), "")
@@ -289,7 +289,7 @@
 }
 
 // send writes a request.
-func (w *wire) send(s *Step, until time.Time) error {
+func (w *recordedConn) send(s *Step, until time.Time) error {
 	_ = w.SetWriteDeadline(until)
 	comment := ""
 	if s.OldID != "" || s.NewID != "" {
@@ -299,7 +299,7 @@
 		return err
 	}
 	if s.Redacted {
-		return w.put(s.Bytes, "")
+		return w.put(s.RedactedBody, "")
 	}
 	body, err := s.Body.Open()
 	if err != nil {
@@ -323,7 +323,7 @@
 	}
 }
 
-func (w *wire) put(b []byte, comment string) error {
+func (w *recordedConn) put(b []byte, comment string) error {
 	n, err := w.Conn.Write(b)
 	if n > 0 && w.to != nil {
 		w.to.Data(0, b[:n], time.Now(), comment)
--- a/internal/pcap/replay/sidecar_test.go
+++ b/internal/pcap/replay/sidecar_test.go
@@ -79,7 +79,7 @@
 	for i := range 30 {
 		var ask, tell string
 		for j := range 1 + rnd.IntN(3) {
-			id, body := fmt.Sprintf("r%d-%d", i, j), string(synth.Bytes(rnd, rnd.IntN(20_000)))
+			id, body := fmt.Sprintf("r%d-%d", i, j), string(synth.RandomBytes(rnd, rnd.IntN(20_000)))
 			head := []string{"POST /usage HTTP/1.1\r\nIdempotency-Key: k" + id + "\r\n", "POST /charge HTTP/1.1\r\n", "GET /tariff/7 HTTP/1.1\r\n"}[rnd.IntN(3)]
 			if strings.HasPrefix(head, "GET") {
 				body = ""
@@ -96,10 +96,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := plan(t, Options{Speed: -1, Unsafe: true, ID: "Request-Id", Copy: map[string]string{"Captured-Id": "Request-Id"}}, from)
-	for _, r := range p.Run(context.Background(), Target{Addr: addr, Conns: 8, Write: f}) {
-		if r.Err != nil || r.Got.Code != 200 {
-			t.Errorf("%s: %+v, %v", r.Step.OldID, r.Got, r.Err)
+	p := plan(t, Options{Speed: -1, SendNonIdempotent: true, IDField: "Request-Id", Copy: map[string]string{"Captured-Id": "Request-Id"}}, from)
+	for _, r := range p.Run(context.Background(), Target{Addr: addr, MaxConnections: 8, Capture: f}) {
+		if r.Err != nil || r.Replayed.StatusCode != 200 {
+			t.Errorf("%s: %+v, %v", r.Step.OldID, r.Replayed, r.Err)
 		}
 	}
 	for id, body := range bodies {
@@ -115,7 +115,7 @@
 		t.Errorf("%d requests were written, of %d", len(again), len(bodies))
 	}
 	for _, e := range again {
-		id := e.Request.Get("Captured-Id")
+		id := e.Request.FieldValue("Captured-Id")
 		if body, err := e.Request.Body.Bytes(); err != nil || string(body) != bodies[id] {
 			t.Errorf("%s was written changed: %v", id, err)
 		}
--- a/internal/pcap/synth/synth.go
+++ b/internal/pcap/synth/synth.go
@@ -25,7 +25,7 @@
 	SLL2
 	Loopback
 	RawIP
-	Links // how many there are
+	LinkCount // how many there are
 )
 
 // Type is the link type that a file gives for the framing.
@@ -38,22 +38,22 @@
 
 // Packet is a packet of a made capture.
 type Packet struct {
-	Time  time.Time
-	Data  []byte
-	Whole int // its length on the wire
+	Time       time.Time
+	Data       []byte
+	WireLength int // its length on the wire
 }
 
 // Part is a segment before it is framed.
 type Part struct {
-	Dir      int // 0 from the client
-	Seq      uint32
-	Ack      uint32
-	SYN, FIN bool
-	RST      bool
-	Data     []byte
-	Cut      int  // bytes at its end that the capture lacks
-	Split    int  // fragments that it comes in
-	Spoilt   bool // something has been done to it already
+	Direction int // 0 from the client
+	Seq       uint32
+	Ack       uint32
+	SYN, FIN  bool
+	RST       bool
+	Data      []byte
+	Truncated int  // bytes at its end that the capture lacks
+	Fragments int  // fragments that it comes in
+	Altered   bool // something has been done to it already
 }
 
 // Conn makes the segments of one connection.
@@ -71,35 +71,35 @@
 
 // Open adds the handshake.
 func (c *Conn) Open() {
-	c.add(Part{Dir: 0, SYN: true})
-	c.add(Part{Dir: 1, SYN: true})
-	c.add(Part{Dir: 0})
+	c.add(Part{Direction: 0, SYN: true})
+	c.add(Part{Direction: 1, SYN: true})
+	c.add(Part{Direction: 0})
 }
 
 // Send adds data in segments of at most size bytes.
 func (c *Conn) Send(dir int, data []byte, size int) {
 	for len(data) > 0 {
 		n := min(size, len(data))
-		c.add(Part{Dir: dir, Data: data[:n]})
+		c.add(Part{Direction: dir, Data: data[:n]})
 		data = data[n:]
 	}
 }
 
 // Close adds the FINs of both sides.
 func (c *Conn) Close() {
-	c.add(Part{Dir: 0, FIN: true})
-	c.add(Part{Dir: 1, FIN: true})
-	c.add(Part{Dir: 0})
+	c.add(Part{Direction: 0, FIN: true})
+	c.add(Part{Direction: 1, FIN: true})
+	c.add(Part{Direction: 0})
 }
 
 // Reset adds an RST.
-func (c *Conn) Reset(dir int) { c.add(Part{Dir: dir, RST: true}) }
+func (c *Conn) Reset(dir int) { c.add(Part{Direction: dir, RST: true}) }
 
 func (c *Conn) add(p Part) {
-	p.Seq, p.Ack = c.next[p.Dir], c.next[1-p.Dir]
-	c.next[p.Dir] += uint32(len(p.Data))
+	p.Seq, p.Ack = c.next[p.Direction], c.next[1-p.Direction]
+	c.next[p.Direction] += uint32(len(p.Data))
 	if p.SYN || p.FIN {
-		c.next[p.Dir]++
+		c.next[p.Direction]++
 	}
 	c.Parts = append(c.Parts, p)
 }
@@ -107,12 +107,12 @@
 // Packets frames a part, in one packet or in the fragments that it asks for.
 func (c *Conn) Packets(p Part, at time.Time) ([]Packet, error) {
 	src, dst := c.Client, c.Server
-	if p.Dir == 1 {
+	if p.Direction == 1 {
 		src, dst = dst, src
 	}
 	tcp := &layers.TCP{
 		SrcPort: layers.TCPPort(src.Port()), DstPort: layers.TCPPort(dst.Port()), Seq: p.Seq, Ack: p.Ack,
-		ACK: !p.SYN || p.Dir == 1, SYN: p.SYN, FIN: p.FIN, RST: p.RST, PSH: len(p.Data) > 0, Window: 65535,
+		ACK: !p.SYN || p.Direction == 1, SYN: p.SYN, FIN: p.FIN, RST: p.RST, PSH: len(p.Data) > 0, Window: 65535,
 	}
 	var ip gopacket.SerializableLayer
 	if src.Addr().Is4() {
@@ -129,14 +129,14 @@
 		ip = v6
 	}
 	opts := gopacket.SerializeOptions{FixLengths: true, ComputeChecksums: true}
-	if v4, ok := ip.(*layers.IPv4); ok && p.Split > 1 && len(p.Data) > 8*p.Split {
+	if v4, ok := ip.(*layers.IPv4); ok && p.Fragments > 1 && len(p.Data) > 8*p.Fragments {
 		return c.fragments(v4, tcp, p, at, opts)
 	}
 	one, err := c.frame(at, opts, src.Addr().Is4(), ip, tcp, gopacket.Payload(p.Data))
 	if err != nil {
 		return nil, err
 	}
-	one.Data = one.Data[:len(one.Data)-p.Cut]
+	one.Data = one.Data[:len(one.Data)-p.Truncated]
 	return []Packet{one}, nil
 }
 
@@ -146,7 +146,7 @@
 	if err := gopacket.SerializeLayers(buf, opts, tcp, gopacket.Payload(p.Data)); err != nil {
 		return nil, fmt.Errorf("serialize: %w", err)
 	}
-	data, size := slices.Clone(buf.Bytes()), (len(buf.Bytes())/p.Split+7)/8*8
+	data, size := slices.Clone(buf.Bytes()), (len(buf.Bytes())/p.Fragments+7)/8*8
 	ip.Id = uint16(p.Seq>>3) | 1
 	var out []Packet
 	for from := 0; from < len(data); from += size {
@@ -195,11 +195,11 @@
 		return Packet{}, fmt.Errorf("serialize: %w", err)
 	}
 	data := slices.Clone(buf.Bytes())
-	return Packet{Time: at, Data: data, Whole: len(data)}, nil
+	return Packet{Time: at, Data: data, WireLength: len(data)}, nil
 }
 
-// Bytes are n bytes that hold nothing that could be taken for a message's frame.
-func Bytes(rnd *rand.Rand, n int) []byte {
+// RandomBytes are n bytes that hold nothing that could be taken for a message's frame.
+func RandomBytes(rnd *rand.Rand, n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
 		b[i] = byte(rnd.IntN(256))
--- a/internal/pcap/write/write.go
+++ b/internal/pcap/write/write.go
@@ -23,8 +23,8 @@
 	snap    = 256 << 10
 )
 
-// Dir is a direction: 0 from whoever opened the connection, 1 to it.
-type Dir int
+// Direction is a direction: 0 from whoever opened the connection, 1 to it.
+type Direction int
 
 // File is a file that is being written. It may be used from many goroutines. After an error it writes no more, and gives
 // that error again and again: whose traffic it is goes on.
@@ -80,7 +80,7 @@
 	if comment != "" {
 		opts.Comments = []string{comment}
 	}
-	if err := f.w.WritePacketWithOptions(gopacket.CaptureInfo{Timestamp: p.Time, CaptureLength: len(p.Data), Length: p.Whole, InterfaceIndex: side}, p.Data, opts); err != nil {
+	if err := f.w.WritePacketWithOptions(gopacket.CaptureInfo{Timestamp: p.Time, CaptureLength: len(p.Data), Length: p.WireLength, InterfaceIndex: side}, p.Data, opts); err != nil {
 		f.err = fmt.Errorf("write the capture: %w", err)
 	}
 }
@@ -104,7 +104,7 @@
 }
 
 // Data writes bytes that went in a direction, the first packet of them with a comment if one is given.
-func (c *Conn) Data(d Dir, data []byte, at time.Time, comment string) {
+func (c *Conn) Data(d Direction, data []byte, at time.Time, comment string) {
 	c.file.mu.Lock()
 	defer c.file.mu.Unlock()
 	if c.shut {
@@ -115,7 +115,7 @@
 }
 
 // Close writes the close of both sides, or a reset by the one that broke it off.
-func (c *Conn) Close(reset bool, by Dir, at time.Time) {
+func (c *Conn) Close(reset bool, by Direction, at time.Time) {
 	c.file.mu.Lock()
 	defer c.file.mu.Unlock()
 	if c.shut {
--- a/internal/pcap/write/write_test.go
+++ b/internal/pcap/write/write_test.go
@@ -30,12 +30,12 @@
 }
 
 func (e *ends) Exchange(x *http.Exchange) { e.requests++ }
-func (e *ends) Stream(_ *flow.Flow, _ flow.Direction, f http.Fault) {
+func (e *ends) StreamFault(_ *flow.Flow, _ flow.Direction, f http.Fault) {
 	e.faults = append(e.faults, string(f.Kind))
 }
 
-func (e *ends) Segments(f flow.Fault)                 { e.faults = append(e.faults, string(f.Kind)) }
-func (e *ends) Done(_ *flow.Flow, why flow.EndReason) { e.all = append(e.all, why) }
+func (e *ends) SegmentFault(f flow.Fault)                  { e.faults = append(e.faults, string(f.Kind)) }
+func (e *ends) FlowEnded(_ *flow.Flow, why flow.EndReason) { e.all = append(e.all, why) }
 
 // Both closes, both sides and the comments come out as they went in.
 func TestWhatIsWrittenReadsAsItWas(t *testing.T) {
@@ -60,7 +60,7 @@
 	file := bytes.Clone(buf.Bytes())
 	got := &ends{}
 	sum, err := pcap.Read(context.Background(), &buf, pcap.Options{}, got)
-	if err != nil || sum.Check() != nil || !sum.Whole() || got.requests != 2 || got.faults != nil {
+	if err != nil || sum.Check() != nil || !sum.Complete() || got.requests != 2 || got.faults != nil {
 		t.Errorf("%+v, %v, %+v", got, err, sum)
 	}
 	if len(got.all) != 2 || got.all[0] != flow.Closed || got.all[1] != flow.Reset {
