--- a/internal/pcap/bodies/bodies_test.go
+++ b/internal/pcap/bodies/bodies_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-// Bodies come back as they went in, a full store says so, and nothing is left behind.
-func TestBodiesInFiles(t *testing.T) {
-	d, err := New(t.TempDir(), 1<<20)
+// A body is read as it was written, a full store rejects a write, and Close leaves nothing behind.
+func TestStoredBodies(t *testing.T) {
+	dir, err := New(t.TempDir(), 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := d.New()
+	body, err := dir.New()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,39 +22,39 @@
 	for i := range 10 {
 		part := bytes.Repeat([]byte{byte(i)}, 60_000)
 		want = append(want, part...)
-		if _, err := r.Write(part); err != nil {
+		if _, err := body.Write(part); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for range 2 {
-		in, err := r.Open()
+		reader, err := body.Open()
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := io.ReadAll(in)
+		got, err := io.ReadAll(reader)
 		if err != nil || !bytes.Equal(got, want) {
-			t.Errorf("%d bytes came back of %d: %v", len(got), len(want), err)
+			t.Errorf("read %d bytes of %d: %v", len(got), len(want), err)
 		}
-		if err := in.Close(); err != nil {
+		if err := reader.Close(); err != nil {
 			t.Error(err)
 		}
 	}
-	if _, err := r.Write(make([]byte, 1<<20)); !errors.Is(err, ErrFull) {
+	if _, err := body.Write(make([]byte, 1<<20)); !errors.Is(err, ErrFull) {
 		t.Errorf("a full store: %v", err)
 	}
-	if err := r.Remove(); err != nil {
+	if err := body.Remove(); err != nil {
 		t.Error(err)
 	}
-	if d.StoredBytes() != 0 {
-		t.Errorf("%d bytes held after the last drop", d.StoredBytes())
+	if dir.StoredBytes() != 0 {
+		t.Errorf("%d bytes stored after the last body was removed", dir.StoredBytes())
 	}
-	if err := d.Close(); err != nil {
+	if err := dir.Close(); err != nil {
 		t.Error(err)
 	}
-	if _, err := os.Stat(d.path); !errors.Is(err, os.ErrNotExist) {
+	if _, err := os.Stat(dir.path); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("the directory is left: %v", err)
 	}
-	if _, err := d.New(); err == nil {
+	if _, err := dir.New(); err == nil {
 		t.Error("a closed store takes bodies")
 	}
 }
