--- a/internal/pcap/write/write.go
+++ b/internal/pcap/write/write.go
@@ -1,6 +1,6 @@
-// Package write writes what went over connections as a pcapng file that other tools open: handshakes, segments with right
-// sequence numbers and checksums, closes, and the ids of requests as comments of packets. What is written is made from the
-// bytes that were sent and got, not captured.
+// Package write writes the bytes of connections as a pcapng file that common tools open: handshakes,
+// segments with valid sequence numbers and checksums, closes, and request ids as packet comments.
+// The packets are made from the bytes that were sent and received; they are not captured.
 package write
 
 import (
@@ -18,131 +18,99 @@
 	"github.com/gopacket/gopacket/pcapgo"
 )
 
-const (
-	segment = 1400 // bytes of a packet's payload
-	snap    = 256 << 10
-)
+const snapLength = 256 << 10 // bytes
 
-// Direction is a direction: 0 from whoever opened the connection, 1 to it.
-type Direction int
+// ErrFull is the error of a file that has reached its size limit.
+var ErrFull = errors.New("the capture has its full size")
 
-// File is a file that is being written. It may be used from many goroutines. After an error it writes no more, and gives
-// that error again and again: whose traffic it is goes on.
+// File is a pcapng file that is being written. It is safe for concurrent use. After the first error
+// it writes no more, and Flush returns that error: the connections go on without it.
 type File struct {
-	mu    sync.Mutex
-	w     *pcapgo.NgWriter
-	most  int64
-	wrote int64
-	err   error
+	mu       sync.Mutex
+	writer   *pcapgo.NgWriter
+	maxBytes int64 // of packets; 0: no limit
+	written  int64 // bytes of packets
+	err      error // the first one
 }
 
-// ErrFull says that a file has the size that it may have.
-var ErrFull = errors.New("the capture has its full size")
-
-// New begins a file with an interface for each of the sides; most bounds the bytes of packets in it, 0 does not.
-func New(to io.Writer, most int64, sides ...string) (*File, error) {
-	var w *pcapgo.NgWriter
-	for i, name := range sides {
-		side := pcapgo.NgInterface{Name: name, LinkType: layers.LinkTypeRaw, SnapLength: snap, TimestampResolution: 9}
-		var err error
-		if i == 0 {
-			w, err = pcapgo.NewNgWriterInterface(to, side, pcapgo.NgWriterOptions{SectionInfo: pcapgo.NgSectionInfo{Application: "fernlanding"}})
-		} else {
-			_, err = w.AddInterface(side)
-		}
-		if err != nil {
+// New begins a file with the named interfaces. At most maxBytes of packets are written to it; 0
+// stands for no limit.
+func New(to io.Writer, maxBytes int64, interfaces ...string) (*File, error) {
+	f := &File{maxBytes: maxBytes}
+	for _, name := range interfaces {
+		if err := f.addInterface(to, name); err != nil {
 			return nil, fmt.Errorf("begin the capture: %w", err)
 		}
 	}
-	return &File{w: w, most: most}, nil
+	return f, nil
+}
+
+// addInterface adds an interface to the file. The first one begins the file.
+func (f *File) addInterface(to io.Writer, name string) error {
+	description := pcapgo.NgInterface{
+		Name: name, LinkType: layers.LinkTypeRaw, SnapLength: snapLength, TimestampResolution: 9,
+	}
+	if f.writer != nil {
+		_, err := f.writer.AddInterface(description)
+		return err
+	}
+	options := pcapgo.NgWriterOptions{SectionInfo: pcapgo.NgSectionInfo{Application: "fernlanding"}}
+	writer, err := pcapgo.NewNgWriterInterface(to, description, options)
+	f.writer = writer
+	return err
 }
 
 // Flush writes what is buffered, and returns the first error that the file had.
 func (f *File) Flush() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.w.Flush(); f.err == nil && err != nil {
-		f.err = fmt.Errorf("write the capture: %w", err)
+	if err := f.writer.Flush(); err != nil {
+		f.fail(fmt.Errorf("write the capture: %w", err))
 	}
 	return f.err
 }
 
-// packet writes one packet.
-func (f *File) packet(side int, p synth.Packet, comment string) {
-	if f.err != nil {
-		return
-	}
-	if f.wrote += int64(len(p.Data)); f.most > 0 && f.wrote > f.most {
-		f.err = ErrFull
-		return
-	}
-	var opts pcapgo.NgPacketOptions
-	if comment != "" {
-		opts.Comments = []string{comment}
+// fail keeps the first error.
+func (f *File) fail(err error) {
+	if f.err == nil {
+		f.err = err
 	}
-	if err := f.w.WritePacketWithOptions(gopacket.CaptureInfo{Timestamp: p.Time, CaptureLength: len(p.Data), Length: p.WireLength, InterfaceIndex: side}, p.Data, opts); err != nil {
-		f.err = fmt.Errorf("write the capture: %w", err)
-	}
-}
-
-// Conn is one connection in a file. It may be used from many goroutines.
-type Conn struct {
-	file *File
-	side int
-	made *synth.Conn
-	shut bool
 }
 
-// Open writes a connection's handshake, as it was at the time.
-func (f *File) Open(side int, opener, other netip.AddrPort, at time.Time) *Conn {
-	c := &Conn{file: f, side: side, made: synth.NewConn(opener, other, synth.RawIP, [2]uint32{1, 1})}
+// Open writes a connection's handshake and returns the connection. The time is that of its packets.
+func (f *File) Open(interfaceIndex int, opener, other netip.AddrPort, at time.Time) *Conn {
+	c := &Conn{
+		file: f, interfaceIndex: interfaceIndex,
+		synthetic: synth.NewConn(opener, other, synth.RawIP, [2]uint32{1, 1}),
+	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	c.made.Open()
-	c.flush(at, "")
+	c.synthetic.Open()
+	c.writeParts(at, "")
 	return c
 }
 
-// Data writes bytes that went in a direction, the first packet of them with a comment if one is given.
-func (c *Conn) Data(d Direction, data []byte, at time.Time, comment string) {
-	c.file.mu.Lock()
-	defer c.file.mu.Unlock()
-	if c.shut {
+// writePacket writes one packet, with a comment unless that is empty. The file's lock is held.
+func (f *File) writePacket(interfaceIndex int, p synth.Packet, comment string) {
+	if f.err != nil {
 		return
 	}
-	c.made.Send(int(d), data, segment)
-	c.flush(at, comment)
-}
-
-// Close writes the close of both sides, or a reset by the one that broke it off.
-func (c *Conn) Close(reset bool, by Direction, at time.Time) {
-	c.file.mu.Lock()
-	defer c.file.mu.Unlock()
-	if c.shut {
+	f.written += int64(len(p.Data))
+	if f.maxBytes > 0 && f.written > f.maxBytes {
+		f.err = ErrFull
 		return
 	}
-	if c.shut = true; reset {
-		c.made.Reset(int(by))
-	} else {
-		c.made.Close()
+	var options pcapgo.NgPacketOptions
+	if comment != "" {
+		options.Comments = []string{comment}
 	}
-	c.flush(at, "")
-}
-
-// flush writes the parts that wait.
-func (c *Conn) flush(at time.Time, comment string) {
-	for _, p := range c.made.Parts {
-		packets, err := c.made.Packets(p, at)
-		if err != nil {
-			if c.file.err == nil {
-				c.file.err = fmt.Errorf("write the capture: %w", err)
-			}
-			break
-		}
-		for _, one := range packets {
-			c.file.packet(c.side, one, comment)
-			comment = ""
-		}
+	info := gopacket.CaptureInfo{
+		Timestamp:      p.Time,
+		CaptureLength:  len(p.Data),
+		Length:         p.WireLength,
+		InterfaceIndex: interfaceIndex,
+	}
+	if err := f.writer.WritePacketWithOptions(info, p.Data, options); err != nil {
+		f.err = fmt.Errorf("write the capture: %w", err)
 	}
-	c.made.Parts = c.made.Parts[:0]
 }
