--- a/cmd/fernlanding/try.go
+++ b/cmd/fernlanding/try.go
@@ -137,7 +137,9 @@
 		Seed:    options.seed,
 		Tag:     "try",
 	}
-	faults := time.AfterFunc(options.duration/faultDelayFraction, func() { fleet.InjectFaults(options.slow, options.hung) })
+	faults := time.AfterFunc(options.duration/faultDelayFraction, func() {
+		fleet.InjectFaults(options.slow, options.hung)
+	})
 	defer faults.Stop()
 	results := load.Run(ctx)
 	report := &tryReport{
--- a/cmd/fernlanding/try_report.go
+++ b/cmd/fernlanding/try_report.go
@@ -38,7 +38,8 @@
 	for _, c := range append(r.Classes, r.Total) {
 		printf(
 			table, "%s\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.1f\t%.1f\t\n",
-			c.Class, c.Sent, c.Served, c.Late, c.Shed, c.Failed, c.AttemptsPerRequest, milliseconds(c.P50), milliseconds(c.P99),
+			c.Class, c.Sent, c.Served, c.Late, c.Shed, c.Failed, c.AttemptsPerRequest,
+			milliseconds(c.P50), milliseconds(c.P99),
 		)
 	}
 	if err := table.Flush(); err != nil {
--- a/internal/bench/proxy_test.go
+++ b/internal/bench/proxy_test.go
@@ -99,7 +99,6 @@
 		return err
 	}
 	sidecar.ApplyRuntimeLimits(app) // as the program does
-	//nolint:contextcheck // what New starts ends with the process, not with ctx
 	s, err := sidecar.New(app, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	if err != nil {
 		return err
--- a/internal/harness/rollout/plan/decode.go
+++ b/internal/harness/rollout/plan/decode.go
@@ -146,16 +146,18 @@
 // decodeFault decodes one fault, and validates it against the processes of the run.
 func (sc *Scenario) decodeFault(s tomldoc.Scope) Fault {
 	f := Fault{
-		At:        s.Span("at", 0, 0, MaxFor),
-		Duration:  s.Span("for", time.Second, time.Millisecond, MaxFor),
-		Kind:      scenario.Kind(s.Word("kind", "", kindNames...)),
-		Direction: s.Word("way", scenario.BothDirections, scenario.BothDirections, scenario.ToServer, scenario.ToClient),
-		Site:      s.Text("zone", ""),
-		Names:     s.Texts("names"),
-		Share:     s.Number("share", 0, 0, 1),
-		Delay:     s.Span("delay", 0, 0, time.Minute),
-		Jitter:    s.Span("jitter", 0, 0, time.Minute),
-		Rate:      int(s.Whole("rate", 0, 0, 1<<30)),
+		At:       s.Span("at", 0, 0, MaxFor),
+		Duration: s.Span("for", time.Second, time.Millisecond, MaxFor),
+		Kind:     scenario.Kind(s.Word("kind", "", kindNames...)),
+		Direction: s.Word(
+			"way", scenario.BothDirections, scenario.BothDirections, scenario.ToServer, scenario.ToClient,
+		),
+		Site:   s.Text("zone", ""),
+		Names:  s.Texts("names"),
+		Share:  s.Number("share", 0, 0, 1),
+		Delay:  s.Span("delay", 0, 0, time.Minute),
+		Jitter: s.Span("jitter", 0, 0, time.Minute),
+		Rate:   int(s.Whole("rate", 0, 0, 1<<30)),
 	}
 	s.Take("link", "on")
 	if end := f.At + f.Duration; end > sc.For {
--- a/internal/harness/rollout/plan/schedule.go
+++ b/internal/harness/rollout/plan/schedule.go
@@ -65,7 +65,11 @@
 // drawFault draws a fault. The order of the draws is part of what a seed means.
 func (sc *Scenario) drawFault(random *rand.Rand) Fault {
 	r := sc.Random
-	f := Fault{Kind: r.Kinds[random.IntN(len(r.Kinds))], Direction: scenario.BothDirections, Share: 0.1 + 0.8*random.Float64()}
+	f := Fault{
+		Kind:      r.Kinds[random.IntN(len(r.Kinds))],
+		Direction: scenario.BothDirections,
+		Share:     0.1 + 0.8*random.Float64(),
+	}
 	duration := minFaultDuration + time.Duration(random.Int64N(int64(r.MaxDuration)))
 	f.Duration = min(duration, r.Until-r.From).Round(time.Millisecond)
 	f.At = (r.From + time.Duration(random.Int64N(int64(r.Until-r.From-f.Duration)+1))).Round(time.Millisecond)
