--- /dev/null
+++ b/internal/harness/scenario/process.go
@@ -0,0 +1,64 @@
+package scenario
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// singular returns the prefix of the names of a group's members.
+func singular(group string) string { return strings.TrimSuffix(group, "s") }
+
+// Names returns the names of a group's members, in order.
+func (s *Scenario) Names(group string) []string {
+	if group == OnSites {
+		processes := memberNames(OnBackends, s.Backends.Processes)
+		return slices.Concat(processes, s.Names(OnLists), s.Names(OnSidecars))
+	}
+	switch group {
+	case OnSidecars:
+		return memberNames(singular(group), s.Sidecars.Count)
+	case OnLists:
+		return memberNames(singular(group), s.Lists.Count)
+	case OnBackends:
+		return memberNames(singular(group), s.Backends.Count)
+	case OnClients:
+		return memberNames(singular(group), s.Clients.Processes)
+	}
+	return nil
+}
+
+// memberNames returns a prefix with the numbers from 1 to count.
+func memberNames(prefix string, count int) []string {
+	var names []string
+	for i := range count {
+		names = append(names, fmt.Sprintf("%s-%d", prefix, i+1))
+	}
+	return names
+}
+
+// Index returns the index of a process or a backend in its group, from 0, by its name.
+func Index(name string) int {
+	number, _ := strconv.Atoi(name[strings.LastIndexByte(name, '-')+1:]) // all names end with one
+	return number - 1
+}
+
+// SiteOf returns the site of a process or a backend by its name.
+func (s *Scenario) SiteOf(name string) string { return s.Site(Index(name)) }
+
+// Site returns the site of a group's member by its index.
+func (s *Scenario) Site(index int) string { return s.Sidecars.Sites[index%len(s.Sidecars.Sites)] }
+
+// Capacity returns how many requests a second the backends of each site can serve when they are
+// warm. It is empty if they take no time.
+func (s *Scenario) Capacity() map[string]float64 {
+	capacity := map[string]float64{}
+	if s.Backends.ServiceTime <= 0 {
+		return capacity
+	}
+	for i := range s.Backends.Count {
+		capacity[s.Site(i)] += float64(s.Backends.Cores) / s.Backends.ServiceTime.Seconds()
+	}
+	return capacity
+}
