--- a/cmd/fernctl/fleet.go
+++ b/cmd/fernctl/fleet.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	mostSeeds    = 10_000
+	maxSeeds     = 10_000
 	defaultSeeds = 20
 )
 
@@ -177,8 +177,8 @@
 // fleetSweep simulates days over many seeds and prints quantiles.
 func fleetSweep(_ context.Context, c *cli.Command) error {
 	names, seeds := c.Args().Slice(), c.Int("seeds")
-	if seeds < 1 || seeds > mostSeeds {
-		return fmt.Errorf("fleet sweep: -seeds %d, 1 to %d expected", seeds, mostSeeds)
+	if seeds < 1 || seeds > maxSeeds {
+		return fmt.Errorf("fleet sweep: -seeds %d, 1 to %d expected", seeds, maxSeeds)
 	}
 	if len(names) == 0 {
 		return errors.New("fleet sweep: a fleet's file expected")
--- a/cmd/fernctl/rig.go
+++ b/cmd/fernctl/rig.go
@@ -18,8 +18,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// actorWord is the command by which the rig starts its stand-ins. It is not for people.
-const actorWord = "actor"
+// workerCommand is the command by which the rig starts its stand-ins. It is not for people.
+const workerCommand = "actor"
 
 func rigCommand() *cli.Command {
 	seed := &cli.Uint64Flag{Name: "seed", Usage: "in place of the scenario's own `SEED`"}
@@ -48,7 +48,7 @@
 				Flags: []cli.Flag{seed, program, &cli.IntFlag{Name: "tries", Value: 2, Usage: "plays `N` times before a schedule counts as one that does not fail"}},
 			},
 			rigRolloutCommand(),
-			{Name: actorWord, Hidden: true, Action: func(context.Context, *cli.Command) error { return worker.Main(os.Stdin, os.Stdout) }},
+			{Name: workerCommand, Hidden: true, Action: func(context.Context, *cli.Command) error { return worker.Main(os.Stdin, os.Stdout) }},
 		},
 	}
 }
@@ -86,11 +86,11 @@
 	if _, err := os.Stat(program); err != nil {
 		return o, fmt.Errorf("rig: the program under test: %w", err)
 	}
-	return harness.Options{Sidecar: []string{program}, Worker: []string{self, "rig", actorWord}, Logs: c.Bool("logs")}, nil
+	return harness.Options{Sidecar: []string{program}, Worker: []string{self, "rig", workerCommand}, Logs: c.Bool("logs")}, nil
 }
 
-// rigPrepare is what a command needs to play the scenario that it names.
-func rigPrepare(c *cli.Command) (*scenario.Scenario, harness.Options, error) {
+// scenarioAndOptions is what a command needs to play the scenario that it names.
+func scenarioAndOptions(c *cli.Command) (*scenario.Scenario, harness.Options, error) {
 	sc, err := readScenario(c, 1)
 	if err != nil {
 		return nil, harness.Options{}, err
@@ -99,8 +99,8 @@
 	return sc, o, err
 }
 
-// rigPlay plays a scenario once; keep is where its history stays, if not empty.
-func rigPlay(ctx context.Context, sc *scenario.Scenario, o harness.Options, keep string) (check.Result, error) {
+// runScenario plays a scenario once; keep is where its history stays, if not empty.
+func runScenario(ctx context.Context, sc *scenario.Scenario, o harness.Options, keep string) (check.Result, error) {
 	dir, err := os.MkdirTemp("", "rig")
 	if err != nil {
 		return check.Result{}, fmt.Errorf("rig: %w", err)
@@ -121,11 +121,11 @@
 			return check.Result{}, fmt.Errorf("rig: %w", err)
 		}
 	}
-	return rigJudge(sc, path)
+	return judgeHistory(sc, path)
 }
 
-// rigJudge judges the history in a file.
-func rigJudge(sc *scenario.Scenario, path string) (check.Result, error) {
+// judgeHistory judges the history in a file.
+func judgeHistory(sc *scenario.Scenario, path string) (check.Result, error) {
 	all, err := readHistory(path)
 	if err != nil {
 		return check.Result{}, fmt.Errorf("rig: %w", err)
@@ -162,13 +162,13 @@
 }
 
 func rigRun(ctx context.Context, c *cli.Command) error {
-	sc, o, err := rigPrepare(c)
+	sc, o, err := scenarioAndOptions(c)
 	if err != nil {
 		return err
 	}
 	n := c.Int("seeds")
-	if n < 1 || n > mostSeeds {
-		return fmt.Errorf("rig run: -seeds %d, 1 to %d expected", n, mostSeeds)
+	if n < 1 || n > maxSeeds {
+		return fmt.Errorf("rig run: -seeds %d, 1 to %d expected", n, maxSeeds)
 	}
 	out, failed := c.Root().Writer, false
 	for i := range n {
@@ -178,7 +178,7 @@
 		if failed {
 			keep = ""
 		}
-		result, err := rigPlay(ctx, &x, o, keep)
+		result, err := runScenario(ctx, &x, o, keep)
 		if err != nil {
 			return err
 		}
@@ -187,7 +187,7 @@
 				return err
 			}
 		} else {
-			rigPrint(out, result)
+			printResult(out, result)
 		}
 		if len(result.Verdicts) > 0 {
 			failed = true
@@ -200,16 +200,16 @@
 	return nil
 }
 
-func rigPrint(out io.Writer, f check.Result) {
+func printResult(out io.Writer, f check.Result) {
 	fmt.Fprintf(out, "%s, seed %d, %.1f s: %d lives of sidecars, ready after %.2f s (median), %.2f (95%%), %.2f (last); %d never; all once after %.2f s\n",
-		f.Scenario, f.Seed, f.Seconds, f.Lives, f.ReadyP50, f.ReadyP95, f.ReadyAll, f.Never, f.FirstAll)
+		f.Scenario, f.Seed, f.Seconds, f.Starts, f.ReadyP50, f.ReadyP95, f.ReadyAll, f.NeverReady, f.FirstAll)
 	fmt.Fprintf(out, "lists: %d whole readings, %.0f in the worst second, %.1f a second at the end; %d further calls, %.0f, %.1f; %d calls refused, %d readings given up\n",
-		f.Reads.Total, f.Reads.Peak, f.Reads.Steady, f.Watches.Total, f.Watches.Peak, f.Watches.Steady, f.Refused, f.GivenUp)
-	fmt.Fprintf(out, "backends: %.0f connections to one in the worst second; cold ones over what they bear for %.2f s, %.2f at a time\n", f.Connects, f.Pushed, f.Longest)
+		f.Snapshots.Total, f.Snapshots.Peak, f.Snapshots.Steady, f.Updates.Total, f.Updates.Peak, f.Updates.Steady, f.PollsRejected, f.SnapshotsAbandoned)
+	fmt.Fprintf(out, "backends: %.0f connections to one in the worst second; cold ones over what they bear for %.2f s, %.2f at a time\n", f.PeakConnects, f.OverloadSeconds, f.LongestOverload)
 	fmt.Fprintf(out, "requests: %d asked, %.0f served (%d late), %d turned away, %d failed, %d without answer; %d attempts; %.3f of the first 30 s served\n",
-		f.Asked, f.Served, f.Late, f.Turned, f.Failed, f.Nothing, f.Attempts, f.EarlyPart)
-	if len(f.ListBack) > 0 {
-		fmt.Fprintf(out, "all ready after the end of each fault of the lists: %.2f s\n", f.ListBack)
+		f.Requests, f.Served, f.Late, f.Rejected, f.Failed, f.Unanswered, f.Attempts, f.EarlyServed)
+	if len(f.ListRecoveries) > 0 {
+		fmt.Fprintf(out, "all ready after the end of each fault of the lists: %.2f s\n", f.ListRecoveries)
 	}
 	for _, v := range f.Verdicts {
 		fmt.Fprintln(out, v)
@@ -239,20 +239,20 @@
 		return err
 	}
 	path := c.Args().Get(1)
-	result, err := rigJudge(sc, path)
+	result, err := judgeHistory(sc, path)
 	if err != nil {
 		return err
 	}
 	if c.Bool("json") {
 		err = asJSON(c.Root().Writer, result)
 	} else {
-		rigPrint(c.Root().Writer, result)
+		printResult(c.Root().Writer, result)
 	}
 	if err != nil {
 		return err
 	}
 	if svg := c.String("svg"); svg != "" {
-		if err := rigDraw(sc, path, svg); err != nil {
+		if err := drawTimeline(sc, path, svg); err != nil {
 			return fmt.Errorf("rig report: %w", err)
 		}
 	}
@@ -262,7 +262,7 @@
 	return nil
 }
 
-func rigDraw(sc *scenario.Scenario, from, to string) error {
+func drawTimeline(sc *scenario.Scenario, from, to string) error {
 	all, err := readHistory(from)
 	if err != nil {
 		return err
@@ -276,7 +276,7 @@
 
 // rigShrink leaves out faults, half of them at a time and then single ones, and prints the schedule that still fails.
 func rigShrink(ctx context.Context, c *cli.Command) error {
-	sc, o, err := rigPrepare(c)
+	sc, o, err := scenarioAndOptions(c)
 	if err != nil {
 		return err
 	}
@@ -285,7 +285,7 @@
 	fails := func(faults []scenario.Fault) bool {
 		for range tries {
 			plays++
-			result, err := rigPlay(ctx, sc.With(faults), o, "")
+			result, err := runScenario(ctx, sc.With(faults), o, "")
 			if err != nil {
 				broken = err
 				return false
--- a/cmd/fernctl/rigrollout.go
+++ b/cmd/fernctl/rigrollout.go
@@ -59,9 +59,9 @@
 		return err
 	}
 	seeds, together := c.Int("seeds"), c.Int("together")
-	if seeds < 1 || seeds > mostSeeds || together < 1 || together > seeds {
+	if seeds < 1 || seeds > maxSeeds || together < 1 || together > seeds {
 		return fmt.Errorf("rig rollout: -seeds %d -together %d, 1 to %d seeds and at most as many together expected",
-			seeds, together, mostSeeds)
+			seeds, together, maxSeeds)
 	}
 	dir, err := os.MkdirTemp("", "rollout")
 	if err != nil {
@@ -164,7 +164,7 @@
 	if _, err := os.Stat(program); err != nil && !c.Bool("list") {
 		return nil, opts, fmt.Errorf("rig rollout: the program under test: %w", err)
 	}
-	opts = rollout.Options{Program: []string{program}, Worker: []string{self, "rig", actorWord}}
+	opts = rollout.Options{Program: []string{program}, Worker: []string{self, "rig", workerCommand}}
 	if c.Bool("logs") {
 		opts.Logs = c.Root().ErrWriter
 	}
--- a/internal/harness/check/check_test.go
+++ b/internal/harness/check/check_test.go
@@ -96,12 +96,12 @@
 		{"by one that was stopped", "", []history.Event{call(0, "", "backend-1"), delivered(10, 0), on(20, history.Stopped, "sidecar-1"), on(3000, history.Continued, "sidecar-1"), sent(3200)}},
 		{"by one that was stopped, later", check.Drains, []history.Event{call(0, "", "backend-1"), delivered(10, 0), on(20, history.Stopped, "sidecar-1"), on(3000, history.Continued, "sidecar-1"), sent(3400)}},
 
-		{"a stray by a life that began after the list had lost the address", check.Strays, []history.Event{lost(0), on(10, history.Started, "sidecar-1"), sent(20), stray(21, "")}},
+		{"a stray by a life that began after the list had lost the address", check.Misrouted, []history.Event{lost(0), on(10, history.Started, "sidecar-1"), sent(20), stray(21, "")}},
 		{"a stray that may be repeated", "", []history.Event{lost(0), on(10, history.Started, "sidecar-1"), sent(20), stray(21, "k")}},
 		{"a stray by a life that was there before", "", []history.Event{on(0, history.Started, "sidecar-1"), lost(10), sent(20), stray(21, "")}},
 		{"a stray while the list has the address", "", []history.Event{on(0, history.Started, "sidecar-1"), sent(20), stray(21, ""), lost(30)}},
 
-		{"a cold backend pushed over", check.Cold, []history.Event{{At: 1, Kind: history.WarmupOverload, Who: "backend-1", N: 1}, {At: 2, Kind: history.WarmupOverload, Who: "backend-1"}}},
+		{"a cold backend pushed over", check.Warmup, []history.Event{{At: 1, Kind: history.WarmupOverload, Who: "backend-1", N: 1}, {At: 2, Kind: history.WarmupOverload, Who: "backend-1"}}},
 		{"a process that ends by itself", check.Processes, []history.Event{{At: 1, Kind: history.Exited, Who: "sidecar-1", Why: "by itself: ended"}}},
 		{"a process that fails at its end", check.Processes, []history.Event{{At: 1, Kind: history.Exited, Who: "sidecar-1", Why: "exit status 1"}}},
 		{"one that was killed", "", []history.Event{{At: 1, Kind: history.Exited, Who: "sidecar-1", Why: "signal: killed"}}},
@@ -135,7 +135,7 @@
 	all = append(all, asked(4000, 10, 200, ""), asked(4001, 10, 503, ""), history.Event{At: 8_000_000, Kind: history.Ended})
 	x := sc(t, "")
 	f := check.Measure(x, all)
-	if f.Lives != 2 || f.ReadyP50 != 1.5 || f.FirstAll != 1.5 || f.Reads.Peak != 30 || f.Connects != 30 || f.Asked != 2 || f.Served != 1 || f.Turned != 1 || f.Never != 0 {
+	if f.Starts != 2 || f.ReadyP50 != 1.5 || f.FirstAll != 1.5 || f.Snapshots.Peak != 30 || f.PeakConnects != 30 || f.Requests != 2 || f.Served != 1 || f.Rejected != 1 || f.NeverReady != 0 {
 		t.Errorf("%+v", f)
 	}
 	if got := f.ReadyWithin(time.Second); got != 0.5 {
@@ -151,7 +151,8 @@
 	}
 }
 
-// A site that is away for four seconds: what is served of what can be, when, of which class, and over whose border.
+// A site that is away for four seconds: what is served of what can be, when, of which class, and
+// over whose border.
 func TestLossesOfSites(t *testing.T) {
 	x, err := scenario.Read("s.toml", []byte("name = \"x\"\nfor = \"20s\"\n[sidecars]\ncount = 2\nsites = [\"a\", \"b\"]\n[lists]\ncount = 2\n[backends]\ncount = 2\nprocesses = 2\ncores = 1\nwork = \"100ms\"\n"+
 		"[[faults]]\nat = \"4s\"\nfor = \"8s\"\nkind = \"kill\"\non = \"sites\"\nsite = \"a\"\n[bounds]\nloss_within = \"2s\"\nback_part = 0.9\n"))
@@ -183,8 +184,8 @@
 		t.Errorf("losses in an empty history: %+v", f.Losses)
 	}
 	l := f.Losses[0]
-	if l.Site != "a" || l.Within != 1 || l.Again != 0 || l.Back != 1 || l.Cheap != 1 || l.Over != 2 || l.Served < 0.49 || l.Served > 0.51 ||
-		l.Refused["charge-post"] != 0 || l.Refused["tariff-lookup"] != 1 || l.Before != 1 || l.Across > 0.5 || l.First < 0.8 || l.First > 0.92 {
+	if l.Site != "a" || l.RecoveryTime != 1 || l.RecoveryTimeAfter != 0 || l.ServedAfter != 1 || l.CheapestShare != 1 || l.Overload != 2 || l.ServedRequests < 0.49 || l.ServedRequests > 0.51 ||
+		l.RejectedShares["charge-post"] != 0 || l.RejectedShares["tariff-lookup"] != 1 || l.CrossSiteBefore != 1 || l.CrossSiteShare > 0.5 || l.ServedFirst < 0.8 || l.ServedFirst > 0.92 {
 		t.Errorf("%+v", l)
 	}
 	if v := check.Run(x, all); len(v) != 0 {
--- a/internal/harness/check/drains.go
+++ b/internal/harness/check/drains.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"fmt"
 	"slices"
 	"strings"
 
@@ -10,135 +9,153 @@
 	"fernlanding/internal/harness/scenario"
 )
 
-// drains judges what was sent to a backend after its sidecar could read that the backend drains or has ended.
-func drains(sc *scenario.Scenario, r *record) (out []Verdict) {
-	t := trafficOf(r.all)
-	backends := sc.Names(scenario.OnBackends)
-	for _, who := range sc.Names(scenario.OnSidecars) {
-		steps := listChanges(t.answers[who], t.starts[who], backends)
-		out = append(out, r.sentAfterDrain(who, t.sends[who], steps)...)
+// checkDrains checks what was sent to a backend after its sidecar could read that the backend is
+// draining or deleted.
+func checkDrains(spec *scenario.Scenario, h *indexedHistory) []Verdict {
+	var verdicts []Verdict
+	traffic := collectTraffic(h.events)
+	backends := spec.Names(scenario.OnBackends)
+	for _, sidecar := range spec.Names(scenario.OnSidecars) {
+		changes := listChanges(traffic.responses[sidecar], traffic.starts[sidecar], backends)
+		verdicts = append(verdicts, h.checkSentAfterDrain(sidecar, traffic.sends[sidecar], changes)...)
 	}
-	return out
+	return verdicts
 }
 
-// answer is a list service's answer as a sidecar could read it.
-type answer struct {
+// listResponse is a list service's response as a sidecar could read it.
+type listResponse struct {
 	history.Event
-	read int64 // when its last byte had been handed on; forever: it was not
+	readAt int64 // when its last byte had been delivered; openEnd: never
 }
 
-// asked is when the call that is answered was made.
-func (a answer) asked() int64 { return a.At - a.Took }
+// polledAt returns when the request was made.
+func (r listResponse) polledAt() int64 { return r.At - r.Took }
 
-// traffic is what sidecars were told and what they sent, by sidecar.
-type traffic struct {
-	answers map[string][]answer
-	sends   map[string][]history.Event
-	starts  map[string][]int64
+// sidecarTraffic is what sidecars received and sent, by sidecar.
+type sidecarTraffic struct {
+	responses map[string][]listResponse
+	sends     map[string][]history.Event
+	starts    map[string][]int64
 }
 
-func trafficOf(all []history.Event) traffic {
-	t := traffic{map[string][]answer{}, map[string][]history.Event{}, map[string][]int64{}}
+// collectTraffic returns the traffic of a history that is sorted by time.
+func collectTraffic(events []history.Event) sidecarTraffic {
+	traffic := sidecarTraffic{
+		responses: map[string][]listResponse{},
+		sends:     map[string][]history.Event{},
+		starts:    map[string][]int64{},
+	}
 	delivered := map[string][]history.Event{} // by connection, in order
-	for _, e := range all {
+	for _, e := range events {
 		switch e.Kind {
 		case history.Delivered:
 			delivered[e.Conn] = append(delivered[e.Conn], e)
 		case history.Sent:
-			t.sends[e.Who] = append(t.sends[e.Who], e)
+			traffic.sends[e.Who] = append(traffic.sends[e.Who], e)
 		case history.Started:
-			t.starts[e.Who] = append(t.starts[e.Who], e.At)
+			traffic.starts[e.Who] = append(traffic.starts[e.Who], e.At)
+		default: // the others are no traffic of sidecars
 		}
 	}
-	for _, e := range all {
+	for _, e := range events {
 		if e.Kind != history.ListPolled || len(e.Names) == 0 && e.Why != history.Snapshot {
 			continue
 		}
-		a := answer{e, forever}
-		of := delivered[e.Conn]
-		if i := slices.IndexFunc(of, func(d history.Event) bool { return d.Bytes >= e.Bytes }); i >= 0 {
-			a.read = of[i].At
+		response := listResponse{Event: e, readAt: openEnd}
+		onConn := delivered[e.Conn]
+		last := slices.IndexFunc(onConn, func(d history.Event) bool { return d.Bytes >= e.Bytes })
+		if last >= 0 {
+			response.readAt = onConn[last].At
 		}
-		t.answers[e.To] = append(t.answers[e.To], a)
+		traffic.responses[e.To] = append(traffic.responses[e.To], response)
 	}
-	return t
+	return traffic
 }
 
-// listChange is what a sidecar could read of a backend.
+// listChange is a change of a backend as a sidecar could read it.
 type listChange struct {
-	at   int64
-	name string // empty: the process has started anew, and knows nothing
-	out  bool   // not to be sent to
+	at    int64
+	name  string // of the backend; empty: the process has started, and knows no backend
+	isOut bool   // no request may be sent to it
 }
 
-// listChanges are what a sidecar could read of backends, by time: that one is out, when it could be read at the latest;
-// that one is in again, at the earliest time at which that could be known.
-func listChanges(answers []answer, starts []int64, backends []string) (steps []listChange) {
-	slices.SortStableFunc(answers, func(a, b answer) int { return cmp.Compare(a.asked(), b.asked()) })
-	for i, a := range answers {
-		if i+1 < len(answers) && a.read < forever {
-			// Who asks for what is newer has read what there was; the relay may have noted that a moment later.
-			a.read = min(a.read, answers[i+1].asked())
+// listChanges returns what a sidecar could read of backends, sorted by time: that a backend is out,
+// at the latest time at which that was read; that a backend is in again, at the earliest time at
+// which that could be known.
+func listChanges(responses []listResponse, starts []int64, backends []string) []listChange {
+	slices.SortStableFunc(responses, func(a, b listResponse) int { return cmp.Compare(a.polledAt(), b.polledAt()) })
+	var changes []listChange
+	for i, response := range responses {
+		if i+1 < len(responses) && response.readAt < openEnd {
+			// A sidecar that polls again has read the response before. The relay may have recorded
+			// that a moment later.
+			response.readAt = min(response.readAt, responses[i+1].polledAt())
 		}
-		steps = append(steps, a.changes(backends)...)
+		changes = append(changes, response.changes(backends)...)
 	}
 	for _, at := range starts {
-		steps = append(steps, listChange{at: at})
+		changes = append(changes, listChange{at: at})
 	}
-	slices.SortStableFunc(steps, func(a, b listChange) int { return cmp.Compare(a.at, b.at) })
-	return steps
+	slices.SortStableFunc(changes, func(a, b listChange) int { return cmp.Compare(a.at, b.at) })
+	return changes
 }
 
-// changes are what one answer says of backends; a whole list takes out those that it does not name.
-func (a answer) changes(backends []string) (steps []listChange) {
-	named := map[string]bool{}
-	for _, n := range a.Names {
-		name, serves := strings.CutPrefix(n, history.ServingMark)
-		named[name] = true
-		if serves {
-			steps = append(steps, listChange{a.asked(), name, false})
-		} else if a.read < forever {
-			steps = append(steps, listChange{a.read, name, true})
+// changes returns what one response says of backends. A snapshot takes out those that it does not
+// name.
+func (r listResponse) changes(backends []string) []listChange {
+	var changes []listChange
+	isNamed := map[string]bool{}
+	for _, marked := range r.Names {
+		name, isServing := strings.CutPrefix(marked, history.ServingMark)
+		isNamed[name] = true
+		if isServing {
+			changes = append(changes, listChange{at: r.polledAt(), name: name})
+		} else if r.readAt < openEnd {
+			changes = append(changes, listChange{at: r.readAt, name: name, isOut: true})
 		}
 	}
-	if a.Why != history.Snapshot || a.read == forever {
-		return steps
+	if r.Why != history.Snapshot || r.readAt == openEnd {
+		return changes
 	}
 	for _, name := range backends {
-		if !named[name] {
-			steps = append(steps, listChange{a.read, name, true})
+		if !isNamed[name] {
+			changes = append(changes, listChange{at: r.readAt, name: name, isOut: true})
 		}
 	}
-	return steps
+	return changes
 }
 
-// sentAfterDrain judges the requests that one sidecar sent by what it could read of the backends, both by time.
-func (r *record) sentAfterDrain(who string, sends []history.Event, steps []listChange) (out []Verdict) {
-	gone := map[string]int64{} // backends that are out, with when that could be read first
-	for _, s := range sends {
-		for len(steps) > 0 && steps[0].at <= s.At {
-			steps[0].apply(gone)
-			steps = steps[1:]
+// checkSentAfterDrain checks the requests that one sidecar sent against what it could read of the
+// backends. Both are sorted by time.
+func (h *indexedHistory) checkSentAfterDrain(sidecar string, sends []history.Event, changes []listChange) []Verdict {
+	var verdicts []Verdict
+	outSince := map[string]int64{} // backends that are out, with when that could be read first
+	for _, send := range sends {
+		for len(changes) > 0 && changes[0].at <= send.At {
+			changes[0].apply(outSince)
+			changes = changes[1:]
 		}
-		at, isOut := gone[s.To]
+		since, isOut := outSince[send.To]
 		if !isOut {
 			continue
 		}
-		if over := s.At - at - r.stopped(who, at, s.At); over > drainGrace+drainSlack {
-			out = append(out, Verdict{Drains, s.At, fmt.Sprintf("%s sent to %s %d ms after its end could be read", who, s.To, over/1000)})
+		late := send.At - since - h.pausedDuration(sidecar, since, send.At)
+		if late > drainGrace+drainSlack {
+			verdicts = append(verdicts, verdictf(Drains, send.At,
+				"%s sent to %s %d ms after its end could be read", sidecar, send.To, late/1000))
 		}
 	}
-	return out
+	return verdicts
 }
 
-// apply takes a change into the backends that are out.
-func (c listChange) apply(gone map[string]int64) {
+// apply enters a change into the backends that are out.
+func (c listChange) apply(outSince map[string]int64) {
 	switch {
 	case c.name == "":
-		clear(gone)
-	case !c.out:
-		delete(gone, c.name)
-	case gone[c.name] == 0:
-		gone[c.name] = c.at
+		clear(outSince)
+	case !c.isOut:
+		delete(outSince, c.name)
+	case outSince[c.name] == 0:
+		outSince[c.name] = c.at
 	}
 }
--- /dev/null
+++ b/internal/harness/check/history_index.go
@@ -0,0 +1,92 @@
+package check
+
+import (
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/scenario"
+)
+
+// indexedHistory is a history with an index.
+type indexedHistory struct {
+	events      []history.Event
+	unavailable intervals // of processes: from their exit, or the signal to exit, until they are ready again
+	paused      intervals // of processes: while they were stopped by SIGSTOP
+	linkFaults  intervals // of processes: while a fault acted on their link to clients
+	sent        map[requestKey]history.Event
+}
+
+// requestKey identifies a request by its connection and its number there.
+type requestKey struct {
+	conn string
+	n    int64
+}
+
+// clientLink is the link between clients and sidecars, as events of faults name it.
+const clientLink = scenario.OnClients + "-" + scenario.OnSidecars
+
+// indexEvents indexes a history that is sorted by time.
+func indexEvents(events []history.Event) *indexedHistory {
+	h := &indexedHistory{
+		events:      events,
+		unavailable: intervals{},
+		paused:      intervals{},
+		linkFaults:  intervals{},
+		sent:        map[requestKey]history.Event{},
+	}
+	for _, e := range events {
+		switch e.Kind {
+		case history.Terminating, history.Exited:
+			h.unavailable.open(e.Who, e.At)
+		case history.Ready:
+			h.unavailable.end(e.To, e.At)
+		case history.Stopped:
+			h.paused.open(e.Who, e.At)
+		case history.Continued:
+			h.paused.end(e.Who, e.At)
+		case history.Sent:
+			h.sent[requestKey{conn: e.Conn, n: e.N}] = e
+		case history.Fault:
+			if e.To == clientLink {
+				h.addLinkFault(e)
+			}
+		default: // the others are not indexed
+		}
+	}
+	return h
+}
+
+// addLinkFault indexes the beginning or the end of a fault on links to clients. Faults on one link
+// may overlap: the first that is open ends.
+func (h *indexedHistory) addLinkFault(e history.Event) {
+	for _, process := range e.Names {
+		if e.N == 1 {
+			h.linkFaults.openAnother(process, e.At)
+		} else {
+			h.linkFaults.endFirst(process, e.At)
+		}
+	}
+}
+
+// isExcused reports whether a sidecar, or its link to clients, was disturbed while a request was in
+// flight.
+func (h *indexedHistory) isExcused(sidecar string, from, to int64) bool {
+	inFlight := interval{from: from - faultAftermath, to: to}
+	return h.unavailable.overlap(sidecar, inFlight) || h.paused.overlap(sidecar, inFlight) ||
+		h.linkFaults.overlap(sidecar, inFlight)
+}
+
+// pausedDuration returns for how many microseconds a process was stopped within a period.
+func (h *indexedHistory) pausedDuration(process string, from, to int64) int64 {
+	total := int64(0)
+	for _, pause := range h.paused[process] {
+		total += max(0, min(to, pause.to)-max(from, pause.from))
+	}
+	return total
+}
+
+// end returns when the history ends, 0 if it is empty.
+func (h *indexedHistory) end() int64 {
+	if len(h.events) == 0 {
+		return 0
+	}
+	return h.events[len(h.events)-1].At
+}
--- /dev/null
+++ b/internal/harness/check/requests.go
@@ -0,0 +1,117 @@
+package check
+
+import (
+	"slices"
+
+	"fernlanding/internal/harness/history"
+	"fernlanding/internal/harness/worker"
+)
+
+// checkResponses checks that each request got one complete response of its own in time, unless a
+// fault excuses that it did not.
+func checkResponses(h *indexedHistory) []Verdict {
+	var verdicts []Verdict
+	for _, e := range h.events {
+		if e.Kind != history.Requested {
+			continue
+		}
+		if reason := responseFailure(h, e); reason != "" {
+			verdicts = append(verdicts, verdictf(OneAnswer, e.At, "%s %s at %s, %d ms: %s",
+				e.Class, e.ID, e.To, e.Took/1000, reason))
+		}
+	}
+	return verdicts
+}
+
+// responseFailure returns what is wrong with the response to a request, "" if nothing is or a fault
+// excuses it.
+func responseFailure(h *indexedHistory, e history.Event) string {
+	end := e.At + e.Took
+	switch {
+	case e.Why == worker.WrongResponse || e.Why == worker.TrailingBytes:
+		return e.Why // no fault causes this
+	case e.Status == 0 && !h.isExcused(e.To, e.At, end):
+		return e.Why
+	case e.Status != 0 && end > e.Until+lateLeeway && !h.isExcused(e.To, e.At, end):
+		return "its answer came after its client had gone"
+	}
+	return ""
+}
+
+// checkEffects checks that no request, and no idempotency key, was executed twice where no pod
+// deduplicates it.
+func checkEffects(h *indexedHistory) []Verdict {
+	var verdicts []Verdict
+	executed := map[string][]history.Event{} // by key or request
+	for _, e := range h.events {
+		if e.Kind != history.Executed || e.Class != unsafeMethod {
+			continue
+		}
+		what := "key " + e.Key
+		if e.Key == "" {
+			what = "request " + e.ID
+		}
+		before := executed[what]
+		if slices.ContainsFunc(before, func(first history.Event) bool { return isDeduplicated(first, e) }) {
+			continue
+		}
+		if len(before) > 0 {
+			first := before[0]
+			verdicts = append(verdicts, verdictf(Effects, e.At, "%s ran at %s, and %d ms before at %s",
+				what, e.Who, (e.At-first.At)/1000, first.Who))
+		}
+		executed[what] = append(before, e)
+	}
+	return verdicts
+}
+
+// isDeduplicated reports whether the pod that executed a key first drops its repetition.
+func isDeduplicated(first, repetition history.Event) bool {
+	return repetition.Key != "" && first.Pod == repetition.Pod &&
+		repetition.At-first.At < worker.DedupWindow.Microseconds()
+}
+
+// checkWarmup checks that no cold backend had more requests than its warm-up allows.
+func checkWarmup(h *indexedHistory) []Verdict {
+	var verdicts []Verdict
+	for _, e := range h.events {
+		if e.Kind == history.WarmupOverload && e.N == 1 {
+			verdicts = append(verdicts, verdictf(Warmup, e.At,
+				"%s was cold and held %d requests, more than it bears", e.Who, e.Took))
+		}
+	}
+	return verdicts
+}
+
+// checkMisrouted checks that no sidecar sends a non-idempotent request to another service at a
+// backend's address. It judges only sidecars that started after the endpoint list had lost the
+// backend: one that was there before may have sent at the same moment.
+func checkMisrouted(h *indexedHistory) []Verdict {
+	var verdicts []Verdict
+	deletedAt := map[string]int64{} // backends that are not in the list
+	startedAt := map[string]int64{} // processes
+	for _, e := range h.events {
+		switch e.Kind {
+		case history.MemberStatus:
+			delete(deletedAt, e.Who)
+			if e.Why == "DELETED" {
+				deletedAt[e.Who] = e.At
+			}
+		case history.Started:
+			startedAt[e.Who] = e.At
+		case history.Misrouted:
+			sent, isKnown := h.sent[requestKey{conn: e.Conn, n: e.N}]
+			deleted, isDeleted := deletedAt[e.Who]
+			if !isKnown || !isDeleted || e.Class != unsafeMethod || e.Key != "" {
+				continue
+			}
+			if started := startedAt[sent.Who]; deleted < started {
+				verdicts = append(verdicts, verdictf(Misrouted, e.At,
+					"%s, started %d ms after the list lost %s, sent it request %s, which may not be repeated",
+					sent.Who, (started-deleted)/1000, e.Who, e.ID))
+			}
+		default: // the others do not matter here
+		}
+	}
+	return verdicts
+}
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -126,9 +126,9 @@
 			for _, verdict := range verdicts {
 				t.Errorf("seed %d: %s", seed, verdict)
 			}
-			if figures.Asked < 100 || figures.Served < 0.3*float64(figures.Asked) {
+			if figures.Requests < 100 || figures.Served < 0.3*float64(figures.Requests) {
 				t.Errorf("seed %d: %.0f of %d requests served: the run shows nothing",
-					seed, figures.Served, figures.Asked)
+					seed, figures.Served, figures.Requests)
 			}
 			if t.Failed() {
 				t.Logf("seed %d's faults:\n%s", seed, scenario.Text(spec.Schedule()))
@@ -191,8 +191,8 @@
 		{"swap", "", check.OneAnswer},
 		{"twice", "", check.Effects},
 		{"drains", drain, check.Drains},
-		{"cold", replaceOne, check.Cold},
-		{"strays", addressReuse, check.Strays},
+		{"cold", replaceOne, check.Warmup},
+		{"strays", addressReuse, check.Misrouted},
 		{"crash", "", check.Processes},
 		{"reads", "[bounds]\nreads_per_s = 50\n", check.Bounds},
 	} {
--- a/internal/harness/scenarios_test.go
+++ b/internal/harness/scenarios_test.go
@@ -39,9 +39,9 @@
 			for _, verdict := range verdicts {
 				t.Error(verdict)
 			}
-			t.Logf("%d asked, %.0f served, losses %+v", figures.Asked, figures.Served, figures.Losses)
-			if figures.Asked < 200 {
-				t.Errorf("%d requests: the run shows nothing\n%s", figures.Asked, scenario.Text(spec.Schedule()))
+			t.Logf("%d asked, %.0f served, losses %+v", figures.Requests, figures.Served, figures.Losses)
+			if figures.Requests < 200 {
+				t.Errorf("%d requests: the run shows nothing\n%s", figures.Requests, scenario.Text(spec.Schedule()))
 			}
 		})
 	}
--- a/internal/harness/timeline/draw.go
+++ b/internal/harness/timeline/draw.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	second = 1_000_000
-	wide   = 30 * vg.Centimeter
-	high   = 7 * vg.Centimeter // of one panel
+	second      = 1_000_000
+	panelWidth  = 30 * vg.Centimeter
+	panelHeight = 7 * vg.Centimeter // of one panel
 )
 
 var (
@@ -33,17 +33,17 @@
 	shade  = color.RGBA{0xff, 0xe0, 0x99, 0x80}
 )
 
-// line is one series of a panel, by seconds.
-type line struct {
-	name  string
-	color color.RGBA
-	at    []float64
+// lineSeries is one series of a panel, by seconds.
+type lineSeries struct {
+	name   string
+	color  color.RGBA
+	values []float64
 }
 
 // panel is one of the drawing's parts.
 type panel struct {
 	title string
-	lines []*line
+	lines []*lineSeries
 }
 
 // SVG draws a history, sorted by time.
@@ -54,9 +54,9 @@
 	}
 	c := newChart(end)
 	for _, e := range all {
-		c.take(e)
+		c.add(e)
 	}
-	c.finish()
+	c.fillGaps()
 	panels := c.panels()
 	plots := make([][]*plot.Plot, len(panels))
 	for i, x := range panels {
@@ -67,12 +67,12 @@
 		plots[i] = []*plot.Plot{p}
 	}
 	plots[0][0].Title.Text = fmt.Sprintf("%s, seed %d", sc.Name, sc.Seed)
-	return write(w, plots)
+	return writeSVG(w, plots)
 }
 
-// write draws plots below each other.
-func write(w io.Writer, plots [][]*plot.Plot) error {
-	svg := vgsvg.New(wide, high*vg.Length(len(plots)))
+// writeSVG draws plots below each other.
+func writeSVG(w io.Writer, plots [][]*plot.Plot) error {
+	svg := vgsvg.New(panelWidth, panelHeight*vg.Length(len(plots)))
 	tiles := draw.Tiles{Rows: len(plots), Cols: 1, PadY: 3 * vg.Millimeter, PadTop: 2 * vg.Millimeter, PadBottom: 2 * vg.Millimeter, PadLeft: 2 * vg.Millimeter, PadRight: 4 * vg.Millimeter}
 	canvases := plot.Align(plots, tiles, draw.New(svg))
 	for i := range plots {
@@ -84,87 +84,87 @@
 
 // chart gathers what is drawn, by seconds.
 type chart struct {
-	asked, served, turned, failed *line
-	whole, further, refused       *line
-	opened                        *line
-	ready, pushed                 *line
-
-	serving  map[string]bool // sidecars that are ready
-	overload int             // cold backends that hold more than they bear
-	eventful map[int]bool    // seconds with an event; in others ready and pushed stay as they were
+	requests, served, rejected, failed *lineSeries
+	snapshots, updates, pollsRejected  *lineSeries
+	connections                        *lineSeries
+	ready, overloaded                  *lineSeries
+
+	readySidecars      map[string]bool // sidecars that are ready
+	overloadedBackends int             // cold backends that hold more than they bear
+	eventful           map[int]bool    // seconds with an event; in others ready and pushed stay as they were
 }
 
 func newChart(end int) *chart {
-	series := func(name string, c color.RGBA) *line { return &line{name, c, make([]float64, end+1)} }
+	series := func(name string, c color.RGBA) *lineSeries { return &lineSeries{name, c, make([]float64, end+1)} }
 	return &chart{
-		asked: series("asked", blue), served: series("served", green), turned: series("turned away", red), failed: series("failed or nothing", purple),
-		whole: series("whole readings", red), further: series("further calls", blue), refused: series("refused", purple),
-		opened: series("connections to backends", blue), ready: series("sidecars ready", green), pushed: series("cold backends over what they bear", red),
-		serving: map[string]bool{}, eventful: map[int]bool{},
+		requests: series("asked", blue), served: series("served", green), rejected: series("turned away", red), failed: series("failed or nothing", purple),
+		snapshots: series("whole readings", red), updates: series("further calls", blue), pollsRejected: series("refused", purple),
+		connections: series("connections to backends", blue), ready: series("sidecars ready", green), overloaded: series("cold backends over what they bear", red),
+		readySidecars: map[string]bool{}, eventful: map[int]bool{},
 	}
 }
 
 func (c *chart) panels() []panel {
 	return []panel{
-		{"requests a second", []*line{c.asked, c.served, c.turned, c.failed}},
-		{"calls for lists a second", []*line{c.whole, c.further, c.refused}},
-		{"connections a second", []*line{c.opened}},
-		{"processes", []*line{c.ready, c.pushed}},
+		{"requests a second", []*lineSeries{c.requests, c.served, c.rejected, c.failed}},
+		{"calls for lists a second", []*lineSeries{c.snapshots, c.updates, c.pollsRejected}},
+		{"connections a second", []*lineSeries{c.connections}},
+		{"processes", []*lineSeries{c.ready, c.overloaded}},
 	}
 }
 
-// take takes in the next event.
-func (c *chart) take(e history.Event) {
+// add takes in the next event.
+func (c *chart) add(e history.Event) {
 	s := int(e.At / second)
 	switch e.Kind {
 	case history.Requested:
-		c.asked.at[s]++
-		c.outcome(e.Status).at[s]++
+		c.requests.values[s]++
+		c.outcome(e.Status).values[s]++
 	case history.ListPolled:
-		c.call(e)
+		c.addPoll(e)
 	case history.Opened:
 		if strings.HasPrefix(e.To, "backend-") {
-			c.opened.at[s]++
+			c.connections.values[s]++
 		}
 	case history.Ready:
-		c.serving[e.To] = true
+		c.readySidecars[e.To] = true
 	case history.Exited:
-		delete(c.serving, e.Who)
+		delete(c.readySidecars, e.Who)
 	case history.WarmupOverload:
-		c.overload += int(2*e.N - 1)
+		c.overloadedBackends += int(2*e.N - 1)
 	}
 	c.eventful[s] = true
-	c.ready.at[s], c.pushed.at[s] = float64(len(c.serving)), max(c.pushed.at[s], float64(c.overload))
+	c.ready.values[s], c.overloaded.values[s] = float64(len(c.readySidecars)), max(c.overloaded.values[s], float64(c.overloadedBackends))
 }
 
 // outcome is the line of those requests that had a status.
-func (c *chart) outcome(status int) *line {
+func (c *chart) outcome(status int) *lineSeries {
 	switch status {
 	case http.StatusOK:
 		return c.served
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return c.turned
+		return c.rejected
 	}
 	return c.failed
 }
 
-func (c *chart) call(e history.Event) {
+func (c *chart) addPoll(e history.Event) {
 	began := int((e.At - e.Took) / second)
 	if e.N < 0 {
-		c.whole.at[began]++
+		c.snapshots.values[began]++
 	} else {
-		c.further.at[began]++
+		c.updates.values[began]++
 	}
 	if e.Status == http.StatusServiceUnavailable {
-		c.refused.at[e.At/second]++
+		c.pollsRejected.values[e.At/second]++
 	}
 }
 
-// finish carries what was ready and pushed over seconds in which nothing has happened.
-func (c *chart) finish() {
-	for s := 1; s < len(c.ready.at); s++ {
+// fillGaps carries what was ready and pushed over seconds in which nothing has happened.
+func (c *chart) fillGaps() {
+	for s := 1; s < len(c.ready.values); s++ {
 		if !c.eventful[s] {
-			c.ready.at[s], c.pushed.at[s] = c.ready.at[s-1], c.pushed.at[s-1]
+			c.ready.values[s], c.overloaded.values[s] = c.ready.values[s-1], c.overloaded.values[s-1]
 		}
 	}
 }
@@ -175,7 +175,7 @@
 	p.Legend.Top = true
 	top := 1.0
 	for _, l := range x.lines {
-		for _, v := range l.at {
+		for _, v := range l.values {
 			top = max(top, v)
 		}
 	}
@@ -190,13 +190,13 @@
 			began[e.ID] = at
 			continue
 		}
-		if err := mark(p, e.ID, began[e.ID], max(at, began[e.ID]+0.02), p.Y.Max); err != nil {
+		if err := drawFault(p, e.ID, began[e.ID], max(at, began[e.ID]+0.02), p.Y.Max); err != nil {
 			return nil, err
 		}
 	}
 	for _, l := range x.lines {
-		points := make(plotter.XYs, len(l.at))
-		for i, v := range l.at {
+		points := make(plotter.XYs, len(l.values))
+		for i, v := range l.values {
 			points[i].X, points[i].Y = float64(i), v
 		}
 		drawn, err := plotter.NewLine(points)
@@ -210,8 +210,8 @@
 	return p, nil
 }
 
-// mark shades the time of a fault and names it.
-func mark(p *plot.Plot, name string, from, to, top float64) error {
+// drawFault shades the time of a fault and names it.
+func drawFault(p *plot.Plot, name string, from, to, top float64) error {
 	box, err := plotter.NewPolygon(plotter.XYs{{X: from}, {X: to}, {X: to, Y: top}, {X: from, Y: top}})
 	if err != nil {
 		return err
--- a/internal/storedformat/storedformat_test.go
+++ b/internal/storedformat/storedformat_test.go
@@ -170,7 +170,7 @@
 	if verdicts := check.Run(played, events); len(verdicts) > 0 {
 		t.Errorf("verdicts: %v", verdicts)
 	}
-	if figures := check.Measure(played, events); figures.Asked != 124 || figures.Attempts != 124 {
+	if figures := check.Measure(played, events); figures.Requests != 124 || figures.Attempts != 124 {
 		t.Errorf("got %+v, want 124 requests and attempts", figures)
 	}
 }
