--- a/internal/harness/check/check_test.go
+++ b/internal/harness/check/check_test.go
@@ -12,27 +12,38 @@
 	"fernlanding/internal/harness/worker"
 )
 
-const ms = 1000
+const ms = 1000 // a millisecond on the history's clock
 
-func sc(t *testing.T, more string) *scenario.Scenario {
+// newScenario returns a small scenario with further lines.
+func newScenario(t *testing.T, extra string) *scenario.Scenario {
 	t.Helper()
-	x, err := scenario.Read("s.toml", []byte("name = \"x\"\n[sidecars]\ncount = 2\n[backends]\ncount = 3\n"+more))
+	text := "name = \"x\"\n[sidecars]\ncount = 2\n[backends]\ncount = 3\n" + extra
+	spec, err := scenario.Read("s.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return x
+	return spec
 }
 
-func asked(at, took int64, status int, why string) history.Event {
-	return history.Event{At: at * ms, Kind: history.Requested, To: "sidecar-1", ID: "r", Class: "charge-post", Took: took * ms, Until: (at + 2000) * ms, Status: status, Why: why}
+// The functions below return events at a time in milliseconds.
+
+func requested(at, took int64, status int, why string) history.Event {
+	return history.Event{
+		At: at * ms, Kind: history.Requested, To: "sidecar-1", ID: "r", Class: "charge-post",
+		Took: took * ms, Until: (at + 2000) * ms, Status: status, Why: why,
+	}
 }
 
-func ran(at int64, id, key, who string, pod int) history.Event {
-	return history.Event{At: at * ms, Kind: history.Executed, Class: "POST", ID: id, Key: key, Who: who, Pod: pod}
+func executed(at int64, id, key, who string, pod int) history.Event {
+	return history.Event{
+		At: at * ms, Kind: history.Executed, Class: "POST", ID: id, Key: key, Who: who, Pod: pod,
+	}
 }
 
-func call(at int64, why string, names ...string) history.Event {
-	return history.Event{At: at * ms, Kind: history.ListPolled, To: "sidecar-1", Conn: "c", Bytes: at, Names: names, Why: why}
+func polled(at int64, why string, names ...string) history.Event {
+	return history.Event{
+		At: at * ms, Kind: history.ListPolled, To: "sidecar-1", Conn: "c", Bytes: at, Names: names, Why: why,
+	}
 }
 
 func delivered(at, bytes int64) history.Event {
@@ -43,73 +54,190 @@
 	return history.Event{At: at * ms, Kind: history.Sent, Who: "sidecar-1", To: "backend-1"}
 }
 
-func on(at int64, kind history.Kind, who string) history.Event {
+func processEvent(at int64, kind history.Kind, who string) history.Event {
 	return history.Event{At: at * ms, Kind: kind, Who: who, To: who}
 }
 
-// lost is a backend that leaves the list, stray a request at the service that has its address.
-func lost(at int64) history.Event {
+// deleted is a backend that leaves the endpoint list.
+func deleted(at int64) history.Event {
 	return history.Event{At: at * ms, Kind: history.MemberStatus, Who: "backend-1", Why: "DELETED"}
 }
 
-func stray(at int64, key string) history.Event {
-	return history.Event{At: at * ms, Kind: history.Misrouted, Class: "POST", Who: "backend-1", ID: "r", Key: key}
+// misrouted is a request at the service that has taken the backend's address.
+func misrouted(key string) history.Event {
+	return history.Event{At: 21 * ms, Kind: history.Misrouted, Class: "POST", Who: "backend-1", ID: "r", Key: key}
 }
 
 // Each check finds what it is for, and lets the near miss beside it pass.
 func TestChecks(t *testing.T) {
 	window := worker.DedupWindow.Milliseconds()
 	cut := func(at, n int64) history.Event {
-		return history.Event{At: at * ms, Kind: history.Fault, ID: "1-cut", N: n, To: "clients-sidecars", Names: []string{"sidecar-1"}}
+		return history.Event{
+			At: at * ms, Kind: history.Fault, ID: "1-cut", N: n, To: "clients-sidecars", Names: []string{"sidecar-1"},
+		}
 	}
 	for _, c := range []struct {
 		name, check string
 		events      []history.Event
 	}{
-		{"served", "", []history.Event{asked(0, 10, 200, "")}},
-		{"served late, which earns nothing", "", []history.Event{asked(0, 2400, 200, "")}},
-		{"answered after its client has gone", check.OneAnswer, []history.Event{asked(0, 2600, 200, "")}},
-		{"no answer", check.OneAnswer, []history.Event{asked(0, 2500, 0, worker.TimedOut)}},
-		{"no answer of one that is killed", "", []history.Event{asked(0, 100, 0, worker.ClosedEarly), on(90, history.Terminating, "sidecar-1")}},
-		{"no answer long after another was killed", check.OneAnswer, []history.Event{asked(0, 100, 0, worker.ClosedEarly), on(90, history.Terminating, "sidecar-2")}},
-		{"no answer of one that is back since long", check.OneAnswer, []history.Event{on(0, history.Terminating, "sidecar-1"), on(500, history.Ready, "sidecar-1"), asked(1100, 100, 0, worker.ClosedEarly)}},
-		{"no answer of one that is stopped", "", []history.Event{asked(0, 2500, 0, worker.TimedOut), on(2000, history.Stopped, "sidecar-1")}},
-		{"no answer over a cut link", "", []history.Event{cut(0, 1), asked(10, 2500, 0, worker.TimedOut), cut(3000, 0)}},
-		{"no answer long after a cut", check.OneAnswer, []history.Event{cut(0, 1), cut(100, 0), asked(1000, 2500, 0, worker.TimedOut)}},
-		{"another's answer, whatever the link", check.OneAnswer, []history.Event{cut(0, 1), asked(10, 10, 200, worker.WrongResponse)}},
-
-		{"a charge twice", check.Effects, []history.Event{ran(0, "r", "", "backend-1", 0), ran(50, "r", "", "backend-2", 0)}},
-		{"two charges", "", []history.Event{ran(0, "r", "", "backend-1", 0), ran(50, "s", "", "backend-2", 0)}},
-		{"a key that its pod drops", "", []history.Event{ran(0, "r", "k", "backend-1", 1), ran(window-1, "r", "k", "backend-2", 1)}},
-		{"a key in another pod", check.Effects, []history.Event{ran(0, "r", "k", "backend-1", 1), ran(50, "r", "k", "backend-2", 2)}},
-		{"a key after its window", check.Effects, []history.Event{ran(0, "r", "k", "backend-1", 1), ran(window, "r", "k", "backend-2", 1)}},
-
-		{"sent within the grace", "", []history.Event{call(0, "", "backend-1"), delivered(10, 0), sent(300)}},
-		{"sent after the grace", check.Drains, []history.Event{call(0, "", "backend-1"), delivered(10, 0), sent(400)}},
-		{"not handed on", "", []history.Event{call(5, "", "backend-1"), delivered(10, 4), sent(400)}},
-		{"handed on late", "", []history.Event{call(0, "", "backend-1"), delivered(200, 0), sent(500)}},
-		{"a whole list that lacks it", check.Drains, []history.Event{call(0, history.Snapshot, "+backend-2"), delivered(10, 0), sent(400)}},
-		{"a change that does not name it", "", []history.Event{call(0, "", "backend-2"), delivered(10, 0), sent(400)}},
-		{"back in the list", "", []history.Event{call(0, "", "backend-1"), delivered(10, 0), call(300, "", "+backend-1"), sent(400)}},
-		{"its end noted after the next call", "", []history.Event{call(0, "", "backend-1"), call(20, "", "+backend-1"), delivered(30, 0), sent(400)}},
-		{"by a process that has started since", "", []history.Event{call(0, "", "backend-1"), delivered(10, 0), on(300, history.Started, "sidecar-1"), sent(400)}},
-		{"by one that was stopped", "", []history.Event{call(0, "", "backend-1"), delivered(10, 0), on(20, history.Stopped, "sidecar-1"), on(3000, history.Continued, "sidecar-1"), sent(3200)}},
-		{"by one that was stopped, later", check.Drains, []history.Event{call(0, "", "backend-1"), delivered(10, 0), on(20, history.Stopped, "sidecar-1"), on(3000, history.Continued, "sidecar-1"), sent(3400)}},
-
-		{"a stray by a life that began after the list had lost the address", check.Misrouted, []history.Event{lost(0), on(10, history.Started, "sidecar-1"), sent(20), stray(21, "")}},
-		{"a stray that may be repeated", "", []history.Event{lost(0), on(10, history.Started, "sidecar-1"), sent(20), stray(21, "k")}},
-		{"a stray by a life that was there before", "", []history.Event{on(0, history.Started, "sidecar-1"), lost(10), sent(20), stray(21, "")}},
-		{"a stray while the list has the address", "", []history.Event{on(0, history.Started, "sidecar-1"), sent(20), stray(21, ""), lost(30)}},
-
-		{"a cold backend pushed over", check.Warmup, []history.Event{{At: 1, Kind: history.WarmupOverload, Who: "backend-1", N: 1}, {At: 2, Kind: history.WarmupOverload, Who: "backend-1"}}},
-		{"a process that ends by itself", check.Processes, []history.Event{{At: 1, Kind: history.Exited, Who: "sidecar-1", Why: "by itself: ended"}}},
-		{"a process that fails at its end", check.Processes, []history.Event{{At: 1, Kind: history.Exited, Who: "sidecar-1", Why: "exit status 1"}}},
-		{"one that was killed", "", []history.Event{{At: 1, Kind: history.Exited, Who: "sidecar-1", Why: "signal: killed"}}},
+		{"served", "", []history.Event{requested(0, 10, 200, "")}},
+		{"served late, which earns nothing", "", []history.Event{requested(0, 2400, 200, "")}},
+		{"answered after its client has gone", check.OneAnswer, []history.Event{requested(0, 2600, 200, "")}},
+		{"no answer", check.OneAnswer, []history.Event{requested(0, 2500, 0, worker.TimedOut)}},
+		{
+			"no answer of one that is killed", "",
+			[]history.Event{
+				requested(0, 100, 0, worker.ClosedEarly),
+				processEvent(90, history.Terminating, "sidecar-1"),
+			},
+		},
+		{
+			"no answer long after another was killed", check.OneAnswer,
+			[]history.Event{
+				requested(0, 100, 0, worker.ClosedEarly),
+				processEvent(90, history.Terminating, "sidecar-2"),
+			},
+		},
+		{
+			"no answer of one that is back since long", check.OneAnswer,
+			[]history.Event{
+				processEvent(0, history.Terminating, "sidecar-1"),
+				processEvent(500, history.Ready, "sidecar-1"),
+				requested(1100, 100, 0, worker.ClosedEarly),
+			},
+		},
+		{
+			"no answer of one that is stopped", "",
+			[]history.Event{requested(0, 2500, 0, worker.TimedOut), processEvent(2000, history.Stopped, "sidecar-1")},
+		},
+		{
+			"no answer over a cut link", "",
+			[]history.Event{cut(0, 1), requested(10, 2500, 0, worker.TimedOut), cut(3000, 0)},
+		},
+		{
+			"no answer long after a cut", check.OneAnswer,
+			[]history.Event{cut(0, 1), cut(100, 0), requested(1000, 2500, 0, worker.TimedOut)},
+		},
+		{
+			"another's answer, whatever the link", check.OneAnswer,
+			[]history.Event{cut(0, 1), requested(10, 10, 200, worker.WrongResponse)},
+		},
+
+		{
+			"a charge twice", check.Effects,
+			[]history.Event{executed(0, "r", "", "backend-1", 0), executed(50, "r", "", "backend-2", 0)},
+		},
+		{
+			"two charges", "",
+			[]history.Event{executed(0, "r", "", "backend-1", 0), executed(50, "s", "", "backend-2", 0)},
+		},
+		{
+			"a key that its pod drops", "",
+			[]history.Event{executed(0, "r", "k", "backend-1", 1), executed(window-1, "r", "k", "backend-2", 1)},
+		},
+		{
+			"a key in another pod", check.Effects,
+			[]history.Event{executed(0, "r", "k", "backend-1", 1), executed(50, "r", "k", "backend-2", 2)},
+		},
+		{
+			"a key after its window", check.Effects,
+			[]history.Event{executed(0, "r", "k", "backend-1", 1), executed(window, "r", "k", "backend-2", 1)},
+		},
+
+		{"sent within the grace", "", []history.Event{polled(0, "", "backend-1"), delivered(10, 0), sent(300)}},
+		{
+			"sent after the grace", check.Drains,
+			[]history.Event{polled(0, "", "backend-1"), delivered(10, 0), sent(400)},
+		},
+		{"not handed on", "", []history.Event{polled(5, "", "backend-1"), delivered(10, 4), sent(400)}},
+		{"handed on late", "", []history.Event{polled(0, "", "backend-1"), delivered(200, 0), sent(500)}},
+		{
+			"a whole list that lacks it", check.Drains,
+			[]history.Event{polled(0, history.Snapshot, "+backend-2"), delivered(10, 0), sent(400)},
+		},
+		{
+			"a change that does not name it", "",
+			[]history.Event{polled(0, "", "backend-2"), delivered(10, 0), sent(400)},
+		},
+		{
+			"back in the list", "",
+			[]history.Event{polled(0, "", "backend-1"), delivered(10, 0), polled(300, "", "+backend-1"), sent(400)},
+		},
+		{
+			"its end noted after the next call", "",
+			[]history.Event{polled(0, "", "backend-1"), polled(20, "", "+backend-1"), delivered(30, 0), sent(400)},
+		},
+		{
+			"by a process that has started since", "",
+			[]history.Event{
+				polled(0, "", "backend-1"),
+				delivered(10, 0),
+				processEvent(300, history.Started, "sidecar-1"),
+				sent(400),
+			},
+		},
+		{
+			"by one that was stopped", "",
+			[]history.Event{
+				polled(0, "", "backend-1"),
+				delivered(10, 0),
+				processEvent(20, history.Stopped, "sidecar-1"),
+				processEvent(3000, history.Continued, "sidecar-1"),
+				sent(3200),
+			},
+		},
+		{
+			"by one that was stopped, later", check.Drains,
+			[]history.Event{
+				polled(0, "", "backend-1"),
+				delivered(10, 0),
+				processEvent(20, history.Stopped, "sidecar-1"),
+				processEvent(3000, history.Continued, "sidecar-1"),
+				sent(3400),
+			},
+		},
+
+		{
+			"a stray by a life that began after the list had lost the address", check.Misrouted,
+			[]history.Event{deleted(0), processEvent(10, history.Started, "sidecar-1"), sent(20), misrouted("")},
+		},
+		{
+			"a stray that may be repeated", "",
+			[]history.Event{deleted(0), processEvent(10, history.Started, "sidecar-1"), sent(20), misrouted("k")},
+		},
+		{
+			"a stray by a life that was there before", "",
+			[]history.Event{processEvent(0, history.Started, "sidecar-1"), deleted(10), sent(20), misrouted("")},
+		},
+		{
+			"a stray while the list has the address", "",
+			[]history.Event{processEvent(0, history.Started, "sidecar-1"), sent(20), misrouted(""), deleted(30)},
+		},
+
+		{
+			"a cold backend pushed over", check.Warmup,
+			[]history.Event{
+				{At: 1, Kind: history.WarmupOverload, Who: "backend-1", N: 1},
+				{At: 2, Kind: history.WarmupOverload, Who: "backend-1"},
+			},
+		},
+		{
+			"a process that ends by itself", check.Processes,
+			[]history.Event{{At: 1, Kind: history.Exited, Who: "sidecar-1", Why: "by itself: ended"}},
+		},
+		{
+			"a process that fails at its end", check.Processes,
+			[]history.Event{{At: 1, Kind: history.Exited, Who: "sidecar-1", Why: "exit status 1"}},
+		},
+		{
+			"one that was killed", "",
+			[]history.Event{{At: 1, Kind: history.Exited, Who: "sidecar-1", Why: "signal: killed"}},
+		},
 	} {
 		all := append(slices.Clone(c.events), history.Event{At: 99_000_000, Kind: history.Ended})
 		history.Sort(all)
 		var names []string
-		for _, v := range check.Run(sc(t, ""), all) {
+		for _, v := range check.Run(newScenario(t, ""), all) {
 			names = append(names, v.Check)
 		}
 		if strings.Join(names, " ") != c.check {
@@ -117,82 +245,134 @@
 		}
 	}
 	for name, last := range map[string][]history.Event{"left": {{Kind: history.Ended, N: 1}}, "broken off": nil} {
-		if v := check.Run(sc(t, ""), last); len(v) != 1 || v[0].Check != check.Processes {
+		if v := check.Run(newScenario(t, ""), last); len(v) != 1 || v[0].Check != check.Processes {
 			t.Errorf("%s: %v", name, v)
 		}
 	}
 }
 
+// The figures follow from the events, and each bound is violated just beyond its value.
 func TestBoundsAndFigures(t *testing.T) {
-	var all []history.Event
-	all = append(all, on(0, history.Started, "sidecar-1"), on(1, history.Exited, "sidecar-1")) // which only measures
-	for i, n := range []string{"sidecar-1", "sidecar-2"} {
-		all = append(all, on(1000, history.Started, n), history.Event{At: int64(1500+1000*i) * ms, Kind: history.Ready, To: n})
+	all := boundsHistory()
+	figures := check.Measure(newScenario(t, ""), all)
+	if figures.Starts != 2 || figures.ReadyP50 != 1.5 || figures.FirstAll != 1.5 || figures.NeverReady != 0 ||
+		figures.Snapshots.Peak != 30 || figures.PeakConnects != 30 ||
+		figures.Requests != 2 || figures.Served != 1 || figures.Rejected != 1 {
+		t.Errorf("%+v", figures)
 	}
-	for i := range int64(30) {
-		all = append(all, history.Event{At: (2000 + i) * ms, Kind: history.ListPolled, N: -1, Status: 200}, history.Event{At: (3000 + i) * ms, Kind: history.Opened, Who: "sidecar-1", To: "backend-2"})
-	}
-	all = append(all, asked(4000, 10, 200, ""), asked(4001, 10, 503, ""), history.Event{At: 8_000_000, Kind: history.Ended})
-	x := sc(t, "")
-	f := check.Measure(x, all)
-	if f.Starts != 2 || f.ReadyP50 != 1.5 || f.FirstAll != 1.5 || f.Snapshots.Peak != 30 || f.PeakConnects != 30 || f.Requests != 2 || f.Served != 1 || f.Rejected != 1 || f.NeverReady != 0 {
-		t.Errorf("%+v", f)
-	}
-	if got := f.ReadyWithin(time.Second); got != 0.5 {
+	if got := figures.ReadyWithin(time.Second); got != 0.5 {
 		t.Errorf("%v ready within a second", got)
 	}
 	for bounds, want := range map[string]int{
-		"": 0, "reads_per_s = 30": 0, "reads_per_s = 29": 1, "connects_per_s = 29": 1, "ready_part = 0.5\nready_within = \"1s\"": 0,
-		"ready_part = 0.6\nready_within = \"1s\"": 1, "served_part = 0.5": 0, "served_part = 0.6": 1,
+		"":                    0,
+		"reads_per_s = 30":    0,
+		"reads_per_s = 29":    1,
+		"connects_per_s = 29": 1,
+		"served_part = 0.5":   0,
+		"served_part = 0.6":   1,
+		"ready_part = 0.5\nready_within = \"1s\"": 0,
+		"ready_part = 0.6\nready_within = \"1s\"": 1,
 	} {
-		if v := check.Run(sc(t, "[bounds]\n"+bounds+"\n"), all); len(v) != want {
-			t.Errorf("%s: %v", bounds, v)
+		verdicts := check.Run(newScenario(t, "[bounds]\n"+bounds+"\n"), all)
+		if len(verdicts) != want {
+			t.Errorf("%s: %v", bounds, verdicts)
 		}
 	}
 }
 
+// boundsHistory is a history of two sidecars, with one start before that only measures memory.
+func boundsHistory() []history.Event {
+	all := []history.Event{
+		processEvent(0, history.Started, "sidecar-1"),
+		processEvent(1, history.Exited, "sidecar-1"),
+	}
+	for i, name := range []string{"sidecar-1", "sidecar-2"} {
+		all = append(all,
+			processEvent(1000, history.Started, name),
+			history.Event{At: int64(1500+1000*i) * ms, Kind: history.Ready, To: name})
+	}
+	for i := range int64(30) {
+		all = append(all,
+			history.Event{At: (2000 + i) * ms, Kind: history.ListPolled, N: -1, Status: 200},
+			history.Event{At: (3000 + i) * ms, Kind: history.Opened, Who: "sidecar-1", To: "backend-2"})
+	}
+	return append(all,
+		requested(4000, 10, 200, ""),
+		requested(4001, 10, 503, ""),
+		history.Event{At: 8_000_000, Kind: history.Ended})
+}
+
+// lossScenario has two sites, of which the first is killed for eight seconds.
+const lossScenario = `name = "x"
+for = "20s"
+[sidecars]
+count = 2
+sites = ["a", "b"]
+[lists]
+count = 2
+[backends]
+count = 2
+processes = 2
+cores = 1
+work = "100ms"
+[[faults]]
+at = "4s"
+for = "8s"
+kind = "kill"
+on = "sites"
+site = "a"
+[bounds]
+loss_within = "2s"
+back_part = 0.9
+`
+
 // A site that is away for four seconds: what is served of what can be, when, of which class, and
 // over whose border.
 func TestLossesOfSites(t *testing.T) {
-	x, err := scenario.Read("s.toml", []byte("name = \"x\"\nfor = \"20s\"\n[sidecars]\ncount = 2\nsites = [\"a\", \"b\"]\n[lists]\ncount = 2\n[backends]\ncount = 2\nprocesses = 2\ncores = 1\nwork = \"100ms\"\n"+
-		"[[faults]]\nat = \"4s\"\nfor = \"8s\"\nkind = \"kill\"\non = \"sites\"\nsite = \"a\"\n[bounds]\nloss_within = \"2s\"\nback_part = 0.9\n"))
+	spec, err := scenario.Read("s.toml", []byte(lossScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
 	fault := func(at, n int64) history.Event {
 		return history.Event{At: at * ms, Kind: history.Fault, ID: "1-kill", N: n}
 	}
-	all := []history.Event{on(0, history.Started, "sidecar-1"), fault(4000, 1), fault(12000, 0)}
+	all := []history.Event{processEvent(0, history.Started, "sidecar-1"), fault(4000, 1), fault(12000, 0)}
 	for at := int64(0); at < 20000; at += 50 { // twenty a second, as both sites can serve; one site can serve ten
-		e := asked(at, 10, 200, "")
-		if lost := at >= 4000 && at < 12000; lost && (at < 5000 || at%100 != 0) {
-			e.Status, e.Class = 503, "tariff-lookup"
+		e := requested(at, 10, 200, "")
+		isDown := at >= 4000 && at < 12000
+		if isDown && (at < 5000 || at%100 != 0) {
+			e.Status = 503
+			e.Class = "tariff-lookup"
 		}
-		to := history.Event{At: at * ms, Kind: history.Sent, Who: "sidecar-1", To: "backend-2"}
+		attempt := history.Event{At: at * ms, Kind: history.Sent, Who: "sidecar-1", To: "backend-2"}
 		if e.Status == 503 {
-			to.Who = "sidecar-2"
+			attempt.Who = "sidecar-2"
 		}
-		all = append(all, e, to)
+		all = append(all, e, attempt)
 	}
 	all = append(all, history.Event{At: 20_000_000, Kind: history.Ended})
 	history.Sort(all)
-	f := check.Measure(x, all)
+	f := check.Measure(spec, all)
 	if len(f.Losses) != 1 {
 		t.Fatalf("%+v", f.Losses)
 	}
-	if f := check.Measure(x, nil); len(f.Losses) != 0 {
+	if f := check.Measure(spec, nil); len(f.Losses) != 0 {
 		t.Errorf("losses in an empty history: %+v", f.Losses)
 	}
 	l := f.Losses[0]
-	if l.Site != "a" || l.RecoveryTime != 1 || l.RecoveryTimeAfter != 0 || l.ServedAfter != 1 || l.CheapestShare != 1 || l.Overload != 2 || l.ServedRequests < 0.49 || l.ServedRequests > 0.51 ||
-		l.RejectedShares["charge-post"] != 0 || l.RejectedShares["tariff-lookup"] != 1 || l.CrossSiteBefore != 1 || l.CrossSiteShare > 0.5 || l.ServedFirst < 0.8 || l.ServedFirst > 0.92 {
+	if l.Site != "a" || l.RecoveryTime != 1 || l.RecoveryTimeAfter != 0 || l.ServedAfter != 1 ||
+		l.CheapestShare != 1 || l.Overload != 2 || l.ServedRequests < 0.49 ||
+		l.ServedRequests > 0.51 || l.RejectedShares["charge-post"] != 0 ||
+		l.RejectedShares["tariff-lookup"] != 1 || l.CrossSiteBefore != 1 ||
+		l.CrossSiteShare > 0.5 || l.ServedFirst < 0.8 || l.ServedFirst > 0.92 {
 		t.Errorf("%+v", l)
 	}
-	if v := check.Run(x, all); len(v) != 0 {
+	if v := check.Run(spec, all); len(v) != 0 {
 		t.Errorf("%v", v)
 	}
-	x.Bounds.LossRecoveryWithin, x.Bounds.MinServedAfterLoss = 500*time.Millisecond, 1.1
-	if v := check.Run(x, all); len(v) != 2 {
+	spec.Bounds.LossRecoveryWithin = 500 * time.Millisecond
+	spec.Bounds.MinServedAfterLoss = 1.1
+	if v := check.Run(spec, all); len(v) != 2 {
 		t.Errorf("%v", v)
 	}
 }
--- a/internal/harness/check/losses.go
+++ b/internal/harness/check/losses.go
@@ -13,18 +13,28 @@
 // Loss is the measurements of a fault of a complete site, or of all links between it and the
 // others. Its JSON keys are stored.
 type Loss struct {
-	Fault             string             `json:"fault"`
-	Site              string             `json:"site"`
-	ServedFirst       float64            `json:"first_served"`    // share of the weighted requests of the first 10 s that was served
-	ServedAfter       float64            `json:"back_served"`     // the same of the 30 s after its end, or to the end of the run
-	RecoveryTime      float64            `json:"within_s"`        // seconds until 95% of what can be served was; -1: never while it lasted
-	RecoveryTimeAfter float64            `json:"again_within_s"`  // the same from its end
-	Overload          float64            `json:"overload"`        // the worst remaining site from 3 s on: requests over what it can serve
-	RejectedShares    map[string]float64 `json:"refused_part"`    // by class, from 3 s after the beginning to the end
-	CheapestShare     float64            `json:"refused_cheap"`   // share of the rejected requests that is of the class with the least weight
-	CrossSiteShare    float64            `json:"across_part"`     // share of the attempts that went to another site while it lasted
-	CrossSiteBefore   float64            `json:"across_before"`   // the same of the 5 s before
-	ServedRequests    float64            `json:"served_requests"` // share of the requests from 3 s on to its end that was served
+	Fault string `json:"fault"`
+	Site  string `json:"site"`
+	// ServedFirst: share of the weighted requests of the first 10 s that was served.
+	ServedFirst float64 `json:"first_served"`
+	// ServedAfter: the same of the 30 s after its end, or to the end of the run.
+	ServedAfter float64 `json:"back_served"`
+	// RecoveryTime: seconds until 95% of what can be served was; -1: never while it lasted.
+	RecoveryTime float64 `json:"within_s"`
+	// RecoveryTimeAfter: the same from its end.
+	RecoveryTimeAfter float64 `json:"again_within_s"`
+	// Overload: requests that come to the worst remaining site from 3 s on, as a multiple of what it can serve.
+	Overload float64 `json:"overload"`
+	// RejectedShares: by class, from 3 s after the beginning to the end.
+	RejectedShares map[string]float64 `json:"refused_part"`
+	// CheapestShare: share of the rejected requests that is of the class with the least weight.
+	CheapestShare float64 `json:"refused_cheap"`
+	// CrossSiteShare: share of the attempts that went to another site while it lasted.
+	CrossSiteShare float64 `json:"across_part"`
+	// CrossSiteBefore: the same of the 5 s before.
+	CrossSiteBefore float64 `json:"across_before"`
+	// ServedRequests: share of the requests from 3 s on to its end that was served.
+	ServedRequests float64 `json:"served_requests"`
 }
 
 const (
