--- a/internal/harness/timeline/draw.go
+++ b/internal/harness/timeline/draw.go
@@ -1,5 +1,5 @@
-// Package timeline draws the history of a run: load, refusals, calls for lists, connections and ready sidecars over time, with
-// the faults marked.
+// Package timeline draws the history of a run: load, rejections, polls of lists, connections and
+// ready sidecars over time, with the faults marked.
 package timeline
 
 import (
@@ -22,7 +22,7 @@
 const (
 	second      = 1_000_000
 	panelWidth  = 30 * vg.Centimeter
-	panelHeight = 7 * vg.Centimeter // of one panel
+	panelHeight = 7 * vg.Centimeter
 )
 
 var (
@@ -33,47 +33,55 @@
 	shade  = color.RGBA{0xff, 0xe0, 0x99, 0x80}
 )
 
-// lineSeries is one series of a panel, by seconds.
+// lineSeries is one line of a panel. It has a value for each second of the run.
 type lineSeries struct {
 	name   string
 	color  color.RGBA
 	values []float64
 }
 
-// panel is one of the drawing's parts.
+// panel is one of the plots, which are drawn below each other.
 type panel struct {
 	title string
 	lines []*lineSeries
 }
 
-// SVG draws a history, sorted by time.
-func SVG(w io.Writer, sc *scenario.Scenario, all []history.Event) error {
+// SVG writes a drawing of a history that is sorted by time.
+func SVG(w io.Writer, spec *scenario.Scenario, events []history.Event) error {
 	end := 0
-	for _, e := range all {
+	for _, e := range events {
 		end = max(end, int(e.At/second))
 	}
 	c := newChart(end)
-	for _, e := range all {
+	for _, e := range events {
 		c.add(e)
 	}
 	c.fillGaps()
 	panels := c.panels()
 	plots := make([][]*plot.Plot, len(panels))
-	for i, x := range panels {
-		p, err := x.plot(all, end)
+	for i, panel := range panels {
+		drawn, err := panel.plot(events, end)
 		if err != nil {
-			return fmt.Errorf("draw %s: %w", x.title, err)
+			return fmt.Errorf("draw %s: %w", panel.title, err)
 		}
-		plots[i] = []*plot.Plot{p}
+		plots[i] = []*plot.Plot{drawn}
 	}
-	plots[0][0].Title.Text = fmt.Sprintf("%s, seed %d", sc.Name, sc.Seed)
+	plots[0][0].Title.Text = fmt.Sprintf("%s, seed %d", spec.Name, spec.Seed)
 	return writeSVG(w, plots)
 }
 
-// writeSVG draws plots below each other.
+// writeSVG writes plots below each other.
 func writeSVG(w io.Writer, plots [][]*plot.Plot) error {
 	svg := vgsvg.New(panelWidth, panelHeight*vg.Length(len(plots)))
-	tiles := draw.Tiles{Rows: len(plots), Cols: 1, PadY: 3 * vg.Millimeter, PadTop: 2 * vg.Millimeter, PadBottom: 2 * vg.Millimeter, PadLeft: 2 * vg.Millimeter, PadRight: 4 * vg.Millimeter}
+	tiles := draw.Tiles{
+		Rows:      len(plots),
+		Cols:      1,
+		PadY:      3 * vg.Millimeter,
+		PadTop:    2 * vg.Millimeter,
+		PadBottom: 2 * vg.Millimeter,
+		PadLeft:   2 * vg.Millimeter,
+		PadRight:  4 * vg.Millimeter,
+	}
 	canvases := plot.Align(plots, tiles, draw.New(svg))
 	for i := range plots {
 		plots[i][0].Draw(canvases[i][0])
@@ -89,31 +97,44 @@
 	connections                        *lineSeries
 	ready, overloaded                  *lineSeries
 
-	readySidecars      map[string]bool // sidecars that are ready
-	overloadedBackends int             // cold backends that hold more than they bear
-	eventful           map[int]bool    // seconds with an event; in others ready and pushed stay as they were
+	readySidecars      map[string]bool
+	overloadedBackends int          // cold backends, now
+	hasEvent           map[int]bool // by second; in others ready and overloaded stay as they were
 }
 
+// newChart returns a chart of a run that ends in a second. The names of the lines are on the
+// drawing.
 func newChart(end int) *chart {
-	series := func(name string, c color.RGBA) *lineSeries { return &lineSeries{name, c, make([]float64, end+1)} }
+	series := func(name string, c color.RGBA) *lineSeries {
+		return &lineSeries{name: name, color: c, values: make([]float64, end+1)}
+	}
 	return &chart{
-		requests: series("asked", blue), served: series("served", green), rejected: series("turned away", red), failed: series("failed or nothing", purple),
-		snapshots: series("whole readings", red), updates: series("further calls", blue), pollsRejected: series("refused", purple),
-		connections: series("connections to backends", blue), ready: series("sidecars ready", green), overloaded: series("cold backends over what they bear", red),
-		readySidecars: map[string]bool{}, eventful: map[int]bool{},
+		requests:      series("asked", blue),
+		served:        series("served", green),
+		rejected:      series("turned away", red),
+		failed:        series("failed or nothing", purple),
+		snapshots:     series("whole readings", red),
+		updates:       series("further calls", blue),
+		pollsRejected: series("refused", purple),
+		connections:   series("connections to backends", blue),
+		ready:         series("sidecars ready", green),
+		overloaded:    series("cold backends over what they bear", red),
+		readySidecars: map[string]bool{},
+		hasEvent:      map[int]bool{},
 	}
 }
 
+// panels returns the panels of the drawing, from the top.
 func (c *chart) panels() []panel {
 	return []panel{
-		{"requests a second", []*lineSeries{c.requests, c.served, c.rejected, c.failed}},
-		{"calls for lists a second", []*lineSeries{c.snapshots, c.updates, c.pollsRejected}},
-		{"connections a second", []*lineSeries{c.connections}},
-		{"processes", []*lineSeries{c.ready, c.overloaded}},
+		{title: "requests a second", lines: []*lineSeries{c.requests, c.served, c.rejected, c.failed}},
+		{title: "calls for lists a second", lines: []*lineSeries{c.snapshots, c.updates, c.pollsRejected}},
+		{title: "connections a second", lines: []*lineSeries{c.connections}},
+		{title: "processes", lines: []*lineSeries{c.ready, c.overloaded}},
 	}
 }
 
-// add takes in the next event.
+// add adds the next event.
 func (c *chart) add(e history.Event) {
 	s := int(e.At / second)
 	switch e.Kind {
@@ -132,12 +153,14 @@
 		delete(c.readySidecars, e.Who)
 	case history.WarmupOverload:
 		c.overloadedBackends += int(2*e.N - 1)
+	default: // the others are not drawn
 	}
-	c.eventful[s] = true
-	c.ready.values[s], c.overloaded.values[s] = float64(len(c.readySidecars)), max(c.overloaded.values[s], float64(c.overloadedBackends))
+	c.hasEvent[s] = true
+	c.ready.values[s] = float64(len(c.readySidecars))
+	c.overloaded.values[s] = max(c.overloaded.values[s], float64(c.overloadedBackends))
 }
 
-// outcome is the line of those requests that had a status.
+// outcome returns the line of the requests with a status.
 func (c *chart) outcome(status int) *lineSeries {
 	switch status {
 	case http.StatusOK:
@@ -148,6 +171,8 @@
 	return c.failed
 }
 
+// addPoll adds a poll of a list service. A rejection is drawn when it was answered, the others when
+// they were made.
 func (c *chart) addPoll(e history.Event) {
 	began := int((e.At - e.Took) / second)
 	if e.N < 0 {
@@ -160,28 +185,69 @@
 	}
 }
 
-// fillGaps carries what was ready and pushed over seconds in which nothing has happened.
+// fillGaps carries ready and overloaded over seconds without events.
 func (c *chart) fillGaps() {
 	for s := 1; s < len(c.ready.values); s++ {
-		if !c.eventful[s] {
-			c.ready.values[s], c.overloaded.values[s] = c.ready.values[s-1], c.overloaded.values[s-1]
+		if !c.hasEvent[s] {
+			c.ready.values[s] = c.ready.values[s-1]
+			c.overloaded.values[s] = c.overloaded.values[s-1]
+		}
+	}
+}
+
+// plot returns the plot of a panel, with the faults of a history that ends in a second.
+func (p panel) plot(events []history.Event, end int) (*plot.Plot, error) {
+	drawing := plot.New()
+	drawing.Y.Label.Text = p.title
+	drawing.X.Min = 0
+	drawing.X.Max = float64(max(end, 1))
+	drawing.Y.Min = 0
+	drawing.Y.Max = p.top() * 1.15 // leaves room for the legend
+	drawing.Legend.Top = true
+	if err := drawFaults(drawing, events); err != nil {
+		return nil, err
+	}
+	for _, series := range p.lines {
+		if err := series.draw(drawing); err != nil {
+			return nil, err
 		}
 	}
+	return drawing, nil
 }
 
-func (x panel) plot(all []history.Event, end int) (*plot.Plot, error) {
-	p := plot.New()
-	p.Y.Label.Text, p.X.Min, p.X.Max, p.Y.Min = x.title, 0, float64(max(end, 1)), 0
-	p.Legend.Top = true
+// top returns the highest value of a panel, at least 1.
+func (p panel) top() float64 {
 	top := 1.0
-	for _, l := range x.lines {
-		for _, v := range l.values {
-			top = max(top, v)
+	for _, series := range p.lines {
+		for _, value := range series.values {
+			top = max(top, value)
 		}
 	}
-	p.Y.Max = top * 1.15
+	return top
+}
+
+// draw adds a line to a plot.
+func (l *lineSeries) draw(drawing *plot.Plot) error {
+	points := make(plotter.XYs, len(l.values))
+	for i, value := range l.values {
+		points[i].X = float64(i)
+		points[i].Y = value
+	}
+	line, err := plotter.NewLine(points)
+	if err != nil {
+		return err
+	}
+	line.Color = l.color
+	line.Width = vg.Points(1.2)
+	drawing.Add(line)
+	drawing.Legend.Add(l.name, line)
+	return nil
+}
+
+// drawFaults marks all faults that ended. A very short one is made wide enough to be seen.
+func drawFaults(drawing *plot.Plot, events []history.Event) error {
 	began := map[string]float64{}
-	for _, e := range all {
+	for _, e := range events {
 		if e.Kind != history.Fault {
 			continue
 		}
@@ -190,34 +256,25 @@
 			began[e.ID] = at
 			continue
 		}
-		if err := drawFault(p, e.ID, began[e.ID], max(at, began[e.ID]+0.02), p.Y.Max); err != nil {
-			return nil, err
-		}
-	}
-	for _, l := range x.lines {
-		points := make(plotter.XYs, len(l.values))
-		for i, v := range l.values {
-			points[i].X, points[i].Y = float64(i), v
-		}
-		drawn, err := plotter.NewLine(points)
-		if err != nil {
-			return nil, err
+		if err := drawFault(drawing, e.ID, began[e.ID], max(at, began[e.ID]+0.02), drawing.Y.Max); err != nil {
+			return err
 		}
-		drawn.Color, drawn.Width = l.color, vg.Points(1.2)
-		p.Add(drawn)
-		p.Legend.Add(l.name, drawn)
 	}
-	return p, nil
+	return nil
 }
 
-// drawFault shades the time of a fault and names it.
+// drawFault shades the time of a fault and labels it with its name.
 func drawFault(p *plot.Plot, name string, from, to, top float64) error {
 	box, err := plotter.NewPolygon(plotter.XYs{{X: from}, {X: to}, {X: to, Y: top}, {X: from, Y: top}})
 	if err != nil {
 		return err
 	}
-	box.Color, box.LineStyle.Width = shade, 0
-	label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: from, Y: top * 0.93}}, Labels: []string{name}})
+	box.Color = shade
+	box.Width = 0
+	label, err := plotter.NewLabels(plotter.XYLabels{
+		XYs:    plotter.XYs{{X: from, Y: top * 0.93}},
+		Labels: []string{name},
+	})
 	if err != nil {
 		return err
 	}
