--- a/internal/harness/timeline/draw.go
+++ b/internal/harness/timeline/draw.go
@@ -1,5 +1,5 @@
-// Package timeline draws the history of a run: load, refusals, calls for lists, connections and ready sidecars over time, with
-// the faults marked.
+// Package timeline draws the history of a run: load, rejections, polls of lists, connections and
+// ready sidecars over time, with the faults marked.
 package timeline
 
 import (
@@ -20,9 +20,9 @@
 )
 
 const (
-	second = 1_000_000
-	wide   = 30 * vg.Centimeter
-	high   = 7 * vg.Centimeter // of one panel
+	second      = 1_000_000
+	panelWidth  = 30 * vg.Centimeter
+	panelHeight = 7 * vg.Centimeter
 )
 
 var (
@@ -33,47 +33,55 @@
 	shade  = color.RGBA{0xff, 0xe0, 0x99, 0x80}
 )
 
-// line is one series of a panel, by seconds.
-type line struct {
-	name  string
-	color color.RGBA
-	at    []float64
+// lineSeries is one line of a panel. It has a value for each second of the run.
+type lineSeries struct {
+	name   string
+	color  color.RGBA
+	values []float64
 }
 
-// panel is one of the drawing's parts.
+// panel is one of the plots, which are drawn below each other.
 type panel struct {
 	title string
-	lines []*line
+	lines []*lineSeries
 }
 
-// SVG draws a history, sorted by time.
-func SVG(w io.Writer, sc *scenario.Scenario, all []history.Event) error {
+// SVG writes a drawing of a history that is sorted by time.
+func SVG(w io.Writer, spec *scenario.Scenario, events []history.Event) error {
 	end := 0
-	for _, e := range all {
+	for _, e := range events {
 		end = max(end, int(e.At/second))
 	}
 	c := newChart(end)
-	for _, e := range all {
-		c.take(e)
+	for _, e := range events {
+		c.add(e)
 	}
-	c.finish()
+	c.fillGaps()
 	panels := c.panels()
 	plots := make([][]*plot.Plot, len(panels))
-	for i, x := range panels {
-		p, err := x.plot(all, end)
+	for i, panel := range panels {
+		drawn, err := panel.plot(events, end)
 		if err != nil {
-			return fmt.Errorf("draw %s: %w", x.title, err)
+			return fmt.Errorf("draw %s: %w", panel.title, err)
 		}
-		plots[i] = []*plot.Plot{p}
+		plots[i] = []*plot.Plot{drawn}
 	}
-	plots[0][0].Title.Text = fmt.Sprintf("%s, seed %d", sc.Name, sc.Seed)
-	return write(w, plots)
+	plots[0][0].Title.Text = fmt.Sprintf("%s, seed %d", spec.Name, spec.Seed)
+	return writeSVG(w, plots)
 }
 
-// write draws plots below each other.
-func write(w io.Writer, plots [][]*plot.Plot) error {
-	svg := vgsvg.New(wide, high*vg.Length(len(plots)))
-	tiles := draw.Tiles{Rows: len(plots), Cols: 1, PadY: 3 * vg.Millimeter, PadTop: 2 * vg.Millimeter, PadBottom: 2 * vg.Millimeter, PadLeft: 2 * vg.Millimeter, PadRight: 4 * vg.Millimeter}
+// writeSVG writes plots below each other.
+func writeSVG(w io.Writer, plots [][]*plot.Plot) error {
+	svg := vgsvg.New(panelWidth, panelHeight*vg.Length(len(plots)))
+	tiles := draw.Tiles{
+		Rows:      len(plots),
+		Cols:      1,
+		PadY:      3 * vg.Millimeter,
+		PadTop:    2 * vg.Millimeter,
+		PadBottom: 2 * vg.Millimeter,
+		PadLeft:   2 * vg.Millimeter,
+		PadRight:  4 * vg.Millimeter,
+	}
 	canvases := plot.Align(plots, tiles, draw.New(svg))
 	for i := range plots {
 		plots[i][0].Draw(canvases[i][0])
@@ -84,104 +92,162 @@
 
 // chart gathers what is drawn, by seconds.
 type chart struct {
-	asked, served, turned, failed *line
-	whole, further, refused       *line
-	opened                        *line
-	ready, pushed                 *line
+	requests, served, rejected, failed *lineSeries
+	snapshots, updates, pollsRejected  *lineSeries
+	connections                        *lineSeries
+	ready, overloaded                  *lineSeries
 
-	serving  map[string]bool // sidecars that are ready
-	overload int             // cold backends that hold more than they bear
-	eventful map[int]bool    // seconds with an event; in others ready and pushed stay as they were
+	readySidecars      map[string]bool
+	overloadedBackends int          // cold backends, now
+	hasEvent           map[int]bool // by second; in others ready and overloaded stay as they were
 }
 
+// newChart returns a chart of a run that ends in a second. The names of the lines are on the
+// drawing.
 func newChart(end int) *chart {
-	series := func(name string, c color.RGBA) *line { return &line{name, c, make([]float64, end+1)} }
+	series := func(name string, c color.RGBA) *lineSeries {
+		return &lineSeries{name: name, color: c, values: make([]float64, end+1)}
+	}
 	return &chart{
-		asked: series("asked", blue), served: series("served", green), turned: series("turned away", red), failed: series("failed or nothing", purple),
-		whole: series("whole readings", red), further: series("further calls", blue), refused: series("refused", purple),
-		opened: series("connections to backends", blue), ready: series("sidecars ready", green), pushed: series("cold backends over what they bear", red),
-		serving: map[string]bool{}, eventful: map[int]bool{},
+		requests:      series("asked", blue),
+		served:        series("served", green),
+		rejected:      series("turned away", red),
+		failed:        series("failed or nothing", purple),
+		snapshots:     series("whole readings", red),
+		updates:       series("further calls", blue),
+		pollsRejected: series("refused", purple),
+		connections:   series("connections to backends", blue),
+		ready:         series("sidecars ready", green),
+		overloaded:    series("cold backends over what they bear", red),
+		readySidecars: map[string]bool{},
+		hasEvent:      map[int]bool{},
 	}
 }
 
+// panels returns the panels of the drawing, from the top.
 func (c *chart) panels() []panel {
 	return []panel{
-		{"requests a second", []*line{c.asked, c.served, c.turned, c.failed}},
-		{"calls for lists a second", []*line{c.whole, c.further, c.refused}},
-		{"connections a second", []*line{c.opened}},
-		{"processes", []*line{c.ready, c.pushed}},
+		{title: "requests a second", lines: []*lineSeries{c.requests, c.served, c.rejected, c.failed}},
+		{title: "calls for lists a second", lines: []*lineSeries{c.snapshots, c.updates, c.pollsRejected}},
+		{title: "connections a second", lines: []*lineSeries{c.connections}},
+		{title: "processes", lines: []*lineSeries{c.ready, c.overloaded}},
 	}
 }
 
-// take takes in the next event.
-func (c *chart) take(e history.Event) {
+// add adds the next event.
+func (c *chart) add(e history.Event) {
 	s := int(e.At / second)
 	switch e.Kind {
 	case history.Requested:
-		c.asked.at[s]++
-		c.outcome(e.Status).at[s]++
+		c.requests.values[s]++
+		c.outcome(e.Status).values[s]++
 	case history.ListPolled:
-		c.call(e)
+		c.addPoll(e)
 	case history.Opened:
 		if strings.HasPrefix(e.To, "backend-") {
-			c.opened.at[s]++
+			c.connections.values[s]++
 		}
 	case history.Ready:
-		c.serving[e.To] = true
+		c.readySidecars[e.To] = true
 	case history.Exited:
-		delete(c.serving, e.Who)
+		delete(c.readySidecars, e.Who)
 	case history.WarmupOverload:
-		c.overload += int(2*e.N - 1)
+		c.overloadedBackends += int(2*e.N - 1)
+	default: // the others are not drawn
 	}
-	c.eventful[s] = true
-	c.ready.at[s], c.pushed.at[s] = float64(len(c.serving)), max(c.pushed.at[s], float64(c.overload))
+	c.hasEvent[s] = true
+	c.ready.values[s] = float64(len(c.readySidecars))
+	c.overloaded.values[s] = max(c.overloaded.values[s], float64(c.overloadedBackends))
 }
 
-// outcome is the line of those requests that had a status.
-func (c *chart) outcome(status int) *line {
+// outcome returns the line of the requests with a status.
+func (c *chart) outcome(status int) *lineSeries {
 	switch status {
 	case http.StatusOK:
 		return c.served
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return c.turned
+		return c.rejected
 	}
 	return c.failed
 }
 
-func (c *chart) call(e history.Event) {
+// addPoll adds a poll of a list service. A rejection is drawn when it was answered, the others when
+// they were made.
+func (c *chart) addPoll(e history.Event) {
 	began := int((e.At - e.Took) / second)
 	if e.N < 0 {
-		c.whole.at[began]++
+		c.snapshots.values[began]++
 	} else {
-		c.further.at[began]++
+		c.updates.values[began]++
 	}
 	if e.Status == http.StatusServiceUnavailable {
-		c.refused.at[e.At/second]++
+		c.pollsRejected.values[e.At/second]++
+	}
+}
+
+// fillGaps carries ready and overloaded over seconds without events.
+func (c *chart) fillGaps() {
+	for s := 1; s < len(c.ready.values); s++ {
+		if !c.hasEvent[s] {
+			c.ready.values[s] = c.ready.values[s-1]
+			c.overloaded.values[s] = c.overloaded.values[s-1]
+		}
 	}
 }
 
-// finish carries what was ready and pushed over seconds in which nothing has happened.
-func (c *chart) finish() {
-	for s := 1; s < len(c.ready.at); s++ {
-		if !c.eventful[s] {
-			c.ready.at[s], c.pushed.at[s] = c.ready.at[s-1], c.pushed.at[s-1]
+// plot returns the plot of a panel, with the faults of a history that ends in a second.
+func (p panel) plot(events []history.Event, end int) (*plot.Plot, error) {
+	drawing := plot.New()
+	drawing.Y.Label.Text = p.title
+	drawing.X.Min = 0
+	drawing.X.Max = float64(max(end, 1))
+	drawing.Y.Min = 0
+	drawing.Y.Max = p.top() * 1.15 // leaves room for the legend
+	drawing.Legend.Top = true
+	if err := drawFaults(drawing, events); err != nil {
+		return nil, err
+	}
+	for _, series := range p.lines {
+		if err := series.draw(drawing); err != nil {
+			return nil, err
 		}
 	}
+	return drawing, nil
 }
 
-func (x panel) plot(all []history.Event, end int) (*plot.Plot, error) {
-	p := plot.New()
-	p.Y.Label.Text, p.X.Min, p.X.Max, p.Y.Min = x.title, 0, float64(max(end, 1)), 0
-	p.Legend.Top = true
+// top returns the highest value of a panel, at least 1.
+func (p panel) top() float64 {
 	top := 1.0
-	for _, l := range x.lines {
-		for _, v := range l.at {
-			top = max(top, v)
+	for _, series := range p.lines {
+		for _, value := range series.values {
+			top = max(top, value)
 		}
 	}
-	p.Y.Max = top * 1.15
+	return top
+}
+
+// draw adds a line to a plot.
+func (l *lineSeries) draw(drawing *plot.Plot) error {
+	points := make(plotter.XYs, len(l.values))
+	for i, value := range l.values {
+		points[i].X = float64(i)
+		points[i].Y = value
+	}
+	line, err := plotter.NewLine(points)
+	if err != nil {
+		return err
+	}
+	line.Color = l.color
+	line.Width = vg.Points(1.2)
+	drawing.Add(line)
+	drawing.Legend.Add(l.name, line)
+	return nil
+}
+
+// drawFaults marks all faults that ended. A very short one is made wide enough to be seen.
+func drawFaults(drawing *plot.Plot, events []history.Event) error {
 	began := map[string]float64{}
-	for _, e := range all {
+	for _, e := range events {
 		if e.Kind != history.Fault {
 			continue
 		}
@@ -190,34 +256,25 @@
 			began[e.ID] = at
 			continue
 		}
-		if err := mark(p, e.ID, began[e.ID], max(at, began[e.ID]+0.02), p.Y.Max); err != nil {
-			return nil, err
-		}
-	}
-	for _, l := range x.lines {
-		points := make(plotter.XYs, len(l.at))
-		for i, v := range l.at {
-			points[i].X, points[i].Y = float64(i), v
-		}
-		drawn, err := plotter.NewLine(points)
-		if err != nil {
-			return nil, err
+		if err := drawFault(drawing, e.ID, began[e.ID], max(at, began[e.ID]+0.02), drawing.Y.Max); err != nil {
+			return err
 		}
-		drawn.Color, drawn.Width = l.color, vg.Points(1.2)
-		p.Add(drawn)
-		p.Legend.Add(l.name, drawn)
 	}
-	return p, nil
+	return nil
 }
 
-// mark shades the time of a fault and names it.
-func mark(p *plot.Plot, name string, from, to, top float64) error {
+// drawFault shades the time of a fault and labels it with its name.
+func drawFault(p *plot.Plot, name string, from, to, top float64) error {
 	box, err := plotter.NewPolygon(plotter.XYs{{X: from}, {X: to}, {X: to, Y: top}, {X: from, Y: top}})
 	if err != nil {
 		return err
 	}
-	box.Color, box.LineStyle.Width = shade, 0
-	label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: from, Y: top * 0.93}}, Labels: []string{name}})
+	box.Color = shade
+	box.Width = 0
+	label, err := plotter.NewLabels(plotter.XYLabels{
+		XYs:    plotter.XYs{{X: from, Y: top * 0.93}},
+		Labels: []string{name},
+	})
 	if err != nil {
 		return err
 	}
