--- a/internal/scale/churn/churn.go
+++ b/internal/scale/churn/churn.go
@@ -1,6 +1,7 @@
-// Package churn is the order in which a scale test changes the list of a service: a backend drains, it is deleted, and a
-// new one joins, in turn, so that the list keeps its size. Each change is a version, and the version that a list stands at
-// can be told from the list alone. It is pure.
+// Package churn defines the order in which a scale test changes the endpoint list of a service: a
+// backend drains, it is deleted, and a new one joins, in turn, so that the list keeps its size.
+// Each change makes a version, and the version of a list follows from the list alone, a snapshot or
+// a delta. The package is pure.
 package churn
 
 import (
@@ -13,7 +14,7 @@
 // Kind is what a change does to its backend.
 type Kind int
 
-// The kinds of change, in their order.
+// The kinds of change, in the order in which they alternate.
 const (
 	Drain Kind = iota
 	Delete
@@ -25,20 +26,22 @@
 // Change is one change of a list.
 type Change struct {
 	Kind    Kind
-	Backend int // its number; those of the first list are numbered from 0
+	Backend int // its number; the backends of the first list are numbered from 0
 }
 
-// At is the change that makes a version, from 1 on; backends is how many the first list had. Version 0 is the first list.
+// At returns the change that makes a version, from 1 on; version 0 is the first list, which has so
+// many backends.
 func At(version int64, backends int) Change {
 	turn, kind := int(version-1)/kinds, Kind((version-1)%kinds)
 	if kind == Join {
-		return Change{Join, backends + turn}
+		return Change{Kind: Join, Backend: backends + turn}
 	}
-	return Change{kind, turn}
+	return Change{Kind: kind, Backend: turn}
 }
 
-// Range is the numbers of the backends that a list has at a version, last not included, and whether the first drains.
-func Range(version int64, backends int) (first, last int, drains bool) {
+// Range returns the numbers of the backends that a list has at a version, from first up to but not
+// including last, and whether the first one drains.
+func Range(version int64, backends int) (first, last int, isDraining bool) {
 	turns, rest := int(version)/kinds, int(version)%kinds
 	first, last = turns, backends+turns
 	if rest == 2 {
@@ -47,7 +50,8 @@
 	return first, last, rest == 1
 }
 
-// Version is the version that a list stands at, or that a list of changes leads to; 0 where that can't be told from it.
+// Version returns the version of a complete list, or the version that a delta leads to; 0 where it
+// does not follow from the list.
 func Version(list *membership.List, backends int) int64 {
 	version, first := int64(0), -1
 	for _, e := range list.Endpoints {
@@ -58,29 +62,35 @@
 		if first < 0 || number < first {
 			first = number
 		}
-		made := int64(0)
-		switch {
-		case e.Status == membership.Draining:
-			made = versionOf(Drain, number)
-		case e.Status == membership.Deleted:
-			made = versionOf(Delete, number)
-		case number >= backends:
-			made = versionOf(Join, number-backends)
-		}
-		version = max(version, made)
+		version = max(version, lastChange(e.Status, number, backends))
 	}
-	if list.Full && first > 0 { // the one before it has been deleted
+	if list.Full && first > 0 { // the backend before the first has been deleted
 		version = max(version, versionOf(Delete, first-1))
 	}
 	return version
 }
 
+// lastChange returns the version that the last change of a backend made; 0 where it has not changed
+// since the first list.
+func lastChange(status membership.Status, number, backends int) int64 {
+	switch {
+	case status == membership.Draining:
+		return versionOf(Drain, number)
+	case status == membership.Deleted:
+		return versionOf(Delete, number)
+	case number >= backends:
+		return versionOf(Join, number-backends)
+	}
+	return 0
+}
+
+// versionOf returns the version that a turn's change of a kind makes.
 func versionOf(kind Kind, turn int) int64 { return int64(turn)*kinds + int64(kind) + 1 }
 
-// Name is the name of a service's backend.
+// Name returns the name of a backend of a service.
 func Name(service string, number int) string { return service + "-" + strconv.Itoa(number) }
 
-// Number is the number of a backend by its name; -1 where it has none.
+// Number returns the number of a backend by its name; -1 where the name has none.
 func Number(name string) int {
 	n, err := strconv.Atoi(name[strings.LastIndexByte(name, '-')+1:])
 	if err != nil || n < 0 {
--- a/internal/scale/churn/churn_test.go
+++ b/internal/scale/churn/churn_test.go
@@ -7,8 +7,9 @@
 	"fernlanding/internal/scale/churn"
 )
 
-// Whole lists and changes alike tell the version that they lead to, and the list keeps its size within one.
-func TestVersionsAreToldFromLists(t *testing.T) {
+// Snapshots and deltas alike determine the version that they lead to, and the list keeps its size
+// within one.
+func TestVersionFollowsFromList(t *testing.T) {
 	const backends = 5
 	all := map[int]membership.Status{}
 	for n := range backends {
@@ -28,20 +29,24 @@
 			all[change.Backend] = membership.Serving
 		}
 		if got := churn.Version(&membership.List{Endpoints: []membership.Endpoint{delta}}, backends); got != version {
-			t.Errorf("change to version %d told as %d", version, got)
+			t.Errorf("change to version %d read as %d", version, got)
 		}
-		whole := &membership.List{Full: true}
+		snapshot := &membership.List{Full: true}
 		for n, status := range all {
-			whole.Endpoints = append(whole.Endpoints, membership.Endpoint{Name: churn.Name("a-b", n), Status: status})
+			endpoint := membership.Endpoint{Name: churn.Name("a-b", n), Status: status}
+			snapshot.Endpoints = append(snapshot.Endpoints, endpoint)
 		}
-		if got := churn.Version(whole, backends); got != version {
-			t.Errorf("list of version %d told as %d", version, got)
+		if got := churn.Version(snapshot, backends); got != version {
+			t.Errorf("list of version %d read as %d", version, got)
 		}
-		first, last, drains := churn.Range(version, backends)
-		if last-first != len(all) || drains != (all[first] == membership.Draining) {
-			t.Errorf("version %d: %d to %d, drains %v; the list is %v", version, first, last, drains, all)
+		first, last, isDraining := churn.Range(version, backends)
+		if last-first != len(all) || isDraining != (all[first] == membership.Draining) {
+			t.Errorf("version %d: %d to %d, draining %v; the list is %v", version, first, last, isDraining, all)
 		}
 	}
+}
+
+func TestNumberOfNamesWithoutOne(t *testing.T) {
 	for _, name := range []string{"", "x", "x-", "x-1y"} {
 		if n := churn.Number(name); n != -1 {
 			t.Errorf("%q has number %d", name, n)
--- a/internal/scale/hollow/hollow_test.go
+++ b/internal/scale/hollow/hollow_test.go
@@ -46,7 +46,7 @@
 }
 
 func member(service, backend int, status string) standin.Member {
-	return standin.Member{Name: churn.Name(topology.Service(service), backend), Address: topology.Backend(service, backend), Weight: 1, Status: status}
+	return standin.Member{Name: churn.Name(topology.Service(service), backend), Address: topology.BackendAddr(service, backend), Weight: 1, Status: status}
 }
 
 func plan(services int, lists string) *topology.Layout {
@@ -58,7 +58,7 @@
 
 func start(t *testing.T, f *hollow.Fleet, l *topology.Layout, proxy int) {
 	t.Helper()
-	if err := f.Start(hollow.Spec{Name: topology.Proxy(proxy), File: l.File(proxy), From: topology.Place(proxy)}); err != nil {
+	if err := f.Start(hollow.Spec{Name: topology.Proxy(proxy), File: l.Config(proxy), From: topology.ClientAddr(proxy)}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -144,7 +144,7 @@
 		t.Errorf("%d calls not served", calls.Others)
 	}
 	for n := range proxies {
-		free, err := net.Listen("tcp", topology.Listen(n))
+		free, err := net.Listen("tcp", topology.ListenAddr(n))
 		if err != nil {
 			t.Errorf("a hollow proxy listens: %v", err)
 			continue
@@ -181,7 +181,7 @@
 	start(t, f, l, panics)
 	ready(t, f)
 	start(t, f, plan(1, strings.TrimPrefix(garbage.URL, "http://")), spoilt)
-	text := append(l.File(bad), "nonsense = 1\n"...)
+	text := append(l.Config(bad), "nonsense = 1\n"...)
 	if err := f.Start(hollow.Spec{Name: topology.Proxy(bad), File: text}); err == nil || !strings.Contains(err.Error(), "nonsense: unknown field") {
 		t.Errorf("bad configuration: %v", err)
 	}
--- a/internal/scale/scenario/scenario_test.go
+++ b/internal/scale/scenario/scenario_test.go
@@ -12,42 +12,72 @@
 
 const base = "format = 1\nname = \"x\"\n[sweep]\ndimension = \"proxies\"\nsizes = [1, 2, 4, 8, 16]\n"
 
-// Every fault of a scenario is one line with its place, its field and what was expected.
-func TestFaultsOfScenarios(t *testing.T) {
+// Every fault of a scenario is one line with its position, its field and what is expected.
+func TestReadRejectsFaultsByPlace(t *testing.T) {
 	sweep := func(text string) string { return "format = 1\nname = \"x\"\n[sweep]\n" + text }
-	for _, c := range []struct{ text, want string }{
+	for _, test := range []struct{ text, want string }{
 		{"name = \"x\"\n", "s.toml:1:1: VERSION: format: the file's format, 1, expected"},
 		{"format = 2\nname = \"x\"\n", "s.toml:1:10: RANGE: format: found 2: 1 to 1 expected"},
 		{"format = 1\n", "s.toml:1:1: MISSING: name: the scenario's name expected"},
-		{"format = 1\nsource = \"consl\"\n", `source: found "consl": one of static, consul, relay expected; consul meant?`},
-		{base + "held = 3\n", "s.toml:6:8: UNKNOWN-FIELD: sweep.held: unknown field; known here: dimension, held_out, sizes"},
-		{sweep("dimension = \"size\"\n"), `s.toml:4:13: WORD: sweep.dimension: found "size": one of proxies, services, backends, changes, calls expected`},
+		{
+			"format = 1\nsource = \"consl\"\n",
+			`source: found "consl": one of static, consul, relay expected; consul meant?`,
+		},
+		{
+			base + "held = 3\n",
+			"s.toml:6:8: UNKNOWN-FIELD: sweep.held: unknown field; known here: dimension, held_out, sizes",
+		},
+		{
+			sweep("dimension = \"size\"\n"),
+			`s.toml:4:13: WORD: sweep.dimension: found "size": ` +
+				`one of proxies, services, backends, changes, calls expected`,
+		},
 		{sweep("dimension = \"calls\"\nsizes = [1, 2, 4, 8]\n"), "sweep.sizes: 5 to 20 sizes expected, 4 found"},
-		{sweep("dimension = \"calls\"\nsizes = [1, 2, 4, 7, 14]\n"), "sweep.sizes: each a factor of 2 above the one before expected; 7 follows 4"},
-		{sweep("dimension = \"proxies\"\nsizes = [1, 2, 4, 8, 16.5]\n"), "s.toml:5:22: RANGE: sweep.sizes[5]: found 16.5: a whole number, 1 to 100000, expected"},
-		{sweep("dimension = \"services\"\nsizes = [1, 2, 4, 8, 512]\n"), "sweep.sizes[5]: found 512: a whole number, 1 to 256, expected"},
+		{
+			sweep("dimension = \"calls\"\nsizes = [1, 2, 4, 7, 14]\n"),
+			"sweep.sizes: each a factor of 2 above the one before expected; 7 follows 4",
+		},
+		{
+			sweep("dimension = \"proxies\"\nsizes = [1, 2, 4, 8, 16.5]\n"),
+			"s.toml:5:22: RANGE: sweep.sizes[5]: found 16.5: a whole number, 1 to 100000, expected",
+		},
+		{
+			sweep("dimension = \"services\"\nsizes = [1, 2, 4, 8, 512]\n"),
+			"sweep.sizes[5]: found 512: a whole number, 1 to 256, expected",
+		},
 		{base + "held_out = 16\n", "sweep.held_out: found 16: more than the largest of the sizes, 16, expected"},
 		{base + "held_out = 17.5\n", "sweep.held_out: found 17.5: a whole number expected"},
 		{base + "[size]\nservices = 257\n", "size.services: found 257: 1 to 256 expected"},
-		{"format = 1\nhollow = false\nname = \"x\"\n[sweep]\ndimension = \"proxies\"\nsizes = [20, 40, 80, 160, 320]\n", "s.toml:2:10: RANGE: hollow: found false: 200 real proxies at most expected, 320 found"},
-		{"format = 1\nsource = \"static\"\nname = \"x\"\n[size]\nchanges_per_second = 1\n[sweep]\ndimension = \"proxies\"\nsizes = [1, 2, 4, 8, 16]\n", "changes_per_second 0 expected"},
+		{
+			"format = 1\nhollow = false\nname = \"x\"\n" +
+				"[sweep]\ndimension = \"proxies\"\nsizes = [20, 40, 80, 160, 320]\n",
+			"s.toml:2:10: RANGE: hollow: found false: 200 real proxies at most expected, 320 found",
+		},
+		{
+			"format = 1\nsource = \"static\"\nname = \"x\"\n[size]\nchanges_per_second = 1\n" +
+				"[sweep]\ndimension = \"proxies\"\nsizes = [1, 2, 4, 8, 16]\n",
+			"changes_per_second 0 expected",
+		},
 		{base + "[processes]\nproxies = 100\n", "processes.proxies: found 100: 1 to 64 expected"},
 		{base + "[size]\nproxies = \"7\"\n", `size.proxies: found "7": an integer expected`},
 	} {
-		_, err := scenario.Read("s.toml", []byte(c.text))
-		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s\ngot  %v\nwant %s", c.text, err, c.want)
+		_, err := scenario.Read("s.toml", []byte(test.text))
+		if err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%s\ngot  %v\nwant %s", test.text, err, test.want)
 		}
 	}
 }
 
-// The sizes of a sweep are played in order and differ in the swept dimension alone; the held-out one is last and marked.
+// The points of a sweep are in order and differ in the swept dimension only; the held-out one is
+// last and marked.
 func TestPoints(t *testing.T) {
-	x, err := scenario.Read("s.toml", []byte("format = 1\nname = \"x\"\n[size]\nproxies = 7\n[sweep]\ndimension = \"services\"\nsizes = [1, 2, 4, 8, 16]\nheld_out = 32\n"))
+	const text = "format = 1\nname = \"x\"\n[size]\nproxies = 7\n" +
+		"[sweep]\ndimension = \"services\"\nsizes = [1, 2, 4, 8, 16]\nheld_out = 32\n"
+	sc, err := scenario.Read("s.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	points := x.Points()
+	points := sc.Points()
 	if len(points) != 6 {
 		t.Fatal(points)
 	}
@@ -59,8 +89,7 @@
 	}
 }
 
-// The scenarios that the project plays can be read.
-func TestScenariosOfTheProject(t *testing.T) {
+func TestReadAcceptsTheScenariosOfTheProject(t *testing.T) {
 	files, err := filepath.Glob("../../../deploy/scale/*-*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
@@ -76,22 +105,27 @@
 	}
 }
 
+// FuzzRead checks that all points of an accepted scenario are within the bounds.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(base))
 	f.Add([]byte(base + "held_out = 100\n[size]\nservices = 3\nchanges_per_second = 0.5\n[processes]\nrelays = 2\n"))
-	f.Add([]byte("format = 1\nname = \"x\"\nhollow = false\nsource = \"relay\"\n[sweep]\ndimension = \"calls\"\nsizes = [0.5, 1, 2, 4e0, 8]\n"))
+	f.Add([]byte("format = 1\nname = \"x\"\nhollow = false\nsource = \"relay\"\n" +
+		"[sweep]\ndimension = \"calls\"\nsizes = [0.5, 1, 2, 4e0, 8]\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		x, err := scenario.Read("s.toml", data)
+		sc, err := scenario.Read("s.toml", data)
 		if err != nil {
 			return
 		}
-		points := x.Points()
+		points := sc.Points()
 		if len(points) < scenario.MinSizes || len(points) > scenario.MaxSizes+1 {
 			t.Fatalf("%d points", len(points))
 		}
 		for _, p := range points {
 			s := p.Size
-			if s.Proxies < 1 || s.Proxies > scenario.MaxProxies || s.Services < 1 || s.Services > s.ServicesInAll || s.Backends < 2 || s.Backends > scenario.MaxBackends {
+			isInBounds := s.Proxies >= 1 && s.Proxies <= scenario.MaxProxies &&
+				s.Services >= 1 && s.Services <= s.ServicesInAll &&
+				s.Backends >= 2 && s.Backends <= scenario.MaxBackends
+			if !isInBounds {
 				t.Errorf("out of bounds: %+v", p)
 			}
 		}
--- a/internal/scale/sweep/cast.go
+++ b/internal/scale/sweep/cast.go
@@ -103,7 +103,7 @@
 func (c *cast) startReal(ctx context.Context) error {
 	for n := range c.layout.Size.Proxies {
 		name := topology.Proxy(n)
-		file, err := c.player.file(name, c.layout.File(n))
+		file, err := c.player.file(name, c.layout.Config(n))
 		if err != nil {
 			return err
 		}
@@ -120,7 +120,7 @@
 	defer cancel()
 	for n := range c.layout.Size.Proxies {
 		for {
-			conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", topology.Listen(n))
+			conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", topology.ListenAddr(n))
 			if err == nil {
 				conn.Close()
 				break
--- a/internal/scale/topology/layout.go
+++ b/internal/scale/topology/layout.go
@@ -1,5 +1,7 @@
-// Package topology says who is who in a scale test: which services a proxy follows, where their lists are, what its
-// configuration says and which address it calls from. It is pure: the same on both sides of a pipe.
+// Package topology derives from the size of a scale test's fleet the names, addresses and
+// configurations of all its members: the services that a proxy follows, the services of a list
+// service, the addresses of backends. It is pure, so that a sweep and its workers derive the same
+// from the same Layout.
 package topology
 
 import (
@@ -15,105 +17,124 @@
 	"fernlanding/internal/scale/result"
 )
 
+// Class is the one request class of each service.
+const Class = "read"
+
+// Settings of the proxies.
+const (
+	deadline = "1s"
+	sockets  = 1024
+	memoryMB = 64
+)
+
+// Addresses. All are on loopback; a proxy has an address of its own so that its ports do not run
+// out.
 const (
-	// Class is the one class of each service.
-	Class = "read"
-
-	deadline     = "1s"
-	followStream = 51         // of the seed
-	firstPlace   = 0x7f400001 // 127.64.0.1
-	backendsNet  = 0x7f200001 // 127.32.0.1
-	backendPort  = 8000
-	realPort     = 19_000 // where real proxies listen, each at its own address
-	sockets      = 1024
-	memoryMB     = 64
+	firstClient  = 0x7f400001 // 127.64.0.1
+	firstBackend = 0x7f200001 // 127.32.0.1
+	backendPort  = 8000       // of the first service
+	listenPort   = 19_000     // of a real proxy
 )
 
-// Layout is who is who.
+// followStream is the stream of the seed that chooses the services followed.
+const followStream = 51
+
+// Layout determines all members of a fleet.
 type Layout struct {
 	Source result.Source `json:"source"`
 	Size   result.Size   `json:"size"`
 	Seed   uint64        `json:"seed"`
-	Lists  []string      `json:"lists,omitempty"`  // addresses of the list services; services are dealt out to them in turn
+	Lists  []string      `json:"lists,omitempty"`  // addresses of the list services; services are assigned in turn
 	Relays []string      `json:"relays,omitempty"` // addresses of the relays
 }
 
-// Service is the name of a service by its number.
+// Service returns the name of a service by its number.
 func Service(number int) string { return fmt.Sprintf("service-%04d", number) }
 
-// Services are the numbers of the services whose lists one of so many list services has.
-func Services(size result.Size, list, lists int) (out []int) {
-	for n := list; n < size.ServicesInAll; n += lists {
-		out = append(out, n)
+// Services returns the numbers of the services whose lists the list service of an index serves, of
+// so many list services.
+func Services(size result.Size, index, listServices int) []int {
+	var numbers []int
+	for n := index; n < size.ServicesInAll; n += listServices {
+		numbers = append(numbers, n)
 	}
-	return out
+	return numbers
 }
 
-// Proxy is the name of a proxy by its number.
+// Proxy returns the name of a proxy by its number.
 func Proxy(number int) string { return fmt.Sprintf("proxy-%05d", number) }
 
-// Followed are the numbers of the services that a proxy follows, ascending.
+// Followed returns the numbers of the services that a proxy follows, ascending.
 func (l *Layout) Followed(proxy int) []int {
-	rnd := rand.New(rand.NewPCG(l.Seed+uint64(proxy), followStream))
-	out := rnd.Perm(l.Size.ServicesInAll)[:l.Size.Services]
-	slices.Sort(out)
-	return out
+	rng := rand.New(rand.NewPCG(l.Seed+uint64(proxy), followStream))
+	numbers := rng.Perm(l.Size.ServicesInAll)[:l.Size.Services]
+	slices.Sort(numbers)
+	return numbers
 }
 
-// Place is the loopback address that a proxy calls from, so that ports do not run out.
-func Place(proxy int) netip.Addr { return address(firstPlace + uint32(proxy)) }
+// ClientAddr returns the loopback address that a proxy connects from.
+func ClientAddr(proxy int) netip.Addr { return addrFrom(firstClient + uint32(proxy)) }
 
-// Backend is the address of a service's backend. Nobody listens there.
-func Backend(service, number int) string {
-	return net.JoinHostPort(address(backendsNet+uint32(number)%(1<<16)).String(), strconv.Itoa(backendPort+service%4096))
+// BackendAddr returns the address of a backend of a service. Nothing listens there.
+func BackendAddr(service, number int) string {
+	ip := addrFrom(firstBackend + uint32(number)%(1<<16))
+	return net.JoinHostPort(ip.String(), strconv.Itoa(backendPort+service%4096))
 }
 
-func address(n uint32) netip.Addr {
+func addrFrom(n uint32) netip.Addr {
 	return netip.AddrFrom4([4]byte{byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)})
 }
 
-// Listen is where a real proxy listens; a hollow one does not.
-func Listen(proxy int) string { return net.JoinHostPort(Place(proxy).String(), strconv.Itoa(realPort)) }
+// ListenAddr returns the address that a real proxy listens on; a hollow one does not listen.
+func ListenAddr(proxy int) string {
+	return net.JoinHostPort(ClientAddr(proxy).String(), strconv.Itoa(listenPort))
+}
 
-// File is the configuration of a proxy.
-func (l *Layout) File(proxy int) []byte {
-	var t strings.Builder
-	fmt.Fprintf(&t, "version = 2\nname = %q\n\n[process]\nmemory_mb = %d\nsockets = %d\n\n", Proxy(proxy), memoryMB, sockets)
-	fmt.Fprintf(&t, "[[listeners]]\naddress = %q\n\n", Listen(proxy))
+// Config returns the configuration file of a proxy.
+func (l *Layout) Config(proxy int) []byte {
+	var text strings.Builder
+	fmt.Fprintf(&text, "version = 2\nname = %q\n\n", Proxy(proxy))
+	fmt.Fprintf(&text, "[process]\nmemory_mb = %d\nsockets = %d\n\n", memoryMB, sockets)
+	fmt.Fprintf(&text, "[[listeners]]\naddress = %q\n\n", ListenAddr(proxy))
 	if l.Source == result.SourceRelay {
-		fmt.Fprintf(&t, "[distribution]\nname = %q\nrelays = [%s]\n\n", Proxy(proxy), quoted(l.Relays))
+		fmt.Fprintf(&text, "[distribution]\nname = %q\nrelays = [%s]\n\n", Proxy(proxy), quoteAll(l.Relays))
 	}
 	followed := l.Followed(proxy)
 	for _, n := range followed {
-		fmt.Fprintf(&t, "[services.%s]\ntrusted = true\n", Service(n))
-		l.membership(&t, n)
-		fmt.Fprintf(&t, "[services.%s.classes.%s]\nrepeat = \"safe\"\nobjective = \"300ms\"\ndeadline = %q\n\n", Service(n), Class, deadline)
+		fmt.Fprintf(&text, "[services.%s]\ntrusted = true\n", Service(n))
+		l.writeMembership(&text, n)
+		fmt.Fprintf(&text, "[services.%s.classes.%s]\n", Service(n), Class)
+		fmt.Fprintf(&text, "repeat = \"safe\"\nobjective = \"300ms\"\ndeadline = %q\n\n", deadline)
 	}
 	for _, n := range followed {
-		fmt.Fprintf(&t, "[[routes]]\nname = %q\nprefix = \"/%s\"\nservice = %q\nclass = %q\n\n", Service(n), Service(n), Service(n), Class)
+		name := Service(n)
+		fmt.Fprintf(&text, "[[routes]]\nname = %q\nprefix = \"/%s\"\n", name, name)
+		fmt.Fprintf(&text, "service = %q\nclass = %q\n\n", name, Class)
 	}
-	return []byte(t.String())
+	return []byte(text.String())
 }
 
-func (l *Layout) membership(t *strings.Builder, service int) {
+// writeMembership writes where a service's endpoint list comes from.
+func (l *Layout) writeMembership(text *strings.Builder, service int) {
 	switch l.Source {
 	case result.SourceConsul:
-		fmt.Fprintf(t, "membership = \"consul\"\ndiscovery = %q\n", l.Lists[service%len(l.Lists)])
+		fmt.Fprintf(text, "membership = \"consul\"\ndiscovery = %q\n", l.Lists[service%len(l.Lists)])
 	case result.SourceRelay:
-		fmt.Fprintf(t, "membership = \"relay\"\n")
+		text.WriteString("membership = \"relay\"\n")
 	default:
-		fmt.Fprintf(t, "membership = \"static\"\nendpoints = [\n")
+		text.WriteString("membership = \"static\"\nendpoints = [\n")
 		for n := range l.Size.Backends {
-			fmt.Fprintf(t, "  { name = %q, address = %q },\n", churn.Name(Service(service), n), Backend(service, n))
+			name := churn.Name(Service(service), n)
+			fmt.Fprintf(text, "  { name = %q, address = %q },\n", name, BackendAddr(service, n))
 		}
-		fmt.Fprintf(t, "]\n")
+		text.WriteString("]\n")
 	}
 }
 
-func quoted(words []string) string {
+func quoteAll(words []string) string {
 	out := make([]string, len(words))
-	for i, w := range words {
-		out[i] = strconv.Quote(w)
+	for i, word := range words {
+		out[i] = strconv.Quote(word)
 	}
 	return strings.Join(out, ", ")
 }
--- a/internal/scale/worker/lists.go
+++ b/internal/scale/worker/lists.go
@@ -44,7 +44,7 @@
 
 // member is a backend as the registry lists it.
 func member(service, number int) standin.Member {
-	return standin.Member{Name: churn.Name(topology.Service(service), number), Address: topology.Backend(service, number), Weight: 1, Status: "SERVING"}
+	return standin.Member{Name: churn.Name(topology.Service(service), number), Address: topology.BackendAddr(service, number), Weight: 1, Status: "SERVING"}
 }
 
 // put makes a change in the registry.
--- a/internal/scale/worker/proxies.go
+++ b/internal/scale/worker/proxies.go
@@ -48,7 +48,7 @@
 	gap := time.NewTicker(startGap)
 	defer gap.Stop()
 	for n := p.spec.First; n < p.spec.First+p.spec.Count; n++ {
-		s := hollow.Spec{Name: topology.Proxy(n), File: p.spec.Layout.File(n), From: topology.Place(n)}
+		s := hollow.Spec{Name: topology.Proxy(n), File: p.spec.Layout.Config(n), From: topology.ClientAddr(n)}
 		if err := p.fleet.Start(s); err != nil {
 			return err
 		}
--- a/internal/scale/worker/publisher.go
+++ b/internal/scale/worker/publisher.go
@@ -40,7 +40,7 @@
 
 // item is a backend of a service as it is in a list.
 func item(service, number int, status string) (distribution.Item, error) {
-	value, err := json.Marshal(entry{Address: topology.Backend(service, number), Status: status, Weight: 1})
+	value, err := json.Marshal(entry{Address: topology.BackendAddr(service, number), Status: status, Weight: 1})
 	if err != nil {
 		return distribution.Item{}, fmt.Errorf("item: %w", err)
 	}
