--- a/internal/scale/hollow/conn.go
+++ b/internal/scale/hollow/conn.go
@@ -10,28 +10,36 @@
 	"time"
 )
 
-// dialTimeout bounds the opening of a connection to a list service.
+// dialTimeout bounds the establishment of a connection to a list service.
 const dialTimeout = time.Second
 
-// Traffic is what has gone over connections to list services. A message is what is written, or read, in one go before the
-// direction turns, which is a request or an answer where they alternate.
+// Traffic counts what was sent and received over connections to list services. A message is all
+// that goes in one direction before the direction changes: a request or a response where they
+// alternate.
 type Traffic struct {
 	BytesIn     int64 `json:"bytes_in"`
 	BytesOut    int64 `json:"bytes_out"`
 	MessagesIn  int64 `json:"messages_in"`
 	MessagesOut int64 `json:"messages_out"`
-	Open        int   `json:"open"` // connections
+	Open        int   `json:"open"` // open connections
 }
 
-// meter counts traffic of many connections.
+// meter counts the traffic of many connections. It is safe for concurrent use.
 type meter struct {
-	bytesIn, bytesOut, messagesIn, messagesOut, open atomic.Int64
+	bytesIn     atomic.Int64
+	bytesOut    atomic.Int64
+	messagesIn  atomic.Int64
+	messagesOut atomic.Int64
+	open        atomic.Int64 // connections
 }
 
 func (m *meter) traffic() Traffic {
 	return Traffic{
-		BytesIn: m.bytesIn.Load(), BytesOut: m.bytesOut.Load(), MessagesIn: m.messagesIn.Load(), MessagesOut: m.messagesOut.Load(),
-		Open: int(m.open.Load()),
+		BytesIn:     m.bytesIn.Load(),
+		BytesOut:    m.bytesOut.Load(),
+		MessagesIn:  m.messagesIn.Load(),
+		MessagesOut: m.messagesOut.Load(),
+		Open:        int(m.open.Load()),
 	}
 }
 
@@ -43,57 +51,61 @@
 
 func newDialer(from netip.Addr, m *meter) *dialer {
 	d := &dialer{meter: m}
-	d.KeepAlive, d.Timeout = -1, dialTimeout
+	d.KeepAlive = -1 // no probes
+	d.Timeout = dialTimeout
 	if from.IsValid() {
 		d.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(from, 0))
 	}
 	return d
 }
 
+// dial opens a metered connection.
 func (d *dialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	c, err := d.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, fmt.Errorf("dial: %w", err)
 	}
 	d.meter.open.Add(1)
-	return &metered{Conn: c, meter: d.meter}, nil
+	return &meteredConn{Conn: c, meter: d.meter}, nil
 }
 
-// direction is the one that the last bytes of a connection went.
+// direction is the direction of the bytes last seen on a connection.
 type direction int32
 
 const (
-	none direction = iota
-	in
-	out
+	noDirection direction = iota
+	inbound
+	outbound
 )
 
-// metered is a connection that counts what goes over it.
-type metered struct {
+// meteredConn is a connection that counts its traffic.
+type meteredConn struct {
 	net.Conn
 	meter  *meter
-	last   atomic.Int32 // direction
+	last   atomic.Int32 // a direction
 	closed sync.Once
 }
 
-// turned tells whether bytes that go in a direction begin a message.
-func (c *metered) turned(to direction) bool { return direction(c.last.Swap(int32(to))) != to }
+// startsMessage reports whether bytes in a direction are the first of a message.
+func (c *meteredConn) startsMessage(to direction) bool {
+	return direction(c.last.Swap(int32(to))) != to
+}
 
-// Read implements net.Conn.
-func (c *metered) Read(b []byte) (int, error) {
+// Read implements [net.Conn].
+func (c *meteredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
 		c.meter.bytesIn.Add(int64(n))
-		if c.turned(in) {
+		if c.startsMessage(inbound) {
 			c.meter.messagesIn.Add(1)
 		}
 	}
 	return n, err
 }
 
-// Write implements net.Conn.
-func (c *metered) Write(b []byte) (int, error) {
-	if c.turned(out) { // before the answer can come
+// Write implements [net.Conn].
+func (c *meteredConn) Write(b []byte) (int, error) {
+	if c.startsMessage(outbound) { // counted before the response can arrive
 		c.meter.messagesOut.Add(1)
 	}
 	n, err := c.Conn.Write(b)
@@ -101,8 +113,8 @@
 	return n, err
 }
 
-// Close implements net.Conn.
-func (c *metered) Close() error {
+// Close implements [net.Conn].
+func (c *meteredConn) Close() error {
 	c.closed.Do(func() { c.meter.open.Add(-1) })
 	return c.Conn.Close()
 }
--- a/internal/scale/hollow/hollow_test.go
+++ b/internal/scale/hollow/hollow_test.go
@@ -22,11 +22,11 @@
 
 const (
 	backends = 5
-	patience = 30 * time.Second // of a wait that ends as soon as what it is for has come
+	patience = 30 * time.Second // of a wait that ends as soon as its condition holds
 )
 
-// registry is a list service with services that have all their backends.
-func registry(t *testing.T, services int) *standin.Registry {
+// newRegistry returns a list service with services that have all their backends.
+func newRegistry(t *testing.T, services int) *standin.Registry {
 	t.Helper()
 	var names []string
 	for n := range services {
@@ -45,25 +45,40 @@
 	return r
 }
 
+// member returns a backend as the registry lists it.
 func member(service, backend int, status string) standin.Member {
-	return standin.Member{Name: churn.Name(topology.Service(service), backend), Address: topology.BackendAddr(service, backend), Weight: 1, Status: status}
+	return standin.Member{
+		Name:    churn.Name(topology.Service(service), backend),
+		Address: topology.BackendAddr(service, backend),
+		Weight:  1,
+		Status:  status,
+	}
 }
 
-func plan(services int, lists string) *topology.Layout {
+// newLayout returns the layout of a fleet whose proxies follow all services of one list service.
+func newLayout(services int, lists string) *topology.Layout {
 	return &topology.Layout{
-		Source: result.SourceConsul, Seed: 1, Lists: []string{lists},
-		Size: result.Size{Services: services, ServicesInAll: services, Backends: backends},
+		Source: result.SourceConsul,
+		Seed:   1,
+		Lists:  []string{lists},
+		Size:   result.Size{Services: services, ServicesInAll: services, Backends: backends},
 	}
 }
 
 func start(t *testing.T, f *hollow.Fleet, l *topology.Layout, proxy int) {
 	t.Helper()
-	if err := f.Start(hollow.Spec{Name: topology.Proxy(proxy), File: l.Config(proxy), From: topology.ClientAddr(proxy)}); err != nil {
+	spec := hollow.ProxySpec{
+		Name:      topology.Proxy(proxy),
+		Config:    l.Config(proxy),
+		LocalAddr: topology.ClientAddr(proxy),
+	}
+	if err := f.Start(spec); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func ready(t *testing.T, f *hollow.Fleet) {
+// waitReady waits until all proxies have their lists.
+func waitReady(t *testing.T, f *hollow.Fleet) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -72,27 +87,29 @@
 	}
 }
 
-// until waits for what is to come.
-func until(t *testing.T, what string, come func() bool) {
+// waitUntil waits until a condition holds, which it describes where it does not.
+func waitUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	look, late := time.NewTicker(5*time.Millisecond), time.NewTimer(patience)
-	defer look.Stop()
-	defer late.Stop()
-	for !come() {
+	poll, timeout := time.NewTicker(5*time.Millisecond), time.NewTimer(patience)
+	defer poll.Stop()
+	defer timeout.Stop()
+	for !condition() {
 		select {
-		case <-look.C:
-		case <-late.C:
-			t.Fatalf("not within %v: %s", patience, what)
+		case <-poll.C:
+		case <-timeout.C:
+			t.Fatalf("not within %v: %s", patience, description)
 		}
 	}
 }
 
-// arrivals waits until so many versions have come in force.
-func arrivals(t *testing.T, f *hollow.Fleet, want int) (all []hollow.Arrival) {
+// waitArrivals waits until so many versions are in force.
+func waitArrivals(t *testing.T, f *hollow.Fleet, want int) []hollow.Arrival {
 	t.Helper()
-	until(t, fmt.Sprintf("%d versions in force", want), func() bool {
+	var all []hollow.Arrival
+	waitUntil(t, fmt.Sprintf("%d versions in force", want), func() bool {
 		more, lost := f.Arrivals()
-		if all = append(all, more...); lost > 0 {
+		all = append(all, more...)
+		if lost > 0 {
 			t.Fatalf("%d arrivals lost", lost)
 		}
 		return len(all) >= want
@@ -100,25 +117,25 @@
 	return all
 }
 
-// Each change comes in force once in each proxy that follows its service, after it was made, and calls are decided by what
-// is in force.
-func TestChangesAndCalls(t *testing.T) {
+// Each change is in force once in each proxy that follows its service, after it was made, and calls
+// are decided by what is in force.
+func TestChangesComeInForceAndCallsAreServed(t *testing.T) {
 	const proxies, services = 6, 3
-	r := registry(t, services)
-	l := plan(services, r.Addr())
+	r := newRegistry(t, services)
+	l := newLayout(services, r.Addr())
 	f := hollow.New(hollow.Config{Backends: backends})
 	defer f.Close()
 	for n := range proxies {
 		start(t, f, l, n)
 	}
-	ready(t, f)
+	waitReady(t, f)
 	load := hollow.NewLoad(f, 200)
 	defer load.Close()
-	began := hollow.Now()
+	began := hollow.MonotonicNow()
 	r.Service(topology.Service(1)).Put(member(1, 0, "DRAINING"))
 	seen := map[hollow.Arrival]int{}
-	for _, a := range arrivals(t, f, proxies) {
-		if a.At < began || a.At > hollow.Now() {
+	for _, a := range waitArrivals(t, f, proxies) {
+		if a.At < began || a.At > hollow.MonotonicNow() {
 			t.Errorf("arrived at %d, made at %d", a.At, began)
 		}
 		a.At = 0
@@ -129,30 +146,34 @@
 	}
 	r.Service(topology.Service(1)).Delete(churn.Name(topology.Service(1), 0))
 	r.Service(topology.Service(1)).Put(member(1, backends, "SERVING"))
-	for _, a := range arrivals(t, f, 2*proxies) {
+	for _, a := range waitArrivals(t, f, 2*proxies) {
 		if a.Version != 2 && a.Version != 3 {
 			t.Errorf("version %d", a.Version)
 		}
 	}
 	var calls hollow.Calls
-	until(t, "100 calls served", func() bool {
+	waitUntil(t, "100 calls served", func() bool {
 		taken := load.Take()
-		calls.Served, calls.Others = calls.Served+taken.Served, calls.Others+taken.Others
+		calls.Served += taken.Served
+		calls.NotServed += taken.NotServed
 		return calls.Served >= 100
 	})
-	if calls.Others > 0 {
-		t.Errorf("%d calls not served", calls.Others)
+	if calls.NotServed > 0 {
+		t.Errorf("%d calls not served", calls.NotServed)
 	}
 	for n := range proxies {
-		free, err := net.Listen("tcp", topology.ListenAddr(n))
+		listener, err := net.Listen("tcp", topology.ListenAddr(n))
 		if err != nil {
 			t.Errorf("a hollow proxy listens: %v", err)
 			continue
 		}
-		free.Close()
+		if err := listener.Close(); err != nil {
+			t.Error(err)
+		}
 	}
 	traffic := f.Traffic()
-	if traffic.BytesIn == 0 || traffic.BytesOut == 0 || traffic.MessagesOut < proxies*services || traffic.Open < proxies*services {
+	if traffic.BytesIn == 0 || traffic.BytesOut == 0 ||
+		traffic.MessagesOut < proxies*services || traffic.Open < proxies*services {
 		t.Errorf("traffic %+v", traffic)
 	}
 	if failures := f.Failures(); len(failures) > 0 {
@@ -160,52 +181,55 @@
 	}
 }
 
-// A proxy whose configuration is refused, one whose source gets garbage and one that panics harm no other.
-func TestFaultsStayWithTheirProxies(t *testing.T) {
-	r := registry(t, 1)
+// A proxy whose configuration is rejected, one whose source receives garbage and one that panics do
+// not affect others.
+func TestFaultsAreContained(t *testing.T) {
+	r := newRegistry(t, 1)
 	var answers atomic.Int64
 	garbage := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Consul-Index", fmt.Sprint(answers.Add(1)))
 		_, _ = w.Write(bytes.Repeat([]byte(`{"no":"list"`), 100))
 	}))
 	defer garbage.Close()
-	const well, panics, spoilt, bad = 0, 1, 2, 3
+	const healthy, panics, garbled, malformed = 0, 1, 2, 3
 	f := hollow.New(hollow.Config{Backends: backends, OnList: func(proxy, _ string, l *membership.List) {
 		if proxy == topology.Proxy(panics) && churn.Version(l, backends) > 0 {
 			panic("for the test")
 		}
 	}})
 	defer f.Close()
-	l := plan(1, r.Addr())
-	start(t, f, l, well)
+	l := newLayout(1, r.Addr())
+	start(t, f, l, healthy)
 	start(t, f, l, panics)
-	ready(t, f)
-	start(t, f, plan(1, strings.TrimPrefix(garbage.URL, "http://")), spoilt)
-	text := append(l.Config(bad), "nonsense = 1\n"...)
-	if err := f.Start(hollow.Spec{Name: topology.Proxy(bad), File: text}); err == nil || !strings.Contains(err.Error(), "nonsense: unknown field") {
+	waitReady(t, f)
+	start(t, f, newLayout(1, strings.TrimPrefix(garbage.URL, "http://")), garbled)
+	text := append(l.Config(malformed), "nonsense = 1\n"...)
+	err := f.Start(hollow.ProxySpec{Name: topology.Proxy(malformed), Config: text})
+	if err == nil || !strings.Contains(err.Error(), "nonsense: unknown field") {
 		t.Errorf("bad configuration: %v", err)
 	}
-	if err := f.Start(hollow.Spec{Name: "empty"}); err == nil {
-		t.Error("an empty configuration was taken")
+	if err := f.Start(hollow.ProxySpec{Name: "empty"}); err == nil {
+		t.Error("an empty configuration was accepted")
 	}
-	until(t, "a second read of garbage", func() bool { return answers.Load() >= 2 })
+	waitUntil(t, "a second read of garbage", func() bool { return answers.Load() >= 2 })
 	r.Service(topology.Service(0)).Put(member(0, 0, "DRAINING"))
-	until(t, "the panic among the failures", func() bool { return f.Failures()[topology.Proxy(panics)] != "" })
-	arrivals(t, f, 1)
+	waitUntil(t, "the panic among the failures", func() bool { return f.Failures()[topology.Proxy(panics)] != "" })
+	waitArrivals(t, f, 1)
 	r.Service(topology.Service(0)).Delete(churn.Name(topology.Service(0), 0))
-	for _, a := range arrivals(t, f, 1) {
+	for _, a := range waitArrivals(t, f, 1) {
 		if a.Version != 1 && a.Version != 2 {
 			t.Errorf("%+v", a)
 		}
 	}
 	failures := f.Failures()
-	for _, n := range []int{panics, bad} {
+	for _, n := range []int{panics, malformed} {
 		if failures[topology.Proxy(n)] == "" {
 			t.Errorf("%s: no failure", topology.Proxy(n))
 		}
 	}
-	if why := failures[topology.Proxy(panics)]; !strings.Contains(why, "for the test") || !strings.Contains(why, "hollow_test.go") {
-		t.Errorf("the panic is told as %q", why)
+	reason := failures[topology.Proxy(panics)]
+	if !strings.Contains(reason, "for the test") || !strings.Contains(reason, "hollow_test.go") {
+		t.Errorf("the panic is reported as %q", reason)
 	}
 	if len(failures) != 3 { // the empty one too
 		t.Errorf("failures %v", failures)
--- a/internal/scale/hollow/load.go
+++ b/internal/scale/hollow/load.go
@@ -15,51 +15,53 @@
 )
 
 const (
-	loadTick  = 5 * time.Millisecond
-	mostOwed  = time.Second // of calls that a worker which falls behind makes up for; further ones are counted as skipped
-	callWait  = time.Second
-	slowest   = int64(time.Minute) // in a histogram, in nanoseconds
-	precision = 3                  // digits
-	noTenant  = -1
+	callInterval = 5 * time.Millisecond
+	// maxBacklog bounds the calls that a worker which falls behind makes up for; calls beyond it
+	// count as skipped.
+	maxBacklog  = time.Second
+	callTimeout = time.Second
+	maxLatency  = int64(time.Minute) // in a histogram, in nanoseconds
+	precision   = 3                  // significant digits of a histogram
+	noTenant    = -1
 )
 
-// Load makes calls at a steady rate on a fleet, whatever becomes of them.
+// Load makes calls at a steady rate on a fleet, whatever their outcome.
 type Load struct {
-	fleet   *Fleet
-	workers []*loader
+	workers []*callWorker
 	stop    context.CancelFunc
 	running sync.WaitGroup
 }
 
-// Calls is what became of calls.
+// Calls counts calls by their outcome.
 type Calls struct {
-	Took    *hdrhistogram.Histogram // nanoseconds from the call's coming to its answer
-	Served  int64
-	Others  int64 // refused or failed
-	Skipped int64 // that fell due but were not made
+	Latency   *hdrhistogram.Histogram // of all calls made, in nanoseconds
+	Served    int64
+	NotServed int64 // rejected or failed
+	Skipped   int64 // due but not made
 }
 
-// loader makes the calls of some proxies.
-type loader struct {
+// callWorker makes the calls on some of the proxies.
+type callWorker struct {
 	fleet   *Fleet
 	proxies []*proxy
-	rate    float64 // calls a second
-	number  uint64
+	rate    float64 // calls per second over its proxies
+	number  uint64  // of the last call; the upper 16 bits are the worker's
 
 	mu    sync.Mutex
 	calls Calls
 }
 
-func newCalls() Calls { return Calls{Took: hdrhistogram.New(1, slowest, precision)} }
+func newCalls() Calls { return Calls{Latency: hdrhistogram.New(1, maxLatency, precision)} }
 
-// NewLoad starts calls on all proxies that are alive, at a rate for each. Close ends them.
+// NewLoad starts calls on all proxies that have not failed, at a rate for each of them. Close of
+// the load or of the fleet ends them.
 func NewLoad(f *Fleet, callsPerSecond float64) *Load {
-	ctx, stop := context.WithCancel(f.halt)
-	l := &Load{fleet: f, stop: stop}
+	ctx, stop := f.newContext()
+	l := &Load{stop: stop}
 	all := f.alive()
 	workers := min(len(all), runtime.GOMAXPROCS(0))
 	for i := range workers {
-		w := &loader{fleet: f, calls: newCalls(), number: uint64(i) << 48}
+		w := &callWorker{fleet: f, calls: newCalls(), number: uint64(i) << 48}
 		for n := i; n < len(all); n += workers {
 			w.proxies = append(w.proxies, all[n])
 		}
@@ -70,7 +72,7 @@
 	return l
 }
 
-// Take returns what has become of the calls since it was last called.
+// Take returns the outcomes of the calls since the last Take.
 func (l *Load) Take() Calls {
 	sum := newCalls()
 	for _, w := range l.workers {
@@ -78,34 +80,35 @@
 		calls := w.calls
 		w.calls = newCalls()
 		w.mu.Unlock()
-		sum.Took.Merge(calls.Took)
+		sum.Latency.Merge(calls.Latency)
 		sum.Served += calls.Served
-		sum.Others += calls.Others
+		sum.NotServed += calls.NotServed
 		sum.Skipped += calls.Skipped
 	}
 	return sum
 }
 
-// Close ends the calls.
+// Close ends the calls and returns when none is under way.
 func (l *Load) Close() {
 	l.stop()
 	l.running.Wait()
 }
 
-func (w *loader) run(ctx context.Context) {
-	tick := time.NewTicker(loadTick)
+// run makes the calls that are due at each tick until ctx ends.
+func (w *callWorker) run(ctx context.Context) {
+	tick := time.NewTicker(callInterval)
 	defer tick.Stop()
-	owed, last := 0.0, time.Now()
+	due, last := 0.0, time.Now()
 	for {
 		select {
 		case now := <-tick.C:
-			owed += now.Sub(last).Seconds() * w.rate
+			due += now.Sub(last).Seconds() * w.rate
 			last = now
-			if most := mostOwed.Seconds() * w.rate; owed > most {
-				w.skip(int64(owed - most))
-				owed = most
+			if most := maxBacklog.Seconds() * w.rate; due > most {
+				w.skip(int64(due - most))
+				due = most
 			}
-			for ; owed >= 1 && ctx.Err() == nil; owed-- {
+			for ; due >= 1 && ctx.Err() == nil; due-- {
 				w.call()
 			}
 		case <-ctx.Done():
@@ -114,45 +117,55 @@
 	}
 }
 
-func (w *loader) skip(calls int64) {
+// skip counts calls that are not made.
+func (w *callWorker) skip(calls int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.calls.Skipped += calls
 }
 
-// call makes the next call. Proxies and their services take turns.
-func (w *loader) call() {
+// call makes the next call. It takes proxies and their services in turn.
+func (w *callWorker) call() {
 	w.number++
 	turn := w.number & (1<<48 - 1)
 	p := w.proxies[turn%uint64(len(w.proxies))]
-	if p.over.Load() || len(p.services) == 0 {
+	if p.failed.Load() || len(p.services) == 0 {
 		w.skip(1)
 		return
 	}
 	service := p.services[turn/uint64(len(w.proxies))%uint64(len(p.services))]
 	began := time.Now()
-	clock := p.sidecar.Clock()
-	request := &core.Request{Request: logic.Request{ID: strconv.FormatUint(w.number, 16), Tenant: noTenant, ClientDeadline: clock.Now() + callWait.Microseconds()}}
-	served := false
-	err := guard(func() error {
-		answer, err := p.sidecar.Call(service, request)
+	request := w.newRequest(p)
+	isServed := false
+	err := recoverPanic(func() error {
+		outcome, err := p.sidecar.Call(service, request)
 		if err != nil {
 			return fmt.Errorf("call: %w", err)
 		}
-		served = answer.Verdict == core.Served
-		answer.Response.Close()
+		isServed = outcome.Verdict == core.Served
+		outcome.Response.Close()
 		return nil
 	})
-	took := time.Since(began)
+	latency := time.Since(began)
 	if err != nil {
-		w.fleet.fail(p, err)
+		w.fleet.failProxy(p, err)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if served {
+	if isServed {
 		w.calls.Served++
 	} else {
-		w.calls.Others++
+		w.calls.NotServed++
 	}
-	_ = w.calls.Took.RecordValue(min(max(1, took.Nanoseconds()), slowest)) // in range
+	// It fails only for values out of range.
+	_ = w.calls.Latency.RecordValue(min(max(1, latency.Nanoseconds()), maxLatency))
+}
+
+// newRequest returns the request of the last call, to a proxy.
+func (w *callWorker) newRequest(p *proxy) *core.Request {
+	return &core.Request{Request: logic.Request{
+		ID:             strconv.FormatUint(w.number, 16),
+		Tenant:         noTenant,
+		ClientDeadline: p.sidecar.Clock().Now() + callTimeout.Microseconds(),
+	}}
 }
--- a/internal/scale/sweep/relays.go
+++ b/internal/scale/sweep/relays.go
@@ -90,7 +90,7 @@
 		if err != nil {
 			return nil, nil, fmt.Errorf("%s: %w", s.name, err)
 		}
-		out = append(out, worker.Usage{At: hollow.Now(), CPUSeconds: seconds, Traffic: hollow.Traffic{
+		out = append(out, worker.Usage{At: hollow.MonotonicNow(), CPUSeconds: seconds, Traffic: hollow.Traffic{
 			BytesIn: stats.BytesIn + stats.UpstreamBytesIn, BytesOut: stats.BytesOut + stats.UpstreamBytesOut,
 			MessagesIn: stats.MessagesIn + stats.UpstreamMessages, MessagesOut: stats.MessagesOut + stats.UpstreamMessages,
 			Open: stats.Sessions,
--- a/internal/scale/worker/lists.go
+++ b/internal/scale/worker/lists.go
@@ -134,7 +134,7 @@
 	c.versions[place]++
 	version := c.versions[place]
 	c.mu.Unlock()
-	service, at := c.services[place], hollow.Now()
+	service, at := c.services[place], hollow.MonotonicNow()
 	err := c.write(service, churn.At(version, c.backends))
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scale/worker/proxies.go
+++ b/internal/scale/worker/proxies.go
@@ -48,7 +48,7 @@
 	gap := time.NewTicker(startGap)
 	defer gap.Stop()
 	for n := p.spec.First; n < p.spec.First+p.spec.Count; n++ {
-		s := hollow.Spec{Name: topology.Proxy(n), File: p.spec.Layout.Config(n), From: topology.ClientAddr(n)}
+		s := hollow.ProxySpec{Name: topology.Proxy(n), Config: p.spec.Layout.Config(n), LocalAddr: topology.ClientAddr(n)}
 		if err := p.fleet.Start(s); err != nil {
 			return err
 		}
@@ -73,8 +73,8 @@
 		return nil
 	}
 	calls := p.load.Take()
-	s.Served, s.Others, s.Skipped = calls.Served, calls.Others, calls.Skipped
-	s.Calls, err = encode(calls.Took)
+	s.Served, s.Others, s.Skipped = calls.Served, calls.NotServed, calls.Skipped
+	s.Calls, err = encode(calls.Latency)
 	return err
 }
 
--- a/internal/scale/worker/worker.go
+++ b/internal/scale/worker/worker.go
@@ -199,7 +199,7 @@
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &used) // can't fail with these arguments
 	cpu := time.Duration(used.Utime.Nano() + used.Stime.Nano())
 	return Usage{
-		At: hollow.Now(), CPUSeconds: cpu.Seconds(), AllocatedBytes: int64(allocs[0].Value.Uint64()),
+		At: hollow.MonotonicNow(), CPUSeconds: cpu.Seconds(), AllocatedBytes: int64(allocs[0].Value.Uint64()),
 		Allocations: int64(allocs[1].Value.Uint64()), Traffic: t,
 	}
 }
