--- a/cmd/fernctl/scale.go
+++ b/cmd/fernctl/scale.go
@@ -27,7 +27,7 @@
 		},
 		Commands: []*cli.Command{
 			scaleRunCommand(), scaleFitCommand(), scalePredictCommand(), scaleLatencyCommand(),
-			{Name: workerWord, Hidden: true, Action: func(context.Context, *cli.Command) error { return worker.Main(os.Stdin, os.Stdout) }},
+			{Name: workerWord, Hidden: true, Action: func(context.Context, *cli.Command) error { return worker.Run(os.Stdin, os.Stdout) }},
 		},
 	}
 }
@@ -53,9 +53,9 @@
 	case alone && without:
 		return sweep.All, errors.New("scale run: one of -held-out and -without-held-out expected")
 	case alone:
-		return sweep.HeldAlone, nil
+		return sweep.HeldOutOnly, nil
 	case without:
-		return sweep.WithoutHeld, nil
+		return sweep.WithoutHeldOut, nil
 	}
 	return sweep.All, nil
 }
--- a/internal/scale/sweep/plan.go
+++ b/internal/scale/sweep/plan.go
@@ -48,8 +48,8 @@
 	return 0
 }
 
-// descriptorsFit is how many proxies the descriptors of the processes allow.
-func (p plan) descriptorsFit(source result.Source, each int) int {
+// proxiesByDescriptors is how many proxies the descriptors of the processes allow.
+func (p plan) proxiesByDescriptors(source result.Source, each int) int {
 	conns := connections(source, p.size)
 	if conns == 0 {
 		return scenario.MaxProxies
@@ -70,19 +70,19 @@
 	service int64 // in the list service and the relays and the kernel, for each proxy
 }
 
-// fit is how many proxies a bound on memory allows.
-func (f footprint) fit(bound int64) int {
+// proxiesWithin is how many proxies a bound on memory allows.
+func (f footprint) proxiesWithin(bound int64) int {
 	each := max(1, f.proxy+f.service)
 	return int(max(0, bound-f.base) / each)
 }
 
-// refusal is the one line that says why a size is not played, and how many proxies fit; nil: it is played.
-func (p plan) refusal(source result.Source, each int, f footprint, bound int64) error {
-	if fit := p.descriptorsFit(source, each); p.size.Proxies > fit {
+// checkFit is the one line that says why a size is not played, and how many proxies fit; nil: it is played.
+func (p plan) checkFit(source result.Source, each int, f footprint, bound int64) error {
+	if fit := p.proxiesByDescriptors(source, each); p.size.Proxies > fit {
 		return fmt.Errorf("%d proxies do not fit: %d do, by the %d descriptors of each of %d processes, with %d connections a proxy",
 			p.size.Proxies, fit, each, p.workers, connections(source, p.size))
 	}
-	if fit := f.fit(bound); p.size.Proxies > fit {
+	if fit := f.proxiesWithin(bound); p.size.Proxies > fit {
 		return fmt.Errorf("%d proxies do not fit: %d do, by %.1f GB of memory, at %.1f KB a proxy and %.1f KB beside it",
 			p.size.Proxies, fit, float64(bound)/(1<<30), float64(f.proxy)/(1<<10), float64(f.service)/(1<<10))
 	}
--- a/internal/scale/sweep/relays.go
+++ b/internal/scale/sweep/relays.go
@@ -16,7 +16,7 @@
 
 const (
 	publisherName = "publisher"
-	statsWithin   = 10 * time.Second
+	statsTimeout  = 10 * time.Second
 	anyPort       = "127.0.0.1:0"
 )
 
@@ -30,46 +30,46 @@
 	return out
 }
 
-// distribute starts a source of distribution, relays, and what writes to the source, and has all lists written.
-func (c *cast) distribute(ctx context.Context) error {
-	state := filepath.Join(c.player.dir, fmt.Sprintf("source-%d", time.Now().UnixNano()))
-	source, err := c.server(ctx, "source", "source", "-listen", anyPort, "-state", state)
+// startDistribution starts a source of distribution, relays, and what writes to the source, and has all lists written.
+func (c *processes) startDistribution(ctx context.Context) error {
+	state := filepath.Join(c.runner.dir, fmt.Sprintf("source-%d", time.Now().UnixNano()))
+	source, err := c.startServer(ctx, "source", "source", "-listen", anyPort, "-state", state)
 	if err != nil {
 		return err
 	}
 	c.source = []server{source}
 	for i := range c.plan.relays {
 		name := fmt.Sprintf("relay-%d", i+1)
-		relay, err := c.server(ctx, name, "relay", "-listen", anyPort, "-name", name, "-upstream", source.address)
+		relay, err := c.startServer(ctx, name, "relay", "-listen", anyPort, "-name", name, "-upstream", source.address)
 		if err != nil {
 			return err
 		}
 		c.relays = append(c.relays, relay)
 		c.layout.Relays = append(c.layout.Relays, relay.address)
 	}
-	if _, err := c.team.worker(ctx, publisherName, worker.Spec{Role: worker.Publish, Layout: c.layout, Source: source.address}); err != nil {
+	if _, err := c.group.startWorker(ctx, publisherName, worker.Spec{Role: worker.Publisher, Layout: c.layout, Source: source.address}); err != nil {
 		return err
 	}
 	c.lists = []string{publisherName}
-	_, err = c.team.ask(ctx, publisherName, worker.Command{Do: worker.DoStart})
+	_, err = c.group.request(ctx, publisherName, worker.Command{Kind: worker.CommandStart})
 	return err
 }
 
-func (c *cast) server(ctx context.Context, name string, args ...string) (server, error) {
-	address, err := c.team.server(ctx, name, append(append([]string(nil), c.player.opts.Relay...), args...))
+func (c *processes) startServer(ctx context.Context, name string, args ...string) (server, error) {
+	address, err := c.group.startServer(ctx, name, append(append([]string(nil), c.runner.options.Relay...), args...))
 	return server{name, strings.TrimSpace(address)}, err
 }
 
 // listNames are the processes whose costs are those of the list service.
-func (c *cast) listNames() []string {
-	if c.player.sc.Source == result.SourceRelay {
+func (c *processes) listNames() []string {
+	if c.runner.scenario.Source == result.SourceRelay {
 		return names(c.source)
 	}
 	return c.lists
 }
 
-func (c *cast) listUsages(ctx context.Context) ([]worker.Usage, error) {
-	if c.player.sc.Source == result.SourceRelay {
+func (c *processes) listUsages(ctx context.Context) ([]worker.Usage, error) {
+	if c.runner.scenario.Source == result.SourceRelay {
 		used, _, err := c.serverUsages(ctx, c.source)
 		return used, err
 	}
@@ -78,7 +78,7 @@
 
 // serverUsages is what sources or relays have used since their start, and what of it went between them and followers. What
 // they allocate they do not tell.
-func (c *cast) serverUsages(ctx context.Context, all []server) (out, followers []worker.Usage, err error) {
+func (c *processes) serverUsages(ctx context.Context, all []server) (out, followers []worker.Usage, err error) {
 	client := httpapi.NewClient(nil)
 	defer client.Close()
 	for _, s := range all {
@@ -86,7 +86,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		seconds, err := cpuSeconds(c.team.pid(s.name))
+		seconds, err := cpuSeconds(c.group.pid(s.name))
 		if err != nil {
 			return nil, nil, fmt.Errorf("%s: %w", s.name, err)
 		}
@@ -104,7 +104,7 @@
 }
 
 func stats(ctx context.Context, client *httpapi.Client, s server) (*distribution.Stats, error) {
-	ctx, cancel := context.WithTimeout(ctx, statsWithin)
+	ctx, cancel := context.WithTimeout(ctx, statsTimeout)
 	defer cancel()
 	out, err := client.Stats(ctx, s.address)
 	if err != nil {
--- a/internal/scale/sweep/run.go
+++ b/internal/scale/sweep/run.go
@@ -33,15 +33,15 @@
 
 // The selections.
 const (
-	All         Selection = iota
-	WithoutHeld           // not the held-out size
-	HeldAlone             // the held-out size alone
+	All            Selection = iota
+	WithoutHeldOut           // not the held-out size
+	HeldOutOnly              // the held-out size alone
 )
 
 // select are the points that are played.
 func (s Selection) points(all []result.Point) (out []result.Point) {
 	for _, p := range all {
-		if s == All || p.HeldOut == (s == HeldAlone) {
+		if s == All || p.HeldOut == (s == HeldOutOnly) {
 			out = append(out, p)
 		}
 	}
@@ -59,8 +59,8 @@
 		return nil, fmt.Errorf("scale: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	s := &player{sc: sc, opts: opts, dir: dir}
-	if err := s.check(ctx, points); err != nil {
+	s := &runner{scenario: sc, options: opts, dir: dir}
+	if err := s.checkFit(ctx, points); err != nil {
 		return nil, fmt.Errorf("scale: %w", err)
 	}
 	out := &result.Result{
@@ -68,7 +68,7 @@
 		Date: time.Now().UTC().Format(time.RFC3339), Program: revision(), GoVersion: runtime.Version(), Cores: runtime.NumCPU(), LoadBefore: loadAverage(),
 	}
 	for _, p := range points {
-		if p.Rounds, err = s.play(ctx, p.Size); err != nil {
+		if p.Rounds, err = s.runSize(ctx, p.Size); err != nil {
 			return nil, fmt.Errorf("scale: %s = %s: %w", sc.Dimension, describe(p.Size), err)
 		}
 		out.Points = append(out.Points, p)
@@ -99,21 +99,21 @@
 		s.ChangesPerSecond, s.CallsPerSecond)
 }
 
-// player plays one sweep.
-type player struct {
-	sc   *scenario.Scenario
-	opts Options
-	dir  string // of the configurations of real proxies
+// runner plays one sweep.
+type runner struct {
+	scenario *scenario.Scenario
+	options  Options
+	dir      string // of the configurations of real proxies
 }
 
-// check refuses sizes that do not fit. It measures a few proxies of the largest size.
-func (s *player) check(ctx context.Context, points []result.Point) error {
+// checkFit refuses sizes that do not fit. It measures a few proxies of the largest size.
+func (s *runner) checkFit(ctx context.Context, points []result.Point) error {
 	largest := points[len(points)-1].Size
 	each, err := descriptors()
 	if err != nil {
 		return err
 	}
-	bound := s.opts.MemoryBytes
+	bound := s.options.MemoryBytes
 	if bound == 0 {
 		machine, err := machineBytes()
 		if err != nil {
@@ -121,78 +121,78 @@
 		}
 		bound = machine / 2
 	}
-	p := planOf(s.sc, largest)
-	if err := p.refusal(s.sc.Source, each, footprint{}, bound); err != nil {
+	p := planOf(s.scenario, largest)
+	if err := p.checkFit(s.scenario.Source, each, footprint{}, bound); err != nil {
 		return err
 	}
 	if largest.Proxies <= probeMore {
 		return nil
 	}
-	f, err := s.probe(ctx, largest)
+	f, err := s.measureFootprint(ctx, largest)
 	if err != nil {
 		return fmt.Errorf("probe: %w", err)
 	}
 	s.logf("measured %d and %d proxies: %.1f KB a proxy and %.1f KB beside it, %.1f MB without any; %d fit in %.1f GB", probeProxies, probeMore,
-		float64(f.proxy)/(1<<10), float64(f.service)/(1<<10), float64(f.base)/(1<<20), f.fit(bound), float64(bound)/(1<<30))
-	return p.refusal(s.sc.Source, each, f, bound)
+		float64(f.proxy)/(1<<10), float64(f.service)/(1<<10), float64(f.base)/(1<<20), f.proxiesWithin(bound), float64(bound)/(1<<30))
+	return p.checkFit(s.scenario.Source, each, f, bound)
 }
 
-// probe measures what a proxy of a size costs in memory, from two plays with few proxies in one process.
-func (s *player) probe(ctx context.Context, size result.Size) (f footprint, err error) {
-	few, err := s.weigh(ctx, size, probeProxies)
+// measureFootprint measures what a proxy of a size costs in memory, from two plays with few proxies in one process.
+func (s *runner) measureFootprint(ctx context.Context, size result.Size) (f footprint, err error) {
+	few, err := s.measureMemory(ctx, size, probeProxies)
 	if err != nil {
 		return f, err
 	}
-	more, err := s.weigh(ctx, size, probeMore)
+	more, err := s.measureMemory(ctx, size, probeMore)
 	if err != nil {
 		return f, err
 	}
 	const extra = probeMore - probeProxies
 	f.proxy = max(0, more.proxies-few.proxies) / extra
-	f.service = max(0, more.lists+more.relays-few.lists-few.relays)/extra + int64(connections(s.sc.Source, size))*kernelPerConn
-	p := planOf(s.sc, size)
-	if s.sc.Hollow {
+	f.service = max(0, more.lists+more.relays-few.lists-few.relays)/extra + int64(connections(s.scenario.Source, size))*kernelPerConn
+	p := planOf(s.scenario, size)
+	if s.scenario.Hollow {
 		f.base = max(0, few.proxies-probeProxies*f.proxy) * int64(p.workers)
 	}
 	f.base += few.lists*int64(max(1, p.lists)) + few.relays*int64(p.relays)
 	return f, nil
 }
 
-// weigh is what the processes of a size with few proxies hold, with one process for each role.
-func (s *player) weigh(ctx context.Context, size result.Size, proxies int) (m memory, err error) {
+// measureMemory is what the processes of a size with few proxies hold, with one process for each role.
+func (s *runner) measureMemory(ctx context.Context, size result.Size, proxies int) (m roleMemory, err error) {
 	size.Proxies = proxies
-	p := planOf(s.sc, size)
+	p := planOf(s.scenario, size)
 	p.workers, p.lists, p.relays = min(1, p.workers), min(1, p.lists), min(1, p.relays)
-	c, err := s.begin(ctx, size, p)
+	c, err := s.startProcesses(ctx, size, p)
 	if err != nil {
 		return m, err
 	}
-	defer c.team.end()
-	if err := c.start(ctx); err != nil {
+	defer c.group.close()
+	if err := c.startLoad(ctx); err != nil {
 		return m, err
 	}
-	if !sleep.For(ctx, s.sc.WarmUp) {
+	if !sleep.For(ctx, s.scenario.WarmUp) {
 		return m, ctx.Err()
 	}
-	return c.resident()
+	return c.residentMemory()
 }
 
-// play plays one size.
-func (s *player) play(ctx context.Context, size result.Size) (rounds []result.Round, err error) {
-	c, err := s.begin(ctx, size, planOf(s.sc, size))
+// runSize plays one size.
+func (s *runner) runSize(ctx context.Context, size result.Size) (rounds []result.Round, err error) {
+	c, err := s.startProcesses(ctx, size, planOf(s.scenario, size))
 	if err != nil {
 		return nil, err
 	}
-	defer c.team.end()
-	if err := c.start(ctx); err != nil {
+	defer c.group.close()
+	if err := c.startLoad(ctx); err != nil {
 		return nil, err
 	}
-	if !sleep.For(ctx, s.sc.WarmUp) {
+	if !sleep.For(ctx, s.scenario.WarmUp) {
 		return nil, ctx.Err()
 	}
-	for i := range s.sc.Rounds {
-		r, err := c.round(ctx, s.sc.Span)
-		if err := errors.Join(err, c.team.failure()); err != nil {
+	for i := range s.scenario.Rounds {
+		r, err := c.measureRound(ctx, s.scenario.Span)
+		if err := errors.Join(err, c.group.failure()); err != nil {
 			return nil, fmt.Errorf("round %d: %w", i+1, err)
 		}
 		rounds = append(rounds, r)
@@ -206,14 +206,14 @@
 
 func megabytes(n int64) float64 { return float64(n) / (1 << 20) }
 
-func (s *player) logf(format string, args ...any) {
-	if s.opts.Log != nil {
-		fmt.Fprintf(s.opts.Log, format+"\n", args...)
+func (s *runner) logf(format string, args ...any) {
+	if s.options.Log != nil {
+		fmt.Fprintf(s.options.Log, format+"\n", args...)
 	}
 }
 
-// file writes a real proxy's configuration and returns its path.
-func (s *player) file(name string, data []byte) (string, error) {
+// writeConfig writes a real proxy's configuration and returns its path.
+func (s *runner) writeConfig(name string, data []byte) (string, error) {
 	path := filepath.Join(s.dir, name+".toml")
 	return path, os.WriteFile(path, data, 0o600)
 }
--- a/internal/scale/sweep/sweep_test.go
+++ b/internal/scale/sweep/sweep_test.go
@@ -23,7 +23,7 @@
 	if os.Getenv(workerVariable) == "" {
 		os.Exit(m.Run())
 	}
-	if err := worker.Main(os.Stdin, os.Stdout); err != nil {
+	if err := worker.Run(os.Stdin, os.Stdout); err != nil {
 		os.Stderr.WriteString(err.Error() + "\n")
 		os.Exit(1)
 	}
@@ -139,7 +139,7 @@
 		t.Fatalf("%v: %s", err, out)
 	}
 	opts := options(t)
-	opts.Relay, opts.HeldOut = []string{program}, sweep.HeldAlone
+	opts.Relay, opts.HeldOut = []string{program}, sweep.HeldOutOnly
 	text := strings.NewReplacer("name = \"small\"", "name = \"small\"\nsource = \"relay\"", "rounds = 1", fmt.Sprintf("rounds = %d", relayRounds),
 		"proxies = 2\n", "proxies = 2\nrelays = 2\n").Replace(small)
 	out, err := sweep.Run(context.Background(), read(t, text), opts)
--- /dev/null
+++ b/internal/scale/worker/listservice.go
@@ -0,0 +1,98 @@
+package worker
+
+import (
+	"context"
+
+	"fernlanding/internal/scale/churn"
+	"fernlanding/internal/scale/hollow"
+	"fernlanding/internal/scale/topology"
+	"fernlanding/internal/standin"
+)
+
+// listService is a list service: a stand-in registry, with a changer of its lists.
+type listService struct {
+	registry *standin.Registry
+	changer  *changer
+}
+
+func newListService(spec Spec) (*listService, error) {
+	size := spec.Layout.Size
+	services := topology.Services(size, spec.Index, spec.ListServices)
+	var names []string
+	for _, n := range services {
+		names = append(names, topology.Service(n))
+	}
+	registry, err := standin.NewRegistry(names)
+	if err != nil {
+		return nil, err
+	}
+	for _, n := range services {
+		var all []standin.Member
+		for b := range size.Backends {
+			all = append(all, backendMember(n, b))
+		}
+		registry.Service(topology.Service(n)).Put(all...)
+	}
+	write := func(service int, c churn.Change) error {
+		return applyChange(registry.Service(topology.Service(service)), service, c)
+	}
+	rate := size.ChangesPerSecond * float64(len(services)) / float64(size.ServicesInAll)
+	return &listService{registry: registry, changer: newChanger(services, size.Backends, rate, write)}, nil
+}
+
+// backendMember returns a backend as the registry lists it.
+func backendMember(service, number int) standin.Member {
+	return standin.Member{
+		Name:    churn.Name(topology.Service(service), number),
+		Address: topology.BackendAddr(service, number),
+		Weight:  1,
+		Status:  "SERVING",
+	}
+}
+
+// applyChange makes a change in the registry.
+func applyChange(to *standin.Health, service int, c churn.Change) error {
+	m := backendMember(service, c.Backend)
+	switch c.Kind {
+	case churn.Delete:
+		to.Delete(m.Name)
+		return nil
+	case churn.Drain:
+		m.Status = "DRAINING"
+	case churn.Join: // a new backend serves at once
+	}
+	to.Put(m)
+	return nil
+}
+
+func (l *listService) do(_ context.Context, c Command, r *Reply) error {
+	switch c.Kind {
+	case CommandLoad:
+		l.changer.start()
+		return nil
+	case CommandChanges:
+		r.Changes = l.changer.take()
+		return l.changer.firstError()
+	case CommandCollect:
+		return nil
+	default:
+		return errUnknownCommand
+	}
+}
+
+func (l *listService) traffic() hollow.Traffic {
+	t := l.registry.Traffic()
+	requests, responses := l.registry.Messages()
+	return hollow.Traffic{
+		BytesIn:     t.BytesIn,
+		BytesOut:    t.BytesOut,
+		MessagesIn:  requests,
+		MessagesOut: responses,
+		Open:        int(t.Open),
+	}
+}
+
+func (l *listService) close() {
+	l.changer.close()
+	l.registry.Close()
+}
--- a/internal/scale/worker/publisher.go
+++ b/internal/scale/worker/publisher.go
@@ -14,8 +14,8 @@
 	"fernlanding/internal/scale/topology"
 )
 
-// putWithin bounds one write to the source.
-const putWithin = 10 * time.Second
+// putTimeout bounds one write to the source.
+const putTimeout = 10 * time.Second
 
 // publisher writes lists to a source of distribution.
 type publisher struct {
@@ -31,16 +31,16 @@
 	return p
 }
 
-// entry is a backend as an item of a list words it.
-type entry struct {
+// endpointValue is the value of a list item: a backend.
+type endpointValue struct {
 	Address string  `json:"address"`
 	Status  string  `json:"status"`
 	Weight  float64 `json:"weight"`
 }
 
-// item is a backend of a service as it is in a list.
-func item(service, number int, status string) (distribution.Item, error) {
-	value, err := json.Marshal(entry{Address: topology.BackendAddr(service, number), Status: status, Weight: 1})
+// listItem returns the list item of a backend of a service.
+func listItem(service, number int, status string) (distribution.Item, error) {
+	value, err := json.Marshal(endpointValue{Address: topology.BackendAddr(service, number), Status: status, Weight: 1})
 	if err != nil {
 		return distribution.Item{}, fmt.Errorf("item: %w", err)
 	}
@@ -48,17 +48,18 @@
 }
 
 func (p *publisher) do(ctx context.Context, c Command, r *Reply) error {
-	switch c.Do {
-	case DoStart:
+	switch c.Kind {
+	case CommandStart:
 		return p.writeAll(ctx)
-	case DoLoad:
+	case CommandLoad:
 		p.changer.start()
 		return nil
-	case DoChanges:
+	case CommandChanges:
 		r.Changes = p.changer.take()
-		return p.changer.failure()
+		return p.changer.firstError()
+	default:
+		return errUnknownCommand
 	}
-	return errNoCommand
 }
 
 // writeAll writes the first list of each service.
@@ -67,7 +68,7 @@
 	for _, service := range topology.Services(size, 0, 1) {
 		put := distribution.PutRequest{Resource: relayed.Resource(topology.Service(service)), Replace: true}
 		for number := range size.Backends {
-			one, err := item(service, number, "serving")
+			one, err := listItem(service, number, "serving")
 			if err != nil {
 				return err
 			}
@@ -80,25 +81,30 @@
 	return nil
 }
 
-// change makes a change of a service's list. What takes a backend out is urgent.
+// change makes a change of a service's list. One that takes a backend out of use is urgent.
 func (p *publisher) change(service int, c churn.Change) error {
 	status := "serving"
 	if c.Kind == churn.Drain {
 		status = "draining"
 	}
-	one, err := item(service, c.Backend, status)
+	one, err := listItem(service, c.Backend, status)
 	if err != nil {
 		return err
 	}
 	if c.Kind == churn.Delete {
-		one.Value, one.Deleted = nil, true
+		one.Value = nil
+		one.Deleted = true
 	}
 	one.Urgent = c.Kind != churn.Join
-	return p.put(context.Background(), &distribution.PutRequest{Resource: relayed.Resource(topology.Service(service)), Items: []distribution.Item{one}})
+	return p.put(context.Background(), &distribution.PutRequest{
+		Resource: relayed.Resource(topology.Service(service)),
+		Items:    []distribution.Item{one},
+	})
 }
 
+// put sends a write to the source.
 func (p *publisher) put(ctx context.Context, put *distribution.PutRequest) error {
-	ctx, cancel := context.WithTimeout(ctx, putWithin)
+	ctx, cancel := context.WithTimeout(ctx, putTimeout)
 	defer cancel()
 	if _, err := p.client.Put(ctx, p.spec.Source, put); err != nil {
 		return fmt.Errorf("put %s: %w", put.Resource, err)
@@ -106,6 +112,7 @@
 	return nil
 }
 
+// traffic is none: the source counts it.
 func (p *publisher) traffic() hollow.Traffic { return hollow.Traffic{} }
 
 func (p *publisher) close() {
