--- a/internal/scale/sweep/plan.go
+++ b/internal/scale/sweep/plan.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	spareDescriptors = 256 // of a process: for its pipes, listeners and what else is not a connection to a list service
+	spareDescriptors = 256 // of a process, for pipes, listeners and all but connections to list services
 	listConnections  = 8000
 	maxLists         = 64      // list services
 	kernelPerConn    = 8 << 10 // bytes that the kernel holds for both ends of a connection on loopback, about
-	probeProxies     = 50      // and probeMore are measured before a larger size is played
+	probeProxies     = 50      // measured, and then probeMore, before a larger size
 	probeMore        = 200
 )
 
@@ -24,7 +24,7 @@
 	relays  int
 }
 
-// planOf spreads a size over processes.
+// planOf returns the plan of a size.
 func planOf(sc *scenario.Scenario, size result.Size) plan {
 	p := plan{size: size, workers: min(sc.Processes.Proxies, size.Proxies)}
 	switch sc.Source {
@@ -32,23 +32,27 @@
 		conns := size.Proxies * size.Services
 		p.lists = min(max(1, (conns+listConnections-1)/listConnections), maxLists, size.ServicesInAll)
 	case result.SourceRelay:
-		p.lists, p.relays = 1, sc.Processes.Relays
+		p.lists = 1
+		p.relays = sc.Processes.Relays
+	default: // the lists are part of the configuration
 	}
 	return p
 }
 
-// connections is how many connections a proxy has to list services.
+// connections returns the number of connections that a proxy has to list services.
 func connections(source result.Source, size result.Size) int {
 	switch source {
 	case result.SourceConsul:
 		return size.Services
 	case result.SourceRelay:
 		return 1
+	default:
+		return 0
 	}
-	return 0
 }
 
-// proxiesByDescriptors is how many proxies the descriptors of the processes allow.
+// proxiesByDescriptors returns how many proxies the descriptors of the processes allow, of which
+// each process has so many.
 func (p plan) proxiesByDescriptors(source result.Source, each int) int {
 	conns := connections(source, p.size)
 	if conns == 0 {
@@ -63,27 +67,30 @@
 	return min(fit, room*servers/conns)
 }
 
-// footprint is what one proxy costs in memory, as measured with few of them.
+// footprint is what one proxy costs in memory, in bytes, as measured with few of them.
 type footprint struct {
 	base    int64 // of all processes without proxies
 	proxy   int64 // in the process that has it, for each
 	service int64 // in the list service and the relays and the kernel, for each proxy
 }
 
-// proxiesWithin is how many proxies a bound on memory allows.
+// proxiesWithin returns how many proxies a bound on memory, in bytes, allows.
 func (f footprint) proxiesWithin(bound int64) int {
 	each := max(1, f.proxy+f.service)
 	return int(max(0, bound-f.base) / each)
 }
 
-// checkFit is the one line that says why a size is not played, and how many proxies fit; nil: it is played.
+// checkFit returns an error of one line if the size does not fit. It says why, and how many proxies
+// fit.
 func (p plan) checkFit(source result.Source, each int, f footprint, bound int64) error {
 	if fit := p.proxiesByDescriptors(source, each); p.size.Proxies > fit {
-		return fmt.Errorf("%d proxies do not fit: %d do, by the %d descriptors of each of %d processes, with %d connections a proxy",
+		return fmt.Errorf(
+			"%d proxies do not fit: %d do, by the %d descriptors of each of %d processes, with %d connections a proxy",
 			p.size.Proxies, fit, each, p.workers, connections(source, p.size))
 	}
 	if fit := f.proxiesWithin(bound); p.size.Proxies > fit {
-		return fmt.Errorf("%d proxies do not fit: %d do, by %.1f GB of memory, at %.1f KB a proxy and %.1f KB beside it",
+		return fmt.Errorf(
+			"%d proxies do not fit: %d do, by %.1f GB of memory, at %.1f KB a proxy and %.1f KB beside it",
 			p.size.Proxies, fit, float64(bound)/(1<<30), float64(f.proxy)/(1<<10), float64(f.service)/(1<<10))
 	}
 	return nil
--- a/internal/scale/sweep/procfs.go
+++ b/internal/scale/sweep/procfs.go
@@ -11,8 +11,8 @@
 	"syscall"
 )
 
-// cpuSeconds is the processor time that a process has used: that of its threads that live, which for a Go program are all
-// that it ever had, with few exceptions.
+// cpuSeconds returns the CPU time that a process has used: that of its live threads, which for a Go
+// program are nearly all that it ever had.
 func cpuSeconds(pid int) (float64, error) {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(threads) == 0 {
@@ -37,15 +37,15 @@
 	return total, nil
 }
 
-// residentBytes is what a process holds in memory.
+// residentBytes returns the resident memory of a process.
 func residentBytes(pid int) (int64, error) {
 	return kilobytes(fmt.Sprintf("/proc/%d/status", pid), "VmRSS:")
 }
 
-// machineBytes is the machine's memory.
+// machineBytes returns the machine's memory.
 func machineBytes() (int64, error) { return kilobytes("/proc/meminfo", "MemTotal:") }
 
-// kilobytes reads a field of a file of /proc that is in kB; in bytes.
+// kilobytes reads a field in kB of a file of /proc, and returns it in bytes.
 func kilobytes(file, field string) (int64, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return 0, fmt.Errorf("%s: no field %s", file, field)
 }
 
-// loadAverage is the machine's load over the last minute; 0 where it is not told.
+// loadAverage returns the machine's load average over the last minute; 0 where it cannot be read.
 func loadAverage() float64 {
 	data, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -74,7 +74,7 @@
 	return load
 }
 
-// descriptors is how many file descriptors a process may have.
+// descriptors returns how many file descriptors a process may have open.
 func descriptors() (int, error) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
--- a/internal/scale/sweep/sweep_test.go
+++ b/internal/scale/sweep/sweep_test.go
@@ -18,18 +18,19 @@
 // workerVariable is set in the processes that this test starts from itself.
 const workerVariable = "SCALE_TEST_WORKER"
 
-// TestMain has the test's own program be the workers.
+// TestMain runs a worker in place of the tests in the processes that the tests start.
 func TestMain(m *testing.M) {
 	if os.Getenv(workerVariable) == "" {
 		os.Exit(m.Run())
 	}
 	if err := worker.Run(os.Stdin, os.Stdout); err != nil {
-		os.Stderr.WriteString(err.Error() + "\n")
+		_, _ = fmt.Fprintln(os.Stderr, err) // there is no other place to say so
 		os.Exit(1)
 	}
 }
 
-func read(t *testing.T, text string) *scenario.Scenario {
+// readScenario returns the scenario of a text.
+func readScenario(t *testing.T, text string) *scenario.Scenario {
 	t.Helper()
 	sc, err := scenario.Read("s.toml", []byte(text))
 	if err != nil {
@@ -38,7 +39,8 @@
 	return sc
 }
 
-func options(t *testing.T) sweep.Options {
+// workerOptions returns options by which this test's own program is the worker.
+func workerOptions(t *testing.T) sweep.Options {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
@@ -73,8 +75,9 @@
 held_out = 20
 `
 
-// total adds up what is counted over spans. In a single short one a starved process may do nothing.
-func total(a, b result.Cost) result.Cost {
+// sumOfCounters adds up what is counted over spans: in a single short one a starved process may do
+// nothing.
+func sumOfCounters(a, b result.Cost) result.Cost {
 	a.CPUSeconds += b.CPUSeconds
 	a.AllocatedBytes += b.AllocatedBytes
 	a.Allocations += b.Allocations
@@ -85,17 +88,17 @@
 	return a
 }
 
-// counted fails the test unless all that every role counts was counted.
-func counted(t *testing.T, c result.Cost) {
+// checkCounters fails the test unless all that every role counts was counted.
+func checkCounters(t *testing.T, c result.Cost) {
 	t.Helper()
 	if c.CPUSeconds <= 0 || c.BytesIn <= 0 || c.BytesOut <= 0 || c.MessagesIn <= 0 || c.MessagesOut <= 0 {
 		t.Errorf("%+v", c)
 	}
 }
 
-// A sweep of 20 hollow proxies: all that is counted is there, and each change comes in force in each proxy that follows it.
-func TestSmallSweep(t *testing.T) {
-	out, err := sweep.Run(context.Background(), read(t, small), options(t))
+// A sweep of up to 20 hollow proxies measures every figure.
+func TestSweepOverConsul(t *testing.T) {
+	out, err := sweep.Run(context.Background(), readScenario(t, small), workerOptions(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,8 +112,10 @@
 			t.Fatalf("%+v", p)
 		}
 		r := p.Rounds[0]
-		inForce, calls = inForce+r.InForce.Count, calls+r.Call.Count
-		if r.Proxies.Processes != min(2, p.Size.Proxies) || r.Proxies.Connections < 2*p.Size.Proxies || r.Lists.Processes != 1 || r.Relays.Processes != 0 {
+		inForce += r.InForce.Count
+		calls += r.Call.Count
+		if r.Proxies.Processes != min(2, p.Size.Proxies) || r.Proxies.Connections < 2*p.Size.Proxies ||
+			r.Lists.Processes != 1 || r.Relays.Processes != 0 {
 			t.Errorf("%d proxies: %+v", p.Size.Proxies, r)
 		}
 		for _, c := range []result.Cost{r.Proxies, r.Lists} {
@@ -118,31 +123,36 @@
 				t.Errorf("%d proxies: %+v", p.Size.Proxies, c)
 			}
 		}
-		proxies, lists = total(proxies, r.Proxies), total(lists, r.Lists)
+		proxies = sumOfCounters(proxies, r.Proxies)
+		lists = sumOfCounters(lists, r.Lists)
 	}
 	for _, c := range []result.Cost{proxies, lists} {
 		if c.Allocations <= 0 || c.AllocatedBytes <= 0 {
 			t.Errorf("%+v", c)
 		}
-		counted(t, c)
+		checkCounters(t, c)
 	}
 	if inForce == 0 || calls == 0 {
 		t.Errorf("%d changes in force, %d calls", inForce, calls)
 	}
 }
 
-// The same with lists that relays pass on: one connection a proxy, and source and relays are counted.
-func TestSmallSweepByRelays(t *testing.T) {
+// A sweep over relays measures the source and the relays too; each proxy has one connection.
+func TestSweepOverRelays(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "fernrelay")
 	build := exec.Command("go", "build", "-o", program, "fernlanding/cmd/fernrelay")
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	opts := options(t)
-	opts.Relay, opts.HeldOut = []string{program}, sweep.HeldOutOnly
-	text := strings.NewReplacer("name = \"small\"", "name = \"small\"\nsource = \"relay\"", "rounds = 1", fmt.Sprintf("rounds = %d", relayRounds),
-		"proxies = 2\n", "proxies = 2\nrelays = 2\n").Replace(small)
-	out, err := sweep.Run(context.Background(), read(t, text), opts)
+	opts := workerOptions(t)
+	opts.Relay = []string{program}
+	opts.HeldOut = sweep.HeldOutOnly
+	text := strings.NewReplacer(
+		"name = \"small\"", "name = \"small\"\nsource = \"relay\"",
+		"rounds = 1", fmt.Sprintf("rounds = %d", relayRounds),
+		"proxies = 2\n", "proxies = 2\nrelays = 2\n",
+	).Replace(small)
+	out, err := sweep.Run(context.Background(), readScenario(t, text), opts)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,44 +163,53 @@
 	var proxies, lists, relays result.Cost
 	p := out.Points[0]
 	for _, r := range p.Rounds {
-		if r.Proxies.Connections < p.Size.Proxies || r.Relays.Processes != 2 || r.Lists.Processes != 1 || r.Relays.Connections < p.Size.Proxies {
+		if r.Proxies.Connections < p.Size.Proxies || r.Lists.Processes != 1 ||
+			r.Relays.Processes != 2 || r.Relays.Connections < p.Size.Proxies {
 			t.Errorf("%+v", r)
 		}
 		if r.Proxies.RSSBytes <= 0 || r.Lists.RSSBytes <= 0 || r.Relays.RSSBytes <= 0 {
 			t.Errorf("%+v", r)
 		}
-		inForce, calls = inForce+r.InForce.Count, calls+r.Call.Count
-		proxies, lists, relays = total(proxies, r.Proxies), total(lists, r.Lists), total(relays, r.Relays)
-	}
-	counted(t, proxies)
-	counted(t, lists)
-	counted(t, relays)
+		inForce += r.InForce.Count
+		calls += r.Call.Count
+		proxies = sumOfCounters(proxies, r.Proxies)
+		lists = sumOfCounters(lists, r.Lists)
+		relays = sumOfCounters(relays, r.Relays)
+	}
+	checkCounters(t, proxies)
+	checkCounters(t, lists)
+	checkCounters(t, relays)
 	if inForce == 0 || calls == 0 {
 		t.Errorf("%d changes in force, %d calls", inForce, calls)
 	}
 }
 
-// A size that does not fit is refused in one line that says how many do, and nothing is started.
-func TestTooLarge(t *testing.T) {
-	const text = "format = 1\nname = \"x\"\n[size]\nservices = 100\nservices_in_all = 100\n[sweep]\ndimension = \"proxies\"\nsizes = [1, 2, 4, 8, 100_000]\n"
+// A size that does not fit is rejected by one line that says how many proxies do, and nothing is
+// started.
+func TestSizesThatDoNotFitAreRejected(t *testing.T) {
+	const text = "format = 1\nname = \"x\"\n[size]\nservices = 100\nservices_in_all = 100\n" +
+		"[sweep]\ndimension = \"proxies\"\nsizes = [1, 2, 4, 8, 100_000]\n"
 	opts := sweep.Options{Worker: []string{"/nonexistent"}}
-	_, err := sweep.Run(context.Background(), read(t, text), opts)
-	if err == nil || !strings.Contains(err.Error(), "100000 proxies do not fit: ") || !strings.Contains(err.Error(), " do, by the ") || strings.Contains(err.Error(), "\n") {
+	_, err := sweep.Run(context.Background(), readScenario(t, text), opts)
+	if err == nil || !strings.Contains(err.Error(), "100000 proxies do not fit: ") ||
+		!strings.Contains(err.Error(), " do, by the ") || strings.Contains(err.Error(), "\n") {
 		t.Errorf("%v", err)
 	}
-	opts = options(t)
+	opts = workerOptions(t)
 	opts.MemoryBytes = 64 << 20
-	const memory = "format = 1\nname = \"x\"\nwarm_up = \"0s\"\n[sweep]\ndimension = \"proxies\"\nsizes = [1, 2, 4, 8, 8_000]\n"
-	_, err = sweep.Run(context.Background(), read(t, memory), opts)
-	if err == nil || !strings.Contains(err.Error(), "8000 proxies do not fit: ") || !strings.Contains(err.Error(), " GB of memory") || strings.Contains(err.Error(), "\n") {
+	const memory = "format = 1\nname = \"x\"\nwarm_up = \"0s\"\n" +
+		"[sweep]\ndimension = \"proxies\"\nsizes = [1, 2, 4, 8, 8_000]\n"
+	_, err = sweep.Run(context.Background(), readScenario(t, memory), opts)
+	if err == nil || !strings.Contains(err.Error(), "8000 proxies do not fit: ") ||
+		!strings.Contains(err.Error(), " GB of memory") || strings.Contains(err.Error(), "\n") {
 		t.Errorf("%v", err)
 	}
 }
 
-// A worker that can't be started, and one that ends, fail the sweep with a reason.
-func TestWorkersThatFail(t *testing.T) {
+// A worker that cannot be started, and one that exits, fail the sweep with a reason.
+func TestFailedWorkerFailsSweep(t *testing.T) {
 	for _, program := range []string{"/nonexistent", "/bin/true"} {
-		_, err := sweep.Run(context.Background(), read(t, small), sweep.Options{Worker: []string{program}})
+		_, err := sweep.Run(context.Background(), readScenario(t, small), sweep.Options{Worker: []string{program}})
 		if err == nil || !strings.Contains(err.Error(), "lists-1") {
 			t.Errorf("%s: %v", program, err)
 		}
