--- a/cmd/fernctl/scale.go
+++ b/cmd/fernctl/scale.go
@@ -4,50 +4,73 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fernlanding/internal/catalogue/dir"
-	"fernlanding/internal/scale/result"
-	"fernlanding/internal/scale/scenario"
-	"fernlanding/internal/scale/sweep"
-	"fernlanding/internal/scale/worker"
 	"fmt"
 	"os"
 	"path/filepath"
 
 	"github.com/urfave/cli/v3"
+
+	"fernlanding/internal/catalogue/dir"
+	"fernlanding/internal/scale/result"
+	"fernlanding/internal/scale/scenario"
+	"fernlanding/internal/scale/sweep"
+	"fernlanding/internal/scale/worker"
 )
 
-// workerWord is the command by which scale run starts its processes. It is not for people.
-const workerWord = "worker"
+// workerCommand is the hidden command by which scale run starts its worker processes.
+const workerCommand = "worker"
 
 func scaleCommand() *cli.Command {
 	return &cli.Command{
-		Name: "scale", Usage: "what proxies cost, over sizes",
+		Name:  "scale",
+		Usage: "what proxies cost, over sizes",
 		Action: func(context.Context, *cli.Command) error {
 			return errors.New("scale: one of run, fit, predict and latency expected")
 		},
 		Commands: []*cli.Command{
-			scaleRunCommand(), scaleFitCommand(), scalePredictCommand(), scaleLatencyCommand(),
-			{Name: workerWord, Hidden: true, Action: func(context.Context, *cli.Command) error { return worker.Run(os.Stdin, os.Stdout) }},
+			scaleRunCommand(),
+			scaleFitCommand(),
+			scalePredictCommand(),
+			scaleLatencyCommand(),
+			{
+				Name:   workerCommand,
+				Hidden: true,
+				Action: func(context.Context, *cli.Command) error {
+					return worker.Run(os.Stdin, os.Stdout) //nolint:contextcheck // it handles signals itself
+				},
+			},
 		},
 	}
 }
 
 func scaleRunCommand() *cli.Command {
 	return &cli.Command{
-		Name: "run", Usage: "play the sweep in FILE and write what it measured", ArgsUsage: "FILE", Action: scaleRun,
+		Name:      "run",
+		Usage:     "play the sweep in FILE and write what it measured",
+		ArgsUsage: "FILE",
+		Action:    scaleRun,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "json", Usage: "the `OUT` file; printed without it"},
-			&cli.StringFlag{Name: "sidecar", Usage: "the `PROGRAM` of real proxies; the fernlanding beside this program by default"},
-			&cli.StringFlag{Name: "relay", Usage: "the `PROGRAM` of sources and relays; the fernrelay beside this program by default"},
-			&cli.FloatFlag{Name: "memory-gb", Usage: "of memory that all processes may use, `N`; half of the machine's by default"},
+			&cli.StringFlag{
+				Name:  "sidecar",
+				Usage: "the `PROGRAM` of real proxies; the fernlanding beside this program by default",
+			},
+			&cli.StringFlag{
+				Name:  "relay",
+				Usage: "the `PROGRAM` of sources and relays; the fernrelay beside this program by default",
+			},
+			&cli.FloatFlag{
+				Name:  "memory-gb",
+				Usage: "of memory that all processes may use, `N`; half of the machine's by default",
+			},
 			&cli.BoolFlag{Name: "held-out", Usage: "play the held-out size alone"},
 			&cli.BoolFlag{Name: "without-held-out", Usage: "leave the held-out size out"},
 		},
 	}
 }
 
-// heldOut says which sizes are played.
-func heldOut(c *cli.Command) (sweep.Selection, error) {
+// scaleSelection returns the sizes that the flags select.
+func scaleSelection(c *cli.Command) (sweep.Selection, error) {
 	alone, without := c.Bool("held-out"), c.Bool("without-held-out")
 	switch {
 	case alone && without:
@@ -60,6 +83,7 @@
 	return sweep.All, nil
 }
 
+// scaleRun measures a sweep and writes its result.
 func scaleRun(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
 		return fmt.Errorf("scale run: %s expected", c.ArgsUsage)
@@ -94,38 +118,52 @@
 	return nil
 }
 
-func scaleOptions(c *cli.Command, sc *scenario.Scenario) (o sweep.Options, err error) {
+// scaleOptions returns the options of a sweep from the flags. Programs that the scenario does not
+// need are not looked for.
+func scaleOptions(c *cli.Command, sc *scenario.Scenario) (sweep.Options, error) {
+	var none sweep.Options
 	self, err := os.Executable()
 	if err != nil {
-		return o, fmt.Errorf("scale run: %w", err)
+		return none, fmt.Errorf("scale run: %w", err)
 	}
-	o = sweep.Options{Worker: []string{self, "scale", workerWord}, Log: c.Root().ErrWriter}
-	if o.HeldOut, err = heldOut(c); err != nil {
-		return o, err
+	selection, err := scaleSelection(c)
+	if err != nil {
+		return none, err
+	}
+	gigabytes := c.Float("memory-gb")
+	if gigabytes < 0 {
+		return none, fmt.Errorf("scale run: -memory-gb %g; more than 0 expected", gigabytes)
 	}
-	if gigabytes := c.Float("memory-gb"); gigabytes < 0 {
-		return o, fmt.Errorf("scale run: -memory-gb %g; more than 0 expected", gigabytes)
-	} else {
-		o.MemoryBytes = int64(gigabytes * (1 << 30))
+	options := sweep.Options{
+		Worker:      []string{self, "scale", workerCommand},
+		HeldOut:     selection,
+		MemoryBytes: int64(gigabytes * (1 << 30)),
+		Log:         c.Root().ErrWriter,
 	}
 	if !sc.Hollow {
-		if o.Sidecar, err = besideSelf(self, c.String("sidecar"), "fernlanding"); err != nil {
-			return o, fmt.Errorf("scale run: the program of real proxies: %w", err)
+		options.Sidecar, err = besideSelf(self, c.String("sidecar"), "fernlanding")
+		if err != nil {
+			return none, fmt.Errorf("scale run: the program of real proxies: %w", err)
 		}
 	}
 	if sc.Source == result.SourceRelay {
-		if o.Relay, err = besideSelf(self, c.String("relay"), "fernrelay"); err != nil {
-			return o, fmt.Errorf("scale run: the program of sources and relays: %w", err)
+		options.Relay, err = besideSelf(self, c.String("relay"), "fernrelay")
+		if err != nil {
+			return none, fmt.Errorf("scale run: the program of sources and relays: %w", err)
 		}
 	}
-	return o, nil
+	return options, nil
 }
 
-// besideSelf is a program that a flag names, or the one of a name beside this program.
+// besideSelf returns the program that a flag names, or else the one of a name in the directory of
+// this program. It returns an error if there is no such file.
 func besideSelf(self, flag, name string) ([]string, error) {
-	if flag == "" {
-		flag = filepath.Join(filepath.Dir(self), name)
+	program := flag
+	if program == "" {
+		program = filepath.Join(filepath.Dir(self), name)
+	}
+	if _, err := os.Stat(program); err != nil {
+		return nil, err
 	}
-	_, err := os.Stat(flag)
-	return []string{flag}, err
+	return []string{program}, nil
 }
--- a/cmd/fernctl/scale_fit.go
+++ b/cmd/fernctl/scale_fit.go
@@ -5,9 +5,6 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fernlanding/internal/scale/fit"
-	"fernlanding/internal/scale/predict"
-	"fernlanding/internal/scale/result"
 	"fmt"
 	"io"
 	"io/fs"
@@ -17,15 +14,28 @@
 	"text/tabwriter"
 
 	"github.com/urfave/cli/v3"
+
+	"fernlanding/internal/scale/fit"
+	"fernlanding/internal/scale/predict"
+	"fernlanding/internal/scale/result"
 )
 
 func scaleFitCommand() *cli.Command {
-	return &cli.Command{Name: "fit", Usage: "how each figure grows over the sweeps of the result FILEs, and prediction against fact at held-out sizes", ArgsUsage: "FILE...", Action: scaleFit}
+	return &cli.Command{
+		Name: "fit",
+		Usage: "how each figure grows over the sweeps of the result FILEs, " +
+			"and prediction against fact at held-out sizes",
+		ArgsUsage: "FILE...",
+		Action:    scaleFit,
+	}
 }
 
 func scalePredictCommand() *cli.Command {
 	return &cli.Command{
-		Name: "predict", Usage: "what each role costs at the size of TARGET, worked out from RESULT files", ArgsUsage: "TARGET RESULT...", Action: scalePredict,
+		Name:      "predict",
+		Usage:     "what each role costs at the size of TARGET, worked out from RESULT files",
+		ArgsUsage: "TARGET RESULT...",
+		Action:    scalePredict,
 		Flags: []cli.Flag{
 			&cli.BoolFlag{Name: "markdown", Usage: "print the page's tables as they stand there"},
 			&cli.StringFlag{Name: "page", Usage: "generate the tables of the page `FILE` anew, in place"},
@@ -34,14 +44,19 @@
 	}
 }
 
-// readResults reads the result files of sweeps and of latency runs. A missing file is said and passed over.
-func readResults(names []string, complain io.Writer) (*predict.Evidence, error) {
+// readResults reads the result files of sweeps and of latency runs. A missing file is reported to
+// warnings and skipped.
+func readResults(names []string, warnings io.Writer) (*predict.Evidence, error) {
 	var files []predict.File
 	var latencies []predict.Latency
 	for _, name := range names {
 		data, err := readFileBounded(name, result.MaxFile)
 		if errors.Is(err, fs.ErrNotExist) {
-			fmt.Fprintf(complain, "%s: there is no such file; what it would measure counts as not measured\n", name)
+			_, err := fmt.Fprintf(warnings,
+				"%s: there is no such file; what it would measure counts as not measured\n", name)
+			if err != nil {
+				return nil, err
+			}
 			continue
 		}
 		if err != nil {
@@ -64,17 +79,18 @@
 	return predict.NewEvidence(files, latencies), nil
 }
 
-// readFileBounded reads a file of at most a number of bytes; of a longer one it returns one byte more, which its reader refuses.
+// readFileBounded reads a file of at most a number of bytes. Of a longer one it returns one byte
+// more, which the decoder rejects.
 func readFileBounded(name string, most int64) ([]byte, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // only read
 	return io.ReadAll(io.LimitReader(f, most+1))
 }
 
-// isLatency tells the result of a latency run from that of a sweep.
+// isLatency reports whether data is the result of a latency run rather than of a sweep.
 func isLatency(data []byte) bool {
 	var probe struct {
 		Cases json.RawMessage `json:"cases"`
@@ -94,7 +110,12 @@
 	for _, part := range []struct {
 		title string
 		table predict.Table
-	}{{"Lines", e.Lines(fit.Figures())}, {"Models", e.Models(fit.Figures())}, {"Prediction against fact", e.HeldOut(fit.Figures())}, {"Hollow against real", e.Hollow(fit.Figures())}} {
+	}{
+		{"Lines", e.Lines(fit.Figures())},
+		{"Models", e.Models(fit.Figures())},
+		{"Prediction against fact", e.HeldOut(fit.Figures())},
+		{"Hollow against real", e.Hollow(fit.Figures())},
+	} {
 		part.table.Title = part.title
 		if err := printTable(out, &part.table); err != nil {
 			return err
@@ -106,26 +127,29 @@
 // printTable prints a table in columns.
 func printTable(out io.Writer, t *predict.Table) error {
 	if t.Title != "" {
-		fmt.Fprintf(out, "%s\n", t.Title)
+		if _, err := fmt.Fprintln(out, t.Title); err != nil {
+			return err
+		}
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	lines := make([]string, 0, len(t.Rows)+len(t.Notes)+2)
 	if len(t.Rows) == 0 {
-		fmt.Fprintln(w, "not measured")
+		lines = append(lines, "not measured")
 	} else {
-		fmt.Fprintln(w, strings.Join(t.Head, "\t"))
+		lines = append(lines, strings.Join(t.Head, "\t"))
 	}
 	for _, row := range t.Rows {
-		fmt.Fprintln(w, strings.Join(row, "\t"))
+		lines = append(lines, strings.Join(row, "\t"))
 	}
-	for _, n := range t.Notes {
-		fmt.Fprintln(w, n)
+	lines = append(lines, t.Notes...)
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	if _, err := io.WriteString(w, strings.Join(lines, "\n")+"\n\n"); err != nil {
+		return err
 	}
-	fmt.Fprintln(w)
 	return w.Flush()
 }
 
-// newCalculator reads a target and results.
-func newCalculator(target string, results []string, complain io.Writer) (*predict.Calculator, error) {
+// newCalculator returns the calculator of a target file and result files.
+func newCalculator(target string, results []string, warnings io.Writer) (*predict.Calculator, error) {
 	data, err := readBounded(target)
 	if err != nil {
 		return nil, err
@@ -134,7 +158,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e, err := readResults(results, complain)
+	e, err := readResults(results, warnings)
 	if err != nil {
 		return nil, err
 	}
@@ -179,7 +203,7 @@
 	return printTable(out, t)
 }
 
-// fillPage generates a page's tables in place.
+// fillPage generates the tables of a page anew, in place.
 func fillPage(calculator *predict.Calculator, name string) error {
 	page, err := readFileBounded(name, result.MaxFile)
 	if err != nil {
@@ -195,13 +219,13 @@
 	return replaceFile(name, []byte(filled))
 }
 
-// replaceFile puts new content in place of a file's, whole or not at all.
+// replaceFile replaces a file atomically.
 func replaceFile(name string, data []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(name), ".page")
 	if err != nil {
 		return err
 	}
-	defer os.Remove(f.Name())
+	defer func() { _ = os.Remove(f.Name()) }() // fails after the rename
 	if _, err := io.Copy(f, bytes.NewReader(data)); err != nil {
 		return errors.Join(err, f.Close())
 	}
--- a/cmd/fernctl/scale_fit_test.go
+++ b/cmd/fernctl/scale_fit_test.go
@@ -1,11 +1,13 @@
 package main
 
 import (
-	"fernlanding/internal/scale/result"
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"fernlanding/internal/scale/result"
 )
 
 const (
@@ -15,7 +17,7 @@
 	regenerate     = "fernctl scale predict -page docs/CAPACITY.md deploy/scale/target.toml deploy/scale/results/*.json"
 )
 
-func TestCapacityPageIsThatOfTheResults(t *testing.T) {
+func TestCapacityPageMatchesTheResults(t *testing.T) {
 	runs, err := filepath.Glob(capacityRuns)
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +36,9 @@
 		t.Fatalf("docs/CAPACITY.md: %v", err)
 	}
 	if filled != string(page) {
-		t.Errorf("docs/CAPACITY.md differs from what its target and results give, first in %q; generate it anew with\n\t%s", firstDifference(filled, string(page)), regenerate)
+		t.Errorf("docs/CAPACITY.md differs from what its target and results give, first in %q; "+
+			"generate it anew with\n\t%s",
+			firstDifference(filled, string(page)), regenerate)
 	}
 }
 
@@ -48,23 +52,30 @@
 	return "its end"
 }
 
-// writeResult writes a sweep of five sizes with one round each, whose proxies get 100 bytes a second.
+// writeResult writes a sweep of five sizes with one round each, whose proxies get 100 bytes a
+// second.
 func writeResult(t *testing.T, name string) {
 	t.Helper()
-	r := &result.Result{Format: result.Format, Scenario: "s", Source: result.SourceConsul, Dimension: result.Proxies, Hollow: true}
+	r := &result.Result{
+		Format:    result.Format,
+		Scenario:  "s",
+		Source:    result.SourceConsul,
+		Dimension: result.Proxies,
+		Hollow:    true,
+	}
 	for k := range 6 {
 		n := 100 << k
 		r.Points = append(r.Points, result.Point{
-			Size: result.Size{Proxies: n, Services: 1, ServicesInAll: 1, Backends: 2}, HeldOut: k == 5,
-			Rounds: []result.Round{{Seconds: 10, Proxies: result.Cost{Processes: 1, BytesIn: int64(1000 * n)}}},
+			Size:    result.Size{Proxies: n, Services: 1, ServicesInAll: 1, Backends: 2},
+			HeldOut: k == 5,
+			Rounds:  []result.Round{{Seconds: 10, Proxies: result.Cost{Processes: 1, BytesIn: int64(1000 * n)}}},
 		})
 	}
 	f, err := os.Create(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	if err := result.Write(f, r); err != nil {
+	if err := errors.Join(result.Write(f, r), f.Close()); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -78,18 +89,22 @@
 		t.Errorf("fit: code %d, %s\n%s", code, complaints, out)
 	}
 	page := filepath.Join(dir, "page.md")
-	if err := os.WriteFile(page, []byte("a\n<!-- generated: fernctl scale predict files -->\n<!-- end -->\n"), 0o600); err != nil {
+	const empty = "a\n<!-- generated: fernctl scale predict files -->\n<!-- end -->\n"
+	if err := os.WriteFile(page, []byte(empty), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	code, _, complaints = ctl("scale", "predict", "-page", page, capacityTarget, run, filepath.Join(dir, "gone.json"))
 	got, err := os.ReadFile(page)
-	if code != 0 || err != nil || !strings.Contains(string(got), "`run.json`") || !strings.Contains(complaints, "gone.json: there is no such file") {
+	if code != 0 || err != nil || !strings.Contains(string(got), "`run.json`") ||
+		!strings.Contains(complaints, "gone.json: there is no such file") {
 		t.Errorf("predict: code %d, %v, %s\n%s", code, err, complaints, got)
 	}
-	if code, out, _ := ctl("scale", "predict", "-markdown", "-section", "files", capacityTarget, run); code != 0 || !strings.Contains(out, "| `run.json` | consul |") {
+	code, out, _ = ctl("scale", "predict", "-markdown", "-section", "files", capacityTarget, run)
+	if code != 0 || !strings.Contains(out, "| `run.json` | consul |") {
 		t.Errorf("predict -section: code %d\n%s", code, out)
 	}
-	if code, _, complaints := ctl("scale", "predict", "-section", "file", capacityTarget, run); code == 0 || !strings.Contains(complaints, "one of sizes") {
+	code, _, complaints = ctl("scale", "predict", "-section", "file", capacityTarget, run)
+	if code == 0 || !strings.Contains(complaints, "one of sizes") {
 		t.Errorf("an unknown section: code %d, %s", code, complaints)
 	}
 }
--- a/cmd/fernctl/scale_latency.go
+++ b/cmd/fernctl/scale_latency.go
@@ -4,19 +4,26 @@
 	"bytes"
 	"context"
 	"errors"
-	"fernlanding/internal/durable"
-	"fernlanding/internal/scale/latency"
 	"fmt"
 
 	"github.com/urfave/cli/v3"
+
+	"fernlanding/internal/durable"
+	"fernlanding/internal/scale/latency"
 )
 
 func scaleLatencyCommand() *cli.Command {
 	return &cli.Command{
-		Name: "latency", Usage: "measure what sidecars add to a call's latency, as the plan in FILE says", ArgsUsage: "FILE", Action: scaleLatency,
+		Name:      "latency",
+		Usage:     "measure what sidecars add to a call's latency, as the plan in FILE says",
+		ArgsUsage: "FILE",
+		Action:    scaleLatency,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "json", Usage: "write the result to `OUT` too"},
-			&cli.StringFlag{Name: "sidecar", Usage: "the `PROGRAM` under test; the fernlanding beside this program by default"},
+			&cli.StringFlag{
+				Name:  "sidecar",
+				Usage: "the `PROGRAM` under test; the fernlanding beside this program by default",
+			},
 		},
 	}
 }
--- a/cmd/fernctl/scale_results.go
+++ b/cmd/fernctl/scale_results.go
@@ -1,21 +1,31 @@
 package main
 
 import (
+	"path/filepath"
+
 	"fernlanding/internal/scale/latency"
 	"fernlanding/internal/scale/predict"
-	"path/filepath"
 )
 
-// readLatency reads the cases of a latency run's result.
-func readLatency(name string, data []byte) (all []predict.Latency, err error) {
+// readLatency returns the cases of the result of a latency run.
+func readLatency(name string, data []byte) ([]predict.Latency, error) {
 	r, err := latency.ReadResult(name, data)
 	if err != nil {
 		return nil, err
 	}
-	for _, x := range r.Cases {
+	var all []predict.Latency
+	for _, c := range r.Cases {
 		all = append(all, predict.Latency{
-			File: filepath.Base(name), Case: x.Name, RatePerSecond: x.RatePerSecond, Hops: x.Hops, CPUPerCallMicros: x.SidecarCPUPerCallUS,
-			AddedP99: predict.Spread(x.AddedP99), SameP99: predict.Spread(x.SameP99), Noise: x.Noise(), DirectP99: x.All.Direct.P99, Through: x.All.Through.P99,
+			File:             filepath.Base(name),
+			Case:             c.Name,
+			RatePerSecond:    c.RatePerSecond,
+			Hops:             c.Hops,
+			AddedP99:         predict.Spread(c.AddedP99),
+			SameP99:          predict.Spread(c.SameP99),
+			Noise:            c.Noise(),
+			CPUPerCallMicros: c.SidecarCPUPerCallUS,
+			DirectP99:        c.All.Direct.P99,
+			Through:          c.All.Through.P99,
 		})
 	}
 	return all, nil
