--- a/cmd/fernctl/rig.go
+++ b/cmd/fernctl/rig.go
@@ -18,8 +18,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// workerCommand is the command by which the rig starts its stand-ins. It is not for people.
-const workerCommand = "actor"
+// rigWorkerCommand is the command by which the rig starts its stand-ins. It is not for people.
+const rigWorkerCommand = "actor"
 
 func rigCommand() *cli.Command {
 	seed := &cli.Uint64Flag{Name: "seed", Usage: "in place of the scenario's own `SEED`"}
@@ -48,7 +48,7 @@
 				Flags: []cli.Flag{seed, program, &cli.IntFlag{Name: "tries", Value: 2, Usage: "plays `N` times before a schedule counts as one that does not fail"}},
 			},
 			rigRolloutCommand(),
-			{Name: workerCommand, Hidden: true, Action: func(context.Context, *cli.Command) error { return worker.Main(os.Stdin, os.Stdout) }},
+			{Name: rigWorkerCommand, Hidden: true, Action: func(context.Context, *cli.Command) error { return worker.Main(os.Stdin, os.Stdout) }},
 		},
 	}
 }
@@ -86,7 +86,7 @@
 	if _, err := os.Stat(program); err != nil {
 		return o, fmt.Errorf("rig: the program under test: %w", err)
 	}
-	return harness.Options{Sidecar: []string{program}, Worker: []string{self, "rig", workerCommand}, Logs: c.Bool("logs")}, nil
+	return harness.Options{Sidecar: []string{program}, Worker: []string{self, "rig", rigWorkerCommand}, Logs: c.Bool("logs")}, nil
 }
 
 // scenarioAndOptions is what a command needs to play the scenario that it names.
--- a/cmd/fernctl/rigrollout.go
+++ b/cmd/fernctl/rigrollout.go
@@ -164,7 +164,7 @@
 	if _, err := os.Stat(program); err != nil && !c.Bool("list") {
 		return nil, opts, fmt.Errorf("rig rollout: the program under test: %w", err)
 	}
-	opts = rollout.Options{Program: []string{program}, Worker: []string{self, "rig", workerCommand}}
+	opts = rollout.Options{Program: []string{program}, Worker: []string{self, "rig", rigWorkerCommand}}
 	if c.Bool("logs") {
 		opts.Logs = c.Root().ErrWriter
 	}
