--- a/internal/pcap/bench_test.go
+++ b/internal/pcap/bench_test.go
@@ -1,14 +1,10 @@
 package pcap
 
 import (
-	"bytes"
 	"context"
-	"encoding/binary"
 	"fmt"
 	"io"
-	"net/netip"
 	"runtime"
-	"strings"
 	"testing"
 	"time"
 
@@ -16,7 +12,6 @@
 	"fernlanding/internal/pcap/flow"
 	"fernlanding/internal/pcap/http"
 	"fernlanding/internal/pcap/packet"
-	"fernlanding/internal/pcap/synth"
 
 	"github.com/gopacket/gopacket"
 	"github.com/gopacket/gopacket/layers"
@@ -24,301 +19,196 @@
 	"github.com/gopacket/gopacket/reassembly"
 )
 
-// benchBytes is the size of each made capture.
-const benchBytes = 1 << 30
+// ignoringSink is a Sink that keeps nothing.
+type ignoringSink struct{}
 
-// endless repeats a capture's packets up to a size. The sequence numbers of a connection that never ends go on.
-type endless struct {
-	head, block []byte
-	left        int64
-	pos         int
-	seqs        []seqPlace
-}
+func (ignoringSink) Exchange(*http.Exchange)                            {}
+func (ignoringSink) StreamFault(*flow.Flow, flow.Direction, http.Fault) {}
+func (ignoringSink) SegmentFault(flow.Fault)                            {}
+func (ignoringSink) FlowEnded(*flow.Flow, flow.EndReason)               {}
 
-// seqPlace is where a packet of the block has its sequence number, and by how much that grows in each block.
-type seqPlace struct {
-	at   int
-	step uint32
-}
+// byteCounter is a flow.Sink that counts bytes, and a Stream of the library's reassembly.
+type byteCounter struct{ bytes int64 }
 
-func (e *endless) Read(p []byte) (int, error) {
-	if len(e.head) > 0 {
-		n := copy(p, e.head)
-		e.head = e.head[n:]
-		return n, nil
-	}
-	if e.left <= 0 {
-		return 0, io.EOF
-	}
-	n := copy(p, e.block[e.pos:])
-	e.left -= int64(n)
-	if e.pos += n; e.pos == len(e.block) {
-		e.pos = 0
-		for _, s := range e.seqs {
-			b := e.block[s.at:]
-			binary.BigEndian.PutUint32(b, binary.BigEndian.Uint32(b)+s.step)
-		}
-	}
-	return n, nil
-}
-
-const (
-	pcapHead   = 24 // bytes of a file's head
-	recordHead = 16
-	seqOffset  = 14 + 20 + 4 // of the sequence number in an Ethernet frame of TCP over IPv4 without options
-)
-
-func blockOf(b *testing.B, conns []*synth.Conn) (head, block []byte, seqs []int) {
-	b.Helper()
-	var buf bytes.Buffer
-	w := pcapgo.NewWriter(&buf)
-	if err := w.WriteFileHeader(1<<16, layers.LinkTypeEthernet); err != nil {
-		b.Fatal(err)
-	}
-	for _, c := range conns {
-		for _, p := range c.Parts {
-			packets, err := c.Packets(p, noon)
-			if err != nil {
-				b.Fatal(err)
-			}
-			seqs = append(seqs, buf.Len()-pcapHead+recordHead+seqOffset)
-			if err := w.WritePacket(gopacket.CaptureInfo{Timestamp: noon, CaptureLength: len(packets[0].Data), Length: packets[0].WireLength}, packets[0].Data); err != nil {
-				b.Fatal(err)
-			}
-		}
-	}
-	return buf.Bytes()[:pcapHead], buf.Bytes()[pcapHead:], seqs
-}
+func (c *byteCounter) Opened(*flow.Flow)                                {}
+func (c *byteCounter) Broken(*flow.Flow, flow.Direction, int64, string) {}
+func (c *byteCounter) Finished(*flow.Flow, flow.Direction)              {}
+func (c *byteCounter) Fault(flow.Fault)                                 {}
+func (c *byteCounter) Ended(*flow.Flow, flow.EndReason)                 {}
 
-func exact(head string, n int) []byte {
-	for body := n; ; body-- {
-		m := fmt.Sprintf("%sContent-Length: %d\r\n\r\n", head, body)
-		if len(m)+body == n {
-			return []byte(m + strings.Repeat("x", body))
-		}
-	}
+func (c *byteCounter) Data(_ *flow.Flow, _ flow.Direction, _ int64, data []byte, _ int64, _ time.Time) {
+	c.bytes += int64(len(data))
 }
 
-// smallFlows is a thousand connections of two exchanges each, over and over.
-func smallFlows(b *testing.B) io.Reader {
-	var conns []*synth.Conn
-	for i := range 1000 {
-		c := synth.NewConn(netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 4000), netip.MustParseAddrPort("10.9.0.1:80"), synth.Ethernet, [2]uint32{7, 7})
-		c.Open()
-		for range 2 {
-			c.Send(0, exact("POST /u HTTP/1.1\r\n", 2800), 1400)
-			c.Send(1, exact("HTTP/1.1 200 OK\r\n", 1400), 1400)
-		}
-		c.Close()
-		conns = append(conns, c)
-	}
-	head, block, _ := blockOf(b, conns)
-	return &endless{head: head, block: block, left: benchBytes}
+func (c *byteCounter) New(_, _ gopacket.Flow, _ *layers.TCP, _ reassembly.AssemblerContext) reassembly.Stream {
+	return c
 }
 
-// hugeFlow is one connection that never ends.
-func hugeFlow(b *testing.B) io.Reader {
-	c := synth.NewConn(netip.MustParseAddrPort("10.0.0.1:4000"), netip.MustParseAddrPort("10.9.0.1:80"), synth.Ethernet, [2]uint32{7, 7})
-	for range 100 {
-		c.Send(0, exact("POST /u HTTP/1.1\r\n", 1400), 1400)
-		c.Send(1, exact("HTTP/1.1 200 OK\r\n", 1400), 1400)
-	}
-	head, block, at := blockOf(b, []*synth.Conn{c})
-	e := &endless{head: head, block: block, left: benchBytes}
-	for _, a := range at {
-		e.seqs = append(e.seqs, seqPlace{a, 100 * 1400})
-	}
-	return e
-}
-
-// openFlows is connections that never end, each with one packet.
-func openFlows(b *testing.B, n int) io.Reader {
-	var conns []*synth.Conn
-	for i := range n {
-		c := synth.NewConn(netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 4000), netip.MustParseAddrPort("10.9.0.1:80"), synth.Ethernet, [2]uint32{7, 7})
-		c.Send(0, []byte("POST /u HTTP/1.1\r\n"), 1400)
-		conns = append(conns, c)
-	}
-	head, block, _ := blockOf(b, conns)
-	return io.MultiReader(bytes.NewReader(head), bytes.NewReader(block))
-}
-
-// counting is a Sink that counts.
-type counting struct{ exchanges, faults int }
-
-func (c *counting) Exchange(*http.Exchange)                            { c.exchanges++ }
-func (c *counting) StreamFault(*flow.Flow, flow.Direction, http.Fault) { c.faults++ }
-func (c *counting) SegmentFault(flow.Fault)                            { c.faults++ }
-func (c *counting) FlowEnded(*flow.Flow, flow.EndReason)               {}
-
-// discard is a flow.Sink that counts bytes, and a Stream of the library's.
-type discard struct{ bytes int64 }
-
-func (d *discard) Opened(*flow.Flow)                                {}
-func (d *discard) Broken(*flow.Flow, flow.Direction, int64, string) {}
-func (d *discard) Finished(*flow.Flow, flow.Direction)              {}
-func (d *discard) Fault(flow.Fault)                                 {}
-func (d *discard) Ended(*flow.Flow, flow.EndReason)                 {}
-func (d *discard) Data(_ *flow.Flow, _ flow.Direction, _ int64, data []byte, _ int64, _ time.Time) {
-	d.bytes += int64(len(data))
+func (c *byteCounter) Accept(
+	_ *layers.TCP, _ gopacket.CaptureInfo, _ reassembly.TCPFlowDirection, _ reassembly.Sequence,
+	start *bool, _ reassembly.AssemblerContext,
+) bool {
+	*start = *start || c.bytes == 0 // the first segment of all may be no SYN
+	return true
 }
 
-func (d *discard) New(_, _ gopacket.Flow, _ *layers.TCP, _ reassembly.AssemblerContext) reassembly.Stream {
-	return d
+func (c *byteCounter) ReassembledSG(sg reassembly.ScatterGather, _ reassembly.AssemblerContext) {
+	n, _ := sg.Lengths()
+	c.bytes += int64(len(sg.Fetch(n)))
 }
 
-func (d *discard) Accept(_ *layers.TCP, _ gopacket.CaptureInfo, _ reassembly.TCPFlowDirection, _ reassembly.Sequence, start *bool, _ reassembly.AssemblerContext) bool {
-	*start = *start || d.bytes == 0 // the first of all may have no SYN
-	return true
-}
+func (c *byteCounter) ReassemblyComplete(reassembly.AssemblerContext) bool { return true }
 
-func (d *discard) ReassembledSG(sg reassembly.ScatterGather, _ reassembly.AssemblerContext) {
-	n, _ := sg.Lengths()
-	d.bytes += int64(len(sg.Fetch(n)))
+// heapBytes returns the size of the heap.
+func heapBytes() uint64 {
+	var m runtime.MemStats
+	runtime.ReadMemStats(&m)
+	return m.HeapAlloc
 }
-func (d *discard) ReassemblyComplete(reassembly.AssemblerContext) bool { return true }
 
-// peak samples the heap.
-type peak struct {
+// heapSampler samples the heap while a capture is read from it.
+type heapSampler struct {
 	io.Reader
-	n    int
-	base uint64
-	most uint64
+	reads    int
+	baseline uint64
+	peak     uint64 // over the baseline
 }
 
-func newPeak(r io.Reader) *peak {
+func newHeapSampler(r io.Reader) *heapSampler {
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return &peak{Reader: r, base: m.HeapAlloc}
+	return &heapSampler{Reader: r, baseline: heapBytes()}
 }
 
-func (p *peak) Read(b []byte) (int, error) {
-	if p.n++; p.n%256 == 0 {
-		p.look()
+func (s *heapSampler) Read(b []byte) (int, error) {
+	s.reads++
+	if s.reads%256 == 0 {
+		s.sample()
 	}
-	return p.Reader.Read(b)
+	return s.Reader.Read(b)
 }
 
-func (p *peak) look() {
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	if m.HeapAlloc > p.base {
-		p.most = max(p.most, m.HeapAlloc-p.base)
+func (s *heapSampler) sample() {
+	if heap := heapBytes(); heap > s.baseline {
+		s.peak = max(s.peak, heap-s.baseline)
 	}
 }
 
-// BenchmarkGigabyte reads a gigabyte: with HTTP, flows alone, and flows alone by the library's own reassembly.
+// BenchmarkGigabyte reads a gigabyte: with HTTP, flows alone, and flows alone by the library's own
+// reassembly.
 //
 //	go test -run - -bench Gigabyte -benchtime 1x -cpu 1 ./internal/pcap
 func BenchmarkGigabyte(b *testing.B) {
-	for _, kind := range []struct {
+	for _, input := range []struct {
 		name string
-		from func(*testing.B) io.Reader
-	}{{"small", smallFlows}, {"huge", hugeFlow}} {
-		b.Run(kind.name+"/http", func(b *testing.B) {
-			for b.Loop() {
-				r := newPeak(kind.from(b))
-				sink := &counting{}
-				sum, err := Read(context.Background(), r, Options{}, sink)
-				if err != nil || sum.Check() != nil || sum.Stream.Request == 0 {
-					b.Fatalf("%v, %v", err, sum)
-				}
-				b.ReportMetric(float64(r.most)/(1<<20), "peak-MB")
-			}
-			b.SetBytes(benchBytes)
-		})
-		b.Run(kind.name+"/flows", func(b *testing.B) {
-			for b.Loop() {
-				r := newPeak(kind.from(b))
-				sink := &discard{}
-				file, err := capture.Open(r)
-				if err != nil {
-					b.Fatal(err)
+		open func(*testing.B) io.Reader
+	}{{"small", shortConnections}, {"huge", endlessConnection}} {
+		for _, read := range []struct {
+			name string
+			read func(*testing.B, io.Reader)
+		}{{"http", readHTTP}, {"flows", readFlows}, {"library", readByLibrary}} {
+			b.Run(input.name+"/"+read.name, func(b *testing.B) {
+				for b.Loop() {
+					sampler := newHeapSampler(input.open(b))
+					read.read(b, sampler)
+					b.ReportMetric(float64(sampler.peak)/(1<<20), "peak-MB")
 				}
-				a, d := flow.New(flow.Limits{}, sink), packet.New()
-				var s flow.Segment
-				for {
-					p, err := file.Next()
-					if err != nil {
-						break
-					}
-					if k, _ := d.Decode(&p, &s); k == packet.Segment {
-						a.Add(&s)
-					}
-				}
-				a.Close()
-				if sink.bytes < benchBytes/2 {
-					b.Fatalf("%d bytes", sink.bytes)
-				}
-				b.ReportMetric(float64(r.most)/(1<<20), "peak-MB")
-			}
-			b.SetBytes(benchBytes)
-		})
-		b.Run(kind.name+"/library", func(b *testing.B) {
-			for b.Loop() {
-				r := newPeak(kind.from(b))
-				sink := &discard{}
-				file, err := pcapgo.NewReader(r)
-				if err != nil {
-					b.Fatal(err)
-				}
-				a := reassembly.NewAssembler(reassembly.NewStreamPool(sink))
-				var eth layers.Ethernet
-				var ip layers.IPv4
-				var tcp layers.TCP
-				var payload gopacket.Payload
-				parser := gopacket.NewDecodingLayerParser(layers.LayerTypeEthernet, &eth, &ip, &tcp, &payload)
-				var decoded []gopacket.LayerType
-				for {
-					data, _, err := file.ZeroCopyReadPacketData()
-					if err != nil {
-						break
-					}
-					if err := parser.DecodeLayers(data, &decoded); err == nil {
-						a.Assemble(ip.NetworkFlow(), &tcp)
-					}
-				}
-				a.FlushAll()
-				if sink.bytes < benchBytes/2 {
-					b.Fatalf("%d bytes", sink.bytes)
-				}
-				b.ReportMetric(float64(r.most)/(1<<20), "peak-MB")
-			}
-			b.SetBytes(benchBytes)
-		})
+				b.SetBytes(benchBytes)
+			})
+		}
+	}
+}
+
+// readHTTP reads a capture's requests and responses.
+func readHTTP(b *testing.B, input io.Reader) {
+	b.Helper()
+	summary, err := Read(context.Background(), input, Options{}, ignoringSink{})
+	if err != nil || summary.Check() != nil || summary.Stream.Request == 0 {
+		b.Fatalf("%v, %v", err, summary)
+	}
+}
+
+// readFlows reassembles a capture's streams.
+func readFlows(b *testing.B, input io.Reader) {
+	b.Helper()
+	sink := &byteCounter{}
+	packets, err := capture.Open(input)
+	if err != nil {
+		b.Fatal(err)
+	}
+	assembler, decoder := flow.New(flow.Limits{}, sink), packet.New()
+	var segment flow.Segment
+	for {
+		p, err := packets.Next()
+		if err != nil {
+			break
+		}
+		if kind, _ := decoder.Decode(&p, &segment); kind == packet.Segment {
+			assembler.Add(&segment)
+		}
+	}
+	assembler.Close()
+	if sink.bytes < benchBytes/2 {
+		b.Fatalf("%d bytes", sink.bytes)
+	}
+}
+
+// readByLibrary reassembles a capture's streams by the library's reassembly.
+func readByLibrary(b *testing.B, input io.Reader) {
+	b.Helper()
+	sink := &byteCounter{}
+	packets, err := pcapgo.NewReader(input)
+	if err != nil {
+		b.Fatal(err)
+	}
+	assembler := reassembly.NewAssembler(reassembly.NewStreamPool(sink))
+	var ethernet layers.Ethernet
+	var ip layers.IPv4
+	var tcp layers.TCP
+	var payload gopacket.Payload
+	parser := gopacket.NewDecodingLayerParser(layers.LayerTypeEthernet, &ethernet, &ip, &tcp, &payload)
+	var decoded []gopacket.LayerType
+	for {
+		data, _, err := packets.ZeroCopyReadPacketData()
+		if err != nil {
+			break
+		}
+		if err := parser.DecodeLayers(data, &decoded); err == nil {
+			assembler.Assemble(ip.NetworkFlow(), &tcp)
+		}
+	}
+	assembler.FlushAll()
+	if sink.bytes < benchBytes/2 {
+		b.Fatalf("%d bytes", sink.bytes)
 	}
 }
 
-// BenchmarkOpenFlows is the memory of connections that never end.
+// BenchmarkOpenFlows measures the memory of connections that never end.
 func BenchmarkOpenFlows(b *testing.B) {
 	for _, n := range []int{1000, 10_000, 60_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				r := newPeak(openFlows(b, n))
-				open := &atEnd{Reader: r}
-				if _, err := Read(context.Background(), open, Options{}, &counting{}); err != nil {
+				sampler := newHeapSampler(openConnections(b, n))
+				input := &heapAtEnd{Reader: sampler}
+				if _, err := Read(context.Background(), input, Options{}, ignoringSink{}); err != nil {
 					b.Fatal(err)
 				}
-				b.ReportMetric(float64(open.heap-r.base)/float64(n), "B/flow")
+				b.ReportMetric(float64(input.heap-sampler.baseline)/float64(n), "B/flow")
 			}
 		})
 	}
 }
 
-// atEnd looks at the heap when the input is over and all flows are still open.
-type atEnd struct {
+// heapAtEnd measures the heap when the input has ended and all flows are still open.
+type heapAtEnd struct {
 	io.Reader
 	heap uint64
 }
 
-func (a *atEnd) Read(b []byte) (int, error) {
-	n, err := a.Reader.Read(b)
+func (h *heapAtEnd) Read(b []byte) (int, error) {
+	n, err := h.Reader.Read(b)
 	if err != nil {
 		runtime.GC()
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		a.heap = m.HeapAlloc
+		h.heap = heapBytes()
 	}
 	return n, err
 }
