--- a/internal/pcap/replay/sidecar_test.go
+++ b/internal/pcap/replay/sidecar_test.go
@@ -11,30 +11,30 @@
 	"testing"
 
 	"fernlanding/internal/pcap/synth"
-	"fernlanding/internal/pcap/write"
 	"fernlanding/internal/sidecar/sidecartest"
 	"fernlanding/internal/standin"
 )
 
-// sidecarBefore starts a sidecar of three classes before two stand-ins, and returns its address, and what reached them.
-func sidecarBefore(t *testing.T) (netip.AddrPort, func(id string) []string) {
+// startSidecar starts a sidecar with three classes in front of two backends. It returns the sidecar's
+// address, and a function that returns the bodies of a captured request that reached the backends.
+func startSidecar(t *testing.T) (netip.AddrPort, func(capturedID string) []string) {
 	t.Helper()
 	var mu sync.Mutex
-	came := map[string][]string{}
+	received := map[string][]string{}
 	var endpoints strings.Builder
 	for i := range 2 {
-		b, err := standin.NewBackend(func(c *standin.Call) bool {
+		backend, err := standin.NewBackend(func(c *standin.Call) bool {
 			mu.Lock()
 			id := c.Header.Get("Captured-Id")
-			came[id] = append(came[id], string(c.Content))
+			received[id] = append(received[id], string(c.Content))
 			mu.Unlock()
 			return standin.Echo(c)
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(b.Close)
-		fmt.Fprintf(&endpoints, "{ name = \"b%d\", address = %q, cell = 1 },", i, b.Addr())
+		t.Cleanup(backend.Close)
+		fmt.Fprintf(&endpoints, "{ name = \"b%d\", address = %q, cell = 1 },", i, backend.Addr())
 	}
 	s := sidecartest.Start(t, fmt.Sprintf(`version = 1
 listeners = [{ address = "127.0.0.1:0" }]
@@ -62,62 +62,71 @@
 service = "s"
 class = "charge"
 `, endpoints.String()))
-	return netip.MustParseAddrPort(s.Addr()), func(id string) []string {
+	return netip.MustParseAddrPort(s.Addr()), func(capturedID string) []string {
 		mu.Lock()
 		defer mu.Unlock()
-		return came[id]
+		return received[capturedID]
 	}
 }
 
-// A capture goes through a running sidecar to stand-ins, and what is written of it is read again: the same requests, all
-// bodies equal byte for byte, each at the stand-ins once, charges included where they were asked for.
-func TestACaptureThroughARunningSidecar(t *testing.T) {
-	addr, came := sidecarBefore(t)
-	rnd := rand.New(rand.NewPCG(15, 1))
-	bodies := map[string]string{}
-	var talks [][2]string
-	for i := range 30 {
-		var ask, tell string
-		for j := range 1 + rnd.IntN(3) {
-			id, body := fmt.Sprintf("r%d-%d", i, j), string(synth.RandomBytes(rnd, rnd.IntN(20_000)))
-			head := []string{"POST /usage HTTP/1.1\r\nIdempotency-Key: k" + id + "\r\n", "POST /charge HTTP/1.1\r\n", "GET /tariff/7 HTTP/1.1\r\n"}[rnd.IntN(3)]
-			if strings.HasPrefix(head, "GET") {
-				body = ""
-			}
-			bodies[id] = body
-			ask += fmt.Sprintf("%sHost: b\r\nRequest-Id: %s\r\nContent-Length: %d\r\n\r\n%s", head, id, len(body), body)
-			tell += ok
-		}
-		talks = append(talks, [2]string{ask, tell})
-	}
-	from := captured(t, talks...)
+// A capture is replayed through a sidecar to backends, and the capture of the replay is read: it has
+// the same requests with equal bodies, and each has reached a backend once, also those that are
+// non-idempotent.
+func TestReplayThroughSidecar(t *testing.T) {
+	addr, received := startSidecar(t)
+	conns, bodies := generateConns(rand.New(rand.NewPCG(15, 1)))
+	exchanges := captureOf(t, conns...)
 	var buf bytes.Buffer
-	f, err := write.New(&buf, 0, "client")
-	if err != nil {
-		t.Fatal(err)
-	}
-	p := plan(t, Options{Speed: -1, SendNonIdempotent: true, IDField: "Request-Id", Copy: map[string]string{"Captured-Id": "Request-Id"}}, from)
-	for _, r := range p.Run(context.Background(), Target{Addr: addr, MaxConnections: 8, Capture: f}) {
+	file := newCaptureFile(t, &buf)
+	p := newPlan(t, Options{
+		Speed:             -1,
+		SendNonIdempotent: true,
+		IDField:           "Request-Id",
+		Copy:              map[string]string{"Captured-Id": "Request-Id"},
+	}, exchanges)
+	for _, r := range p.Run(context.Background(), Target{Addr: addr, MaxConnections: 8, Capture: file}) {
 		if r.Err != nil || r.Replayed.StatusCode != 200 {
 			t.Errorf("%s: %+v, %v", r.Step.OldID, r.Replayed, r.Err)
 		}
 	}
 	for id, body := range bodies {
-		if got := came(id); len(got) != 1 || got[0] != body {
-			t.Errorf("%s came %d times, or changed", id, len(got))
+		if got := received(id); len(got) != 1 || got[0] != body {
+			t.Errorf("%s arrived %d times, or with another body", id, len(got))
 		}
 	}
-	if err := f.Flush(); err != nil {
-		t.Fatal(err)
-	}
-	again := reread(t, f, &buf)
-	if len(again) != len(bodies) {
-		t.Errorf("%d requests were written, of %d", len(again), len(bodies))
+	replayed := readCapture(t, file, &buf)
+	if len(replayed) != len(bodies) {
+		t.Errorf("the capture of the replay has %d requests, of %d", len(replayed), len(bodies))
 	}
-	for _, e := range again {
+	for _, e := range replayed {
 		id := e.Request.FieldValue("Captured-Id")
 		if body, err := e.Request.Body.Bytes(); err != nil || string(body) != bodies[id] {
-			t.Errorf("%s was written changed: %v", id, err)
+			t.Errorf("%s has another body in the capture of the replay: %v", id, err)
+		}
+	}
+}
+
+// generateConns returns connections with requests of three classes, and the bodies by request id.
+func generateConns(rnd *rand.Rand) (conns []sentBytes, bodies map[string]string) {
+	bodies = map[string]string{}
+	for i := range 30 {
+		var sent sentBytes
+		for j := range 1 + rnd.IntN(3) {
+			id, body := fmt.Sprintf("r%d-%d", i, j), string(synth.RandomBytes(rnd, rnd.IntN(20_000)))
+			head := []string{
+				"POST /usage HTTP/1.1\r\nIdempotency-Key: k" + id + "\r\n",
+				"POST /charge HTTP/1.1\r\n",
+				"GET /tariff/7 HTTP/1.1\r\n",
+			}[rnd.IntN(3)]
+			if strings.HasPrefix(head, "GET") {
+				body = ""
+			}
+			bodies[id] = body
+			sent.client += fmt.Sprintf("%sHost: b\r\nRequest-Id: %s\r\nContent-Length: %d\r\n\r\n%s",
+				head, id, len(body), body)
+			sent.server += okResponse
 		}
+		conns = append(conns, sent)
 	}
+	return conns, bodies
 }
