--- a/internal/pcap/http/head.go
+++ b/internal/pcap/http/head.go
@@ -13,11 +13,7 @@
 // parseHead parses RawHead: the start line and the fields.
 func (m *Message) parseHead() error {
 	line, rest, _ := strings.Cut(string(m.RawHead), "\r\n")
-	parseStartLine := m.parseStatusLine
-	if m.IsRequest {
-		parseStartLine = m.parseRequestLine
-	}
-	if err := parseStartLine(line); err != nil {
+	if err := m.parseStartLine(line); err != nil {
 		return err
 	}
 	for {
@@ -33,6 +29,14 @@
 	}
 }
 
+// parseStartLine parses the first line of a message.
+func (m *Message) parseStartLine(line string) error {
+	if m.IsRequest {
+		return m.parseRequestLine(line)
+	}
+	return m.parseStatusLine(line)
+}
+
 // parseRequestLine parses a request line (RFC 9112, section 3).
 func (m *Message) parseRequestLine(line string) error {
 	parts := strings.Split(line, " ")
@@ -62,8 +66,15 @@
 	if !m.IsRequest && isBodiless(method, m.StatusCode) {
 		return 0, nil
 	}
-	lengths := m.fieldValues("Content-Length")
-	codings := m.fieldValues("Transfer-Encoding")
+	var lengths, codings []string
+	for _, field := range m.Header {
+		switch {
+		case strings.EqualFold(field.Name, "Content-Length"):
+			lengths = append(lengths, field.Value)
+		case strings.EqualFold(field.Name, "Transfer-Encoding"):
+			codings = append(codings, field.Value)
+		}
+	}
 	if len(codings) > 0 {
 		if len(lengths) > 0 {
 			return 0, errors.New("both Content-Length and Transfer-Encoding")
@@ -103,14 +114,3 @@
 	}
 	return int64(length), nil
 }
-
-// fieldValues returns all values of a field. The name's case is ignored.
-func (m *Message) fieldValues(name string) []string {
-	var values []string
-	for _, field := range m.Header {
-		if strings.EqualFold(field.Name, name) {
-			values = append(values, field.Value)
-		}
-	}
-	return values
-}
