--- a/internal/scale/latency/client.go
+++ b/internal/scale/latency/client.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	callPatience = 5 * time.Second // from a call's intended moment; then it has failed
-	startsAfter  = time.Millisecond
-	looksForEnd  = 4096 // passes between two looks whether the run has been called off
+	callTimeout          = 5 * time.Second // from the intended moment
+	startDelay           = time.Millisecond
+	passesPerCancelCheck = 4096
 )
 
 var (
-	errPatience      = errors.New("no answer in time")
+	errTimeout       = errors.New("no answer in time")
 	errNoConnections = errors.New("no connection is left")
 )
 
-// pool is connections to the same addresses, with no call on any between two segments.
+// pool keeps connections to the same addresses. Between two segments no call is on any of them.
 type pool struct {
 	addresses []netip.AddrPort // in turn
 	size      int
-	opened    int           // connections since its beginning
-	calls     int           // the same
-	idle      []*connection // the one that has rested longest first
+	opened    int           // connections since the start
+	calls     int           // calls since the start
+	idle      []*connection // the one that is idle longest first
 }
 
 // fill opens connections until the pool has its size.
@@ -48,14 +48,15 @@
 	idDigits     = 10
 )
 
-// newRequest is a connection's request, with room for the number of each call.
+// newRequest returns a connection's request, with room for the number of each call.
 func newRequest() []byte {
 	return fmt.Appendf(nil, "%s%0*d\r\n\r\n", requestStart, idDigits, 0)
 }
 
-// number writes a call's number into a request. No two calls of a pool have one Request-Id: a sidecar that still works on a call which
-// another has given up would turn away a second one under its name.
-func number(request []byte, n int) {
+// writeCallNumber writes a call's number into a request. No two calls of a pool have the same
+// Request-Id: a sidecar that still works on a call which the client has given up would reject a
+// second one with its Request-Id.
+func writeCallNumber(request []byte, n int) {
 	for at := len(requestStart) + idDigits - 1; at >= len(requestStart); at-- {
 		request[at] = byte('0' + n%10)
 		n /= 10
@@ -69,46 +70,46 @@
 	p.idle = nil
 }
 
-// tally is what came of the calls of some segments.
+// tally has the outcomes of the calls of some segments.
 type tally struct {
-	latency     *hdrhistogram.Histogram // of served calls, from their intended moments
-	sendLate    *hdrhistogram.Histogram // from a call's intended moment to its being sent
-	receiveLate *hdrhistogram.Histogram // between the last two looks for an answer: it was seen at most this much late
-	sent        int                     // calls; each is served, refused or failed
-	served      int
-	refused     int
-	waited      int   // calls that were due while no connection was idle
-	failure     error // of the first call that failed
+	latency         *hdrhistogram.Histogram // of served calls, from their intended moments
+	sendLateness    *hdrhistogram.Histogram // from a call's intended moment to its being sent
+	receiveLateness *hdrhistogram.Histogram // between the last two polls for a response, which bounds its lateness
+	sent            int                     // calls; each is served, rejected or failed
+	served          int
+	rejected        int
+	waited          int   // calls that were due while no connection was idle
+	failure         error // of the first call that failed
 }
 
 func newTally() *tally {
-	return &tally{latency: newHistogram(), sendLate: newHistogram(), receiveLate: newHistogram()}
+	return &tally{latency: newHistogram(), sendLateness: newHistogram(), receiveLateness: newHistogram()}
 }
 
 // add adds another tally.
 func (t *tally) add(o *tally) {
 	t.latency.Merge(o.latency)
-	t.sendLate.Merge(o.sendLate)
-	t.receiveLate.Merge(o.receiveLate)
+	t.sendLateness.Merge(o.sendLateness)
+	t.receiveLateness.Merge(o.receiveLateness)
 	t.sent += o.sent
 	t.served += o.served
-	t.refused += o.refused
+	t.rejected += o.rejected
 	t.waited += o.waited
 	if t.failure == nil {
 		t.failure = o.failure
 	}
 }
 
-// fail notes a call that gets no answer.
+// fail records why a call failed.
 func (t *tally) fail(err error) {
 	if t.failure == nil {
 		t.failure = err
 	}
 }
 
-// segment is a schedule that is being played on a pool. It spins: between two moments it asks the open connections for their
-// answers, and allocates nothing, so that neither the wake-up of a timer nor the network poller nor the garbage collector
-// of this process comes into what it measures. It keeps one core busy while it lasts.
+// segment plays a schedule on a pool. It spins: between two calls it polls the connections with a
+// call, and allocates nothing, so that its measurements contain neither the wake-up of a timer nor
+// the network poller nor garbage collections of this process. It keeps one core busy.
 type segment struct {
 	pool     *pool
 	tally    *tally
@@ -118,17 +119,24 @@
 	open     []*connection
 }
 
-// play sends the calls of a schedule over a pool and returns when each has its answer or has failed.
-func play(ctx context.Context, p *pool, schedule []time.Duration, t *tally) error {
+// playSchedule sends the calls of a schedule over a pool and returns when each has its answer or
+// has failed.
+func playSchedule(ctx context.Context, p *pool, schedule []time.Duration, t *tally) error {
 	if err := p.fill(); err != nil {
 		return err
 	}
 	for _, c := range p.idle {
-		c.freed = 0
+		c.idleSince = 0
+	}
+	s := &segment{
+		pool:     p,
+		tally:    t,
+		schedule: schedule,
+		start:    time.Now().Add(startDelay),
+		open:     make([]*connection, 0, p.size),
 	}
-	s := &segment{pool: p, tally: t, schedule: schedule, start: time.Now().Add(startsAfter), open: make([]*connection, 0, p.size)}
 	for pass := 0; s.next < len(schedule) || len(s.open) > 0; pass++ {
-		if pass%looksForEnd == 0 && ctx.Err() != nil {
+		if pass%passesPerCancelCheck == 0 && ctx.Err() != nil {
 			s.abandon()
 			return ctx.Err()
 		}
@@ -141,10 +149,11 @@
 	return nil
 }
 
-// now is the time since the segment's start.
+// now returns the time since the segment's start.
 func (s *segment) now() time.Duration { return time.Since(s.start) }
 
-// sendDue sends the call whose moment has come, if any, on the connection that has rested longest.
+// sendDue sends the next call if it is due and a connection is idle, on the one that is idle
+// longest.
 func (s *segment) sendDue() {
 	if s.next == len(s.schedule) {
 		return
@@ -157,12 +166,12 @@
 	c := s.pool.idle[0]
 	s.pool.idle = s.pool.idle[:copy(s.pool.idle, s.pool.idle[1:])]
 	s.tally.sent++
-	if c.freed > intended {
+	if c.idleSince > intended {
 		s.tally.waited++
 	}
-	record(s.tally.sendLate, now-intended)
+	record(s.tally.sendLateness, now-intended)
 	s.pool.calls++
-	number(c.request, s.pool.calls)
+	writeCallNumber(c.request, s.pool.calls)
 	if err := c.send(intended); err != nil {
 		s.tally.fail(err)
 		c.close()
@@ -171,40 +180,40 @@
 	s.open = append(s.open, c)
 }
 
-// receiveAll looks at each open connection once.
+// receiveAll polls each connection with a call once.
 func (s *segment) receiveAll() {
 	kept := s.open[:0]
 	for _, c := range s.open {
-		whole, err := c.receive()
+		isComplete, err := c.receive()
 		now := s.now()
-		if err == nil && !whole && now-c.intended > callPatience {
-			err = errPatience
+		if err == nil && !isComplete && now-c.intended > callTimeout {
+			err = errTimeout
 		}
 		switch {
 		case err != nil:
 			s.tally.fail(err)
 			c.close()
-		case whole:
-			s.answered(c, now)
-			c.freed = now
+		case isComplete:
+			s.recordResponse(c, now)
+			c.idleSince = now
 			s.pool.idle = append(s.pool.idle, c)
 		default:
-			c.looked = now
+			c.polled = now
 			kept = append(kept, c)
 		}
 	}
 	s.open = kept
 }
 
-// answered counts a call whose answer has come whole.
-func (s *segment) answered(c *connection, now time.Duration) {
-	if c.refused {
-		s.tally.refused++
+// recordResponse records a call whose response is complete.
+func (s *segment) recordResponse(c *connection, now time.Duration) {
+	if c.isRejected {
+		s.tally.rejected++
 		return
 	}
 	s.tally.served++
 	record(s.tally.latency, now-c.intended)
-	record(s.tally.receiveLate, now-c.looked)
+	record(s.tally.receiveLateness, now-c.polled)
 }
 
 // abandon closes the connections on which a call is open.
--- a/internal/scale/latency/connection.go
+++ b/internal/scale/latency/connection.go
@@ -14,12 +14,12 @@
 const (
 	maxAnswer = 8 << 10 // bytes of an answer, with its head
 
-	served  = "HTTP/1.1 200 "
-	refusal = "HTTP/1.1 503 "
+	servedPrefix   = "HTTP/1.1 200 "
+	rejectedPrefix = "HTTP/1.1 503 "
 )
 
 var (
-	errEnded    = errors.New("the connection has ended before the answer")
+	errClosed   = errors.New("the connection has ended before the answer")
 	errTooLong  = errors.New("an answer that is too long")
 	errTooMuch  = errors.New("more than one answer")
 	errNoLength = errors.New("an answer without a Content-Length that makes sense")
@@ -28,19 +28,20 @@
 	lengthField = []byte("\r\nContent-Length: ")
 )
 
-// connection is a kept connection that carries one call at a time. Its socket never blocks and is unknown to the runtime's network
-// poller: whoever waits for an answer asks again and again, and no time passes between an answer's coming and a goroutine's waking.
+// connection is a persistent connection that carries one call at a time. Its socket is non-blocking
+// and unknown to the runtime's network poller: the client polls it, so that no time passes between
+// the arrival of a response and the wake-up of a goroutine.
 type connection struct {
 	socket  int
 	request []byte
 
-	intended time.Duration // of the present call
-	looked   time.Duration // when its answer was last looked for
-	freed    time.Duration // when the call before was answered
-	have     int           // bytes of its answer
-	need     int           // its length; 0 while that is not known
-	refused  bool          // it is a refusal
-	answer   [maxAnswer]byte
+	intended   time.Duration // of the current call
+	polled     time.Duration // when its response was last polled for
+	idleSince  time.Duration // when the previous call was answered
+	received   int           // bytes of the response
+	length     int           // of the response; 0: unknown
+	isRejected bool          // the response is a 503
+	answer     [maxAnswer]byte
 }
 
 // connect opens a connection to a loopback address.
@@ -52,7 +53,10 @@
 	c := &connection{socket: socket, request: request}
 	err = unix.Connect(socket, &unix.SockaddrInet4{Port: int(to.Port()), Addr: to.Addr().As4()})
 	if err == nil {
-		err = errors.Join(unix.SetsockoptInt(socket, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1), unix.SetNonblock(socket, true))
+		err = errors.Join(
+			unix.SetsockoptInt(socket, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1),
+			unix.SetNonblock(socket, true),
+		)
 	}
 	if err != nil {
 		c.close()
@@ -61,56 +65,64 @@
 	return c, nil
 }
 
+// close closes the socket; its errors do not concern a call.
 func (c *connection) close() { _ = unix.Close(c.socket) }
 
 // send writes the request, which is shorter than any socket's buffer.
 func (c *connection) send(intended time.Duration) error {
-	c.intended, c.looked, c.have, c.need, c.refused = intended, intended, 0, 0, false
+	c.intended = intended
+	c.polled = intended
+	c.received = 0
+	c.length = 0
+	c.isRejected = false
 	n, err := unix.Write(c.socket, c.request)
 	if err == nil && n < len(c.request) {
-		err = errEnded
+		err = errClosed
 	}
 	return err
 }
 
-// receive reads what has come of the answer, without a wait, and tells whether that is all of it.
-func (c *connection) receive() (whole bool, err error) {
-	n, err := unix.Read(c.socket, c.answer[c.have:])
+// receive reads what has arrived of the response, without blocking, and reports whether the
+// response is complete.
+func (c *connection) receive() (isComplete bool, err error) {
+	n, err := unix.Read(c.socket, c.answer[c.received:])
 	switch {
 	case errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR):
 		return false, nil
 	case err != nil:
 		return false, err
 	case n == 0:
-		return false, errEnded
+		return false, errClosed
 	}
-	c.have += n
-	if c.need == 0 {
-		if c.need, c.refused, err = answerLength(c.answer[:c.have]); err != nil {
+	c.received += n
+	if c.length == 0 {
+		c.length, c.isRejected, err = responseLength(c.answer[:c.received])
+		if err != nil {
 			return false, err
 		}
 	}
 	switch {
-	case c.need > 0 && c.have > c.need:
+	case c.length > 0 && c.received > c.length:
 		return false, errTooMuch
-	case c.need > 0 && c.have == c.need:
+	case c.length > 0 && c.received == c.length:
 		return true, nil
-	case c.have == maxAnswer:
+	case c.received == maxAnswer:
 		return false, errTooLong
 	}
 	return false, nil
 }
 
-// answerLength is the length of an answer of which some has come, 0 where its head is not whole yet, and whether it is a refusal (503).
-// An answer with another status than those two is an error.
-func answerLength(came []byte) (length int, refused bool, err error) {
+// responseLength returns the length of a response of which some bytes have arrived, 0 if its head
+// is not complete, and whether it rejects the call (503). A response with another status than 200
+// and 503 is an error.
+func responseLength(came []byte) (length int, refused bool, err error) {
 	end := bytes.Index(came, headEnd)
 	if end < 0 {
 		return 0, false, nil
 	}
 	head := came[:end]
-	refused = bytes.HasPrefix(head, []byte(refusal))
-	if !refused && !bytes.HasPrefix(head, []byte(served)) {
+	refused = bytes.HasPrefix(head, []byte(rejectedPrefix))
+	if !refused && !bytes.HasPrefix(head, []byte(servedPrefix)) {
 		return 0, false, fmt.Errorf("answered %.40q", head)
 	}
 	at := bytes.Index(head, lengthField)
@@ -122,7 +134,8 @@
 	if err != nil {
 		return 0, false, errNoLength
 	}
-	if length = end + len(headEnd) + int(body); length > maxAnswer {
+	length = end + len(headEnd) + int(body)
+	if length > maxAnswer {
 		return 0, false, errTooLong
 	}
 	return length, refused, nil
--- a/internal/scale/latency/distribution.go
+++ b/internal/scale/latency/distribution.go
@@ -34,14 +34,20 @@
 // quantilesOf returns the quantiles of a histogram.
 func quantilesOf(h *hdrhistogram.Histogram) Quantiles {
 	v := h.ValueAtPercentilesSlice([]float64{50, 90, 99, 99.9})
-	return Quantiles{P50: inMilliseconds(v[0]), P90: inMilliseconds(v[1]), P99: inMilliseconds(v[2]), P999: inMilliseconds(v[3])}
+	return Quantiles{
+		P50:  inMilliseconds(v[0]),
+		P90:  inMilliseconds(v[1]),
+		P99:  inMilliseconds(v[2]),
+		P999: inMilliseconds(v[3]),
+	}
 }
 
 func inMilliseconds(ns int64) float64 { return float64(ns) / millisecond }
 
-// coupledP99 pairs the calls of two distributions by rank (the fastest with the fastest, and so on to the slowest) and returns the
-// 99th percentile of the pairs' differences, in milliseconds. Where the difference grows with the rank, it is the difference of
-// the two 99th percentiles; where the slowest calls differ by less than others, it is more than that.
+// coupledP99 pairs the calls of two distributions by rank (the fastest with the fastest, and so on
+// to the slowest) and returns the 99th percentile of the pairs' differences, in milliseconds. Where
+// the difference grows with the rank, it is the difference of the two 99th percentiles; where the
+// slowest calls differ by less than others, it is more than that.
 func coupledP99(direct, through *hdrhistogram.Histogram) float64 {
 	ranks := make([]float64, coupledAt)
 	for i := range ranks {
--- a/internal/scale/latency/distribution_test.go
+++ b/internal/scale/latency/distribution_test.go
@@ -49,7 +49,9 @@
 	}{
 		{"the same", direct, 0},
 		{"a constant more", func(i int) time.Duration { return direct(i) + 200*time.Microsecond }, 0.2},
-		{"more with the rank", func(i int) time.Duration { return direct(i) + time.Duration(i)*50*time.Nanosecond }, 0.495},
+		{"more with the rank", func(i int) time.Duration {
+			return direct(i) + time.Duration(i)*50*time.Nanosecond
+		}, 0.495},
 		// Three in a hundred calls take a millisecond more, and they are the slowest ones.
 		{"a tail", func(i int) time.Duration {
 			if i > n*97/100 {
@@ -59,7 +61,8 @@
 		}, 1},
 		{"half as much", func(i int) time.Duration { return direct(i) / 2 }, -0.051},
 	} {
-		if got := coupledP99(histogramOf(n, direct), histogramOf(n, x.through)); !closeTo(got, x.want) && math.Abs(got-x.want) > 1e-3 {
+		got := coupledP99(histogramOf(n, direct), histogramOf(n, x.through))
+		if !closeTo(got, x.want) && math.Abs(got-x.want) > 1e-3 {
 			t.Errorf("%s: %g ms, want %g ms", x.name, got, x.want)
 		}
 	}
--- a/internal/scale/latency/place.go
+++ b/internal/scale/latency/fieldlines.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// lineOfField is the line on which the field of a path like cases[0].hops stands in a JSON text, or else its nearest parent; 0 where
-// neither does.
+// lineOfField returns the line of the field of a path such as cases[0].hops in a JSON text, or else
+// that of its nearest parent; 0 where neither is there.
 func lineOfField(data []byte, path string) int {
 	lines := fieldLines(data)
 	for path != "" {
@@ -20,7 +20,7 @@
 	return 0
 }
 
-// lineOfName is the first line on which a field has a name; 0 where none does.
+// lineOfName returns the first line on which a field has a name; 0 where none does.
 func lineOfName(data []byte, name string) int {
 	first := 0
 	for path, line := range fieldLines(data) {
@@ -31,14 +31,15 @@
 	return first
 }
 
-// fieldLines are the lines of all fields of a JSON text, by their paths, up to where it makes no sense.
+// fieldLines are the lines of all fields of a JSON text, by their paths, up to where it makes no
+// sense.
 func fieldLines(data []byte) map[string]int {
 	w := &walker{data: data, decoder: json.NewDecoder(bytes.NewReader(data)), lines: map[string]int{}}
 	w.value("")
 	return w.lines
 }
 
-// maxDepth is how deep the walk goes; no field of a result stands deeper.
+// maxDepth bounds the nesting that is walked; no field of a result is deeper.
 const maxDepth = 16
 
 // walker walks over the tokens of a JSON text.
@@ -47,11 +48,11 @@
 	decoder *json.Decoder
 	lines   map[string]int
 	depth   int
-	counted int64 // bytes whose line ends are in passed
+	counted int64 // bytes whose newlines are counted in passed
 	passed  int
 }
 
-// line is the line of what has been read last.
+// line returns the line of the last token.
 func (w *walker) line() int {
 	at := min(w.decoder.InputOffset(), int64(len(w.data)))
 	w.passed += bytes.Count(w.data[w.counted:at], []byte("\n"))
@@ -59,7 +60,7 @@
 	return 1 + w.passed
 }
 
-// value walks over a value and tells whether it was whole.
+// value consumes a value and reports whether it is complete.
 func (w *walker) value(path string) bool {
 	if w.depth == maxDepth {
 		return false
@@ -79,6 +80,7 @@
 	return true
 }
 
+// fields consumes the rest of an object.
 func (w *walker) fields(path string) bool {
 	for w.decoder.More() {
 		name, err := w.decoder.Token()
@@ -100,6 +102,7 @@
 	return err == nil
 }
 
+// items consumes the rest of an array.
 func (w *walker) items(path string) bool {
 	for i := 0; w.decoder.More(); i++ {
 		item := fmt.Sprintf("%s[%d]", path, i)
--- a/internal/scale/latency/plan.go
+++ b/internal/scale/latency/plan.go
@@ -1,10 +1,12 @@
 // Package latency measures the latency that sidecars add to a call.
 //
-// A load generator sends calls at moments that are fixed beforehand, whatever has become of the calls before (an open loop), and
-// counts each call's latency from its intended moment of sending to the last byte of its answer. So a stall is felt by every
-// call that was due in it, and none is left out (no coordinated omission). In turn, in short segments of one run, the calls go
-// directly to a stand-in backend and through sidecars before the same backend; what differs between the two is what the
-// sidecars add. The direct segments, held against each other, show what the method and the machine differ by themselves.
+// A load generator sends calls at moments that are fixed beforehand, whatever has become of the
+// calls before (an open loop), and counts each call's latency from its intended moment of sending
+// to the last byte of its answer. So a stall is felt by every call that was due in it, and none is
+// left out (no coordinated omission). In turn, in short segments of one run, the calls go directly
+// to a stand-in backend and through sidecars before the same backend; what differs between the two
+// is what the sidecars add. The direct segments, held against each other, show what the method and
+// the machine differ by themselves.
 package latency
 
 import (
@@ -30,13 +32,13 @@
 	minObjective   = 10 * time.Millisecond
 )
 
-// Spacing is how the intended moments of sending lie in time.
+// Spacing is how the intended moments of sending are spaced.
 type Spacing string
 
 // The spacings.
 const (
 	Even    Spacing = "even"    // all gaps are equal
-	Poisson Spacing = "poisson" // gaps are drawn from the exponential distribution, as calls of many independent clients
+	Poisson Spacing = "poisson" // exponential gaps, as of many independent clients
 )
 
 // Plan is what a run measures.
@@ -117,8 +119,8 @@
 	s := Sidecar{
 		Cores:     v.Number("cores", 2, 0.1, 256),
 		MemoryMB:  v.Number("memory_mb", 64, 16, 1<<16),
-		Objective: v.Span("objective", time.Second, minObjective, callPatience),
-		Deadline:  v.Span("deadline", 4*time.Second, minObjective, callPatience),
+		Objective: v.Span("objective", time.Second, minObjective, callTimeout),
+		Deadline:  v.Span("deadline", 4*time.Second, minObjective, callTimeout),
 	}
 	if s.Objective > s.Deadline {
 		v.Bad(rules.Range, "objective", "the deadline of %v at most expected", s.Deadline)
--- a/internal/scale/latency/plan_test.go
+++ b/internal/scale/latency/plan_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestReadPlanRefuses(t *testing.T) {
+func TestReadPlanRejectsFaultsByPlace(t *testing.T) {
 	for _, x := range []struct{ from, to, want string }{
 		{"format = 1", "format = 2", "p.toml:1:10: RANGE: format"},
 		{"format = 1", "", "format = 1 expected"},
--- a/internal/scale/latency/result_test.go
+++ b/internal/scale/latency/readresult_test.go
@@ -22,43 +22,49 @@
 		}
 	}
 	c := CaseResult{
-		Name: "one hop", RatePerSecond: 271, Hops: 1, Connections: 32, Backends: 1, SegmentSeconds: 1, SidecarCPUPerCallUS: 150,
+		Name: "one hop", RatePerSecond: 271, Hops: 1, Connections: 32, Backends: 1,
+		SegmentSeconds: 1, SidecarCPUPerCallUS: 150,
 		Rounds: []Figures{round(0.25), round(0.375), round(0.5)}, All: round(0.375),
 	}
 	c.All.DirectCalls, c.All.ThroughCalls = 300, 300
-	c.sum()
+	c.fillSpreads()
 	return &Result{
-		Format: Format, Plan: "latency", Date: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC), GoVersion: "go1.26.0", Cores: 8, Seed: 1,
+		Format: Format, Plan: "latency", Date: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC),
+		GoVersion: "go1.26.0", Cores: 8, Seed: 1,
 		Spacing: Poisson, SidecarCores: 2, SidecarMemoryMB: 64, TargetMS: 0.34, Cases: []CaseResult{c},
 	}
 }
 
-func written(t testing.TB, r *Result) []byte {
-	t.Helper()
+// encode returns a result as a file's bytes.
+func encode(tb testing.TB, r *Result) []byte {
+	tb.Helper()
 	data, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return data
 }
 
 func TestReadResult(t *testing.T) {
-	data := written(t, goodResult())
+	data := encode(t, goodResult())
 	r, err := ReadResult("r.json", data)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again := written(t, r); string(again) != string(data) {
+	if again := encode(t, r); string(again) != string(data) {
 		t.Errorf("read and written again:\n%s", again)
 	}
 }
 
 // Whatever is wrong with a result is one line with the file, the line and the field.
-func TestReadResultRefuses(t *testing.T) {
+func TestReadResultRejectsFaultsByField(t *testing.T) {
 	for _, x := range []struct{ name, from, to, want string }{
 		{"version", `"format": 1`, `"format": 2`, `r.json:2: format: 2 found, 1 expected`},
 		{"no version", `"format": 1,`, ``, `r.json: format: 0 found, 1 expected`},
-		{"unknown field", `"cores": 8`, `"cores": 8, "corse": 8`, `r.json:6: corse: unknown field, one of format 1 expected`},
+		{
+			"unknown field", `"cores": 8`, `"cores": 8, "corse": 8`,
+			`r.json:6: corse: unknown field, one of format 1 expected`,
+		},
 		{"unknown field below", `"hops": 1`, `"hop": 1`, `r.json:16: hop: unknown field`},
 		{"kind", `"cores": 8`, `"cores": "8"`, `r.json:6: cores: string found, int expected`},
 		{"syntax", `"cores": 8,`, `"cores": 8`, `r.json:7: invalid character`},
@@ -66,18 +72,45 @@
 		{"date", `"2026-01-02T03:04:05Z"`, `"yesterday"`, `r.json: `},
 		{"spacing", `"poisson"`, `"bursts"`, `r.json:8: spacing: "bursts" found`},
 		{"no cores", `"cores": 8`, `"cores": 0`, `r.json:6: cores: 0 found, 1 at least expected`},
-		{"rate", `"rate_per_second": 271`, `"rate_per_second": -271`, `r.json:15: cases[0].rate_per_second: -271 found`},
+		{
+			"rate", `"rate_per_second": 271`, `"rate_per_second": -271`,
+			`r.json:15: cases[0].rate_per_second: -271 found`,
+		},
 		{"hops", `"hops": 1`, `"hops": 17`, `r.json:16: cases[0].hops: 17 found, 1 to 16 expected`},
-		{"quantiles out of order", `"p50_ms": 0.1,`, `"p50_ms": 0.3,`, `r.json:50: cases[0].all.direct.p90_ms: 0.2 found, 0.3 to 60000 expected`},
-		{"no time at all", `"p50_ms": 0.1,`, `"p50_ms": 0,`, `r.json:49: cases[0].all.direct.p50_ms: 0 found, 1e-06 to 60000 expected`},
-		{"difference", `"added_p99_ms": 0.25`, `"added_p99_ms": 0.2`, `cases[0].rounds[0].added_p99_ms: 0.2 found, 0.25 expected by its terms`},
-		{"spread", `"lowest": 0.25`, `"lowest": 0.2`, `cases[0].added_p99_ms.lowest: 0.2 found, 0.25 expected by its terms`},
-		{"sum", `"direct_calls": 300`, `"direct_calls": 301`, `cases[0].all.direct_calls: 301 found, the rounds' sum of 300 expected`},
-		{"more refused than sent", `"refused_calls": 0`, `"refused_calls": 999`, `cases[0].all.refused_calls: 999 of 600 found`},
-		{"more failed than sent", `"failed_calls": 0`, `"failed_calls": 999`, `cases[0].all.failed_calls: 999 of 600 found`},
-		{"lateness", `"send_lateness_p99_ms": 0.002`, `"send_lateness_p99_ms": 0.0001`, `send_lateness_p99_ms: 0.0001 found, 0.001 to`},
+		{
+			"quantiles out of order", `"p50_ms": 0.1,`, `"p50_ms": 0.3,`,
+			`r.json:50: cases[0].all.direct.p90_ms: 0.2 found, 0.3 to 60000 expected`,
+		},
+		{
+			"no time at all", `"p50_ms": 0.1,`, `"p50_ms": 0,`,
+			`r.json:49: cases[0].all.direct.p50_ms: 0 found, 1e-06 to 60000 expected`,
+		},
+		{
+			"difference", `"added_p99_ms": 0.25`, `"added_p99_ms": 0.2`,
+			`cases[0].rounds[0].added_p99_ms: 0.2 found, 0.25 expected by its terms`,
+		},
+		{
+			"spread", `"lowest": 0.25`, `"lowest": 0.2`,
+			`cases[0].added_p99_ms.lowest: 0.2 found, 0.25 expected by its terms`,
+		},
+		{
+			"sum", `"direct_calls": 300`, `"direct_calls": 301`,
+			`cases[0].all.direct_calls: 301 found, the rounds' sum of 300 expected`,
+		},
+		{
+			"more refused than sent", `"refused_calls": 0`, `"refused_calls": 999`,
+			`cases[0].all.refused_calls: 999 of 600 found`,
+		},
+		{
+			"more failed than sent", `"failed_calls": 0`, `"failed_calls": 999`,
+			`cases[0].all.failed_calls: 999 of 600 found`,
+		},
+		{
+			"lateness", `"send_lateness_p99_ms": 0.002`, `"send_lateness_p99_ms": 0.0001`,
+			`send_lateness_p99_ms: 0.0001 found, 0.001 to`,
+		},
 	} {
-		good := string(written(t, goodResult()))
+		good := string(encode(t, goodResult()))
 		bad := strings.Replace(good, x.from, x.to, 1)
 		if x.name == "cut off" {
 			bad = good[:len(good)/2]
@@ -87,31 +120,40 @@
 			continue
 		}
 		_, err := ReadResult("r.json", []byte(bad))
-		var fault *Fault
-		if !errors.As(err, &fault) || !strings.Contains(err.Error(), x.want) || strings.Contains(err.Error(), "\n") || !strings.HasPrefix(err.Error(), "r.json") {
+		var fault *ResultError
+		if !errors.As(err, &fault) || !strings.Contains(err.Error(), x.want) ||
+			strings.Contains(err.Error(), "\n") || !strings.HasPrefix(err.Error(), "r.json") {
 			t.Errorf("%s: %v, want %s", x.name, err, x.want)
 		}
 	}
 }
 
-func TestReadResultRefusesMore(t *testing.T) {
-	good := string(written(t, goodResult()))
+func TestReadResultRejectsWholeFiles(t *testing.T) {
+	good := string(encode(t, goodResult()))
 	for name, x := range map[string]struct{ text, want string }{
 		"two values": {good + "\n{}", "r.json:"},
 		"too large":  {good + strings.Repeat(" ", MaxResult), "1048576 at most expected"},
 		"nothing":    {"", "r.json: "},
 		"deep":       {strings.Repeat(`{"format":`, 20_000), "r.json"},
 	} {
-		if _, err := ReadResult("r.json", []byte(x.text)); err == nil || !strings.Contains(err.Error(), x.want) || strings.Contains(err.Error(), "\n") {
+		_, err := ReadResult("r.json", []byte(x.text))
+		if err == nil || !strings.Contains(err.Error(), x.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want %s", name, err, x.want)
 		}
 	}
 }
 
-// A goal that lies nearer to the median than direct calls lie to direct calls is neither reached nor missed.
+// A goal that lies nearer to the median than direct calls lie to direct calls is neither reached
+// nor missed.
 func TestVerdict(t *testing.T) {
 	c := &goodResult().Cases[0] // added p99: 0.375 ms; direct against direct: 0.02 ms
-	for target, want := range map[float64]Verdict{0.34: Missed, 0.36: Undecided, 0.375: Undecided, 0.39: Undecided, 0.41: Reached} {
+	for target, want := range map[float64]Verdict{
+		0.34:  Missed,
+		0.36:  Undecided,
+		0.375: Undecided,
+		0.39:  Undecided,
+		0.41:  Reached,
+	} {
 		if got := c.Verdict(target); got != want {
 			t.Errorf("goal %g ms: %s, want %s", target, got, want)
 		}
@@ -146,7 +188,7 @@
 
 // No text makes the reader panic; what it takes is sound, and its faults are one line.
 func FuzzReadResult(f *testing.F) {
-	f.Add(written(f, goodResult()))
+	f.Add(encode(f, goodResult()))
 	f.Add([]byte(`{"format":1,"cases":[{"rounds":[{}]}]}`))
 	f.Add([]byte(`{"x":[[[[{"y":1}]]]]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/scale/latency/schedule.go
+++ b/internal/scale/latency/schedule.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Schedule returns the intended moments of sending of n calls at a rate a second, from the start of a segment on and in order. It
-// is the same for the same seed.
+// Schedule returns the intended moments of sending of n calls at a rate a second, from the start of
+// a segment on and in order. It is the same for the same seed.
 func Schedule(spacing Spacing, rate float64, n int, seed uint64) []time.Duration {
 	gap := float64(time.Second) / rate
 	moments := make([]time.Duration, n)
@@ -25,5 +25,7 @@
 	return moments
 }
 
-// callsOf is how many calls a segment holds.
-func callsOf(rate float64, segment time.Duration) int { return max(1, int(rate*segment.Seconds()+0.5)) }
+// callCount is how many calls a segment holds.
+func callCount(rate float64, segment time.Duration) int {
+	return max(1, int(rate*segment.Seconds()+0.5))
+}
--- a/internal/scale/latency/schedule_test.go
+++ b/internal/scale/latency/schedule_test.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// The moments of a Poisson schedule are in order, repeat with the seed, have the rate's mean gap, and gaps that vary as an
-// exponential distribution's: their standard deviation is their mean.
+// The moments of a Poisson schedule are in order, repeat with the seed, have the rate's mean gap,
+// and gaps that vary as an exponential distribution's: their standard deviation is their mean.
 func TestSchedulePoisson(t *testing.T) {
 	const n, rate = 50_000, 271.0
 	got := Schedule(Poisson, rate, n, 7)
@@ -40,13 +40,18 @@
 	}
 }
 
-func TestCallsOf(t *testing.T) {
+func TestCallCount(t *testing.T) {
 	for _, x := range []struct {
 		rate    float64
 		segment time.Duration
 		want    int
-	}{{271, time.Second, 271}, {271, 10 * time.Millisecond, 3}, {1, 10 * time.Millisecond, 1}, {2710, 500 * time.Millisecond, 1355}} {
-		if got := callsOf(x.rate, x.segment); got != x.want {
+	}{
+		{271, time.Second, 271},
+		{271, 10 * time.Millisecond, 3},
+		{1, 10 * time.Millisecond, 1},
+		{2710, 500 * time.Millisecond, 1355},
+	} {
+		if got := callCount(x.rate, x.segment); got != x.want {
 			t.Errorf("%g a second for %v: %d calls, want %d", x.rate, x.segment, got, x.want)
 		}
 	}
--- /dev/null
+++ b/internal/scale/latency/validate.go
@@ -0,0 +1,139 @@
+package latency
+
+import (
+	"fmt"
+	"math"
+	"strings"
+)
+
+// validate returns the first field with an impossible value; nil where there is none.
+func (r *Result) validate() *ResultError {
+	c := &validator{}
+	c.require(r.Format == Format, "format", "%d found, %d expected", r.Format, Format)
+	c.require(r.Plan != "", "plan", "the plan's name expected")
+	c.require(!r.Date.IsZero(), "date", "the run's time expected")
+	c.require(strings.HasPrefix(r.GoVersion, "go") || strings.HasPrefix(r.GoVersion, "devel"), "go_version",
+		"%q found, a version of Go expected", r.GoVersion)
+	c.require(r.Cores >= 1, "cores", "%d found, 1 at least expected", r.Cores)
+	c.require(r.Spacing == Even || r.Spacing == Poisson, "spacing",
+		"%q found, %q or %q expected", r.Spacing, Even, Poisson)
+	c.requireWithin(r.SidecarCores, leastPositive, 1024, "sidecar_cores")
+	c.requireWithin(r.SidecarMemoryMB, leastPositive, 1<<20, "sidecar_memory_mb")
+	c.requireWithin(r.TargetMS, leastPositive, maxMS, "target_added_p99_ms")
+	c.require(len(r.Cases) > 0 && len(r.Cases) <= maxCases, "cases",
+		"%d found, 1 to %d expected", len(r.Cases), maxCases)
+	for i := range r.Cases {
+		c.path = fmt.Sprintf("cases[%d].", i)
+		r.Cases[i].validate(c)
+	}
+	return c.first
+}
+
+func (cr *CaseResult) validate(c *validator) {
+	path := c.path
+	c.require(cr.Name != "", "name", "the case's name expected")
+	c.requireWithin(cr.RatePerSecond, 1, MaxRate, "rate_per_second")
+	c.require(cr.Hops >= 1 && cr.Hops <= MaxHops, "hops", "%d found, 1 to %d expected", cr.Hops, MaxHops)
+	c.require(cr.Connections >= 1 && cr.Connections <= MaxConnections, "connections",
+		"%d found, 1 to %d expected", cr.Connections, MaxConnections)
+	c.require(cr.Backends >= 1 && cr.Backends <= maxBackends, "backends",
+		"%d found, 1 to %d expected", cr.Backends, maxBackends)
+	c.requireWithin(cr.SegmentSeconds, leastPositive, MaxSegment.Seconds(), "segment_seconds")
+	c.requireWithin(cr.SidecarCPUPerCallUS, 0, maxUS, "sidecar_cpu_per_call_us")
+	c.requireWithin(cr.SidecarWaitPerCallUS, 0, maxUS, "sidecar_wait_per_call_us")
+	c.require(len(cr.Rounds) >= minRounds && len(cr.Rounds) <= MaxRounds, "rounds",
+		"%d found, %d to %d expected", len(cr.Rounds), minRounds, MaxRounds)
+	for i := range cr.Rounds {
+		c.path = fmt.Sprintf("%srounds[%d].", path, i)
+		cr.Rounds[i].validate(c)
+	}
+	c.path = path + "all."
+	cr.All.validate(c)
+	c.path = path
+	if len(cr.Rounds) > 0 {
+		cr.validateSums(c)
+	}
+}
+
+// validateSums compares the figures of all rounds with the rounds.
+func (cr *CaseResult) validateSums(c *validator) {
+	var sum Figures
+	for i := range cr.Rounds {
+		sum.DirectCalls += cr.Rounds[i].DirectCalls
+		sum.ThroughCalls += cr.Rounds[i].ThroughCalls
+		sum.Rejected += cr.Rounds[i].Rejected
+		sum.Failed += cr.Rounds[i].Failed
+		sum.Waited += cr.Rounds[i].Waited
+	}
+	c.require(cr.All.DirectCalls == sum.DirectCalls, "all.direct_calls",
+		"%d found, the rounds' sum of %d expected", cr.All.DirectCalls, sum.DirectCalls)
+	c.require(cr.All.ThroughCalls == sum.ThroughCalls, "all.through_calls",
+		"%d found, the rounds' sum of %d expected", cr.All.ThroughCalls, sum.ThroughCalls)
+	c.require(cr.All.Rejected == sum.Rejected, "all.refused_calls",
+		"%d found, the rounds' sum of %d expected", cr.All.Rejected, sum.Rejected)
+	c.require(cr.All.Failed == sum.Failed, "all.failed_calls",
+		"%d found, the rounds' sum of %d expected", cr.All.Failed, sum.Failed)
+	c.require(cr.All.Waited == sum.Waited, "all.waited_calls",
+		"%d found, the rounds' sum of %d expected", cr.All.Waited, sum.Waited)
+	for _, s := range cr.spreads() {
+		want := spreadOf(s.values(cr.Rounds))
+		c.requireNear(s.spread.Median, want.Median, s.field+".median")
+		c.requireNear(s.spread.Lowest, want.Lowest, s.field+".lowest")
+		c.requireNear(s.spread.Highest, want.Highest, s.field+".highest")
+	}
+}
+
+func (f *Figures) validate(c *validator) {
+	c.require(f.DirectCalls >= 1, "direct_calls", "%d found, 1 at least expected", f.DirectCalls)
+	c.require(f.ThroughCalls >= 1, "through_calls", "%d found, 1 at least expected", f.ThroughCalls)
+	calls := f.DirectCalls + f.ThroughCalls
+	c.require(f.Rejected >= 0 && f.Rejected < calls, "refused_calls", "%d of %d found", f.Rejected, calls)
+	c.require(f.Failed >= 0 && f.Failed < calls-f.Rejected, "failed_calls",
+		"%d of %d found", f.Failed, calls-f.Rejected)
+	c.require(f.Waited >= 0 && f.Waited <= calls, "waited_calls", "%d of %d found", f.Waited, calls)
+	f.Direct.validate(c, "direct")
+	f.Through.validate(c, "through")
+	c.requireNear(f.AddedP50, f.Through.P50-f.Direct.P50, "added_p50_ms")
+	c.requireNear(f.AddedP90, f.Through.P90-f.Direct.P90, "added_p90_ms")
+	c.requireNear(f.AddedP99, f.Through.P99-f.Direct.P99, "added_p99_ms")
+	c.requireWithin(f.CoupledP99, -maxMS, maxMS, "coupled_p99_ms")
+	c.requireWithin(f.SameP50, -maxMS, maxMS, "same_p50_ms")
+	c.requireWithin(f.SameP99, -maxMS, maxMS, "same_p99_ms")
+	c.requireWithin(f.SendLatenessP50, 0, maxMS, "send_lateness_p50_ms")
+	c.requireWithin(f.SendLatenessP99, f.SendLatenessP50, maxMS, "send_lateness_p99_ms")
+	c.requireWithin(f.ReceiveLatenessP99, 0, maxMS, "receive_lateness_p99_ms")
+	for _, load := range f.LoadAverage {
+		c.requireWithin(load, 0, maxLoad, "load_average")
+	}
+}
+
+func (q *Quantiles) validate(c *validator, name string) {
+	least := leastPositive
+	for _, x := range []struct {
+		field string
+		value float64
+	}{{"p50_ms", q.P50}, {"p90_ms", q.P90}, {"p99_ms", q.P99}, {"p999_ms", q.P999}} {
+		c.requireWithin(x.value, least, maxMS, name+"."+x.field)
+		least = x.value
+	}
+}
+
+// validator keeps the first fault.
+type validator struct {
+	path  string
+	first *ResultError
+}
+
+func (c *validator) require(holds bool, field, format string, args ...any) {
+	if !holds && c.first == nil {
+		c.first = &ResultError{Field: c.path + field, Text: fmt.Sprintf(format, args...)}
+	}
+}
+
+func (c *validator) requireWithin(v, least, most float64, field string) {
+	c.require(v >= least && v <= most, field, "%g found, %g to %g expected", v, least, most)
+}
+
+func (c *validator) requireNear(v, want float64, field string) {
+	c.require(math.Abs(v-want) <= tolerance, field, "%g found, %g expected by its terms", v, want)
+}
