--- a/internal/scale/latency/connection.go
+++ b/internal/scale/latency/connection.go
@@ -115,14 +115,14 @@
 // responseLength returns the length of a response of which some bytes have arrived, 0 if its head
 // is not complete, and whether it rejects the call (503). A response with another status than 200
 // and 503 is an error.
-func responseLength(came []byte) (length int, refused bool, err error) {
-	end := bytes.Index(came, headEnd)
+func responseLength(received []byte) (length int, isRejected bool, err error) {
+	end := bytes.Index(received, headEnd)
 	if end < 0 {
 		return 0, false, nil
 	}
-	head := came[:end]
-	refused = bytes.HasPrefix(head, []byte(rejectedPrefix))
-	if !refused && !bytes.HasPrefix(head, []byte(servedPrefix)) {
+	head := received[:end]
+	isRejected = bytes.HasPrefix(head, []byte(rejectedPrefix))
+	if !isRejected && !bytes.HasPrefix(head, []byte(servedPrefix)) {
 		return 0, false, fmt.Errorf("answered %.40q", head)
 	}
 	at := bytes.Index(head, lengthField)
@@ -138,5 +138,5 @@
 	if length > maxAnswer {
 		return 0, false, errTooLong
 	}
-	return length, refused, nil
+	return length, isRejected, nil
 }
--- a/internal/scale/latency/plan.go
+++ b/internal/scale/latency/plan.go
@@ -57,7 +57,8 @@
 type Sidecar struct {
 	Cores    float64
 	MemoryMB float64
-	// Of the calls' class. What a stall brings beyond them is refused, and so in no distribution.
+	// Of the calls' class. Calls that a stall delays beyond them are rejected, and so part of no
+	// distribution.
 	Objective, Deadline time.Duration
 }
 
