--- a/cmd/fernctl/pcap.go
+++ b/cmd/fernctl/pcap.go
@@ -107,6 +107,6 @@
 	return readOpenCapture(ctx, c, file, store, collected, collected)
 }
 
-// writeReport writes a command's text. As with any tool, a closed standard output is no fault of the
-// capture, and does not change the exit code.
+// writeReport writes a command's text. As with any tool, a closed standard output is no fault of
+// the capture, and does not change the exit code.
 func writeReport(out io.Writer, text string) { _, _ = io.WriteString(out, text) }
--- a/cmd/fernctl/pcap_requests.go
+++ b/cmd/fernctl/pcap_requests.go
@@ -34,8 +34,8 @@
 	ResponseDigest string  `json:"answer_sha256,omitempty"`
 }
 
-// newRequestLine returns the line of an exchange that has a request. The error is that of a body that
-// cannot be read.
+// newRequestLine returns the line of an exchange that has a request. The error is that of a body
+// that cannot be read.
 func newRequestLine(e *http.Exchange, firstRequest time.Time) (*requestLine, error) {
 	request := e.Request
 	line := &requestLine{
--- a/cmd/fernctl/pcap_test.go
+++ b/cmd/fernctl/pcap_test.go
@@ -69,8 +69,8 @@
 	capturedResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 )
 
-// A capture without faults ends with 0, one with faults with 1 and a line for each fault, and a file
-// that is no capture with 2.
+// A capture without faults ends with 0, one with faults with 1 and a line for each fault, and a
+// file that is no capture with 2.
 func TestPcapInfoAndRequests(t *testing.T) {
 	sound := writeCapture(t, capturedConn(1000, capturedRequest, capturedResponse))
 	expect(t, 0, "1 requests, 1 answers, 1 pairs", "pcap", "info", sound)
--- a/cmd/fernctl/replay.go
+++ b/cmd/fernctl/replay.go
@@ -174,8 +174,8 @@
 	return target, err
 }
 
-// replayCapture reads a capture into a plan, and carries the plan out or prints it. The store of the
-// capture's bodies stays open until then.
+// replayCapture reads a capture into a plan, and carries the plan out or prints it. The store of
+// the capture's bodies stays open until then.
 func replayCapture(ctx context.Context, c *cli.Command, planned *planCollector, target replay.Target) (err error) {
 	file, store, err := openCapture(c)
 	if err != nil {
@@ -197,8 +197,8 @@
 	return runPlan(ctx, c, planned, target)
 }
 
-// runPlan carries a plan out and prints the comparison. It returns errFaults if an outcome differs or
-// the capture has a fault.
+// runPlan carries a plan out and prints the comparison. It returns errFaults if an outcome differs
+// or the capture has a fault.
 func runPlan(ctx context.Context, c *cli.Command, planned *planCollector, target replay.Target) (err error) {
 	closeRecording, err := recordReplay(c.String("write"), &target)
 	if err != nil {
@@ -222,8 +222,8 @@
 	return planned.exitError()
 }
 
-// recordReplay has a target write what is sent and received to a file, if the name is not empty. The
-// function that it returns ends the file.
+// recordReplay has a target write what is sent and received to a file, if the name is not empty.
+// The function that it returns ends the file.
 func recordReplay(name string, target *replay.Target) (closeRecording func() error, err error) {
 	if name == "" {
 		return func() error { return nil }, nil
--- a/internal/pcap/bench_input_test.go
+++ b/internal/pcap/bench_input_test.go
@@ -25,8 +25,8 @@
 	sequenceOffset    = 14 + 20 + 4 // of the sequence number in a frame: Ethernet, IPv4 without options, TCP
 )
 
-// repeatedCapture repeats the packets of a capture up to a size. The sequence numbers of a connection
-// that never ends go on.
+// repeatedCapture repeats the packets of a capture up to a size. The sequence numbers of a
+// connection that never ends go on.
 type repeatedCapture struct {
 	header, block []byte
 	remaining     int64 // bytes
--- a/internal/pcap/generate_test.go
+++ b/internal/pcap/generate_test.go
@@ -120,7 +120,8 @@
 	return end
 }
 
-// interleave frames the segments of all connections, mixed, those of each connection in their order.
+// interleave frames the segments of all connections, mixed, those of each connection in their
+// order.
 func interleave(t *testing.T, rnd *rand.Rand, conns []*generatedConn) []synth.Packet {
 	t.Helper()
 	remaining := make([][]synth.Part, len(conns))
--- a/internal/pcap/http/body.go
+++ b/internal/pcap/http/body.go
@@ -71,6 +71,7 @@
 	stored      StoredBody
 }
 
+// newBodyBuffer returns an empty body. The store may be nil.
 func newBodyBuffer(store Store, memoryLimit int) *bodyBuffer {
 	return &bodyBuffer{store: store, memoryLimit: memoryLimit}
 }
--- a/internal/pcap/http/classify.go
+++ b/internal/pcap/http/classify.go
@@ -25,9 +25,9 @@
 	responses
 )
 
-// classify returns the fault of a stream that is not HTTP/1, and its reason, by the first bytes of a
-// message, as far as they go; an empty kind if there is no such fault. headComplete reports whether
-// the bytes hold a complete head.
+// classify returns the fault of a stream that is not HTTP/1, and its reason, by the first bytes of
+// a message, as far as they go; an empty kind if there is no such fault. headComplete reports
+// whether the bytes hold a complete head.
 func classify(prefix []byte, role streamRole, headComplete bool) (kind FaultKind, reason string) {
 	mayBeTLS := prefix[0] >= 0x14 && prefix[0] <= 0x17 // the content types of TLS
 	switch {
--- a/internal/pcap/http/half_stream_head.go
+++ b/internal/pcap/http/half_stream_head.go
@@ -28,6 +28,7 @@
 	return endOfHead(buffered, searched)
 }
 
+// findDelimiter returns the length of a block with its delimiter, or -1.
 func findDelimiter(buffered []byte, searched int, delimiter []byte) int {
 	from := max(0, searched-len(delimiter)+1) // the delimiter may have begun in what was searched
 	i := bytes.Index(buffered[from:], delimiter)
@@ -37,8 +38,8 @@
 	return from + i + len(delimiter)
 }
 
-// buffer buffers bytes up to the end of a block. It returns the block, nil while that is incomplete,
-// and the bytes behind it.
+// buffer buffers bytes up to the end of a block. It returns the block, nil while that is
+// incomplete, and the bytes behind it.
 func (h *halfStream) buffer(data []byte, limit int, find findEnd) (block, rest []byte) {
 	before := len(h.buffered)
 	// A block of exactly the limit has its delimiter behind it, of four bytes at most.
@@ -53,8 +54,8 @@
 	return h.buffered[:size], data[size-before:]
 }
 
-// takeBlock buffers a block and parses it once it is complete. An incomplete one over the limit is a
-// fault.
+// takeBlock buffers a block and parses it once it is complete. An incomplete one over the limit is
+// a fault.
 func (h *halfStream) takeBlock(
 	data []byte, limit int, find findEnd, kind FaultKind, tooLong string, parse func([]byte),
 ) []byte {
--- a/internal/pcap/http/head.go
+++ b/internal/pcap/http/head.go
@@ -60,8 +60,8 @@
 }
 
 // parseFraming returns the length of the body, and sets Chunked or UntilClose where the head does
-// not give it (RFC 9112, section 6.3). The method is that of the request. An ambiguous framing is an
-// error, since the capture does not show how the receiver read it.
+// not give it (RFC 9112, section 6.3). The method is that of the request. An ambiguous framing is
+// an error, since the capture does not show how the receiver read it.
 func (m *Message) parseFraming(method string) (int64, error) {
 	if !m.IsRequest && isBodiless(method, m.StatusCode) {
 		return 0, nil
--- a/internal/pcap/http/reader_test.go
+++ b/internal/pcap/http/reader_test.go
@@ -43,8 +43,8 @@
 	return strings.Contains("\n"+strings.Join(r.lines, "\n")+"\n", "\n"+line+"\n")
 }
 
-// playConnection plays what both ends send, "<" before what the server sends, in segments of a size.
-// Both streams end by their FIN, or are broken for the given reason.
+// playConnection plays what both ends send, "<" before what the server sends, in segments of a
+// size. Both streams end by their FIN, or are broken for the given reason.
 func playConnection(sink Sink, limits Limits, segmentSize int, brokenBy string, sent ...string) ByteCounts {
 	reader := NewReader(limits, nil, sink)
 	f := &flow.Flow{ID: 1, Addresses: [2]netip.AddrPort{
--- a/internal/pcap/packet/defragment.go
+++ b/internal/pcap/packet/defragment.go
@@ -46,6 +46,7 @@
 	added      int   // fragments so far
 }
 
+// newFragmentTable returns an empty table.
 func newFragmentTable() *fragmentTable {
 	t := &fragmentTable{}
 	t.discardAll()
@@ -59,6 +60,7 @@
 	t.incomplete, t.waiting = map[datagramKey]*incompleteDatagram{}, 0
 }
 
+// discardedAndWaiting returns the number of fragments that joined no datagram so far.
 func (t *fragmentTable) discardedAndWaiting() int64 { return t.discarded + int64(t.waiting) }
 
 // add counts a fragment that waits. It discards expired ones from time to time, and all of them
--- a/internal/pcap/packet/packet.go
+++ b/internal/pcap/packet/packet.go
@@ -1,6 +1,6 @@
-// Package packet finds the TCP segment in a captured packet: Ethernet with VLAN tags (also stacked),
-// Linux cooked captures of both versions, loopback and raw IP; IPv4 and IPv6 with extension headers
-// and fragments.
+// Package packet finds the TCP segment in a captured packet: Ethernet with VLAN tags (also
+// stacked), Linux cooked captures of both versions, loopback and raw IP; IPv4 and IPv6 with
+// extension headers and fragments.
 package packet
 
 import (
@@ -84,8 +84,8 @@
 	return d
 }
 
-// DiscardedFragments returns the number of fragments that were discarded, with those that still wait
-// for the rest of their datagram.
+// DiscardedFragments returns the number of fragments that were discarded, with those that still
+// wait for the rest of their datagram.
 func (d *Decoder) DiscardedFragments() int64 { return d.fragments.discardedAndWaiting() }
 
 // Decode sets the segment from a packet; its payload is valid as long as the packet's data. The
--- a/internal/pcap/pcap.go
+++ b/internal/pcap/pcap.go
@@ -1,6 +1,6 @@
-// Package pcap reads the HTTP/1.1 traffic of a capture file: packets to segments, segments to flows,
-// flows to requests and their responses. Each step counts what it takes and what became of it, so
-// that nothing is lost unnoticed.
+// Package pcap reads the HTTP/1.1 traffic of a capture file: packets to segments, segments to
+// flows, flows to requests and their responses. Each step counts what it takes and what became of
+// it, so that nothing is lost unnoticed.
 package pcap
 
 import (
@@ -25,9 +25,9 @@
 // contextCheckInterval is in packets.
 const contextCheckInterval = 4096
 
-// Read reads a capture and reports what it holds to a sink. A file that breaks off is read as far as
-// possible, and the Summary says so. An error means that the file is no capture, or that the context
-// ended.
+// Read reads a capture and reports what it holds to a sink. A file that breaks off is read as far
+// as possible, and the Summary says so. An error means that the file is no capture, or that the
+// context ended.
 func Read(ctx context.Context, file io.Reader, opts Options, sink http.Sink) (*Summary, error) {
 	packets, err := capture.Open(file)
 	if err != nil {
@@ -59,8 +59,8 @@
 	segment     flow.Segment // reused for each packet
 }
 
-// readPackets reads all packets, up to the end of the file or to where it cannot be read further. It
-// returns an error only if the context ends.
+// readPackets reads all packets, up to the end of the file or to where it cannot be read further.
+// It returns an error only if the context ends.
 func (r *reading) readPackets(ctx context.Context, packets *capture.Reader) error {
 	for {
 		next, err := packets.Next()
--- a/internal/pcap/pcap_test.go
+++ b/internal/pcap/pcap_test.go
@@ -17,9 +17,9 @@
 	"github.com/gopacket/gopacket/pcapgo"
 )
 
-// Captures with all kinds of faults, mixed: each request that is complete in the packets is read byte
-// for byte, each flow with a fault that cannot be restored is reported, and every byte is accounted
-// for.
+// Captures with all kinds of faults, mixed: each request that is complete in the packets is read
+// byte for byte, each flow with a fault that cannot be restored is reported, and every byte is
+// accounted for.
 func TestCompleteMessagesAreReadByteForByte(t *testing.T) {
 	for seed := range uint64(500) {
 		rnd := rand.New(rand.NewPCG(seed, 15))
--- a/internal/pcap/replay/compare.go
+++ b/internal/pcap/replay/compare.go
@@ -11,9 +11,9 @@
 
 const maxResponseBody = 64 << 20 // bytes
 
-// compareBodies reads a response's body to its end. It reports whether the body is the captured one,
-// and its size in bytes. An error means that the body is incomplete, too large, or that the captured
-// one cannot be opened.
+// compareBodies reads a response's body to its end. It reports whether the body is the captured
+// one, and its size in bytes. An error means that the body is incomplete, too large, or that the
+// captured one cannot be opened.
 func compareBodies(replayed io.Reader, captured http.Body) (equal bool, size int64, err error) {
 	wanted, err := captured.Open()
 	if err != nil {
--- a/internal/pcap/replay/connection.go
+++ b/internal/pcap/replay/connection.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// send writes a step's request. It reports whether that succeeded; a failure may come after the last
-// byte.
+// send writes a step's request. It reports whether that succeeded; a failure may come after the
+// last byte.
 func (c *connection) send(step *Step) bool {
 	result := c.results[step]
 	result.Delay = max(0, time.Since(c.start)-step.Offset)
--- a/internal/pcap/replay/options.go
+++ b/internal/pcap/replay/options.go
@@ -1,5 +1,6 @@
-// Package replay sends the requests of a capture again. A [Plan] decides what is sent, when, and what
-// is skipped; it does no I/O and reads no clock. [Plan.Run] carries it out. No request is sent twice.
+// Package replay sends the requests of a capture again. A [Plan] decides what is sent, when, and
+// what is skipped; it does no I/O and reads no clock. [Plan.Run] carries it out. No request is sent
+// twice.
 package replay
 
 import (
@@ -24,8 +25,9 @@
 	MaxRequests          int // default 1,000,000
 }
 
-// Redaction replaces what matches a pattern in the values of a field, or in bodies of up to 1 MiB if
-// Field is empty. A request with a longer body is skipped, since it might show what is to be redacted.
+// Redaction replaces what matches a pattern in the values of a field, or in bodies of up to 1 MiB
+// if Field is empty. A request with a longer body is skipped, since it might show what is to be
+// redacted.
 type Redaction struct {
 	Field   string
 	Pattern *regexp.Regexp
@@ -99,8 +101,8 @@
 	return slices.ContainsFunc(fields, func(field string) bool { return strings.EqualFold(field, name) })
 }
 
-// CheckAddress checks that a replay may go to an address: loopback, or one of those that are allowed.
-// The error is an *AddressError.
+// CheckAddress checks that a replay may go to an address: loopback, or one of those that are
+// allowed. The error is an *AddressError.
 func CheckAddress(to netip.AddrPort, allowed []netip.AddrPort) error {
 	if to.Addr().Unmap().IsLoopback() || slices.Contains(allowed, to) {
 		return nil
--- a/internal/pcap/replay/run.go
+++ b/internal/pcap/replay/run.go
@@ -54,8 +54,8 @@
 }
 
 // Run carries a plan out and returns a result for each step that is not skipped, in their order. A
-// request that may have been sent is never sent again: where a connection breaks, the requests on it
-// have no response, and those that were not begun go over a new connection.
+// request that may have been sent is never sent again: where a connection breaks, the requests on
+// it have no response, and those that were not begun go over a new connection.
 func (p *Plan) Run(ctx context.Context, target Target) []*Result {
 	r := &run{target: target.withDefaults(), results: map[*Step]*Result{}}
 	stepsOf := map[int][]*Step{} // by connection
--- a/internal/pcap/replay/sidecar_test.go
+++ b/internal/pcap/replay/sidecar_test.go
@@ -15,8 +15,9 @@
 	"fernlanding/internal/standin"
 )
 
-// startSidecar starts a sidecar with three classes in front of two backends. It returns the sidecar's
-// address, and a function that returns the bodies of a captured request that reached the backends.
+// startSidecar starts a sidecar with three classes in front of two backends. It returns the
+// sidecar's address, and a function that returns the bodies of a captured request that reached the
+// backends.
 func startSidecar(t *testing.T) (netip.AddrPort, func(capturedID string) []string) {
 	t.Helper()
 	var mu sync.Mutex
@@ -69,8 +70,8 @@
 	}
 }
 
-// A capture is replayed through a sidecar to backends, and the capture of the replay is read: it has
-// the same requests with equal bodies, and each has reached a backend once, also those that are
+// A capture is replayed through a sidecar to backends, and the capture of the replay is read: it
+// has the same requests with equal bodies, and each has reached a backend once, also those that are
 // non-idempotent.
 func TestReplayThroughSidecar(t *testing.T) {
 	addr, received := startSidecar(t)
--- a/internal/pcap/summary.go
+++ b/internal/pcap/summary.go
@@ -30,8 +30,8 @@
 	readError *capture.ReadError // nil if the file was read to its end
 }
 
-// AccountingError says which sums of a Summary do not agree. It is a fault of this program, not of a
-// capture.
+// AccountingError says which sums of a Summary do not agree. It is a fault of this program, not of
+// a capture.
 type AccountingError struct {
 	Mismatches []string
 }
--- a/internal/pcap/synth/packet.go
+++ b/internal/pcap/synth/packet.go
@@ -41,6 +41,7 @@
 	return []Packet{packet}, nil
 }
 
+// tcpHeader returns the TCP header of a part between two ports.
 func tcpHeader(p Part, src, dst uint16) *layers.TCP {
 	return &layers.TCP{
 		SrcPort: layers.TCPPort(src),
@@ -56,6 +57,7 @@
 	}
 }
 
+// ipHeader returns an IPv4 or IPv6 header between two addresses.
 func ipHeader(src, dst netip.Addr) ipLayer {
 	if src.Is4() {
 		return &layers.IPv4{
--- a/internal/pcap/write/conn.go
+++ b/internal/pcap/write/conn.go
@@ -20,8 +20,8 @@
 	closed         bool
 }
 
-// Data writes bytes that went in a direction. The first packet has the comment, unless that is empty.
-// Nothing is written after Close.
+// Data writes bytes that went in a direction. The first packet has the comment, unless that is
+// empty. Nothing is written after Close.
 func (c *Conn) Data(dir Direction, data []byte, at time.Time, comment string) {
 	c.file.mu.Lock()
 	defer c.file.mu.Unlock()
--- a/internal/pcap/write/write.go
+++ b/internal/pcap/write/write.go
@@ -1,6 +1,6 @@
-// Package write writes the bytes of connections as a pcapng file that common tools open: handshakes,
-// segments with valid sequence numbers and checksums, closes, and request ids as packet comments.
-// The packets are made from the bytes that were sent and received; they are not captured.
+// Package write writes the bytes of connections as a pcapng file that common tools open:
+// handshakes, segments with valid sequence numbers and checksums, closes, and request ids as packet
+// comments. The packets are made from the bytes that were sent and received; they are not captured.
 package write
 
 import (
