--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -60,7 +60,7 @@
 	isParsed := true
 	for _, file := range files {
 		root, faults := tomldoc.Parse(file.Name, file.Data)
-		reader.Faults = append(reader.Faults, faults...)
+		reader.Diagnostics = append(reader.Diagnostics, faults...)
 		if root == nil {
 			isParsed = false
 			continue
@@ -68,10 +68,10 @@
 		j.join(root)
 	}
 	if !isParsed || !j.withinBounds() {
-		return nil, reader.Faults
+		return nil, reader.Diagnostics
 	}
 	c := &Catalogue{Digest: Digest(files), root: j.root, environments: j.root.Fields["environments"]}
-	return c, reader.Faults
+	return c, reader.Diagnostics
 }
 
 // withinBounds reports whether no section has more entries than its bound; it adds a diagnostic of
@@ -88,7 +88,7 @@
 		table := j.root.Fields[bound.section]
 		if count := len(table.Keys); count > bound.limit {
 			expect := fmt.Sprintf("%d, %d expected at most", count, bound.limit)
-			j.Fault(table, rules.TooMany, bound.section, "", expect)
+			j.ReportAt(table, rules.TooMany, bound.section, "", expect)
 			return false
 		}
 	}
--- a/internal/catalogue/compare.go
+++ b/internal/catalogue/compare.go
@@ -11,11 +11,12 @@
 
 // checkBounds reports what a caller states beyond the bounds of the service's owner.
 func checkBounds(scope tomldoc.Scope, s *service) {
-	if attempts := scope.Whole("attempts", 1, 1, 16); attempts > s.maxAttempts {
-		scope.Bad(rules.Range, "attempts", "%d at most expected, as the owner states, team %s", s.maxAttempts, s.team)
+	if attempts := scope.Int("attempts", 1, 1, 16); attempts > s.maxAttempts {
+		scope.ReportField(rules.Range, "attempts",
+			"%d at most expected, as the owner states, team %s", s.maxAttempts, s.team)
 	}
-	if multiple := scope.Number("cold_multiple", 1, 0, 100); multiple > s.maxSlowStartMultiple {
-		scope.Bad(rules.ColdMultiple, "cold_multiple", "%g at most expected, as the owner states, team %s",
+	if multiple := scope.Float("cold_multiple", 1, 0, 100); multiple > s.maxSlowStartMultiple {
+		scope.ReportField(rules.ColdMultiple, "cold_multiple", "%g at most expected, as the owner states, team %s",
 			s.maxSlowStartMultiple, s.team)
 	}
 }
@@ -30,19 +31,19 @@
 
 // compareField reports a field of a class that means something else than the owner's.
 func (m *model) compareField(scope tomldoc.Scope, s *service, name string, owners *class, field string) {
-	callers, own := scope.V.Fields[field], owners.table.Fields[field]
+	callers, own := scope.Value.Fields[field], owners.table.Fields[field]
 	if callers == nil || own != nil && canonical(field, callers) == canonical(field, own) {
 		return
 	}
 	see, says := owners.table.Place, "says nothing"
 	switch {
 	case own != nil:
-		see, says = own.Place, "says "+own.Say()
+		see, says = own.Place, "says "+own.Describe()
 	case field == "dedup_scope" && callers.Text == "cell" && isKeyed(owners):
 		return // the owner's default
 	}
 	m.report(tomldoc.Diagnostic{
-		Place: callers.Place, Rule: rules.ClassDisagrees, Field: scope.Name(field), Found: callers.Say(),
+		Place: callers.Place, Rule: rules.ClassDisagrees, Field: scope.FieldPath(field), Found: callers.Describe(),
 		Expect: fmt.Sprintf("team %s, which owns %s, %s of class %s", s.team, s.name, says, name), See: see,
 	})
 }
@@ -55,14 +56,14 @@
 
 // compareRetryTargets reports a caller that would retry on more backends than the owner allows.
 func (m *model) compareRetryTargets(scope tomldoc.Scope, s *service, name string, owners *class) {
-	callers, own := scope.V.Fields["resend"], owners.table.Fields["resend"]
+	callers, own := scope.Value.Fields["resend"], owners.table.Fields["resend"]
 	breadth := map[string]int{"never": 0, "scope": 1, "any": 2}
 	if callers == nil || own == nil || breadth[callers.Text] <= breadth[own.Text] {
 		return
 	}
 	m.report(tomldoc.Diagnostic{
-		Place: callers.Place, Rule: rules.ClassDisagrees, Field: scope.Name("resend"), Found: callers.Say(),
-		Expect: fmt.Sprintf("team %s, which owns %s, allows %s of class %s", s.team, s.name, own.Say(), name),
+		Place: callers.Place, Rule: rules.ClassDisagrees, Field: scope.FieldPath("resend"), Found: callers.Describe(),
+		Expect: fmt.Sprintf("team %s, which owns %s, allows %s of class %s", s.team, s.name, own.Describe(), name),
 		See:    own.Place,
 	})
 }
--- a/internal/catalogue/emitter.go
+++ b/internal/catalogue/emitter.go
@@ -59,7 +59,7 @@
 	if mirror == nil || mirror.Kind != tomldoc.Table {
 		return
 	}
-	scope := tomldoc.Scope{Reader: e.reader, V: mirror, Path: "mirror"}
+	scope := tomldoc.Scope{Reader: e.reader, Value: mirror, Path: "mirror"}
 	s := e.services[scope.Text("service", "")]
 	if s == nil {
 		return
--- a/internal/catalogue/join.go
+++ b/internal/catalogue/join.go
@@ -27,16 +27,16 @@
 // join adds the tree of a file.
 func (j *joiner) join(root *tomldoc.Value) {
 	scope := tomldoc.NewScope(j.Reader, root)
-	version := scope.V.Fields["catalogue"]
+	version := scope.Value.Fields["catalogue"]
 	if version == nil {
-		scope.Bad(rules.Version, "catalogue", "catalogue = %d expected", Version)
+		scope.ReportField(rules.Version, "catalogue", "catalogue = %d expected", Version)
 	} else if version.Kind != tomldoc.Integer || version.Text != strconv.Itoa(Version) {
-		scope.Bad(rules.Version, "catalogue", "this program (%s) reads catalogues of version %d",
+		scope.ReportField(rules.Version, "catalogue", "this program (%s) reads catalogues of version %d",
 			config.Program, Version)
 		return // the other fields may mean something else in that version
 	}
-	scope.Take("catalogue")
-	scope.Texts("include")
+	scope.MarkKnown("catalogue")
+	scope.Strings("include")
 	if fleet := scope.Get("fleet", tomldoc.Table); fleet != nil {
 		if old := j.root.Fields["fleet"]; old != nil {
 			j.reportDuplicate(rules.DoubleField, fleet, "fleet", old)
@@ -45,16 +45,16 @@
 		}
 	}
 	for _, section := range sections {
-		j.joinSection(scope.Sub(section), section)
+		j.joinSection(scope.Table(section), section)
 	}
-	scope.Done()
+	scope.ReportUnknown()
 }
 
 // joinSection adds the tables of one section of a file. Only an environment may be described in
 // several files.
 func (j *joiner) joinSection(scope tomldoc.Scope, section string) {
 	into := j.root.Fields[section]
-	for _, name := range scope.V.Keys {
+	for _, name := range scope.Value.Keys {
 		table := scope.Get(name, tomldoc.Table)
 		old := into.Fields[name]
 		switch {
@@ -62,11 +62,11 @@
 		case old == nil:
 			into.Set(name, table)
 		case section == "environments":
-			j.merge(old, table, scope.Name(name))
+			j.merge(old, table, scope.FieldPath(name))
 		case section == "services":
-			j.reportDuplicate(rules.OwnerTwice, table, scope.Name(name), old)
+			j.reportDuplicate(rules.OwnerTwice, table, scope.FieldPath(name), old)
 		default:
-			j.reportDuplicate(rules.AppTwice, table, scope.Name(name), old)
+			j.reportDuplicate(rules.AppTwice, table, scope.FieldPath(name), old)
 		}
 	}
 }
@@ -75,9 +75,9 @@
 func (j *joiner) reportDuplicate(rule rules.ID, value *tomldoc.Value, path string, old *tomldoc.Value) {
 	owner := ""
 	if team := old.Fields["team"]; rule == rules.OwnerTwice && team != nil {
-		owner = fmt.Sprintf("; team %s owns it there", team.Say())
+		owner = fmt.Sprintf("; team %s owns it there", team.Describe())
 	}
-	j.Faults = append(j.Faults, tomldoc.Diagnostic{
+	j.Diagnostics = append(j.Diagnostics, tomldoc.Diagnostic{
 		Place: value.Place, Rule: rule, Field: path, Expect: "stands elsewhere too" + owner, See: old.Place,
 	})
 }
--- a/internal/catalogue/model.go
+++ b/internal/catalogue/model.go
@@ -134,15 +134,15 @@
 func readModel(reader *tomldoc.Reader, root *tomldoc.Value) *model {
 	m := &model{reader: reader, services: map[string]*service{}}
 	scope := tomldoc.NewScope(reader, root)
-	fleet := scope.Sub("fleet")
-	m.retryFactor = fleet.Number("retry_factor", DefaultRetryFactor, 1, 100)
-	fleet.Done()
-	names, scopes := scope.Each("services")
+	fleet := scope.Table("fleet")
+	m.retryFactor = fleet.Float("retry_factor", DefaultRetryFactor, 1, 100)
+	fleet.ReportUnknown()
+	names, scopes := scope.Tables("services")
 	for i, table := range scopes {
 		m.services[names[i]] = m.readService(table, names[i])
 	}
 	m.serviceNames = sortedKeys(m.services)
-	names, scopes = scope.Each("applications")
+	names, scopes = scope.Tables("applications")
 	for i, table := range scopes {
 		m.applications = append(m.applications, m.readApplication(table, names[i]))
 	}
@@ -164,7 +164,7 @@
 
 // report adds a diagnostic.
 func (m *model) report(d tomldoc.Diagnostic) {
-	m.reader.Faults = append(m.reader.Faults, d)
+	m.reader.Diagnostics = append(m.reader.Diagnostics, d)
 }
 
 // sortedKeys returns the keys of a map in order.
--- a/internal/catalogue/overlay.go
+++ b/internal/catalogue/overlay.go
@@ -27,7 +27,7 @@
 	}
 	environment := c.environments.Fields[name]
 	if environment == nil {
-		reader.Faults = append(reader.Faults, c.unknownEnvironment(name))
+		reader.Diagnostics = append(reader.Diagnostics, c.unknownEnvironment(name))
 		return nil, false
 	}
 	o := overlayer{Reader: reader, environment: name}
@@ -42,7 +42,7 @@
 		case (section == "services" || section == "applications") && table.Kind == tomldoc.Table:
 			o.merge(root.Fields[section], table, []string{section})
 		default:
-			reader.Fault(table, rules.UnknownField, "environments."+name+"."+section, "",
+			reader.ReportAt(table, rules.UnknownField, "environments."+name+"."+section, "",
 				"unknown field; known here: applications, fleet, services")
 		}
 	}
@@ -95,7 +95,7 @@
 	parents, key := path[:len(path)-1], path[len(path)-1]
 	field := "environments." + o.environment + "." + strings.Join(path, ".")
 	if slices.Contains(parents, "classes") && slices.Contains(retrySafetyFields, key) {
-		o.Fault(value, rules.OverlayRepeat, field, "", "the catalogue's own expected")
+		o.ReportAt(value, rules.OverlayRepeat, field, "", "the catalogue's own expected")
 		return false
 	}
 	if into.Fields[key] == nil && slices.Contains(declaredTables, parents[len(parents)-1]) {
@@ -103,7 +103,7 @@
 		if near := tomldoc.Nearest(key, sortedKeys(into.Fields)); near != "" {
 			expect += "; " + near + " meant?"
 		}
-		o.Fault(value, rules.OverlayNothing, field, "", expect)
+		o.ReportAt(value, rules.OverlayNothing, field, "", expect)
 		return false
 	}
 	return true
--- a/internal/catalogue/plan.go
+++ b/internal/catalogue/plan.go
@@ -31,7 +31,7 @@
 	reader := &tomldoc.Reader{}
 	root, ok := c.overlay(environment, reader)
 	if !ok {
-		return nil, reader.Faults
+		return nil, reader.Diagnostics
 	}
 	m := readModel(reader, root)
 	plan := &Plan{Environment: environment, RetryFactor: m.retryFactor}
@@ -54,10 +54,10 @@
 			continue
 		}
 		s := m.services[name]
-		reader.Fault(s.table, rules.Unused, "services."+name, "", "an application that calls it expected")
+		reader.ReportAt(s.table, rules.Unused, "services."+name, "", "an application that calls it expected")
 		plan.Uncalled = append(plan.Uncalled, m.uncalledOutput(s, c.Digest, environment))
 	}
-	return plan, reader.Faults
+	return plan, reader.Diagnostics
 }
 
 // uncalledOutput returns a file in which a service that no application calls can be checked. Its
--- a/internal/catalogue/read_application.go
+++ b/internal/catalogue/read_application.go
@@ -12,17 +12,17 @@
 // readApplication decodes an application.
 func (m *model) readApplication(scope tomldoc.Scope, name string) *application {
 	config.CheckName(scope, "", name)
-	served := scope.Texts("serves")
-	instances := scope.Whole("instances", 1, 1, 100_000)
-	a := &application{name: name, table: scope.V, instances: int(instances)}
-	scope.Take("team", "host", "zone")
+	served := scope.Strings("serves")
+	instances := scope.Int("instances", 1, 1, 100_000)
+	a := &application{name: name, table: scope.Value, instances: int(instances)}
+	scope.MarkKnown("team", "host", "zone")
 	scope.Get("process", tomldoc.Table)
 	scope.Get("distribution", tomldoc.Table)
 	scope.Get("listeners", tomldoc.Array)
 	for _, service := range served {
 		m.findService(scope, "serves", service)
 	}
-	names, scopes := scope.Each("calls")
+	names, scopes := scope.Tables("calls")
 	for i, table := range scopes {
 		if c := m.readCall(table, names[i]); c != nil {
 			a.calls = append(a.calls, c)
@@ -30,9 +30,9 @@
 	}
 	slices.SortFunc(a.calls, func(a, b *call) int { return strings.Compare(a.service.name, b.service.name) })
 	if len(names) == 0 {
-		scope.Bad(rules.Missing, "calls", "one service that it calls at least expected")
+		scope.ReportField(rules.Missing, "calls", "one service that it calls at least expected")
 	}
-	scope.Done()
+	scope.ReportUnknown()
 	return a
 }
 
@@ -40,8 +40,8 @@
 func (m *model) findService(scope tomldoc.Scope, field, name string) *service {
 	s := m.services[name]
 	if s == nil {
-		expect := tomldoc.Guess("one of the services of the catalogue expected", name, m.serviceNames)
-		scope.Bad(rules.UnknownService, field, "%s, found %q", expect, tomldoc.Clip(name))
+		expect := tomldoc.WithNearest("one of the services of the catalogue expected", name, m.serviceNames)
+		scope.ReportField(rules.UnknownService, field, "%s, found %q", expect, tomldoc.Clip(name))
 	}
 	return s
 }
@@ -49,18 +49,18 @@
 // readCall decodes an application's call of a service; nil if there is no such service.
 func (m *model) readCall(scope tomldoc.Scope, name string) *call {
 	s := m.findService(scope, "", name)
-	c := &call{service: s, table: scope.V, tenants: scope.Texts("tenants")}
-	scope.Take(callFields...)
-	scope.Take("share", "time_limit", "zone", "for")
+	c := &call{service: s, table: scope.Value, tenants: scope.Strings("tenants")}
+	scope.MarkKnown(callFields...)
+	scope.MarkKnown("share", "time_limit", "zone", "for")
 	scope.Get("retry_budget", tomldoc.Table)
 	scope.Get("split", tomldoc.Array)
-	names, scopes := scope.Each("classes")
+	names, scopes := scope.Tables("classes")
 	for i, table := range scopes {
 		if called := m.readCalledClass(table, s, names[i]); called != nil {
 			c.classes = append(c.classes, called)
 		}
 	}
-	scope.Done()
+	scope.ReportUnknown()
 	if s == nil {
 		return nil
 	}
@@ -72,8 +72,8 @@
 	slices.SortFunc(c.classes, func(a, b *calledClass) int { return strings.Compare(a.name, b.name) })
 	for _, tenant := range c.tenants {
 		if s.tenants[tenant] == nil {
-			expect := tomldoc.Guess("no tenant of "+name+" is named so", tenant, sortedKeys(s.tenants))
-			scope.Bad(rules.UnknownTenant, "tenants", "%s, found %q", expect, tomldoc.Clip(tenant))
+			expect := tomldoc.WithNearest("no tenant of "+name+" is named so", tenant, sortedKeys(s.tenants))
+			scope.ReportField(rules.UnknownTenant, "tenants", "%s, found %q", expect, tomldoc.Clip(tenant))
 		}
 	}
 	checkBounds(scope, s)
@@ -83,11 +83,11 @@
 // readCalledClass decodes a call's own table of a class; nil if the service, which may itself be
 // nil, has no such class.
 func (m *model) readCalledClass(scope tomldoc.Scope, s *service, name string) *calledClass {
-	scope.Take(narrowableFields...)
-	scope.Take(repeatableFields...)
-	scope.Take("time_limit", "for", "mirror")
+	scope.MarkKnown(narrowableFields...)
+	scope.MarkKnown(repeatableFields...)
+	scope.MarkKnown("time_limit", "for", "mirror")
 	readMatches(scope)
-	scope.Done()
+	scope.ReportUnknown()
 	if s == nil {
 		return nil
 	}
@@ -97,7 +97,7 @@
 		return nil
 	}
 	m.compareClass(scope, s, name, class)
-	return &calledClass{name: name, class: class, table: scope.V}
+	return &calledClass{name: name, class: class, table: scope.Value}
 }
 
 // reportUnknownClass reports a class that the service does not have, with its new name if it has
@@ -107,12 +107,12 @@
 		former := s.classes[current].table.Fields["formerly"]
 		if former != nil && slices.ContainsFunc(former.Items, func(v *tomldoc.Value) bool { return v.Text == name }) {
 			m.report(tomldoc.Diagnostic{
-				Place: scope.V.Place, Rule: rules.ClassRenamed, Field: scope.Path,
+				Place: scope.Value.Place, Rule: rules.ClassRenamed, Field: scope.Path,
 				Expect: current + " expected: that is its name now", See: former.Place,
 			})
 			return
 		}
 	}
-	expect := tomldoc.Guess("one of the classes of "+s.name+" expected", name, s.classNames)
-	scope.Fault(scope.V, rules.UnknownClass, scope.Path, "", expect)
+	expect := tomldoc.WithNearest("one of the classes of "+s.name+" expected", name, s.classNames)
+	scope.ReportAt(scope.Value, rules.UnknownClass, scope.Path, "", expect)
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -12,15 +12,15 @@
 // check checks a file that has been decoded as a whole: its limits, and whether its parts agree.
 func (dec *decoder) check(root tomldoc.Scope) {
 	if _, err := dec.app.Descriptors(); err != nil {
-		root.Sub("process").Bad(rules.Sockets, "sockets", "%v", err)
+		root.Table("process").ReportField(rules.Sockets, "sockets", "%v", err)
 	}
 	if _, err := dec.app.Memory(); err != nil {
-		root.Sub("process").Bad(rules.Memory, "memory_mb", "%v", err)
+		root.Table("process").ReportField(rules.Memory, "memory_mb", "%v", err)
 	}
 	for i := range dec.app.Routes {
 		r := &dec.app.Routes[i]
 		scope := tomldoc.Scope{
-			Reader: root.Reader, V: root.V.Fields["routes"].Items[i], Path: fmt.Sprintf("routes[%d]", i+1),
+			Reader: root.Reader, Value: root.Value.Fields["routes"].Items[i], Path: fmt.Sprintf("routes[%d]", i+1),
 		}
 		for _, target := range r.To {
 			dec.checkWindow(scope, r, target)
@@ -36,7 +36,7 @@
 		return
 	}
 	if deadline := dec.app.Deadline(r, target); deadline > policy.DedupWindow {
-		scope.Bad(rules.KeyedWindow, "timeout", "its requests may take %v, class %s of %s is recalled for %v",
+		scope.ReportField(rules.KeyedWindow, "timeout", "its requests may take %v, class %s of %s is recalled for %v",
 			deadline, target.Class, target.Service, policy.DedupWindow)
 	}
 }
@@ -71,6 +71,6 @@
 
 // warnUnused warns of what is at a path.
 func (dec *decoder) warnUnused(root tomldoc.Scope, path ...string) {
-	at, _ := root.V.At(path...)
-	root.Fault(at, rules.Unused, strings.Join(path, "."), "", "a route to it expected")
+	at, _ := root.Value.Lookup(path...)
+	root.ReportAt(at, rules.Unused, strings.Join(path, "."), "", "a route to it expected")
 }
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -27,17 +27,17 @@
 func (d *Document) decode() {
 	reader := &tomldoc.Reader{}
 	root := tomldoc.NewScope(reader, d.root)
-	defer func() { d.Diagnostics = append(d.Diagnostics, reader.Faults...) }()
+	defer func() { d.Diagnostics = append(d.Diagnostics, reader.Diagnostics...) }()
 	if isNewer := d.decodeVersion(root); isNewer {
 		return // what else it says may mean something else there
 	}
-	root.Take("version")
+	root.MarkKnown("version")
 	if d.Version == 1 {
-		reader.Later = map[string]int{}
+		reader.LaterFields = map[string]int{}
 		for _, field := range version2Fields {
-			reader.Later[field] = 2
+			reader.LaterFields[field] = 2
 		}
-		root.Bad(rules.OldVersion, "version", "version %d is the newest", Version)
+		root.ReportField(rules.OldVersion, "version", "version %d is the newest", Version)
 	}
 	dec := decoder{Reader: reader, app: &App{Version: max(1, d.Version)}, version: d.Version}
 	if d.Version == 0 {
@@ -45,7 +45,7 @@
 	}
 	dec.decode(root)
 	d.App = dec.app
-	if len(d.rejecting(reader.Faults)) == 0 {
+	if len(d.rejecting(reader.Diagnostics)) == 0 {
 		dec.check(root)
 	}
 }
@@ -55,18 +55,19 @@
 func (d *Document) decodeVersion(root tomldoc.Scope) (isNewer bool) {
 	v := d.root.Fields["version"]
 	if v == nil {
-		root.Bad(rules.Version, "version", "version = %d expected", Version)
+		root.ReportField(rules.Version, "version", "version = %d expected", Version)
 		return false
 	}
 	if v.Kind != tomldoc.Integer {
-		root.Whole("version", 0, 1, Version) // which reports the kind
+		root.Int("version", 0, 1, Version) // which reports the kind
 		return false
 	}
 	n, err := parseInteger(v)
 	if err != nil || n < 1 {
-		root.Bad(rules.Version, "version", "1 to %d expected", Version)
+		root.ReportField(rules.Version, "version", "1 to %d expected", Version)
 	} else if n > Version {
-		root.Bad(rules.Version, "version", "this program (%s) reads versions 1 to %d; the file is of version %d",
+		root.ReportField(rules.Version, "version",
+			"this program (%s) reads versions 1 to %d; the file is of version %d",
 			Program, Version, n)
 		return true
 	}
@@ -87,5 +88,5 @@
 	dec.listeners(root)
 	dec.services(root)
 	dec.routes(root)
-	root.Done()
+	root.ReportUnknown()
 }
--- a/internal/config/decode_class.go
+++ b/internal/config/decode_class.go
@@ -24,38 +24,39 @@
 
 // classes decodes the classes of a service.
 func (dec *decoder) classes(scope tomldoc.Scope, s *Service) {
-	names, scopes := scope.Each("classes")
+	names, scopes := scope.Tables("classes")
 	formerNames := map[string]bool{}
 	for i, classScope := range scopes {
 		CheckName(classScope, "", names[i])
 		class, policy := dec.class(classScope)
 		for _, former := range policy.FormerNames {
 			if formerNames[former] || slices.Contains(names, former) {
-				classScope.Bad(rules.DoubleName, "formerly", "%q is a name of another class too", tomldoc.Clip(former))
+				classScope.ReportField(rules.DoubleName, "formerly",
+					"%q is a name of another class too", tomldoc.Clip(former))
 			}
 			formerNames[former] = true
 		}
-		classScope.Done()
+		classScope.ReportUnknown()
 		s.Classes = append(s.Classes, names[i])
 		s.ClassPolicies = append(s.ClassPolicies, policy)
 		s.Balancer.Classes = append(s.Balancer.Classes, class)
 	}
 	if len(names) == 0 {
-		scope.Bad(rules.Missing, "classes", "one class at least expected")
+		scope.ReportField(rules.Missing, "classes", "one class at least expected")
 	}
 }
 
 // class decodes one class: what the module is configured with, and its owner's policy.
 func (dec *decoder) class(scope tomldoc.Scope) (logic.Class, ClassPolicy) {
 	class := logic.Class{
-		LatencyObjective:   scope.Span("objective", 500*time.Millisecond, minTime, MaxDeadline).Microseconds(),
-		Deadline:           scope.Span("deadline", 2*time.Second, minTime, MaxDeadline).Microseconds(),
-		PriorityWeight:     scope.Number("worth", 1, 0, 1e9),
-		LatePriorityFactor: scope.Number("late_worth", 0.5, 0, 1),
-		Ordered:            scope.Flag("in_order"),
+		LatencyObjective:   scope.Duration("objective", 500*time.Millisecond, minTime, MaxDeadline).Microseconds(),
+		Deadline:           scope.Duration("deadline", 2*time.Second, minTime, MaxDeadline).Microseconds(),
+		PriorityWeight:     scope.Float("worth", 1, 0, 1e9),
+		LatePriorityFactor: scope.Float("late_worth", 0.5, 0, 1),
+		Ordered:            scope.Bool("in_order"),
 	}
 	if class.LatencyObjective > class.Deadline {
-		scope.Bad(rules.Objective, "objective", "the deadline (%v) expected at most", deadlineOf(class))
+		scope.ReportField(rules.Objective, "objective", "the deadline (%v) expected at most", deadlineOf(class))
 	}
 	policy := dec.policy(scope)
 	class.Idempotency, class.DedupScope = policy.Idempotency, policy.DedupScope
@@ -78,7 +79,7 @@
 	}
 	dec.key(scope, &policy)
 	dec.allowances(scope, &policy)
-	policy.FormerNames = scope.Texts("formerly")
+	policy.FormerNames = scope.Strings("formerly")
 	for _, former := range policy.FormerNames {
 		CheckName(scope, "formerly", former)
 	}
@@ -88,13 +89,13 @@
 // idempotency decodes whether a class is idempotent, and with it the default allowances.
 func (dec *decoder) idempotency(scope tomldoc.Scope) ClassPolicy {
 	if !scope.Has("repeat") {
-		scope.Bad(rules.Missing, "repeat",
+		scope.ReportField(rules.Missing, "repeat",
 			`"safe", "keyed" or "unsafe" expected: it decides what may be sent again, so there is no default`)
 	}
-	switch scope.Word("repeat", "safe", "safe", "keyed", "unsafe") {
+	switch scope.OneOf("repeat", "safe", "safe", "keyed", "unsafe") {
 	case "keyed":
 		if !scope.Has("dedup_window") {
-			scope.Bad(rules.Missing, "dedup_window",
+			scope.ReportField(rules.Missing, "dedup_window",
 				"how long its servers recall a key is expected of a keyed class")
 		}
 		return ClassPolicy{Idempotency: logic.IdempotentByKey, Resend: InScope}
@@ -107,8 +108,8 @@
 
 // deduplication decodes which backends drop the duplicates of a keyed class, and for how long.
 func (dec *decoder) deduplication(scope tomldoc.Scope, policy *ClassPolicy) {
-	policy.DedupWindow = scope.Span("dedup_window", 0, 0, time.Hour)
-	switch scope.Word("dedup_scope", "cell", "cell", "zone", "service") {
+	policy.DedupWindow = scope.Duration("dedup_window", 0, 0, time.Hour)
+	switch scope.OneOf("dedup_scope", "cell", "cell", "zone", "service") {
 	case "zone":
 		policy.DedupScope = logic.DedupZone
 	case "cell":
@@ -120,7 +121,7 @@
 	policy.DedupScope, policy.DedupWindow = logic.DedupTier, 0
 	for _, field := range []string{"dedup_window", "dedup_scope", "key"} {
 		if scope.Has(field) && (field != "key" || dec.version >= 2) {
-			scope.Bad(rules.KeyedFields, field, "only keyed classes are deduplicated")
+			scope.ReportField(rules.KeyedFields, field, "only keyed classes are deduplicated")
 		}
 	}
 }
@@ -134,37 +135,37 @@
 	policy.Key = key
 	switch {
 	case !scope.Has("key"):
-		scope.Bad(rules.KeyedKey, "key", "the field that carries the key is expected of a keyed class")
+		scope.ReportField(rules.KeyedKey, "key", "the field that carries the key is expected of a keyed class")
 	case !route.IsToken(key):
-		scope.Bad(rules.KeyedKey, "key", "the name of a field expected")
+		scope.ReportField(rules.KeyedKey, "key", "the name of a field expected")
 	case slices.Contains(notKeys, key):
-		scope.Bad(rules.KeyedKey, "key",
+		scope.ReportField(rules.KeyedKey, "key",
 			"a field that is the client's own expected: %s is made or changed on the way", key)
 	}
 }
 
 // allowances decodes what a class is allowed or denied beside what follows from its idempotency.
 func (dec *decoder) allowances(scope tomldoc.Scope, policy *ClassPolicy) {
-	word := scope.Word("resend", policy.Resend.String(), "never", "scope", "any")
+	word := scope.OneOf("resend", policy.Resend.String(), "never", "scope", "any")
 	resend := map[string]Resend{"never": Never, "scope": InScope, "any": Any}[word]
 	switch {
 	case policy.Idempotency == logic.NonIdempotent && resend != Never:
-		scope.Bad(rules.UnsafeResend, "resend", `"never" expected of an unsafe class`)
+		scope.ReportField(rules.UnsafeResend, "resend", `"never" expected of an unsafe class`)
 	case policy.Idempotency == logic.IdempotentByKey && resend == Any:
-		scope.Bad(rules.KeyedScope, "resend", `"scope" or "never" expected of a keyed class`)
+		scope.ReportField(rules.KeyedScope, "resend", `"scope" or "never" expected of a keyed class`)
 	case policy.Idempotency == logic.Idempotent && resend == InScope:
-		scope.Bad(rules.KeyedFields, "resend", `"any" or "never" expected of a safe class: it has no scope`)
+		scope.ReportField(rules.KeyedFields, "resend", `"any" or "never" expected of a safe class: it has no scope`)
 	default:
 		policy.Resend = resend
 	}
-	if scope.Flag("hedge") {
-		scope.Bad(rules.Hedge, "hedge", "one attempt at a time expected")
+	if scope.Bool("hedge") {
+		scope.ReportField(rules.Hedge, "hedge", "one attempt at a time expected")
 	}
 	if scope.Has("early_data") {
-		policy.EarlyData = scope.Flag("early_data")
+		policy.EarlyData = scope.Bool("early_data")
 		if policy.EarlyData && policy.Idempotency != logic.Idempotent {
-			scope.Bad(rules.UnsafeEarly, "early_data", "false expected of a class that is not safe")
+			scope.ReportField(rules.UnsafeEarly, "early_data", "false expected of a class that is not safe")
 		}
 	}
-	scope.Take("early_data", "hedge")
+	scope.MarkKnown("early_data", "hedge")
 }
--- a/internal/config/decode_distribution.go
+++ b/internal/config/decode_distribution.go
@@ -16,20 +16,20 @@
 	if dec.version < 2 {
 		return
 	}
-	scope := root.Sub("distribution")
+	scope := root.Table("distribution")
 	distribution := &dec.app.Distribution
 	distribution.Name = optionalName(scope, "name")
 	distribution.Configuration = optionalName(scope, "configuration")
-	distribution.Relays = scope.Texts("relays")
+	distribution.Relays = scope.Strings("relays")
 	switch n := len(distribution.Relays); {
 	case root.Has("distribution") && n == 0:
-		scope.Bad(rules.Missing, "relays", "the address of one relay at least expected")
+		scope.ReportField(rules.Missing, "relays", "the address of one relay at least expected")
 	case n > MaxRelays:
-		scope.Bad(rules.TooMany, "relays", "%d relays, %d expected at most", n, MaxRelays)
+		scope.ReportField(rules.TooMany, "relays", "%d relays, %d expected at most", n, MaxRelays)
 	default:
 		checkRelays(scope)
 	}
-	scope.Done()
+	scope.ReportUnknown()
 }
 
 // checkRelays checks the addresses of relays one by one.
@@ -40,12 +40,12 @@
 	}
 	seen := map[string]bool{}
 	for i, item := range v.Items {
-		path := fmt.Sprintf("%s[%d]", scope.Name("relays"), i+1)
+		path := fmt.Sprintf("%s[%d]", scope.FieldPath("relays"), i+1)
 		if expect := expectedAddress(item.Text, false); item.Kind == tomldoc.String && expect != "" {
-			scope.Fault(item, rules.Address, path, item.Say(), expect)
+			scope.ReportAt(item, rules.Address, path, item.Describe(), expect)
 		}
 		if seen[item.Text] {
-			scope.Fault(item, rules.DoubleName, path, item.Say(), "another relay has this address")
+			scope.ReportAt(item, rules.DoubleName, path, item.Describe(), "another relay has this address")
 		}
 		seen[item.Text] = true
 	}
--- a/internal/config/decode_identity.go
+++ b/internal/config/decode_identity.go
@@ -18,20 +18,20 @@
 func (dec *decoder) identity(root tomldoc.Scope) {
 	app := dec.app
 	app.Name = root.Text("name", "")
-	app.Seed = uint64(root.Whole("seed", 0, 0, 1<<62))
+	app.Seed = uint64(root.Int("seed", 0, 0, 1<<62))
 	if dec.version < 2 {
 		return
 	}
 	if root.Has("name") {
 		CheckName(root, "name", app.Name)
 	} else {
-		root.Bad(rules.Missing, "name", "the application's name expected")
+		root.ReportField(rules.Missing, "name", "the application's name expected")
 	}
 	app.Team = optionalName(root, "team")
 	app.Host = optionalName(root, "host")
-	app.Serves = root.Texts("serves")
+	app.Serves = root.Strings("serves")
 	if len(app.Serves) > maxServes {
-		root.Bad(rules.TooMany, "serves", "%d services, %d expected at most", len(app.Serves), maxServes)
+		root.ReportField(rules.TooMany, "serves", "%d services, %d expected at most", len(app.Serves), maxServes)
 	}
 	for _, name := range app.Serves {
 		CheckName(root, "serves", name)
@@ -41,7 +41,7 @@
 
 // head decodes what a generator has written about the file.
 func (dec *decoder) head(root tomldoc.Scope) {
-	scope := root.Sub("generated")
+	scope := root.Table("generated")
 	dec.app.Head = Head{
 		GeneratedBy: scope.Text("by", ""), Requires: scope.Text("requires", ""),
 		Sources: scope.Text("sources", ""), Environment: scope.Text("environment", ""),
@@ -49,7 +49,7 @@
 	if scope.Has("requires") {
 		dec.checkRequires(scope)
 	}
-	scope.Done()
+	scope.ReportUnknown()
 }
 
 // checkRequires reports a file that asks for a newer program.
@@ -57,9 +57,9 @@
 	want := dec.app.Head.Requires
 	isNewer, err := IsNewer(want, Program)
 	if err != nil {
-		scope.Bad(rules.Version, "requires", "a version such as %q expected", Program)
+		scope.ReportField(rules.Version, "requires", "a version such as %q expected", Program)
 	} else if isNewer {
-		scope.Bad(rules.Version, "requires", "this program is of version %s; the file asks for %s",
+		scope.ReportField(rules.Version, "requires", "this program is of version %s; the file asks for %s",
 			Program, tomldoc.Clip(want))
 	}
 }
@@ -72,14 +72,14 @@
 	if IsName(name) {
 		return
 	}
-	at, path := scope.V, scope.Path
+	at, path := scope.Value, scope.Path
 	if field != "" {
-		path = scope.Name(field)
-		if v := scope.V.Fields[field]; v != nil {
+		path = scope.FieldPath(field)
+		if v := scope.Value.Fields[field]; v != nil {
 			at = v
 		}
 	}
-	scope.Fault(at, rules.Name, path, strconv.Quote(tomldoc.Clip(name)),
+	scope.ReportAt(at, rules.Name, path, strconv.Quote(tomldoc.Clip(name)),
 		fmt.Sprintf("a name of 1 to %d letters, digits and signs expected", maxNameBytes))
 }
 
--- a/internal/config/decode_listener.go
+++ b/internal/config/decode_listener.go
@@ -12,23 +12,24 @@
 // listeners decodes where clients connect.
 func (dec *decoder) listeners(root tomldoc.Scope) {
 	seen := map[string]bool{}
-	for _, scope := range root.List("listeners") {
+	for _, scope := range root.TableArray("listeners") {
 		l := Listener{Name: scope.Text("name", "main"), Address: address(scope, "address", true)}
 		CheckName(scope, "name", l.Name)
-		scope.Done()
+		scope.ReportUnknown()
 		if seen[l.Name] {
-			scope.Bad(rules.DoubleName, "name", "another listener has this name")
+			scope.ReportField(rules.DoubleName, "name", "another listener has this name")
 		}
 		seen[l.Name] = true
 		for i, other := range dec.app.Listeners {
 			if AddressesClash(other.Address, l.Address) {
-				scope.Bad(rules.ListenerClash, "address", "listener %s of number %d has this address", other.Name, i+1)
+				scope.ReportField(rules.ListenerClash, "address",
+					"listener %s of number %d has this address", other.Name, i+1)
 			}
 		}
 		dec.app.Listeners = append(dec.app.Listeners, l)
 	}
 	if !root.Has("listeners") {
-		root.Bad(rules.Missing, "listeners", "one listener at least expected")
+		root.ReportField(rules.Missing, "listeners", "one listener at least expected")
 	}
 }
 
@@ -57,7 +58,7 @@
 func address(scope tomldoc.Scope, field string, isListener bool) string {
 	addr := scope.Text(field, "")
 	if expect := expectedAddress(addr, isListener); expect != "" {
-		scope.Bad(rules.Address, field, "%s", expect)
+		scope.ReportField(rules.Address, field, "%s", expect)
 	}
 	return addr
 }
--- a/internal/config/decode_process.go
+++ b/internal/config/decode_process.go
@@ -15,19 +15,19 @@
 
 // process decodes what the process may use, and the directory that outlives it.
 func (dec *decoder) process(root tomldoc.Scope) {
-	app, scope := dec.app, root.Sub("process")
+	app, scope := dec.app, root.Table("process")
 	app.Process = Process{
-		Cores:    scope.Number("cores", 0, 0, 1024),
-		MemoryMB: scope.Number("memory_mb", 0, 0, 1<<20),
-		Sockets:  int(scope.Whole("sockets", defaultSockets, 1, 1<<24)),
+		Cores:    scope.Float("cores", 0, 0, 1024),
+		MemoryMB: scope.Float("memory_mb", 0, 0, 1<<20),
+		Sockets:  int(scope.Int("sockets", defaultSockets, 1, 1<<24)),
 	}
 	app.StateDir = scope.Text("state_dir", "")
 	if scope.Has("state_dir") && app.StateDir == "" {
-		scope.Bad(rules.Missing, "state_dir", "a folder expected")
+		scope.ReportField(rules.Missing, "state_dir", "a folder expected")
 	}
-	app.ListAge = scope.Span("list_age", defaultListAge, 0, maxListAge)
+	app.ListAge = scope.Duration("list_age", defaultListAge, 0, maxListAge)
 	if scope.Has("list_age") && app.StateDir == "" {
-		scope.Bad(rules.Missing, "list_age", "state_dir, the folder that lists are kept in, expected beside it")
+		scope.ReportField(rules.Missing, "list_age", "state_dir, the folder that lists are kept in, expected beside it")
 	}
-	scope.Done()
+	scope.ReportUnknown()
 }
--- a/internal/config/decode_route.go
+++ b/internal/config/decode_route.go
@@ -16,10 +16,10 @@
 func (dec *decoder) routes(root tomldoc.Scope) {
 	var scopes []tomldoc.Scope
 	names := map[string]bool{}
-	for _, scope := range root.List("routes") {
+	for _, scope := range root.TableArray("routes") {
 		r := dec.route(scope)
 		if names[r.Name] {
-			scope.Bad(rules.DoubleName, "name", "another route has this name")
+			scope.ReportField(rules.DoubleName, "name", "another route has this name")
 		}
 		names[r.Name] = true
 		dec.app.Routes = append(dec.app.Routes, r)
@@ -27,9 +27,9 @@
 	}
 	switch {
 	case !root.Has("routes"):
-		root.Bad(rules.Missing, "routes", "one route at least expected")
+		root.ReportField(rules.Missing, "routes", "one route at least expected")
 	case len(scopes) > MaxRoutes:
-		root.Bad(rules.TooMany, "routes", "%d routes, %d expected at most", len(scopes), MaxRoutes)
+		root.ReportField(rules.TooMany, "routes", "%d routes, %d expected at most", len(scopes), MaxRoutes)
 		return
 	}
 	for _, l := range dec.app.Listeners {
@@ -40,13 +40,13 @@
 // route decodes one route.
 func (dec *decoder) route(scope tomldoc.Scope) Route {
 	r := Route{
-		Name: scope.Text("name", ""), Listeners: scope.Texts("listeners"), Rewrite: scope.Text("rewrite_prefix", ""),
-		Timeout: scope.Span("timeout", 0, minTime, maxRouteTimeout),
+		Name: scope.Text("name", ""), Listeners: scope.Strings("listeners"), Rewrite: scope.Text("rewrite_prefix", ""),
+		Timeout: scope.Duration("timeout", 0, minTime, maxRouteTimeout),
 	}
 	CheckName(scope, "name", r.Name)
 	for _, name := range r.Listeners {
 		if !slices.ContainsFunc(dec.app.Listeners, func(l Listener) bool { return l.Name == name }) {
-			scope.Bad(rules.UnknownListener, "listeners", "no listener is named %q", tomldoc.Clip(name))
+			scope.ReportField(rules.UnknownListener, "listeners", "no listener is named %q", tomldoc.Clip(name))
 		}
 	}
 	r.For = dec.causes(scope)
@@ -54,7 +54,7 @@
 	dec.checkRewrite(scope, r)
 	r.Sticky = dec.stickyField(scope)
 	dec.targets(scope, &r)
-	scope.Done()
+	scope.ReportUnknown()
 	return r
 }
 
@@ -63,11 +63,11 @@
 	if dec.version < 2 {
 		return nil
 	}
-	causes := scope.Texts("for")
+	causes := scope.Strings("for")
 	for _, cause := range causes {
 		service, class, ok := strings.Cut(cause, "/")
 		if !ok || !IsName(class) || !slices.Contains(dec.app.Serves, service) {
-			scope.Bad(rules.UnknownService, "for",
+			scope.ReportField(rules.UnknownService, "for",
 				"service/class of what the application serves expected, found %q", tomldoc.Clip(cause))
 		}
 	}
@@ -76,31 +76,31 @@
 
 // match decodes which requests a route takes.
 func (dec *decoder) match(scope tomldoc.Scope) route.Match {
-	match := route.Match{Hosts: scope.Texts("hosts"), Methods: scope.Texts("methods")}
+	match := route.Match{Hosts: scope.Strings("hosts"), Methods: scope.Strings("methods")}
 	paths := 0
 	for i, field := range []string{"prefix", "exact", "template"} {
 		if scope.Has(field) {
 			paths++
 			match.Kind, match.Path = route.PathKind(i), scope.Text(field, "")
 		} else {
-			scope.Take(field)
+			scope.MarkKnown(field)
 		}
 	}
 	if paths > 1 {
-		scope.Fault(scope.V, rules.Exclusive, scope.Path, "",
+		scope.ReportAt(scope.Value, rules.Exclusive, scope.Path, "",
 			"one of prefix, exact and template expected, not several")
 	}
-	headers := scope.Sub("headers")
-	for _, name := range headers.V.Keys {
-		v := headers.V.Fields[name]
-		headers.Take(name)
+	headers := scope.Table("headers")
+	for _, name := range headers.Value.Keys {
+		v := headers.Value.Fields[name]
+		headers.MarkKnown(name)
 		switch {
 		case v.Kind == tomldoc.String:
 			match.Headers = append(match.Headers, route.HeaderMatch{Name: name, Value: v.Text})
 		case v.Kind == tomldoc.Bool && v.Text == "true":
 			match.Headers = append(match.Headers, route.HeaderMatch{Name: name, Any: true})
 		default:
-			headers.Bad(rules.WrongType, name, "a string, or true for any value, expected")
+			headers.ReportField(rules.WrongType, name, "a string, or true for any value, expected")
 		}
 	}
 	return match
@@ -113,10 +113,10 @@
 		return
 	}
 	if canonical, err := route.CanonicalPath(r.Rewrite); err != nil || canonical != r.Rewrite {
-		scope.Bad(rules.Rewrite, "rewrite_prefix", "a path in canonical form expected")
+		scope.ReportField(rules.Rewrite, "rewrite_prefix", "a path in canonical form expected")
 	}
 	if r.Match.Kind != route.Prefix {
-		scope.Bad(rules.Rewrite, "rewrite_prefix", "goes with prefix alone")
+		scope.ReportField(rules.Rewrite, "rewrite_prefix", "goes with prefix alone")
 	}
 }
 
@@ -128,7 +128,7 @@
 	}
 	field = textproto.CanonicalMIMEHeaderKey(field)
 	if !route.IsToken(field) {
-		scope.Bad(rules.RouteMatch, "sticky_header", "the name of a field expected")
+		scope.ReportField(rules.RouteMatch, "sticky_header", "the name of a field expected")
 	}
 	return field
 }
--- a/internal/config/decode_service.go
+++ b/internal/config/decode_service.go
@@ -25,16 +25,16 @@
 
 // services decodes all services that are called.
 func (dec *decoder) services(root tomldoc.Scope) {
-	names, scopes := root.Each("services")
+	names, scopes := root.Tables("services")
 	for i, scope := range scopes {
 		dec.app.Services = append(dec.app.Services, dec.service(scope, names[i]))
 	}
-	table := root.V.Fields["services"]
+	table := root.Value.Fields["services"]
 	switch {
 	case table == nil, len(table.Keys) == 0 && table.Kind == tomldoc.Table:
-		root.Bad(rules.Missing, "services", "one service at least expected")
+		root.ReportField(rules.Missing, "services", "one service at least expected")
 	case len(names) > MaxServices:
-		root.Bad(rules.TooMany, "services", "%d services, %d expected at most", len(names), MaxServices)
+		root.ReportField(rules.TooMany, "services", "%d services, %d expected at most", len(names), MaxServices)
 	}
 }
 
@@ -42,13 +42,13 @@
 func (dec *decoder) service(scope tomldoc.Scope, name string) *Service {
 	CheckName(scope, "", name)
 	s := &Service{
-		Name: name, PassAllStatuses: true, Trusted: scope.Flag("trusted"),
-		Connections: scope.Whole("connections", 0, 1, 1<<20),
-		MaxBody:     scope.Whole("max_body", 64<<10, 0, MaxBody),
-		MaxResponse: scope.Whole("max_answer", 1<<20, 0, MaxBody),
+		Name: name, PassAllStatuses: true, Trusted: scope.Bool("trusted"),
+		Connections: scope.Int("connections", 0, 1, 1<<20),
+		MaxBody:     scope.Int("max_body", 64<<10, 0, MaxBody),
+		MaxResponse: scope.Int("max_answer", 1<<20, 0, MaxBody),
 	}
-	s.DialTimeout = scope.Span("dial_timeout", 200*time.Millisecond, minTime, MaxDeadline)
-	s.IdleClose = scope.Span("idle_close", 30*time.Second, 100*time.Millisecond, time.Hour)
+	s.DialTimeout = scope.Duration("dial_timeout", 200*time.Millisecond, minTime, MaxDeadline)
+	s.IdleClose = scope.Duration("idle_close", 30*time.Second, 100*time.Millisecond, time.Hour)
 	dec.balancer(scope, s)
 	s.SlowStartMultiple = defaultSlowStartMultiple
 	if dec.version >= 2 {
@@ -58,14 +58,14 @@
 	dec.classes(scope, s)
 	dec.tenants(scope, s)
 	dec.source(scope, s)
-	scope.Done()
+	scope.ReportUnknown()
 	return s
 }
 
 // balancer decodes where the sidecar is among those of its service, and the module's limits for the
 // service.
 func (dec *decoder) balancer(scope tomldoc.Scope, s *Service) {
-	s.Zones = scope.Texts("zones")
+	s.Zones = scope.Strings("zones")
 	zone := scope.Text("zone", "")
 	if len(s.Zones) == 0 {
 		s.Zones = []string{zone}
@@ -73,46 +73,46 @@
 	s.Balancer = logic.Settings{
 		Zones:                len(s.Zones),
 		Zone:                 slices.Index(s.Zones, zone),
-		Replicas:             int(scope.Whole("siblings", 1, 1, 1<<20)),
-		ReplicaIndex:         int(scope.Whole("ordinal", 0, 0, 1<<20)),
-		Tier:                 int(scope.Whole("tier", 0, 0, 64)),
-		MaxAttempts:          int(scope.Whole("attempts", 3, 1, 16)),
-		OrderingDelay:        scope.Span("order_settle", 0, 0, MaxDeadline).Microseconds(),
-		RejectionMayHaveRun:  scope.Flag("full_may_run"),
-		MaxRetryAfter:        scope.Span("retry_after", time.Second, 0, MaxDeadline).Microseconds(),
-		DrainGrace:           scope.Span("drain_grace", MaxDrainGrace, 0, time.Minute).Microseconds(),
-		SlowStartWindow:      scope.Span("cold", 0, 0, 10*time.Minute).Microseconds(),
-		SlowStartMinCapacity: scope.Number("start_capacity", 1, 0.01, 1),
-		WeightedEndpoints:    scope.Flag("weighted"),
+		Replicas:             int(scope.Int("siblings", 1, 1, 1<<20)),
+		ReplicaIndex:         int(scope.Int("ordinal", 0, 0, 1<<20)),
+		Tier:                 int(scope.Int("tier", 0, 0, 64)),
+		MaxAttempts:          int(scope.Int("attempts", 3, 1, 16)),
+		OrderingDelay:        scope.Duration("order_settle", 0, 0, MaxDeadline).Microseconds(),
+		RejectionMayHaveRun:  scope.Bool("full_may_run"),
+		MaxRetryAfter:        scope.Duration("retry_after", time.Second, 0, MaxDeadline).Microseconds(),
+		DrainGrace:           scope.Duration("drain_grace", MaxDrainGrace, 0, time.Minute).Microseconds(),
+		SlowStartWindow:      scope.Duration("cold", 0, 0, 10*time.Minute).Microseconds(),
+		SlowStartMinCapacity: scope.Float("start_capacity", 1, 0.01, 1),
+		WeightedEndpoints:    scope.Bool("weighted"),
 		MaxSendDelay:         s.DialTimeout.Microseconds(),
 	}
 	if s.Balancer.Zone < 0 {
-		scope.Bad(rules.UnknownZone, "zone", "one of zones expected: %s", strings.Join(s.Zones, ", "))
+		scope.ReportField(rules.UnknownZone, "zone", "one of zones expected: %s", strings.Join(s.Zones, ", "))
 	}
 	if s.Balancer.DrainGrace > MaxDrainGrace.Microseconds() {
-		scope.Bad(rules.DrainGrace, "drain_grace", "%v at most expected", MaxDrainGrace)
+		scope.ReportField(rules.DrainGrace, "drain_grace", "%v at most expected", MaxDrainGrace)
 	}
 	if s.Balancer.MaxRetryAfter == 0 {
-		scope.Bad(rules.NoHint, "retry_after", "a time to come back expected")
+		scope.ReportField(rules.NoHint, "retry_after", "a time to come back expected")
 	}
 }
 
 // serviceVersion2 decodes what version 2 adds to a service.
 func (dec *decoder) serviceVersion2(scope tomldoc.Scope, s *Service) {
 	s.Owner = optionalName(scope, "owner")
-	s.CapacityFraction = scope.Number("share", 0, 0, 1)
-	s.SlowStartMultiple = scope.Number("cold_multiple", defaultSlowStartMultiple, 0, 100)
+	s.CapacityFraction = scope.Float("share", 0, 0, 1)
+	s.SlowStartMultiple = scope.Float("cold_multiple", defaultSlowStartMultiple, 0, 100)
 	if s.SlowStartMultiple < 1 {
-		scope.Bad(rules.ColdMultiple, "cold_multiple",
+		scope.ReportField(rules.ColdMultiple, "cold_multiple",
 			"1 at least expected: sidecars may send a cold backend all that it can do")
 	}
-	codes := scope.Sub("answers")
+	codes := scope.Table("answers")
 	s.Codes = Codes{
 		Shed:    statusCode(codes, "refused", 503, 429),
 		Failed:  statusCode(codes, "failed", 502, 500),
 		Expired: statusCode(codes, "expired", 504, 502, 500),
 	}
-	codes.Done()
+	codes.ReportUnknown()
 }
 
 // retriedAtOnce are the status codes after which a client retries at once: they promise that
@@ -121,11 +121,11 @@
 
 // statusCode decodes a status code that has to be one of some; 0 where it is missing or invalid.
 func statusCode(scope tomldoc.Scope, field string, codes ...int64) int {
-	scope.Take(field)
+	scope.MarkKnown(field)
 	if !scope.Has(field) || scope.Get(field, tomldoc.Integer) == nil {
 		return 0
 	}
-	n, err := parseInteger(scope.V.Fields[field])
+	n, err := parseInteger(scope.Value.Fields[field])
 	if err == nil && slices.Contains(codes, n) {
 		return int(n)
 	}
@@ -137,38 +137,38 @@
 	for i, code := range codes {
 		words[i] = strconv.FormatInt(code, 10)
 	}
-	scope.Bad(rule, field, "one of %s expected", strings.Join(words, ", "))
+	scope.ReportField(rule, field, "one of %s expected", strings.Join(words, ", "))
 	return 0
 }
 
 // retryBudget decodes the retry budget of a service.
 func (dec *decoder) retryBudget(scope tomldoc.Scope, s *Service) {
-	budget := scope.Sub("retry_budget")
-	window := budget.Span("span", 10*time.Second, 100*time.Millisecond, 10*time.Minute)
+	budget := scope.Table("retry_budget")
+	window := budget.Duration("span", 10*time.Second, 100*time.Millisecond, 10*time.Minute)
 	s.Balancer.RetryBudgetWindow = window.Microseconds()
-	s.Balancer.RetryBudgetMin = budget.Number("free", 5, 0, 1e6)
-	s.Balancer.RetryBudgetRatio = budget.Number("share", 0.1, 0, 10)
-	budget.Done()
+	s.Balancer.RetryBudgetMin = budget.Float("free", 5, 0, 1e6)
+	s.Balancer.RetryBudgetRatio = budget.Float("share", 0.1, 0, 10)
+	budget.ReportUnknown()
 }
 
 // tenants decodes the tenants and their quotas of the service.
 func (dec *decoder) tenants(scope tomldoc.Scope, s *Service) {
-	names, scopes := scope.Each("tenants")
+	names, scopes := scope.Tables("tenants")
 	sum := 0.0
 	for i, tenantScope := range scopes {
 		CheckName(tenantScope, "", names[i])
 		s.Tenants = append(s.Tenants, names[i])
-		before := len(scope.Faults)
+		before := len(scope.Diagnostics)
 		tenant := logic.Tenant{
-			CapacityFraction: tenantScope.Number("portion", 1, 0, 1), Quota: tenantScope.Number("quota", 0, 0, 1e9),
+			CapacityFraction: tenantScope.Float("portion", 1, 0, 1), Quota: tenantScope.Float("quota", 0, 0, 1e9),
 		}
 		s.Balancer.Tenants = append(s.Balancer.Tenants, tenant)
-		if len(scope.Faults) == before {
+		if len(scope.Diagnostics) == before {
 			sum += tenant.CapacityFraction
 		}
-		tenantScope.Done()
+		tenantScope.ReportUnknown()
 	}
 	if len(names) > 1 && sum > 1+fractionSlack { // one tenant alone may have it all by default
-		scope.Bad(rules.TenantShares, "tenants", "portions of 1 together expected, not %.4g", sum)
+		scope.ReportField(rules.TenantShares, "tenants", "portions of 1 together expected, not %.4g", sum)
 	}
 }
--- a/internal/config/decode_source.go
+++ b/internal/config/decode_source.go
@@ -27,20 +27,20 @@
 
 // source decodes where the endpoint list of a service comes from.
 func (dec *decoder) source(scope tomldoc.Scope, s *Service) {
-	before := len(scope.Faults)
+	before := len(scope.Diagnostics)
 	words := memberships
 	if dec.version < 2 {
 		words = version1Memberships
 	}
-	kind := scope.Word("membership", "static", words...)
-	if len(scope.Faults) > before { // which fields go with it is not known
-		scope.Take("discovery", "endpoints", "subscribe", "path", "registered_as", "token_file", "as")
+	kind := scope.OneOf("membership", "static", words...)
+	if len(scope.Diagnostics) > before { // which fields go with it is not known
+		scope.MarkKnown("discovery", "endpoints", "subscribe", "path", "registered_as", "token_file", "as")
 		return
 	}
 	for field, with := range membershipOfField {
 		if scope.Has(field) && kind != with && dec.version >= 2 {
-			scope.Bad(rules.Exclusive, field, "goes with membership = %q", with)
-			scope.Take(field)
+			scope.ReportField(rules.Exclusive, field, "goes with membership = %q", with)
+			scope.MarkKnown(field)
 		}
 	}
 	switch kind {
@@ -52,7 +52,7 @@
 		s.Source = dec.relaySource(scope, s.Name)
 	case "catalog":
 		s.Source = catalogSource(scope)
-		if scope.Flag("subscribe") {
+		if scope.Bool("subscribe") {
 			s.Balancer.WatchEndpoints, s.Balancer.PollInterval = true, pollInterval.Microseconds()
 		}
 	default:
@@ -64,9 +64,9 @@
 func excludeFields(scope tomldoc.Scope, expect string, fields ...string) {
 	for _, field := range fields {
 		if scope.Has(field) {
-			scope.Bad(rules.Exclusive, field, "%s", expect)
+			scope.ReportField(rules.Exclusive, field, "%s", expect)
 		}
-		scope.Take(field)
+		scope.MarkKnown(field)
 	}
 }
 
@@ -74,7 +74,7 @@
 func fileSource(scope tomldoc.Scope) Source {
 	source := Source{Kind: File, Path: scope.Text("path", "")}
 	if source.Path == "" {
-		scope.Bad(rules.Missing, "path", "the file that has the list expected")
+		scope.ReportField(rules.Missing, "path", "the file that has the list expected")
 	}
 	excludeFields(scope, `does not go with membership = "file"`, "endpoints", "discovery")
 	return source
@@ -87,7 +87,7 @@
 		RemoteName: scope.Text("registered_as", service), TokenFile: scope.Text("token_file", ""),
 	}
 	if source.RemoteName == "" {
-		scope.Bad(rules.Missing, "registered_as", "the service's name in the registry expected")
+		scope.ReportField(rules.Missing, "registered_as", "the service's name in the registry expected")
 	}
 	excludeFields(scope, `does not go with membership = "consul"`, "endpoints")
 	return source
@@ -100,7 +100,7 @@
 		CheckName(scope, "as", source.RemoteName)
 	}
 	if len(dec.app.Distribution.Relays) == 0 {
-		scope.Bad(rules.Missing, "membership", "relays in [distribution] expected beside it")
+		scope.ReportField(rules.Missing, "membership", "relays in [distribution] expected beside it")
 	}
 	excludeFields(scope, `does not go with membership = "relay"`, "endpoints", "discovery")
 	return source
@@ -116,21 +116,21 @@
 // staticSource decodes a list that is in the file itself.
 func (dec *decoder) staticSource(scope tomldoc.Scope, s *Service) Source {
 	if scope.Has("discovery") {
-		scope.Bad(rules.Exclusive, "discovery", `goes with membership = "catalog"`)
-		scope.Take("discovery")
+		scope.ReportField(rules.Exclusive, "discovery", `goes with membership = "catalog"`)
+		scope.MarkKnown("discovery")
 	}
 	if !scope.Has("endpoints") {
-		scope.Bad(rules.Missing, "endpoints", `one at least expected where membership is "static"`)
+		scope.ReportField(rules.Missing, "endpoints", `one at least expected where membership is "static"`)
 	}
 	source := Source{Kind: Static}
 	seen := map[string]bool{}
-	for _, endpointScope := range scope.List("endpoints") {
+	for _, endpointScope := range scope.TableArray("endpoints") {
 		endpoint := dec.endpoint(endpointScope, s)
 		if seen[endpoint.Name] {
-			endpointScope.Bad(rules.DoubleName, "name", "another endpoint of %s has this name", scope.Path)
+			endpointScope.ReportField(rules.DoubleName, "name", "another endpoint of %s has this name", scope.Path)
 		}
 		seen[endpoint.Name] = true
-		endpointScope.Done()
+		endpointScope.ReportUnknown()
 		source.Endpoints = append(source.Endpoints, endpoint)
 	}
 	return source
@@ -141,9 +141,9 @@
 	endpoint := membership.Endpoint{
 		Name: scope.Text("name", ""), Address: address(scope, "address", false),
 		Zone: scope.Text("zone", s.Zones[max(0, s.Balancer.Zone)]),
-		Cell: int(scope.Whole("cell", 0, 0, 1<<30)), Weight: scope.Number("weight", 1, 0, 1e6),
+		Cell: int(scope.Int("cell", 0, 0, 1<<30)), Weight: scope.Float("weight", 1, 0, 1e6),
 	}
-	if scope.Word("status", "serving", "serving", "draining") == "draining" {
+	if scope.OneOf("status", "serving", "serving", "draining") == "draining" {
 		endpoint.Status = membership.Draining
 	}
 	if endpoint.Name == "" {
@@ -151,7 +151,7 @@
 	}
 	if dec.version >= 2 && !slices.Contains(s.Zones, endpoint.Zone) {
 		zones := cmp.Or(strings.Join(s.Zones, ", "), "it names none")
-		scope.Bad(rules.UnknownZone, "zone", "one of the zones of the service expected: %s", zones)
+		scope.ReportField(rules.UnknownZone, "zone", "one of the zones of the service expected: %s", zones)
 	}
 	return endpoint
 }
--- a/internal/config/decode_target.go
+++ b/internal/config/decode_target.go
@@ -17,18 +17,18 @@
 
 // targets decodes where a route leads.
 func (dec *decoder) targets(scope tomldoc.Scope, r *Route) {
-	arms := scope.List("split")
+	arms := scope.TableArray("split")
 	if len(arms) > 0 && (scope.Has("service") || scope.Has("class")) {
-		scope.Bad(rules.Exclusive, "split", "either service and class or a split expected")
+		scope.ReportField(rules.Exclusive, "split", "either service and class or a split expected")
 	}
 	if len(arms) == 0 {
 		if scope.Has("sticky_header") {
-			scope.Bad(rules.Exclusive, "sticky_header", "goes with a split")
+			scope.ReportField(rules.Exclusive, "sticky_header", "goes with a split")
 		}
 		r.To = []Target{dec.target(scope, 1)}
-		scope.Take("split")
+		scope.MarkKnown("split")
 	} else {
-		scope.Take("service", "class")
+		scope.MarkKnown("service", "class")
 		r.To = dec.split(scope, arms)
 	}
 	dec.checkTargets(scope, r)
@@ -40,16 +40,16 @@
 	var targets []Target
 	var weights []route.Arm
 	for _, arm := range arms {
-		target := dec.target(arm, int(arm.Whole("weight", 0, 0, route.MaxWeight)))
+		target := dec.target(arm, int(arm.Int("weight", 0, 0, route.MaxWeight)))
 		if !arm.Has("weight") {
-			arm.Bad(rules.Missing, "weight", "0 to %d expected", route.MaxWeight)
+			arm.ReportField(rules.Missing, "weight", "0 to %d expected", route.MaxWeight)
 		}
-		arm.Done()
+		arm.ReportUnknown()
 		targets = append(targets, target)
 		weights = append(weights, route.Arm{Name: target.Service, Weight: target.Weight})
 	}
 	if _, err := route.NewSplit("", weights); err != nil {
-		scope.Bad(rules.SplitWeights, "split", "%v", err)
+		scope.ReportField(rules.SplitWeights, "split", "%v", err)
 	}
 	return targets
 }
@@ -64,7 +64,7 @@
 		for _, other := range dec.app.Services {
 			names = append(names, other.Name)
 		}
-		scope.Bad(rules.UnknownService, "service", "%s",
+		scope.ReportField(rules.UnknownService, "service", "%s",
 			expectOneOf("one of the services expected", target.Service, names))
 		return target
 	}
@@ -83,17 +83,17 @@
 		return slices.Contains(policy.FormerNames, class)
 	})
 	if renamed >= 0 {
-		scope.Bad(rules.ClassRenamed, "class", "%s expected: that is its name now", s.Classes[renamed])
+		scope.ReportField(rules.ClassRenamed, "class", "%s expected: that is its name now", s.Classes[renamed])
 		return
 	}
-	scope.Bad(rules.UnknownClass, "class", "%s",
+	scope.ReportField(rules.UnknownClass, "class", "%s",
 		expectOneOf("one of the classes of "+s.Name+" expected", class, s.Classes))
 }
 
 // expectOneOf returns a text that is followed by the nearest of some names or, if there is none, by
 // the first of them.
 func expectOneOf(text, word string, names []string) string {
-	if guess := tomldoc.Guess(text, word, names); guess != text && word != "" {
+	if guess := tomldoc.WithNearest(text, word, names); guess != text && word != "" {
 		return guess
 	}
 	if len(names) > maxNamesListed {
@@ -127,7 +127,8 @@
 	if policy.Idempotency != logic.IdempotentByKey || len(r.To) == 1 || r.Sticky == "" || r.Sticky == policy.Key {
 		return
 	}
-	scope.Bad(rules.SplitScope, "sticky_header", "class %s of %s is keyed: one key may come with two values of %s",
+	scope.ReportField(rules.SplitScope, "sticky_header",
+		"class %s of %s is keyed: one key may come with two values of %s",
 		target.Class, target.Service, r.Sticky)
 }
 
@@ -137,7 +138,7 @@
 	_, a, _ := dec.app.class(first)
 	_, b, _ := dec.app.class(other)
 	if a.Idempotency != b.Idempotency {
-		scope.Bad(rules.SplitRepeat, "split",
+		scope.ReportField(rules.SplitRepeat, "split",
 			"its sides disagree on what may be repeated: %s of %s is %s, %s of %s is %s",
 			first.Class, first.Service, IdempotencyName(a.Idempotency),
 			other.Class, other.Service, IdempotencyName(b.Idempotency))
@@ -164,7 +165,7 @@
 		{"key", a.Key, b.Key},
 	} {
 		if field.a != field.b {
-			scope.Bad(rules.SplitScope, "split", "its sides disagree on %s: %s of %s has %v, %s of %s has %v",
+			scope.ReportField(rules.SplitScope, "split", "its sides disagree on %s: %s of %s has %v, %s of %s has %v",
 				field.name, first.Class, first.Service, field.a, other.Class, other.Service, field.b)
 		}
 	}
@@ -174,12 +175,12 @@
 // or under its latency objective.
 func checkTimeout(scope tomldoc.Scope, r *Route, target Target, class logic.Class) {
 	if deadline := deadlineOf(class); r.Timeout > deadline {
-		scope.Bad(rules.LimitDeadline, "timeout", "the deadline of class %s (%v) expected at most",
+		scope.ReportField(rules.LimitDeadline, "timeout", "the deadline of class %s (%v) expected at most",
 			target.Class, deadline)
 	}
 	objective := time.Duration(class.LatencyObjective) * time.Microsecond
 	if r.Timeout > 0 && r.Timeout < objective {
-		scope.Bad(rules.LimitObjective, "timeout", "the objective of class %s of %s (%v) expected at least",
+		scope.ReportField(rules.LimitObjective, "timeout", "the objective of class %s of %s (%v) expected at least",
 			target.Class, target.Service, objective)
 	}
 }
@@ -188,22 +189,22 @@
 // retry: a class that is not idempotent has no copies.
 func (dec *decoder) mirror(scope tomldoc.Scope, targets []Target) *Target {
 	if !scope.Has("mirror") {
-		scope.Take("mirror")
+		scope.MarkKnown("mirror")
 		return nil
 	}
-	mirrorScope := scope.Sub("mirror")
+	mirrorScope := scope.Table("mirror")
 	mirror := dec.target(mirrorScope, 0)
-	mirrorScope.Done()
+	mirrorScope.ReportUnknown()
 	for _, target := range targets {
 		if _, policy, ok := dec.app.class(target); ok && policy.Idempotency != logic.Idempotent {
-			scope.Bad(rules.Mirror, "mirror",
+			scope.ReportField(rules.Mirror, "mirror",
 				"the route's class is %s: a copy of its requests would let an effect happen twice",
 				IdempotencyName(policy.Idempotency))
 			break
 		}
 	}
 	if _, policy, ok := dec.app.class(mirror); ok && policy.Idempotency != logic.Idempotent {
-		scope.Bad(rules.Mirror, "mirror", "class %s of %s is %s: copies go to safe classes alone",
+		scope.ReportField(rules.Mirror, "mirror", "class %s of %s is %s: copies go to safe classes alone",
 			mirror.Class, mirror.Service, IdempotencyName(policy.Idempotency))
 	}
 	return &mirror
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -76,7 +76,7 @@
 	if d.root == nil {
 		return tomldoc.Place{File: d.File}, false
 	}
-	v, isSet := d.root.At(path...)
+	v, isSet := d.root.Lookup(path...)
 	return d.From(v.Place), isSet
 }
 
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -111,7 +111,7 @@
 			if s.ClassPolicies[i].Idempotency != logic.IdempotentByKey {
 				continue
 			}
-			class, _ := root.At("services", s.Name, "classes", name)
+			class, _ := root.Lookup("services", s.Name, "classes", name)
 			m.addField(class.Fields["repeat"], "key", DefaultKey)
 			m.addStep(class.Place, fmt.Sprintf("services.%s.classes.%s.key = %q", s.Name, name, DefaultKey),
 				"what version 1 took for granted stands in the file")
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -47,16 +47,16 @@
 			continue
 		}
 		for _, reason := range unjoin(ruleErr.Err) {
-			scopes[index].Fault(scopes[index].V, rules.RouteMatch, scopes[index].Path, "", reason.Error())
+			scopes[index].ReportAt(scopes[index].Value, rules.RouteMatch, scopes[index].Path, "", reason.Error())
 		}
 	}
 }
 
 // reportShadowed reports a route all of whose requests an earlier one takes, by their indexes.
 func (dec *decoder) reportShadowed(listener string, scopes []tomldoc.Scope, index, earlier int) {
-	dec.Faults = append(dec.Faults, tomldoc.Diagnostic{
-		Place: scopes[index].V.Place, Rule: rules.RouteDead, Field: scopes[index].Path,
-		Found: strconv.Quote(tomldoc.Clip(dec.app.Routes[index].Name)), See: scopes[earlier].V.Place,
+	dec.Diagnostics = append(dec.Diagnostics, tomldoc.Diagnostic{
+		Place: scopes[index].Value.Place, Rule: rules.RouteDead, Field: scopes[index].Path,
+		Found: strconv.Quote(tomldoc.Clip(dec.app.Routes[index].Name)), See: scopes[earlier].Value.Place,
 		Expect: fmt.Sprintf("it can't be reached at listener %s: %q takes all its requests before",
 			listener, tomldoc.Clip(dec.app.Routes[earlier].Name)),
 	})
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -41,7 +41,7 @@
 		}
 	default:
 		l.paths = append(l.paths, path)
-		l.values[path] = v.Say()
+		l.values[path] = v.Describe()
 	}
 }
 
--- a/internal/scale/latency/plan.go
+++ b/internal/scale/latency/plan.go
@@ -84,24 +84,24 @@
 }
 
 func readPlan(s tomldoc.Scope) *Plan {
-	s.Whole("format", 0, Format, Format)
+	s.Int("format", 0, Format, Format)
 	if !s.Has("format") {
-		s.Bad(rules.Missing, "format", "format = %d expected", Format)
+		s.ReportField(rules.Missing, "format", "format = %d expected", Format)
 	}
 	p := &Plan{
 		Name:     s.Text("name", "latency"),
-		Seed:     uint64(s.Whole("seed", 1, 0, 1<<62)),
-		TargetMS: s.Number("target_added_p99_ms", 0.34, 0.001, 1e4),
-		Spacing:  Spacing(s.Word("spacing", string(Poisson), string(Even), string(Poisson))),
-		Warm:     s.Span("warm", 2*time.Second, 0, MaxWarm),
-		Segment:  s.Span("segment", time.Second, 10*time.Millisecond, MaxSegment),
+		Seed:     uint64(s.Int("seed", 1, 0, 1<<62)),
+		TargetMS: s.Float("target_added_p99_ms", 0.34, 0.001, 1e4),
+		Spacing:  Spacing(s.OneOf("spacing", string(Poisson), string(Even), string(Poisson))),
+		Warm:     s.Duration("warm", 2*time.Second, 0, MaxWarm),
+		Segment:  s.Duration("segment", time.Second, 10*time.Millisecond, MaxSegment),
 	}
-	v := s.Sub("sidecar")
+	v := s.Table("sidecar")
 	p.Sidecar = readSidecar(v)
-	v.Done()
-	list := s.List("cases")
+	v.ReportUnknown()
+	list := s.TableArray("cases")
 	if len(list) == 0 || len(list) > maxCases {
-		s.Bad(rules.Missing, "cases", "1 to %d [[cases]] expected, %d found", maxCases, len(list))
+		s.ReportField(rules.Missing, "cases", "1 to %d [[cases]] expected, %d found", maxCases, len(list))
 	}
 	var all time.Duration
 	for _, v := range list {
@@ -110,21 +110,21 @@
 		p.Cases = append(p.Cases, c)
 	}
 	if all > MaxFor {
-		s.Bad(rules.Range, "cases", "load for %v, %v at most expected", all, MaxFor)
+		s.ReportField(rules.Range, "cases", "load for %v, %v at most expected", all, MaxFor)
 	}
-	s.Done()
+	s.ReportUnknown()
 	return p
 }
 
 func readSidecar(v tomldoc.Scope) Sidecar {
 	s := Sidecar{
-		Cores:     v.Number("cores", 2, 0.1, 256),
-		MemoryMB:  v.Number("memory_mb", 64, 16, 1<<16),
-		Objective: v.Span("objective", time.Second, minObjective, callTimeout),
-		Deadline:  v.Span("deadline", 4*time.Second, minObjective, callTimeout),
+		Cores:     v.Float("cores", 2, 0.1, 256),
+		MemoryMB:  v.Float("memory_mb", 64, 16, 1<<16),
+		Objective: v.Duration("objective", time.Second, minObjective, callTimeout),
+		Deadline:  v.Duration("deadline", 4*time.Second, minObjective, callTimeout),
 	}
 	if s.Objective > s.Deadline {
-		v.Bad(rules.Range, "objective", "the deadline of %v at most expected", s.Deadline)
+		v.ReportField(rules.Range, "objective", "the deadline of %v at most expected", s.Deadline)
 	}
 	return s
 }
@@ -132,18 +132,18 @@
 func readCase(v tomldoc.Scope) Case {
 	c := Case{
 		Name:        v.Text("name", ""),
-		Rate:        v.Number("rate_per_second", 0, 1, MaxRate),
-		Hops:        int(v.Whole("hops", 1, 1, MaxHops)),
-		Rounds:      int(v.Whole("rounds", minRounds, minRounds, MaxRounds)),
-		Cycles:      int(v.Whole("cycles", 1, 1, MaxCycles)),
-		Connections: int(v.Whole("connections", 32, 1, MaxConnections)),
-		Backends:    int(v.Whole("backends", 1, 1, maxBackends)),
+		Rate:        v.Float("rate_per_second", 0, 1, MaxRate),
+		Hops:        int(v.Int("hops", 1, 1, MaxHops)),
+		Rounds:      int(v.Int("rounds", minRounds, minRounds, MaxRounds)),
+		Cycles:      int(v.Int("cycles", 1, 1, MaxCycles)),
+		Connections: int(v.Int("connections", 32, 1, MaxConnections)),
+		Backends:    int(v.Int("backends", 1, 1, maxBackends)),
 	}
 	for _, field := range []string{"name", "rate_per_second"} {
 		if !v.Has(field) {
-			v.Bad(rules.Missing, field, "the case's %s expected", field)
+			v.ReportField(rules.Missing, field, "the case's %s expected", field)
 		}
 	}
-	v.Done()
+	v.ReportUnknown()
 	return c
 }
--- a/internal/scale/predict/readtarget.go
+++ b/internal/scale/predict/readtarget.go
@@ -27,35 +27,35 @@
 
 func readTarget(s tomldoc.Scope) *Target {
 	if !s.Has("format") {
-		s.Bad(rules.Version, "format", "the file's format, %d, expected", Format)
+		s.ReportField(rules.Version, "format", "the file's format, %d, expected", Format)
 	}
-	s.Whole("format", Format, Format, Format)
+	s.Int("format", Format, Format, Format)
 	t := &Target{
-		Today:       readFleet(s.Sub("today")),
-		Target:      readFleet(s.Sub("target")),
-		Limits:      readLimits(s.Sub("limits")),
-		Curve:       readCurve(s.Sub("curve")),
+		Today:       readFleet(s.Table("today")),
+		Target:      readFleet(s.Table("target")),
+		Limits:      readLimits(s.Table("limits")),
+		Curve:       readCurve(s.Table("curve")),
 		Assumptions: readAssumptions(s),
 	}
-	s.Done()
+	s.ReportUnknown()
 	return t
 }
 
 // requiredNumber reads a number that the file has to have.
 func requiredNumber(s tomldoc.Scope, field string, least, most float64) float64 {
 	if !s.Has(field) {
-		s.Bad(rules.Missing, field, "a number, %g to %g, expected", least, most)
+		s.ReportField(rules.Missing, field, "a number, %g to %g, expected", least, most)
 	}
-	return s.Number(field, least, least, most)
+	return s.Float(field, least, least, most)
 }
 
 // requiredCount reads a whole number from 1 on that the file has to have.
 func requiredCount(s tomldoc.Scope, field string, most int64) int {
 	const least = 1
 	if !s.Has(field) {
-		s.Bad(rules.Missing, field, "a whole number, %d to %d, expected", least, most)
+		s.ReportField(rules.Missing, field, "a whole number, %d to %d, expected", least, most)
 	}
-	return int(s.Whole(field, least, least, most))
+	return int(s.Int(field, least, least, most))
 }
 
 func readFleet(s tomldoc.Scope) Fleet {
@@ -74,15 +74,16 @@
 		ZoneProxies:           requiredCount(s, "zone_proxies", maxProxies),
 	}
 	if f.Proxies < f.Services {
-		s.Bad(rules.Range, "services", "no more than there are proxies, %d, expected", f.Proxies)
+		s.ReportField(rules.Range, "services", "no more than there are proxies, %d, expected", f.Proxies)
 	}
 	if f.LargestService > f.Proxies {
-		s.Bad(rules.Range, "largest_service", "no more backends than there are proxies, %d, expected", f.Proxies)
+		s.ReportField(rules.Range, "largest_service",
+			"no more backends than there are proxies, %d, expected", f.Proxies)
 	}
 	if f.ServicesFollowed > float64(f.Services) {
-		s.Bad(rules.Range, "services_followed", "no more than there are services, %d, expected", f.Services)
+		s.ReportField(rules.Range, "services_followed", "no more than there are services, %d, expected", f.Services)
 	}
-	s.Done()
+	s.ReportUnknown()
 	return f
 }
 
@@ -95,15 +96,15 @@
 		ProxyBytesPerSecond: requiredNumber(s, "proxy_bytes_per_second", 1, 1e12),
 		ControlMachines:     requiredCount(s, "control_machines", 1e6),
 	}
-	s.Done()
+	s.ReportUnknown()
 	return l
 }
 
 func readCurve(s tomldoc.Scope) []int {
-	defer s.Done()
+	defer s.ReportUnknown()
 	v := s.Get("services_followed", tomldoc.Array)
 	if v == nil || len(v.Items) == 0 || len(v.Items) > maxCurve {
-		s.Bad(rules.Range, "services_followed", "1 to %d numbers of services expected", maxCurve)
+		s.ReportField(rules.Range, "services_followed", "1 to %d numbers of services expected", maxCurve)
 		return nil
 	}
 	var curve []int
@@ -111,15 +112,15 @@
 		var n int
 		_, err := fmt.Sscanf(item.Text, "%d", &n)
 		if item.Kind != tomldoc.Integer || err != nil || n < 1 || n > maxServices {
-			field := fmt.Sprintf("%s[%d]", s.Name("services_followed"), i+1)
+			field := fmt.Sprintf("%s[%d]", s.FieldPath("services_followed"), i+1)
 			want := fmt.Sprintf("a whole number, 1 to %d, expected", maxServices)
-			s.Fault(item, rules.Range, field, item.Say(), want)
+			s.ReportAt(item, rules.Range, field, item.Describe(), want)
 			continue
 		}
 		curve = append(curve, n)
 	}
 	if !slices.IsSorted(curve) {
-		s.Bad(rules.Range, "services_followed", "ascending numbers expected")
+		s.ReportField(rules.Range, "services_followed", "ascending numbers expected")
 	}
 	return curve
 }
@@ -131,25 +132,25 @@
 		words[i] = string(n)
 	}
 	var all []Assumption
-	for _, entry := range s.List("assumptions") {
+	for _, entry := range s.TableArray("assumptions") {
 		a := Assumption{
-			Name:  AssumptionName(entry.Word("name", "", words...)),
+			Name:  AssumptionName(entry.OneOf("name", "", words...)),
 			Value: requiredNumber(entry, "value", 1e-9, 1e12),
 			Unit:  entry.Text("unit", ""),
 			Why:   entry.Text("why", ""),
 		}
 		if hasAssumption(all, a.Name) {
-			entry.Bad(rules.Range, "name", "each assumption once expected")
+			entry.ReportField(rules.Range, "name", "each assumption once expected")
 		}
 		if a.Why == "" || len(a.Why) > maxReason {
-			entry.Bad(rules.Missing, "why", "the reason, 1 to %d bytes, expected", maxReason)
+			entry.ReportField(rules.Missing, "why", "the reason, 1 to %d bytes, expected", maxReason)
 		}
-		entry.Done()
+		entry.ReportUnknown()
 		all = append(all, a)
 	}
 	for _, n := range names {
 		if !hasAssumption(all, n) {
-			s.Bad(rules.Missing, "assumptions", "the assumption %s expected", n)
+			s.ReportField(rules.Missing, "assumptions", "the assumption %s expected", n)
 		}
 	}
 	return all
--- a/internal/scale/scenario/scenario.go
+++ b/internal/scale/scenario/scenario.go
@@ -95,53 +95,54 @@
 
 func read(s tomldoc.Scope) *Scenario {
 	if !s.Has("format") {
-		s.Bad(rules.Version, "format", "the file's format, %d, expected", Format)
+		s.ReportField(rules.Version, "format", "the file's format, %d, expected", Format)
 	}
-	s.Whole("format", Format, Format, Format)
+	s.Int("format", Format, Format, Format)
 	sc := &Scenario{
 		Name:   s.Text("name", ""),
-		Seed:   uint64(s.Whole("seed", 1, 0, 1<<62)),
+		Seed:   uint64(s.Int("seed", 1, 0, 1<<62)),
 		Hollow: true,
 		Source: readSource(s),
-		WarmUp: s.Span("warm_up", 3*time.Second, 0, MaxSpan),
-		Span:   s.Span("span", 5*time.Second, 10*time.Millisecond, MaxSpan),
-		Settle: s.Span("settle", 2500*time.Millisecond, 0, MaxSpan),
-		Rounds: int(s.Whole("rounds", 3, 1, MaxRounds)),
+		WarmUp: s.Duration("warm_up", 3*time.Second, 0, MaxSpan),
+		Span:   s.Duration("span", 5*time.Second, 10*time.Millisecond, MaxSpan),
+		Settle: s.Duration("settle", 2500*time.Millisecond, 0, MaxSpan),
+		Rounds: int(s.Int("rounds", 3, 1, MaxRounds)),
 	}
 	if sc.Name == "" {
-		s.Bad(rules.Missing, "name", "the scenario's name expected")
+		s.ReportField(rules.Missing, "name", "the scenario's name expected")
 	}
 	if s.Has("hollow") {
-		sc.Hollow = s.Flag("hollow")
+		sc.Hollow = s.Bool("hollow")
 	}
-	sc.Size = readSize(s.Sub("size"))
-	sc.readSweep(s.Sub("sweep"))
-	sc.Processes = readProcesses(s.Sub("processes"))
+	sc.Size = readSize(s.Table("size"))
+	sc.readSweep(s.Table("sweep"))
+	sc.Processes = readProcesses(s.Table("processes"))
 	largest := sc.largest()
 	if !sc.Hollow && largest.Proxies > MaxRealProxies {
-		s.Bad(rules.Range, "hollow", "%d real proxies at most expected, %d found", MaxRealProxies, largest.Proxies)
+		s.ReportField(rules.Range, "hollow",
+			"%d real proxies at most expected, %d found", MaxRealProxies, largest.Proxies)
 	}
 	if sc.Source == result.SourceStatic && largest.ChangesPerSecond > 0 {
 		const want = "lists that stand in the configuration do not change: changes_per_second 0 expected"
-		s.Bad(rules.Exclusive, "source", want)
+		s.ReportField(rules.Exclusive, "source", want)
 	}
-	s.Done()
+	s.ReportUnknown()
 	return sc
 }
 
 // readSource reads the source. The platform's discovery is not among those that a sweep can start.
 func readSource(s tomldoc.Scope) result.Source {
-	return result.Source(s.Word("source", string(result.SourceConsul),
+	return result.Source(s.OneOf("source", string(result.SourceConsul),
 		string(result.SourceStatic), string(result.SourceConsul), string(result.SourceRelay)))
 }
 
 func readProcesses(s tomldoc.Scope) Processes {
 	p := Processes{
-		Proxies:   int(s.Whole("proxies", 4, 1, MaxProcesses)),
-		Relays:    int(s.Whole("relays", 1, 1, MaxProcesses)),
-		GCPercent: int(s.Whole("gc_percent", 100, 5, 1000)),
+		Proxies:   int(s.Int("proxies", 4, 1, MaxProcesses)),
+		Relays:    int(s.Int("relays", 1, 1, MaxProcesses)),
+		GCPercent: int(s.Int("gc_percent", 100, 5, 1000)),
 	}
-	s.Done()
+	s.ReportUnknown()
 	return p
 }
 
@@ -156,13 +157,13 @@
 
 func readSize(s tomldoc.Scope) result.Size {
 	size := result.Size{
-		Proxies:          int(s.Whole("proxies", 100, 1, MaxProxies)),
-		Services:         int(s.Whole("services", 1, 1, MaxServices)),
-		ServicesInAll:    int(s.Whole("services_in_all", 1, 1, MaxServicesInAll)),
-		Backends:         int(s.Whole("backends", 23, 2, MaxBackends)),
-		ChangesPerSecond: s.Number("changes_per_second", 0, 0, MaxChanges),
-		CallsPerSecond:   s.Number("calls_per_second", 0, 0, MaxCalls),
+		Proxies:          int(s.Int("proxies", 100, 1, MaxProxies)),
+		Services:         int(s.Int("services", 1, 1, MaxServices)),
+		ServicesInAll:    int(s.Int("services_in_all", 1, 1, MaxServicesInAll)),
+		Backends:         int(s.Int("backends", 23, 2, MaxBackends)),
+		ChangesPerSecond: s.Float("changes_per_second", 0, 0, MaxChanges),
+		CallsPerSecond:   s.Float("calls_per_second", 0, 0, MaxCalls),
 	}
-	s.Done()
+	s.ReportUnknown()
 	return size
 }
--- a/internal/scale/scenario/sweep.go
+++ b/internal/scale/scenario/sweep.go
@@ -35,17 +35,17 @@
 
 // readSweep reads the swept dimension with its sizes and the held-out one.
 func (sc *Scenario) readSweep(s tomldoc.Scope) {
-	defer s.Done()
-	sc.Dimension = result.Dimension(s.Word("dimension", "", string(result.Proxies), string(result.Services),
+	defer s.ReportUnknown()
+	sc.Dimension = result.Dimension(s.OneOf("dimension", "", string(result.Proxies), string(result.Services),
 		string(result.Backends), string(result.Changes), string(result.Calls)))
 	b := boundsOf(sc.Dimension)
 	sc.Sizes = readNumbers(s, "sizes", b)
 	if len(sc.Sizes) < MinSizes || len(sc.Sizes) > MaxSizes {
-		s.Bad(rules.Range, "sizes", "%d to %d sizes expected, %d found", MinSizes, MaxSizes, len(sc.Sizes))
+		s.ReportField(rules.Range, "sizes", "%d to %d sizes expected, %d found", MinSizes, MaxSizes, len(sc.Sizes))
 	}
 	for i := 1; i < len(sc.Sizes); i++ {
 		if sc.Sizes[i] < MinFactor*factorSlack*sc.Sizes[i-1] {
-			s.Bad(rules.Range, "sizes", "each a factor of %d above the one before expected; %g follows %g",
+			s.ReportField(rules.Range, "sizes", "each a factor of %d above the one before expected; %g follows %g",
 				MinFactor, sc.Sizes[i], sc.Sizes[i-1])
 		}
 	}
@@ -54,15 +54,15 @@
 
 func (sc *Scenario) readHeldOut(s tomldoc.Scope, b bounds) {
 	if !s.Has("held_out") {
-		s.Take("held_out") // so that it is among the fields known here
+		s.MarkKnown("held_out") // so that it is among the fields known here
 		return
 	}
-	sc.HeldOut = s.Number("held_out", 0, b.least, b.most)
+	sc.HeldOut = s.Float("held_out", 0, b.least, b.most)
 	if b.isWhole && sc.HeldOut != float64(int(sc.HeldOut)) {
-		s.Bad(rules.WrongType, "held_out", "a whole number expected")
+		s.ReportField(rules.WrongType, "held_out", "a whole number expected")
 	}
 	if len(sc.Sizes) > 0 && sc.HeldOut <= slices.Max(sc.Sizes) {
-		s.Bad(rules.Range, "held_out", "more than the largest of the sizes, %g, expected", slices.Max(sc.Sizes))
+		s.ReportField(rules.Range, "held_out", "more than the largest of the sizes, %g, expected", slices.Max(sc.Sizes))
 	}
 }
 
@@ -83,7 +83,7 @@
 		isRightKind := item.Kind == tomldoc.Integer || item.Kind == tomldoc.Float && !b.isWhole
 		// Not in the bounds rather than outside them: not-a-number is neither.
 		if err != nil || !isRightKind || !(number >= b.least && number <= b.most) {
-			s.Fault(item, rules.Range, fmt.Sprintf("%s[%d]", s.Name(field), i+1), item.Say(), want)
+			s.ReportAt(item, rules.Range, fmt.Sprintf("%s[%d]", s.FieldPath(field), i+1), item.Describe(), want)
 			continue
 		}
 		numbers = append(numbers, number)
--- a/internal/tomldoc/scope.go
+++ b/internal/tomldoc/scope.go
@@ -10,10 +10,10 @@
 
 // Reader collects the diagnostics of a document that is being decoded.
 type Reader struct {
-	Faults Diagnostics
-	// Later has the fields that a later version of the format has, with that version: they are
+	Diagnostics Diagnostics
+	// LaterFields has the fields that a later version of the format has, with that version: they are
 	// reported as such.
-	Later map[string]int
+	LaterFields map[string]int
 }
 
 // Scope is a table that is being decoded, with the path of its fields.
@@ -23,12 +23,12 @@
 // that, and return a valid value so that decoding can go on.
 type Scope struct {
 	*Reader
-	V    *Value
-	Path string
+	Value *Value
+	Path  string
 }
 
 // NewScope returns the scope of a whole document.
-func NewScope(r *Reader, root *Value) Scope { return Scope{Reader: r, V: root} }
+func NewScope(r *Reader, root *Value) Scope { return Scope{Reader: r, Value: root} }
 
 // Decode parses a file and decodes it by a function that reads its root table. The error is
 // Diagnostics.
@@ -37,105 +37,107 @@
 	if root == nil {
 		return nil, faults.Err()
 	}
-	r := &Reader{Faults: faults}
+	r := &Reader{Diagnostics: faults}
 	decoded := read(NewScope(r, root))
-	if err := r.Faults.Err(); err != nil {
+	if err := r.Diagnostics.Err(); err != nil {
 		return nil, err
 	}
 	return decoded, nil
 }
 
-// Fault reports a violation at a value.
-func (r *Reader) Fault(at *Value, rule rules.ID, field, found, expect string) {
-	r.Faults = append(r.Faults, Diagnostic{Place: at.Place, Rule: rule, Field: field, Found: found, Expect: expect})
+// ReportAt reports a violation at a value.
+func (r *Reader) ReportAt(at *Value, rule rules.ID, field, found, expect string) {
+	r.Diagnostics = append(r.Diagnostics, Diagnostic{
+		Place: at.Place, Rule: rule, Field: field, Found: found, Expect: expect,
+	})
 }
 
-// Name returns the path of a field.
-func (s Scope) Name(field string) string {
+// FieldPath returns the path of a field.
+func (s Scope) FieldPath(field string) string {
 	if s.Path == "" {
 		return field
 	}
 	return s.Path + "." + field
 }
 
-// Bad reports a violation at a field or, where the table lacks the field, at the table.
-func (s Scope) Bad(rule rules.ID, field, expect string, args ...any) {
-	at, found := s.V, ""
-	if v := s.V.Fields[field]; v != nil {
-		at, found = v, v.Say()
+// ReportField reports a violation at a field or, where the table lacks the field, at the table.
+func (s Scope) ReportField(rule rules.ID, field, expect string, args ...any) {
+	at, found := s.Value, ""
+	if v := s.Value.Fields[field]; v != nil {
+		at, found = v, v.Describe()
 		if v.Kind == Table || v.Kind == Array {
 			found = ""
 		}
 	}
-	s.Fault(at, rule, s.Name(field), found, fmt.Sprintf(expect, args...))
+	s.ReportAt(at, rule, s.FieldPath(field), found, fmt.Sprintf(expect, args...))
 }
 
-// Take marks fields as known, whatever they hold.
-func (s Scope) Take(fields ...string) {
+// MarkKnown marks fields as known, whatever they hold.
+func (s Scope) MarkKnown(fields ...string) {
 	for _, field := range fields {
-		s.V.markKnown(field)
+		s.Value.markKnown(field)
 	}
 }
 
 // Get returns a field of a kind, or nil. A field of another kind is reported; an integer is a float
 // too.
 func (s Scope) Get(field string, want Kind) *Value {
-	s.V.markKnown(field)
-	v := s.V.Fields[field]
+	s.Value.markKnown(field)
+	v := s.Value.Fields[field]
 	if v == nil || v.Kind == want || want == Float && v.Kind == Integer {
 		return v
 	}
-	s.Fault(v, rules.WrongType, s.Name(field), v.Say(), want.String()+" expected")
+	s.ReportAt(v, rules.WrongType, s.FieldPath(field), v.Describe(), want.String()+" expected")
 	return nil
 }
 
 // Has reports whether the table has a field.
-func (s Scope) Has(field string) bool { return s.V.Fields[field] != nil }
+func (s Scope) Has(field string) bool { return s.Value.Fields[field] != nil }
 
-// Sub returns the scope of a table; that of an empty one where the field is missing or no table.
-func (s Scope) Sub(field string) Scope {
+// Table returns the scope of a table; that of an empty one where the field is missing or no table.
+func (s Scope) Table(field string) Scope {
 	v := s.Get(field, Table)
 	if v == nil {
-		v = NewTable(s.V.Place)
+		v = NewTable(s.Value.Place)
 	}
-	return Scope{Reader: s.Reader, V: v, Path: s.Name(field)}
+	return Scope{Reader: s.Reader, Value: v, Path: s.FieldPath(field)}
 }
 
-// Each returns the scopes of the tables in a table, in order, with their names.
-func (s Scope) Each(field string) (names []string, scopes []Scope) {
-	table := s.Sub(field)
-	for _, name := range table.V.Keys {
+// Tables returns the scopes of the tables in a table, in order, with their names.
+func (s Scope) Tables(field string) (names []string, scopes []Scope) {
+	table := s.Table(field)
+	for _, name := range table.Value.Keys {
 		if v := table.Get(name, Table); v != nil {
 			names = append(names, name)
-			scopes = append(scopes, Scope{Reader: s.Reader, V: v, Path: table.Name(name)})
+			scopes = append(scopes, Scope{Reader: s.Reader, Value: v, Path: table.FieldPath(name)})
 		}
 	}
 	return names, scopes
 }
 
-// List returns the scopes of an array of tables.
-func (s Scope) List(field string) []Scope {
+// TableArray returns the scopes of an array of tables.
+func (s Scope) TableArray(field string) []Scope {
 	v := s.Get(field, Array)
 	if v == nil {
 		return nil
 	}
 	var scopes []Scope
 	for i, item := range v.Items {
-		path := fmt.Sprintf("%s[%d]", s.Name(field), i+1)
+		path := fmt.Sprintf("%s[%d]", s.FieldPath(field), i+1)
 		if item.Kind != Table {
-			s.Fault(item, rules.WrongType, path, item.Say(), "a table expected")
+			s.ReportAt(item, rules.WrongType, path, item.Describe(), "a table expected")
 			continue
 		}
-		scopes = append(scopes, Scope{Reader: s.Reader, V: item, Path: path})
+		scopes = append(scopes, Scope{Reader: s.Reader, Value: item, Path: path})
 	}
 	return scopes
 }
 
-// Done reports the fields of the table that are not known. It is called once all known fields have
+// ReportUnknown reports the fields of the table that are not known. It is called once all known fields have
 // been read.
-func (s Scope) Done() {
-	for _, field := range s.V.Keys {
-		if !s.V.known[field] {
+func (s Scope) ReportUnknown() {
+	for _, field := range s.Value.Keys {
+		if !s.Value.known[field] {
 			s.reportUnknown(field)
 		}
 	}
@@ -143,13 +145,13 @@
 
 // reportUnknown reports a field that is not known.
 func (s Scope) reportUnknown(field string) {
-	v := s.V.Fields[field]
-	if version := s.Later[field]; version > 0 {
-		s.Fault(v, rules.FieldVersion, s.Name(field), "", fmt.Sprintf("known from version %d on", version))
+	v := s.Value.Fields[field]
+	if version := s.LaterFields[field]; version > 0 {
+		s.ReportAt(v, rules.FieldVersion, s.FieldPath(field), "", fmt.Sprintf("known from version %d on", version))
 		return
 	}
 	var known []string
-	for name := range s.V.known {
+	for name := range s.Value.known {
 		known = append(known, name)
 	}
 	slices.Sort(known)
@@ -157,5 +159,5 @@
 	if nearest := Nearest(field, known); nearest != "" {
 		expect = "unknown field; " + nearest + " meant?"
 	}
-	s.Fault(v, rules.UnknownField, s.Name(field), "", expect)
+	s.ReportAt(v, rules.UnknownField, s.FieldPath(field), "", expect)
 }
--- a/internal/tomldoc/value.go
+++ b/internal/tomldoc/value.go
@@ -58,9 +58,9 @@
 	v.Fields[name] = to
 }
 
-// At follows a path of names, and of indexes from 1 into arrays, as far as it leads. found reports
+// Lookup follows a path of names, and of indexes from 1 into arrays, as far as it leads. found reports
 // whether it led to the end.
-func (v *Value) At(path ...string) (at *Value, found bool) {
+func (v *Value) Lookup(path ...string) (at *Value, found bool) {
 	for _, part := range path {
 		next := v.child(part)
 		if next == nil {
@@ -110,8 +110,8 @@
 	v.known[field] = true
 }
 
-// Say returns the value as diagnostics have it.
-func (v *Value) Say() string {
+// Describe returns the value as diagnostics have it.
+func (v *Value) Describe() string {
 	switch v.Kind {
 	case String:
 		return strconv.Quote(Clip(v.Text))
