--- a/internal/harness/check/check.go
+++ b/internal/harness/check/check.go
@@ -83,7 +83,7 @@
 		checkDrains(spec, h),
 		checkWarmup(h),
 		checkMisrouted(h),
-		checkProcesses(h),
+		ProcessVerdicts(h.events),
 		checkBounds(spec, f),
 	} {
 		verdicts = append(verdicts, truncate(found)...)
--- a/internal/harness/check/run.go
+++ b/internal/harness/check/run.go
@@ -1,37 +1,6 @@
 package check
 
-import (
-	"strings"
-
-	"fernlanding/internal/harness/history"
-	"fernlanding/internal/harness/scenario"
-)
-
-// checkProcesses checks how processes exited, and that none is left.
-func checkProcesses(h *indexedHistory) []Verdict {
-	var verdicts []Verdict
-	isComplete := false
-	for _, e := range h.events {
-		switch {
-		case e.Kind == history.Exited && isFailure(e.Why):
-			verdicts = append(verdicts, verdictf(Processes, e.At, "%s has ended: %s", e.Who, e.Why))
-		case e.Kind == history.Ended:
-			isComplete = true
-			if e.N > 0 {
-				verdicts = append(verdicts, verdictf(Processes, e.At, "%d processes are left", e.N))
-			}
-		}
-	}
-	if !isComplete {
-		verdicts = append(verdicts, verdictf(Processes, 0, "the history breaks off before the run's end"))
-	}
-	return verdicts
-}
-
-// isFailure reports whether a process exited by itself or with an exit code that is not 0.
-func isFailure(reason string) bool {
-	return strings.HasPrefix(reason, "by itself") || strings.Contains(reason, "exit status")
-}
+import "fernlanding/internal/harness/scenario"
 
 // checkBounds checks the figures against the bounds of the scenario.
 func checkBounds(spec *scenario.Scenario, f Figures) []Verdict {
--- a/internal/harness/rollout/check/check.go
+++ b/internal/harness/rollout/check/check.go
@@ -25,7 +25,10 @@
 	Converged = "converged" // a version has the same items everywhere, and at the end all have the source's
 	Durable   = "durable"   // the source never loses what it has answered
 	Status    = "status"    // the source's in-force reports agree with what was in force
-	Processes = "processes" // no process ends by itself, and none is left
+
+	// Processes is the name of the same check of package check: no process ends by itself, and none
+	// is left.
+	Processes = rigcheck.Processes
 )
 
 // Names returns the names of all checks.
