--- a/logic/selection.go
+++ b/logic/selection.go
@@ -52,7 +52,7 @@
 	s := &b.selection
 	s.weights = s.weights[:0]
 	c, room := candidates{allCold: true}, b.subsetSize(now)
-	if b.settings.ColdEvenly {
+	if b.settings.CapSlowStartPreference {
 		s.warmFactor = b.warmOccupancyFactor(now, int(room)+1)
 	}
 	for _, e := range b.endpoints.ready {
@@ -105,12 +105,12 @@
 
 // endpointWeight returns an endpoint's weight in the selection: its size, what was learned of it,
 // its slow start, its zone, and the attempts of this replica that it already holds. That one in
-// slow start holds fewer than others is no sign of capacity: with Settings.ColdEvenly it is not
+// slow start holds fewer than others is no sign of capacity: with Settings.CapSlowStartPreference it is not
 // preferred for it over the mean of the warm ones. Otherwise, once each warm one holds an attempt
 // of each replica, nearly all further attempts of all replicas would go to those in slow start.
 func (b *Balancer) endpointWeight(now int64, e *endpoint, class int) float64 {
 	factor, free := b.slowStartFactor(now, e), occupancyFactor(float64(e.inFlight))
-	if factor < 1 && b.settings.ColdEvenly {
+	if factor < 1 && b.settings.CapSlowStartPreference {
 		warm := b.selection.warmFactor
 		free = min(warm, occupancyFactor(float64(e.inFlight)/factor))
 		factor *= 1 + (1/slowStartMargin-1)*(1-warm) // under congestion it is loaded as they are, and not spared
