--- a/logic/admission.go
+++ b/logic/admission.go
@@ -1,37 +1,38 @@
 package logic
 
 const (
-	// Of client connections that cannot become more, one in spareConnectionsDivisor is kept free,
-	// and minSpareConnections at least, if they are not more than half. A client that finds none
-	// free reaches nobody and takes this replica for gone; a shed one has its connection back at
-	// once. This serves a replica that is about to end, and any whose clients are bounded. It hurts
-	// where few requests come: it then sheds what the last connections could have served.
+	// If clients cannot open more connections, one in spareConnectionsDivisor of their connections
+	// is kept free, and at least minSpareConnections, but at most half. A client that finds no free
+	// connection gets no answer and takes this replica for failed, while a shed request frees its
+	// connection at once. This helps a replica that is shutting down and any replica with a bounded
+	// set of clients. With few requests it has a cost: requests are shed that the last connections
+	// could have served.
 	spareConnectionsDivisor = 8
 	minSpareConnections     = 3
 
-	maxRetryAfterFraction = 0.5 // of the objective: the longest Retry-After
+	maxRetryAfterFraction = 0.5 // longest Retry-After as a fraction of the latency objective
 )
 
-// ShedCause is what a request was shed by.
+// ShedCause is the reason why a request is shed.
 type ShedCause int
 
 // The causes of shedding.
 const (
 	NoShedCause    ShedCause = iota
-	ByConnections            // no connection would be left for the next client
-	ByTierLimit              // the tier's concurrency limit
-	ByTenantQuota            // the tenant's quota
-	ByClassLimit             // the class's concurrency limit
-	ByDeadline               // the time left does not suffice
-	ByNoEndpoint             // there is no endpoint that it may go to
-	ByAttemptLimit           // it has had all its attempts
-	ByRetryBudget            // the retry budget is spent
-	ByOrdering               // its turn, by its key, would come too late
-	BySlowStart              // only endpoints in slow start could have it, and they bear no more
+	ByConnections            // too few free client connections
+	ByTierLimit              // concurrency limit of the tier
+	ByTenantQuota            // quota of the tenant
+	ByClassLimit             // concurrency limit of the class
+	ByDeadline               // too little time left for an answer
+	ByNoEndpoint             // no endpoint that the request may go to
+	ByAttemptLimit           // no attempts left
+	ByRetryBudget            // retry budget exhausted
+	ByOrdering               // too long a wait for earlier requests with the same key
+	BySlowStart              // only endpoints in slow start are eligible, and they are at their capacity
 	NumShedCauses  = iota
 )
 
-// String returns the cause in the words of the operators' pages.
+// String returns the name of the cause as the operator documentation has it.
 func (c ShedCause) String() string {
 	return [NumShedCauses]string{
 		"none", "connections", "tier count", "tenant count", "class count", "time left", "no server",
@@ -39,11 +40,11 @@
 	}[c]
 }
 
-// ShedCause returns, inside Host.Shed, what the request is shed by.
+// ShedCause returns the cause of the request being shed. It is valid during a call of Host.Shed.
 func (b *Balancer) ShedCause() ShedCause { return b.shedCause }
 
-// admit checks the rules of FlowSlot in order and returns the first that rejects the request, or
-// NoShedCause.
+// admit checks the rules of FlowSlot in order. It returns the cause for the first rule that the
+// request does not pass, or NoShedCause.
 func (b *Balancer) admit(now int64, q *request) ShedCause {
 	if q.IdleClientConnections < spareConnections(q.ClientConnections) {
 		return ByConnections
@@ -60,13 +61,13 @@
 	return NoShedCause
 }
 
-// spareConnections returns how many of so many client connections are kept free.
+// spareConnections returns how many of the given number of client connections are kept free.
 func spareConnections(connections int) int {
 	return max(connections/spareConnectionsDivisor, min(minSpareConnections, connections/2))
 }
 
-// shed ends a request with a Retry-After that is spread, so that clients do not return together,
-// and short enough for an answer within the objective.
+// shed ends a request with a random Retry-After, so that clients do not all return at the same
+// time. The Retry-After is short enough for an answer within the latency objective.
 func (b *Balancer) shed(now int64, h Host, q *request, cause ShedCause) {
 	objective := b.settings.Classes[q.Class].LatencyObjective
 	longest := min(b.settings.MaxRetryAfter, int64(maxRetryAfterFraction*float64(objective)))
--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -6,26 +6,27 @@
 	"testing"
 )
 
-// A Retry-After of one to two seconds sent clients back with most of the objective gone: on a small
-// day with a slow backend up to a quarter was answered late though one request in twenty was.
+// With a Retry-After of one to two seconds, clients returned with longest of the latency objective
+// gone. In a short run with a slow backend, up to a quarter was answered late though one request in
+// twenty was sent back.
 func TestRetryAfterLeavesTimeForTimelyAnswer(t *testing.T) {
 	s := testSettings()
 	s.MaxRetryAfter = 2 * second
-	b, h := newTestBalancer(t, s, 0) // no endpoint: all is shed
+	b, h := newTestBalancer(t, s, 0) // no endpoint: every request is shed
 	for i := range 100 {
 		b.Request(start, h, Request{ID: fmt.Sprint(i), ClientDeadline: start + second})
 	}
-	most := s.Classes[0].LatencyObjective / 2
-	if len(h.retryAfters) != 100 || slices.Min(h.retryAfters) < most/2 || slices.Max(h.retryAfters) > most {
-		t.Errorf("Retry-After %v, want %d to %d", h.retryAfters, most/2, most)
+	longest := s.Classes[0].LatencyObjective / 2
+	if len(h.retryAfters) != 100 || slices.Min(h.retryAfters) < longest/2 || slices.Max(h.retryAfters) > longest {
+		t.Errorf("Retry-After of %v, want 100 between %d and %d", h.retryAfters, longest/2, longest)
 	}
 }
 
-// Each shed request names what it is shed by.
+// Each shed request reports its cause.
 func TestShedCause(t *testing.T) {
 	for _, c := range []struct {
-		want  ShedCause
-		spoil func(*Balancer, *Request)
+		want   ShedCause
+		modify func(*Balancer, *Request)
 	}{
 		{ByConnections, func(_ *Balancer, r *Request) { r.ClientConnections, r.IdleClientConnections = 16, 1 }},
 		{ByTierLimit, func(b *Balancer, _ *Request) { b.tier.limit = -1 }},
@@ -35,20 +36,20 @@
 	} {
 		b, _ := newTestBalancer(t, testSettings(), 2)
 		r := Request{ID: "r", Tenant: -1, ClientDeadline: start + second}
-		c.spoil(b, &r)
+		c.modify(b, &r)
 		h := &causeRecorder{b: b}
 		b.Request(start, h, r)
-		if len(h.got) != 1 || h.got[0] != c.want {
-			t.Errorf("shed by %v, %v expected", h.got, c.want)
+		if len(h.causes) != 1 || h.causes[0] != c.want {
+			t.Errorf("got shed causes %v, want one %v", h.causes, c.want)
 		}
 	}
 }
 
-// causeRecorder is a Host that asks for the cause of each shed request.
+// causeRecorder is a Host that records the cause of each shed request.
 type causeRecorder struct {
 	recorder
-	b   *Balancer
-	got []ShedCause
+	b      *Balancer
+	causes []ShedCause
 }
 
-func (h *causeRecorder) Shed(string, int64) { h.got = append(h.got, h.b.ShedCause()) }
+func (h *causeRecorder) Shed(string, int64) { h.causes = append(h.causes, h.b.ShedCause()) }
--- a/logic/attempt.go
+++ b/logic/attempt.go
@@ -1,23 +1,27 @@
 package logic
 
 const (
-	hangLatencies   = 12.0 // an attempt is given up after this many mean latencies
-	minHangFraction = 0.2  // but not before this fraction of the objective: any hiccup is many times a millisecond
+	hangLatencyFactor = 12.0 // mean latencies after which an attempt that may be retried is given up
+	// minHangFraction is the lower bound of the time after which an attempt is given up, as a
+	// fraction of the latency objective. Even a brief stall lasts many times a millisecond.
+	minHangFraction = 0.2
 )
 
 // attempt is one attempt of a request at one endpoint.
 type attempt struct {
 	endpoint    *endpoint
 	sentAt      int64
-	zone, cell  int  // of the endpoint, as listed at the time of sending
-	countedSlow bool // counted as slow before its end
-	lightLoad   bool // sent while there were fewer attempts in flight than endpoints, if all replicas have as many
-	mayHaveRun  bool // in flight, or ended without proof that it never ran
-	inFlight    bool
+	zone, cell  int  // of the endpoint, as listed when the attempt was sent
+	countedSlow bool // whether the attempt was counted as slow before its end
+	// lightLoad is whether the attempt was sent with fewer attempts in flight than ready endpoints,
+	// assuming that all replicas have equally many in flight.
+	lightLoad  bool
+	mayHaveRun bool // in flight, or ended without proof that it did not run
+	inFlight   bool
 }
 
-// send selects an endpoint and forwards an attempt to it. It returns the cause if there is none to
-// send to, and NoShedCause otherwise.
+// send selects an endpoint and forwards an attempt to it. It returns the cause if no endpoint can
+// be selected, and NoShedCause otherwise.
 func (b *Balancer) send(now int64, h Host, q *request) ShedCause {
 	e, cause := b.pickEndpoint(now, q)
 	if cause != NoShedCause {
@@ -41,14 +45,15 @@
 	return NoShedCause
 }
 
-// timeout gives an attempt up when its answer would have no value, and before that where a retry
-// may follow, so that a hung endpoint frees its slot. A probe leaves half of the time for the
-// retry, unless attempts take longer than half.
+// timeout returns the time after which an attempt is given up, in microseconds. The attempt ends at
+// the latest when an answer has no value any more. It ends earlier if a retry may follow, so that a
+// hung endpoint frees its slot. A probe leaves half of the remaining time for the retry, unless the
+// mean latency is longer than that half.
 func (b *Balancer) timeout(now int64, q *request) int64 {
 	class := &b.settings.Classes[q.Class]
 	left, mean := b.deadline(q)-now, b.classes[q.Class].latency.mean
 	if class.Idempotency != NonIdempotent && len(q.attempts) < b.settings.MaxAttempts {
-		hang := max(hangLatencies*mean, minHangFraction*float64(class.LatencyObjective))
+		hang := max(hangLatencyFactor*mean, minHangFraction*float64(class.LatencyObjective))
 		if b.selection.isProbe {
 			hang = min(hang, max(float64(left)/2, mean))
 		}
--- a/logic/attempt_test.go
+++ b/logic/attempt_test.go
@@ -10,7 +10,7 @@
 		b, h := newTestBalancer(t, testSettings(), 4)
 		submit(b, h, start, "r", class)
 		now, attempt := start, 0
-		for len(h.sends) == attempt+1 { // answer every attempt with a timeout until the request is over
+		for len(h.sends) == attempt+1 { // every attempt times out until the request is over
 			now += h.sends[attempt].timeout
 			b.Outcome(now, h, Outcome{ID: "r", Attempt: attempt, Status: TimedOut, Latency: h.sends[attempt].timeout})
 			attempt++
@@ -19,14 +19,15 @@
 			t.Errorf("class %d: no final answer, last action %q", class, last)
 		}
 		if now > start+1_000_000 {
-			t.Errorf("class %d: answered %d us past the client's deadline", class, now-start-1_000_000)
+			t.Errorf("class %d: final answer %d us after the client's deadline", class, now-start-1_000_000)
 		}
 	}
 }
 
-// Where attempts take a tenth of a millisecond, twelve times that is a hiccup of the machine and no
-// hang: each one was given up and retried, up to the last attempt, and then shed.
-func TestShortAttemptIsNotGivenUpAtHiccup(t *testing.T) {
+// If attempts take a tenth of a millisecond, twelve times that is a brief stall of the host, not a
+// hang. A timeout of that length gave up and retried every attempt up to the last one, and then
+// shed the request.
+func TestShortAttemptSurvivesBriefStall(t *testing.T) {
 	b, err := New(testSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
@@ -40,6 +41,6 @@
 		b.Outcome(now, h, Outcome{ID: id, Status: OK, Latency: 100, RequestDone: true})
 	}
 	if last := h.sends[len(h.sends)-1].timeout; last < 100_000 {
-		t.Errorf("given up after %d us of an objective of 500,000", last)
+		t.Errorf("timeout of %d us with a latency objective of 500,000 us, want at least 100,000 us", last)
 	}
 }
--- a/logic/balancer.go
+++ b/logic/balancer.go
@@ -9,15 +9,16 @@
 // second is one second in microseconds.
 const second = int64(1_000_000)
 
-// Timer tokens: watchTimer alone, the others followed by what they are for. A host may keep tokens,
-// so they stay as they are.
+// The tokens of timers: watchTimer is a complete token, the others are prefixes. The values must
+// not change, since a host may store tokens.
 const (
 	watchTimer  = "watch"
-	expiryTimer = "held " // and a request's ID: it cannot be answered in time any more
-	keyTimer    = "turn " // and a key: its pause is over
+	expiryTimer = "held " // followed by the ID of a request that can no longer be answered in time
+	keyTimer    = "turn " // followed by a key whose pause is over
 )
 
-// Balancer decides for one proxy. Create it with [New]. It is not safe for concurrent use.
+// Balancer makes the decisions of one proxy. Create it with [New]. It is not safe for concurrent
+// use.
 type Balancer struct {
 	settings  Settings
 	rnd       *rand.Rand
@@ -28,7 +29,7 @@
 	keys      map[string]*keyQueue
 
 	tier        concurrencyLimit
-	tierSent    slidingWindow // attempts
+	tierSent    slidingWindow // attempts sent
 	tenants     []tenantQuota
 	quotas      quotaMultiple
 	classes     []classState
@@ -37,23 +38,23 @@
 
 	arrivals       decayingCounter // requests
 	firstRequestAt int64
-	errorRate      float64   // moving average of failed attempts over all endpoints
+	errorRate      float64   // moving average of the fraction of failed attempts over all endpoints
 	peerRates      []float64 // scratch space of peerErrorRate
 	lastReport     int64     // when the last log line was written
 	shedCause      ShedCause // of the latest shed request
 }
 
-// classState is the concurrency limit of a class and what is known of its attempts.
+// classState is the concurrency limit of a class and what was learned about its attempts.
 type classState struct {
 	limit         concurrencyLimit
 	yieldEvidence evidenceRound // slow attempts of classes with a clearly higher priority
 	latency       latencyStats
-	errorRate     float64    // moving average of failed attempts over all endpoints
-	pending       []*attempt // at the front tier: in order of sending, those that are not slow yet
+	errorRate     float64    // moving average of the fraction of failed attempts over all endpoints
+	pending       []*attempt // at the front tier, attempts not yet found slow, in the order of sending
 }
 
-// New returns a Balancer for the settings, or a [*SettingsError]. All its random draws come from
-// the seed.
+// New returns a Balancer with the settings, or a [*SettingsError]. All random numbers of the
+// Balancer are drawn from the seed.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -90,9 +91,10 @@
 	return b, nil
 }
 
-// Request admits or sheds a request at once. None is held unsent but those that must wait for the
-// turn of their key (rule 5), and these no longer than they can still be answered in time. An ID
-// that is in flight already is ignored; a class that the settings do not have is failed.
+// Request admits or sheds a request at once. Only requests that have to wait for an earlier request
+// with the same key (rule 5) are held, and only as long as they can still be answered in time. A
+// request whose ID is already in flight is ignored. A request of a class that is not in the
+// settings fails.
 func (b *Balancer) Request(now int64, h Host, r Request) {
 	if b.requests[r.ID] != nil {
 		return
@@ -117,23 +119,23 @@
 	b.start(now, h, q)
 }
 
-// ResponseStarted reports that a streamed response has begun: from now on that attempt is the
-// client's.
+// ResponseStarted reports that a streamed response to the client has started. The request gets no
+// further attempts.
 func (b *Balancer) ResponseStarted(now int64, id string) {
 	if q := b.requests[id]; q != nil {
 		q.done = true
 	}
 }
 
-// Cancel reports that nobody waits for a request any more.
+// Cancel reports that the client no longer waits for a request.
 func (b *Balancer) Cancel(now int64, h Host, id string) {
 	if q := b.requests[id]; q != nil {
 		b.finish(now, h, q)
 	}
 }
 
-// Timer reports that a timer which was set by Host.SetTimer has expired. A token that means nothing
-// any more is ignored.
+// Timer reports that a timer set by Host.SetTimer has expired. A token that no longer applies is
+// ignored.
 func (b *Balancer) Timer(now int64, h Host, token string) {
 	if token == watchTimer {
 		b.startWatch(h)
--- a/logic/balancer_test.go
+++ b/logic/balancer_test.go
@@ -15,20 +15,21 @@
 	} {
 		b, h := newTestBalancer(t, testSettings(), 4)
 		submit(b, h, start, "r", 0)
-		before := len(h.lines)
+		before := len(h.actions)
 		end(b, h)
 		b.Outcome(start+2000, h, Outcome{ID: "r", Status: Overloaded})
-		if len(h.lines) != before {
-			t.Errorf("a finished request brought %q", h.lines[before:])
+		if len(h.actions) != before {
+			t.Errorf("got actions %q after the request was done, want none", h.actions[before:])
 		}
 		if len(b.requests) != 0 {
-			t.Error("a finished request is kept")
+			t.Error("finished request still in memory")
 		}
 	}
 }
 
-// A long day brings ever new ids, keys and endpoints; what has ended leaves nothing behind.
-func TestFinishedRequestsLeaveNothingBehind(t *testing.T) {
+// A long run has ever new request IDs, keys and endpoints. The balancer must not keep state of
+// finished requests.
+func TestFinishedRequestsLeaveNoState(t *testing.T) {
 	s := testSettings()
 	s.OrderingDelay = 1000
 	for i := range s.Classes {
@@ -40,18 +41,18 @@
 	for i := range 30_000 {
 		now += 2_000
 		id := fmt.Sprint("r", i)
-		if i%10 == 0 { // an endpoint is replaced
+		if i%10 == 0 { // replace an endpoint
 			b.UpdateEndpoints(now, h, Delta, []Endpoint{
 				{ID: fmt.Sprint("n", i), Cell: i, State: Ready, Weight: 1, StartedAt: now},
 				{ID: fmt.Sprint("n", i-100), State: Removed},
 			})
 		}
-		h.sends, h.timers, h.lines, h.retryAfters = nil, nil, nil, nil
+		h.sends, h.timers, h.actions, h.retryAfters = nil, nil, nil, nil
 		b.Request(now, h, Request{
 			ID: id, Class: i % len(s.Classes), Key: fmt.Sprint("k", i), ClientDeadline: now + 1_000_000,
 		})
 		attempt := 0
-		for len(h.sends) > attempt { // an outcome may bring a retry
+		for len(h.sends) > attempt { // an outcome may cause a retry
 			status := OK
 			if i%7 == 0 {
 				status = Reset
@@ -82,7 +83,7 @@
 		{"pending attempts", pending, 2000},
 	} {
 		if left.size > left.most {
-			t.Errorf("%d %s are left, %d expected at most", left.size, left.what, left.most)
+			t.Errorf("%d %s left, want at most %d", left.size, left.what, left.most)
 		}
 	}
 }
--- a/logic/decaying_counter.go
+++ b/logic/decaying_counter.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-const decaySpan = 30 * second // time constant of a decayingCounter
+const decayTimeConstant = 30 * second // time constant of a decayingCounter
 
-// decayingCounter counts events and forgets them over about decaySpan.
+// decayingCounter counts events with exponential decay by decayTimeConstant.
 type decayingCounter struct {
 	count float64
 	last  int64
 }
 
-// at returns the count as decayed until now.
+// at returns the count decayed until now.
 func (c *decayingCounter) at(now int64) float64 {
-	c.count *= math.Exp(-float64(now-c.last) / float64(decaySpan))
+	c.count *= math.Exp(-float64(now-c.last) / float64(decayTimeConstant))
 	c.last = now
 	return c.count
 }
--- a/logic/draining_test.go
+++ b/logic/draining_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// An endpoint that rejects all that it is sent may be draining. While an update is overdue it gets
-// nothing new, and once one has come it counts as what that says.
+// An endpoint that rejects all its attempts may be draining. While an update is overdue, the
+// endpoint gets no new attempts. After an update, the state in the list applies.
 func TestRejectingEndpointMayDrainWhileUpdateIsOverdue(t *testing.T) {
 	type end struct {
 		sent, after int64
@@ -25,18 +25,18 @@
 		"an update is overdue":     {ends: rejections, overdue: true, at: last, mayDrain: true},
 		"no update is overdue":     {ends: rejections, at: last},
 		"one attempt was rejected": {ends: rejections[:1], overdue: true, at: last, mayDrain: true},
-		"in less than the time": {
+		"rejections over less than the delay": {
 			ends: []end{rejectedFirst, {last - 1, last - 1, Overloaded}}, overdue: true, at: last - 1,
 		},
-		"one was served in between": {
+		"one attempt was served in between": {
 			ends: []end{rejectedFirst, {1, between, OK}, rejectedLast}, overdue: true, at: last,
 		},
-		"long ago":                          {ends: rejections, overdue: true, at: last + drainSuspicionExpiry},
+		"rejections long ago":               {ends: rejections, overdue: true, at: last + drainSuspicionExpiry},
 		"an update is overdue for too long": {ends: []end{tooLate}, overdue: true, at: maxOverdue},
-		"a cancellation says nothing": {
+		"a cancellation is ignored": {
 			ends: []end{rejectedFirst, {1, between, Canceled}, rejectedLast}, overdue: true, at: last, mayDrain: true,
 		},
-		"an earlier attempt was served since": {
+		"an attempt sent earlier was served since": {
 			ends: []end{rejectedFirst, {-second, between, OK}, rejectedLast}, overdue: true, at: last, mayDrain: true,
 		},
 	} {
@@ -56,22 +56,22 @@
 		}
 		now := start + c.at
 		if b.maybeDraining(now, suspect) != c.mayDrain {
-			t.Errorf("%s: maybeDraining is %t", name, !c.mayDrain)
+			t.Errorf("%s: maybeDraining = %t", name, !c.mayDrain)
 		}
 		q := &request{Request: Request{ClientDeadline: now + second}, arrivedAt: now}
 		suspectRank, otherRank := b.selectionRank(now, q, suspect), b.selectionRank(now, q, b.endpoints.byID["s1"])
 		if c.mayDrain && suspectRank >= otherRank {
-			t.Errorf("%s: it does not come after the others", name)
+			t.Errorf("%s: rank is not below that of the other endpoint", name)
 		}
 		b.UpdateEndpoints(now, h, Delta, nil)
 		if b.maybeDraining(now, suspect) {
-			t.Errorf("%s: it may drain though an update has come", name)
+			t.Errorf("%s: maybeDraining = true after an update", name)
 		}
 	}
 }
 
-// Where lists are polled and the last is so old that a change would count as notified, endpoints
-// that have served lately come first.
+// If lists are polled and the last one is so old that a change counts as notified, endpoints that
+// have served recent attempts are preferred.
 func TestServingEndpointsComeFirstWhileListIsStale(t *testing.T) {
 	const failedAt = start + second
 	for name, c := range map[string]struct {
@@ -81,14 +81,14 @@
 		at       int64
 		mayDrain bool
 	}{
-		"stale":                            {true, Snapshot, true, start + listValidity, true},
-		"not yet stale":                    {true, Snapshot, true, start + listValidity - 1, false},
-		"stale, and no poll failed":        {true, Snapshot, false, start + listValidity, false},
-		"cached by an earlier process":     {true, CachedSnapshot, true, start + listValidity, true},
-		"long overdue":                     {true, Snapshot, true, failedAt + maxOverdue, false},
-		"where lists are not polled":       {false, Snapshot, true, start + listValidity, false},
-		"a delta is as good as a snapshot": {true, Delta, true, start + listValidity, true},
-		"a delta that has come just now":   {true, Delta, true, start + listValidity - 1, false},
+		"stale":                         {true, Snapshot, true, start + listValidity, true},
+		"not yet stale":                 {true, Snapshot, true, start + listValidity - 1, false},
+		"stale, and no poll failed":     {true, Snapshot, false, start + listValidity, false},
+		"cached by an earlier process":  {true, CachedSnapshot, true, start + listValidity, true},
+		"overdue for too long":          {true, Snapshot, true, failedAt + maxOverdue, false},
+		"lists are not polled":          {false, Snapshot, true, start + listValidity, false},
+		"a delta instead of a snapshot": {true, Delta, true, start + listValidity, true},
+		"a delta, not yet stale":        {true, Delta, true, start + listValidity - 1, false},
 	} {
 		s := testSettings()
 		s.WatchEndpoints = c.watch
@@ -101,12 +101,12 @@
 			b.UpdateEndpoints(failedAt, h, UpdateFailed, nil)
 		}
 		busy, idle := b.endpoints.byID["s0"], b.endpoints.byID["s1"]
-		busy.lastServedSentAt = c.at - servedRecently + 1
+		busy.lastServedSentAt = c.at - recentlyServedWindow + 1
 		if b.maybeDraining(c.at, busy) {
-			t.Errorf("%s: one that serves may drain", name)
+			t.Errorf("%s: maybeDraining = true for an endpoint that serves", name)
 		}
 		if b.maybeDraining(c.at, idle) != c.mayDrain {
-			t.Errorf("%s: maybeDraining of one that has served none is %t", name, !c.mayDrain)
+			t.Errorf("%s: maybeDraining = %t for an endpoint that served no attempt", name, !c.mayDrain)
 		}
 	}
 }
--- a/logic/driver_test.go
+++ b/logic/driver_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// driver plays legal events against one balancer.
+// driver generates valid events for one balancer.
 type driver struct {
 	t        *testing.T
 	rnd      *rand.Rand
@@ -16,10 +16,10 @@
 	balancer *Balancer
 	now      int64
 	next     int
-	open     []string // requests that have an attempt in flight or are owed an answer
+	open     []string // requests that have an attempt in flight or need an answer
 }
 
-// restart replaces the balancer, as when its process restarts.
+// restart replaces the balancer, like a restart of its process.
 func (d *driver) restart() {
 	b, err := New(d.checker.settings, d.rnd.Uint64())
 	if err != nil {
@@ -30,8 +30,8 @@
 	d.snapshot(CachedSnapshot)
 }
 
-// entry returns an endpoint in a random state.
-func (d *driver) entry(i int) Endpoint {
+// randomEndpoint returns an endpoint in a random state.
+func (d *driver) randomEndpoint(i int) Endpoint {
 	s := Endpoint{ID: fmt.Sprintf("s%d", i), Zone: i % 2, Cell: i / 4, State: Ready, Weight: 1}
 	switch d.rnd.IntN(6) {
 	case 0:
@@ -42,7 +42,7 @@
 	return s
 }
 
-// driverEndpoints is how many endpoints a driver has.
+// driverEndpoints is the number of endpoints of a driver.
 const driverEndpoints = 16
 
 // snapshot sends a complete list of random endpoints.
@@ -50,20 +50,20 @@
 	var list []Endpoint
 	for i := range driverEndpoints {
 		if d.rnd.IntN(5) > 0 {
-			list = append(list, d.entry(i))
+			list = append(list, d.randomEndpoint(i))
 		}
 	}
-	d.checker.list(kind, list)
+	d.checker.recordUpdate(kind, list)
 	d.balancer.UpdateEndpoints(d.now, d.checker, kind, list)
 }
 
 // delta sends one changed entry.
 func (d *driver) delta() {
-	e := d.entry(d.rnd.IntN(driverEndpoints))
+	e := d.randomEndpoint(d.rnd.IntN(driverEndpoints))
 	if _, known := d.checker.listed[e.ID]; known && d.rnd.IntN(4) == 0 {
 		e.State = Removed
 	}
-	d.checker.list(Delta, []Endpoint{e})
+	d.checker.recordUpdate(Delta, []Endpoint{e})
 	d.balancer.UpdateEndpoints(d.now, d.checker, Delta, []Endpoint{e})
 }
 
@@ -85,19 +85,19 @@
 	}
 	d.open = append(d.open, r.ID)
 	d.balancer.Request(d.now, d.checker, r)
-	d.mustBeOwned(r.ID)
+	d.checkAnsweredOrPending(r.ID)
 }
 
-// mustBeOwned checks that a request is answered, in flight or waiting for its turn with a timer
-// set: none may be left with nobody to end it.
-func (d *driver) mustBeOwned(id string) {
+// checkAnsweredOrPending checks that a request is answered, in flight or queued with a timer. No
+// request may be left in a state that nothing ends.
+func (d *driver) checkAnsweredOrPending(id string) {
 	q := d.checker.requests[id]
 	hasTimer := slices.ContainsFunc(d.checker.timers, func(t timer) bool {
 		return t.due <= q.r.ClientDeadline && strings.Contains(t.token, id)
 	})
 	waits := len(q.attempts) == 0 && d.checker.settings.Classes[q.r.Class].Ordered && q.r.Key != "" && hasTimer
 	if !q.closed && len(q.pending) == 0 && !waits {
-		d.checker.breaks("rule 1: %s is neither answered nor in flight", id)
+		d.checker.addViolation("rule 1: %s is neither answered nor in flight nor queued with a timer", id)
 	}
 }
 
@@ -116,10 +116,10 @@
 		return
 	}
 	d.end(q, []Status{OK, OK, OK, Error, Overloaded, TimedOut, ConnectFailed, Reset, Canceled, NotSent}[d.rnd.IntN(10)])
-	d.mustBeOwned(id)
+	d.checkAnsweredOrPending(id)
 }
 
-// end ends the earliest attempt of a request that is in flight.
+// end ends the earliest attempt of a request that is still in flight.
 func (d *driver) end(q *trackedRequest, status Status) {
 	n := q.pending[0]
 	q.pending = q.pending[1:]
@@ -129,7 +129,8 @@
 	if settings.Classes[q.r.Class].Ordered && (status == TimedOut || status == Reset || status == Canceled) {
 		d.checker.paused[q.r.Key] = max(d.checker.paused[q.r.Key], d.now+settings.OrderingDelay)
 	}
-	t.ran = (status != Overloaded || settings.RejectionMayHaveRun) && status != ConnectFailed && status != NotSent
+	t.mayHaveRun = (status != Overloaded || settings.RejectionMayHaveRun) &&
+		status != ConnectFailed && status != NotSent
 	if status == OK {
 		q.closed = true
 	}
@@ -138,8 +139,8 @@
 	})
 }
 
-// expire brings the timers and timeouts that are due, as the wire does at an attempt's or a
-// client's deadline.
+// expire delivers the timers and timeouts that are due, like a proxy at the deadline of an attempt
+// or a client.
 func (d *driver) expire() {
 	for {
 		i := slices.IndexFunc(d.checker.timers, func(t timer) bool { return t.due <= d.now })
@@ -154,12 +155,12 @@
 		q := d.checker.requests[id]
 		for len(q.pending) > 0 && q.attempts[q.pending[0]].sent+q.attempts[q.pending[0]].timeout <= d.now {
 			d.end(q, TimedOut)
-			d.mustBeOwned(id)
+			d.checkAnsweredOrPending(id)
 		}
 	}
 }
 
-// nextDue returns when the next timer or timeout is due.
+// nextDue returns the time when the next timer or timeout is due.
 func (d *driver) nextDue() int64 {
 	due := d.now + 20_000
 	for _, id := range d.open {
@@ -173,7 +174,7 @@
 	return max(due, d.now)
 }
 
-// step plays what is due and one random event.
+// step delivers what is due and one random event.
 func (d *driver) step() {
 	d.now = min(d.now+d.rnd.Int64N(20_000), d.nextDue())
 	d.checker.now = d.now
@@ -189,11 +190,11 @@
 		d.snapshot(Snapshot)
 	case x < 942:
 		d.balancer.UpdateEndpoints(d.now, d.checker, UpdateFailed, nil)
-	case x < 960 && len(d.checker.timers) > 0: // a timer again that has expired
+	case x < 960 && len(d.checker.timers) > 0: // a repeated watch timer
 		d.balancer.Timer(d.now, d.checker, "watch")
 	case x < 975:
 		d.cancel()
-	case x < 985: // events that name nothing known
+	case x < 985: // events with unknown names
 		d.balancer.Outcome(d.now, d.checker, Outcome{ID: "nobody", Attempt: 3, Status: Error})
 		d.balancer.Cancel(d.now, d.checker, "nobody")
 		d.balancer.Timer(d.now, d.checker, "nothing")
--- a/logic/endpoint.go
+++ b/logic/endpoint.go
@@ -2,23 +2,24 @@
 
 import "hash/fnv"
 
-// endpoint is an entry of the endpoint list and what was learned of it.
+// endpoint is an entry of the endpoint list and what was learned about it.
 type endpoint struct {
 	Endpoint
 	hash            uint64
-	inFlight        int            // attempts of this replica
-	relativeLatency float64        // moving average of its latency over the mean of all
-	outlier         outlierState   // over all classes
-	classOutliers   []outlierState // of each class
-	unverified      bool           // from a RestoredSnapshot, and neither listed nor known to serve since
+	inFlight        int            // attempts sent by this replica
+	relativeLatency float64        // moving average of its latency relative to the mean of all endpoints
+	outlier         outlierState   // for all classes together
+	classOutliers   []outlierState // for each class
+	unverified      bool           // from a RestoredSnapshot, with no update and no attempt served since
 
-	lastServedSentAt int64 // when the latest attempt was sent that it has served
-	rejecting        bool  // it has rejected an attempt, and has served none that was sent since
-	// When the first and the latest of the attempts ended that it has rejected since then.
+	lastServedSentAt int64 // when the latest attempt that it served was sent
+	rejecting        bool  // whether it rejected an attempt and has accepted none sent since
+	// rejectingSince and lastRejectedAt are when the first and the latest of the rejected attempts
+	// ended, since rejecting was set.
 	rejectingSince, lastRejectedAt int64
 }
 
-// reset drops what was learned of the endpoint.
+// reset drops what was learned about the endpoint.
 func (e *endpoint) reset(classes int) {
 	e.relativeLatency = 1
 	e.outlier = outlierState{health: 1}
@@ -30,14 +31,15 @@
 	e.lastServedSentAt = 0
 }
 
-// healthFor returns the fraction of its weight that outlier detection leaves the endpoint for a
+// healthFor returns the fraction of its weight that outlier detection leaves to the endpoint for a
 // class.
 func (e *endpoint) healthFor(class int) float64 {
 	return e.outlier.health * e.classOutliers[class].health
 }
 
-// recordRejection takes the end of an attempt, and whether the endpoint rejected it. An attempt
-// that was sent before the latest rejection does not show that the endpoint takes requests since.
+// recordRejection records the end of an attempt, and whether the endpoint rejected it. An attempt
+// that was sent before the latest rejection ended does not show that the endpoint accepts requests
+// again.
 func (e *endpoint) recordRejection(now, sentAt int64, rejected bool) {
 	switch {
 	case rejected && !e.rejecting:
@@ -49,10 +51,10 @@
 	}
 }
 
-// hashID returns a hash that orders endpoints alike at every replica, by nothing that their IDs may
-// mean.
+// hashID returns the hash that orders endpoints on the ring. The order is the same at every replica
+// and independent of any structure of the IDs.
 func hashID(id string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(id)) // a hash.Hash never returns an error
+	_, _ = h.Write([]byte(id)) // Write of a hash.Hash never returns an error
 	return h.Sum64()
 }
--- a/logic/endpoint_list.go
+++ b/logic/endpoint_list.go
@@ -7,31 +7,33 @@
 
 const (
 	initialWatchBackoff = second / 4
-	watchBackoffDivisor = 8 // the backoff of a failed watch doubles up to Settings.PollInterval over this
+	// The backoff of a failed watch doubles up to Settings.PollInterval divided by
+	// watchBackoffDivisor.
+	watchBackoffDivisor = 8
 )
 
-// endpointList is the endpoint list as last known.
+// endpointList is the endpoint list as of the latest update.
 type endpointList struct {
-	classes int // of the settings
+	classes int // number of classes in the settings
 	byID    map[string]*endpoint
-	ring    []*endpoint // the ready ones, by compareRing
-	ready   []*endpoint // the same, this replica's subset first
+	ring    []*endpoint // ready endpoints in the order of compareRing
+	ready   []*endpoint // ready endpoints, starting with the subset of this replica
 }
 
-// newEndpointList returns an empty list for so many classes of requests.
+// newEndpointList returns an empty list for the given number of classes.
 func newEndpointList(classes int) endpointList {
 	return endpointList{classes: classes, byID: map[string]*endpoint{}}
 }
 
 // watchState is the state of the watch of the endpoint list.
 type watchState struct {
-	active       bool  // it was asked for
-	backoff      int64 // before the next attempt at a watch
+	active       bool  // whether the watch was requested and has not failed since
+	backoff      int64 // time before the next attempt to watch, without jitter
 	updatedAt    int64 // when the list was last updated
-	overdueSince int64 // when the first poll or watch failed since the last update; 0: none has
+	overdueSince int64 // when the first poll or watch failed since the last update; 0 means that none did
 }
 
-// UpdateEndpoints takes an update of the endpoint list, or the failure of one.
+// UpdateEndpoints handles an update of the endpoint list, or the failure of a poll or watch.
 func (b *Balancer) UpdateEndpoints(now int64, h Host, kind UpdateKind, entries []Endpoint) {
 	if kind == UpdateFailed {
 		b.watchFailed(now, h)
@@ -46,7 +48,7 @@
 	b.watch.backoff = initialWatchBackoff
 }
 
-// startWatch opens the watch, unless it is active.
+// startWatch requests the watch unless it is active.
 func (b *Balancer) startWatch(h Host) {
 	if !b.watch.active {
 		b.watch.active = true
@@ -54,8 +56,8 @@
 	}
 }
 
-// watchFailed sets a timer for the next attempt at a watch. Many replicas keep the list service
-// busy: each backs off and has one timer at a time.
+// watchFailed sets a timer for the next attempt to watch. Many replicas load the endpoint list
+// service, so each replica backs off and has only one timer at a time.
 func (b *Balancer) watchFailed(now int64, h Host) {
 	w := &b.watch
 	w.overdueSince = cmp.Or(w.overdueSince, now)
@@ -66,19 +68,20 @@
 	w.active = false
 }
 
-// Unverified reports whether an endpoint may be another service's by now: see [RestoredSnapshot].
+// Unverified reports whether the address of an endpoint may belong to another service by now: see
+// [RestoredSnapshot].
 func (b *Balancer) Unverified(id string) bool {
 	e := b.endpoints.byID[id]
 	return e != nil && e.unverified
 }
 
-// update takes an update. Rule 3 holds with no grace used: an endpoint gets no new attempt from the
-// moment that the list says that it drains or is removed.
+// update applies an update to the list. Rule 3 is kept without using the drain grace: an endpoint
+// gets no new attempts as soon as the list states that it is draining or removed.
 func (l *endpointList) update(kind UpdateKind, entries []Endpoint) {
 	for _, e := range l.byID {
-		e.unverified = false // any update comes from a source that knows better
+		e.unverified = false // the source of any update knows more than a RestoredSnapshot
 		if kind != Delta {
-			e.State = Removed // unless listed below
+			e.State = Removed // unless it is among the entries
 		}
 	}
 	for _, entry := range entries {
@@ -91,21 +94,22 @@
 	}
 }
 
-// upsert takes one entry. What was learned of an endpoint is dropped when its process restarts.
+// upsert adds or replaces one entry. What was learned about an endpoint is dropped when its process
+// restarts.
 func (l *endpointList) upsert(entry Endpoint) *endpoint {
 	e := l.byID[entry.ID]
 	if e == nil {
 		e = &endpoint{hash: hashID(entry.ID)}
 		l.byID[entry.ID] = e
 	}
-	if e.ID == "" || e.StartedAt != entry.StartedAt { // new, or restarted
+	if e.ID == "" || e.StartedAt != entry.StartedAt { // new or restarted
 		e.reset(l.classes)
 	}
 	e.Endpoint = entry
 	return e
 }
 
-// rebuildRing forgets removed endpoints and gathers the ready ones.
+// rebuildRing deletes removed endpoints and collects the ready ones.
 func (l *endpointList) rebuildRing() {
 	l.ring = l.ring[:0]
 	for id, e := range l.byID {
@@ -120,12 +124,12 @@
 	slices.SortFunc(l.ring, compareRing)
 }
 
-// applyDelta does what rebuildRing does where a few entries have changed.
+// applyDelta has the result of rebuildRing and is faster when few entries have changed.
 func (l *endpointList) applyDelta(entries []Endpoint) {
 	for _, entry := range entries {
 		e := l.byID[entry.ID]
 		if e == nil {
-			continue // listed twice, and removed
+			continue // removed by an earlier entry with the same ID
 		}
 		i, found := slices.BinarySearchFunc(l.ring, e, compareRing)
 		if e.State == Ready && !found {
--- a/logic/endpoint_list_test.go
+++ b/logic/endpoint_list_test.go
@@ -17,11 +17,11 @@
 		}
 		for _, s := range h.sends {
 			if s.endpoint == "s0" || s.endpoint == "s1" {
-				t.Fatalf("state %d: sent to %s", state, s.endpoint)
+				t.Fatalf("state %d: attempt sent to %s", state, s.endpoint)
 			}
 		}
 		if len(h.sends) < 100 {
-			t.Fatalf("only %d sends", len(h.sends))
+			t.Fatalf("%d attempts sent, want at least 100", len(h.sends))
 		}
 	}
 }
@@ -35,7 +35,7 @@
 	}
 	for _, s := range h.sends {
 		if s.endpoint != "s0" {
-			t.Fatalf("sent to %s", s.endpoint)
+			t.Fatalf("attempt sent to %s, which the snapshot does not list", s.endpoint)
 		}
 	}
 }
@@ -45,32 +45,32 @@
 	s.WatchEndpoints, s.PollInterval = true, 10*second
 	b, h := newTestBalancer(t, s, 2)
 	if h.watches != 1 {
-		t.Fatalf("watched %d times after the first list", h.watches)
+		t.Fatalf("%d watches after the first list, want 1", h.watches)
 	}
 	b.UpdateEndpoints(start, h, UpdateFailed, nil)
 	if len(h.timers) != 1 {
-		t.Fatalf("%d timers after a failure", len(h.timers))
+		t.Fatalf("%d timers after a failure, want 1", len(h.timers))
 	}
-	b.UpdateEndpoints(start, h, UpdateFailed, nil) // the broken watch and the failed poll are notified one by one
+	b.UpdateEndpoints(start, h, UpdateFailed, nil) // a failed watch and a failed poll are reported separately
 	if len(h.timers) != 1 {
-		t.Errorf("%d timers after the same failure was notified twice", len(h.timers))
+		t.Errorf("%d timers after two reports of the same failure, want 1", len(h.timers))
 	}
 	b.Timer(start+second, h, h.timers[0])
 	b.Timer(start+second, h, h.timers[0])
 	if h.watches != 2 {
-		t.Errorf("watched %d times after the timer", h.watches)
+		t.Errorf("%d watches after the timer, want 2", h.watches)
 	}
 }
 
-// Endpoints of a list that an earlier process knew get no non-idempotent request until they have
-// served one, and all of them do once any update has come.
+// Endpoints in a list restored from an earlier process get no non-idempotent request until they
+// have served another one. After any update, all endpoints get them.
 func TestRestoredEndpointsAreUnverified(t *testing.T) {
 	const idempotent, nonIdempotent = 0, 2
 	for _, kind := range []UpdateKind{Snapshot, Delta} {
 		b, h := mustNew(t, testSettings()), &recorder{}
 		b.UpdateEndpoints(start, h, RestoredSnapshot, testEndpoints(3))
 		now := start
-		// serve submits a request and returns the endpoint that served it, or nothing.
+		// serve submits a request and returns the ID of the endpoint that served it, or "".
 		serve := func(class int) string {
 			now += 1000
 			id := fmt.Sprint(now)
@@ -83,15 +83,15 @@
 			return q.attempts[0].endpoint.ID
 		}
 		if got := serve(nonIdempotent); got != "" {
-			t.Errorf("an unverified endpoint, %s, got a non-idempotent request", got)
+			t.Errorf("unverified endpoint %s got a non-idempotent request", got)
 		}
 		shown := serve(idempotent)
 		if shown == "" || b.Unverified(shown) {
-			t.Fatalf("%q is unverified though it has served", shown)
+			t.Fatalf("endpoint %q is unverified after serving a request", shown)
 		}
 		for range 20 {
 			if got := serve(nonIdempotent); got != shown {
-				t.Errorf("a non-idempotent request went to %q, %q alone has served", got, shown)
+				t.Errorf("non-idempotent request went to %q, want %q, which has served one", got, shown)
 			}
 		}
 		unverified := 0
@@ -101,7 +101,7 @@
 			}
 		}
 		if unverified != 2 {
-			t.Errorf("%d of three unverified, two expected", unverified)
+			t.Errorf("%d of 3 endpoints unverified, want 2", unverified)
 		}
 		if kind == Snapshot {
 			b.UpdateEndpoints(now, h, Snapshot, testEndpoints(3))
@@ -110,13 +110,13 @@
 		}
 		for _, s := range testEndpoints(3) {
 			if b.Unverified(s.ID) {
-				t.Errorf("%s is unverified after an update", s.ID)
+				t.Errorf("endpoint %s is unverified after an update", s.ID)
 			}
 		}
 	}
 	b, h := mustNew(t, testSettings()), &recorder{}
 	b.UpdateEndpoints(start, h, CachedSnapshot, testEndpoints(3))
 	if b.Unverified("s0") || b.Unverified("none") {
-		t.Error("an endpoint of a list that the configuration names is unverified")
+		t.Error("endpoint of a CachedSnapshot or unknown endpoint is unverified")
 	}
 }
--- a/logic/evidence.go
+++ b/logic/evidence.go
@@ -3,33 +3,33 @@
 import "cmp"
 
 const (
-	roundSize       = 12  // outcomes in a round of evidence: fewer are chance, more are late
-	roundObjectives = 2   // latency objectives: a round with fewer outcomes has lasted long enough
+	roundSize       = 12  // outcomes in a round of evidence: fewer prove little, more delay the verdict
+	roundObjectives = 2   // latency objectives after which a round with fewer outcomes may complete
 	cutStrength     = 0.6 // a bad round cuts a limit or the quota multiple by this times its bad fraction
 
-	maxBadFraction      = 0.4 // a larger fraction of late or failed outcomes makes a round bad for the limits
+	maxBadFraction      = 0.4 // largest fraction of late or failed outcomes in a good round of a limit
 	maxBadFractionInner = 0.7 // the same in an inner tier
-	maxSlowFraction     = 0.3 // a larger fraction of slow outcomes makes a round bad for the quotas and the local zone
+	maxSlowFraction     = 0.3 // the same of slow outcomes, for the quotas and the local zone
 )
 
-// Evidence is the kind of evidence that cut a concurrency limit.
+// Evidence is the kind of evidence that led to a cut of a concurrency limit.
 type Evidence int
 
 // The kinds of evidence.
 const (
 	NoEvidence       Evidence = iota
-	LateEvidence              // late answers, timeouts and rejections of overloaded endpoints
+	LateEvidence              // late answers, timeouts and rejections by overloaded endpoints
 	FailureEvidence           // failed attempts that no outlier explains
 	PriorityEvidence          // slow attempts of a class with a higher priority
 )
 
-// String returns the evidence in the words of the operators' pages.
+// String returns the name of the evidence as the operator documentation has it.
 func (e Evidence) String() string {
 	return [...]string{"no evidence", "late calls", "failed calls", "slow calls of a worthier class"}[e]
 }
 
-// verdict is what a round of evidence comes to: undecided, good, or else bad, when it is the factor
-// to cut by.
+// verdict is the result of a round of evidence: undecided, good, or the factor by which a bad round
+// cuts a limit or multiple.
 type verdict float64
 
 const (
@@ -40,23 +40,23 @@
 // isBad reports whether the verdict is a factor to cut by.
 func (v verdict) isBad() bool { return v > undecided && v < good }
 
-// evidenceRound gathers outcomes of attempts that were sent since its start and evaluates them once
-// they are enough, so that replicas with sparse traffic learn by evidence and one fault is answered
-// by one cut.
+// evidenceRound collects the outcomes of attempts that were sent since its start, and evaluates
+// them once there are enough. Replicas with sparse traffic therefore decide on sufficient evidence,
+// and one fault causes one cut.
 type evidenceRound struct {
 	kind       Evidence
-	maxBad     float64 // a larger fraction of bad outcomes makes it bad
-	window     int64   // after this time a few outcomes make a round; microseconds
-	cleanTotal float64 // so many outcomes without a bad one make a round good; 0: they do not
+	maxBad     float64 // largest fraction of bad outcomes in a good round
+	window     int64   // time in microseconds after which a round with few outcomes may complete
+	cleanTotal float64 // number of outcomes without a bad one that completes a good round; 0 disables this
 
 	startedAt          int64
 	total, bad         int
 	lastTotal, lastBad int // of the previous round
 }
 
-// add takes one outcome. It returns undecided until the round can be evaluated. The factor of a bad
-// round is lower the more of it was bad: a false alarm costs little and congestion is answered at
-// once.
+// add records one outcome. It returns undecided until the round can be evaluated. The more of a
+// round was bad, the lower is its factor: a false alarm costs little, and congestion gets a strong
+// response at once.
 func (r *evidenceRound) add(now, sentAt int64, bad bool) verdict {
 	r.startedAt = cmp.Or(r.startedAt, sentAt)
 	if sentAt < r.startedAt {
@@ -78,8 +78,8 @@
 	return verdict(1 - cutStrength*badFraction)
 }
 
-// isComplete reports whether the round's verdict is sure. A short round is complete only if it is
-// good.
+// isComplete reports whether the verdict of the round is certain. A round with fewer than roundSize
+// outcomes can complete early as bad, but only a good one completes by time or by cleanTotal.
 func (r *evidenceRound) isComplete(now int64) bool {
 	bad, total := float64(r.bad), float64(r.total)
 	if bad > r.maxBad*roundSize || r.total >= roundSize {
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -6,7 +6,7 @@
 	"fernlanding/logic"
 )
 
-// printer is a Host that prints its actions; a proxy would carry them out.
+// printer is a Host that prints its actions instead of carrying them out.
 type printer struct{}
 
 func (printer) Forward(id, endpoint string, timeout int64) {
@@ -18,7 +18,7 @@
 func (printer) WatchEndpoints()                    { fmt.Println("watch") }
 func (printer) Log(line string)                    { fmt.Println("log:", line) }
 
-// A balancer knows two endpoints and takes a request. The first endpoint is full, so the request is
+// A balancer has two endpoints and one request. The first endpoint is full, so the request is
 // retried at the other one, which answers it.
 func Example() {
 	b, err := logic.New(logic.Settings{
--- a/logic/host_test.go
+++ b/logic/host_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// recorder is a Host that keeps the actions it was given.
+// recorder is a Host that records its actions.
 type recorder struct {
-	lines       []string
+	actions     []string
 	sends       []forwarded
 	watches     int
 	timers      []string // tokens
 	retryAfters []int64
 }
 
-// forwarded is an attempt that was forwarded.
+// forwarded is a forwarded attempt.
 type forwarded struct {
 	id, endpoint string
 	timeout      int64
@@ -22,7 +22,7 @@
 
 // record adds an action.
 func (r *recorder) record(format string, a ...any) {
-	r.lines = append(r.lines, fmt.Sprintf(format, a...))
+	r.actions = append(r.actions, fmt.Sprintf(format, a...))
 }
 
 func (r *recorder) Forward(id, endpoint string, timeout int64) {
@@ -49,19 +49,19 @@
 	r.watches++
 }
 
-// last returns the latest action without its numbers.
+// last returns the latest action, or "" if there is none.
 func (r *recorder) last() string {
-	if len(r.lines) == 0 {
+	if len(r.actions) == 0 {
 		return ""
 	}
-	return r.lines[len(r.lines)-1]
+	return r.actions[len(r.actions)-1]
 }
 
-// start is when the tests begin, in microseconds.
+// start is the time when the tests begin, in microseconds.
 const start = int64(1_000_000_000)
 
-// testSettings has a class of each idempotency: 0 idempotent, 1 by key in a cell, 2 non-idempotent,
-// 3 by key in the tier, 4 by key in a zone.
+// testSettings has one class of each kind: 0 idempotent, 1 idempotent by key in a cell, 2
+// non-idempotent, 3 idempotent by key in the tier, 4 idempotent by key in a zone.
 func testSettings() Settings {
 	class := Class{LatencyObjective: 500_000, Deadline: 1_500_000, PriorityWeight: 1, LatePriorityFactor: 0.3}
 	s := Settings{
@@ -82,7 +82,7 @@
 	return s
 }
 
-// mustNew returns a balancer for the settings.
+// mustNew returns a balancer with the settings.
 func mustNew(t *testing.T, s Settings) *Balancer {
 	t.Helper()
 	b, err := New(s, 7)
@@ -92,7 +92,7 @@
 	return b
 }
 
-// testEndpoints lists n ready endpoints: cells of two, zones alternating by cell.
+// testEndpoints returns n ready endpoints, two in each cell, in cells of alternating zones.
 func testEndpoints(n int) []Endpoint {
 	var out []Endpoint
 	for i := range n {
@@ -101,7 +101,7 @@
 	return out
 }
 
-// newTestBalancer returns a balancer that knows n endpoints, and its host.
+// newTestBalancer returns a balancer with n endpoints, and its host.
 func newTestBalancer(t *testing.T, s Settings, n int) (*Balancer, *recorder) {
 	t.Helper()
 	b, h := mustNew(t, s), &recorder{}
@@ -109,14 +109,14 @@
 	return b, h
 }
 
-// submit hands a request to a balancer; its client waits a second.
+// submit submits a request whose client waits for a second.
 func submit(b *Balancer, h Host, now int64, id string, class int) {
 	b.Request(now, h, Request{ID: id, Class: class, ClientDeadline: now + 1_000_000})
 }
 
-// playOutcomes plays n requests, gap microseconds from one to the next, each of which ends after
-// latency microseconds as end says, and returns the time when all have. What the rules shed is left
-// out.
+// playOutcomes submits n requests with a distance of gap microseconds. The outcome of each attempt
+// is the result of end after latency microseconds. Shed requests are left out. playOutcomes returns
+// the time when all attempts have ended.
 func playOutcomes(b *Balancer, h *recorder, now int64, n int, gap, latency int64, end func(i int) Status) int64 {
 	type call struct {
 		id string
@@ -145,13 +145,14 @@
 	return now + latency
 }
 
-// alwaysOK is an end for playOutcomes.
+// alwaysOK returns OK for every attempt, for playOutcomes.
 func alwaysOK(int) Status { return OK }
 
-// settingsWithHeadroom has long objectives: attempts take a tenth of them under little load.
-func settingsWithHeadroom() Settings {
+// settingsWithLongObjectives has long latency objectives: attempts take a tenth of them under light
+// load.
+func settingsWithLongObjectives() Settings {
 	s := testSettings()
-	s.Replicas = 4 // so that no attempt counts as sent under light load
+	s.Replicas = 4 // no attempt counts as sent under light load
 	for i := range s.Classes {
 		s.Classes[i].LatencyObjective, s.Classes[i].Deadline = 3*second, 6*second
 	}
--- a/logic/idempotency.go
+++ b/logic/idempotency.go
@@ -12,16 +12,17 @@
 	}
 }
 
-// mayStillRun reports whether an attempt that ended with the status may go on at its endpoint.
+// mayStillRun reports whether an attempt that ended with the status may still be running at its
+// endpoint.
 func mayStillRun(status Status) bool {
 	return status == TimedOut || status == Reset || status == Canceled
 }
 
-// retryAllowed keeps rule 2 for an attempt at an endpoint. Once an attempt may have run, a
-// non-idempotent request is not retried, and one that is idempotent by key only within the dedup
-// scope, while the key is remembered there: also if the retry leaves as late as
-// Settings.MaxSendDelay allows. A non-idempotent request goes to no endpoint that may be another
-// service's by now.
+// retryAllowed reports whether rule 2 allows an attempt at an endpoint. Once an attempt of it may
+// have run, a non-idempotent request is not retried. A request that is idempotent by key is then
+// retried only within the dedup scope and only if the retry is sent before the dedup window ends,
+// even if its sending takes Settings.MaxSendDelay. A non-idempotent request goes to no endpoint
+// whose address may belong to another service by now.
 func (b *Balancer) retryAllowed(now int64, q *request, e *endpoint) bool {
 	class := &b.settings.Classes[q.Class]
 	if e.unverified && class.Idempotency == NonIdempotent {
@@ -51,7 +52,8 @@
 	}
 }
 
-// mayShed keeps rule 2 for shedding, which tells the client that a retry is harmless.
+// mayShed reports whether rule 2 allows shedding the request. Shedding tells the client that a
+// retry is safe.
 func (b *Balancer) mayShed(q *request) bool {
 	return b.settings.Classes[q.Class].retriesAnywhere() || !q.mayHaveRun()
 }
--- a/logic/idempotency_test.go
+++ b/logic/idempotency_test.go
@@ -10,14 +10,14 @@
 		class  int
 		status Status
 		after  int64
-		want   string // retry anywhere, retry in the same cell or zone, fail, shed
+		want   string // retry (anywhere), cell or zone (retry there), fail, shed
 	}{
 		{0, Error, 1000, "retry"},
 		{0, Reset, 1000, "retry"},
 		{0, Overloaded, 1000, "retry"},
 		{1, Overloaded, 1000, "retry"},
 		{1, Error, 1000, "cell"},
-		{1, Error, 300_000, "fail"}, // the dedup window is over
+		{1, Error, 300_000, "fail"}, // after the dedup window
 		{2, Overloaded, 1000, "retry"},
 		{2, ConnectFailed, 1000, "retry"},
 		{2, Error, 1000, "fail"},
@@ -44,18 +44,18 @@
 			continue
 		}
 		if len(h.sends) != 2 {
-			t.Errorf("%s: no retry but %q", name, h.last())
+			t.Errorf("%s: got %q, want a retry", name, h.last())
 			continue
 		}
 		one, two := where[h.sends[0].endpoint], where[h.sends[1].endpoint]
 		if c.want == "cell" && one.Cell != two.Cell || c.want == "zone" && one.Zone != two.Zone {
-			t.Errorf("%s: sent from %v to %v", name, one, two)
+			t.Errorf("%s: retried at %v after %v, want the same %s", name, two, one, c.want)
 		}
 	}
 }
 
-// Some fleets reject work that they had begun: there, Overloaded must bring neither a retry nor
-// shedding.
+// Some services reject work that they have already begun. With them, Overloaded must cause neither
+// a retry nor shedding.
 func TestRejectionMayHaveRun(t *testing.T) {
 	s := testSettings()
 	s.RejectionMayHaveRun = true
@@ -63,19 +63,19 @@
 	submit(b, h, start, "non-idempotent", 2)
 	b.Outcome(start+1000, h, Outcome{ID: "non-idempotent", Status: Overloaded, Latency: 1000})
 	if len(h.sends) != 1 || h.last() != "fail non-idempotent" {
-		t.Errorf("a non-idempotent request that was rejected: %q", h.lines)
+		t.Errorf("rejected non-idempotent request: got actions %q, want one attempt and fail", h.actions)
 	}
 	submit(b, h, start+2000, "by key", 1)
 	b.Outcome(start+3000, h, Outcome{ID: "by key", Status: Overloaded, Latency: 1000})
 	cellOf := func(send int) int { return b.endpoints.byID[h.sends[send].endpoint].Cell }
 	if len(h.sends) != 3 || cellOf(1) != cellOf(2) {
-		t.Errorf("a request idempotent by key that was rejected left its dedup scope: %q", h.lines)
+		t.Errorf("rejected request that is idempotent by key: got actions %q, want a retry in the same cell", h.actions)
 	}
 }
 
-// A retry may have to wait for a connection. It is allowed only where it still leaves within the
+// A retry may have to wait for a connection. It is allowed only if it is still sent within the
 // dedup window.
-func TestRetryByKeyLeavesWithinDedupWindow(t *testing.T) {
+func TestRetryByKeyIsSentWithinDedupWindow(t *testing.T) {
 	s := testSettings()
 	s.MaxSendDelay = 20_000
 	window := s.Classes[1].DedupWindow
@@ -85,7 +85,7 @@
 		submit(b, h, start, "r", 1)
 		b.Outcome(start+after, h, Outcome{ID: "r", Status: Error, Latency: after})
 		if want == "retry" && len(h.sends) != 2 || want != "retry" && h.last() != want {
-			t.Errorf("after %d of %d: got %q, want %s", after, window, h.last(), want)
+			t.Errorf("%d us into a dedup window of %d us: got %q, want %s", after, window, h.last(), want)
 		}
 	}
 }
--- a/logic/limit.go
+++ b/logic/limit.go
@@ -2,46 +2,48 @@
 
 const (
 	initialLimit  = 1e6 // before the first round: a fresh replica sheds nothing while endpoints answer
-	minLimit      = 0.3 // a limit never falls below this: some attempts must go on to bring evidence
-	minLimitInner = 8.0 // the same in an inner tier, where shedding wastes the work done so far
+	minLimit      = 0.3 // floor of a limit: some attempts must continue to provide evidence
+	minLimitInner = 8.0 // the same in an inner tier, where shedding wastes the work done by outer tiers
 
 	limitStep            = 1.0 // added to a limit after a good round
-	maxLimitStepFraction = 0.2 // but no more than this fraction of a small limit
+	maxLimitStepFraction = 0.2 // maximum step as a fraction of the limit, for small limits
 
-	// A good round leaves a limit no higher than headroomFactor times the peak of its attempts in
-	// flight, since an unused limit guards from no burst; and headroomAttempts more, for chance at
-	// replicas with sparse traffic.
+	// After a good round, the limit is at most headroomFactor times the peak of its attempts in
+	// flight, plus headroomAttempts. A limit far above its use does not protect against a burst.
+	// The constant part allows for random variation at replicas with sparse traffic.
 	headroomFactor   = 1.5
 	headroomAttempts = 2.0
-	// But attempts that take no more than this fraction of their objective, were their latency to
-	// grow with their number, are no burst: a round of microseconds is over before its peak says
-	// much.
+	// The limit may also be as high as the number of attempts in flight at which the latency would
+	// reach this fraction of its objective, if it grew in proportion to that number. Rounds of such
+	// short attempts are over within microseconds, so that their peak says little about bursts.
 	shortLatencyFraction = 0.05
 
-	// Outcomes without a bad one that double a cut limit, or twice the limit if that is more.
+	// A cut limit is doubled after this many outcomes without a bad one, or after twice the limit
+	// if that is more.
 	minCleanTotal = 3.0
-	// A cut for a class with a higher priority is restored by doubling up to this fraction of what
-	// was in flight.
+	// After a cut in favor of a class with a higher priority, doubling restores the limit up to
+	// this fraction of the attempts that were in flight.
 	priorityRestoreFraction = 0.8
 )
 
 // concurrencyLimit is a rule of FlowSlot with thread grade: it limits the attempts in flight. The
-// limit is learned from evidence of lateness and, apart from that, of failures: the two are not
-// added up.
+// limit is learned from evidence of lateness and, separately, from evidence of failures. The two
+// kinds of evidence are not added up.
 type concurrencyLimit struct {
 	inFlight   int
-	peak       int // of inFlight since the last verdict
+	peak       int // maximum of inFlight since the last verdict
 	limit      float64
 	floor      float64
 	late       evidenceRound
 	failures   evidenceRound
 	lastCut    LimitCut
-	belowUsage bool    // cut by a bad round, and not yet back at what is used
-	restoreTo  float64 // a cut limit is doubled by good rounds up to this
+	belowUsage bool    // whether a bad round cut the limit and it is still below what is in use
+	restoreTo  float64 // value up to which good rounds double a cut limit
 }
 
-// newConcurrencyLimit returns a limit that nothing has been learned of yet. The rounds of its
-// evidence are bad above a fraction of maxBad, and window microseconds make a short one complete.
+// newConcurrencyLimit returns a limit in its initial state. A round of its evidence is bad if the
+// fraction of bad outcomes exceeds maxBad, and may complete with fewer outcomes after window
+// microseconds.
 func newConcurrencyLimit(maxBad, floor float64, window int64) concurrencyLimit {
 	return concurrencyLimit{
 		limit:    initialLimit,
@@ -51,19 +53,20 @@
 	}
 }
 
-// canPass reports whether one more attempt may start. It lets a fractional limit work: its fraction
-// is the chance that a random u of [0, 1) admits one attempt more. A replica with sparse traffic
-// and two attempts in flight could otherwise shed nothing or half.
+// canPass reports whether one more attempt may start; u is a random number in [0, 1). The fraction
+// of a fractional limit is the probability that one more attempt is admitted. With whole limits, a
+// replica with sparse traffic and two attempts in flight could shed either nothing or half of its
+// requests.
 func (l *concurrencyLimit) canPass(u float64) bool { return float64(l.inFlight)+1 <= l.limit+u }
 
-// enter counts an attempt in.
+// enter counts the start of an attempt.
 func (l *concurrencyLimit) enter() {
 	l.inFlight++
 	l.peak = max(l.peak, l.inFlight)
 }
 
-// learn takes one outcome to a round and follows its verdict; relativeLatency is the mean latency
-// as a fraction of the objective.
+// learn adds an outcome to a round and raises or cuts the limit by the verdict. relativeLatency is
+// the mean latency as a fraction of its objective.
 func (l *concurrencyLimit) learn(r *evidenceRound, now, sentAt int64, bad bool, relativeLatency float64) {
 	v := l.evaluate(r, now, sentAt, bad)
 	if v == undecided {
@@ -77,15 +80,16 @@
 	l.peak = l.inFlight
 }
 
-// learnFailure takes one outcome to the round of failures. A good one restores the limit but does
-// not raise it.
+// learnFailure adds an outcome to the round of failures. A good round restores the limit after a
+// cut but does not raise it further.
 func (l *concurrencyLimit) learnFailure(now, sentAt int64, failed bool) {
 	l.cut(l.evaluate(&l.failures, now, sentAt, failed), &l.failures)
 }
 
-// evaluate takes one outcome to a round of evidence. A limit that such evidence has cut is doubled
-// by each good round until it is restored, and while that lasts few outcomes make a round if none
-// is bad: with an attempt or two in flight, a full round would take longer than most faults do.
+// evaluate adds an outcome to a round of evidence and returns the verdict. If this kind of evidence
+// made the last cut, each good round doubles the limit until it is restored. Until then, a few
+// outcomes complete a round if none of them is bad: with one or two attempts in flight, a full
+// round would take longer than most faults last.
 func (l *concurrencyLimit) evaluate(r *evidenceRound, now, sentAt int64, bad bool) verdict {
 	restoring := l.lastCut.Evidence == r.kind && l.restoreTo > l.limit
 	r.cleanTotal = 0
@@ -99,15 +103,15 @@
 	return v
 }
 
-// raise raises the limit by a step, within the headroom over what was used.
+// raise raises the limit by one step, bounded by the headroom above the attempts in flight.
 func (l *concurrencyLimit) raise(relativeLatency float64) {
-	used := max(l.floor, headroomFactor*float64(l.peak)+headroomAttempts)
-	usedIfShort := shortLatencyFraction / relativeLatency * float64(l.peak)
-	if usedIfShort > used && !l.belowUsage { // no bad round has made it what it is
-		l.limit = usedIfShort
+	headroom := max(l.floor, headroomFactor*float64(l.peak)+headroomAttempts)
+	shortHeadroom := shortLatencyFraction / relativeLatency * float64(l.peak)
+	if shortHeadroom > headroom && !l.belowUsage { // the limit is not the result of a bad round
+		l.limit = shortHeadroom
 	}
-	l.limit = min(l.limit+min(limitStep, maxLimitStepFraction*l.limit), max(used, usedIfShort))
-	l.belowUsage = l.belowUsage && l.limit < used
+	l.limit = min(l.limit+min(limitStep, maxLimitStepFraction*l.limit), max(headroom, shortHeadroom))
+	l.belowUsage = l.belowUsage && l.limit < headroom
 }
 
 // cut cuts the limit if the verdict of the round is bad.
@@ -119,7 +123,7 @@
 	l.limit, l.belowUsage = max(l.floor, from*float64(v)), true
 	l.restoreTo = max(l.restoreTo, from)
 	switch r.kind {
-	case LateEvidence: // what was in flight was too much: the limit rises by steps alone
+	case LateEvidence: // too many attempts were in flight: the limit rises again only in steps
 		l.restoreTo = 0
 	case PriorityEvidence:
 		l.restoreTo = priorityRestoreFraction * from
--- a/logic/ordering_test.go
+++ b/logic/ordering_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Requests of one key once overtook one another: an earlier one was still in flight at a slow
+// Requests overtook an earlier request with the same key that was still in flight at a slow
 // endpoint.
 func TestRequestsOfOneKeyKeepTheirOrder(t *testing.T) {
 	s := testSettings()
@@ -27,7 +27,7 @@
 	submitKey(start+3, "other", "j")
 	submitKey(start+4, "free", "")
 	if got := sends(); !slices.Equal(got, []string{"a", "other", "free"}) {
-		t.Fatalf("sent %v", got)
+		t.Fatalf("sent %v, want the first request of each key and the request without one", got)
 	}
 	b.Cancel(start+5, h, "b")
 	b.Cancel(start+6, h, "a") // done, but its attempt is still in flight
@@ -36,7 +36,7 @@
 	}
 	b.Outcome(start+1000, h, Outcome{ID: "a", Status: Reset, Latency: 1000, RequestDone: true})
 	if got := sends(); len(got) != 3 {
-		t.Fatalf("sent %v while the key is paused", got)
+		t.Fatalf("sent %v while the key was paused", got)
 	}
 	b.Timer(start+101_000, h, "turn k")
 	if got := sends(); !slices.Equal(got, []string{"a", "other", "free", "c"}) {
@@ -45,10 +45,10 @@
 	submitKey(start+102_000, "d", "k")
 	b.Timer(start+102_000+second-1000, h, "held d")
 	if h.last() != "shed d" {
-		t.Errorf("a waiting request's time ends with %q", h.last())
+		t.Errorf("last action %q after the time of a queued request, want it shed", h.last())
 	}
 	b.Outcome(start+102_000, h, Outcome{ID: "c", Status: OK, Latency: 1000, RequestDone: true})
 	if len(b.keys) != 1 || len(b.requests) != 2 { // "other" and its key
-		t.Errorf("%d keys and %d requests are kept", len(b.keys), len(b.requests))
+		t.Errorf("%d keys and %d requests in memory, want 1 and 2", len(b.keys), len(b.requests))
 	}
 }
--- a/logic/outcome.go
+++ b/logic/outcome.go
@@ -1,7 +1,7 @@
 package logic
 
-// Outcome reports the end of an attempt. Where the request is still owed an answer it gets a retry
-// or its final answer at once. An outcome of an attempt that is not in flight is ignored.
+// Outcome reports the end of an attempt. If the request still needs an answer, the Balancer retries
+// it or ends it at once. The outcome of an attempt that is not in flight is ignored.
 func (b *Balancer) Outcome(now int64, h Host, o Outcome) {
 	q := b.requests[o.ID]
 	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.attempts) || !q.attempts[o.Attempt].inFlight {
@@ -23,8 +23,8 @@
 	}
 }
 
-// retryOrEnd makes a retry of a request that has no attempt in flight. If none is allowed it sheds
-// the request, or fails it where rule 2 forbids that.
+// retryOrEnd retries a request that has no attempt in flight. If no retry is allowed, it sheds the
+// request, or fails the request if rule 2 forbids shedding.
 func (b *Balancer) retryOrEnd(now int64, h Host, q *request) {
 	cause := b.retry(now, h, q)
 	switch {
@@ -37,7 +37,7 @@
 	}
 }
 
-// endAttempt counts an attempt out.
+// endAttempt records that an attempt is no longer in flight.
 func (b *Balancer) endAttempt(q *request, a *attempt, status Status) {
 	a.inFlight = false
 	a.mayHaveRun = b.mayHaveRun(status)
@@ -51,8 +51,8 @@
 	b.classes[q.Class].limit.inFlight--
 }
 
-// learnFromOutcome updates the endpoint, the limits, the quotas and the spillover by an attempt's
-// end.
+// learnFromOutcome updates the endpoint, the limits, the quotas and the spillover by the outcome of
+// an attempt.
 func (b *Balancer) learnFromOutcome(now int64, q *request, a *attempt, o Outcome) {
 	if o.Status == Canceled || o.Status == NotSent {
 		return
@@ -65,11 +65,13 @@
 		class.latency.updateBase(now, a.lightLoad)
 	}
 	elapsed := float64(now - a.sentAt)
-	// A quick failure says nothing of load: it counts with the failures, not against the quotas nor
-	// for spillover.
+	// A quick failure says nothing about load. It counts as a failure only, not as evidence for the
+	// quotas and the spillover.
 	late := o.Status == Overloaded || o.Status == TimedOut || !failed && elapsed > b.lateThreshold(q.Class)
 	slow := late || elapsed > b.slowThreshold(q.Class)
-	if isOutlier { // it says something of one endpoint only, and would pass for an attempt that met no congestion
+	// The failure of an outlier says something about one endpoint only, and it would count as an
+	// attempt without congestion.
+	if isOutlier {
 		return
 	}
 	for _, l := range []*concurrencyLimit{&b.tier, &class.limit} {
--- a/logic/outlier_test.go
+++ b/logic/outlier_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// Endpoints that failed one class were lost to the others too, and the rest was overloaded.
-func TestErrorConcernsItsClassAndTimeoutTheEndpoint(t *testing.T) {
+// Endpoints that failed one class got no requests of other classes either, and the other endpoints
+// were overloaded.
+func TestErrorAffectsClassAndTimeoutAffectsEndpoint(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), 4)
 	failing, healthy := b.endpoints.byID["s0"], b.endpoints.byID["s1"]
 	for range 5 {
@@ -14,10 +15,10 @@
 		b.updateOutlierState(healthy, 0, OK)
 	}
 	if w := b.endpointWeight(start, failing, 0); w > b.endpointWeight(start, healthy, 0)/5 {
-		t.Errorf("an endpoint that fails the class keeps weight %v", w)
+		t.Errorf("endpoint that fails the class has weight %v for it", w)
 	}
 	if b.endpointWeight(start, failing, 2) != b.endpointWeight(start, healthy, 2) {
-		t.Error("errors of one class cost an endpoint the others")
+		t.Error("errors of one class changed the weight for another class")
 	}
 	for range 5 {
 		b.updateOutlierState(failing, 0, TimedOut)
@@ -26,11 +27,11 @@
 		}
 	}
 	if w := b.endpointWeight(start, failing, 2); w > b.endpointWeight(start, healthy, 2)/5 {
-		t.Errorf("a silent endpoint keeps weight %v for the other classes", w)
+		t.Errorf("endpoint with timeouts has weight %v for another class", w)
 	}
 }
 
-// An error that all endpoints show comes from a deeper tier: none is an outlier.
+// An error from all endpoints comes from a deeper tier, and no endpoint is an outlier.
 func TestFailureThatPeersShowMakesNoOutlier(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), 4)
 	for range 100 {
@@ -40,13 +41,12 @@
 	}
 	for _, s := range b.endpoints.byID {
 		if b.updateOutlierState(s, 0, Error) {
-			t.Errorf("%s is an outlier for what its peers show", s.ID)
+			t.Errorf("%s is an outlier for a failure that its peers show", s.ID)
 		}
 	}
 }
 
-// When a zone is lost all endpoints of the local zone refuse connections alike: they are outliers
-// nonetheless.
+// When a zone is lost, all its endpoints refuse connections. Each of them is still an outlier.
 func TestRefusedConnectionAlwaysMakesOutlier(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), 8)
 	for range 5 {
@@ -58,11 +58,11 @@
 	}
 }
 
-// playFastFailures plays n requests of a class 5 ms apart, before endpoints of which the first two
-// fail at once. It returns the attempts at each endpoint.
+// playFastFailures submits n requests of a class, 5 ms apart, to endpoints of which the first two
+// fail at once. It returns the number of attempts at each endpoint.
 func playFastFailures(t *testing.T, endpoints, n, class int) (*Balancer, map[string]int) {
 	t.Helper()
-	b, h := newTestBalancer(t, settingsWithHeadroom(), endpoints)
+	b, h := newTestBalancer(t, settingsWithLongObjectives(), endpoints)
 	attempts := map[string]int{}
 	type call struct {
 		id string
@@ -92,31 +92,33 @@
 	return b, attempts
 }
 
-// Endpoints that fail at once are always empty and drew most attempts; their failures raised the
-// usual error rate until none was an outlier, and counted as attempts that had met no congestion.
+// Endpoints that fail at once hold no attempts and therefore attracted most of them. Their failures
+// raised the usual error rate until none of them was an outlier, and counted as attempts without
+// congestion.
 func TestFailingEndpointsGetProbesOnly(t *testing.T) {
 	for _, c := range []struct {
 		class int
-		most  int // attempts of 3,000 that may go to the two
+		most  int // maximum number of 3,000 attempts that go to the two endpoints
 	}{{0, 3000/probeInterval + 40}, {2, 40}} {
 		b, attempts := playFastFailures(t, 10, 3000, c.class)
 		if n := attempts["s0"] + attempts["s1"]; n > c.most {
-			t.Errorf("class %d: %d attempts went to endpoints that fail, %d expected at most", c.class, n, c.most)
+			t.Errorf("class %d: %d attempts went to failing endpoints, want at most %d", c.class, n, c.most)
 		}
 		stats := b.Stats()
 		if stats.Tier.LastCut.Evidence != NoEvidence || stats.Classes[c.class].LastCut.Evidence != NoEvidence {
-			t.Errorf("class %d: limits were cut: %+v", c.class, stats)
+			t.Errorf("class %d: limits were cut, want no cut: %+v", c.class, stats)
 		}
 	}
 }
 
-// Where all fail alike there is no outlier, and the limits hold back.
+// If all endpoints fail alike, none is an outlier, and the limits are cut.
 func TestNoOutlierWhereAllFail(t *testing.T) {
-	b, h := newTestBalancer(t, settingsWithHeadroom(), 6)
+	b, h := newTestBalancer(t, settingsWithLongObjectives(), 6)
 	playOutcomes(b, h, start, 300, 10_000, 100_000, func(i int) Status { return []Status{OK, Error}[i%2] })
 	stats := b.Stats()
 	if stats.Tier.LastCut.Evidence != FailureEvidence {
-		t.Errorf("half of all attempts fail and the tier's limit was cut by %v", stats.Tier.LastCut.Evidence)
+		t.Errorf("half of all attempts failed: limit of the tier cut by %v, want a cut by failures",
+			stats.Tier.LastCut.Evidence)
 	}
 	failing := 0
 	for _, s := range b.endpoints.ready {
@@ -125,13 +127,14 @@
 		}
 	}
 	if failing > 3 {
-		t.Errorf("%d of 6 endpoints get probes only for what all do", failing)
+		t.Errorf("%d of 6 endpoints are below failingHealth for failures of all, want at most 3", failing)
 	}
 }
 
-// A failure of an outlier moves no limit, quota multiple or spillover weight, in whatever number.
+// Failures of an outlier do not change the limits, the quota multiple or the spillover weight,
+// however many there are.
 func TestOutlierFailureIsNoEvidenceOfLoad(t *testing.T) {
-	b, h := newTestBalancer(t, settingsWithHeadroom(), 6)
+	b, h := newTestBalancer(t, settingsWithLongObjectives(), 6)
 	now := playOutcomes(b, h, start, 200, 10_000, 300_000, alwaysOK)
 	before := b.tier
 	for i := range 50 {
@@ -146,7 +149,7 @@
 	after := b.tier
 	if after.limit != before.limit || after.late.total != before.late.total ||
 		after.failures.total > before.failures.total+1 {
-		t.Errorf("limit %.1f, rounds of %d and %d; %.1f, %d and %d before",
+		t.Errorf("limit %.1f, late outcomes %d, failures %d after; %.1f, %d and %d before",
 			after.limit, after.late.total, after.failures.total, before.limit, before.late.total, before.failures.total)
 	}
 }
--- a/logic/pressure.go
+++ b/logic/pressure.go
@@ -1,49 +1,56 @@
 package logic
 
 const (
-	lateFraction = 0.8 // of the objective: slower outcomes count against the limits of tier and class
-	slowFraction = 0.6 // of the objective: slower outcomes press the quotas, in time to mend what is late next
+	// lateFraction is the fraction of the latency objective above which an outcome counts against
+	// the limits of tier and class.
+	lateFraction = 0.8
+	// slowFraction is the fraction of the latency objective above which an outcome lowers the
+	// quotas, before attempts become late.
+	slowFraction = 0.6
 
-	lateCongestion        = 1.8 // times the base latency: slower outcomes count against the limits too
-	slowCongestion        = 1.6 // times the base latency: slower outcomes press the quotas too
-	minCongestionFraction = 0.1 // of the objective: what is quicker than this met no congestion
-	// Below this quota multiple the base latency makes nothing slow, since load is then not what
-	// makes it so.
+	lateCongestionFactor  = 1.8 // times the base latency: slower outcomes count against the limits too
+	slowCongestionFactor  = 1.6 // times the base latency: slower outcomes lower the quotas too
+	minCongestionFraction = 0.1 // of the latency objective: faster outcomes met no congestion
+	// Below this quota multiple, the base latency does not make an attempt slow, since load is then
+	// not the cause of the latency.
 	minCongestedMultiple = 0.8
 
-	yieldPriorityRatio = 1.5 // a class yields to one with more than this many times its priority for its work
+	yieldPriorityRatio = 1.5 // a class yields to one with more than this times its priority per unit of work
 )
 
-// lateThreshold returns the latency, in microseconds, from which on an attempt counts as late:
-// shortly before its objective, and also when it takes so much longer than attempts do under little
-// load that endpoints must hold too many and may choke, however far the objective.
+// lateThreshold returns the latency in microseconds above which an attempt is late. The threshold
+// is slightly below the latency objective. At the front tier, the threshold is
+// lateCongestionFactor times the base latency if that is less: slower attempts show that endpoints
+// hold too many attempts and may become overloaded, however long the objective is.
 func (b *Balancer) lateThreshold(class int) float64 {
 	threshold := lateFraction * float64(b.settings.Classes[class].LatencyObjective)
 	if b.settings.Tier > 0 {
 		return threshold
 	}
-	return min(threshold, b.congestionThreshold(class, lateCongestion))
+	return min(threshold, b.congestionThreshold(class, lateCongestionFactor))
 }
 
-// slowThreshold returns the latency, in microseconds, from which on an attempt counts as slow: well
-// before its objective, and also when it takes clearly longer than attempts do under little load,
-// since endpoints that hold too many become slower for long.
+// slowThreshold returns the latency in microseconds above which an attempt is slow. The threshold
+// is well below the latency objective. At the front tier, the threshold is slowCongestionFactor
+// times the base latency if that is less, since endpoints that hold too many attempts stay slow for
+// a long time.
 func (b *Balancer) slowThreshold(class int) float64 {
 	threshold := slowFraction * float64(b.settings.Classes[class].LatencyObjective)
 	if b.settings.Tier > 0 || b.quotas.multiple <= minCongestedMultiple {
 		return threshold
 	}
-	return min(threshold, b.congestionThreshold(class, slowCongestion))
+	return min(threshold, b.congestionThreshold(class, slowCongestionFactor))
 }
 
-// congestionThreshold returns a multiple of the class's base latency, but no less than what no
-// congestion takes.
+// congestionThreshold returns a multiple of the base latency of the class, but at least the latency
+// that is possible without congestion.
 func (b *Balancer) congestionThreshold(class int, multiple float64) float64 {
 	objective := float64(b.settings.Classes[class].LatencyObjective)
 	return max(multiple*b.classes[class].latency.base, minCongestionFraction*objective)
 }
 
-// priorityPerWork returns a class's priority weight per unit of work, which is its base latency.
+// priorityPerWork returns the priority weight of a class per unit of work. The base latency is the
+// measure of the work of a request.
 func (b *Balancer) priorityPerWork(class int) float64 {
 	if b.settings.PriorityPerWork {
 		return b.settings.Classes[class].PriorityWeight
@@ -51,9 +58,9 @@
 	return b.settings.Classes[class].PriorityWeight / b.classes[class].latency.base
 }
 
-// updatePressure takes one outcome as evidence on whether the quotas and the local zone are under
-// pressure. A class also yields to one with a clearly higher priority: that one's slow attempts cut
-// its limit.
+// updatePressure records an outcome as evidence of pressure on the quotas and on the local zone.
+// Slow attempts of a class also cut the limits of the classes that yield to it, which are those
+// with a clearly lower priority.
 func (b *Balancer) updatePressure(now int64, class int, a *attempt, slow, badForZone bool) {
 	for i := range b.classes {
 		c := &b.classes[i]
@@ -67,9 +74,8 @@
 	}
 }
 
-// markSlowAttempts counts attempts as slow when they have been in flight for the slow threshold,
-// not when they end: under congestion that is seconds later, and the quota multiple must fall
-// before then.
+// markSlowAttempts counts attempts as slow once they have been in flight for the slow threshold.
+// Under congestion, attempts end seconds after that, and the quota multiple must fall earlier.
 func (b *Balancer) markSlowAttempts(now int64) {
 	for i := range b.classes {
 		c := &b.classes[i]
--- a/logic/probe_test.go
+++ b/logic/probe_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// playProbes plays n requests of these classes in turn, of which those to s0 time out and all
-// others are served at once. It returns the classes of those that went to s0, and for how many of
-// these a retry followed.
+// playProbes submits n requests of the given classes in turn. Attempts at s0 time out, and all
+// others are served at once. playProbes returns the classes of the requests that went to s0, and
+// how many of these were retried.
 func playProbes(t *testing.T, n int, classes ...int) (probed []int, retried int) {
 	t.Helper()
 	b, h := newTestBalancer(t, testSettings(), 4)
@@ -26,7 +26,7 @@
 		probed = append(probed, class)
 		now += first.timeout
 		if first.timeout > 500_000 {
-			t.Errorf("a probe is given up after %d us, half of a second at most expected", first.timeout)
+			t.Errorf("timeout of a probe is %d us, want at most 500,000", first.timeout)
 		}
 		before := len(h.sends)
 		b.Outcome(now, h, Outcome{ID: id, Status: TimedOut, Latency: first.timeout})
@@ -38,22 +38,22 @@
 	return probed, retried
 }
 
-// Where attempts take nearly all of their time, a probe of an endpoint that hangs took it all, and
-// each sixteenth request was lost by it.
+// If attempts need nearly all of the time that a request has, a probe of a hung endpoint used all
+// of it, and one in sixteen requests was lost.
 func TestProbeLeavesTimeForRetry(t *testing.T) {
 	if probed, retried := playProbes(t, 2_000, 0); len(probed) < 20 || retried < len(probed) {
-		t.Errorf("a retry followed %d of %d probes", retried, len(probed))
+		t.Errorf("%d of %d probes retried, want all of at least 20", retried, len(probed))
 	}
 }
 
-// A probe by a request whose retry may go to few others risks that request.
-func TestProbesAreRequestsThatMayBeReprobedAnywhere(t *testing.T) {
+// A probe puts a request at risk if its retry may go to few other endpoints.
+func TestProbesPreferRequestsThatMayBeRetriedAnywhere(t *testing.T) {
 	probed, _ := playProbes(t, 6_000, 0, 1, 2)
 	byFirst := len(slices.DeleteFunc(slices.Clone(probed), func(class int) bool { return class != 0 }))
 	if len(probed) < 20 || 3*byFirst < 2*len(probed) {
-		t.Errorf("probes with requests of the classes %v, two in three of the first at least expected", probed)
+		t.Errorf("probes with requests of the classes %v, want at least two thirds of class 0", probed)
 	}
 	if probed, _ := playProbes(t, 2_000, 1, 2); len(probed) < 5 {
-		t.Errorf("%d probes where no request may be retried anywhere", len(probed))
+		t.Errorf("%d probes when no request may be retried anywhere, want at least 5", len(probed))
 	}
 }
--- a/logic/quota_test.go
+++ b/logic/quota_test.go
@@ -19,13 +19,13 @@
 			}
 		}
 		if rate := float64(admitted) / secs; math.Abs(rate-quota) > 0.15*quota+1.0/secs {
-			t.Errorf("quota %.1f admitted %.2f per second", quota, rate)
+			t.Errorf("quota of %.1f per second admitted %.2f per second", quota, rate)
 		}
 	}
 }
 
-// A fresh replica with a stretched window once admitted a long window's worth at once and choked
-// the front.
+// A fresh replica with an extended window admitted the requests of a long window at once and
+// overloaded the front tier.
 func TestFreshReplicaDoesNotAdmitLongWindowAtOnce(t *testing.T) {
 	var q tenantQuota
 	admitted := 0
@@ -36,13 +36,13 @@
 		}
 	}
 	if admitted > 4 {
-		t.Errorf("admitted %d in the first second with a quota of 3", admitted)
+		t.Errorf("%d requests admitted in the first second with a quota of 3, want at most 4", admitted)
 	}
 }
 
-// Each replica with sparse traffic admitted one request of each tenant in a window however low its
-// quota: hundreds of replicas fed choked endpoints, which never came to rest.
-func TestSmallQuotaHasNoFreeRequest(t *testing.T) {
+// Each replica with sparse traffic admitted one request of each tenant per window, however low its
+// quota. Hundreds of replicas kept sending to overloaded endpoints, which never recovered.
+func TestSmallQuotaIsEnforcedAtSparseReplicas(t *testing.T) {
 	admitted := 0
 	rnd := rand.New(rand.NewPCG(5, 5))
 	for range 200 {
@@ -54,14 +54,14 @@
 			}
 		}
 	}
-	if most := 200; admitted >= most || admitted == 0 { // was one each
-		t.Errorf("200 replicas with a quota of 0.01 per second admitted %d requests in 8 s", admitted)
+	if most := 200; admitted >= most || admitted == 0 { // at 200, each replica would admit one request
+		t.Errorf("200 replicas with a quota of 0.01 per second admitted %d requests in 8 s, want 1 to 199", admitted)
 	}
 }
 
-// Under congestion a cut multiple shed nothing at replicas whose tenants each send less than a
-// request a window: the allowance for chance admitted all of it.
-func TestChanceAllowanceFallsUnderPressure(t *testing.T) {
+// Under congestion, replicas whose tenants each send less than one request per window shed nothing
+// after a cut of the multiple: the allowance for random variation admitted all requests.
+func TestPoissonAllowanceFallsUnderPressure(t *testing.T) {
 	s := testSettings()
 	s.Replicas, s.Tenants = 100, []Tenant{{CapacityFraction: 0.5, Quota: 30}, {CapacityFraction: 0.5, Quota: 30}}
 	sent := func(multiple float64) int {
@@ -75,25 +75,25 @@
 		return len(h.sends)
 	}
 	if n := sent(1); n < 95 {
-		t.Errorf("with nothing slow %d of 100 pass", n)
+		t.Errorf("%d of 100 requests pass at a multiple of 1, want at least 95", n)
 	}
 	if n := sent(0.2); n > 60 || n < 20 {
-		t.Errorf("at a multiple of 0.2 %d of 100 pass", n)
+		t.Errorf("%d of 100 requests pass at a multiple of 0.2, want 20 to 60", n)
 	}
 }
 
-// At a replica that sees a request a second, chance alone fills a tenant's quota: a third of the
-// requests was shed on a calm fleet. A tenant that goes on sending more than its part must be
-// limited all the same.
-func TestChanceAllowanceAtSparseReplicas(t *testing.T) {
+// At a replica with one request per second, random variation alone fills the quota of a tenant. A
+// third of the requests was shed without any load. A tenant that keeps sending more than its
+// fraction must still be limited.
+func TestPoissonAllowanceAtSparseReplicas(t *testing.T) {
 	s := testSettings()
 	s.Replicas = 100
 	for range 4 {
 		s.Tenants = append(s.Tenants, Tenant{CapacityFraction: 0.25, Quota: 30})
 	}
 	for _, c := range []struct {
-		perSecond   float64 // requests of tenant 0; the others send 0.25 a second each
-		most, least float64 // fractions of its requests that are shed
+		perSecond        float64 // requests of tenant 0; the others send 0.25 per second each
+		maxShed, minShed float64 // fractions of its requests that are shed
 	}{{0.25, 0.05, 0}, {3, 1, 0.6}} {
 		rnd := rand.New(rand.NewPCG(3, 3))
 		sent, arrived := 0.0, 0.0
@@ -116,8 +116,9 @@
 				}
 			}
 		}
-		if shed := 1 - sent/arrived; shed > c.most || shed < c.least {
-			t.Errorf("at %.2f requests per second and a quota of 0.3, %.2f are shed", c.perSecond, shed)
+		if shed := 1 - sent/arrived; shed > c.maxShed || shed < c.minShed {
+			t.Errorf("at %.2f requests per second and a quota of 0.3: fraction %.2f shed, want %.2f to %.2f",
+				c.perSecond, shed, c.minShed, c.maxShed)
 		}
 	}
 }
@@ -131,7 +132,7 @@
 	for now := start; now < start+4*second; now += second / 100 {
 		tenant := 0
 		n++
-		if n%10 == 0 { // tenant 0 asks for 90 a second, tenant 1 for 10
+		if n%10 == 0 { // tenant 0 sends 90 requests per second, tenant 1 sends 10
 			tenant = 1
 		}
 		before := len(h.sends)
@@ -143,41 +144,41 @@
 		}
 	}
 	if sent[1] != 40 {
-		t.Errorf("the tenant inside its quota got %d of 40", sent[1])
+		t.Errorf("%d of 40 requests of the tenant within its quota sent, want all", sent[1])
 	}
 	if sent[0] > 200 {
-		t.Errorf("the tenant over its quota got %d in 4 s, at 20 a second", sent[0])
+		t.Errorf("%d requests of the tenant above its quota of 20 per second sent in 4 s, want at most 200", sent[0])
 	}
 }
 
-// A fresh replica limited every tenant to its quota from its first request on and was slow to learn
-// better: on a calm day of half a minute most requests shed at the front were these. The first bad
-// round takes all of that back.
+// A fresh replica limited every tenant to its quota from its first request on and was slow to raise
+// the multiple. In a run of half a minute without load, these were most of the requests shed at the
+// front tier. The first bad round ends the allowance above the quotas.
 func TestFreshReplicaAdmitsAboveQuotaUntilAttemptsAreSlow(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{CapacityFraction: 1, Quota: 20}}
 	b, h := newTestBalancer(t, s, 8)
-	for i := range 32 { // a second's traffic at 1.6 times the quota
+	for i := range 32 { // one second of traffic at 1.6 times the quota
 		now, id := start+int64(i)*second/32, fmt.Sprint(i)
 		b.Request(now, h, Request{ID: id, ClientDeadline: now + second})
 		b.Outcome(now, h, Outcome{ID: id, Status: OK, Latency: 1000, RequestDone: true})
 	}
 	if n := len(h.sends); n != 32 {
-		t.Errorf("%d of 32 pass at a fresh replica", n)
+		t.Errorf("%d of 32 requests pass at a fresh replica, want all", n)
 	}
 	for i := 0; b.quotas.multiple > 1; i++ {
 		if i == 10*roundSize {
-			t.Fatalf("the multiple is still %v", b.quotas.multiple)
+			t.Fatalf("after 10 rounds of slow outcomes: multiple %v, want at most 1", b.quotas.multiple)
 		}
 		now := start + 2*second + int64(i)
 		b.updatePressure(now, 0, &attempt{sentAt: now}, true, true)
 	}
 	if b.quotas.multiple < minMultiple || b.quotas.multiple >= 1 {
-		t.Errorf("a bad round leaves a multiple of %v", b.quotas.multiple)
+		t.Errorf("after a bad round: multiple %v, want at least minMultiple and less than 1", b.quotas.multiple)
 	}
 }
 
-// One bad round limited a tenant to its quota for the rest of a short day, though attempts were
+// One bad round limited a tenant to its quota for the rest of a short run, although attempts were
 // timely again.
 func TestQuotaMultipleRecoversWithinTwelveRounds(t *testing.T) {
 	s := testSettings()
@@ -189,13 +190,13 @@
 		b.updatePressure(now, 0, &attempt{sentAt: now}, false, false)
 	}
 	if b.quotas.multiple != initialMultiple {
-		t.Errorf("a multiple of %v after a dozen good rounds", b.quotas.multiple)
+		t.Errorf("after 12 good rounds: multiple %v, want initialMultiple", b.quotas.multiple)
 	}
 }
 
-// Requests that had been admitted at twice the quota barred all others for seconds once the
-// multiple was cut, with hardly an attempt in flight.
-func TestCutMultipleStillAdmitsItsPart(t *testing.T) {
+// Requests admitted at twice the quota blocked all others for seconds after a cut of the multiple,
+// with hardly an attempt in flight.
+func TestCutMultipleStillAdmitsItsRate(t *testing.T) {
 	const quota = 20.0 // requests per second at a multiple of 1
 	for _, c := range []struct{ before, after float64 }{{2, 0.5}, {2, 1}, {1, 0.5}, {0.5, 2}, {1, 1}} {
 		q, admitted := &tenantQuota{}, 0
@@ -212,7 +213,8 @@
 			}
 		}
 		if want := 2 * quota * c.after; float64(admitted) < 0.8*want || float64(admitted) > 1.25*want+2 {
-			t.Errorf("from %.1f to %.1f: %d admitted in two seconds, %.0f expected", c.before, c.after, admitted, want)
+			t.Errorf("multiple changed from %.1f to %.1f: %d requests admitted in 2 s, want about %.0f",
+				c.before, c.after, admitted, want)
 		}
 	}
 }
--- a/logic/random_test.go
+++ b/logic/random_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// play drives a random sequence of events and returns what the module did and which rules it broke.
-func play(t *testing.T, seed uint64, steps int) ([]string, []string) {
+// playRandomEvents generates a random sequence of events. It returns the actions of the balancer
+// and the violations of rules.
+func playRandomEvents(t *testing.T, seed uint64, steps int) ([]string, []string) {
 	t.Helper()
 	s := testSettings()
 	s.Tenants = []Tenant{{CapacityFraction: 0.6, Quota: 30}, {CapacityFraction: 0.4, Quota: 20}}
@@ -26,35 +27,35 @@
 	for range steps {
 		d.step()
 	}
-	return d.checker.lines, d.checker.broken
+	return d.checker.actions, d.checker.violations
 }
 
 func TestRandomEventsKeepTheRules(t *testing.T) {
 	total := map[string]int{}
 	for seed := range uint64(24) {
-		lines, broken := play(t, seed, 6000)
+		lines, broken := playRandomEvents(t, seed, 6000)
 		for i, rule := range broken {
 			if i < 3 {
 				t.Errorf("seed %d: %s", seed, rule)
 			}
 		}
 		for _, line := range lines {
-			total[strings.Fields(line)[1]]++ // after the time
+			total[strings.Fields(line)[1]]++ // the word after the time
 		}
 	}
 	for _, action := range []string{"send", "shed", "fail"} {
 		if total[action] < 1000 {
-			t.Errorf("only %d of action %q: the sequences test too little", total[action], action)
+			t.Errorf("%d actions %q, want at least 1000 for the test to be meaningful", total[action], action)
 		}
 	}
 }
 
 func TestSameEventsGiveSameActions(t *testing.T) {
 	for seed := range uint64(4) {
-		one, _ := play(t, seed, 3000)
-		two, _ := play(t, seed, 3000)
+		one, _ := playRandomEvents(t, seed, 3000)
+		two, _ := playRandomEvents(t, seed, 3000)
 		if !slices.Equal(one, two) {
-			t.Errorf("seed %d: two runs differ", seed)
+			t.Errorf("seed %d: two runs of the same events differ", seed)
 		}
 	}
 }
--- a/logic/request.go
+++ b/logic/request.go
@@ -2,21 +2,20 @@
 
 import "slices"
 
-// minLatenciesLeft: a request with less time left than this many mean latencies cannot be answered
-// in time.
+// minLatenciesLeft is the number of mean latencies that must remain for an answer in time.
 const minLatenciesLeft = 0.5
 
-// request is a request from its arrival until the last of its attempts has ended.
+// request is a request between its arrival and the end of the last of its attempts.
 type request struct {
 	Request
 	arrivedAt int64
-	queue     *keyQueue // nil if it need not wait for its turn
+	queue     *keyQueue // nil if the class is not ordered or the request has no key
 	attempts  []*attempt
-	inFlight  int  // attempts without outcome
-	done      bool // it has its final answer, or needs none
+	inFlight  int  // attempts without an outcome
+	done      bool // whether the request has its final answer or needs none
 }
 
-// triedOn reports whether an attempt of the request went to the endpoint.
+// triedOn reports whether an attempt of the request was sent to the endpoint.
 func (q *request) triedOn(e *endpoint) bool {
 	return slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.endpoint == e })
 }
@@ -26,7 +25,7 @@
 	return slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.mayHaveRun })
 }
 
-// start admits a request and sends its first attempt, or sheds it.
+// start admits a request and sends its first attempt, or sheds the request.
 func (b *Balancer) start(now int64, h Host, q *request) {
 	cause := b.admit(now, q)
 	if cause == NoShedCause && !b.inTime(now, q) {
@@ -44,7 +43,8 @@
 	}
 }
 
-// deadline returns the time from which on an answer has no value.
+// deadline returns the time after which an answer to the request has no value. At the front tier,
+// that is the end of the latency objective if late answers of the class earn nothing.
 func (b *Balancer) deadline(q *request) int64 {
 	class := &b.settings.Classes[q.Class]
 	if b.settings.Tier == 0 && class.LatePriorityFactor == 0 {
@@ -53,13 +53,13 @@
 	return q.ClientDeadline
 }
 
-// inTime reports whether a request can still be answered while that has a value.
+// inTime reports whether an answer before the deadline of the request is still likely.
 func (b *Balancer) inTime(now int64, q *request) bool {
 	return float64(b.deadline(q)-now) > minLatenciesLeft*b.classes[q.Class].latency.mean
 }
 
-// finish marks a request as done and forgets it once all its attempts have ended. Only then is it
-// the turn of the next one with its key.
+// finish marks a request as done and forgets it once all its attempts have ended. The next request
+// with the same key starts only then.
 func (b *Balancer) finish(now int64, h Host, q *request) {
 	q.done = true
 	if q.inFlight > 0 {
--- a/logic/retry_test.go
+++ b/logic/retry_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Without failures nothing once trimmed what the budget counts: a calm replica would have grown for
-// ever.
+// Without failures, the counts of the retry budget were never trimmed, and the memory of a replica
+// without load grew without limit.
 func TestRetryBudgetForgetsOldEvents(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), 4)
 	for i := range int64(1000) {
@@ -15,12 +15,11 @@
 		b.Outcome(now, h, Outcome{ID: id, Status: OK, Latency: 1000, RequestDone: true})
 	}
 	if most := int(defaultRetryBudgetWindow/second) + 1; len(b.retryBudget.requests) > most {
-		t.Errorf("%d requests are kept, %d are needed", len(b.retryBudget.requests), most)
+		t.Errorf("%d requests in the retry budget, want at most %d", len(b.retryBudget.requests), most)
 	}
 }
 
-// A saved-up allowance once let a burst of retries through after a calm time, over the stated
-// budget.
+// An allowance saved up without failures let a burst of retries exceed the budget.
 func TestRetryBudgetHoldsInAnyWindow(t *testing.T) {
 	s := testSettings()
 	s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 5*second, 3, 0.05
@@ -31,7 +30,7 @@
 		before := len(h.sends)
 		submit(b, h, now, id, 0)
 		arrivals = append(arrivals, now)
-		status := OK // a long calm, then everything fails
+		status := OK // no failures for a long time, then all attempts fail
 		if i > 1000 {
 			status = Error
 		}
@@ -42,11 +41,12 @@
 			b.Outcome(now, h, Outcome{ID: id, Attempt: k, Status: status, Latency: 1000, RequestDone: status == OK})
 		}
 		if n, m := retries.since(now-5*second), arrivals.since(now-5*second+1); n > 3+0.05*m {
-			t.Fatalf("at %d: %v retries where %v requests arrived", now-start, n, m)
+			t.Fatalf("at %d us: %v retries for %v requests in the window, want at most 3 + 0.05 per request",
+				now-start, n, m)
 		}
 	}
 	if len(retries) == 0 {
-		t.Error("no retry was made")
+		t.Error("no retries, want some")
 	}
 }
 
@@ -73,6 +73,6 @@
 	}
 	most := defaultRetryBudgetMin + defaultRetryBudgetRatio*float64(n)
 	if retries := len(h.sends) - firsts; retries == 0 || float64(retries) > most {
-		t.Errorf("%d retries on %d first attempts", retries, firsts)
+		t.Errorf("%d retries for %d first attempts, want 1 to %v", retries, firsts, most)
 	}
 }
--- a/logic/selection.go
+++ b/logic/selection.go
@@ -1,6 +1,6 @@
 package logic
 
-// The ranks of endpoints, in the order in which they come into question; the highest goes first.
+// The ranks of endpoints in a selection. Only endpoints with the highest rank present are selected.
 const (
 	rankLast = iota
 	rankFailing
@@ -9,22 +9,22 @@
 
 // selection is the state of the weighted random selection.
 type selection struct {
-	weights    []float64 // scratch space: of the first ready endpoints, in their order
-	warmFactor float64   // mean occupancyFactor of the warm endpoints, at the present selection
+	weights    []float64 // scratch space: weights of the first ready endpoints, in the order of the list
+	warmFactor float64   // mean occupancyFactor of the warm endpoints, for the current selection
 	sinceProbe int       // attempts since the last one that went to a failing endpoint
-	isProbe    bool      // the endpoint that was selected last is a failing one, probed while there are others
+	isProbe    bool      // whether the last selected endpoint is failing and probed while there are others
 }
 
-// candidates is what the weights of a selection come to.
+// candidates is the result of weighing endpoints.
 type candidates struct {
 	totalWeight float64
-	rank        int     // of those that have weight
-	capacity    float64 // sum of their slow start factors
-	allCold     bool    // all of them are in slow start
+	rank        int     // of the endpoints with a weight
+	capacity    float64 // sum of the slow start factors
+	allCold     bool    // whether all endpoints are in slow start
 }
 
-// pickEndpoint selects a ready endpoint of this replica's subset at random by weight. It returns
-// the cause if there is none, and NoShedCause otherwise.
+// pickEndpoint selects a ready endpoint from the subset of this replica at random by weight. It
+// returns the cause if it selects no endpoint, and NoShedCause otherwise.
 func (b *Balancer) pickEndpoint(now int64, q *request) (*endpoint, ShedCause) {
 	c := b.weighCandidates(now, q)
 	e, cause := b.draw(b.rnd.Float64()*c.totalWeight), NoShedCause
@@ -45,9 +45,10 @@
 	return e, cause
 }
 
-// weighCandidates weighs the endpoints of the subset. Failing ones come after all others, and those
-// that the request has tried come last, however empty they are. The subset grows where it has too
-// few warm and healthy endpoints, or none that the request may go to.
+// weighCandidates weighs the endpoints of the subset. Failing endpoints rank below all others.
+// Endpoints that the request has already tried rank last, however few attempts they hold. The
+// subset is extended if it has too few warm and healthy endpoints, or none that the request may go
+// to.
 func (b *Balancer) weighCandidates(now int64, q *request) candidates {
 	s := &b.selection
 	s.weights = s.weights[:0]
@@ -65,7 +66,7 @@
 		if rank >= c.rank && b.retryAllowed(now, q, e) {
 			weight = b.endpointWeight(now, e, q.Class)
 		}
-		if weight > 0 && rank > c.rank { // all before this one come after it
+		if weight > 0 && rank > c.rank { // all endpoints so far have a lower rank
 			clear(s.weights)
 			c.totalWeight, c.rank = 0, rank
 		}
@@ -77,7 +78,8 @@
 	return c
 }
 
-// draw returns the ready endpoint at which the sum of weights passes x, or nil if none has weight.
+// draw returns the ready endpoint at which the cumulative weight exceeds x, or nil if no endpoint
+// has a weight.
 func (b *Balancer) draw(x float64) *endpoint {
 	var last *endpoint
 	for i, weight := range b.selection.weights {
@@ -103,30 +105,34 @@
 	return rankFirst
 }
 
-// endpointWeight returns an endpoint's weight in the selection: its size, what was learned of it,
-// its slow start, its zone, and the attempts of this replica that it already holds. That one in
-// slow start holds fewer than others is no sign of capacity: with Settings.CapSlowStartPreference it is not
-// preferred for it over the mean of the warm ones. Otherwise, once each warm one holds an attempt
-// of each replica, nearly all further attempts of all replicas would go to those in slow start.
+// endpointWeight returns the weight of an endpoint in the selection. The weight depends on the
+// listed weight, the learned latency and health, slow start, the zone, and the attempts of this
+// replica that the endpoint holds. An endpoint in slow start may hold fewer attempts than others
+// without having free capacity. With Settings.CapSlowStartPreference, such an endpoint is therefore
+// preferred no more than the mean of the warm endpoints. Otherwise, once each warm endpoint holds
+// an attempt of each replica, nearly all further attempts of all replicas would go to endpoints in
+// slow start.
 func (b *Balancer) endpointWeight(now int64, e *endpoint, class int) float64 {
 	factor, free := b.slowStartFactor(now, e), occupancyFactor(float64(e.inFlight))
 	if factor < 1 && b.settings.CapSlowStartPreference {
 		warm := b.selection.warmFactor
 		free = min(warm, occupancyFactor(float64(e.inFlight)/factor))
-		factor *= 1 + (1/slowStartMargin-1)*(1-warm) // under congestion it is loaded as they are, and not spared
+		// Under congestion, an endpoint in slow start is loaded without slowStartMargin, like the
+		// warm endpoints.
+		factor *= 1 + (1/slowStartMargin-1)*(1-warm)
 	}
 	weight := max(minHealth, e.healthFor(class)) / (e.relativeLatency * e.relativeLatency) * factor * free
 	if b.settings.WeightedEndpoints && e.Weight > 0 {
 		weight *= e.Weight
 	}
-	if e.Zone != b.settings.Zone { // attempts stay in the local zone while it copes
+	if e.Zone != b.settings.Zone { // attempts stay in the local zone unless it is slow
 		weight *= b.spillover.weight
 	}
 	return weight
 }
 
-// occupancyFactor returns how a weight falls with the attempts that an endpoint holds: sharply, by
-// the eighth power.
+// occupancyFactor returns the factor of a weight for the number of attempts that an endpoint holds.
+// The factor falls steeply, with the eighth power.
 func occupancyFactor(inFlight float64) float64 {
 	x := 1 / (1 + inFlight)
 	x *= x
@@ -134,8 +140,8 @@
 	return x * x
 }
 
-// warmOccupancyFactor returns the mean occupancyFactor of the warm endpoints among the first n; 1
-// if there is none.
+// warmOccupancyFactor returns the mean occupancyFactor of the warm endpoints among the first n
+// ready endpoints, or 1 if none of them is warm.
 func (b *Balancer) warmOccupancyFactor(now int64, n int) float64 {
 	sum, warm := 0.0, 0.0
 	for _, e := range b.endpoints.ready[:min(n, len(b.endpoints.ready))] {
--- a/logic/selection_test.go
+++ b/logic/selection_test.go
@@ -8,14 +8,14 @@
 	b, h := mustNew(t, testSettings()), &recorder{}
 	submit(b, h, start, "a", 2)
 	if h.last() != "shed a" {
-		t.Errorf("with no list: %q", h.last())
+		t.Errorf("without an endpoint list: got %q, want the request shed", h.last())
 	}
 	list := testEndpoints(1)
 	list[0].State = Draining
 	b.UpdateEndpoints(start, h, Snapshot, list)
 	submit(b, h, start, "b", 0)
 	if h.last() != "shed b" {
-		t.Errorf("with all draining: %q", h.last())
+		t.Errorf("with all endpoints draining: got %q, want the request shed", h.last())
 	}
 }
 
@@ -28,17 +28,18 @@
 		c.latency.observe(slow, 300_000)
 	}
 	if b.endpointWeight(start, fast, 0) < 2*b.endpointWeight(start, slow, 0) {
-		t.Errorf("weights %v and %v", b.endpointWeight(start, fast, 0), b.endpointWeight(start, slow, 0))
+		t.Errorf("weights %v of the fast and %v of the slow endpoint, want a ratio of at least 2",
+			b.endpointWeight(start, fast, 0), b.endpointWeight(start, slow, 0))
 	}
 	before := b.endpointWeight(start, fast, 0)
 	b.updateOutlierState(fast, 0, Error)
 	if b.endpointWeight(start, fast, 0) > before/2 {
-		t.Error("a failure that its peer does not show left the weight")
+		t.Error("weight not halved by a failure that the peer does not show")
 	}
 	for range 100 {
 		b.updateOutlierState(fast, 0, Error)
 	}
 	if b.endpointWeight(start, fast, 0) <= 0 {
-		t.Error("no floor keeps probes going")
+		t.Error("weight fell to 0, so that no probes are sent")
 	}
 }
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -9,11 +9,11 @@
 const (
 	Idempotent      Idempotency = iota // may run any number of times
 	IdempotentByKey                    // carries an idempotency key: see Class.DedupScope and Class.DedupWindow
-	NonIdempotent                      // must never run twice
+	NonIdempotent                      // must not run more than once
 )
 
-// DedupScope is the group of endpoints that drop duplicates of an [IdempotentByKey] request between
-// them.
+// DedupScope is the group of endpoints that share the detection of duplicates of an
+// [IdempotentByKey] request.
 type DedupScope int
 
 // The dedup scopes.
@@ -23,84 +23,99 @@
 	DedupCell                   // the endpoints of one cell
 )
 
-// Class describes one class of requests.
+// Class describes a class of requests.
 type Class struct {
-	LatencyObjective   int64   // an answer within this time earns the full priority weight; microseconds
-	Deadline           int64   // a client waits no longer than this, all its attempts included; microseconds
-	PriorityWeight     float64 // value of one request
-	LatePriorityFactor float64 // fraction of the value that an answer between objective and deadline earns
+	// LatencyObjective is the response time in microseconds within which an answer earns the full
+	// priority weight.
+	LatencyObjective int64
+	// Deadline is the time in microseconds that a client waits for an answer, over all attempts.
+	Deadline       int64
+	PriorityWeight float64 // value of one request answered within its latency objective
+	// LatePriorityFactor is the fraction of PriorityWeight that an answer earns between
+	// LatencyObjective and Deadline.
+	LatePriorityFactor float64
 	Idempotency        Idempotency
 
-	// For IdempotentByKey: the endpoints that drop duplicates between them, and for how long after
-	// the first attempt that may have run, in microseconds.
+	// For IdempotentByKey, DedupScope is the group of endpoints that drop duplicates, and
+	// DedupWindow is how long they do so, in microseconds from the first attempt that may have run.
 	DedupScope  DedupScope
 	DedupWindow int64
 
-	Ordered bool // requests with one key run one at a time, in the order of their arrival here
+	// Ordered states that requests with the same key run one at a time, in the order of their
+	// arrival at this proxy.
+	Ordered bool
 }
 
-// Tenant describes one origin of requests.
+// Tenant describes a tenant, the origin of requests.
 type Tenant struct {
-	CapacityFraction float64 // its fraction of the service's capacity
-	Quota            float64 // requests per second inside its quota, over all replicas
+	CapacityFraction float64 // fraction of the capacity of the service
+	Quota            float64 // requests per second over all replicas that are within the quota
 }
 
-// Settings configure a Balancer. They are handed to [New] and not changed afterwards. Durations are
-// microseconds.
+// Settings configure a Balancer. They are passed to [New] and do not change afterwards. Durations
+// are in microseconds.
 type Settings struct {
-	Tier              int // the tier that this proxy sends to; 0 is the front
-	Replicas          int // replicas of this proxy, this one included
-	ReplicaIndex      int // this replica's number among them, from 0
-	Zone              int // this proxy's zone
+	Tier              int // tier that this proxy sends requests to; 0 is the front tier
+	Replicas          int // number of replicas of this proxy, including this one
+	ReplicaIndex      int // index of this replica among them, from 0
+	Zone              int // zone of this proxy
 	Zones             int
 	Classes           []Class
 	Tenants           []Tenant // may be empty
-	WatchEndpoints    bool     // the endpoint list comes only after Host.WatchEndpoints
-	WeightedEndpoints bool     // Endpoint.Weight compares endpoints; otherwise it is ignored
-
-	MaxAttempts         int   // attempts of one request at most, the first included
-	OrderingDelay       int64 // for ordered classes: how long a key pauses after a timeout, reset or cancellation
-	RejectionMayHaveRun bool  // Overloaded does not prove that an attempt never ran
-
-	// In any RetryBudgetWindow the retries number at most RetryBudgetMin plus RetryBudgetRatio
-	// times the requests that arrived in it. If RetryBudgetWindow is 0, no budget is stated and the
-	// Balancer keeps its own.
+	WatchEndpoints    bool     // whether the endpoint list is updated only after Host.WatchEndpoints
+	WeightedEndpoints bool     // whether selection uses Endpoint.Weight
+
+	MaxAttempts int // maximum number of attempts of a request, including the first
+	// OrderingDelay is how long a key of an ordered class pauses after a timeout, reset or
+	// cancellation.
+	OrderingDelay int64
+	// RejectionMayHaveRun states that an attempt that ended as Overloaded may have run.
+	RejectionMayHaveRun bool
+
+	// In any period of RetryBudgetWindow, the number of retries is at most RetryBudgetMin plus
+	// RetryBudgetRatio times the number of requests that arrived in it. If RetryBudgetWindow is 0,
+	// the Balancer applies a default budget.
 	RetryBudgetWindow int64
 	RetryBudgetMin    float64
 	RetryBudgetRatio  float64
 
-	// MaxSendDelay is the longest time from a retry's Host.Forward until it leaves, since a
-	// connection may have to be opened. 0: it leaves at once.
+	// MaxSendDelay is the maximum time between Host.Forward of a retry and its sending. Opening a
+	// connection may cause a delay. 0 means that retries are sent at once.
 	MaxSendDelay int64
 
-	MaxRetryAfter int64 // the longest Retry-After that a client honors; 0: clients honor none
-	DrainGrace    int64 // sends to a draining or removed endpoint must have stopped by then
-	PollInterval  int64 // with WatchEndpoints: the longest time without a watch or a poll
+	MaxRetryAfter int64 // longest Retry-After that clients honor; 0 means that they honor none
+	DrainGrace    int64 // time after which no attempt may be sent to a draining or removed endpoint
+	PollInterval  int64 // longest time without a watch or a poll, if WatchEndpoints is set
 
-	SlowStartMinCapacity float64 // fraction of its capacity that an endpoint starts with, at least
-	SlowStartWindow      int64   // an endpoint is warm after this at the latest
+	// SlowStartMinCapacity is the smallest fraction of its capacity that an endpoint has when it
+	// starts.
+	SlowStartMinCapacity float64
+	SlowStartWindow      int64 // time after which an endpoint is warm at the latest
 
-	PriorityPerWork bool // Class.PriorityWeight is counted per unit of work, not per request
+	PriorityPerWork bool // whether Class.PriorityWeight is per unit of work, not per request
 
-	CapSlowStartPreference bool // an endpoint in slow start is not preferred for holding fewer attempts than warm ones
+	// CapSlowStartPreference states that an endpoint in slow start is not preferred over warm
+	// endpoints for holding fewer attempts.
+	CapSlowStartPreference bool
 }
 
-// SettingsError reports a field of [Settings] that a Balancer cannot work with.
+// SettingsError reports an invalid field of [Settings].
 type SettingsError struct {
-	Field   string // path below Settings, as in "Classes[1].Deadline"
+	Field   string // path below Settings, such as "Classes[1].Deadline"
 	Problem string
 }
 
-// Error returns the field and what is wrong with it.
+// Error returns the path of the field and what is wrong with its value.
 func (e *SettingsError) Error() string { return "logic: Settings." + e.Field + ": " + e.Problem }
 
-// check is one condition on the settings.
+// check is a condition that a field of the settings has to meet.
 type check struct {
 	ok             bool
 	field, problem string
 }
 
-// firstFailed returns the first check that does not hold as an error, its field below prefix.
+// firstFailed returns a [*SettingsError] for the first check that fails, or nil. The path of the
+// field begins with prefix.
 func firstFailed(prefix string, checks []check) error {
 	for _, c := range checks {
 		if !c.ok {
@@ -110,20 +125,20 @@
 	return nil
 }
 
-// nonNegative reports whether x is a number of 0 or more. It does not hold for NaN.
+// nonNegative reports whether x is 0 or more. It returns false for NaN.
 func nonNegative(x float64) bool { return x >= 0 }
 
-// validate returns a [*SettingsError] for the first field that makes no sense, or nil.
+// validate returns a [*SettingsError] for the first invalid field, or nil.
 func (s *Settings) validate() error {
 	capacity := s.SlowStartMinCapacity
 	err := firstFailed("", []check{
-		{len(s.Classes) > 0, "Classes", "none given"},
-		{s.Zones >= 1, "Zones", "fewer than one"},
+		{len(s.Classes) > 0, "Classes", "empty"},
+		{s.Zones >= 1, "Zones", "less than 1"},
 		{s.Zone >= 0 && s.Zone < s.Zones, "Zone", "out of range"},
-		{s.Replicas >= 1, "Replicas", "fewer than one"},
+		{s.Replicas >= 1, "Replicas", "less than 1"},
 		{s.ReplicaIndex >= 0, "ReplicaIndex", "negative"},
 		{s.Tier >= 0, "Tier", "negative"},
-		{s.MaxAttempts >= 1, "MaxAttempts", "fewer than one"},
+		{s.MaxAttempts >= 1, "MaxAttempts", "less than 1"},
 		{s.MaxSendDelay >= 0, "MaxSendDelay", "negative"},
 		{s.MaxRetryAfter >= 0, "MaxRetryAfter", "negative"},
 		{s.OrderingDelay >= 0, "OrderingDelay", "negative"},
@@ -132,7 +147,7 @@
 		{nonNegative(s.RetryBudgetRatio), "RetryBudgetRatio", "negative"},
 		{s.DrainGrace >= 0, "DrainGrace", "negative"},
 		{s.PollInterval > 0 || s.PollInterval == 0 && !s.WatchEndpoints, "PollInterval", "not positive"},
-		{nonNegative(capacity) && capacity <= 1, "SlowStartMinCapacity", "not within 0 and 1"},
+		{nonNegative(capacity) && capacity <= 1, "SlowStartMinCapacity", "outside [0, 1]"},
 		{s.SlowStartWindow >= 0, "SlowStartWindow", "negative"},
 	})
 	if err != nil {
@@ -155,7 +170,8 @@
 	return nil
 }
 
-// validate does for a class what [Settings.validate] does for the settings; prefix is its path.
+// validate returns a [*SettingsError] for the first invalid field of the class, or nil. The path of
+// the field begins with prefix.
 func (c *Class) validate(prefix string) error {
 	return firstFailed(prefix, []check{
 		{c.LatencyObjective > 0, "LatencyObjective", "not positive"},
--- a/logic/settings_test.go
+++ b/logic/settings_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestNewRejectsInvalidSettings(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+	for field, modify := range map[string]func(*Settings){
 		"Classes":                       func(s *Settings) { s.Classes = nil },
 		"Zone":                          func(s *Settings) { s.Zone = 2 },
 		"Zones":                         func(s *Settings) { s.Zones = 0 },
@@ -27,12 +27,12 @@
 		"Classes[4].LatePriorityFactor": func(s *Settings) { s.Classes[4].LatePriorityFactor = -1 },
 	} {
 		s := testSettings()
-		spoil(&s)
+		modify(&s)
 		_, err := New(s, 1)
 		var invalid *SettingsError
 		if !errors.As(err, &invalid) || invalid.Field != field ||
 			!strings.HasPrefix(err.Error(), "logic: Settings."+field+": ") {
-			t.Errorf("%s: error %v", field, err)
+			t.Errorf("%s: got error %v, want a SettingsError for the field", field, err)
 		}
 	}
 }
--- a/logic/sliding_window.go
+++ b/logic/sliding_window.go
@@ -6,13 +6,13 @@
 	slidingWindowSpan    = slidingWindowBuckets * slidingWindowBucket
 )
 
-// slidingWindow sums weights over a sliding time of up to slidingWindowSpan.
+// slidingWindow sums weights over a sliding window of up to slidingWindowSpan.
 type slidingWindow struct {
 	buckets [slidingWindowBuckets]float32
-	last    int64 // number of the latest bucket since the clock's zero
+	last    int64 // number of the latest bucket, counted from time 0 of the clock
 }
 
-// add takes a weight at the time.
+// add records a weight at the given time.
 func (w *slidingWindow) add(now int64, weight float64) {
 	w.advance(now)
 	w.buckets[w.last%slidingWindowBuckets] += float32(weight)
@@ -27,7 +27,7 @@
 	w.last = max(w.last, current)
 }
 
-// sum returns the weight of the last span microseconds, in complete buckets.
+// sum returns the total weight of the last span microseconds, in whole buckets.
 func (w *slidingWindow) sum(now, span int64) float64 {
 	w.advance(now)
 	total := 0.0
--- a/logic/slow_start.go
+++ b/logic/slow_start.go
@@ -1,12 +1,13 @@
 package logic
 
 const (
-	slowStartMargin       = 0.6  // fraction of its least capacity that an endpoint in slow start is given
-	slowStartPriorSeconds = 0.25 // of its fair rate that a replica's own rate begins with
+	slowStartMargin       = 0.6  // fraction of its least capacity that an endpoint in slow start receives
+	slowStartPriorSeconds = 0.25 // weight of the fair rate in the estimate of a replica's own rate
 )
 
-// slowStartFactor keeps rule 4: it guards against pushing an endpoint over that is warming up. Its
-// weight is under the least capacity that an endpoint of its age has; that of a warm one is 1.
+// slowStartFactor keeps rule 4: it protects an endpoint that is warming up from overload. It
+// returns the factor of the endpoint's weight. The factor is below the least capacity of an
+// endpoint of this age, as a fraction of full capacity, and 1 for a warm endpoint.
 func (b *Balancer) slowStartFactor(now int64, e *endpoint) float64 {
 	age := now - e.StartedAt
 	if e.StartedAt == 0 || age >= b.settings.SlowStartWindow {
@@ -17,19 +18,20 @@
 	return slowStartMargin * (minCapacity + (1-minCapacity)*progress)
 }
 
-// slowStartAdmission returns the fraction of the attempts that endpoints can take which are all in
-// slow start; capacity is the mean of their slow start factors. Beside warm ones their weights see
-// to it. Where there are none, after a release or a loss that all share, the replicas of this proxy
-// would send them in sum what warm ones bear. Endpoints are held to be made for all that the
-// tenants may ask for; a replica that is asked for less sends more of it, and at first it expects
-// to be asked for its fair rate.
+// slowStartAdmission returns the fraction of attempts to admit if all candidates are in slow start;
+// capacity is the mean of their slow start factors. If there are warm endpoints, the weights alone
+// limit the attempts at endpoints in slow start. Without warm endpoints, after a release or a loss
+// that affects all of them, the replicas would together send the load of warm endpoints. The full
+// capacity of the endpoints is assumed to be the sum of the quotas of all tenants. A replica that
+// gets fewer requests than its fair rate admits a larger fraction of them. The initial estimate of
+// a replica's rate is its fair rate.
 func (b *Balancer) slowStartAdmission(now int64, capacity float64) float64 {
 	fairRate := b.quotas.fairRate
 	if b.settings.Tier > 0 || fairRate == 0 {
-		return 1 // nothing says how many attempts endpoints are made for
+		return 1 // the load that the endpoints are made for is unknown
 	}
-	life := float64(min(now-b.firstRequestAt, decaySpan)) / float64(second)
-	before := max(0, b.arrivals.at(now)-1) // the request at hand says nothing of a rate
+	life := float64(min(now-b.firstRequestAt, decayTimeConstant)) / float64(second)
+	before := max(0, b.arrivals.at(now)-1) // the current request says nothing about the rate
 	return capacity / slowStartMargin * fairRate * (life + slowStartPriorSeconds) /
 		(before + fairRate*slowStartPriorSeconds)
 }
--- a/logic/slow_start_test.go
+++ b/logic/slow_start_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The part of an endpoint in slow start of the selection stays under its least capacity.
-func TestRule4EndpointInSlowStartGetsItsPart(t *testing.T) {
+// The fraction of attempts at an endpoint in slow start stays below its least capacity.
+func TestRule4EndpointInSlowStartStaysWithinItsCapacity(t *testing.T) {
 	s := testSettings()
 	b, h := mustNew(t, s), &recorder{}
 	list := testEndpoints(2)
@@ -26,28 +26,28 @@
 	}
 	part := float64(got) / float64(len(h.sends)-got)
 	if part > s.SlowStartMinCapacity || part == 0 {
-		t.Errorf("an endpoint in slow start got %.3f of a warm one's requests, its capacity is %.3f",
+		t.Errorf("endpoint in slow start got %.3f of the requests of a warm one, want above 0 and at most %.3f",
 			part, s.SlowStartMinCapacity)
 	}
 	if w := b.slowStartFactor(start+s.SlowStartWindow, b.endpoints.byID["s1"]); w != 1 {
-		t.Errorf("an endpoint past its slow start has the factor %v", w)
+		t.Errorf("slow start factor %v after the slow start window, want 1", w)
 	}
 }
 
-// slowStartDay is a fleet of replicas before endpoints of which some are in slow start, and the
-// load on it.
-type slowStartDay struct {
+// slowStartScenario is a fleet of replicas with endpoints of which some are in slow start, and the
+// load.
+type slowStartScenario struct {
 	replicas, endpoints int
-	warm                int     // endpoints among them that are warm
-	quota               float64 // requests per second inside the quotas of all tenants
+	warm                int     // warm endpoints among them
+	quota               float64 // requests per second within the quotas of all tenants
 	rate                float64 // requests per second over all replicas
 	tier                int
-	latency             float64 // seconds that an attempt is in flight; 0: none is while others are sent
+	latency             float64 // seconds that an attempt is in flight; 0 means that attempts do not overlap
 }
 
-// play plays some seconds and returns the fractions of the requests that went to endpoints in slow
-// start and that were shed.
-func (d slowStartDay) play(t *testing.T, seconds float64) (cold, shed float64) {
+// run simulates the given number of seconds. It returns the fractions of the requests that went to
+// endpoints in slow start and that were shed.
+func (d slowStartScenario) run(t *testing.T, seconds float64) (cold, shed float64) {
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(1, 2))
 	var endpoints []Endpoint
@@ -102,7 +102,7 @@
 			shedTotal++
 			cause := b.ShedCause()
 			if d.latency == 0 && cause != BySlowStart && cause != ByTenantQuota {
-				t.Fatalf("shed by %v", cause)
+				t.Fatalf("shed by %v, want BySlowStart or ByTenantQuota", cause)
 			}
 			continue
 		}
@@ -114,90 +114,92 @@
 	return float64(sentCold) / float64(n), float64(shedTotal) / float64(n)
 }
 
-// However many replicas start together with endpoints that have a quarter of their capacity, these
-// are sent that part of what all may ask for, and no more. Nothing is shed where few requests come,
-// where warm endpoints have the rest, where nothing says what endpoints are made for, or in an
-// inner tier.
-func TestEndpointsInSlowStartGetInSumWhatTheyBear(t *testing.T) {
+// Endpoints in slow start have a quarter of their capacity. However many replicas start together
+// with them, these endpoints get that fraction of the quotas and no more. Nothing is shed if there
+// are few requests, if warm endpoints take the rest, if the load that the endpoints are made for is
+// unknown, or in an inner tier.
+func TestEndpointsInSlowStartGetTheirCapacityInTotal(t *testing.T) {
 	for _, c := range []struct {
-		name                          string
-		day                           slowStartDay
-		seconds                       float64
-		leastCold, mostCold, mostShed float64
+		name                      string
+		scenario                  slowStartScenario
+		seconds                   float64
+		minCold, maxCold, maxShed float64
 	}{
 		{
-			name:    "all cold, ten replicas",
-			day:     slowStartDay{replicas: 10, endpoints: 20, quota: 2000, rate: 2000},
-			seconds: 3, leastCold: 0.15, mostCold: 0.3, mostShed: 0.85,
+			name:     "all in slow start, 10 replicas",
+			scenario: slowStartScenario{replicas: 10, endpoints: 20, quota: 2000, rate: 2000},
+			seconds:  3, minCold: 0.15, maxCold: 0.3, maxShed: 0.85,
 		},
 		{
-			name:    "all cold, a hundred",
-			day:     slowStartDay{replicas: 100, endpoints: 20, quota: 2000, rate: 2000},
-			seconds: 3, leastCold: 0.15, mostCold: 0.3, mostShed: 0.85,
+			name:     "all in slow start, 100 replicas",
+			scenario: slowStartScenario{replicas: 100, endpoints: 20, quota: 2000, rate: 2000},
+			seconds:  3, minCold: 0.15, maxCold: 0.3, maxShed: 0.85,
 		},
 		{
-			name:    "all cold, three hundred",
-			day:     slowStartDay{replicas: 300, endpoints: 60, quota: 6000, rate: 6000},
-			seconds: 3, leastCold: 0.15, mostCold: 0.3, mostShed: 0.85,
+			name:     "all in slow start, 300 replicas",
+			scenario: slowStartScenario{replicas: 300, endpoints: 60, quota: 6000, rate: 6000},
+			seconds:  3, minCold: 0.15, maxCold: 0.3, maxShed: 0.85,
 		},
 		{
-			name:    "all cold, more than is in the quotas",
-			day:     slowStartDay{replicas: 100, endpoints: 20, quota: 2000, rate: 4000},
-			seconds: 3, leastCold: 0.07, mostCold: 0.2, mostShed: 0.93,
+			name:     "all in slow start, more requests than the quotas",
+			scenario: slowStartScenario{replicas: 100, endpoints: 20, quota: 2000, rate: 4000},
+			seconds:  3, minCold: 0.07, maxCold: 0.2, maxShed: 0.93,
 		},
 		{
-			name:    "all cold, a tenth of it comes",
-			day:     slowStartDay{replicas: 100, endpoints: 20, quota: 2000, rate: 200},
-			seconds: 3, leastCold: 0.65, mostCold: 1, mostShed: 0.35,
+			name:     "all in slow start, a tenth of the quotas",
+			scenario: slowStartScenario{replicas: 100, endpoints: 20, quota: 2000, rate: 200},
+			seconds:  3, minCold: 0.65, maxCold: 1, maxShed: 0.35,
 		},
 		{
-			name:    "the same for longer",
-			day:     slowStartDay{replicas: 100, endpoints: 20, quota: 2000, rate: 200},
-			seconds: 15, leastCold: 0.9, mostCold: 1, mostShed: 0.1,
+			name:     "all in slow start, a tenth of the quotas, for longer",
+			scenario: slowStartScenario{replicas: 100, endpoints: 20, quota: 2000, rate: 200},
+			seconds:  15, minCold: 0.9, maxCold: 1, maxShed: 0.1,
 		},
 		{
-			name:    "half are warm",
-			day:     slowStartDay{replicas: 100, endpoints: 20, warm: 10, quota: 2000, rate: 2000},
-			seconds: 3, leastCold: 0.05, mostCold: 0.2, mostShed: 0.01,
+			name:     "half are warm",
+			scenario: slowStartScenario{replicas: 100, endpoints: 20, warm: 10, quota: 2000, rate: 2000},
+			seconds:  3, minCold: 0.05, maxCold: 0.2, maxShed: 0.01,
 		},
 		{
-			name:    "one is warm: by its weight",
-			day:     slowStartDay{replicas: 100, endpoints: 20, warm: 1, quota: 2000, rate: 2000},
-			seconds: 3, leastCold: 0.5, mostCold: 0.8, mostShed: 0.01,
+			name:     "one is warm and gets its weight",
+			scenario: slowStartScenario{replicas: 100, endpoints: 20, warm: 1, quota: 2000, rate: 2000},
+			seconds:  3, minCold: 0.5, maxCold: 0.8, maxShed: 0.01,
 		},
 		{
-			name:    "an inner tier",
-			day:     slowStartDay{replicas: 100, endpoints: 20, quota: 2000, rate: 2000, tier: 1},
-			seconds: 3, leastCold: 0.99, mostCold: 1, mostShed: 0,
+			name:     "an inner tier",
+			scenario: slowStartScenario{replicas: 100, endpoints: 20, quota: 2000, rate: 2000, tier: 1},
+			seconds:  3, minCold: 0.99, maxCold: 1, maxShed: 0,
 		},
-		// A third are cold: 0.11 of the requests are as much for their capacity as the others get.
+		// With a third of the endpoints in slow start, 0.11 of the requests load them as much, for
+		// their capacity, as the others.
 		{
-			name:    "warm ones hold a request of each replica",
-			day:     slowStartDay{replicas: 36, endpoints: 24, warm: 16, quota: 2000, rate: 1500, latency: 0.25},
-			seconds: 3, leastCold: 0.03, mostCold: 0.13, mostShed: 0.1,
+			name:     "warm ones hold an attempt of each replica",
+			scenario: slowStartScenario{replicas: 36, endpoints: 24, warm: 16, quota: 2000, rate: 1500, latency: 0.25},
+			seconds:  3, minCold: 0.03, maxCold: 0.13, maxShed: 0.1,
 		},
 		{
-			name:    "warm ones hold some",
-			day:     slowStartDay{replicas: 12, endpoints: 24, warm: 16, quota: 2000, rate: 1500, latency: 0.25},
-			seconds: 3, leastCold: 0.03, mostCold: 0.13, mostShed: 0.1,
+			name:     "warm ones hold some attempts",
+			scenario: slowStartScenario{replicas: 12, endpoints: 24, warm: 16, quota: 2000, rate: 1500, latency: 0.25},
+			seconds:  3, minCold: 0.03, maxCold: 0.13, maxShed: 0.1,
 		},
 		{
-			name:    "requests are few",
-			day:     slowStartDay{replicas: 100, endpoints: 24, warm: 16, quota: 2000, rate: 200, latency: 0.25},
-			seconds: 3, leastCold: 0.02, mostCold: 0.12, mostShed: 0.1,
+			name:     "few requests",
+			scenario: slowStartScenario{replicas: 100, endpoints: 24, warm: 16, quota: 2000, rate: 200, latency: 0.25},
+			seconds:  3, minCold: 0.02, maxCold: 0.12, maxShed: 0.1,
 		},
 	} {
-		cold, shed := c.day.play(t, c.seconds)
-		if cold < c.leastCold || cold > c.mostCold || shed > c.mostShed {
-			t.Errorf("%s: %.3f to endpoints in slow start, %.3f shed", c.name, cold, shed)
+		cold, shed := c.scenario.run(t, c.seconds)
+		if cold < c.minCold || cold > c.maxCold || shed > c.maxShed {
+			t.Errorf("%s: %.3f to endpoints in slow start, want %.3f to %.3f; %.3f shed, want at most %.3f",
+				c.name, cold, c.minCold, c.maxCold, shed, c.maxShed)
 		}
 	}
-	b, h := newTestBalancer(t, testSettings(), 0) // which names no tenants
+	b, h := newTestBalancer(t, testSettings(), 0) // without tenants
 	b.UpdateEndpoints(start, h, Snapshot, []Endpoint{{ID: "a", State: Ready, Weight: 1, StartedAt: start}})
 	for i := range 50 {
 		submit(b, h, start+int64(i)*1000, fmt.Sprint(i), 0)
 		if len(h.sends) != i+1 {
-			t.Fatalf("request %d to the only endpoint, which is in slow start: %s", i, h.last())
+			t.Fatalf("request %d not sent to the only endpoint, which is in slow start: %s", i, h.last())
 		}
 		b.Outcome(start+int64(i)*1000, h, Outcome{ID: fmt.Sprint(i), Status: OK, Latency: 250_000, RequestDone: true})
 	}
--- a/logic/spillover_test.go
+++ b/logic/spillover_test.go
@@ -14,10 +14,10 @@
 	}
 	feed(60*roundSize, false)
 	if away := b.endpointWeight(start, b.endpoints.byID["s2"], 0); away > local/10 {
-		t.Errorf("a calm local zone leaves %.3f of the weight to other zones", away/local)
+		t.Errorf("local zone without pressure: relative weight of other zones %.3f, want at most 0.1", away/local)
 	}
 	feed(20*roundSize, true)
 	if away := b.endpointWeight(start, b.endpoints.byID["s2"], 0); away < local/2 {
-		t.Errorf("a local zone under pressure leaves %.3f of the weight to other zones", away/local)
+		t.Errorf("local zone under pressure: relative weight of other zones %.3f, want at least 0.5", away/local)
 	}
 }
--- a/logic/stats.go
+++ b/logic/stats.go
@@ -2,34 +2,34 @@
 
 import "fmt"
 
-const reportInterval = 10 * second // between log lines of one replica
+const reportInterval = 10 * second // minimum time between log lines of a replica
 
 // LimitStats is the state of a concurrency limit.
 type LimitStats struct {
-	Limit    float64  // attempts in flight that pass
+	Limit    float64  // maximum number of attempts in flight
 	InFlight int      // attempts in flight
-	LastCut  LimitCut // the last one
+	LastCut  LimitCut // the latest cut
 }
 
-// LimitCut states when and by what a concurrency limit was last cut.
+// LimitCut describes when and why a concurrency limit was last cut.
 type LimitCut struct {
-	At         int64 // microseconds; 0: never
+	At         int64 // time of the cut in microseconds; 0 means never
 	Evidence   Evidence
 	Bad, Total int // outcomes in the round
 	From, To   float64
 }
 
-// Stats is the state of a Balancer, for operators and experiments. Nothing is decided by it.
+// Stats is the state of a Balancer, for operators and experiments. It influences no decision.
 type Stats struct {
 	Tier            LimitStats
 	Classes         []LimitStats
 	QuotaMultiple   float64 // multiple of its quota that a tenant may use
 	SpilloverWeight float64 // weight of endpoints in other zones
-	ErrorRate       float64 // moving average of failed attempts
+	ErrorRate       float64 // moving average of the fraction of failed attempts
 	ReadyEndpoints  int
 }
 
-// Stats returns the present state.
+// Stats returns the current state.
 func (b *Balancer) Stats() Stats {
 	s := Stats{
 		Tier:            b.tier.stats(),
@@ -49,8 +49,8 @@
 	return LimitStats{Limit: l.limit, InFlight: l.inFlight, LastCut: l.lastCut}
 }
 
-// reportPressure logs when traffic inside the quotas is shed, and which zones attempts go to, at
-// most once per reportInterval.
+// reportPressure logs a line when requests within the quotas are shed, at most once per
+// reportInterval. The line includes the spillover weight, which shows to which zones attempts go.
 func (b *Balancer) reportPressure(now int64, h Host) {
 	if b.quotas.multiple >= 1 || now-b.lastReport < reportInterval && b.lastReport != 0 {
 		return
--- a/logic/stats_test.go
+++ b/logic/stats_test.go
@@ -2,17 +2,17 @@
 
 import "testing"
 
-func TestPressureIsReportedRarely(t *testing.T) {
+func TestPressureReportsAreRateLimited(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), 2)
 	b.reportPressure(start, h)
-	if len(h.lines) != 0 {
-		t.Fatalf("a calm replica reports %q", h.lines)
+	if len(h.actions) != 0 {
+		t.Fatalf("got log lines %q without pressure, want none", h.actions)
 	}
 	b.quotas.multiple = 0.5
 	for i := range int64(25) {
 		b.reportPressure(start+i*second, h)
 	}
-	if len(h.lines) != 3 {
-		t.Errorf("%d lines in 25 s, want one each 10 s", len(h.lines))
+	if len(h.actions) != 3 {
+		t.Errorf("%d log lines in 25 s, want 3, one per 10 s", len(h.actions))
 	}
 }
--- a/logic/subset.go
+++ b/logic/subset.go
@@ -5,11 +5,12 @@
 	"math"
 )
 
-// The constants of the subset. The capacity model in internal/scale/predict follows them.
+// The constants of the subset. The capacity model in internal/scale/predict has to use the same
+// values.
 const (
-	minSubset          = 4.0      // endpoints that a replica spreads its attempts over, at least
-	subsetRateFactor   = 3.0      // and times the root of its attempts per second, so that it meets each often enough
-	goldenRatioInverse = 0.618034 // steps of this fraction of a ring spread any number of starts evenly
+	minSubset          = 4.0      // minimum number of endpoints that a replica uses
+	subsetRateFactor   = 3.0      // and this times the root of its attempts per second, to use each often
+	goldenRatioInverse = 0.618034 // steps of this fraction of a ring spread any number of points evenly
 )
 
 // compareRing orders endpoints on the hash ring.
@@ -17,18 +18,18 @@
 	return cmp.Or(cmp.Compare(x.hash, y.hash), cmp.Compare(x.ID, y.ID))
 }
 
-// orderBySubset orders the ready endpoints so that this replica's subset comes first: they stand on
-// a ring in the order of their hashes, and replicas start at places spread over it. With many
-// replicas each endpoint would otherwise hold a connection of every one, which costs it capacity
-// and makes it reject new ones, and each replica would send too few attempts to an endpoint to
-// evaluate it.
+// orderBySubset orders the ready endpoints so that the subset of this replica comes first. The
+// endpoints are on a ring in the order of their hashes, and the starting points of the replicas are
+// spread over the ring. If many replicas used all endpoints, each endpoint would hold a connection
+// of every replica. These connections would cost the endpoint capacity and make it reject new ones.
+// Each replica would also send too few attempts to an endpoint to evaluate it.
 func (l *endpointList) orderBySubset(replicaIndex int) {
 	_, start := math.Modf(float64(replicaIndex) * goldenRatioInverse)
 	first := int(start * float64(len(l.ring)))
 	l.ready = append(append(l.ready[:0], l.ring[first:]...), l.ring[:first]...)
 }
 
-// subsetSize returns how many warm and healthy endpoints this replica's attempts are spread over.
+// subsetSize returns the number of warm and healthy endpoints that this replica uses.
 func (b *Balancer) subsetSize(now int64) float64 {
 	rate := b.tierSent.sum(now, slidingWindowSpan) / float64(slidingWindowSpan/second)
 	return max(minSubset, subsetRateFactor*math.Sqrt(rate))
--- a/logic/subset_test.go
+++ b/logic/subset_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Many replicas that select from all endpoints fill every endpoint's connection table.
+// If many replicas use all endpoints, the connection tables of all endpoints fill up.
 func TestSubsetsAreSmallAndCoverTheFleet(t *testing.T) {
 	const replicas, endpoints = 60, 90
 	users := map[string]int{}
@@ -15,7 +15,7 @@
 		b, h := newTestBalancer(t, s, endpoints)
 		met := map[string]bool{}
 		for k := range 400 {
-			now := start + int64(k)*50_000 // 20 a second
+			now := start + int64(k)*50_000 // 20 requests per second
 			submit(b, h, now, fmt.Sprint(k), 0)
 			b.Outcome(now, h, Outcome{ID: fmt.Sprint(k), Status: OK, Latency: 1000, RequestDone: true})
 		}
@@ -23,24 +23,24 @@
 			met[s.endpoint] = true
 		}
 		if len(met) > endpoints/3 {
-			t.Fatalf("replica %d met %d endpoints", i, len(met))
+			t.Fatalf("replica %d uses %d endpoints, want at most %d", i, len(met), endpoints/3)
 		}
 		for s := range met {
 			users[s]++
 		}
 	}
 	if len(users) != endpoints {
-		t.Errorf("%d of %d endpoints are in some subset", len(users), endpoints)
+		t.Errorf("%d of %d endpoints are in a subset, want all", len(users), endpoints)
 	}
 }
 
-// Replicas with a few requests a second met each of twelve endpoints once in many seconds, and went
-// on overloading the ones that had become slow.
-func TestSparseReplicaMeetsItsEndpointsOftenEnough(t *testing.T) {
+// Replicas with a few requests per second used each of twelve endpoints only once in many seconds,
+// and kept overloading endpoints that had become slow.
+func TestSparseReplicaUsesFewEndpoints(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), 60)
 	met := map[string]int{}
 	for k := range 240 {
-		now := start + int64(k)*second/3 // 3 a second
+		now := start + int64(k)*second/3 // 3 requests per second
 		submit(b, h, now, fmt.Sprint(k), 0)
 		b.Outcome(now, h, Outcome{ID: fmt.Sprint(k), Status: OK, Latency: 300_000, RequestDone: true})
 	}
@@ -48,6 +48,6 @@
 		met[s.endpoint]++
 	}
 	if len(met) > 8 || len(met) < 4 {
-		t.Errorf("3 requests a second are spread over %d endpoints", len(met))
+		t.Errorf("%d endpoints get 3 requests per second, want 4 to 8", len(met))
 	}
 }
