--- a/cmd/fernlanding/fleet_test.go
+++ b/cmd/fernlanding/fleet_test.go
@@ -22,7 +22,7 @@
 // relayProcess is a relay in a process of its own, behind a gate that counts connections.
 type relayProcess struct {
 	*process
-	gate   *nodetest.Gate
+	gate   *nodetest.FaultProxy
 	direct string // its own address
 }
 
@@ -56,7 +56,7 @@
 		name := fmt.Sprintf("relay-%d", i)
 		p := f.start("fernrelay", "relay", "-listen", "127.0.0.1:0", "-name", name, "-upstream", f.source)
 		direct := p.listening(t)
-		f.relays[i] = relayProcess{process: p, gate: nodetest.NewGate(t, direct), direct: direct}
+		f.relays[i] = relayProcess{process: p, gate: nodetest.NewFaultProxy(t, direct), direct: direct}
 	}
 	f.one, f.two = startBackend(t), startBackend(t)
 	t.Cleanup(f.logStateOnFailure)
@@ -243,7 +243,7 @@
 			return err == nil && (len(s.Counts) == 0 || s.Counts[0].Proxies == 0)
 		})
 	}
-	if n := relay.gate.Accepted(); n > 2 {
+	if n := relay.gate.AcceptedConns(); n > 2 {
 		f.t.Errorf("%d connections", n)
 	}
 	if s := f.stats(relay); s.Sessions != 1 {
--- a/cmd/fernlanding/relays_bench_test.go
+++ b/cmd/fernlanding/relays_bench_test.go
@@ -47,9 +47,9 @@
 
 // restSource is a source of lists that a sidecar follows.
 type restSource struct {
-	gate    *nodetest.Gate // counts what the sidecar reads
-	file    string         // lines of the sidecar's file
-	service string         // lines of each service
+	gate    *nodetest.FaultProxy // counts what the sidecar reads
+	file    string               // lines of the sidecar's file
+	service string               // lines of each service
 }
 
 // followHealth returns a health API.
@@ -61,7 +61,7 @@
 	}
 	b.Cleanup(health.Close)
 	health.Put(restMembers()...)
-	gate := nodetest.NewGate(b, health.Addr())
+	gate := nodetest.NewFaultProxy(b, health.Addr())
 	return restSource{gate: gate, service: fmt.Sprintf("membership = \"consul\"\ndiscovery = %q\n", gate.Address)}
 }
 
@@ -88,7 +88,7 @@
 			b.Fatal(err)
 		}
 	}
-	gate := nodetest.NewGate(b, relay)
+	gate := nodetest.NewFaultProxy(b, relay)
 	return restSource{
 		gate:    gate,
 		file:    fmt.Sprintf("[distribution]\nrelays = [%q]\n", gate.Address),
@@ -118,13 +118,13 @@
 	for b.Loop() {
 		<-time.After(restSettle)
 		pid := p.cmd.Process.Pid
-		bytes, used, began := source.gate.Carried(), cpuTime(b, pid), time.Now()
+		bytes, used, began := source.gate.ForwardedBytes(), cpuTime(b, pid), time.Now()
 		<-time.After(restWindow)
 		elapsed := time.Since(began).Seconds()
-		b.ReportMetric(float64(source.gate.Carried()-bytes)/elapsed, "B/s")
+		b.ReportMetric(float64(source.gate.ForwardedBytes()-bytes)/elapsed, "B/s")
 		b.ReportMetric((cpuTime(b, pid)-used).Seconds()/elapsed*100, "%core")
 		b.ReportMetric(residentMB(b, pid), "MB-RSS")
-		b.ReportMetric(float64(source.gate.Accepted()), "conns")
+		b.ReportMetric(float64(source.gate.AcceptedConns()), "conns")
 	}
 }
 
--- a/cmd/fernlanding/relays_test.go
+++ b/cmd/fernlanding/relays_test.go
@@ -25,8 +25,8 @@
 			served, requests, f.one.Requests()-before,
 		)
 	}
-	if s := f.stats(first); s.FullUpdates != 1 || s.DeltaUpdates != 2 {
-		t.Errorf("the first relay sent %d snapshots and %d deltas, want 1 and 2", s.FullUpdates, s.DeltaUpdates)
+	if s := f.stats(first); s.SnapshotUpdates != 1 || s.DeltaUpdates != 2 {
+		t.Errorf("the first relay sent %d snapshots and %d deltas, want 1 and 2", s.SnapshotUpdates, s.DeltaUpdates)
 	}
 
 	first.kill()
@@ -36,10 +36,10 @@
 	})
 	f.waitForVersion(second.direct, "one", f.put("one", "a", f.one, "serving"))
 	f.waitForRequestAt("one", f.one)
-	if s := f.stats(second); s.FullUpdates != 0 || s.DeltaUpdates != 1 || s.Sessions != 1 {
+	if s := f.stats(second); s.SnapshotUpdates != 0 || s.DeltaUpdates != 1 || s.Sessions != 1 {
 		t.Errorf(
 			"the second relay sent %d snapshots and %d deltas in %d sessions, want 0, 1 and 1",
-			s.FullUpdates, s.DeltaUpdates, s.Sessions,
+			s.SnapshotUpdates, s.DeltaUpdates, s.Sessions,
 		)
 	}
 
--- a/internal/config/decode_service.go
+++ b/internal/config/decode_service.go
@@ -48,7 +48,7 @@
 		MaxResponse: scope.Int("max_answer", 1<<20, 0, MaxBody),
 	}
 	s.DialTimeout = scope.Duration("dial_timeout", 200*time.Millisecond, minTime, MaxDeadline)
-	s.IdleClose = scope.Duration("idle_close", 30*time.Second, 100*time.Millisecond, time.Hour)
+	s.IdleTimeout = scope.Duration("idle_close", 30*time.Second, 100*time.Millisecond, time.Hour)
 	dec.balancer(scope, s)
 	s.SlowStartMultiple = defaultSlowStartMultiple
 	if dec.version >= 2 {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -2,8 +2,8 @@
 
 import "fernlanding/logic"
 
-// Field is one header field, its name in canonical form.
-type Field struct{ Name, Value string }
+// HeaderField is one header field, its name in canonical form.
+type HeaderField struct{ Name, Value string }
 
 // Request is one request that a front has read completely. A front fills in the exported fields and
 // hands it to one pool with Pool.Do; from then on it belongs to the pool. It contains no protocol's
@@ -13,7 +13,7 @@
 	Method        string // GET, POST, ...
 	Target        string // path and query as they are forwarded
 	Host          string
-	Header        []Field // what is forwarded to the backend; nothing that concerns one connection
+	Header        []HeaderField // what is forwarded to the backend; nothing that concerns one connection
 	Body          []byte
 
 	// The pool's lock guards the fields below.
@@ -61,8 +61,8 @@
 
 // Response is a backend's complete response.
 type Response struct {
-	StatusCode int     // a status of RFC 9110, section 15
-	Header     []Field // what is forwarded to the client; nothing that concerns one connection or the framing
+	StatusCode int           // a status of RFC 9110, section 15
+	Header     []HeaderField // what is forwarded to the client; nothing that concerns one connection or the framing
 	Body       []byte
 	Release    func() // returns the body's reservation of process memory; nil if it has none
 }
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -17,7 +17,7 @@
 // tracer counts shed requests by cause while a trace is on. The pool's lock guards it.
 type tracer struct {
 	until      time.Time
-	shedCauses [logic.ShedCauses]int // since the last log line
+	shedCauses [logic.NumShedCauses]int // since the last log line
 }
 
 // Trace has the pool log its module's stats twice a second for some time: the tier's concurrency
@@ -27,7 +27,7 @@
 	until := time.Now().Add(min(span, MaxTraceDuration))
 	p.runEvent(func() {
 		if time.Now().After(p.tracer.until) {
-			p.tracer.shedCauses = [logic.ShedCauses]int{}
+			p.tracer.shedCauses = [logic.NumShedCauses]int{}
 		}
 		if until.After(p.tracer.until) {
 			p.tracer.until = until
@@ -47,7 +47,7 @@
 		return false
 	}
 	stats, causes := p.balancer.Stats(), p.tracer.shedCauses
-	p.tracer.shedCauses = [logic.ShedCauses]int{}
+	p.tracer.shedCauses = [logic.NumShedCauses]int{}
 	p.mu.Unlock()
 	var classes, shed []string
 	for _, class := range stats.Classes {
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -38,7 +38,7 @@
 	for _, entry := range entries {
 		converted = append(converted, logic.Endpoint{
 			ID: entry.Name, State: endpointState(entry.Status), Zone: z.number(entry.Zone), Cell: entry.Cell,
-			Weight: entry.Weight, StartedAt: entry.SinceMs * 1000,
+			Weight: entry.Weight, StartedAt: entry.StartedMs * 1000,
 		})
 	}
 	return converted
--- a/internal/distribution/coalesce.go
+++ b/internal/distribution/coalesce.go
@@ -30,7 +30,7 @@
 			continue
 		}
 		pending = append(pending, PendingUpdate{Resource: p.resource.name, From: p.inForce})
-		urgent = urgent || p.latestSeen().IsZero() || store.Urgent(p.resource.name, p.latestSeen())
+		urgent = urgent || p.latestSeen().IsZero() || store.UrgentSince(p.resource.name, p.latestSeen())
 	}
 	if len(pending) == 0 {
 		session.waiting = true
--- a/internal/distribution/follow/apply.go
+++ b/internal/distribution/follow/apply.go
@@ -57,8 +57,8 @@
 		return
 	}
 	f.stats.Updates++
-	if u.Full() {
-		f.stats.FullUpdates++
+	if u.IsSnapshot() {
+		f.stats.SnapshotUpdates++
 	}
 	sub.position = distribution.Position{Resource: u.Resource, InForce: u.Version}
 }
@@ -68,8 +68,8 @@
 	if !u.Version.After(inForce) {
 		return fmt.Errorf("%s: version %v found, one after %v expected", u.Resource, u.Version, inForce)
 	}
-	if !u.Full() && u.From != inForce {
-		return &distribution.BaseError{Resource: u.Resource, Current: inForce, From: u.From}
+	if !u.IsSnapshot() && u.From != inForce {
+		return &distribution.DeltaBaseError{Resource: u.Resource, Current: inForce, From: u.From}
 	}
 	return nil
 }
--- a/internal/distribution/follow/config.go
+++ b/internal/distribution/follow/config.go
@@ -72,8 +72,8 @@
 	Relay string
 	// SilentSince is since when no relay has answered; zero while one does.
 	SilentSince time.Time
-	// LastAnswer is when the last response arrived; zero: none has.
-	LastAnswer time.Time
+	// LastResponse is when the last response arrived; zero: none has.
+	LastResponse time.Time
 	// SourceAge is how long before LastAnswer the relay had last heard from the source.
 	SourceAge time.Duration
 	// Disconnected says that the relay, or one above it, hears from no upstream.
@@ -82,10 +82,10 @@
 
 // Stats count since the start.
 type Stats struct {
-	BytesIn, BytesOut       int64 // on all connections
-	MessagesIn, MessagesOut int64 // responses and requests
-	Updates, FullUpdates    int64 // applied; of these, snapshots
-	Rejected                int64 // updates that subscribers rejected
-	Sessions                int64 // opened, each with all positions
-	Switches                int64 // from one relay to another
+	BytesIn, BytesOut        int64 // on all connections
+	MessagesIn, MessagesOut  int64 // responses and requests
+	Updates, SnapshotUpdates int64 // applied; of these, snapshots
+	Rejected                 int64 // updates that subscribers rejected
+	Sessions                 int64 // opened, each with all positions
+	Switches                 int64 // from one relay to another
 }
--- a/internal/distribution/follow/reader.go
+++ b/internal/distribution/follow/reader.go
@@ -159,7 +159,7 @@
 	f.sessionID = response.Session
 	f.health = Health{
 		Relay:        req.address,
-		LastAnswer:   f.now(),
+		LastResponse: f.now(),
 		SourceAge:    time.Duration(response.SourceAgeMs) * time.Millisecond,
 		Disconnected: response.Disconnected,
 	}
@@ -209,7 +209,7 @@
 	if f.health.SilentSince.IsZero() {
 		f.health.SilentSince = now
 	}
-	lastAnswer := f.health.LastAnswer
+	lastAnswer := f.health.LastResponse
 	f.mu.Unlock()
 	if lastAnswer.IsZero() {
 		lastAnswer = r.startedAt
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -22,8 +22,8 @@
 	Items   []Item  `json:"items,omitempty"`
 }
 
-// Full reports whether the update is a snapshot, which replaces all items of the resource.
-func (u *Update) Full() bool { return u.From.IsZero() }
+// IsSnapshot reports whether the update is a snapshot, which replaces all items of the resource.
+func (u *Update) IsSnapshot() bool { return u.From.IsZero() }
 
 // Position is what a follower has of a resource.
 type Position struct {
--- a/internal/distribution/node/bench_test.go
+++ b/internal/distribution/node/bench_test.go
@@ -98,7 +98,7 @@
 		addStats(b, client, &after, relays[1:]...)
 		moved := float64(after.Sessions - before.Sessions)
 		b.ReportMetric(moved, "moved")
-		b.ReportMetric(float64(after.FullUpdates-before.FullUpdates), "whole-updates")
+		b.ReportMetric(float64(after.SnapshotUpdates-before.SnapshotUpdates), "whole-updates")
 		b.ReportMetric(float64(after.RejectedSessions-before.RejectedSessions)/moved, "turned-away/moved")
 		b.ReportMetric(float64(after.BytesIn-before.BytesIn)/moved, "B-in/moved")
 	}
@@ -111,7 +111,7 @@
 		s := benchStats(b, client, relay)
 		sum.Sessions += s.Sessions
 		sum.WaitingReads += s.WaitingReads
-		sum.FullUpdates += s.FullUpdates
+		sum.SnapshotUpdates += s.SnapshotUpdates
 		sum.RejectedSessions += s.RejectedSessions
 		sum.BytesIn += s.BytesIn
 	}
--- a/internal/distribution/node/encode.go
+++ b/internal/distribution/node/encode.go
@@ -31,7 +31,7 @@
 		size += len(encoded.data)
 		resp.Updates = append(resp.Updates, encoded.data)
 		if encoded.full {
-			n.stats.FullUpdates++
+			n.stats.SnapshotUpdates++
 		} else {
 			n.stats.DeltaUpdates++
 		}
@@ -47,13 +47,13 @@
 	if cached, found := n.encoded.get(key); found {
 		return cached
 	}
-	update := n.store.Since(pending.Resource, pending.From)
+	update := n.store.UpdateSince(pending.Resource, pending.From)
 	data, err := json.Marshal(update)
 	if err != nil { // not possible: values were decoded from JSON
 		return encodedUpdate{}
 	}
 	n.stats.Encodings++
-	encoded := encodedUpdate{data: data, full: update.Full()}
+	encoded := encodedUpdate{data: data, full: update.IsSnapshot()}
 	n.encoded.put(key, encoded)
 	return encoded
 }
--- a/internal/distribution/node/follow.go
+++ b/internal/distribution/node/follow.go
@@ -71,7 +71,7 @@
 	if req.Session == "" { // answered at once, so that the follower learns its session
 		return n.awaitUpdates(ctx, session, now)
 	}
-	if req.HoldMs == 0 || session.Ended() { // a report beside a read, or a session that was left
+	if req.HoldMs == 0 || session.Closed() { // a report beside a read, or a session that was left
 		return n.respond(session, nil), nil
 	}
 	hold := time.Duration(req.HoldMs) * time.Millisecond
@@ -121,7 +121,7 @@
 	if errors.Is(err, distribution.ErrUnknownSession) {
 		n.stats.UnknownSessions++
 	}
-	if err == nil && session.Ended() { // the follower has left
+	if err == nil && session.Closed() { // the follower has left
 		n.sessionEnded(session)
 	}
 	return session, err
--- a/internal/distribution/node/node.go
+++ b/internal/distribution/node/node.go
@@ -172,7 +172,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, session := range n.sessions.Expire(n.now()) {
-		n.stats.EndedSessions++
+		n.stats.ExpiredSessions++
 		n.sessionEnded(session)
 	}
 }
--- a/internal/distribution/node/nodetest/gate.go
+++ b/internal/distribution/node/nodetest/gate.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// Gate forwards TCP connections to an address, and injects faults: it can break them, or let them
+// FaultProxy forwards TCP connections to an address, and injects faults: it can break them, or let them
 // fall silent. It is safe for concurrent use.
-type Gate struct {
+type FaultProxy struct {
 	Address  string
 	target   string
 	listener net.Listener
@@ -39,14 +39,14 @@
 // copyBufferBytes is how much of a connection is copied at a time.
 const copyBufferBytes = 16 << 10
 
-// NewGate starts a gate to an address, which ends with the test.
-func NewGate(tb testing.TB, target string) *Gate {
+// NewFaultProxy starts a gate to an address, which ends with the test.
+func NewFaultProxy(tb testing.TB, target string) *FaultProxy {
 	tb.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	g := &Gate{
+	g := &FaultProxy{
 		Address:      listener.Addr().String(),
 		target:       target,
 		listener:     listener,
@@ -62,27 +62,27 @@
 	return g
 }
 
-// Cut closes all connections, and closes further ones at once.
-func (g *Gate) Cut() { g.setState(gateCut) }
+// Disconnect closes all connections, and closes further ones at once.
+func (g *FaultProxy) Disconnect() { g.setState(gateCut) }
 
 // Stall leaves connections open and forwards nothing.
-func (g *Gate) Stall() { g.setState(gateStalled) }
+func (g *FaultProxy) Stall() { g.setState(gateStalled) }
 
-// Open forwards connections again.
-func (g *Gate) Open() { g.setState(gateOpen) }
+// Resume forwards connections again.
+func (g *FaultProxy) Resume() { g.setState(gateOpen) }
 
-// Accepted returns the number of connections so far.
-func (g *Gate) Accepted() int {
+// AcceptedConns returns the number of connections so far.
+func (g *FaultProxy) AcceptedConns() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.accepted
 }
 
-// Carried returns the number of bytes forwarded so far, in both directions.
-func (g *Gate) Carried() int64 { return g.carried.Load() }
+// ForwardedBytes returns the number of bytes forwarded so far, in both directions.
+func (g *FaultProxy) ForwardedBytes() int64 { return g.carried.Load() }
 
 // setState changes the state, for open connections too.
-func (g *Gate) setState(state gateState) {
+func (g *FaultProxy) setState(state gateState) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.state = state
@@ -96,7 +96,7 @@
 }
 
 // awaitOpen waits while the gate is stalled, and reports whether it is open then.
-func (g *Gate) awaitOpen() bool {
+func (g *FaultProxy) awaitOpen() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for g.state == gateStalled {
@@ -109,7 +109,7 @@
 }
 
 // acceptLoop forwards connections until the listener is closed.
-func (g *Gate) acceptLoop() {
+func (g *FaultProxy) acceptLoop() {
 	for {
 		conn, err := g.listener.Accept()
 		if err != nil {
@@ -120,7 +120,7 @@
 }
 
 // forward forwards a connection until either end or the gate closes it.
-func (g *Gate) forward(client net.Conn) {
+func (g *FaultProxy) forward(client net.Conn) {
 	defer func() { _ = client.Close() }()
 	g.mu.Lock()
 	g.accepted++
@@ -145,7 +145,7 @@
 }
 
 // register has a connection closed when the gate is cut. It returns false if it is cut already.
-func (g *Gate) register(conn net.Conn) bool {
+func (g *FaultProxy) register(conn net.Conn) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.state.closesConns() {
@@ -156,14 +156,14 @@
 }
 
 // unregister forgets a connection.
-func (g *Gate) unregister(conn net.Conn) {
+func (g *FaultProxy) unregister(conn net.Conn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.conns, conn)
 }
 
 // copy copies bytes while the gate is open, and closes both connections when one has ended.
-func (g *Gate) copy(to, from net.Conn) {
+func (g *FaultProxy) copy(to, from net.Conn) {
 	defer func() { _ = to.Close() }()
 	defer func() { _ = from.Close() }()
 	buffer := make([]byte, copyBufferBytes)
--- a/internal/distribution/node/nodetest/nodetest.go
+++ b/internal/distribution/node/nodetest/nodetest.go
@@ -37,15 +37,15 @@
 	Run(ctx context.Context)
 }
 
-// Source starts a source that has its writes in memory only. It ends with the test.
-func Source(tb testing.TB) *Node {
+// StartSource starts a source that has its writes in memory only. It ends with the test.
+func StartSource(tb testing.TB) *Node {
 	tb.Helper()
 	n := node.New(node.Config{Name: "source", Epoch: 1, Persist: func(*distribution.Update) error { return nil }})
 	return start(tb, n, n, "127.0.0.1:0")
 }
 
-// Relay starts a relay at an address, such as 127.0.0.1:0. It ends with the test.
-func Relay(tb testing.TB, name, address string, upstream ...string) *Node {
+// StartRelay starts a relay at an address, such as 127.0.0.1:0. It ends with the test.
+func StartRelay(tb testing.TB, name, address string, upstream ...string) *Node {
 	tb.Helper()
 	r := node.NewRelay(node.Config{Name: name}, follow.Config{Relays: upstream, Hold: Hold})
 	return start(tb, r, r.Node, address)
--- a/internal/distribution/node/proxy_test.go
+++ b/internal/distribution/node/proxy_test.go
@@ -64,7 +64,7 @@
 			return fmt.Errorf("key %s makes no sense", item.Key)
 		}
 	}
-	if u.Full() {
+	if u.IsSnapshot() {
 		p.snapshots++
 		clear(p.items)
 	} else {
@@ -134,5 +134,5 @@
 // awaitAnswer waits until a relay has answered.
 func (p *proxy) awaitAnswer() {
 	p.t.Helper()
-	eventually(p.t, "a response", func() bool { return !p.Health().LastAnswer.IsZero() })
+	eventually(p.t, "a response", func() bool { return !p.Health().LastResponse.IsZero() })
 }
--- a/internal/distribution/node/relay.go
+++ b/internal/distribution/node/relay.go
@@ -66,8 +66,8 @@
 	parts.Wait()
 }
 
-// Upstream returns how the relay stands with its upstreams.
-func (r *Relay) Upstream() follow.Health { return r.follower.Health() }
+// UpstreamHealth returns how the relay stands with its upstreams.
+func (r *Relay) UpstreamHealth() follow.Health { return r.follower.Health() }
 
 // reportLoop reports statuses to the upstream until the context ends.
 func (r *Relay) reportLoop(ctx context.Context) {
@@ -142,17 +142,17 @@
 func (u *relayUpstream) sourceAge() time.Duration {
 	r := u.relay
 	health := r.follower.Health()
-	if health.LastAnswer.IsZero() {
+	if health.LastResponse.IsZero() {
 		return r.now().Sub(r.startedAt)
 	}
-	return max(0, r.now().Sub(health.LastAnswer)) + health.SourceAge
+	return max(0, r.now().Sub(health.LastResponse)) + health.SourceAge
 }
 
 // disconnected implements upstream. A relay is disconnected until an upstream has answered, while
 // none has for some time, and while the one that answers is itself disconnected.
 func (u *relayUpstream) disconnected() bool {
 	health := u.relay.follower.Health()
-	if health.LastAnswer.IsZero() || health.Disconnected {
+	if health.LastResponse.IsZero() || health.Disconnected {
 		return true
 	}
 	return !health.SilentSince.IsZero() && u.relay.now().Sub(health.SilentSince) >= disconnectedDelay
--- a/internal/distribution/node/update_test.go
+++ b/internal/distribution/node/update_test.go
@@ -168,8 +168,8 @@
 	for _, p := range all {
 		p.awaitVersion(second)
 	}
-	if s := source.Stats(); s.Encodings != 2 || s.FullUpdates != proxies || s.DeltaUpdates != proxies {
+	if s := source.Stats(); s.Encodings != 2 || s.SnapshotUpdates != proxies || s.DeltaUpdates != proxies {
 		t.Errorf("%d encodings, %d snapshots, %d deltas; 2, %d, %d expected",
-			s.Encodings, s.FullUpdates, s.DeltaUpdates, proxies, proxies)
+			s.Encodings, s.SnapshotUpdates, s.DeltaUpdates, proxies, proxies)
 	}
 }
--- a/internal/distribution/node/waiter.go
+++ b/internal/distribution/node/waiter.go
@@ -51,7 +51,7 @@
 		}
 		err := n.sleep(ctx, w, timer)
 		switch {
-		case session.Ended():
+		case session.Closed():
 			return nil, distribution.ErrUnknownSession
 		case w.read != read:
 			w.signal() // the wake-up may have been meant for the later read
--- a/internal/distribution/node/write.go
+++ b/internal/distribution/node/write.go
@@ -77,7 +77,7 @@
 		return err
 	}
 	now := n.now()
-	urgent := n.store.Urgent(u.Resource, previous)
+	urgent := n.store.UrgentSince(u.Resource, previous)
 	for _, session := range n.sessions.ResourceChanged(u.Resource, urgent, now) {
 		w := n.waiters[session]
 		if urgent && w.urgentSince.IsZero() {
--- a/internal/distribution/resource.go
+++ b/internal/distribution/resource.go
@@ -67,13 +67,13 @@
 // liveAfter returns how many items the resource has after an update.
 func (r *resource) liveAfter(u *Update) int {
 	live := r.live
-	if u.Full() {
+	if u.IsSnapshot() {
 		live = 0
 	}
 	for i := range u.Items {
 		item := &u.Items[i]
 		e, found := r.items[item.Key]
-		existing := found && !e.item.Deleted && !u.Full()
+		existing := found && !e.item.Deleted && !u.IsSnapshot()
 		switch {
 		case !existing && !item.Deleted:
 			live++
--- a/internal/distribution/sessions.go
+++ b/internal/distribution/sessions.go
@@ -236,8 +236,8 @@
 	delete(s.byFollower, session.Follower)
 }
 
-// Ended reports whether the session has been closed.
-func (s *Session) Ended() bool { return s.ended }
+// Closed reports whether the session has been closed.
+func (s *Session) Closed() bool { return s.ended }
 
 // Expire closes the sessions whose followers have not read for too long, and returns them.
 func (s *Sessions) Expire(now time.Time) []*Session {
--- a/internal/distribution/sessions_model_test.go
+++ b/internal/distribution/sessions_model_test.go
@@ -161,7 +161,7 @@
 		p.session = nil
 		return
 	}
-	p.apply(m.t, m.store.Since("r", pending[0].From))
+	p.apply(m.t, m.store.UpdateSince("r", pending[0].From))
 	if !maps.Equal(p.items, contents(m.store)) {
 		m.t.Fatalf("%s at %v: %v found, %v expected", p.name, p.at, p.items, contents(m.store))
 	}
--- a/internal/distribution/sessions_test.go
+++ b/internal/distribution/sessions_test.go
@@ -129,7 +129,7 @@
 		t.Errorf("%v", err)
 	}
 	again := open(t, s, "s4", openRequest("p1", KindProxy, has("r", at(1, 2))), testStart) // one follower, one session
-	if !first.Ended() || again.Ended() || s.Len() != 2 {
+	if !first.Closed() || again.Closed() || s.Len() != 2 {
 		t.Error("the earlier session of a follower has not ended")
 	}
 	for _, req := range []*FollowRequest{
--- a/internal/distribution/statedir/statedir.go
+++ b/internal/distribution/statedir/statedir.go
@@ -151,7 +151,7 @@
 	if err := u.Validate(); err != nil {
 		return nil, err
 	}
-	if !u.Full() {
+	if !u.IsSnapshot() {
 		return nil, fmt.Errorf("from: %v found, a whole resource expected", u.From)
 	}
 	return u, nil
--- a/internal/distribution/statedir/statedir_test.go
+++ b/internal/distribution/statedir/statedir_test.go
@@ -114,7 +114,7 @@
 	f.Add([]byte(`{"resource":"r","version":"1.2","items":[{"key":"a","value":1}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		u, err := Decode(data)
-		if err == nil && (!u.Full() || u.Validate() != nil) {
+		if err == nil && (!u.IsSnapshot() || u.Validate() != nil) {
 			t.Errorf("%+v", u)
 		}
 	})
--- a/internal/distribution/store.go
+++ b/internal/distribution/store.go
@@ -23,14 +23,14 @@
 	return fmt.Sprintf("%s: version %v found, %v expected", e.Resource, e.Found, e.Expected)
 }
 
-// BaseError says that a delta does not apply to the current version.
-type BaseError struct {
+// DeltaBaseError says that a delta does not apply to the current version.
+type DeltaBaseError struct {
 	Resource      string
 	Current, From Version
 }
 
 // Error implements error.
-func (e *BaseError) Error() string {
+func (e *DeltaBaseError) Error() string {
 	return fmt.Sprintf("%s: changes to version %v found, changes to version %v expected", e.Resource, e.From, e.Current)
 }
 
@@ -62,8 +62,8 @@
 	return Version{}
 }
 
-// Urgent reports whether an urgent item of a resource has changed since a version.
-func (s *Store) Urgent(name string, since Version) bool {
+// UrgentSince reports whether an urgent item of a resource has changed since a version.
+func (s *Store) UrgentSince(name string, since Version) bool {
 	r := s.resources[name]
 	return r != nil && r.urgent.After(since)
 }
@@ -100,18 +100,18 @@
 	if !u.Version.After(r.version) {
 		return false, nil
 	}
-	if !u.Full() && u.From != r.version {
-		return false, &BaseError{Resource: u.Resource, Current: r.version, From: u.From}
+	if !u.IsSnapshot() && u.From != r.version {
+		return false, &DeltaBaseError{Resource: u.Resource, Current: r.version, From: u.From}
 	}
 	if err := s.checkCapacity(u.Resource, r, u); err != nil {
 		return false, err
 	}
 	s.resources[u.Resource] = r
 	items := u.Items
-	if u.Full() {
+	if u.IsSnapshot() {
 		items = r.changes(&PutRequest{Items: u.Items, Replace: true})
 	}
-	s.bytes += r.apply(items, u.Version, u.Full())
+	s.bytes += r.apply(items, u.Version, u.IsSnapshot())
 	return true, nil
 }
 
@@ -135,10 +135,10 @@
 	return nil
 }
 
-// Since returns the update that brings a follower from a version to the current one: a delta if the
+// UpdateSince returns the update that brings a follower from a version to the current one: a delta if the
 // history has the changes, else a snapshot. It is nil if the follower has the current version or a
 // later one.
-func (s *Store) Since(name string, from Version) *Update {
+func (s *Store) UpdateSince(name string, from Version) *Update {
 	r := s.resources[name]
 	if r == nil || !r.version.After(from) {
 		return nil
--- a/internal/distribution/store_model_test.go
+++ b/internal/distribution/store_model_test.go
@@ -19,13 +19,13 @@
 	if u == nil {
 		return
 	}
-	if !u.Version.After(r.at) || !u.Full() && u.From != r.at {
+	if !u.Version.After(r.at) || !u.IsSnapshot() && u.From != r.at {
 		t.Fatalf("at %v: update from %v to %v", r.at, u.From, u.Version)
 	}
 	if err := u.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	if u.Full() {
+	if u.IsSnapshot() {
 		clear(r.items)
 	}
 	for _, item := range u.Items {
@@ -82,7 +82,7 @@
 		m.sync(relay, m.source)
 	}
 	for i, f := range m.followers {
-		f.apply(t, m.relays[i%len(m.relays)].Since("r", f.at))
+		f.apply(t, m.relays[i%len(m.relays)].UpdateSince("r", f.at))
 		if f.at != m.source.Version("r") || !maps.Equal(f.items, contents(m.source)) {
 			t.Fatalf("follower %d: %v %v; the source has %v %v",
 				i, f.at, f.items, m.source.Version("r"), contents(m.source))
@@ -106,7 +106,7 @@
 		m.pull(relay, m.source)
 	default:
 		f := m.followers[m.random.IntN(len(m.followers))]
-		f.apply(m.t, relay.Since("r", f.at))
+		f.apply(m.t, relay.UpdateSince("r", f.at))
 		if want, found := m.history[f.at]; !f.at.IsZero() && (!found || !maps.Equal(f.items, want)) {
 			m.t.Fatalf("at %v: %v found, %v expected", f.at, f.items, want)
 		}
@@ -122,7 +122,7 @@
 
 // sync brings a relay to what its upstream has.
 func (m *storeModel) sync(relay, upstream *Store) {
-	u := upstream.Since("r", relay.Version("r"))
+	u := upstream.UpdateSince("r", relay.Version("r"))
 	if u == nil {
 		return
 	}
--- a/internal/distribution/store_test.go
+++ b/internal/distribution/store_test.go
@@ -34,13 +34,13 @@
 	s := NewStore(testStoreBytes)
 	write(t, s, &PutRequest{Resource: "r", Items: []Item{set("a", "1"), set("b", "1")}}, at(1, 1))
 	u := write(t, s, &PutRequest{Resource: "r", Replace: true, Items: []Item{set("b", "1"), set("c", "1")}}, at(1, 2))
-	if u.Full() || len(u.Items) != 2 || u.Items[0].Key != "c" || !u.Items[1].Deleted || u.Items[1].Key != "a" {
+	if u.IsSnapshot() || len(u.Items) != 2 || u.Items[0].Key != "c" || !u.Items[1].Deleted || u.Items[1].Key != "a" {
 		t.Errorf("%+v", u)
 	}
-	if !s.Urgent("r", at(1, 1)) {
+	if !s.UrgentSince("r", at(1, 1)) {
 		t.Error("a deletion by replacement takes an endpoint out of use: urgent expected")
 	}
-	if since := s.Since("r", at(1, 1)); since.Full() || len(since.Items) != 2 {
+	if since := s.UpdateSince("r", at(1, 1)); since.IsSnapshot() || len(since.Items) != 2 {
 		t.Errorf("%+v", since)
 	}
 }
@@ -51,10 +51,10 @@
 	s := NewStore(testStoreBytes)
 	write(t, s, &PutRequest{Resource: "r", Items: []Item{set("a", "1")}}, at(1, 5))
 	write(t, s, &PutRequest{Resource: "r", Items: []Item{set("a", "2")}}, at(2, 6)) // after a restart
-	if u := s.Since("r", at(1, 5)); u == nil || u.Full() {
+	if u := s.UpdateSince("r", at(1, 5)); u == nil || u.IsSnapshot() {
 		t.Errorf("from a known version: %+v", u)
 	}
-	if u := s.Since("r", at(1, 8)); u == nil || !u.Full() {
+	if u := s.UpdateSince("r", at(1, 8)); u == nil || !u.IsSnapshot() {
 		t.Errorf("from a lost version: %+v", u)
 	}
 
@@ -67,10 +67,10 @@
 			t.Fatal(err)
 		}
 	}
-	if u := relay.Since("r", at(1, 3)); u == nil || u.Full() {
+	if u := relay.UpdateSince("r", at(1, 3)); u == nil || u.IsSnapshot() {
 		t.Errorf("from before a snapshot: %+v", u)
 	}
-	if u := relay.Since("r", at(1, 5)); u == nil || !u.Full() {
+	if u := relay.UpdateSince("r", at(1, 5)); u == nil || !u.IsSnapshot() {
 		t.Errorf("from within a snapshot: %+v", u)
 	}
 }
@@ -85,11 +85,11 @@
 			t.Errorf("version %v: %v, %v", v, applied, err)
 		}
 	}
-	var base *BaseError
+	var base *DeltaBaseError
 	if _, err := s.Apply(&Update{Resource: "r", From: at(1, 9), Version: at(2, 2)}); !errors.As(err, &base) {
 		t.Errorf("%v; a *BaseError expected", err)
 	}
-	if s.Since("r", at(2, 1)) != nil || s.Since("r", at(9, 9)) != nil || s.Since("none", Version{}) != nil {
+	if s.UpdateSince("r", at(2, 1)) != nil || s.UpdateSince("r", at(9, 9)) != nil || s.UpdateSince("none", Version{}) != nil {
 		t.Error("an update for a follower that has the current version or a later one")
 	}
 }
@@ -131,7 +131,7 @@
 	if longest > minHistoryKeys || s.Bytes() != 0 {
 		t.Errorf("%d items, %d steps of %d keys, %d bytes", len(r.items), len(r.history), r.historyKeys, s.Bytes())
 	}
-	if u := s.Since("r", at(1, 1)); !u.Full() {
+	if u := s.UpdateSince("r", at(1, 1)); !u.IsSnapshot() {
 		t.Errorf("from a forgotten version: %+v", u)
 	}
 }
--- a/internal/distribution/validate.go
+++ b/internal/distribution/validate.go
@@ -134,10 +134,10 @@
 	}
 	// A delta may delete as many items as the resource can have, and add as many.
 	limit := MaxItems
-	if !u.Full() {
+	if !u.IsSnapshot() {
 		limit = 2 * MaxItems
 	}
-	return validateItems(u.Items, limit, !u.Full())
+	return validateItems(u.Items, limit, !u.IsSnapshot())
 }
 
 // Validate returns what is wrong with a write, in one line, or nil.
--- a/internal/fleetsim/metrics.go
+++ b/internal/fleetsim/metrics.go
@@ -17,12 +17,12 @@
 	Attempts     int
 	Work         float64 // begun, microseconds of a core of speed 1
 	ShedAttempts int     // by any replica, of any attempt
-	ShedCauses   [logic.ShedCauses]int
+	ShedCauses   [logic.NumShedCauses]int
 
 	ExcessSheds        int     // by the first tier, while capacity was free in all tiers
 	ExcessWeight       float64 // priority weight of these
 	ExcessLimitsWeight float64 // the same without those that a tenant's quota shed
-	ExcessCauses       [logic.ShedCauses]int
+	ExcessCauses       [logic.NumShedCauses]int
 
 	overloadedSamples, samples int       // of backends
 	weight, weightServed       []float64 // by slots of arrival
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -33,7 +33,7 @@
 	Memory           Memory              // that the body counts in; may be nil
 	MemoryRetryAfter time.Duration       // the Retry-After where Memory has none left
 	Mirror           func(*core.Request) // has a copy sent elsewhere, without waiting; may be nil
-	Header           []core.Field        // replaces the client's fields of these names
+	Header           []core.HeaderField  // replaces the client's fields of these names
 }
 
 // Memory is a part of the process's memory for bodies. It may be used by many goroutines.
--- a/internal/front/http1/request.go
+++ b/internal/front/http1/request.go
@@ -78,7 +78,7 @@
 // forwardedHeader returns the fields of a request that are forwarded: all but those that concern
 // the connection, and the replacements instead of the client's fields of their names. It takes the
 // others out of h.
-func forwardedHeader(h http.Header, replacements []core.Field) []core.Field {
+func forwardedHeader(h http.Header, replacements []core.HeaderField) []core.HeaderField {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
 			h.Del(strings.TrimSpace(name))
@@ -90,10 +90,10 @@
 	for _, field := range replacements {
 		delete(h, field.Name)
 	}
-	fields := make([]core.Field, 0, len(h)+len(replacements))
+	fields := make([]core.HeaderField, 0, len(h)+len(replacements))
 	for name, values := range h {
 		for _, value := range values {
-			fields = append(fields, core.Field{Name: name, Value: value})
+			fields = append(fields, core.HeaderField{Name: name, Value: value})
 		}
 	}
 	return append(fields, replacements...)
--- a/internal/front/http1/response.go
+++ b/internal/front/http1/response.go
@@ -23,7 +23,7 @@
 	}
 	f.writeResponse(w, &core.Response{
 		StatusCode: reqErr.Status,
-		Header:     []core.Field{{Name: "Content-Type", Value: "text/plain"}},
+		Header:     []core.HeaderField{{Name: "Content-Type", Value: "text/plain"}},
 		Body:       []byte(reqErr.Reason + "\n"),
 	}, reqErr.RetryAfter, true)
 }
--- a/internal/harness/rollout/naive_node_test.go
+++ b/internal/harness/rollout/naive_node_test.go
@@ -176,7 +176,7 @@
 func (n *naiveNode) apply(u distribution.Update) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if r := n.resource(u.Resource); u.Version.After(r.version) && (u.Full() || u.From == r.version) {
+	if r := n.resource(u.Resource); u.Version.After(r.version) && (u.IsSnapshot() || u.From == r.version) {
 		r.apply(u)
 		n.notify()
 	}
--- a/internal/harness/rollout/naive_reads_test.go
+++ b/internal/harness/rollout/naive_reads_test.go
@@ -95,7 +95,7 @@
 		switch {
 		case n.bug == bugSnapshotsOnly:
 			u = r.snapshot(p.Resource)
-		case n.bug == bugDropItem && !u.Full() && len(u.Items) > 1 && q.Kind == distribution.KindProxy:
+		case n.bug == bugDropItem && !u.IsSnapshot() && len(u.Items) > 1 && q.Kind == distribution.KindProxy:
 			u.Items = u.Items[1:]
 		}
 		out = append(out, u)
--- a/internal/harness/rollout/naive_resource_test.go
+++ b/internal/harness/rollout/naive_resource_test.go
@@ -31,7 +31,7 @@
 func (r *naiveResource) apply(u distribution.Update) {
 	previous := r.snapshot(u.Resource)
 	r.previous = &previous
-	if u.Full() {
+	if u.IsSnapshot() {
 		r.items = make(map[string]distribution.Item)
 		r.deltas = nil
 	} else {
--- a/internal/harness/worker/followers.go
+++ b/internal/harness/worker/followers.go
@@ -204,7 +204,7 @@
 // shows what was received.
 func (s *subscription) ApplyUpdate(u distribution.Update) error {
 	items := map[string]string{}
-	if !u.Full() {
+	if !u.IsSnapshot() {
 		items = maps.Clone(s.items)
 	}
 	for _, item := range u.Items {
--- a/internal/membership/cache/cache_test.go
+++ b/internal/membership/cache/cache_test.go
@@ -15,7 +15,7 @@
 
 func testList() *membership.List {
 	return &membership.List{Version: 7, Full: true, Endpoints: []membership.Endpoint{
-		{Name: "a", Address: "127.0.0.1:1", Zone: "z", Cell: 2, Weight: 1.5, SinceMs: 5},
+		{Name: "a", Address: "127.0.0.1:1", Zone: "z", Cell: 2, Weight: 1.5, StartedMs: 5},
 		{Name: "b", Address: "[::1]:2", Status: membership.Draining},
 	}}
 }
--- a/internal/membership/cache/codec.go
+++ b/internal/membership/cache/codec.go
@@ -55,7 +55,7 @@
 	for _, e := range list.Endpoints {
 		c.Endpoints = append(c.Endpoints, entry{
 			Name: e.Name, Address: e.Address, Zone: e.Zone, Cell: e.Cell,
-			Draining: e.Status == membership.Draining, Weight: e.Weight, SinceMs: e.SinceMs,
+			Draining: e.Status == membership.Draining, Weight: e.Weight, SinceMs: e.StartedMs,
 		})
 	}
 	text, err := json.Marshal(c)
@@ -135,7 +135,7 @@
 // endpoint converts an entry.
 func (e *entry) endpoint() membership.Endpoint {
 	endpoint := membership.Endpoint{
-		Name: e.Name, Address: e.Address, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, SinceMs: e.SinceMs,
+		Name: e.Name, Address: e.Address, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, StartedMs: e.SinceMs,
 	}
 	if e.Draining {
 		endpoint.Status = membership.Draining
--- a/internal/membership/catalog/catalog.go
+++ b/internal/membership/catalog/catalog.go
@@ -48,9 +48,9 @@
 // Config is what a Client is made of.
 type Config struct {
 	Address string // of discovery, host:port
-	// Subscribe has discovery called on demand; otherwise lists are pushed, or calls are scheduled
+	// OnDemand has discovery called on demand; otherwise lists are pushed, or calls are scheduled
 	// by Scheduler.
-	Subscribe bool
+	OnDemand bool
 	// AwaitFirstRequest has the first call wait for the module's request too; with Subscribe.
 	AwaitFirstRequest bool
 	// WatchRequested receives the module's requests for a call; with Subscribe.
@@ -85,7 +85,7 @@
 	if c.random == nil {
 		c.random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
-	if cfg.Subscribe {
+	if cfg.OnDemand {
 		c.timeout = onDemandTimeout
 		c.hold = func() time.Duration {
 			return minOnDemandHold + time.Duration(c.random.Int64N(int64(maxOnDemandHold-minOnDemandHold)))
@@ -115,7 +115,7 @@
 	switch {
 	case c.cfg.Scheduler != nil:
 		c.runScheduled(ctx, sink)
-	case c.cfg.Subscribe:
+	case c.cfg.OnDemand:
 		c.runOnDemand(ctx, sink)
 	default:
 		c.runPushed(ctx, sink)
--- a/internal/membership/catalog/contract_test.go
+++ b/internal/membership/catalog/contract_test.go
@@ -21,7 +21,7 @@
 
 func (r registry) Delete(names ...string) { r.discovery.Delete(names...) }
 
-func (r registry) Break(n int) (string, bool) {
+func (r registry) InjectFault(n int) (string, bool) {
 	switch n {
 	case 0:
 		r.discovery.Down(true)
@@ -38,7 +38,7 @@
 	return "", false
 }
 
-func (r registry) Mend() {
+func (r registry) ClearFault() {
 	r.discovery.Down(false)
 	r.discovery.Silent(false)
 }
--- a/internal/membership/catalog/discovery_test.go
+++ b/internal/membership/catalog/discovery_test.go
@@ -51,7 +51,7 @@
 // a call.
 func newOnDemandClient(addr string) *Client {
 	return New(Config{
-		Address: addr, Subscribe: true, WatchRequested: make(chan struct{}),
+		Address: addr, OnDemand: true, WatchRequested: make(chan struct{}),
 		Rand: rand.New(rand.NewPCG(1, 1)), Log: slog.New(slog.DiscardHandler),
 	})
 }
--- a/internal/membership/catalog/on_demand_test.go
+++ b/internal/membership/catalog/on_demand_test.go
@@ -96,7 +96,7 @@
 	requests := make(chan struct{}, 2) // of the module: at the start, and after the doubt
 	requests <- struct{}{}
 	client := New(Config{
-		Address: addr, Subscribe: true, AwaitFirstRequest: true, KnownVersion: 7, WatchRequested: requests,
+		Address: addr, OnDemand: true, AwaitFirstRequest: true, KnownVersion: 7, WatchRequested: requests,
 		Rand: rand.New(rand.NewPCG(1, 1)), Log: slog.New(slog.DiscardHandler),
 	})
 	lists := make(listSink, 10)
@@ -133,7 +133,7 @@
 		}
 	})
 	client := New(Config{
-		Address: addr, Subscribe: true, WatchRequested: make(chan struct{}), Log: slog.New(slog.DiscardHandler),
+		Address: addr, OnDemand: true, WatchRequested: make(chan struct{}), Log: slog.New(slog.DiscardHandler),
 	})
 	client.hold, client.timeout = func() time.Duration { return 50 * time.Millisecond }, time.Minute
 	lists := make(listSink, 10)
--- a/internal/membership/catalog/overload_test.go
+++ b/internal/membership/catalog/overload_test.go
@@ -83,7 +83,7 @@
 	requests := make(chan struct{}, 1)
 	requests <- struct{}{}
 	return New(Config{
-		Address: addr, Subscribe: true, AwaitFirstRequest: true, KnownVersion: 0, WatchRequested: requests,
+		Address: addr, OnDemand: true, AwaitFirstRequest: true, KnownVersion: 0, WatchRequested: requests,
 		Rand: rand.New(rand.NewPCG(seed, 1)), Log: slog.New(slog.DiscardHandler),
 	})
 }
--- a/internal/membership/consul/consul_test.go
+++ b/internal/membership/consul/consul_test.go
@@ -21,9 +21,9 @@
 
 func (r registry) Delete(names ...string) { r.health.Delete(names...) }
 
-func (r registry) Mend() { r.health.Fail(standin.HealthOK) }
+func (r registry) ClearFault() { r.health.Fail(standin.HealthOK) }
 
-func (r registry) Break(n int) (string, bool) {
+func (r registry) InjectFault(n int) (string, bool) {
 	faults := []struct {
 		what  string
 		fault standin.HealthFault
@@ -151,7 +151,7 @@
 	}
 	for i, want := range []membership.Endpoint{
 		{Name: "a", Address: "10.0.0.1:80", Zone: "d", Weight: 3},
-		{Name: "b", Address: "10.0.0.2:81", Zone: "z", Cell: 4, Weight: 1, SinceMs: 9},
+		{Name: "b", Address: "10.0.0.2:81", Zone: "z", Cell: 4, Weight: 1, StartedMs: 9},
 		{Name: "c", Address: "10.0.0.1:82", Weight: 1, Status: membership.Draining},
 	} {
 		if got := result.List.Endpoints[i]; got != want {
--- a/internal/membership/contract/contract.go
+++ b/internal/membership/contract/contract.go
@@ -21,11 +21,11 @@
 	Put(...membership.Endpoint)
 	// Delete removes endpoints, in one version.
 	Delete(names ...string)
-	// Break has the registry fail in its n-th way, and returns that in words; ok is false where it
+	// InjectFault has the registry fail in its n-th way, and returns that in words; ok is false where it
 	// has no such way.
-	Break(n int) (what string, ok bool)
-	// Mend ends the failure.
-	Mend()
+	InjectFault(n int) (what string, ok bool)
+	// ClearFault ends the failure.
+	ClearFault()
 }
 
 // NewSource returns a source that has not run, and its empty registry.
@@ -65,7 +65,7 @@
 func endpoint(n int) membership.Endpoint {
 	return membership.Endpoint{
 		Name: fmt.Sprintf("b%d", n), Address: fmt.Sprintf("127.0.0.1:%d", 9000+n),
-		Zone: "a", Cell: n % 2, Weight: 1, SinceMs: int64(n),
+		Zone: "a", Cell: n % 2, Weight: 1, StartedMs: int64(n),
 	}
 }
 
@@ -91,7 +91,7 @@
 	registry.Delete("b2")
 	sink.waitFor("one less", a, c)
 	restarted := b
-	restarted.SinceMs, restarted.Address = 77, "127.0.0.1:9999"
+	restarted.StartedMs, restarted.Address = 77, "127.0.0.1:9999"
 	registry.Put(restarted)
 	sink.waitFor("the name again, another process", a, restarted, c)
 	moved := a
@@ -122,14 +122,14 @@
 	t.Helper()
 	for n := 0; ; n++ {
 		source, registry := newSource(t)
-		what, ok := registry.Break(n)
+		what, ok := registry.InjectFault(n)
 		if !ok {
 			if n == 0 {
 				t.Error("a registry that can't fail")
 			}
 			return
 		}
-		registry.Mend()
+		registry.ClearFault()
 		testBreak(t, what, source, registry, n)
 	}
 }
@@ -143,7 +143,7 @@
 	sink := newRecordingSink(t)
 	stop := run(t, source, sink)
 	sink.waitFor(what+": the first list", a, b)
-	registry.Break(n)
+	registry.InjectFault(n)
 	deadline := time.Now().Add(timeout)
 	for source.Health().SilentSince.IsZero() && time.Now().Before(deadline) {
 		time.Sleep(time.Millisecond) // health has no channel
@@ -154,7 +154,7 @@
 	if list := sink.list(); list != format(a, b) {
 		t.Errorf("%s: the list is %s", what, list)
 	}
-	registry.Mend()
+	registry.ClearFault()
 	registry.Put(draining(a), c)
 	registry.Delete("b2")
 	sink.waitFor(what+": afterwards", draining(a), c)
@@ -167,7 +167,7 @@
 func testEnd(t *testing.T, newSource NewSource) {
 	t.Helper()
 	source, registry := newSource(t)
-	registry.Break(0)
+	registry.InjectFault(0)
 	sinkWithoutList := newRecordingSink(t)
 	stop := run(t, source, sinkWithoutList)
 	stop()
--- a/internal/membership/contract/sink.go
+++ b/internal/membership/contract/sink.go
@@ -106,7 +106,7 @@
 	var words []string
 	for _, e := range sorted {
 		words = append(words, fmt.Sprintf("%s@%s/%s/%d/%d/%g/%d",
-			e.Name, e.Address, e.Zone, e.Cell, e.Status, e.Weight, e.SinceMs))
+			e.Name, e.Address, e.Zone, e.Cell, e.Status, e.Weight, e.StartedMs))
 	}
 	return strings.Join(words, " ")
 }
--- a/internal/membership/file/file_test.go
+++ b/internal/membership/file/file_test.go
@@ -44,7 +44,7 @@
 		e := r.endpoints[name]
 		list = append(list, map[string]any{
 			"name": e.Name, "address": e.Address, "zone": e.Zone, "cell": e.Cell,
-			"weight": e.Weight, "since": e.SinceMs,
+			"weight": e.Weight, "since": e.StartedMs,
 			"status": []string{"serving", "draining"}[e.Status],
 		})
 	}
@@ -99,7 +99,7 @@
 	r.write()
 }
 
-func (r *registry) Break(n int) (string, bool) {
+func (r *registry) InjectFault(n int) (string, bool) {
 	faults := []string{"no file", "a file cut short", "another file", "an empty file"}
 	if n >= len(faults) {
 		return "", false
@@ -111,7 +111,7 @@
 	return faults[n], true
 }
 
-func (r *registry) Mend() {
+func (r *registry) ClearFault() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fault = noFault
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -22,13 +22,13 @@
 
 // Endpoint is one backend as an endpoint list has it.
 type Endpoint struct {
-	Name    string // the same at every proxy
-	Address string // host:port; may differ from one proxy to the next
-	Zone    string
-	Cell    int // the pod whose members drop each other's duplicates
-	Status  Status
-	Weight  float64 // its capacity relative to the others'
-	SinceMs int64   // when it last started, Unix time in milliseconds; 0 for long ago
+	Name      string // the same at every proxy
+	Address   string // host:port; may differ from one proxy to the next
+	Zone      string
+	Cell      int // the pod whose members drop each other's duplicates
+	Status    Status
+	Weight    float64 // its capacity relative to the others'
+	StartedMs int64   // when it last started, Unix time in milliseconds; 0 for long ago
 }
 
 // List is a full endpoint list, or a delta: the endpoints that have changed since the version
--- a/internal/membership/parse.go
+++ b/internal/membership/parse.go
@@ -27,7 +27,7 @@
 
 // endpoint converts an entry. Of a deleted one the address is not checked.
 func (e entry) endpoint() (Endpoint, error) {
-	out := Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Cell: e.Group, Weight: 1, SinceMs: e.SinceMs}
+	out := Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Cell: e.Group, Weight: 1, StartedMs: e.SinceMs}
 	if e.Name == "" {
 		return out, errors.New("name is missing")
 	}
--- a/internal/membership/reconcile/entry.go
+++ b/internal/membership/reconcile/entry.go
@@ -44,7 +44,7 @@
 // has none.
 func (v *value) endpoint(instance string) (membership.Endpoint, error) {
 	endpoint := membership.Endpoint{
-		Name: v.Name, Address: v.Address, Zone: v.Zone, Cell: v.Cell, Weight: 1, SinceMs: v.SinceMs,
+		Name: v.Name, Address: v.Address, Zone: v.Zone, Cell: v.Cell, Weight: 1, StartedMs: v.SinceMs,
 	}
 	if endpoint.Name == "" {
 		endpoint.Name = instance
--- a/internal/membership/reconcile/reconcile_test.go
+++ b/internal/membership/reconcile/reconcile_test.go
@@ -232,7 +232,7 @@
 	}
 	result, err = r.ApplyDelta(delta(4, deletion(3, "b"), put(4, entry("b", "h:3", `,"since":7`))))
 	expect(t, "deleted and made again", "4 b n-", result, err)
-	if result.List.Endpoints[0].SinceMs != 7 {
+	if result.List.Endpoints[0].StartedMs != 7 {
 		t.Errorf("got %+v", result.List.Endpoints)
 	}
 }
--- a/internal/membership/relayed/contract_test.go
+++ b/internal/membership/relayed/contract_test.go
@@ -20,7 +20,7 @@
 	t      *testing.T
 	source *nodetest.Node
 	relay  *nodetest.Node
-	gate   *nodetest.Gate
+	gate   *nodetest.FaultProxy
 	fault  int // noFault or one of the faults
 }
 
@@ -44,7 +44,7 @@
 // itemValue returns the value of an endpoint's item.
 func itemValue(e membership.Endpoint) json.RawMessage {
 	value := map[string]any{
-		"address": e.Address, "zone": e.Zone, "cell": e.Cell, "weight": e.Weight, "since": e.SinceMs,
+		"address": e.Address, "zone": e.Zone, "cell": e.Cell, "weight": e.Weight, "since": e.StartedMs,
 	}
 	if e.Status == membership.Draining {
 		value["status"] = "draining"
@@ -64,14 +64,14 @@
 	r.source.Write(r.t, Resource("s"), items...)
 }
 
-func (r *registry) Break(n int) (string, bool) {
+func (r *registry) InjectFault(n int) (string, bool) {
 	if n >= faultCount {
 		return "", false
 	}
 	r.fault = n
 	switch n {
 	case cut:
-		r.gate.Cut()
+		r.gate.Disconnect()
 	case stalled:
 		r.gate.Stall()
 	case relayKilled:
@@ -80,12 +80,12 @@
 	return [...]string{"cut", "stalled", "relay killed"}[n], true
 }
 
-func (r *registry) Mend() {
+func (r *registry) ClearFault() {
 	if r.fault == relayKilled { // another process at its address, which has nothing yet
-		r.relay = nodetest.Relay(r.t, "relay", r.relay.Address, r.source.Address)
+		r.relay = nodetest.StartRelay(r.t, "relay", r.relay.Address, r.source.Address)
 	}
 	r.fault = noFault
-	r.gate.Open()
+	r.gate.Resume()
 }
 
 // runFollower runs a follower until the test ends.
@@ -106,9 +106,9 @@
 func TestContract(t *testing.T) {
 	contract.Test(t, func(t *testing.T) (membership.Source, contract.Registry) {
 		t.Helper()
-		source := nodetest.Source(t)
-		relay := nodetest.Relay(t, "relay", "127.0.0.1:0", source.Address)
-		gate := nodetest.NewGate(t, relay.Address)
+		source := nodetest.StartSource(t)
+		relay := nodetest.StartRelay(t, "relay", "127.0.0.1:0", source.Address)
+		gate := nodetest.NewFaultProxy(t, relay.Address)
 		lists := NewLists(slog.New(slog.DiscardHandler))
 		lists.SetFollower(runFollower(t, gate.Address))
 		return NewSource(lists, "s"), &registry{t: t, source: source, relay: relay, gate: gate, fault: noFault}
--- a/internal/membership/relayed/fake_test.go
+++ b/internal/membership/relayed/fake_test.go
@@ -38,7 +38,7 @@
 func newFakeFollower() *fakeFollower {
 	return &fakeFollower{
 		subscribed: make(chan subscription, 10), canceled: make(chan string, 10),
-		health: follow.Health{LastAnswer: time.Now()},
+		health: follow.Health{LastResponse: time.Now()},
 	}
 }
 
--- a/internal/membership/relayed/list.go
+++ b/internal/membership/relayed/list.go
@@ -130,11 +130,11 @@
 	confirmed, stale := l.confirmed, true
 	if follower != nil {
 		relays := follower.Health()
-		heard := relays.LastAnswer.Add(-relays.SourceAge) // from the distribution's source
+		heard := relays.LastResponse.Add(-relays.SourceAge) // from the distribution's source
 		if heard.After(confirmed) {
 			confirmed = heard
 		}
-		stale = !relays.SilentSince.IsZero() || relays.LastAnswer.IsZero() || l.now().Sub(heard) > maxSourceAge
+		stale = !relays.SilentSince.IsZero() || relays.LastResponse.IsZero() || l.now().Sub(heard) > maxSourceAge
 	}
 	switch {
 	case health.Version == 0:
--- a/internal/membership/relayed/list_test.go
+++ b/internal/membership/relayed/list_test.go
@@ -156,19 +156,19 @@
 		now    time.Duration // after the list was put in force
 		age    time.Duration
 	}{
-		{"fresh", follow.Health{LastAnswer: at}, time.Second, 0},
-		{"at rest for an hour", follow.Health{LastAnswer: anHour}, time.Hour + time.Second, 0},
+		{"fresh", follow.Health{LastResponse: at}, time.Second, 0},
+		{"at rest for an hour", follow.Health{LastResponse: anHour}, time.Hour + time.Second, 0},
 		{
 			"silent relays",
-			follow.Health{LastAnswer: anHour, SilentSince: anHour.Add(time.Second)},
+			follow.Health{LastResponse: anHour, SilentSince: anHour.Add(time.Second)},
 			2 * time.Hour, time.Hour,
 		},
 		{
 			"relays without their source",
-			follow.Health{LastAnswer: anHour, SourceAge: time.Minute},
+			follow.Health{LastResponse: anHour, SourceAge: time.Minute},
 			time.Hour, time.Minute,
 		},
-		{"relays that have just lost it", follow.Health{LastAnswer: anHour, SourceAge: time.Second}, time.Hour, 0},
+		{"relays that have just lost it", follow.Health{LastResponse: anHour, SourceAge: time.Second}, time.Hour, 0},
 		{"a follower that has heard nothing", follow.Health{}, time.Hour, time.Hour},
 	} {
 		follower.setHealth(test.health)
--- a/internal/membership/relayed/update.go
+++ b/internal/membership/relayed/update.go
@@ -31,7 +31,7 @@
 	if !update.Version.After(l.inForce) {
 		return reconcile.Result{}, fmt.Errorf("%w: %s found, %s stands", errVersion, update.Version, l.inForce)
 	}
-	if update.Full() {
+	if update.IsSnapshot() {
 		return l.reconcileFull(update)
 	}
 	return l.reconcileDelta(update)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -15,9 +15,9 @@
 	"slices"
 )
 
-// StarvedFor is how long a consumer that was denied counts as starved, in microseconds. It asks
+// StarvationPeriod is how long a consumer that was denied counts as starved, in microseconds. It asks
 // again with its next request; one that does not has no use for what others have.
-const StarvedFor = 1_000_000
+const StarvationPeriod = 1_000_000
 
 // Allocator counts what each consumer has in use. It is not safe for concurrent use.
 type Allocator struct {
@@ -149,20 +149,20 @@
 // back.
 func (a *Allocator) MarkStarved(now int64, name string) {
 	if c := a.consumers[name]; c != nil {
-		c.starvedUntil = now + StarvedFor
+		c.starvedUntil = now + StarvationPeriod
 	}
 }
 
-// Excess is what a consumer has in use beyond its floor.
-type Excess struct {
-	Name      string
-	Overdrawn bool // beyond its fair share too, or while the starved one lacks its floor
+// Borrower is what a consumer has in use beyond its floor.
+type Borrower struct {
+	Name          string
+	OverFairShare bool // beyond its fair share too, or while the starved one lacks its floor
 }
 
-// Excesses returns the others that have borrowed something, where name could have more of it, those
+// Borrowers returns the others that have borrowed something, where name could have more of it, those
 // first that have borrowed most. What they keep idle is to be given back; what is in use only where
 // they are Overdrawn, and by keeping nothing new.
-func (a *Allocator) Excesses(now int64, name string) []Excess {
+func (a *Allocator) Borrowers(now int64, name string) []Borrower {
 	c := a.consumers[name]
 	if c == nil || c.inUse >= c.floor && a.othersStarve(now, c) && c.borrowed() >= a.fairShare(now, c) {
 		return nil // it would get nothing of what others give back
@@ -174,17 +174,17 @@
 		}
 	}
 	slices.SortStableFunc(borrowers, func(x, y *consumer) int { return cmp.Compare(y.borrowed(), x.borrowed()) })
-	var excesses []Excess
+	var excesses []Borrower
 	for _, b := range borrowers {
 		overdrawn := b.borrowed() > a.fairShare(now, b) || c.inUse < c.floor
-		excesses = append(excesses, Excess{Name: b.name, Overdrawn: overdrawn})
+		excesses = append(excesses, Borrower{Name: b.name, OverFairShare: overdrawn})
 	}
 	return excesses
 }
 
-// Overdrawn reports whether a consumer has borrowed more than its fair share while another is
+// OverFairShare reports whether a consumer has borrowed more than its fair share while another is
 // starved: what it keeps idle is to be given back.
-func (a *Allocator) Overdrawn(now int64, name string) bool {
+func (a *Allocator) OverFairShare(now int64, name string) bool {
 	c := a.consumers[name]
 	return c != nil && c.borrowed() > 0 && a.othersStarve(now, c) &&
 		(c.borrowed() > a.fairShare(now, c) || a.othersLackFloor(now, c))
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -54,8 +54,8 @@
 		if before+int64(got) < 10 {
 			t.Fatalf("%s got %d, less than its floor", turn.starved, got)
 		}
-		excesses := a.Excesses(now, turn.starved)
-		if !slices.Equal(excesses, []Excess{{turn.borrower, true}}) || !a.Overdrawn(now, turn.borrower) {
+		excesses := a.Borrowers(now, turn.starved)
+		if !slices.Equal(excesses, []Borrower{{turn.borrower, true}}) || !a.OverFairShare(now, turn.borrower) {
 			t.Fatalf("excesses for %s: %v", turn.starved, excesses)
 		}
 		for a.overFairShare(turn.borrower) { // its requests end one by one, and it asks for more all the time
@@ -73,7 +73,7 @@
 			t.Errorf("then %s has %d and %s %d", turn.borrower, x, turn.starved, y)
 		}
 		a.Release(turn.borrower, a.InUseBy(turn.borrower)) // it falls idle
-		now += StarvedFor
+		now += StarvationPeriod
 		acquireAll(a, now, turn.starved)
 		if a.InUseBy(turn.starved) != 70 {
 			t.Errorf("alone again, %s has %d", turn.starved, a.InUseBy(turn.starved))
@@ -106,7 +106,7 @@
 		now := int64(0)
 		for range 2000 {
 			i := random.IntN(len(consumers))
-			now += random.Int64N(StarvedFor / 4)
+			now += random.Int64N(StarvationPeriod / 4)
 			before, n := a.InUseBy(consumers[i]), 1+random.Int64N(5)
 			switch random.IntN(4) {
 			case 0, 1, 2:
@@ -148,7 +148,7 @@
 	if n := acquireAll(a, 0, "b") + acquireAll(a, 0, "c"); n != 10 || a.InUse() != 100 {
 		t.Errorf("%d more acquired, %d in use", n, a.InUse())
 	}
-	if excesses := a.Excesses(0, "c"); !slices.Equal(excesses, []Excess{{"a", true}}) {
+	if excesses := a.Borrowers(0, "c"); !slices.Equal(excesses, []Borrower{{"a", true}}) {
 		t.Errorf("excesses: %v", excesses)
 	}
 	a.Release("a", 90)
--- a/internal/route/canonical_test.go
+++ b/internal/route/canonical_test.go
@@ -46,8 +46,8 @@
 		{"/a\\b", invalid},
 		{"/a\x00", invalid},
 		{"/\xc3\xa9", invalid},
-		{"/" + strings.Repeat("a", MaxPath), invalid},
-		{strings.Repeat("/a", MaxSegments+1), invalid},
+		{"/" + strings.Repeat("a", MaxPathBytes), invalid},
+		{strings.Repeat("/a", MaxPathSegments+1), invalid},
 	} {
 		got, err := CanonicalPath(c.raw)
 		if (err != nil) != (c.want == invalid) || err == nil && got != c.want {
@@ -87,7 +87,7 @@
 		{"a%2eb", invalid},
 		{"a b", invalid},
 		{"a\x00", invalid},
-		{strings.Repeat("a", MaxHost+1), invalid},
+		{strings.Repeat("a", MaxHostBytes+1), invalid},
 	} {
 		got, err := CanonicalHost(c.raw)
 		if (err != nil) != (c.want == invalid) || err == nil && got != c.want {
--- a/internal/route/errors.go
+++ b/internal/route/errors.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-// ErrAmbiguous says that a path may be read in several ways which lead to different rules. The path
+// ErrAmbiguousPath says that a path may be read in several ways which lead to different rules. The path
 // is forwarded as received, so a backend that reads it otherwise would take it for another route's.
-var ErrAmbiguous = errors.New("path: may be read in two ways, which lead to different routes")
+var ErrAmbiguousPath = errors.New("path: may be read in two ways, which lead to different routes")
 
 // errNoWeight says that all arms of a split have the weight 0.
 var errNoWeight = errors.New("no side has a weight")
--- a/internal/route/host.go
+++ b/internal/route/host.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// MaxHost bounds the bytes of a host with its port (RFC 1035, section 2.3.4).
-const MaxHost = 255
+// MaxHostBytes bounds the bytes of a host with its port (RFC 1035, section 2.3.4).
+const MaxHostBytes = 255
 
 // CanonicalHost brings a Host field or an :authority to the form that rules are matched by: lower
 // case, without port, without one trailing dot. The empty host stays empty; only rules for any host
 // match it. An IPv6 literal keeps its brackets. Anything that is no host by RFC 3986, section
 // 3.2.2, is a *HostError, names with percent-encoding included.
 func CanonicalHost(host string) (string, error) {
-	if len(host) > MaxHost {
-		return "", &HostError{fmt.Sprintf("%d bytes, at most %d", len(host), MaxHost)}
+	if len(host) > MaxHostBytes {
+		return "", &HostError{fmt.Sprintf("%d bytes, at most %d", len(host), MaxHostBytes)}
 	}
 	if strings.HasPrefix(host, "[") {
 		return canonicalLiteral(host)
--- a/internal/route/path.go
+++ b/internal/route/path.go
@@ -7,8 +7,8 @@
 
 // Bounds of a path.
 const (
-	MaxPath     = 8192 // bytes
-	MaxSegments = 128
+	MaxPathBytes    = 8192 // bytes
+	MaxPathSegments = 128
 )
 
 // CanonicalPath brings a path as received (no query) to the form that rules are matched by:
@@ -24,8 +24,8 @@
 	if raw == "" || raw[0] != '/' {
 		return "", &PathError{"does not begin with a slash"}
 	}
-	if len(raw) > MaxPath {
-		return "", &PathError{fmt.Sprintf("%d bytes, at most %d", len(raw), MaxPath)}
+	if len(raw) > MaxPathBytes {
+		return "", &PathError{fmt.Sprintf("%d bytes, at most %d", len(raw), MaxPathBytes)}
 	}
 	canonical, err := scanPath(raw)
 	if err != nil {
@@ -58,8 +58,8 @@
 			}
 		}
 	}
-	if segments > MaxSegments {
-		return false, &PathError{fmt.Sprintf("%d segments, at most %d", segments, MaxSegments)}
+	if segments > MaxPathSegments {
+		return false, &PathError{fmt.Sprintf("%d segments, at most %d", segments, MaxPathSegments)}
 	}
 	return canonical, nil
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -92,7 +92,7 @@
 	found := t.find(&r, host, readings.canonical)
 	if readings.literal != "" && t.find(&r, host, readings.literal) != found ||
 		readings.decoded != "" && t.find(&r, host, readings.decoded) != found {
-		return -1, ErrAmbiguous
+		return -1, ErrAmbiguousPath
 	}
 	return found, nil
 }
--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/hollow/hollow.go
@@ -164,8 +164,8 @@
 		p.services = append(p.services, service.Name)
 	}
 	options := sidecar.HollowOptions{
-		Dial:    newDialer(spec.LocalAddr, &f.meter).dial,
-		InForce: func(service string, list *membership.List) { f.listInForce(p, service, list) },
+		Dial:          newDialer(spec.LocalAddr, &f.meter).dial,
+		OnListApplied: func(service string, list *membership.List) { f.listInForce(p, service, list) },
 	}
 	p.sidecar, err = sidecar.NewHollow(app, slog.New(slog.DiscardHandler), options)
 	return err
--- a/internal/scale/hollow/load.go
+++ b/internal/scale/hollow/load.go
@@ -138,7 +138,7 @@
 	request := w.newRequest(p)
 	isServed := false
 	err := recoverPanic(func() error {
-		outcome, err := p.sidecar.Call(service, request)
+		outcome, err := p.sidecar.Do(service, request)
 		if err != nil {
 			return fmt.Errorf("call: %w", err)
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -21,7 +21,7 @@
 	Zones    []string // names, by the module's numbers
 
 	DialTimeout time.Duration // a connection that is not established by then has failed
-	IdleClose   time.Duration // backends close connections that have been idle this long
+	IdleTimeout time.Duration // backends close connections that have been idle this long
 }
 
 // FieldError is the error of one field of the settings object.
@@ -53,7 +53,7 @@
 		Balancer:    balancer,
 		Zones:       o.Zones,
 		DialTimeout: time.Duration(o.Limits.DialTimeout) * time.Microsecond,
-		IdleClose:   time.Duration(o.Limits.IdleClose) * time.Microsecond,
+		IdleTimeout: time.Duration(o.Limits.IdleClose) * time.Microsecond,
 	}
 	for _, class := range o.Classes {
 		d.Classes = append(d.Classes, class.Name)
@@ -70,7 +70,7 @@
 	if d.DialTimeout <= 0 {
 		return &FieldError{Field: "limits.dial_timeout_us", Reason: "not positive"}
 	}
-	if d.IdleClose <= 0 {
+	if d.IdleTimeout <= 0 {
 		return &FieldError{Field: "limits.idle_close_us", Reason: "not positive"}
 	}
 	if err := checkNames("profiles", d.Classes); err != nil {
--- a/internal/sidecar/allocator.go
+++ b/internal/sidecar/allocator.go
@@ -82,9 +82,9 @@
 	if a.quotas.Acquire(now, party, n) {
 		return true, nil
 	}
-	for _, excess := range a.quotas.Excesses(now, party) {
+	for _, excess := range a.quotas.Borrowers(now, party) {
 		// A client's idle connection is no mere cache: its close may cross a request.
-		if shed := a.shedders[excess.Name]; shed != nil && (excess.Overdrawn || excess.Name != config.Clients) {
+		if shed := a.shedders[excess.Name]; shed != nil && (excess.OverFairShare || excess.Name != config.Clients) {
 			shedders = append(shedders, shed)
 		}
 	}
@@ -116,7 +116,7 @@
 func (a *allocator) isOverdrawn(party string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.quotas.Overdrawn(a.clock.Now(), party)
+	return a.quotas.OverFairShare(a.clock.Now(), party)
 }
 
 // descriptorQuota is a party's quota of descriptors. It implements the Quota of fronts and
--- a/internal/sidecar/endpoint_source.go
+++ b/internal/sidecar/endpoint_source.go
@@ -110,7 +110,7 @@
 func (s *service) newCatalogSource(source config.Source, resume resumePoint, log *slog.Logger) membership.Source {
 	cfg := catalog.Config{
 		Address:           source.Address,
-		Subscribe:         s.cfg.Balancer.WatchEndpoints,
+		OnDemand:          s.cfg.Balancer.WatchEndpoints,
 		AwaitFirstRequest: resume.awaitRequest,
 		KnownVersion:      resume.version,
 		WatchRequested:    s.pool.WatchRequested(),
@@ -118,7 +118,7 @@
 		Dial:              s.hollow.dial(),
 		Log:               log,
 	}
-	if s.pollRand != nil && !cfg.Subscribe {
+	if s.pollRand != nil && !cfg.OnDemand {
 		replicas := s.cfg.Balancer.Replicas
 		if replicas == 1 {
 			replicas = 0 // unknown: 1 is the default
--- a/internal/sidecar/endpoint_source_test.go
+++ b/internal/sidecar/endpoint_source_test.go
@@ -87,8 +87,8 @@
 // relaySource returns a list that comes by a relay.
 func relaySource(t *testing.T) listSource {
 	t.Helper()
-	source := nodetest.Source(t)
-	relay := nodetest.Relay(t, "relay", "127.0.0.1:0", source.Address)
+	source := nodetest.StartSource(t)
+	relay := nodetest.StartRelay(t, "relay", "127.0.0.1:0", source.Address)
 	put := func(members []standin.Member) {
 		items := []distribution.Item{}
 		for _, m := range members {
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -26,7 +26,7 @@
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// InForce, if not nil, is called when a service's pool has applied a list, on the goroutine of
 	// its source.
-	InForce func(service string, list *membership.List)
+	OnListApplied func(service string, list *membership.List)
 }
 
 // NewHollow returns a sidecar without listeners. Run follows its endpoint lists until the context
@@ -35,8 +35,8 @@
 	return open(app, log, &options)
 }
 
-// Call has a service's pool take a request, as a front would.
-func (s *Sidecar) Call(service string, r *core.Request) (core.Answer, error) {
+// Do has a service's pool take a request, as a front would.
+func (s *Sidecar) Do(service string, r *core.Request) (core.Answer, error) {
 	svc := s.active.Load().services[service]
 	if svc == nil {
 		return core.Answer{}, fmt.Errorf("service %s: not in the configuration", service)
@@ -57,10 +57,10 @@
 
 // sink returns the sink for a service's endpoint lists, which passes them on to next.
 func (h *HollowOptions) sink(service string, next membership.Sink) membership.Sink {
-	if h == nil || h.InForce == nil {
+	if h == nil || h.OnListApplied == nil {
 		return next
 	}
-	return notifyingSink{Sink: next, service: service, inForce: h.InForce}
+	return notifyingSink{Sink: next, service: service, inForce: h.OnListApplied}
 }
 
 // upstream returns what carries out the attempts of a pool.
--- a/internal/sidecar/relay_follower_test.go
+++ b/internal/sidecar/relay_follower_test.go
@@ -58,8 +58,8 @@
 // is replaced begins with the list in force: no further snapshot is read.
 func TestReloadKeepsFollower(t *testing.T) {
 	t.Parallel()
-	source := nodetest.Source(t)
-	relay := nodetest.Relay(t, "relay", "127.0.0.1:0", source.Address)
+	source := nodetest.StartSource(t)
+	relay := nodetest.StartRelay(t, "relay", "127.0.0.1:0", source.Address)
 	b := backend(t, standin.Echo)
 	one := source.Write(t, "lists/one", listItem("b", b.Addr(), "serving"))
 	two := source.Write(t, "lists/two", listItem("b", b.Addr(), "serving"))
@@ -88,8 +88,8 @@
 	if b.Requests() != served {
 		t.Error("a backend whose drain is in force got a request")
 	}
-	if s := follower.Stats(); p.follower() != follower || s.Sessions != 1 || s.FullUpdates != 2 {
-		t.Errorf("%d sessions and %d snapshots, want 1 and 2", s.Sessions, s.FullUpdates)
+	if s := follower.Stats(); p.follower() != follower || s.Sessions != 1 || s.SnapshotUpdates != 2 {
+		t.Errorf("%d sessions and %d snapshots, want 1 and 2", s.Sessions, s.SnapshotUpdates)
 	}
 }
 
@@ -97,9 +97,9 @@
 // without relays there is no follower.
 func TestNewRelaysResumeFromVersionsInForce(t *testing.T) {
 	t.Parallel()
-	source := nodetest.Source(t)
-	first := nodetest.Relay(t, "first", "127.0.0.1:0", source.Address)
-	second := nodetest.Relay(t, "second", "127.0.0.1:0", source.Address)
+	source := nodetest.StartSource(t)
+	first := nodetest.StartRelay(t, "first", "127.0.0.1:0", source.Address)
+	second := nodetest.StartRelay(t, "second", "127.0.0.1:0", source.Address)
 	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
 	version := source.Write(t, "lists/one", listItem("a", a.Addr(), "serving"))
 	one := serviceText{name: "one", classes: safeClass}
@@ -120,8 +120,8 @@
 	if a.Requests() != served || b.Requests() != 1 {
 		t.Errorf("the change is not in force: %d and %d requests", a.Requests()-served, b.Requests())
 	}
-	if s := p.follower().Stats(); s.FullUpdates != 0 || s.Updates != 1 {
-		t.Errorf("%d snapshots of %d updates, want 0 of 1", s.FullUpdates, s.Updates)
+	if s := p.follower().Stats(); s.SnapshotUpdates != 0 || s.Updates != 1 {
+		t.Errorf("%d snapshots of %d updates, want 0 of 1", s.SnapshotUpdates, s.Updates)
 	}
 
 	second.Kill()
@@ -137,8 +137,8 @@
 // once a relay answers it reads a snapshot.
 func TestCachedListServesWhileRelaysAreDown(t *testing.T) {
 	t.Parallel()
-	source := nodetest.Source(t)
-	relay := nodetest.Relay(t, "relay", "127.0.0.1:0", source.Address)
+	source := nodetest.StartSource(t)
+	relay := nodetest.StartRelay(t, "relay", "127.0.0.1:0", source.Address)
 	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
 	version := source.Write(t, "lists/one", listItem("a", a.Addr(), "serving"))
 	app := decodeRelayed(t, []string{relay.Address}, serviceText{name: "one", classes: safeClass})
@@ -155,11 +155,11 @@
 	}
 	wantStatus(t, p, "/one", 200)
 	version = source.Write(t, "lists/one", listItem("a", a.Addr(), "draining"), listItem("b", b.Addr(), "serving"))
-	relay = nodetest.Relay(t, "relay", relay.Address, source.Address)
+	relay = nodetest.StartRelay(t, "relay", relay.Address, source.Address)
 	waitForListVersion(t, relay, "one", version)
 	served := a.Requests()
 	wantStatus(t, p, "/one", 200)
-	if s := p.follower().Stats(); a.Requests() != served || b.Requests() != 1 || s.FullUpdates != 1 {
-		t.Errorf("%d and %d requests, %d snapshots", a.Requests()-served, b.Requests(), s.FullUpdates)
+	if s := p.follower().Stats(); a.Requests() != served || b.Requests() != 1 || s.SnapshotUpdates != 1 {
+		t.Errorf("%d and %d requests, %d snapshots", a.Requests()-served, b.Requests(), s.SnapshotUpdates)
 	}
 }
--- a/internal/sidecar/remote_configuration.go
+++ b/internal/sidecar/remote_configuration.go
@@ -91,7 +91,7 @@
 // applyItems returns the fragments after an update; those before it stay as they are.
 func applyItems(fragments map[string][]byte, update *distribution.Update) (map[string][]byte, error) {
 	after := map[string][]byte{}
-	if !update.Full() {
+	if !update.IsSnapshot() {
 		maps.Copy(after, fragments)
 	}
 	for _, item := range update.Items {
--- a/internal/sidecar/remote_configuration_test.go
+++ b/internal/sidecar/remote_configuration_test.go
@@ -87,8 +87,8 @@
 // sent.
 func TestRemoteConfigurationIsApplied(t *testing.T) {
 	t.Parallel()
-	source := nodetest.Source(t)
-	relay := nodetest.Relay(t, "relay", "127.0.0.1:0", source.Address)
+	source := nodetest.StartSource(t)
+	relay := nodetest.StartRelay(t, "relay", "127.0.0.1:0", source.Address)
 	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
 	file := remoteConfigurationText(relay.Address, "", a)
 	p := startSidecar(t, mustDecode(t, file))
@@ -99,7 +99,7 @@
 	second := publish(t, source, two)
 	waitForConfiguration(t, relay, second, distribution.Version{})
 	wantStatus(t, p, "/s1", 200)
-	fullUpdates := p.follower().Stats().FullUpdates
+	fullUpdates := p.follower().Stats().SnapshotUpdates
 
 	for what, broken := range map[string]string{
 		"field":        strings.Replace(two, "[services.s1.classes]", "[services.s1.clases]", 1),
@@ -118,8 +118,8 @@
 	waitForConfiguration(t, relay, reverted, distribution.Version{})
 	wantStatus(t, p, "/s0", 200)
 	wantStatus(t, p, "/s1", 404)
-	if s := p.follower().Stats(); s.FullUpdates != fullUpdates || s.Sessions != 1 {
-		t.Errorf("%d more full updates and %d sessions, want 0 and 1", s.FullUpdates-fullUpdates, s.Sessions)
+	if s := p.follower().Stats(); s.SnapshotUpdates != fullUpdates || s.Sessions != 1 {
+		t.Errorf("%d more full updates and %d sessions, want 0 and 1", s.SnapshotUpdates-fullUpdates, s.Sessions)
 	}
 }
 
@@ -127,8 +127,8 @@
 // about relays.
 func TestFileDoesNotReplaceRemoteConfiguration(t *testing.T) {
 	t.Parallel()
-	source := nodetest.Source(t)
-	relay := nodetest.Relay(t, "relay", "127.0.0.1:0", source.Address)
+	source := nodetest.StartSource(t)
+	relay := nodetest.StartRelay(t, "relay", "127.0.0.1:0", source.Address)
 	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
 	one, two := remoteConfigurationText(relay.Address, "", a), remoteConfigurationText(relay.Address, "", a, b)
 	p := startSidecar(t, mustDecode(t, one))
@@ -151,8 +151,8 @@
 // full update. An invalid cached configuration is ignored.
 func TestCachedConfigurationIsRestored(t *testing.T) {
 	t.Parallel()
-	source := nodetest.Source(t)
-	relay := nodetest.Relay(t, "relay", "127.0.0.1:0", source.Address)
+	source := nodetest.StartSource(t)
+	relay := nodetest.StartRelay(t, "relay", "127.0.0.1:0", source.Address)
 	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
 	dir := t.TempDir()
 	state := fmt.Sprintf(", state_dir = %q", dir)
@@ -185,9 +185,9 @@
 // waits for the other.
 func TestReloadDuringRemoteConfigurationDoesNotDeadlock(t *testing.T) {
 	t.Parallel()
-	source := nodetest.Source(t)
-	first := nodetest.Relay(t, "first", "127.0.0.1:0", source.Address)
-	second := nodetest.Relay(t, "second", "127.0.0.1:0", source.Address)
+	source := nodetest.StartSource(t)
+	first := nodetest.StartRelay(t, "first", "127.0.0.1:0", source.Address)
+	second := nodetest.StartRelay(t, "second", "127.0.0.1:0", source.Address)
 	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
 	p := startSidecar(t, mustDecode(t, remoteConfigurationText(first.Address, "", a)))
 	version := publish(t, source, remoteConfigurationText(first.Address, "", a, b))
@@ -223,8 +223,8 @@
 // rejected: it would replace the follower that brings it, and wait for itself.
 func TestRemoteConfigurationCannotRenameFollower(t *testing.T) {
 	t.Parallel()
-	source := nodetest.Source(t)
-	relay := nodetest.Relay(t, "relay", "127.0.0.1:0", source.Address)
+	source := nodetest.StartSource(t)
+	relay := nodetest.StartRelay(t, "relay", "127.0.0.1:0", source.Address)
 	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
 	unnamed := func(text string) string { return strings.Replace(text, "name = \"sidecar\"\n", "", 1) }
 	p := startSidecar(t, mustDecode(t, unnamed(remoteConfigurationText(relay.Address, "", a))))
--- a/internal/sidecar/resolve.go
+++ b/internal/sidecar/resolve.go
@@ -95,7 +95,7 @@
 	}
 	if dest.ID == "" {
 		dest.ID = strconv.FormatUint(rand.Uint64()|1<<63, 16)
-		dest.Header = []core.Field{{Name: "Request-Id", Value: dest.ID}}
+		dest.Header = []core.HeaderField{{Name: "Request-Id", Value: dest.ID}}
 	}
 	return nil
 }
--- a/internal/sidecar/service.go
+++ b/internal/sidecar/service.go
@@ -77,7 +77,7 @@
 		s.pollRand = rand.New(rand.NewPCG(seed, pollRandStream))
 	}
 	settings := cfg.Balancer
-	settings.ColdEvenly = shared.sharedListService
+	settings.CapSlowStartPreference = shared.sharedListService
 	var err error
 	s.pool, err = core.New(core.Config{
 		Settings:        settings,
@@ -104,7 +104,7 @@
 func upstreamConfig(cfg *config.Service, shared *sharedResources) upstream.Config {
 	upstreamCfg := upstream.Config{
 		DialTimeout:     cfg.DialTimeout,
-		IdleClose:       cfg.IdleClose,
+		IdleClose:       cfg.IdleTimeout,
 		ReuseDelay:      upstream.UntrustedReuseDelay,
 		Quota:           descriptorQuota{allocator: shared.descriptors, party: cfg.Name},
 		MaxResponse:     cfg.MaxResponse,
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -120,7 +120,7 @@
 			status = statusDraining
 		}
 		members = append(members, Member{
-			Name: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Cell, Weight: e.Weight, SinceMs: e.SinceMs,
+			Name: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Cell, Weight: e.Weight, SinceMs: e.StartedMs,
 			Status: status,
 		})
 	}
--- a/internal/upstream/http1/body.go
+++ b/internal/upstream/http1/body.go
@@ -23,7 +23,7 @@
 	switch {
 	case a.Method == http.MethodHead && h.contentLength >= 0:
 		length := strconv.FormatInt(h.contentLength, 10)
-		resp.Header = append(resp.Header, core.Field{Name: "Content-Length", Value: length})
+		resp.Header = append(resp.Header, core.HeaderField{Name: "Content-Length", Value: length})
 		return nil
 	case a.Method == http.MethodHead || h.statusCode == http.StatusNoContent || h.statusCode == http.StatusNotModified:
 		return nil // RFC 9112, section 6.3
--- a/internal/upstream/http1/dial_limit_test.go
+++ b/internal/upstream/http1/dial_limit_test.go
@@ -126,7 +126,7 @@
 		t.Skip("the machine was away for the whole backoff")
 	}
 	restarted := newEndpoint("a", b.Addr, membership.Serving)
-	restarted.SinceMs = 7
+	restarted.StartedMs = 7
 	u.UpdateEndpoints(false, []membership.Endpoint{restarted})
 	dialer.end <- nil
 	if res := receive(t, "result", startGet(u, waitLimit)); res.Status != logic.OK || u.Stats().Unreachable != 0 {
--- a/internal/upstream/http1/dial_test.go
+++ b/internal/upstream/http1/dial_test.go
@@ -46,7 +46,7 @@
 		"gone": func(u *Upstream, _ string, _ testAttempt) { u.UpdateEndpoints(true, nil) },
 		"restarted": func(u *Upstream, addr string, _ testAttempt) {
 			e := newEndpoint("a", addr, membership.Serving)
-			e.SinceMs = 7
+			e.StartedMs = 7
 			u.UpdateEndpoints(false, []membership.Endpoint{e})
 		},
 		"canceled":      func(_ *Upstream, _ string, a testAttempt) { a.Cancel() },
--- a/internal/upstream/http1/endpoint.go
+++ b/internal/upstream/http1/endpoint.go
@@ -57,8 +57,8 @@
 		u.endpoints[entry.Name] = e
 	}
 	ready := entry.Status == membership.Serving
-	if e.addr != entry.Address || e.started != entry.SinceMs || e.ready != ready {
-		e.addr, e.started, e.ready = entry.Address, entry.SinceMs, ready
+	if e.addr != entry.Address || e.started != entry.StartedMs || e.ready != ready {
+		e.addr, e.started, e.ready = entry.Address, entry.StartedMs, ready
 		u.advanceEpoch(e)
 	}
 	if entry.Status == membership.Deleted {
--- a/internal/upstream/http1/head.go
+++ b/internal/upstream/http1/head.go
@@ -12,9 +12,9 @@
 	statusCode    int
 	contentLength int64 // -1: not given
 	chunked       bool
-	close         bool         // the connection ends with this response
-	notStarted    bool         // Not-Started: 1
-	fields        []core.Field // forwarded to the client
+	close         bool               // the connection ends with this response
+	notStarted    bool               // Not-Started: 1
+	fields        []core.HeaderField // forwarded to the client
 }
 
 // parseHead parses a status line and fields (RFC 9112, sections 4 and 5), each with its CRLF. It is
@@ -106,7 +106,7 @@
 		h.notStarted = string(value) == "1"
 	}
 	if passAll && !isHopByHop(name) || !passAll && equalFold(name, "Content-Type") && len(h.fields) == 0 {
-		h.fields = append(h.fields, core.Field{Name: canonicalName(name), Value: string(value)})
+		h.fields = append(h.fields, core.HeaderField{Name: canonicalName(name), Value: string(value)})
 	}
 	return nil
 }
--- a/internal/upstream/http1/helpers_test.go
+++ b/internal/upstream/http1/helpers_test.go
@@ -155,6 +155,6 @@
 	return testAttempt{core.NewAttempt(&core.Request{
 		Request: logic.Request{ID: "1"},
 		Method:  http.MethodGet, Target: "/look/k%2f1?x=%20y", Host: "backend.local",
-		Header: []core.Field{{Name: "Request-Id", Value: "1"}},
+		Header: []core.HeaderField{{Name: "Request-Id", Value: "1"}},
 	}, time.Now().Add(timeout)), u.RoundTripper(name)}
 }
--- a/internal/upstream/http1/request_test.go
+++ b/internal/upstream/http1/request_test.go
@@ -52,7 +52,7 @@
 // holds the request back.
 func TestNoWriteBeginsAfterUpdateEndpoints(t *testing.T) {
 	restarted := newEndpoint("a", "", membership.Serving)
-	restarted.SinceMs = 7
+	restarted.StartedMs = 7
 	for name, entry := range map[string]membership.Endpoint{
 		"drained":   newEndpoint("a", "", membership.Draining),
 		"gone":      newEndpoint("a", "", membership.Deleted),
--- a/logic/admission.go
+++ b/logic/admission.go
@@ -28,12 +28,12 @@
 	ByRetryBudget            // the retry budget is spent
 	ByOrdering               // its turn, by its key, would come too late
 	BySlowStart              // only endpoints in slow start could have it, and they bear no more
-	ShedCauses     = iota
+	NumShedCauses  = iota
 )
 
 // String returns the cause in the words of the operators' pages.
 func (c ShedCause) String() string {
-	return [ShedCauses]string{
+	return [NumShedCauses]string{
 		"none", "connections", "tier count", "tenant count", "class count", "time left", "no server",
 		"attempts", "retry budget", "turn of its key", "cold servers",
 	}[c]
--- a/logic/selection.go
+++ b/logic/selection.go
@@ -52,7 +52,7 @@
 	s := &b.selection
 	s.weights = s.weights[:0]
 	c, room := candidates{allCold: true}, b.subsetSize(now)
-	if b.settings.ColdEvenly {
+	if b.settings.CapSlowStartPreference {
 		s.warmFactor = b.warmOccupancyFactor(now, int(room)+1)
 	}
 	for _, e := range b.endpoints.ready {
@@ -110,7 +110,7 @@
 // of each replica, nearly all further attempts of all replicas would go to those in slow start.
 func (b *Balancer) endpointWeight(now int64, e *endpoint, class int) float64 {
 	factor, free := b.slowStartFactor(now, e), occupancyFactor(float64(e.inFlight))
-	if factor < 1 && b.settings.ColdEvenly {
+	if factor < 1 && b.settings.CapSlowStartPreference {
 		warm := b.selection.warmFactor
 		free = min(warm, occupancyFactor(float64(e.inFlight)/factor))
 		factor *= 1 + (1/slowStartMargin-1)*(1-warm) // under congestion it is loaded as they are, and not spared
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -82,7 +82,7 @@
 
 	PriorityPerWork bool // Class.PriorityWeight is counted per unit of work, not per request
 
-	ColdEvenly bool // an endpoint in slow start is not preferred for holding fewer attempts than warm ones
+	CapSlowStartPreference bool // an endpoint in slow start is not preferred for holding fewer attempts than warm ones
 }
 
 // SettingsError reports a field of [Settings] that a Balancer cannot work with.
--- a/logic/slow_start_test.go
+++ b/logic/slow_start_test.go
@@ -60,9 +60,9 @@
 	}
 	settings := Settings{
 		Replicas: d.replicas, Zones: 1, MaxAttempts: 1, SlowStartMinCapacity: 0.25, SlowStartWindow: 1e9, Tier: d.tier,
-		ColdEvenly: d.latency > 0,
-		Classes:    []Class{{LatencyObjective: 1e6, Deadline: 2e6, PriorityWeight: 1}},
-		Tenants:    []Tenant{{CapacityFraction: 1, Quota: d.quota}},
+		CapSlowStartPreference: d.latency > 0,
+		Classes:                []Class{{LatencyObjective: 1e6, Deadline: 2e6, PriorityWeight: 1}},
+		Tenants:                []Tenant{{CapacityFraction: 1, Quota: d.quota}},
 	}
 	isCold := map[string]bool{}
 	for _, s := range endpoints {
