--- a/cmd/simhost/server_test.go
+++ b/cmd/simhost/server_test.go
@@ -171,7 +171,7 @@
 		},
 		{
 			strings.Replace(instanceLine("p"), "deduplicated", "sometimes", 1),
-			`line 2: new_instance: options.profiles[0].repeat: unknown word "sometimes"`,
+			`line 2: new_instance: options.profiles[0].repeat: unknown value "sometimes"`,
 		},
 		{
 			strings.Replace(instanceLine("p"), `"my_zone":1`, `"my_zone":2`, 1),
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -9,63 +9,65 @@
 	"fernlanding/logic"
 )
 
-// Upstream reaches the backends of one pool over one protocol. The pool calls UpdateEndpoints and
-// RoundTripper with its lock held, so neither may call back into the pool.
+// Upstream forwards attempts to the backends of one pool over one protocol. The pool calls
+// UpdateEndpoints and RoundTripper with the pool's lock held, so neither may call back into the
+// pool.
 type Upstream interface {
-	// UpdateEndpoints applies a snapshot (full) or a delta. Once it returns, no RoundTripper
-	// returned before begins anything new at a backend that is draining, was removed, has restarted
-	// or has moved.
+	// UpdateEndpoints applies a snapshot (full) or a delta. After UpdateEndpoints returns, a
+	// RoundTripper obtained earlier starts nothing new on a backend that is draining, was removed,
+	// has restarted or has a new address.
 	UpdateEndpoints(full bool, entries []membership.Endpoint)
-	// RoundTripper returns the RoundTripper for a listed backend that accepts new requests; nil if
-	// it is none.
+	// RoundTripper returns the RoundTripper of a backend. It returns nil if the backend is not
+	// listed or does not accept new requests.
 	RoundTripper(server string) RoundTripper
-	// CloseExpired closes idle connections that have reached their idle timeout.
+	// CloseExpired closes the connections that have reached their idle timeout.
 	CloseExpired(now time.Time)
 }
 
-// RoundTripper reaches one backend, as it was listed when the module selected it.
+// RoundTripper forwards attempts to one backend, as the backend was listed when the balancer
+// selected it.
 type RoundTripper interface {
-	// RoundTrip carries an attempt out and returns when nothing of it is left.
+	// RoundTrip executes an attempt. It returns after the attempt has ended completely.
 	RoundTrip(*Attempt) AttemptResult
 }
 
 // AttemptResult is how an attempt ended.
 type AttemptResult struct {
 	Status         logic.Status
-	InvalidRequest bool      // the backend rejects the request itself: every backend would
-	Response       *Response // with logic.OK and InvalidRequest; with logic.Error where error responses are passed on
+	InvalidRequest bool      // the backend rejected the request as invalid, as every backend would
+	Response       *Response // set for logic.OK and InvalidRequest, and for logic.Error if errors are forwarded
 }
 
-// Canceler is an operation of an attempt that another goroutine can cancel.
+// Canceler is an operation of an attempt, such as a read, that another goroutine can cancel.
 type Canceler interface {
-	// Cancel ends the operation. It is called with the attempt's lock held, so it must not call the
-	// attempt.
+	// Cancel ends the operation. The caller holds the attempt's lock, so Cancel must not call the
+	// attempt's methods.
 	Cancel()
 }
 
-// Attempt is one attempt of a request at one backend. Its exported methods may be called from any
-// goroutine.
+// Attempt is one forwarding of a request to one backend. The exported methods are safe for
+// concurrent use.
 type Attempt struct {
 	*Request
 	Deadline time.Time
-	SendBy   time.Time // the attempt is not sent if its first byte has not left by then; zero: no limit but Deadline
+	SendBy   time.Time // latest time for sending the first byte; zero means Deadline
 
 	server       string
-	number       int          // of the request's attempts, from 0
-	sentAt       int64        // when the module decided to forward it, in microseconds of the pool's clock
-	roundTripper RoundTripper // nil: the attempt can't be carried out
+	number       int          // index of the attempt within its request, from 0
+	sentAt       int64        // time of the balancer's decision to forward, in microseconds of the pool's clock
+	roundTripper RoundTripper // nil if the attempt cannot be sent
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	canceled bool
-	canceler Canceler // of the operation in progress; nil: none
+	canceler Canceler // the operation in progress; may be nil
 }
 
-// NewAttempt returns an attempt that belongs to no pool, for the tests of an upstream.
+// NewAttempt returns an attempt that belongs to no pool, for tests of upstreams.
 func NewAttempt(r *Request, deadline time.Time) *Attempt {
 	return &Attempt{Request: r, Deadline: deadline}
 }
 
-// Cancel cancels the attempt and the operation that SetCanceler has registered.
+// Cancel cancels the attempt and the operation registered by SetCanceler, if any.
 func (a *Attempt) Cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -85,8 +87,8 @@
 // DeadlinePassed reports whether the attempt's deadline has passed.
 func (a *Attempt) DeadlinePassed() bool { return !time.Now().Before(a.Deadline) }
 
-// SetCanceler registers c to be canceled with the attempt, in place of any other. It returns false,
-// and registers nothing, if the attempt has been canceled.
+// SetCanceler registers c to be canceled with the attempt and replaces any earlier registration. If
+// the attempt has been canceled, SetCanceler registers nothing and returns false.
 func (a *Attempt) SetCanceler(c Canceler) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -97,7 +99,7 @@
 	return true
 }
 
-// ClearCanceler unregisters what SetCanceler has registered. It returns false if the attempt has
+// ClearCanceler removes the registration made by SetCanceler. It returns false if the attempt has
 // been canceled.
 func (a *Attempt) ClearCanceler() bool {
 	a.mu.Lock()
@@ -112,8 +114,8 @@
 // Cancel implements Canceler.
 func (c contextCanceler) Cancel() { c() }
 
-// Context returns a context that ends at the attempt's deadline or when the attempt is canceled,
-// and a function that releases it. It takes the place of the registered Canceler.
+// Context returns a context that is done at the attempt's deadline or when the attempt is canceled,
+// and a function that releases the context. The context replaces the registered Canceler.
 func (a *Attempt) Context() (context.Context, func()) {
 	ctx, cancel := context.WithDeadline(context.Background(), a.Deadline)
 	if !a.SetCanceler(contextCanceler(cancel)) {
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// LimitDeadlines ends all requests by a time, since the process may be killed soon after. It is for
-// the drain that a SIGTERM begins. It does not close the pool.
+// LimitDeadlines caps the deadlines of all present and future requests at limit. It is called when
+// SIGTERM starts a drain, because the process may be killed soon after limit. LimitDeadlines does
+// not close the pool.
 func (p *Pool) LimitDeadlines(limit time.Time) {
 	at := p.clock.At(limit)
 	p.runEvent(func() {
@@ -16,5 +17,5 @@
 	})
 }
 
-// Close has the pool admit no more requests; it completes those that it has.
+// Close stops the admission of new requests. The pool completes the requests that it has.
 func (p *Pool) Close() { p.runEvent(func() { p.closed = true }) }
--- a/internal/core/duplicate_id_test.go
+++ b/internal/core/duplicate_id_test.go
@@ -7,23 +7,24 @@
 	"fernlanding/logic"
 )
 
-// waitForDuplicate waits until a request waits for the end of the open one with the same ID.
+// waitForDuplicate waits until another request waits for the end of the request with the given ID.
 func waitForDuplicate(t *testing.T, p *Pool, id string) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); {
 		p.mu.Lock()
 		earlier := p.requests[id]
-		isAwaited := earlier != nil && earlier.released != nil
+		isAwaited := earlier != nil && earlier.done != nil
 		p.mu.Unlock()
 		if isAwaited {
 			return
 		}
 	}
-	t.Fatal("no request waits")
+	t.Fatal("no request waits for the end of the earlier request")
 }
 
-// A caller that has given up an attempt may retry before this pool has seen the client leave: that
-// is no second client. The retry waits, and is served once the canceled request has ended.
+// A caller that has abandoned an attempt may retry before this pool has noticed that the client has
+// gone. The retry comes from the same client, so it must not be rejected: it waits and is served
+// once the canceled request has ended.
 func TestDuplicateIDWaitsForCanceledRequest(t *testing.T) {
 	attempts := make(chan int, 1)
 	attempts <- 0
@@ -43,18 +44,18 @@
 	waitForDuplicate(t, p, "1")
 	p.Cancel(first)
 	if ans := receive(t, "first answer", firstAnswer); ans.Verdict != Canceled {
-		t.Errorf("the first got %+v", ans)
+		t.Errorf("first request: got %+v, want verdict Canceled", ans)
 	}
 	if ans := receive(t, "second answer", secondAnswer); ans.Verdict != Served {
-		t.Errorf("the second got %+v", ans)
+		t.Errorf("second request: got %+v, want verdict Served", ans)
 	}
 	if s := p.Stats(); s != (Stats{}) {
-		t.Errorf("left behind: %+v", s)
+		t.Errorf("pool not empty at the end: %+v", s)
 	}
 }
 
-// While a request's client stays, another request with the same ID is rejected: the two could not
-// be told apart.
+// While a request is in progress, another request with the same ID is rejected, because the two
+// cannot be distinguished.
 func TestDuplicateIDIsRejectedWhileRequestIsOpen(t *testing.T) {
 	for name, duplicateIDWait := range map[string]time.Duration{"at once": 0, "after a wait": 10 * time.Millisecond} {
 		up := newScriptedUpstream(hangUntilCanceled)
@@ -63,17 +64,18 @@
 		firstAnswer := doAsync(p, first)
 		receive(t, "first attempt", up.started)
 		if ans := p.Do(newRequest(p, "1", 0, testTimeout)); ans.Verdict != Rejected {
-			t.Errorf("%s: got %+v", name, ans)
+			t.Errorf("%s: got %+v, want verdict Rejected", name, ans)
 		}
 		if len(up.started) != 0 {
-			t.Errorf("%s: it was sent", name)
+			t.Errorf("%s: the duplicate was sent", name)
 		}
 		p.Cancel(first)
 		receive(t, "first answer", firstAnswer)
 	}
 }
 
-// A request waits for an earlier one with the same ID no longer than its own client waits for it.
+// The wait for an earlier request with the same ID ends at the client deadline of the later
+// request.
 func TestDuplicateIDWaitEndsAtDeadline(t *testing.T) {
 	up := newScriptedUpstream(hangUntilCanceled)
 	p := startPoolWithDuplicateWait(t, up, 10*testTimeout)
@@ -82,13 +84,14 @@
 	receive(t, "first attempt", up.started)
 	second := doAsync(p, newRequest(p, "1", 0, 50*time.Millisecond))
 	if ans := receive(t, "second answer", second); ans.Verdict != Rejected {
-		t.Errorf("got %+v", ans)
+		t.Errorf("got %+v, want verdict Rejected", ans)
 	}
 	p.Cancel(first)
 	receive(t, "first answer", firstAnswer)
 }
 
-// A request whose client leaves while it waits for an earlier one with the same ID is not sent.
+// A request whose client disconnects during the wait for an earlier request with the same ID is not
+// sent.
 func TestDuplicateIDWaitCanBeCanceled(t *testing.T) {
 	up := newScriptedUpstream(hangUntilCanceled)
 	p := startPoolWithDuplicateWait(t, up, testTimeout)
@@ -101,7 +104,7 @@
 	p.Cancel(second)
 	p.Cancel(first)
 	if ans := receive(t, "second answer", secondAnswer); ans.Verdict != Canceled || len(up.started) != 0 {
-		t.Errorf("got %+v, %d further attempts", ans, len(up.started))
+		t.Errorf("got %+v and %d further attempts, want verdict Canceled and none", ans, len(up.started))
 	}
 	receive(t, "first answer", firstAnswer)
 }
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -5,10 +5,11 @@
 	"fernlanding/logic"
 )
 
-// UpdateFromCache applies the list as the source last knew it, which may be long ago.
+// UpdateFromCache applies the last endpoint list known to the source, which may be stale.
 func (p *Pool) UpdateFromCache(list *membership.List) { p.applyEndpoints(logic.CachedSnapshot, list) }
 
-// RestoreEndpoints applies the list as an earlier process knew it: see logic.RestoredSnapshot.
+// RestoreEndpoints applies an endpoint list that an earlier process has stored. See
+// [logic.RestoredSnapshot].
 func (p *Pool) RestoreEndpoints(list *membership.List) {
 	p.applyEndpoints(logic.RestoredSnapshot, list)
 }
@@ -27,9 +28,9 @@
 	p.runEvent(func() { p.balancer.UpdateEndpoints(p.clock.Now(), (*host)(p), logic.UpdateFailed, nil) })
 }
 
-// applyEndpoints applies a list to the upstream's connections and then to the module: what the
-// module selects next is what the upstream has listed. An empty list makes the pool ready only if
-// the source has sent it as a snapshot.
+// applyEndpoints applies an endpoint list first to the upstream and then to the balancer, so that
+// the balancer selects only endpoints that the upstream knows. An empty list makes the pool ready
+// only if the list is a snapshot from the source.
 func (p *Pool) applyEndpoints(kind logic.UpdateKind, list *membership.List) {
 	p.runEvent(func() {
 		p.upstream.UpdateEndpoints(kind != logic.Delta, list.Endpoints)
@@ -44,8 +45,9 @@
 	})
 }
 
-// Ready returns a channel that is closed when the pool has a list.
+// Ready returns a channel that is closed once the pool has an endpoint list.
 func (p *Pool) Ready() <-chan struct{} { return p.ready }
 
-// WatchRequested returns a channel that receives when the module wants a watch of the list opened.
+// WatchRequested returns a channel that receives a value when the balancer requests a watch of the
+// endpoint list.
 func (p *Pool) WatchRequested() <-chan struct{} { return p.watchRequested }
--- a/internal/core/endpoints_bench_test.go
+++ b/internal/core/endpoints_bench_test.go
@@ -12,8 +12,8 @@
 	upstream "fernlanding/internal/upstream/http1"
 )
 
-// BenchmarkUpdateEndpoints measures the delta of one endpoint among many; every tenth removes one
-// or adds it again.
+// BenchmarkUpdateEndpoints measures deltas of one endpoint in lists of different sizes. Every tenth
+// pair of deltas removes the endpoint and adds it again.
 func BenchmarkUpdateEndpoints(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000} {
 		for _, poolCount := range []int{1, 10} {
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -6,8 +6,8 @@
 	"fernlanding/logic"
 )
 
-// host is a Pool as the module sees it. The module calls its methods during an event, with the
-// pool's lock held.
+// host implements logic.Host for a Pool. The balancer calls the methods of host while it handles
+// an event, with the pool's lock held.
 type host Pool
 
 var errUnknownRequest = errors.New("unknown request")
@@ -29,11 +29,12 @@
 	}
 	isRetry := r.attempts > 0
 	if isRetry && h.maxSendDelay > 0 && h.classes[r.Class].Idempotency == logic.IdempotentByKey {
-		// The retry may rely on its backend's dedup window, which ends.
+		// The retry may rely on the backend's dedup window, so it must be sent before the window
+		// ends.
 		attempt.SendBy = h.clock.Time(now + h.maxSendDelay)
 	}
 	r.attempts++
-	if !r.answered && r.inFlight == nil { // never two attempts of a request at once
+	if !r.answered && r.inFlight == nil { // a request has at most one attempt in flight
 		attempt.roundTripper = h.upstream.RoundTripper(server)
 	}
 	if attempt.roundTripper == nil {
@@ -66,11 +67,12 @@
 	h.timers.add(&timer{dueAt: h.clock.Now() + delay, token: token})
 }
 
-// WatchEndpoints implements logic.Host. Where the list is pushed the watch is open anyway.
+// WatchEndpoints implements logic.Host. The request has no effect where the endpoint list is
+// pushed, since the pool then receives every update anyway.
 func (h *host) WatchEndpoints() {
 	select {
 	case h.watchRequested <- struct{}{}:
-	default: // a request is pending already
+	default: // an earlier request is still pending
 	}
 }
 
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -6,12 +6,12 @@
 	"fernlanding/logic"
 )
 
-// Do takes a request and returns its one final answer, at the latest shortly after the request's
-// ClientDeadline. It carries the request's attempts out on the caller's goroutine, one at a time.
+// Do handles a request and returns its only answer, at the latest shortly after the request's
+// ClientDeadline. Do executes the request's attempts on the caller's goroutine, one at a time.
 func (p *Pool) Do(r *Request) Answer {
 	p.mu.Lock()
-	p.awaitDuplicateLocked(r)
-	if r.answered { // canceled before it was handed over
+	p.waitForEarlierLocked(r)
+	if r.answered { // canceled before the call of Do
 		p.mu.Unlock()
 		return r.answer
 	}
@@ -19,7 +19,7 @@
 		p.mu.Unlock()
 		return Answer{Verdict: NotAdmitted}
 	}
-	if p.requests[r.ID] != nil { // two with one ID could not be told apart
+	if p.requests[r.ID] != nil { // requests with the same ID cannot be distinguished
 		p.mu.Unlock()
 		return Answer{Verdict: Rejected}
 	}
@@ -28,7 +28,7 @@
 	p.startLocked(r)
 	for {
 		p.finishEventLocked()
-		attempt := p.nextAttemptLocked(r)
+		attempt := p.waitForAttemptLocked(r)
 		if attempt == nil {
 			break
 		}
@@ -41,29 +41,29 @@
 	return r.answer
 }
 
-// awaitDuplicateLocked waits for the end of an earlier request with the same ID, for
-// Config.DuplicateIDWait at most and no longer than the client of this one waits. It releases the
-// lock meanwhile.
-func (p *Pool) awaitDuplicateLocked(r *Request) {
+// waitForEarlierLocked waits for the end of an earlier request with the same ID as r. The wait
+// lasts at most Config.DuplicateIDWait and ends at the client deadline of r. The lock is released
+// during the wait.
+func (p *Pool) waitForEarlierLocked(r *Request) {
 	earlier := p.requests[r.ID]
 	if earlier == nil || p.duplicateIDWait == 0 {
 		return
 	}
-	if earlier.released == nil {
-		earlier.released = make(chan struct{})
+	if earlier.done == nil {
+		earlier.done = make(chan struct{})
 	}
-	released := earlier.released
+	done := earlier.done
 	p.mu.Unlock()
 	defer p.mu.Lock()
 	timeout := time.NewTimer(min(p.duplicateIDWait, time.Until(p.clock.Time(r.ClientDeadline))))
 	defer timeout.Stop()
 	select {
-	case <-released:
+	case <-done:
 	case <-timeout.C:
 	}
 }
 
-// startLocked adds a request to the pool, sets its expiry and hands it to the module.
+// startLocked adds a request to the pool, sets its expiry timer and passes it to the balancer.
 func (p *Pool) startLocked(r *Request) {
 	if p.deadlineLimit > 0 {
 		r.ClientDeadline = min(r.ClientDeadline, p.deadlineLimit)
@@ -74,9 +74,9 @@
 	p.balancer.Request(p.clock.Now(), (*host)(p), r.Request)
 }
 
-// nextAttemptLocked waits until the module has decided on a request, with the lock released, and
-// returns the attempt to be carried out; nil: the request is answered.
-func (p *Pool) nextAttemptLocked(r *Request) *Attempt {
+// waitForAttemptLocked waits until the balancer has decided on a request and returns the attempt to
+// execute, or nil if the request is answered. The lock is released during the wait.
+func (p *Pool) waitForAttemptLocked(r *Request) *Attempt {
 	if r.pending == nil && !r.answered {
 		r.wakeup = make(chan struct{})
 		p.mu.Unlock()
@@ -89,14 +89,14 @@
 	return attempt
 }
 
-// Cancel ends a request that nobody waits for any more, and its attempt. It may be called before
-// Do.
+// Cancel ends a request whose client has gone, and cancels the request's attempt. Cancel may be
+// called before Do.
 func (p *Pool) Cancel(r *Request) {
 	p.runEvent(func() {
 		if p.requests[r.ID] == r {
 			p.cancelLocked(r, Answer{Verdict: Canceled})
 		} else if !r.answered {
-			r.answered, r.answer = true, Answer{Verdict: Canceled} // the pool has not taken it, and Do won't
+			r.answered, r.answer = true, Answer{Verdict: Canceled} // not in the pool; Do returns this answer
 		}
 	})
 }
@@ -110,8 +110,8 @@
 	})
 }
 
-// cancelLocked gives a request an answer that is not the module's, unless it has one, and cancels
-// its attempt.
+// cancelLocked answers a request without a decision of the balancer and cancels the request's
+// attempt. It does nothing if the request has been answered.
 func (p *Pool) cancelLocked(r *Request, answer Answer) {
 	if r.answered {
 		return
@@ -123,8 +123,8 @@
 	}
 }
 
-// answerLocked gives a request its final answer, if it has none yet. All answers to requests that
-// the pool has taken are given here, so that there is exactly one.
+// answerLocked sets the answer of a request that has none yet. Every answer to a request in the
+// pool is set here, so each request gets exactly one.
 func (p *Pool) answerLocked(r *Request, answer Answer) {
 	if r.answered {
 		return
@@ -139,34 +139,34 @@
 	p.releaseLocked(r)
 }
 
-// releaseLocked removes a request from the pool if it is answered and has no attempt in flight.
+// releaseLocked removes a request from the pool once it is answered and has no attempt in flight.
 func (p *Pool) releaseLocked(r *Request) {
 	if !r.answered || r.inFlight != nil {
 		return
 	}
 	delete(p.requests, r.ID)
-	if r.released != nil {
-		close(r.released)
-		r.released = nil
+	if r.done != nil {
+		close(r.done)
+		r.done = nil
 	}
 	p.timers.remove(&r.expiry)
 }
 
-// recordOutcomeLocked tells the module how an attempt ended. If the attempt's response answers the
-// request, it does so first.
+// recordOutcomeLocked reports the end of an attempt to the balancer. If the attempt's response
+// answers the request, the answer is set first.
 func (p *Pool) recordOutcomeLocked(attempt *Attempt, result AttemptResult) {
 	r := attempt.Request
 	if r.inFlight == attempt {
 		r.inFlight = nil
 	}
 	if result.InvalidRequest && p.balancer.Unverified(attempt.server) {
-		// The address may be another service's by now, whose verdict is on a request that was not
-		// meant for it.
+		// The address may belong to another service by now, which rejected a request that was not
+		// meant for that service.
 		result.InvalidRequest = false
 	}
 	switch {
 	case r.answered:
-		result.Response.Close() // nobody waits for it
+		result.Response.Close() // no client waits for the response
 	case result.InvalidRequest:
 		p.answerLocked(r, Answer{Verdict: Rejected, Response: result.Response})
 	case result.Status == logic.OK:
@@ -176,7 +176,8 @@
 		r.lastResponse = result.Response
 	}
 	if result.InvalidRequest {
-		// The client's fault is no evidence against the backend, and another would say the same.
+		// An error of the client is no evidence against the backend, and a retry at another backend
+		// would be rejected as well.
 		result.Status = logic.NotSent
 	}
 	now := p.clock.Now()
@@ -187,8 +188,8 @@
 	p.releaseLocked(r)
 }
 
-// reportUnsentLocked tells the module of the attempts that can't be carried out. It may decide on
-// further attempts, so this goes on until none is left.
+// reportUnsentLocked reports to the balancer that attempts cannot be sent. The balancer may then
+// forward further attempts that cannot be sent, so reportUnsentLocked repeats until none is left.
 func (p *Pool) reportUnsentLocked() {
 	for len(p.unsent) > 0 {
 		attempt := p.unsent[0]
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -1,24 +1,24 @@
-// Package core runs the life of a request in one pool: the pool takes the request, the module
-// (package logic) decides, an upstream carries each attempt out, and the request gets exactly one
-// final answer. It knows no protocol.
+// Package core implements the lifecycle of a request in one pool. The pool accepts the request, a
+// [logic.Balancer] makes the decisions, an [Upstream] executes each attempt, and the request gets
+// exactly one final answer. The package is independent of protocols.
 //
 // # Ownership
 //
-// A Pool owns one Balancer, the table of requests and the timers. The owner is a lock and not a
-// goroutine: whoever brings an event handles it under the lock, with all that follows from it, so
-// that a request that is forwarded and served at once changes goroutines nowhere. The module sees
-// events in the order in which the lock was taken. A method whose name ends in Locked is called
-// with the lock held.
+// A [Pool] owns one Balancer, the table of requests and the timers, and guards them by a lock. No
+// goroutine owns this state: the goroutine that brings an event handles the event and its
+// consequences under the lock. A request that is forwarded and served at once therefore needs no
+// switch between goroutines. The Balancer sees events in the order in which the lock was acquired.
+// Methods whose names end in Locked are called with the lock held.
 //
-// A request's attempts are carried out by the goroutine that called Pool.Do, one at a time and with
-// the lock released. The only goroutine of the pool itself is its caller's in Pool.Run, which runs
-// timers, closes idle connections and logs traces.
+// The goroutine that calls [Pool.Do] executes the request's attempts, one at a time and with the
+// lock released. The pool starts no goroutines. The goroutine that calls [Pool.Run] runs timers,
+// closes idle connections and logs traces.
 //
-// # One final answer
+// # Exactly one final answer
 //
-// Pool.answerLocked is the only place that answers a request that a pool has taken. It does so
-// once: Request.answered, which the lock guards, is set there and never cleared. See
-// docs/design/routing.md.
+// Pool.answerLocked is the only function that answers a request in the pool. It answers each
+// request once, because it sets Request.answered, which is guarded by the lock and never cleared.
+// See docs/design/routing.md.
 package core
 
 import (
@@ -32,55 +32,59 @@
 )
 
 const (
-	idleSweepInterval = time.Second // between two looks for idle connections to close
-	// An attempt's timeout at the request's deadline is the module's to answer and to learn from;
-	// this much later the request is answered whatever the module decides.
+	// idleSweepInterval is the interval between sweeps that close idle connections.
+	idleSweepInterval = time.Second
+	// deadlineGrace is the time from a request's deadline until the pool answers the request
+	// without the balancer. It lets the balancer answer, and learn from, an attempt that times out
+	// at the deadline.
 	deadlineGrace = 10 * time.Millisecond
-	idleWakeup    = time.Hour // of the wakeup timer while no timer is set
+	// idleWakeup is the delay of the wakeup timer while no timer is set.
+	idleWakeup = time.Hour
 )
 
-// Pool is one service's requests, Balancer and backends. Its methods may be called from any
-// goroutine.
+// Pool holds the requests, the Balancer and the backends of one service. Its methods are safe for
+// concurrent use.
 type Pool struct {
 	clock           Clock
 	upstream        Upstream
 	zones           zoneNumbers
 	log             *slog.Logger
-	duplicateIDWait time.Duration // of Config
-	maxSendDelay    int64         // of Settings, in microseconds
-	classes         []logic.Class // of Settings
-	watchRequested  chan struct{} // holds one while the module's request to watch the list is not taken up
-	ready           chan struct{} // closed when there is a list; see applyEndpoints
-	traceStarted    chan struct{} // holds one when Run is to begin a trace
+	duplicateIDWait time.Duration // Config.DuplicateIDWait
+	maxSendDelay    int64         // Settings.MaxSendDelay, in microseconds
+	classes         []logic.Class // Settings.Classes
+	watchRequested  chan struct{} // holds a value while a watch requested by the balancer has not been opened
+	ready           chan struct{} // closed once there is an endpoint list; see applyEndpoints
+	traceStarted    chan struct{} // holds a value when Run has to start a trace
 	wakeup          *time.Timer   // wakes Run for the earliest timer
 	activeCalls     sync.WaitGroup
 
-	mu            sync.Mutex // guards what follows, and the unexported fields of all requests
+	mu            sync.Mutex // guards the fields below and the unexported fields of all requests
 	balancer      *logic.Balancer
-	requests      map[string]*Request // by ID, until answered and without an attempt in flight
+	requests      map[string]*Request // by ID; a request stays until it is answered and has no attempt in flight
 	timers        timerHeap
-	wakeupAt      int64      // when wakeup fires, in microseconds of the clock; 0: when nothing waits for it
-	unsent        []*Attempt // that can't be carried out; the module learns of them after the present event
-	deadlineLimit int64      // from LimitDeadlines on: no request's deadline is later; else 0
-	closed        bool       // admits no more requests
+	wakeupAt      int64      // time at which wakeup fires, in microseconds of the clock; 0 if it is not set for a timer
+	unsent        []*Attempt // attempts that cannot be sent, reported to the balancer after the current event
+	deadlineLimit int64      // latest deadline of any request, set by LimitDeadlines; 0 means no limit
+	closed        bool       // no more requests are admitted
 	tracer        tracer
 }
 
 // Config configures a pool.
 type Config struct {
 	Settings logic.Settings
-	Seed     uint64   // of all random draws
-	Zones    []string // by the module's numbers
+	Seed     uint64   // seed of the balancer's random numbers
+	Zones    []string // zone names, indexed by the balancer's zone numbers
 	Upstream Upstream
 	Clock    Clock
 	Log      *slog.Logger
-	// DuplicateIDWait is how long a request waits for the end of an earlier one with the same ID. A
-	// caller that has given up an attempt may retry before this pool has seen the client leave. 0:
-	// the request is rejected at once.
+	// DuplicateIDWait is the longest time that a request waits for the end of an earlier request
+	// with the same ID. The wait is needed because a caller that has abandoned an attempt may retry
+	// before this pool has noticed that the client has gone. 0 means that the request is rejected
+	// at once.
 	DuplicateIDWait time.Duration
 }
 
-// New returns a pool without a list of endpoints. Its timers do not run before Run.
+// New returns a pool without an endpoint list. Timers do not run before Run is called.
 func New(cfg Config) (*Pool, error) {
 	balancer, err := logic.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -103,15 +107,15 @@
 	}, nil
 }
 
-// Run runs timers until the context ends. Then it cancels every request that is left, and returns
-// when no call of Do is active. It is called once.
+// Run runs timers until the context is done. Then Run closes the pool, cancels all remaining
+// requests and returns when no call of Do is active. Run must be called only once.
 func (p *Pool) Run(ctx context.Context) {
 	defer p.wakeup.Stop()
 	sweep := time.NewTicker(idleSweepInterval)
 	defer sweep.Stop()
 	traceTicker := time.NewTicker(traceInterval)
 	defer traceTicker.Stop()
-	traceTicker.Stop() // until a trace begins
+	traceTicker.Stop() // until a trace starts
 	for {
 		select {
 		case <-p.traceStarted:
@@ -133,7 +137,7 @@
 	}
 }
 
-// runEvent handles one event under the lock, and what follows from it.
+// runEvent handles an event and its consequences under the lock.
 func (p *Pool) runEvent(event func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -141,25 +145,25 @@
 	p.finishEventLocked()
 }
 
-// finishEventLocked handles what follows from an event: attempts that can't be carried out, timers
-// that are due, and the wakeup for the next timer.
+// finishEventLocked handles the consequences of an event: it reports attempts that cannot be sent,
+// runs the timers that are due and schedules the wakeup for the next timer.
 func (p *Pool) finishEventLocked() {
 	p.reportUnsentLocked()
 	p.runTimersLocked()
 	p.scheduleWakeupLocked()
 }
 
-// Clock returns the clock that the pool's times are of.
+// Clock returns the clock of the pool's times.
 func (p *Pool) Clock() Clock { return p.clock }
 
-// Stats counts what a pool holds.
+// Stats holds the sizes of a pool's tables.
 type Stats struct {
-	Requests int // including those that are answered while an attempt is in flight
+	Requests int // includes answered requests with an attempt in flight
 	Timers   int
-	Zones    int // names that have a number
+	Zones    int // zone names that have a number of their own
 }
 
-// Stats returns the present counts.
+// Stats returns the current sizes.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -11,16 +11,16 @@
 	"fernlanding/logic"
 )
 
-const testTimeout = 20 * time.Second // of a test's wait for an event that must come
+const testTimeout = 20 * time.Second // bound on the wait for an expected event
 
-// scriptedUpstream is an Upstream with one backend, whose attempts end as a function returns.
+// scriptedUpstream is an Upstream with one backend. A function returns the result of each attempt.
 type scriptedUpstream struct {
 	roundTrip func(*Attempt) AttemptResult
 	started   chan *Attempt
 }
 
-func newScriptedUpstream(carry func(*Attempt) AttemptResult) *scriptedUpstream {
-	return &scriptedUpstream{roundTrip: carry, started: make(chan *Attempt, 100)}
+func newScriptedUpstream(roundTrip func(*Attempt) AttemptResult) *scriptedUpstream {
+	return &scriptedUpstream{roundTrip: roundTrip, started: make(chan *Attempt, 100)}
 }
 
 func (s *scriptedUpstream) UpdateEndpoints(bool, []membership.Endpoint) {}
@@ -51,8 +51,8 @@
 	return startPoolWithDuplicateWait(t, up, 0)
 }
 
-// startPoolWithDuplicateWait runs a pool with one endpoint until the test ends. Its requests wait
-// for the end of an earlier one with the same ID. Class 0 is idempotent, class 1 non-idempotent.
+// startPoolWithDuplicateWait runs a pool with one endpoint and the given Config.DuplicateIDWait
+// until the test ends. Class 0 is idempotent, class 1 is non-idempotent.
 func startPoolWithDuplicateWait(t *testing.T, up Upstream, duplicateIDWait time.Duration) *Pool {
 	t.Helper()
 	idempotent := logic.Class{LatencyObjective: 4e6, Deadline: 8e6, PriorityWeight: 1}
@@ -88,27 +88,28 @@
 	return &Request{Request: logic.Request{ID: id, Class: class, Tenant: -1, ClientDeadline: deadline}}
 }
 
-// doAsync calls Do on a goroutine of its own.
+// doAsync calls Do on a new goroutine.
 func doAsync(p *Pool, r *Request) <-chan Answer {
 	answer := make(chan Answer, 1)
 	go func() { answer <- p.Do(r) }()
 	return answer
 }
 
-// receive receives what must come from a channel.
+// receive receives a value from a channel and fails the test after testTimeout.
 func receive[T any](t *testing.T, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(testTimeout):
-		t.Fatalf("no %s", what)
+		t.Fatalf("timed out waiting for: %s", what)
 		panic("unreachable")
 	}
 }
 
-// An answer after the latency objective still has a value, so what is open at SIGTERM keeps its
-// deadline, but none that is later than the limit, which comes shortly before SIGKILL.
+// Requests in progress at SIGTERM keep their deadlines, because an answer after the latency
+// objective still has a value. Deadlines after the limit, which is shortly before SIGKILL, are
+// moved to the limit.
 func TestLimitDeadlinesCapsOnlyLaterDeadlines(t *testing.T) {
 	up := newScriptedUpstream(hangUntilCanceled)
 	p := startPool(t, up)
@@ -121,22 +122,23 @@
 	p.mu.Lock()
 	soonDue := soon.ClientDeadline + deadlineGrace.Microseconds()
 	if soon.expiry.dueAt != soonDue || late.expiry.dueAt != p.clock.At(cutoff) {
-		t.Errorf("ends at %d and %d", soon.expiry.dueAt, late.expiry.dueAt)
+		t.Errorf("requests expire at %d and %d, want %d and %d",
+			soon.expiry.dueAt, late.expiry.dueAt, soonDue, p.clock.At(cutoff))
 	}
 	p.mu.Unlock()
 	p.Cancel(soon)
 	p.Cancel(late)
 	for _, a := range answers {
 		if ans := receive(t, "answer", a); ans.Verdict != Canceled {
-			t.Errorf("got %+v", ans)
+			t.Errorf("got %+v, want verdict Canceled", ans)
 		}
 	}
 	if s := p.Stats(); s != (Stats{}) {
-		t.Errorf("left behind: %+v", s)
+		t.Errorf("pool not empty at the end: %+v", s)
 	}
 }
 
-// The client may leave before its request is handed over, or when it has its answer.
+// The client may disconnect before the call of Do or after its request has been answered.
 func TestCancelBeforeAndAfterDo(t *testing.T) {
 	up := newScriptedUpstream(func(*Attempt) AttemptResult {
 		return AttemptResult{Status: logic.OK, Response: &Response{StatusCode: 200, Body: []byte("ok")}}
@@ -145,28 +147,28 @@
 	r := newRequest(p, "1", 0, testTimeout)
 	p.Cancel(r)
 	if ans := p.Do(r); ans.Verdict != Canceled || len(up.started) != 0 {
-		t.Errorf("canceled before Do: got %+v, %d attempts", ans, len(up.started))
+		t.Errorf("canceled before Do: got %+v and %d attempts, want verdict Canceled and none", ans, len(up.started))
 	}
 	r = newRequest(p, "1", 0, testTimeout)
 	if ans := p.Do(r); ans.Verdict != Served || string(ans.Response.Body) != "ok" {
-		t.Errorf("got %+v", ans)
+		t.Errorf("canceled after Do: got %+v, want verdict Served and body \"ok\"", ans)
 	}
 	p.Cancel(r)
 	if s := p.Stats(); s != (Stats{}) {
-		t.Errorf("left behind: %+v", s)
+		t.Errorf("pool not empty at the end: %+v", s)
 	}
 }
 
-// A request that hangs is answered when its time is up, even if its upstream ignores deadlines.
+// A hanging request is answered at its deadline, even if the upstream ignores deadlines.
 func TestExpiredRequestIsAnswered(t *testing.T) {
 	up := newScriptedUpstream(hangUntilCanceled)
 	p := startPool(t, up)
 	if ans := receive(t, "answer", doAsync(p, newRequest(p, "1", 1, 700*time.Millisecond))); ans.Verdict != Expired {
-		t.Errorf("got %+v", ans)
+		t.Errorf("got %+v, want verdict Expired", ans)
 	}
 }
 
-// A closed pool admits no request, and completes those that it has.
+// A closed pool admits no requests and completes the requests that it has.
 func TestClosedPoolAdmitsNothing(t *testing.T) {
 	release := make(chan struct{})
 	up := newScriptedUpstream(func(*Attempt) AttemptResult {
@@ -178,22 +180,22 @@
 	receive(t, "attempt", up.started)
 	p.Close()
 	if ans := p.Do(newRequest(p, "2", 1, testTimeout)); ans.Verdict != NotAdmitted {
-		t.Errorf("got %+v", ans)
+		t.Errorf("after Close: got %+v, want verdict NotAdmitted", ans)
 	}
 	close(release)
 	if ans := receive(t, "answer", first); ans.Verdict != Served {
-		t.Errorf("got %+v", ans)
+		t.Errorf("request in progress at Close: got %+v, want verdict Served", ans)
 	}
 	if len(up.started) != 0 {
-		t.Errorf("%d further attempts", len(up.started))
+		t.Errorf("got %d further attempts, want none", len(up.started))
 	}
 }
 
-// Requests from many goroutines, with failures and cancellations: each gets one answer and the pool
-// keeps nothing.
+// Requests from many goroutines, some failing and some canceled, get one answer each, and the pool
+// is empty afterwards.
 func TestConcurrentRequestsGetOneAnswerEach(t *testing.T) {
 	statuses := []logic.Status{logic.OK, logic.OK, logic.OK, logic.Error, logic.Overloaded, logic.Reset}
-	count := make(chan int, 1) // of attempts
+	count := make(chan int, 1) // number of attempts so far
 	count <- 0
 	up := &scriptedUpstream{started: make(chan *Attempt, 100000), roundTrip: func(*Attempt) AttemptResult {
 		i := <-count
@@ -215,12 +217,12 @@
 	}
 	all.Wait()
 	if s := p.Stats(); s != (Stats{}) {
-		t.Errorf("left behind: %+v", s)
+		t.Errorf("pool not empty at the end: %+v", s)
 	}
 }
 
-// A retry of a request that is idempotent by key relies on its backend's dedup window, so it has a
-// time by which it is sent. A first attempt has its deadline alone.
+// A retry of a request that is idempotent by key relies on the dedup window of the backend, so
+// SendBy limits when the retry is sent. The first attempt is limited by its deadline only.
 func TestRetryByKeyHasSendBy(t *testing.T) {
 	up := newScriptedUpstream(func(*Attempt) AttemptResult { return AttemptResult{Status: logic.Error} })
 	p, err := New(Config{
@@ -243,6 +245,7 @@
 	p.Do(newRequest(p, "1", 0, testTimeout))
 	first, second := receive(t, "first attempt", up.started), receive(t, "retry", up.started)
 	if !first.SendBy.IsZero() || second.SendBy.IsZero() || second.SendBy.After(time.Now().Add(time.Second)) {
-		t.Errorf("first attempt %v, retry %v", first.SendBy, second.SendBy)
+		t.Errorf("SendBy of the first attempt is %v, of the retry %v; want zero and at most 1s ahead",
+			first.SendBy, second.SendBy)
 	}
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -2,73 +2,75 @@
 
 import "fernlanding/logic"
 
-// HeaderField is one header field, its name in canonical form.
+// HeaderField is one header field. Name is in canonical form.
 type HeaderField struct{ Name, Value string }
 
-// Request is one request that a front has read completely. A front fills in the exported fields and
-// hands it to one pool with Pool.Do; from then on it belongs to the pool. It contains no protocol's
-// types: each front and upstream translates between its protocol and these fields.
+// Request is a request that a front has read completely. A front sets the exported fields and
+// passes the request to one pool by [Pool.Do], after which the request belongs to the pool. A
+// Request is independent of protocols: each front and upstream converts between its protocol and
+// these fields.
 type Request struct {
-	logic.Request        // ID, class, tenant, ordering key and the client's deadline
+	logic.Request        // ID, class, tenant, ordering key and client deadline
 	Method        string // GET, POST, ...
-	Target        string // path and query as they are forwarded
+	Target        string // path and query as forwarded
 	Host          string
-	Header        []HeaderField // what is forwarded to the backend; nothing that concerns one connection
+	Header        []HeaderField // end-to-end fields, forwarded to the backend; no connection-specific fields
 	Body          []byte
 
 	// The pool's lock guards the fields below.
 
-	answered     bool      // answer is final
-	answer       Answer    // see Pool.answerLocked
-	lastResponse *Response // of the last attempt that failed; nil: it brought none
-	attempts     int       // that the module has decided on
-	inFlight     *Attempt  // the one attempt that has not ended; nil: none
-	pending      *Attempt  // the attempt that the goroutine in Pool.Do is to carry out next; nil: none
-	expiry       timer     // answers the request when its time is up, whatever the module decides
+	answered     bool      // whether answer is final
+	answer       Answer    // set by Pool.answerLocked
+	lastResponse *Response // response of the last failed attempt; nil if it had none
+	attempts     int       // number of attempts that the balancer has decided on
+	inFlight     *Attempt  // the attempt that has not ended; may be nil
+	pending      *Attempt  // the next attempt that the goroutine in Pool.Do executes; may be nil
+	expiry       timer     // answers the request after its deadline if the balancer has not
 
-	// wakeup is closed when answered or pending changes; nil while the goroutine in Pool.Do does
-	// not wait.
+	// wakeup is closed when answered or pending changes. It is nil while the goroutine in Pool.Do
+	// is not waiting.
 	wakeup chan struct{}
-	// released is closed when nothing is left of the request; nil: nobody waits for that.
-	released chan struct{}
+	// done is closed when the pool has released the request. It is nil if no other request waits
+	// for that.
+	done chan struct{}
 }
 
-// wake wakes the goroutine in Pool.Do, if it waits. The pool's lock is held.
+// wake wakes the goroutine in Pool.Do if it is waiting. The caller holds the pool's lock.
 func (r *Request) wake() {
 	if r.wakeup == nil {
 		return
 	}
 	select {
-	case <-r.wakeup: // closed already
+	case <-r.wakeup: // already closed
 	default:
 		close(r.wakeup)
 	}
 }
 
-// Verdict is the kind of a final answer.
+// Verdict is the kind of an [Answer].
 type Verdict int
 
-// The kinds of final answer. A front words each in its protocol.
+// The kinds of an Answer. A front expresses each kind in its protocol.
 const (
-	Served      Verdict = iota // with a backend's response, unchanged
-	Shed                       // by the module: a retry is harmless
-	Failed                     // a retry may not be harmless; Response is what the last attempt brought, if anything
-	Expired                    // as Failed, since the request's time is up
-	Rejected                   // invalid for every backend: with a backend's response, or else a bad request
-	Canceled                   // nobody waits for it, or the pool has ended: no answer is owed
-	NotAdmitted                // the pool is closed and has done nothing with it: another pool may take it
+	Served      Verdict = iota // served by a backend; Response is the backend's response, unchanged
+	Shed                       // shed by the balancer; a retry by the client is safe
+	Failed                     // a retry may be unsafe; Response is that of the last attempt, if there is one
+	Expired                    // as Failed, because the request's deadline has passed
+	Rejected                   // invalid for every backend; a nil Response means a bad request
+	Canceled                   // the client has gone or the pool has stopped; no answer is needed
+	NotAdmitted                // the pool is closed and has done nothing; another pool may take the request
 )
 
 // Response is a backend's complete response.
 type Response struct {
-	StatusCode int           // a status of RFC 9110, section 15
-	Header     []HeaderField // what is forwarded to the client; nothing that concerns one connection or the framing
+	StatusCode int           // status code of RFC 9110, section 15
+	Header     []HeaderField // fields forwarded to the client; no connection-specific or framing fields
 	Body       []byte
-	Release    func() // returns the body's reservation of process memory; nil if it has none
+	Release    func() // releases the memory reserved for the body; nil if none is reserved
 }
 
-// Close returns the response's reservation of memory. The last owner of a response calls it; a nil
-// response is allowed.
+// Close releases the memory reserved for the response's body. The last owner of a response calls
+// Close. The response may be nil.
 func (r *Response) Close() {
 	if r == nil || r.Release == nil {
 		return
@@ -77,9 +79,9 @@
 	r.Release = nil
 }
 
-// Answer is the one final answer to a request.
+// Answer is the final answer to a request.
 type Answer struct {
 	Verdict    Verdict
-	Response   *Response // may be nil; the receiver of the Answer closes it
-	RetryAfter int64     // of Shed: retry after this many microseconds; 0: unknown
+	Response   *Response // may be nil; closed by the receiver of the Answer
+	RetryAfter int64     // delay before a retry, in microseconds, set for Shed; 0 means unknown
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// timer is an entry of a pool's timers: one that the module has set, or a request's expiry.
+// timer is an entry of a pool's timers: a timer set by the balancer or the expiry of a request.
 type timer struct {
 	dueAt   int64    // in microseconds of the pool's clock
-	token   string   // the module's
-	request *Request // that expires; nil: the timer is the module's
-	index   int      // in the heap; -1 once it is removed
+	token   string   // token of the balancer's timer
+	request *Request // the request that expires; nil for a timer of the balancer
+	index   int      // index in the heap; -1 after removal
 }
 
-// timerHeap orders timers by the time at which they are due. It implements heap.Interface.
+// timerHeap is a heap of timers ordered by due time. It implements heap.Interface.
 type timerHeap []*timer
 
 // add adds a timer.
 func (h *timerHeap) add(t *timer) { heap.Push(h, t) }
 
-// popEarliest removes and returns the timer that is due first; there must be one.
+// popEarliest removes and returns the timer that is due first. The heap must not be empty.
 func (h *timerHeap) popEarliest() *timer {
 	earliest := (*h)[0]
 	heap.Pop(h)
 	return earliest
 }
 
-// reschedule moves a timer to another time.
+// reschedule changes the due time of a timer.
 func (h *timerHeap) reschedule(t *timer, dueAt int64) {
 	t.dueAt = dueAt
 	heap.Fix(h, t.index)
 }
 
-// remove removes a timer, if it is still there.
+// remove removes a timer unless it has been removed already.
 func (h *timerHeap) remove(t *timer) {
 	if t.index >= 0 {
 		heap.Remove(h, t.index)
@@ -53,7 +53,7 @@
 
 // Push implements heap.Interface.
 func (h *timerHeap) Push(x any) {
-	t := x.(*timer) //nolint:forcetypeassert // add pushes nothing else
+	t := x.(*timer) //nolint:forcetypeassert // add pushes only timers
 	t.index = len(*h)
 	*h = append(*h, t)
 }
@@ -67,10 +67,10 @@
 	return last
 }
 
-// runTimersLocked runs the timers that are due, and what follows from each.
+// runTimersLocked runs the timers that are due and handles the consequences of each.
 func (p *Pool) runTimersLocked() {
 	if len(p.timers) == 0 {
-		return // saves the look at the clock
+		return // avoids reading the clock
 	}
 	now := p.clock.Now()
 	for len(p.timers) > 0 && p.timers[0].dueAt <= now {
@@ -78,13 +78,13 @@
 		if due.request == nil {
 			p.balancer.Timer(now, (*host)(p), due.token)
 		} else {
-			p.cancelLocked(due.request, Answer{Verdict: Expired}) // the module has not ended it in its time
+			p.cancelLocked(due.request, Answer{Verdict: Expired}) // the balancer did not answer in time
 		}
 		p.reportUnsentLocked()
 	}
 }
 
-// scheduleWakeupLocked has Run wake up for the earliest timer.
+// scheduleWakeupLocked sets the wakeup timer of Run to the earliest timer.
 func (p *Pool) scheduleWakeupLocked() {
 	if len(p.timers) == 0 {
 		return
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -9,20 +9,21 @@
 )
 
 const (
-	traceInterval = 500 * time.Millisecond // between two log lines of a trace
-	// MaxTraceDuration is how long a pool traces, at most, after one call of Trace.
+	traceInterval = 500 * time.Millisecond // interval between log lines of a trace
+	// MaxTraceDuration is the longest duration of a trace after one call of Trace.
 	MaxTraceDuration = 10 * time.Minute
 )
 
-// tracer counts shed requests by cause while a trace is on. The pool's lock guards it.
+// tracer counts shed requests by cause while a trace runs. It is guarded by the pool's lock.
 type tracer struct {
 	until      time.Time
-	shedCauses [logic.NumShedCauses]int // since the last log line
+	shedCauses [logic.NumShedCauses]int // counts since the last log line
 }
 
-// Trace has the pool log its module's stats twice a second for some time: the tier's concurrency
-// and what cut its limit last, the same of each class, the quota multiple, and shed requests by
-// cause. A trace that is on continues until the later end.
+// Trace starts a trace, which logs the balancer's stats twice a second for the given duration, at
+// most for MaxTraceDuration. Each log line has the concurrency and the cause of the last limit cut
+// of the tier and of each class, the quota multiple, and the number of shed requests by cause. If a
+// trace is already running, it continues until the later of the two ends.
 func (p *Pool) Trace(span time.Duration) {
 	until := time.Now().Add(min(span, MaxTraceDuration))
 	p.runEvent(func() {
@@ -35,11 +36,11 @@
 	})
 	select {
 	case p.traceStarted <- struct{}{}:
-	default: // one is on, or about to be
+	default: // a start is already pending
 	}
 }
 
-// logTrace logs the stats once, and reports whether the trace continues.
+// logTrace logs the stats once and reports whether the trace continues.
 func (p *Pool) logTrace(now time.Time) bool {
 	p.mu.Lock()
 	if now.After(p.tracer.until) {
@@ -66,7 +67,7 @@
 	return true
 }
 
-// formatLimit words a concurrency limit: the calls in flight, the limit, and what cut it last.
+// formatLimit formats a concurrency limit: the attempts in flight, the limit and its last cut.
 func formatLimit(s logic.LimitStats) string {
 	text := fmt.Sprintf("%d of %.1f", s.InFlight, s.Limit)
 	if s.LastCut.Evidence == logic.NoEvidence {
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -10,8 +10,8 @@
 	"fernlanding/logic"
 )
 
-// logLines is a slog.Handler that sends each record as text, and drops what the channel has no room
-// for.
+// logLines is a slog.Handler that sends each record as text to a channel. It drops the record if
+// the channel is full.
 type logLines chan string
 
 func (l logLines) Enabled(context.Context, slog.Level) bool { return true }
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// A trace logs limits and shed requests by cause, twice a second, and ends by itself; another may
-// follow it. No trace is longer than MaxTraceDuration.
+// A trace logs limits and shed requests by cause twice a second and ends after its duration.
+// Another trace may follow. No trace is longer than MaxTraceDuration.
 func TestTraceLogsShedCauses(t *testing.T) {
 	p := startPool(t, newScriptedUpstream(func(*Attempt) AttemptResult {
 		return AttemptResult{Status: logic.OK, Response: &Response{StatusCode: 200}}
@@ -38,25 +38,25 @@
 	for range 2 {
 		p.Trace(2 * traceInterval)
 		if ans := p.Do(newRequest(p, "late", 0, time.Microsecond)); ans.Verdict != Shed {
-			t.Fatalf("got %+v", ans)
+			t.Fatalf("got %+v, want verdict Shed", ans)
 		}
 		line := receive(t, "trace", got)
 		if !strings.Contains(line, "tier=0 of ") || !strings.Contains(line, "shed=time left 1") {
-			t.Errorf("got %q", line)
+			t.Errorf("trace line %q lacks the tier or the shed request", line)
 		}
 		for p.isTracing() {
 			receive(t, "trace or its end", time.After(traceInterval))
 		}
 		for len(got) > 0 {
 			if line := <-got; strings.Contains(line, "time left") {
-				t.Errorf("a shed request was logged twice: %q", line)
+				t.Errorf("shed request was logged twice: %q", line)
 			}
 		}
 	}
 	p.Trace(time.Hour)
 	p.mu.Lock()
 	if left := time.Until(p.tracer.until); left > MaxTraceDuration {
-		t.Errorf("a trace lasts %v", left)
+		t.Errorf("trace lasts %v, want at most %v", left, MaxTraceDuration)
 	}
 	p.mu.Unlock()
 }
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -8,11 +8,11 @@
 	"fernlanding/logic"
 )
 
-// zoneNumbers numbers zones by name: the settings' own from 0, any other by a hash, so that an
-// unbounded number of names takes no memory.
+// zoneNumbers maps zone names to numbers. The zones of the settings are numbered from 0. Any other
+// name gets a number by a hash, so that an unbounded number of names takes no memory.
 type zoneNumbers map[string]int
 
-// newZoneNumbers numbers names in their order.
+// newZoneNumbers numbers names by their index.
 func newZoneNumbers(names []string) zoneNumbers {
 	numbers := zoneNumbers{}
 	for i, name := range names {
@@ -21,7 +21,7 @@
 	return numbers
 }
 
-// number returns a zone's number.
+// number returns the number of a zone.
 func (z zoneNumbers) number(name string) int {
 	if number, ok := z[name]; ok {
 		return number
@@ -31,8 +31,8 @@
 	return len(z) + int(hash.Sum32()>>1)
 }
 
-// endpoints converts entries of a list to the module's. Its clock shows Unix time (see Clock), so
-// SinceMs needs no shift.
+// endpoints converts entries of an endpoint list to the balancer's type. The clock of the balancer
+// shows Unix time (see [Clock]), so StartedMs is only converted to microseconds.
 func (z zoneNumbers) endpoints(entries []membership.Endpoint) []logic.Endpoint {
 	converted := make([]logic.Endpoint, 0, len(entries))
 	for _, entry := range entries {
@@ -44,7 +44,7 @@
 	return converted
 }
 
-// endpointState converts a status to the module's.
+// endpointState converts a status to the balancer's type.
 func endpointState(status membership.Status) logic.State {
 	switch status {
 	case membership.Serving:
--- a/internal/quota/fairness.go
+++ b/internal/quota/fairness.go
@@ -1,21 +1,23 @@
 package quota
 
-// allows reports whether a consumer can have n more.
+// allows reports whether a consumer may acquire n units.
 func (a *Allocator) allows(now int64, c *consumer, n int64) bool {
 	if a.inUse+n > a.total {
 		return false
 	}
-	if c.inUse+n <= c.floor { // reserved for it, unless the floors have just been raised over what others have in use
+	if c.inUse+n <= c.floor {
+		// The floor is reserved for c. Others can have part of it in use only after the floors have
+		// been raised, and then the total is the limit.
 		return true
 	}
-	more := c.inUse + n - max(c.inUse, c.floor) // of what can be borrowed
+	more := c.inUse + n - max(c.inUse, c.floor) // part of n that has to be borrowed
 	if a.reserved()+more > a.total {
 		return false
 	}
-	return !a.othersStarve(now, c) || c.borrowed()+more <= a.fairShare(now, c)
+	return !a.othersStarved(now, c) || c.borrowed()+more <= a.fairShare(now, c)
 }
 
-// reserved returns what nobody can borrow: the floors, and what is in use beyond them.
+// reserved returns the capacity that cannot be borrowed: the floors and what is in use beyond them.
 func (a *Allocator) reserved() int64 {
 	var n int64
 	for _, c := range a.order {
@@ -24,8 +26,8 @@
 	return n
 }
 
-// fairShare returns a consumer's part of all that can be borrowed, shared evenly among those that
-// have some or were denied some.
+// fairShare returns a consumer's fair share of the capacity that can be borrowed. That capacity is
+// divided evenly among the consumer and all others that have borrowed something or are starved.
 func (a *Allocator) fairShare(now int64, c *consumer) int64 {
 	free, n := a.total, int64(0)
 	for _, other := range a.order {
@@ -37,13 +39,13 @@
 	return max(0, free) / max(1, n)
 }
 
-// isStarved reports whether a consumer was denied lately and lacks its floor or its fair share.
+// isStarved reports whether a consumer is marked as starved and lacks its floor or its fair share.
 func (a *Allocator) isStarved(now int64, c *consumer) bool {
 	return now < c.starvedUntil && (c.inUse < c.floor || c.borrowed() < a.fairShare(now, c))
 }
 
-// othersStarve reports whether any other consumer is starved.
-func (a *Allocator) othersStarve(now int64, c *consumer) bool {
+// othersStarved reports whether any consumer other than c is starved.
+func (a *Allocator) othersStarved(now int64, c *consumer) bool {
 	for _, other := range a.order {
 		if other != c && a.isStarved(now, other) {
 			return true
@@ -52,7 +54,7 @@
 	return false
 }
 
-// othersLackFloor reports whether another consumer was denied lately and lacks its floor.
+// othersLackFloor reports whether a consumer other than c is marked as starved and lacks its floor.
 func (a *Allocator) othersLackFloor(now int64, c *consumer) bool {
 	for _, other := range a.order {
 		if other != c && now < other.starvedUntil && other.inUse < other.floor {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,11 +1,13 @@
-// Package quota divides a bounded resource of the process, file descriptors or memory, among
-// consumers: the clients and the pools. It is pure: no I/O, no clock.
+// Package quota divides a bounded resource of the process, such as file descriptors or memory,
+// among consumers: the clients and the pools. The package is pure: it does no I/O and reads no
+// clock.
 //
-// Each consumer has a floor that it can have at any time. What the floors leave is borrowed by
-// whoever asks. A consumer that was denied counts as starved for a while, until it has been given
-// something; meanwhile those that have borrowed more than their fair share get no more, and
-// Excesses names those that are to give back. The sum of what is in use never exceeds the total.
-// Times are in microseconds of one clock.
+// Each consumer has a floor, which is guaranteed to the consumer at any time. The capacity beyond
+// all floors can be borrowed by any consumer. A consumer that was denied capacity counts as starved
+// for [StarvationPeriod] or until it acquires something. While a consumer is starved, consumers
+// that have borrowed more than their fair share get no more, and [Allocator.Borrowers] returns the
+// consumers that have to release capacity. The total in use never exceeds the total capacity. All
+// times are in microseconds of one clock.
 package quota
 
 import (
@@ -15,43 +17,45 @@
 	"slices"
 )
 
-// StarvationPeriod is how long a consumer that was denied counts as starved, in microseconds. It asks
-// again with its next request; one that does not has no use for what others have.
+// StarvationPeriod is the time for which a consumer that was denied capacity counts as starved, in
+// microseconds. A consumer that still needs capacity asks again with its next request. A consumer
+// that does not ask again has no use for the capacity of others.
 const StarvationPeriod = 1_000_000
 
-// Allocator counts what each consumer has in use. It is not safe for concurrent use.
+// Allocator tracks the capacity that each consumer has in use. It is not safe for concurrent use.
 type Allocator struct {
 	total     int64
 	inUse     int64
 	consumers map[string]*consumer
-	order     []*consumer // in which they were added: every walk has this order
+	order     []*consumer // consumers in order of addition, for deterministic iteration
 }
 
-// consumer is one consumer's part.
+// consumer is the state of one consumer.
 type consumer struct {
 	name         string
 	floor        int64
 	inUse        int64
-	starvedUntil int64
+	starvedUntil int64 // end of starvation, in microseconds; 0 means not starved
 }
 
-// borrowed returns what a consumer has in use beyond its floor.
+// borrowed returns the capacity that a consumer has in use beyond its floor.
 func (c *consumer) borrowed() int64 { return max(0, c.inUse-c.floor) }
 
-// New returns an Allocator of a total in whatever unit, with no consumers.
+// New returns an Allocator without consumers for a total capacity in an arbitrary unit.
 func New(total int64) (*Allocator, error) {
 	if total <= 0 {
-		return nil, fmt.Errorf("total: %d, more than 0 expected", total)
+		return nil, fmt.Errorf("invalid total %d: not positive", total)
 	}
 	return &Allocator{total: total, consumers: map[string]*consumer{}}, nil
 }
 
-// ErrFloors says that the floors together exceed the total.
-var ErrFloors = errors.New("the floors pass the total")
+// ErrFloors is returned if the sum of the floors exceeds the total.
+var ErrFloors = errors.New("sum of the floors exceeds the total")
 
-// SetFloors replaces all floors, in order. What consumers have in use they keep until they release
-// it, those too that have no floor any more. Floors that together exceed the total are an error
-// (ErrFloors) and change nothing.
+// SetFloors replaces the floors of all consumers; floors[i] is the floor of names[i]. Consumers
+// keep the capacity that they have in use until they release it, including consumers that no longer
+// have a floor. If the sum of the floors exceeds the total, SetFloors returns ErrFloors and changes
+// nothing.
 func (a *Allocator) SetFloors(names []string, floors []int64) error {
 	if err := a.checkFloors(names, floors); err != nil {
 		return err
@@ -72,22 +76,22 @@
 	return nil
 }
 
-// checkFloors reports a negative floor, or a sum beyond the total.
+// checkFloors returns an error if a floor is negative or the sum of the floors exceeds the total.
 func (a *Allocator) checkFloors(names []string, floors []int64) error {
 	sum := int64(0)
 	for i, floor := range floors {
 		if floor < 0 {
-			return fmt.Errorf("floor of %s: %d, 0 or more expected", names[i], floor)
+			return fmt.Errorf("invalid floor %d of consumer %q: negative", floor, names[i])
 		}
 		sum += floor
 	}
 	if sum > a.total {
-		return fmt.Errorf("%w: %d, %d expected at most", ErrFloors, sum, a.total)
+		return fmt.Errorf("%w: %d exceeds %d", ErrFloors, sum, a.total)
 	}
 	return nil
 }
 
-// removeUnused removes consumers that are not named and have nothing in use.
+// removeUnused removes the consumers that are not in names and have nothing in use.
 func (a *Allocator) removeUnused(names []string) {
 	named := map[string]bool{}
 	for _, name := range names {
@@ -105,13 +109,13 @@
 	a.order = kept
 }
 
-// Total returns the total.
+// Total returns the total capacity.
 func (a *Allocator) Total() int64 { return a.total }
 
-// InUse returns what all consumers have in use together.
+// InUse returns the capacity that all consumers have in use together.
 func (a *Allocator) InUse() int64 { return a.inUse }
 
-// InUseBy returns what one consumer has in use.
+// InUseBy returns the capacity that one consumer has in use.
 func (a *Allocator) InUseBy(name string) int64 {
 	if c := a.consumers[name]; c != nil {
 		return c.inUse
@@ -119,7 +123,7 @@
 	return 0
 }
 
-// Acquire gives a consumer n more, or nothing, and reports which.
+// Acquire acquires n units for a consumer, or nothing. It reports whether it acquired them.
 func (a *Allocator) Acquire(now int64, name string, n int64) bool {
 	c := a.consumers[name]
 	if c == nil || n <= 0 || n > a.total {
@@ -134,7 +138,7 @@
 	return true
 }
 
-// Release takes n back from a consumer; more than it has in use counts as all.
+// Release releases n units of a consumer, or all that the consumer has in use if that is less.
 func (a *Allocator) Release(name string, n int64) {
 	c := a.consumers[name]
 	if c == nil || n <= 0 {
@@ -145,27 +149,28 @@
 	a.inUse -= n
 }
 
-// MarkStarved says that a consumer goes without what Acquire denied it, whatever others could give
-// back.
+// MarkStarved marks a consumer as starved. The caller calls it after Acquire has denied capacity
+// that other consumers could not free.
 func (a *Allocator) MarkStarved(now int64, name string) {
 	if c := a.consumers[name]; c != nil {
 		c.starvedUntil = now + StarvationPeriod
 	}
 }
 
-// Borrower is what a consumer has in use beyond its floor.
+// Borrower is a consumer that has more than its floor in use.
 type Borrower struct {
 	Name          string
-	OverFairShare bool // beyond its fair share too, or while the starved one lacks its floor
+	OverFairShare bool // it has more than its fair share, or the consumer in need lacks its floor
 }
 
-// Borrowers returns the others that have borrowed something, where name could have more of it, those
-// first that have borrowed most. What they keep idle is to be given back; what is in use only where
-// they are Overdrawn, and by keeping nothing new.
+// Borrowers returns the other consumers that have borrowed capacity, largest amount first, or nil
+// if the named consumer would get nothing of what they release. Borrowers are expected to release
+// resources that they keep idle. A borrower with OverFairShare set is also expected to release
+// resources in use, by not keeping them once they become idle.
 func (a *Allocator) Borrowers(now int64, name string) []Borrower {
 	c := a.consumers[name]
-	if c == nil || c.inUse >= c.floor && a.othersStarve(now, c) && c.borrowed() >= a.fairShare(now, c) {
-		return nil // it would get nothing of what others give back
+	if c == nil || c.inUse >= c.floor && a.othersStarved(now, c) && c.borrowed() >= a.fairShare(now, c) {
+		return nil // c would get nothing of what others release
 	}
 	var borrowers []*consumer
 	for _, other := range a.order {
@@ -182,10 +187,11 @@
 	return excesses
 }
 
-// OverFairShare reports whether a consumer has borrowed more than its fair share while another is
-// starved: what it keeps idle is to be given back.
+// OverFairShare reports whether a consumer has borrowed capacity while another consumer is starved,
+// and either has more than its fair share or another consumer lacks its floor. Such a consumer has
+// to release the resources that it keeps idle.
 func (a *Allocator) OverFairShare(now int64, name string) bool {
 	c := a.consumers[name]
-	return c != nil && c.borrowed() > 0 && a.othersStarve(now, c) &&
+	return c != nil && c.borrowed() > 0 && a.othersStarved(now, c) &&
 		(c.borrowed() > a.fairShare(now, c) || a.othersLackFloor(now, c))
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// newAllocator returns an Allocator with consumers "a", "b" and so on.
+// newAllocator returns an Allocator with consumers named by names.
 func newAllocator(t *testing.T, total int64, floors ...int64) *Allocator {
 	t.Helper()
 	a, err := New(total)
@@ -21,7 +21,7 @@
 	return a
 }
 
-// names returns n names.
+// names returns n consumer names: "a", "b" and so on.
 func names(n int) []string {
 	var out []string
 	for i := range n {
@@ -30,7 +30,8 @@
 	return out
 }
 
-// acquireAll acquires one at a time until it is denied, and returns how many that was.
+// acquireAll acquires single units until one is denied, marks the consumer as starved and returns
+// the number of units acquired.
 func acquireAll(a *Allocator, now int64, name string) (n int) {
 	for a.Acquire(now, name, 1) {
 		n++
@@ -39,59 +40,60 @@
 	return n
 }
 
-// One pool takes all that is free while another is idle; that one still gets its floor at once, and
-// a second later, when the first has ended what it had beyond its share, its fair share. Then the
-// same the other way round.
-func TestBorrowedIsGivenBack(t *testing.T) {
+// A consumer borrows all free capacity while another is idle. The idle consumer must still get its
+// floor at once, and its fair share within a second, as the borrower releases what it has beyond
+// its own fair share. The test then repeats with exchanged roles.
+func TestBorrowedCapacityIsReleased(t *testing.T) {
 	a := newAllocator(t, 100, 20, 10, 10)
 	now := int64(0)
 	if n := acquireAll(a, now, "b"); n != 70 {
-		t.Fatalf("alone, b got %d of the 10 and 60 that it could have", n)
+		t.Fatalf("b alone acquired %d, want 70: its floor of 10 and 60 borrowed", n)
 	}
 	for _, turn := range []struct{ starved, borrower string }{{"c", "b"}, {"b", "c"}} {
 		before := a.InUseBy(turn.starved)
 		got := acquireAll(a, now, turn.starved)
 		if before+int64(got) < 10 {
-			t.Fatalf("%s got %d, less than its floor", turn.starved, got)
+			t.Fatalf("%s acquired %d, less than its floor", turn.starved, got)
 		}
-		excesses := a.Borrowers(now, turn.starved)
-		if !slices.Equal(excesses, []Borrower{{turn.borrower, true}}) || !a.OverFairShare(now, turn.borrower) {
-			t.Fatalf("excesses for %s: %v", turn.starved, excesses)
+		borrowers := a.Borrowers(now, turn.starved)
+		if !slices.Equal(borrowers, []Borrower{{turn.borrower, true}}) || !a.OverFairShare(now, turn.borrower) {
+			t.Fatalf("borrowers for %s: got %v, want %s over its fair share", turn.starved, borrowers, turn.borrower)
 		}
-		for a.overFairShare(turn.borrower) { // its requests end one by one, and it asks for more all the time
+		for a.exceedsFairShare(turn.borrower) { // requests end one by one while new ones arrive
 			a.Release(turn.borrower, 1)
-			if a.Acquire(now, turn.borrower, 1) && a.overFairShare(turn.borrower) {
-				t.Fatalf("%s got more while %s is starved", turn.borrower, turn.starved)
+			if a.Acquire(now, turn.borrower, 1) && a.exceedsFairShare(turn.borrower) {
+				t.Fatalf("%s acquired more while %s is starved", turn.borrower, turn.starved)
 			}
 			if !a.Acquire(now, turn.starved, 1) {
-				t.Fatalf("%s did not get what was given back", turn.starved)
+				t.Fatalf("%s did not get the released unit", turn.starved)
 			}
-			a.MarkStarved(now, turn.starved) // it needs still more
+			a.MarkStarved(now, turn.starved) // it needs more
 		}
 		acquireAll(a, now, turn.starved)
 		if x, y := a.InUseBy(turn.borrower), a.InUseBy(turn.starved); x != 40 || y != 40 {
-			t.Errorf("then %s has %d and %s %d", turn.borrower, x, turn.starved, y)
+			t.Errorf("after the release %s has %d and %s has %d, want 40 each", turn.borrower, x, turn.starved, y)
 		}
-		a.Release(turn.borrower, a.InUseBy(turn.borrower)) // it falls idle
+		a.Release(turn.borrower, a.InUseBy(turn.borrower)) // it becomes idle
 		now += StarvationPeriod
 		acquireAll(a, now, turn.starved)
 		if a.InUseBy(turn.starved) != 70 {
-			t.Errorf("alone again, %s has %d", turn.starved, a.InUseBy(turn.starved))
+			t.Errorf("%s alone has %d, want 70", turn.starved, a.InUseBy(turn.starved))
 		}
 	}
 	if n := acquireAll(a, now, "a"); n != 20 {
-		t.Errorf("a got %d of its floor of 20", n)
+		t.Errorf("a acquired %d, want its floor of 20", n)
 	}
 }
 
-// overFairShare reports whether a consumer has borrowed more than its fair share.
-func (a *Allocator) overFairShare(name string) bool {
+// exceedsFairShare reports whether a consumer has borrowed more than its fair share.
+func (a *Allocator) exceedsFairShare(name string) bool {
 	c := a.consumers[name]
 	return c.borrowed() > a.fairShare(0, c)
 }
 
-// Whatever happens in whatever order, the total holds and a floor can be had at any time.
-func TestTotalAndFloorsHold(t *testing.T) {
+// For random sequences of operations, the total is never exceeded and every consumer can acquire up
+// to its floor at any time.
+func TestFloorsAreGuaranteedWithinTotal(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for range 200 {
 		total := int64(20 + random.IntN(200))
@@ -115,10 +117,10 @@
 					a.MarkStarved(now, consumers[i])
 				}
 				if !ok && before+n <= floors[i] {
-					t.Fatalf("%s has %d of its floor %d and got no %d more: %+v", consumers[i], before, floors[i], n, a)
+					t.Fatalf("%s has %d of its floor %d and was denied %d: %+v", consumers[i], before, floors[i], n, a)
 				}
 				if ok != (a.InUseBy(consumers[i]) == before+n) {
-					t.Fatal("the count is wrong")
+					t.Fatal("result of Acquire does not match the change of InUseBy")
 				}
 			case 3:
 				a.Release(consumers[i], n)
@@ -128,14 +130,14 @@
 				sum += a.InUseBy(name)
 			}
 			if sum != a.InUse() || sum > total {
-				t.Fatalf("%d in use, %d by the count, of %d", sum, a.InUse(), total)
+				t.Fatalf("consumers have %d in use, InUse returns %d, total is %d", sum, a.InUse(), total)
 			}
 		}
 	}
 }
 
-// New floors hold from now on; what was borrowed before stays until it is released, and the total
-// holds throughout.
+// New floors take effect at once. Capacity that was borrowed before stays in use until it is
+// released, and the total is never exceeded.
 func TestSetFloors(t *testing.T) {
 	a := newAllocator(t, 100, 10, 10)
 	acquireAll(a, 0, "a")
@@ -143,36 +145,36 @@
 		t.Fatal(err)
 	}
 	if a.InUseBy("a") != 90 || a.Acquire(0, "a", 1) {
-		t.Errorf("a has %d and may have more", a.InUseBy("a"))
+		t.Errorf("a has %d in use, want 90 and no more granted", a.InUseBy("a"))
 	}
 	if n := acquireAll(a, 0, "b") + acquireAll(a, 0, "c"); n != 10 || a.InUse() != 100 {
-		t.Errorf("%d more acquired, %d in use", n, a.InUse())
+		t.Errorf("b and c acquired %d, in use are %d; want 10 and 100", n, a.InUse())
 	}
-	if excesses := a.Borrowers(0, "c"); !slices.Equal(excesses, []Borrower{{"a", true}}) {
-		t.Errorf("excesses: %v", excesses)
+	if borrowers := a.Borrowers(0, "c"); !slices.Equal(borrowers, []Borrower{{"a", true}}) {
+		t.Errorf("borrowers for c: got %v, want a over its fair share", borrowers)
 	}
 	a.Release("a", 90)
 	if n, m := acquireAll(a, 0, "b"), acquireAll(a, 0, "c"); a.InUseBy("b") != 60 || a.InUseBy("c") != 40 {
-		t.Errorf("then %d and %d more", n, m)
+		t.Errorf("after the release b and c acquired %d and %d, want in total 60 and 40", n, m)
 	}
 	if err := a.SetFloors([]string{"b", "c"}, []int64{60, 41}); !errors.Is(err, ErrFloors) {
-		t.Errorf("got %v", err)
+		t.Errorf("floors above the total: got error %v, want %v", err, ErrFloors)
 	}
 	if err := a.SetFloors([]string{"b"}, []int64{-1}); err == nil {
-		t.Error("a negative floor is no error")
+		t.Error("negative floor: got no error")
 	}
 	a.Release("c", 1000)
 	if a.InUseBy("c") != 0 {
-		t.Errorf("c has %d", a.InUseBy("c"))
+		t.Errorf("c has %d in use after releasing more than all, want 0", a.InUseBy("c"))
 	}
 	if err := a.SetFloors([]string{"b"}, []int64{60}); err != nil {
 		t.Fatal(err)
 	}
 	if len(a.consumers) != 1 || len(a.order) != 1 {
-		t.Errorf("%d consumers left", len(a.consumers))
+		t.Errorf("%d consumers and %d in order, want 1 each", len(a.consumers), len(a.order))
 	}
 	if a.Acquire(0, "nobody", 1) || a.Acquire(0, "b", 0) || a.Acquire(0, "b", 1e9) {
-		t.Error("acquired")
+		t.Error("Acquire succeeded for an unknown consumer, for 0 units or for more than the total")
 	}
 }
 
--- a/internal/route/canonical_test.go
+++ b/internal/route/canonical_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// invalid stands for an error in the tables below.
+// invalid marks an expected error in the tables below.
 const invalid = "!"
 
 func TestCanonicalPath(t *testing.T) {
--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -7,13 +7,14 @@
 	"strings"
 )
 
-// rule is a Match in canonical form.
+// rule is a compiled Match.
 type rule struct {
 	Match
-	hosts []string // canonical; empty where the host of that place is invalid
+	hosts []string // canonical forms of Match.Hosts; "" for an invalid host
 }
 
-// compile checks a rule and brings it to its canonical form. All that is wrong with it is joined.
+// compile validates a rule and converts it to canonical form. The error joins all errors of the
+// rule.
 func compile(m Match) (rule, error) {
 	r := rule{Match: m}
 	var errs []error
@@ -44,7 +45,7 @@
 	return r, errors.Join(errs...)
 }
 
-// canonicalHostPattern brings an exact host or *.suffix to its canonical form.
+// canonicalHostPattern converts an exact host or *.suffix to canonical form.
 func canonicalHostPattern(pattern string) (string, error) {
 	name, isSuffix := strings.CutPrefix(pattern, "*.")
 	host, err := CanonicalHost(name)
@@ -61,7 +62,7 @@
 	return host, nil
 }
 
-// checkPath reports what is wrong with a rule's path.
+// checkPath returns an error if the rule's path is invalid.
 func (r *rule) checkPath() error {
 	plain := r.Path // without braces
 	if r.Kind == Template {
@@ -70,7 +71,7 @@
 			return err
 		}
 	} else if strings.ContainsAny(plain, "{}") {
-		return fmt.Errorf("path %q: braces stand in templates alone", r.Path)
+		return fmt.Errorf("path %q: braces are allowed only in templates", r.Path)
 	}
 	canonical, err := CanonicalPath(plain)
 	switch {
@@ -79,17 +80,17 @@
 	case canonical != plain && r.Kind != Template:
 		return fmt.Errorf("path %q: requests are matched in canonical form, write %q", r.Path, canonical)
 	case strings.Contains(canonical, "%2F") || strings.Contains(canonical, "%5C"):
-		return fmt.Errorf("path %q: an encoded slash may be read in two ways, so no route can tell by it", r.Path)
+		return fmt.Errorf("path %q: an encoded slash is ambiguous, so no route can match by it", r.Path)
 	case canonical != plain:
 		return fmt.Errorf("path %q: not in canonical form", r.Path)
 	case r.Kind == Prefix && plain != "/" && strings.HasSuffix(plain, "/"):
 		withoutSlash := strings.TrimRight(plain, "/")
-		return fmt.Errorf("path %q: a prefix ends with a whole segment, write %q", r.Path, withoutSlash)
+		return fmt.Errorf("path %q: a prefix must not end with a slash, write %q", r.Path, withoutSlash)
 	}
 	return nil
 }
 
-// checkTemplate reports a segment of a template that has braces and is not {name}.
+// checkTemplate returns an error if a segment of a template has braces but is not {name}.
 func checkTemplate(path string) error {
 	for segment := range strings.SplitSeq(path, "/") {
 		if !strings.ContainsAny(segment, "{}") {
--- a/internal/route/compile_test.go
+++ b/internal/route/compile_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// ruleErrors returns the errors that New has joined; none for nil.
+// ruleErrors returns the errors that New has joined, or none for a nil error.
 func ruleErrors(t *testing.T, err error) []*RuleError {
 	t.Helper()
 	if err == nil {
@@ -15,13 +15,13 @@
 	}
 	var joined interface{ Unwrap() []error }
 	if !errors.As(err, &joined) {
-		t.Fatalf("not joined: %v", err)
+		t.Fatalf("not a joined error: %v", err)
 	}
 	var ruleErrs []*RuleError
 	for _, e := range joined.Unwrap() {
 		var ruleErr *RuleError
 		if !errors.As(e, &ruleErr) {
-			t.Fatalf("not of one rule: %v", e)
+			t.Fatalf("not a RuleError: %v", e)
 		}
 		ruleErrs = append(ruleErrs, ruleErr)
 	}
@@ -114,7 +114,7 @@
 		for _, ruleErr := range ruleErrors(t, err) {
 			var shadowedErr *ShadowedError
 			if !errors.As(ruleErr, &shadowedErr) {
-				t.Errorf("%s: %v", name, ruleErr)
+				t.Errorf("%s: not a ShadowedError: %v", name, ruleErr)
 			}
 			shadowed = append(shadowed, ruleErr.Rule)
 		}
--- a/internal/route/host.go
+++ b/internal/route/host.go
@@ -5,19 +5,20 @@
 	"strings"
 )
 
-// MaxHostBytes bounds the bytes of a host with its port (RFC 1035, section 2.3.4).
+// MaxHostBytes is the maximum length of a host with its port, in bytes (RFC 1035, section 2.3.4).
 const MaxHostBytes = 255
 
-// CanonicalHost brings a Host field or an :authority to the form that rules are matched by: lower
-// case, without port, without one trailing dot. The empty host stays empty; only rules for any host
-// match it. An IPv6 literal keeps its brackets. Anything that is no host by RFC 3986, section
-// 3.2.2, is a *HostError, names with percent-encoding included.
+// CanonicalHost converts a Host field or an :authority to the form in which rules are matched:
+// lower case, without the port and without one trailing dot. An empty host stays empty and is
+// matched only by rules for any host. An IPv6 literal keeps its brackets. CanonicalHost returns a
+// *HostError if the value is not a host of RFC 3986, section 3.2.2, or is a name with
+// percent-encoding.
 func CanonicalHost(host string) (string, error) {
 	if len(host) > MaxHostBytes {
 		return "", &HostError{fmt.Sprintf("%d bytes, at most %d", len(host), MaxHostBytes)}
 	}
 	if strings.HasPrefix(host, "[") {
-		return canonicalLiteral(host)
+		return canonicalIPLiteral(host)
 	}
 	name := host
 	if i := strings.IndexByte(name, ':'); i >= 0 {
@@ -36,8 +37,8 @@
 	return canonicalName(name)
 }
 
-// canonicalLiteral returns an IPv6 address in brackets in lower case, without the port behind it.
-func canonicalLiteral(host string) (string, error) {
+// canonicalIPLiteral returns a bracketed IPv6 address in lower case and without its port.
+func canonicalIPLiteral(host string) (string, error) {
 	end := strings.IndexByte(host, ']')
 	if end < 0 {
 		return "", &HostError{"[ without ]"}
@@ -53,7 +54,7 @@
 	return strings.ToLower(host[:end+1]), nil
 }
 
-// canonicalName returns a name without port in lower case; the empty one stays empty.
+// canonicalName returns a name without port in lower case. An empty name stays empty.
 func canonicalName(name string) (string, error) {
 	hasUpper, last := false, byte('.')
 	for i := range len(name) {
@@ -78,7 +79,7 @@
 	return name, nil
 }
 
-// checkPort checks what follows a host: nothing, or a colon and at most five digits.
+// checkPort checks the part after a host, which is empty or a colon and at most five digits.
 func checkPort(s string) error {
 	if s == "" {
 		return nil
--- a/internal/route/linear_test.go
+++ b/internal/route/linear_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// linearMatch tries rules one by one, by their definition alone.
+// linearMatch returns the index of the first matching rule by the definition of a match, or -1.
 func linearMatch(rules []Match, host, path, method string) int {
 	return slices.IndexFunc(rules, func(m Match) bool {
 		return hostMatches(m, host) && pathMatches(m, path) &&
@@ -42,13 +42,13 @@
 	return false
 }
 
-// randomRules draws rules and requests over few hosts and segments, so that they overlap.
+// randomRules generates rules and requests with few hosts and segments, so that they overlap.
 type randomRules struct{ *rand.Rand }
 
-// pick returns one of the words.
+// pick returns a random word.
 func (r randomRules) pick(words ...string) string { return words[r.IntN(len(words))] }
 
-// path returns a path of one to maxSegments segments.
+// path returns a random path of one to maxSegments segments.
 func (r randomRules) path(maxSegments int, segments ...string) string {
 	path := ""
 	for range r.IntN(maxSegments) + 1 {
@@ -57,7 +57,7 @@
 	return path
 }
 
-// rules returns one to eight rules.
+// rules returns one to eight random rules.
 func (r randomRules) rules() []Match {
 	var rules []Match
 	for range 1 + r.IntN(8) {
@@ -78,7 +78,7 @@
 	return rules
 }
 
-// request returns a request.
+// request returns a random request.
 func (r randomRules) request() Request {
 	host := r.pick("", "a", "b.a", "c.b.a", "c", "d")
 	return Request{
@@ -87,8 +87,8 @@
 	}
 }
 
-// The compiled table agrees with a linear search over the rules, and a rule is called shadowed only
-// if the search never ends at it.
+// The compiled table returns the same rule as a linear search, and a rule that was reported as
+// shadowed is never the result of the search.
 func TestMatchAgreesWithLinearSearch(t *testing.T) {
 	random := randomRules{rand.New(rand.NewPCG(1, 2))}
 	for range 400 {
@@ -105,7 +105,7 @@
 				t.Fatalf("%+v: got %d, %v, want %d of %+v", r, got, err, want, rules)
 			}
 			if shadowed[want] {
-				t.Fatalf("%+v reaches rule %d of %+v, which was called shadowed", r, want, rules)
+				t.Fatalf("%+v matches rule %d of %+v, which was reported as shadowed", r, want, rules)
 			}
 		}
 	}
--- a/internal/route/match_test.go
+++ b/internal/route/match_test.go
@@ -43,17 +43,17 @@
 		{getRequest("API.Example.ORG.:8443", "/a/b"), 0},
 		{getRequest("api.example.org", "/a/b/"), -1},
 		{getRequest("api.example.org", "/a/c"), 3},
-		{getRequest("api.example.org", "/a/"), -1}, // a template's segment is not empty
+		{getRequest("api.example.org", "/a/"), -1}, // {id} does not match an empty segment
 		{getRequest("[::1]:80", "/a/c"), 3},
 		{getRequest("[::1]", "/a/c/d"), -1},
 		{Request{Method: "POST", Host: "x.y.example.org", Path: "/a"}, 1},
 		{Request{Method: "POST", Host: "x.y.example.org", Path: "/ab"}, -1},
-		{Request{Method: "POST", Host: "example.org", Path: "/a"}, 4}, // the star stands for a label at least
+		{Request{Method: "POST", Host: "example.org", Path: "/a"}, 4}, // * matches at least one label
 		{withHeader(map[string][]string{"X-Tier": {"tin", "gold"}, "X-Id": {""}}), 2},
 		{withHeader(map[string][]string{"X-Tier": {"Gold"}, "X-Id": {""}}), -1},
 		{withHeader(map[string][]string{"X-Tier": {"gold"}}), -1},
 		{getRequest("", "/users/7/calls/9"), 5},
-		{getRequest("anything", "/users/me/calls/9"), 5}, // order decides, not how exact a rule is
+		{getRequest("anything", "/users/me/calls/9"), 5}, // the first rule wins, not the most specific
 		{getRequest("anything", "/users/me/calls"), 6},
 		{getRequest("anything", "/"), -1},
 	} {
@@ -64,8 +64,9 @@
 	}
 }
 
-// The path is forwarded as received. One that another reader may take for another route's is
-// rejected: it would get there with the permissions and the retry rule of the wrong one.
+// The path is forwarded as received, so a path that a backend may interpret as another route's must
+// be rejected. Otherwise the request would have the permissions and the retry rule of the wrong
+// route.
 func TestMatchRejectsAmbiguousPaths(t *testing.T) {
 	table := newTable(t, Match{Path: "/charge"}, Match{Path: "/tariff"})
 	for path, want := range map[string]int{
@@ -73,7 +74,7 @@
 		"/tariff//x":                    1,
 		"/tariff/a/../b":                1,
 		"/charge/./x":                   0,
-		"/%63harge/x":                   -2, // literally no route's
+		"/%63harge/x":                   -2, // matches no route as received
 		"/charge/../tariff/x":           -2,
 		"/tariff/../charge/x":           -2,
 		"/tariff/%2e%2e/charge/x":       -2,
@@ -115,12 +116,12 @@
 			got = "!"
 		}
 		if got != c.want {
-			t.Errorf("%s by %s: got %q, want %q", c.path, c.replacement, got, c.want)
+			t.Errorf("rule %d, path %s, replacement %s: got %q, want %q", c.rule, c.path, c.replacement, got, c.want)
 		}
 	}
 }
 
-// The cost of a match is asserted by what it allocates; its time is in the benchmarks.
+// The test checks allocations as the cost of a match. Benchmarks measure the time.
 func TestMatchDoesNotAllocate(t *testing.T) {
 	table, requests := newLargeTable(t, 1000)
 	if n := testing.AllocsPerRun(100, func() {
@@ -128,12 +129,12 @@
 			_, _ = table.Match(r)
 		}
 	}); n != 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("got %v allocations, want 0", n)
 	}
 }
 
-// newLargeTable returns a table of n exact and prefix rules over hosts, and requests that match,
-// some of them late and some none.
+// newLargeTable returns a table of n exact and prefix rules for 100 hosts, and requests that match
+// rules throughout the table, and some that match none.
 func newLargeTable(tb testing.TB, n int) (*Table, []Request) {
 	tb.Helper()
 	var rules []Match
@@ -189,13 +190,13 @@
 		}
 		canon, err := CanonicalPath(path)
 		if err != nil {
-			t.Fatalf("%q matched and has no canonical form: %v", path, err)
+			t.Fatalf("path %q matched but has no canonical form: %v", path, err)
 		}
 		if again, err := CanonicalPath(canon); err != nil || again != canon {
-			t.Fatalf("%q: canonical %q, then %q, %v", path, canon, again, err)
+			t.Fatalf("path %q: canonical form %q, second canonical form %q, %v", path, canon, again, err)
 		}
 		if strings.Contains(canon, "//") || strings.Contains(canon+"/", "/../") || strings.Contains(canon+"/", "/./") {
-			t.Fatalf("%q: canonical %q", path, canon)
+			t.Fatalf("path %q: canonical form %q has empty or dot segments", path, canon)
 		}
 		// The same request in canonical form matches the same rule.
 		h, err := CanonicalHost(host)
@@ -203,7 +204,7 @@
 			t.Fatal(err)
 		}
 		if j, err := table.Match(Request{Method: "GET", Host: h, Path: canon}); err != nil || j != i {
-			t.Fatalf("%q %q: rule %d, in canonical form %q %q: %d, %v", host, path, i, h, canon, j, err)
+			t.Fatalf("%q %q: rule %d; canonical form %q %q: rule %d, %v", host, path, i, h, canon, j, err)
 		}
 	})
 }
--- a/internal/route/path.go
+++ b/internal/route/path.go
@@ -5,21 +5,21 @@
 	"strings"
 )
 
-// Bounds of a path.
+// Limits of a path.
 const (
-	MaxPathBytes    = 8192 // bytes
+	MaxPathBytes    = 8192
 	MaxPathSegments = 128
 )
 
-// CanonicalPath brings a path as received (no query) to the form that rules are matched by:
-// percent-encoded unreserved characters are decoded and other encodings get upper-case digits (RFC
-// 3986, section 6.2.2), repeated slashes count as one, and dot segments, also encoded ones, are
-// removed (section 5.2.4). An encoded slash stays a character of its segment. A trailing slash
-// counts.
+// CanonicalPath converts a path as received, without the query, to the form in which rules are
+// matched. Percent-encoded unreserved characters are decoded, and other encodings get upper-case
+// digits (RFC 3986, section 6.2.2). Repeated slashes are merged. Dot segments, including encoded
+// ones, are removed (section 5.2.4). An encoded slash remains part of its segment. A trailing slash
+// is significant and kept.
 //
-// It returns a *PathError for a path that does not begin with a slash, leads above the root, holds
-// a control character, a space, a backslash, a byte over 0x7E, a broken encoding or an encoded
-// control character, or is over MaxPath or MaxSegments.
+// CanonicalPath returns a *PathError if the path does not begin with a slash, leads above the root,
+// contains a control character, a space, a backslash, a byte over 0x7E, an invalid percent-encoding
+// or an encoded control character, or exceeds MaxPathBytes or MaxPathSegments.
 func CanonicalPath(raw string) (string, error) {
 	if raw == "" || raw[0] != '/' {
 		return "", &PathError{"does not begin with a slash"}
@@ -37,8 +37,8 @@
 	return removeDotSegments(normalizeEncoding(raw))
 }
 
-// scanPath checks the bytes and the number of segments of a path and reports whether it surely is
-// canonical.
+// scanPath checks the bytes and the number of segments of a path. It returns true only if the path
+// is certainly canonical.
 func scanPath(raw string) (canonical bool, err error) {
 	canonical = true
 	segments := 0
@@ -64,7 +64,7 @@
 	return canonical, nil
 }
 
-// checkEncoding checks the percent-encoding that s begins with.
+// checkEncoding checks the percent-encoding at the start of s.
 func checkEncoding(s string) error {
 	c, ok := decodePercent(s)
 	if !ok {
@@ -76,7 +76,8 @@
 	return nil
 }
 
-// normalizeEncoding decodes what need not be encoded, and writes the other encodings in one way.
+// normalizeEncoding decodes unreserved characters and writes other encodings with upper-case
+// digits.
 func normalizeEncoding(raw string) string {
 	var b strings.Builder
 	for i := 0; i < len(raw); i++ {
@@ -84,7 +85,7 @@
 			b.WriteByte(raw[i])
 			continue
 		}
-		c, _ := decodePercent(raw[i:]) // scanPath has checked it
+		c, _ := decodePercent(raw[i:]) // valid, as checked by scanPath
 		if isAlphanumeric(c) || strings.IndexByte("-._~", c) >= 0 {
 			b.WriteByte(c)
 		} else {
@@ -95,7 +96,7 @@
 	return b.String()
 }
 
-// removeDotSegments removes dot segments and empty segments, but keeps a trailing slash.
+// removeDotSegments removes dot segments and empty segments and keeps a trailing slash.
 func removeDotSegments(path string) (string, error) {
 	var out []string
 	segments := strings.Split(path[1:], "/")
@@ -118,20 +119,20 @@
 	return "/" + strings.Join(out, "/"), nil
 }
 
-// readings are the ways in which a path may be read by a backend, which gets it as received.
-type readings struct {
-	canonical string // by which a rule is chosen
-	literal   string // as received; empty if that is the same
-	decoded   string // with encoded slashes taken for slashes; empty if there are none
+// interpretations holds the ways in which a backend, which gets the path as received, may read it.
+type interpretations struct {
+	canonical string // canonical form, by which the rule is selected
+	literal   string // form as received; empty if it equals canonical
+	decoded   string // canonical form with %2F and %5C read as slashes; empty if it contains neither
 }
 
-// readPath returns the readings of a path as received.
-func readPath(raw string) (readings, error) {
+// interpretPath returns the interpretations of a path as received.
+func interpretPath(raw string) (interpretations, error) {
 	canonical, err := CanonicalPath(raw)
 	if err != nil {
-		return readings{}, err
+		return interpretations{}, err
 	}
-	r := readings{canonical: canonical}
+	r := interpretations{canonical: canonical}
 	if canonical == raw && strings.IndexByte(raw, '%') < 0 {
 		return r, nil
 	}
@@ -160,7 +161,7 @@
 	return c - 'a' + 10
 }
 
-// decodePercent decodes the percent-encoding that s begins with and reports whether there is one.
+// decodePercent decodes the percent-encoding at the start of s and reports whether it is valid.
 func decodePercent(s string) (byte, bool) {
 	if len(s) < len("%2F") || !isHex(s[1]) || !isHex(s[2]) {
 		return 0, false
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,13 +1,14 @@
-// Package route finds the rule that a request is for, and deals requests out among the arms of a
-// split. It is pure: no I/O, no clock, no global state; randomness comes in as an argument.
+// Package route finds the rule that matches a request and distributes requests among the arms of a
+// split. The package is pure: it does no I/O, reads no clock and has no global state. Random
+// numbers are arguments.
 //
-// A Table is an ordered list of rules, of which the first that matches decides. It is compiled into
-// a tree of path segments for each host pattern (tree.go), so that the cost of a match grows with
-// the length of the path and not with the number of exact and prefix rules. Hosts and paths are
-// matched in canonical form (host.go, path.go). Rules that no request can reach are found when a
-// table is compiled (shadowed.go).
+// A [Table] is an ordered list of rules, of which the first matching one applies. The rules of each
+// host pattern are compiled into a tree of path segments (tree.go), so that the cost of a match
+// grows with the length of the path and not with the number of exact and prefix rules. Hosts and
+// paths are matched in canonical form (host.go, path.go). Compiling a table also finds rules that
+// no request can reach (shadowed.go).
 //
-// A Split assigns requests to arms by weight (split.go), and Assignments keep a key on its arm for
+// A [Split] assigns requests to arms by weight (split.go). [Assignments] keep a key on its arm for
 // a while after the weights have changed (assignments.go).
 package route
 
@@ -16,53 +17,53 @@
 	"strings"
 )
 
-// PathKind says how a rule's path is matched.
+// PathKind is the way in which a rule's path is matched.
 type PathKind int
 
-// The kinds of path.
+// The kinds of path matches.
 const (
-	Prefix   PathKind = iota // whole segments: /a matches /a, /a/ and /a/b, not /ab; / matches all
+	Prefix   PathKind = iota // prefix of whole segments: /a matches /a, /a/ and /a/b, not /ab; / matches all
 	Exact                    // the whole path
-	Template                 // the whole path, {name} standing for one segment that is not empty
+	Template                 // the whole path, where {name} matches one non-empty segment
 )
 
 // HeaderMatch is a condition on a header field.
 type HeaderMatch struct {
 	Name  string
-	Value string // one of the field's values equals this, byte for byte
-	Any   bool   // the field only has to be there; Value is empty
+	Value string // compared byte for byte; one of the field's values has to equal it
+	Any   bool   // any value matches if the field is present; Value is empty
 }
 
-// Match is what a rule asks of a request. What is empty asks nothing.
+// Match holds the conditions of a rule. An empty field matches every request.
 type Match struct {
-	Hosts   []string // exact, or *.suffix for names of at least one label more
+	Hosts   []string // alternatives: exact hosts, or *.suffix for names with at least one more label
 	Kind    PathKind
-	Path    string // canonical; empty stands for the prefix /
-	Methods []string
-	Headers []HeaderMatch // all of them
+	Path    string        // in canonical form; empty means the prefix /
+	Methods []string      // alternatives
+	Headers []HeaderMatch // conditions that all have to be met
 }
 
-// Request is what rules are matched against.
+// Request holds the parts of a request that rules are matched against.
 type Request struct {
 	Method string
 	Host   string              // as received
 	Path   string              // as received, without the query
-	Header map[string][]string // by canonical names, as in net/textproto
+	Header map[string][]string // by canonical name, as in net/textproto
 }
 
-// Table is a compiled list of rules. It does not change and may be used by many goroutines.
+// Table is a compiled list of rules. It is immutable and safe for concurrent use.
 type Table struct {
 	rules           []rule
-	exact           map[string]*node // by host
-	suffixes        map[string]*node // by what follows the star's dot
-	anyHost         *node
-	maxSuffixLabels int // of the longest suffix
+	exactHosts      map[string]*node // trees of exact hosts, by host
+	suffixHosts     map[string]*node // trees of *.suffix patterns, by suffix
+	anyHost         *node            // tree of the rules without hosts
+	maxSuffixLabels int              // number of labels of the longest suffix
 }
 
-// New compiles rules in the order in which they are tried. Errors are joined, each a *RuleError.
-// The table has the valid rules also if there are errors.
+// New compiles rules; earlier rules take precedence. The error joins a *RuleError for each invalid
+// rule. Even if there are errors, New returns a table with the valid rules.
 func New(rules []Match) (*Table, error) {
-	t := &Table{exact: map[string]*node{}, suffixes: map[string]*node{}, anyHost: &node{}}
+	t := &Table{exactHosts: map[string]*node{}, suffixHosts: map[string]*node{}, anyHost: &node{}}
 	var errs []error
 	for i, match := range rules {
 		r, err := compile(match)
@@ -73,32 +74,32 @@
 		}
 		t.insert(int32(i), &t.rules[i])
 	}
-	errs = append(errs, t.shadowed()...)
+	errs = append(errs, t.shadowErrors()...)
 	return t, errors.Join(errs...)
 }
 
-// Match returns the index of the first rule that matches, or -1 for none. The error is a
-// *HostError, a *PathError or ErrAmbiguous: the request's host or path is invalid. It allocates
-// nothing for canonical hosts and paths.
+// Match returns the index of the first matching rule, or -1 if no rule matches. If the request's
+// host or path is invalid, the error is a *HostError, a *PathError or ErrAmbiguousPath. Match
+// allocates nothing for canonical hosts and paths.
 func (t *Table) Match(r Request) (int, error) {
 	host, err := CanonicalHost(r.Host)
 	if err != nil {
 		return -1, err
 	}
-	readings, err := readPath(r.Path)
+	paths, err := interpretPath(r.Path)
 	if err != nil {
 		return -1, err
 	}
-	found := t.find(&r, host, readings.canonical)
-	if readings.literal != "" && t.find(&r, host, readings.literal) != found ||
-		readings.decoded != "" && t.find(&r, host, readings.decoded) != found {
+	found := t.find(&r, host, paths.canonical)
+	if paths.literal != "" && t.find(&r, host, paths.literal) != found ||
+		paths.decoded != "" && t.find(&r, host, paths.decoded) != found {
 		return -1, ErrAmbiguousPath
 	}
 	return found, nil
 }
 
-// Rewrite replaces the rule's prefix in a path as received. It returns false where the path does
-// not begin with the prefix as it is written, which happens in paths that are not canonical.
+// Rewrite replaces the rule's prefix in a path as received. It returns false if the path does not
+// begin with the literal prefix, which can be the case for a path that is not canonical.
 func (t *Table) Rewrite(rule int, path, replacement string) (string, bool) {
 	prefix := t.rules[rule].Path
 	if prefix == "/" {
--- a/internal/route/shadowed.go
+++ b/internal/route/shadowed.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// shadowed returns an error for each rule that no request can reach, since earlier rules match all
-// that it does.
-func (t *Table) shadowed() []error {
+// shadowErrors returns an error for each rule that no request can reach, because earlier rules
+// match all requests that the rule matches.
+func (t *Table) shadowErrors() []error {
 	var errs []error
 	for i := range t.rules {
 		r := &t.rules[i]
 		if r.Path == "" || r.Path[0] != '/' || slices.Contains(r.hosts, "") {
-			continue // invalid: compile has said so
+			continue // invalid, as already reported by compile
 		}
 		if by := t.shadowedBy(i); by >= 0 {
 			errs = append(errs, &RuleError{Rule: i, Err: &ShadowedError{By: by}})
@@ -21,9 +21,9 @@
 	return errs
 }
 
-// shadowedBy returns the last of the earlier rules that together match all that a rule does, or -1
-// if some of it is left. Hosts and methods are looked at one by one: each may be covered by another
-// rule.
+// shadowedBy returns the last of the earlier rules that together match all requests of a rule, or
+// -1 if the rule can be reached. Each combination of a host and a method is checked separately,
+// because each may be covered by a different rule.
 func (t *Table) shadowedBy(index int) int {
 	r := &t.rules[index]
 	last := -1
@@ -39,7 +39,8 @@
 	return last
 }
 
-// orAny returns conditions, or the empty one, which stands for any, if there are none.
+// orAny returns conditions, or a single empty condition, which matches any value, if there are
+// none.
 func orAny(conditions []string) []string {
 	if len(conditions) == 0 {
 		return []string{""}
@@ -47,8 +48,8 @@
 	return conditions
 }
 
-// coveredBy returns the first rule before index that matches all that this one does with one host
-// pattern and one method (empty: any), or -1.
+// coveredBy returns the first rule before index that matches all requests of the rule at index with
+// one host pattern and one method, or -1 if there is none. An empty host or method matches any.
 func (t *Table) coveredBy(index int, host, method string) int {
 	c := coverSearch{table: t, rule: &t.rules[index], method: method, best: index}
 	for _, tree := range t.treesCovering(host) {
@@ -60,8 +61,8 @@
 	return c.best
 }
 
-// treesCovering returns the trees of the host patterns that match all that one does: *.b.c lies
-// within *.b.c and *.c; a.b.c within a.b.c, *.b.c and *.c.
+// treesCovering returns the trees of the host patterns that match all hosts of a pattern: *.b.c is
+// covered by *.b.c and *.c, and a.b.c by a.b.c, *.b.c and *.c.
 func (t *Table) treesCovering(host string) []*node {
 	trees := []*node{t.anyHost}
 	if host == "" {
@@ -69,13 +70,13 @@
 	}
 	suffix, isSuffix := strings.CutPrefix(host, "*.")
 	if !isSuffix {
-		if tree := t.exact[host]; tree != nil {
+		if tree := t.exactHosts[host]; tree != nil {
 			trees = append(trees, tree)
 		}
 		_, suffix, _ = strings.Cut(host, ".")
 	}
 	for suffix != "" {
-		if tree := t.suffixes[suffix]; tree != nil {
+		if tree := t.suffixHosts[suffix]; tree != nil {
 			trees = append(trees, tree)
 		}
 		_, suffix, _ = strings.Cut(suffix, ".")
@@ -83,39 +84,39 @@
 	return trees
 }
 
-// coverSearch is one search for the first rule that matches all that a rule does with one method.
+// coverSearch is a search for the first rule that matches all requests of a rule with one method.
 type coverSearch struct {
 	table  *Table
 	rule   *rule
-	method string // empty: any
-	best   int    // index of the first rule found so far, or else of the rule itself
+	method string // empty means any method
+	best   int    // index of the first rule found so far; initially that of the rule itself
 }
 
-// walk follows the rule's path through a tree. A template's segment is covered by another
-// template's alone.
-func (c *coverSearch) walk(n *node, rest string, more bool) {
-	c.consider(n.below)
+// walk follows the rule's path through a tree. A {name} segment is covered only by a {name}
+// segment.
+func (c *coverSearch) walk(n *node, rest string, hasMore bool) {
+	c.consider(n.prefixRules)
 	if c.rule.Path == "/" && c.rule.Kind == Prefix {
 		return
 	}
-	if !more {
+	if !hasMore {
 		if c.rule.Kind != Prefix {
-			c.consider(n.ends)
+			c.consider(n.terminalRules)
 		}
 		return
 	}
-	segment, rest, more := strings.Cut(rest, "/")
+	segment, rest, hasMore := strings.Cut(rest, "/")
 	isParam := c.rule.Kind == Template && strings.HasPrefix(segment, "{")
 	if next := n.static[segment]; next != nil && !isParam {
-		c.walk(next, rest, more)
+		c.walk(next, rest, hasMore)
 	}
 	if n.param != nil && segment != "" {
-		c.walk(n.param, rest, more)
+		c.walk(n.param, rest, hasMore)
 	}
 }
 
-// consider takes the first of some rules whose conditions the rule implies, if it comes before the
-// best so far.
+// consider sets best to the first of the given rules whose conditions are implied by the rule's
+// conditions, if that rule comes before the current best.
 func (c *coverSearch) consider(rules []int32) {
 	for _, i := range rules {
 		if int(i) >= c.best {
@@ -132,8 +133,8 @@
 	}
 }
 
-// impliesAll reports whether a request that fulfils the rule's conditions on header fields fulfils
-// these too.
+// impliesAll reports whether every request that meets the rule's conditions on header fields also
+// meets the given conditions.
 func (c *coverSearch) impliesAll(conditions []HeaderMatch) bool {
 	for _, condition := range conditions {
 		implied := slices.ContainsFunc(c.rule.Headers, func(h HeaderMatch) bool {
--- a/internal/route/split.go
+++ b/internal/route/split.go
@@ -10,21 +10,21 @@
 
 // Arm is one arm of a split.
 type Arm struct {
-	Name   string // of a service; keys are assigned by it and not by the order of the arms
-	Weight int    // relative to those of the other arms; 0 gets nothing
+	Name   string // name of a service; keys are assigned by name, not by the order of the arms
+	Weight int    // weight relative to the other arms; 0 means no requests
 }
 
-// Split assigns requests to arms by their weights. It is sticky: by weighted rendezvous hashing one
-// key always goes to the same arm while the weights stay, and when the weight of one arm changes,
-// keys move to or from that arm alone, as many as the change requires. It does not change and may
-// be used by many goroutines.
+// Split assigns requests to arms by weight. Keys are assigned by weighted rendezvous hashing: a key
+// always goes to the same arm while the weights are unchanged, and when the weight of one arm
+// changes, keys move only to or from that arm, and no more keys than necessary. A Split is
+// immutable and safe for concurrent use.
 type Split struct {
 	salt        string
 	arms        []Arm
 	totalWeight int
 }
 
-// NewSplit returns a split; those with different salts assign keys independently of each other.
+// NewSplit returns a Split. Splits with different salts assign keys independently of each other.
 func NewSplit(salt string, arms []Arm) (*Split, error) {
 	s := &Split{salt: salt, arms: arms}
 	seen := map[string]bool{}
@@ -44,14 +44,14 @@
 	return s, nil
 }
 
-// ForKey returns the index of the arm that a key is assigned to.
+// ForKey returns the index of the arm to which a key is assigned.
 func (s *Split) ForKey(key string) int {
 	best, bestScore := -1, math.Inf(-1)
 	for i, arm := range s.arms {
 		if arm.Weight == 0 {
 			continue
 		}
-		// The hash as a number between 0 and 1, neither included.
+		// u is the hash as a number between 0 and 1, both excluded.
 		u := (float64(Hash(s.salt, key, arm.Name)>>11) + 0.5) / (1 << 53)
 		if score := -float64(arm.Weight) / math.Log(u); score > bestScore {
 			best, bestScore = i, score
@@ -60,7 +60,7 @@
 	return best
 }
 
-// Pick returns the index of the arm for a random number, for requests without a key.
+// Pick returns the index of the arm for a random number. It is for requests without a key.
 func (s *Split) Pick(random uint64) int {
 	left := int(random % uint64(s.totalWeight))
 	for i, arm := range s.arms {
@@ -69,12 +69,12 @@
 			return i
 		}
 	}
-	return len(s.arms) - 1 // not reached: left is below the sum of the weights
+	return len(s.arms) - 1 // unreachable, because left is less than the sum of the weights
 }
 
-// Hash returns a 64-bit hash of words that is the same in every process and version: FNV-1a over
-// each word and a byte that no UTF-8 text holds, and then the finalizer of MurmurHash3, without
-// which similar keys get similar hashes.
+// Hash returns a 64-bit hash of words that is the same in every process and version. It is FNV-1a
+// over each word followed by a byte that does not occur in UTF-8 text, and then the finalizer of
+// MurmurHash3. Without the finalizer, similar keys would get similar hashes.
 func Hash(words ...string) uint64 {
 	const offset, prime = 14695981039346656037, 1099511628211
 	h := uint64(offset)
--- a/internal/route/tree.go
+++ b/internal/route/tree.go
@@ -5,23 +5,23 @@
 	"strings"
 )
 
-// node is a place in the tree of the paths of one host pattern.
+// node is a node in the tree of path segments of one host pattern.
 type node struct {
-	static map[string]*node // by segment
-	param  *node            // for a segment {name}
-	ends   []int32          // rules whose path ends here, in order
-	below  []int32          // prefix rules: this place and all below it, in order
+	static        map[string]*node // children by literal segment
+	param         *node            // child for a {name} segment
+	terminalRules []int32          // indexes of exact and template rules whose path ends here, ascending
+	prefixRules   []int32          // indexes of prefix rules whose prefix ends here, ascending
 }
 
-// insert puts a rule into the tree of each of its hosts.
+// insert adds a rule to the tree of each of its hosts.
 func (t *Table) insert(index int32, r *rule) {
 	if len(r.hosts) == 0 {
 		t.anyHost.insert(index, r)
 	}
 	for _, host := range r.hosts {
-		trees, name := t.exact, host
+		trees, name := t.exactHosts, host
 		if suffix, ok := strings.CutPrefix(host, "*."); ok {
-			trees, name = t.suffixes, suffix
+			trees, name = t.suffixHosts, suffix
 			t.maxSuffixLabels = max(t.maxSuffixLabels, strings.Count(suffix, ".")+1)
 		}
 		if trees[name] == nil {
@@ -31,22 +31,22 @@
 	}
 }
 
-// insert puts a rule at the place of its path below n.
+// insert adds a rule at the node of its path below n.
 func (n *node) insert(index int32, r *rule) {
 	rest := r.Path[1:]
-	for more := r.Path != "/" || r.Kind != Prefix; more; {
+	for hasMore := r.Path != "/" || r.Kind != Prefix; hasMore; {
 		var segment string
-		segment, rest, more = strings.Cut(rest, "/")
+		segment, rest, hasMore = strings.Cut(rest, "/")
 		n = n.child(segment, r.Kind == Template && strings.HasPrefix(segment, "{"))
 	}
 	if r.Kind == Prefix {
-		n.below = append(n.below, index)
+		n.prefixRules = append(n.prefixRules, index)
 	} else {
-		n.ends = append(n.ends, index)
+		n.terminalRules = append(n.terminalRules, index)
 	}
 }
 
-// child returns the place of a segment, which it creates if need be.
+// child returns the child node for a segment and creates the node if it does not exist.
 func (n *node) child(segment string, isParam bool) *node {
 	if isParam {
 		if n.param == nil {
@@ -63,21 +63,22 @@
 	return n.static[segment]
 }
 
-// search is one search for the first rule that matches a request.
+// search is a search for the first rule that matches a request.
 type search struct {
 	table *Table
 	req   *Request
-	best  int32 // index of the first rule found so far; the number of rules for none
+	best  int32 // index of the first rule found so far; the number of rules if there is none
 }
 
-// find returns the index of the first rule that matches a canonical host and a path, or -1.
+// find returns the index of the first rule that matches a request with a canonical host and one
+// interpretation of its path, or -1 if there is none.
 func (t *Table) find(r *Request, host, path string) int {
 	s := search{table: t, req: r, best: int32(len(t.rules))}
 	s.walk(t.anyHost, path[1:], true)
-	if n := t.exact[host]; n != nil && host != "" {
+	if n := t.exactHosts[host]; n != nil && host != "" {
 		s.walk(n, path[1:], true)
 	}
-	if len(t.suffixes) > 0 {
+	if len(t.suffixHosts) > 0 {
 		s.walkSuffixes(host, path)
 	}
 	if s.best == int32(len(t.rules)) {
@@ -88,7 +89,7 @@
 
 // walkSuffixes walks the trees of the suffixes of a host.
 func (s *search) walkSuffixes(host, path string) {
-	// Suffixes of more labels than any rule's need no look.
+	// Suffixes with more labels than any rule's suffix cannot match and are skipped.
 	suffix := host
 	for labels := strings.Count(suffix, "."); labels > s.table.maxSuffixLabels; labels-- {
 		_, suffix, _ = strings.Cut(suffix, ".")
@@ -98,45 +99,46 @@
 		if suffix == "" {
 			return
 		}
-		if n := s.table.suffixes[suffix]; n != nil {
+		if n := s.table.suffixHosts[suffix]; n != nil {
 			s.walk(n, path[1:], true)
 		}
 	}
 }
 
-// walk considers the rules of a place and of those below it that the rest of the path leads to.
-// Without more the path ends at the place.
-func (s *search) walk(n *node, rest string, more bool) {
-	s.consider(n.below)
-	if !more {
-		s.consider(n.ends)
+// walk considers the rules of a node and of the descendants that match the rest of the path.
+// Without hasMore the path ends at the node.
+func (s *search) walk(n *node, rest string, hasMore bool) {
+	s.consider(n.prefixRules)
+	if !hasMore {
+		s.consider(n.terminalRules)
 		return
 	}
-	segment, rest, more := strings.Cut(rest, "/")
+	segment, rest, hasMore := strings.Cut(rest, "/")
 	if next := n.static[segment]; next != nil {
-		s.walk(next, rest, more)
+		s.walk(next, rest, hasMore)
 	}
 	if n.param != nil && segment != "" {
-		s.walk(n.param, rest, more)
+		s.walk(n.param, rest, hasMore)
 	}
 }
 
-// consider takes the first of some rules that matches, if it comes before the best so far.
+// consider sets best to the first matching one of the given rules if it comes before the current
+// best.
 func (s *search) consider(rules []int32) {
 	for _, i := range rules {
 		if i >= s.best {
 			return
 		}
-		if s.table.rules[i].matchesHead(s.req) {
+		if s.table.rules[i].matchesMethodAndHeaders(s.req) {
 			s.best = i
 			return
 		}
 	}
 }
 
-// matchesHead reports whether a rule matches a request's method and header fields; the tree has
-// matched the rest.
-func (r *rule) matchesHead(q *Request) bool {
+// matchesMethodAndHeaders reports whether a rule matches a request's method and header fields. Host
+// and path have been matched by the tree.
+func (r *rule) matchesMethodAndHeaders(q *Request) bool {
 	if len(r.Methods) > 0 && !slices.Contains(r.Methods, q.Method) {
 		return false
 	}
@@ -148,7 +150,7 @@
 	return true
 }
 
-// matches reports whether a header fulfils the condition.
+// matches reports whether a header meets the condition.
 func (m *HeaderMatch) matches(header map[string][]string) bool {
 	values := header[m.Name]
 	if m.Any {
--- a/internal/settings/object.go
+++ b/internal/settings/object.go
@@ -6,7 +6,7 @@
 	"fernlanding/logic"
 )
 
-// object is the settings object on the wire. Times are in microseconds.
+// object is the settings object in its JSON form. Times are in microseconds.
 type object struct {
 	Contract       contract `json:"contract"`
 	PriorityUnit   string   `json:"counted_by"`
@@ -22,7 +22,7 @@
 	WeightsMode    string   `json:"weights"`
 }
 
-// contract is what backends and proxies have agreed on.
+// contract holds the settings that backends and proxies have agreed on.
 type contract struct {
 	PollInterval         int64   `json:"ask_every_us"`
 	RejectionMayHaveRun  bool    `json:"busy_is_no_proof"`
@@ -35,16 +35,16 @@
 	SlowStartMinCapacity float64 `json:"start_capacity"`
 }
 
-// limits are bounds on requests and connections.
+// limits holds bounds on requests and connections.
 type limits struct {
 	DialTimeout     int64 `json:"dial_timeout_us"`
-	IdleClose       int64 `json:"idle_close_us"`
+	IdleTimeout     int64 `json:"idle_close_us"`
 	MaxRetryAfter   int64 `json:"max_retry_after_us"`
 	AllowRetryAfter bool  `json:"retry_after"`
 	MaxAttempts     int   `json:"try_limit"`
 }
 
-// class is a class of requests.
+// class holds the settings of one class of requests.
 type class struct {
 	Ordered            bool    `json:"by_arrival"`
 	DedupScope         string  `json:"dedup_scope"`
@@ -57,27 +57,27 @@
 	PriorityWeight     float64 `json:"worth"`
 }
 
-// tenant is a tenant's part of the capacity and its quota a second.
+// tenant holds a tenant's fraction of the capacity and its quota of requests per second.
 type tenant struct {
 	Name             string  `json:"name"`
 	CapacityFraction float64 `json:"portion"`
 	Quota            float64 `json:"quota_per_s"`
 }
 
-// The values of "membership_mode": the endpoint list is pushed, or the proxy watches it.
+// The values of "membership_mode".
 const (
-	membershipPushed  = "automatic"
-	membershipWatched = "subscribe"
+	membershipPushed  = "automatic" // the endpoint list is pushed to the proxy
+	membershipWatched = "subscribe" // the proxy watches the endpoint list
 )
 
-// The values of "repeat".
+// idempotencies maps the values of "repeat".
 var idempotencies = map[string]logic.Idempotency{
 	"idempotent":   logic.Idempotent,
 	"deduplicated": logic.IdempotentByKey,
 	"at_most_once": logic.NonIdempotent,
 }
 
-// The values of "dedup_scope"; a lacking one means all backends.
+// dedupScopes maps the values of "dedup_scope". A missing value means all backends of the tier.
 var dedupScopes = map[string]logic.DedupScope{
 	"":     logic.DedupTier,
 	"all":  logic.DedupTier,
@@ -85,10 +85,10 @@
 	"cell": logic.DedupCell,
 }
 
-// balancer converts the object to the module's settings.
-func (o *object) balancer() (logic.Settings, error) {
+// balancerSettings converts the object to the settings of the balancer.
+func (o *object) balancerSettings() (logic.Settings, error) {
 	if o.MembershipMode != membershipPushed && o.MembershipMode != membershipWatched {
-		return logic.Settings{}, unknownWord("membership_mode", o.MembershipMode)
+		return logic.Settings{}, unknownValueError("membership_mode", o.MembershipMode)
 	}
 	s := logic.Settings{
 		Tier:                 o.Tier,
@@ -115,7 +115,7 @@
 		s.MaxRetryAfter = o.Limits.MaxRetryAfter
 	}
 	for i, c := range o.Classes {
-		converted, err := c.convert(fmt.Sprintf("profiles[%d]", i))
+		converted, err := c.balancerClass(fmt.Sprintf("profiles[%d]", i))
 		if err != nil {
 			return logic.Settings{}, err
 		}
@@ -127,15 +127,16 @@
 	return s, nil
 }
 
-// convert converts a class to the module's; path is the class's in the object.
-func (c *class) convert(path string) (logic.Class, error) {
+// balancerClass converts a class to the balancer's type. path is the path of the class in the
+// object.
+func (c *class) balancerClass(path string) (logic.Class, error) {
 	idempotency, ok := idempotencies[c.Idempotency]
 	if !ok {
-		return logic.Class{}, unknownWord(path+".repeat", c.Idempotency)
+		return logic.Class{}, unknownValueError(path+".repeat", c.Idempotency)
 	}
 	scope, ok := dedupScopes[c.DedupScope]
 	if !ok {
-		return logic.Class{}, unknownWord(path+".dedup_scope", c.DedupScope)
+		return logic.Class{}, unknownValueError(path+".dedup_scope", c.DedupScope)
 	}
 	return logic.Class{
 		LatencyObjective:   c.LatencyObjective,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings reads the platform's settings object, which the simulator's first message and
-// the configuration of a real proxy share. Keys that it does not know are ignored.
+// Package settings reads the platform's settings object. The first message of the simulator and the
+// configuration of a real proxy both contain this object. Unknown keys are ignored.
 //
-// The object's keys are the platform's words; the names beside them in Go are the field's.
+// The JSON keys are defined by the platform. The Go fields have the usual terms instead.
 package settings
 
 import (
@@ -12,40 +12,41 @@
 	"fernlanding/logic"
 )
 
-// Deployment is what the settings object says: the module's settings, and the names and times of
-// the sockets.
+// Deployment is the content of a settings object: the settings of the balancer, the names of
+// classes, tenants and zones, and the timeouts of connections.
 type Deployment struct {
 	Balancer logic.Settings
-	Classes  []string // names, in the order of Balancer.Classes
-	Tenants  []string // names, in the order of Balancer.Tenants
-	Zones    []string // names, by the module's numbers
+	Classes  []string // class names, in the order of Balancer.Classes
+	Tenants  []string // tenant names, in the order of Balancer.Tenants
+	Zones    []string // zone names, indexed by the balancer's zone numbers
 
-	DialTimeout time.Duration // a connection that is not established by then has failed
-	IdleTimeout time.Duration // backends close connections that have been idle this long
+	DialTimeout time.Duration // timeout for establishing a connection
+	IdleTimeout time.Duration // idle time after which backends close a connection
 }
 
-// FieldError is the error of one field of the settings object.
+// FieldError is returned for an invalid field of the settings object.
 type FieldError struct {
-	Field  string // its path in the object, as "profiles[0].repeat"
+	Field  string // path of the field in the object, such as "profiles[0].repeat"
 	Reason string
 }
 
 // Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// unknownWord returns the error of a field with a word that is none of its values.
-func unknownWord(field, word string) error {
-	return &FieldError{Field: field, Reason: fmt.Sprintf("unknown word %q", word)}
+// unknownValueError returns the error for a field whose value is none of the allowed values.
+func unknownValueError(field, value string) error {
+	return &FieldError{Field: field, Reason: fmt.Sprintf("unknown value %q", value)}
 }
 
-// Decode reads a settings object. It returns the error of package json or a *FieldError. It checks
-// what the module needs; CheckSockets checks the rest.
+// Decode decodes a settings object. Its error is either from [encoding/json] or a *FieldError.
+// Decode does not check the names of classes and tenants and the timeouts of connections; see
+// [Deployment.CheckSockets].
 func Decode(data []byte) (*Deployment, error) {
 	var o object
 	if err := json.Unmarshal(data, &o); err != nil {
 		return nil, err
 	}
-	balancer, err := o.balancer()
+	balancer, err := o.balancerSettings()
 	if err != nil {
 		return nil, err
 	}
@@ -53,7 +54,7 @@
 		Balancer:    balancer,
 		Zones:       o.Zones,
 		DialTimeout: time.Duration(o.Limits.DialTimeout) * time.Microsecond,
-		IdleTimeout: time.Duration(o.Limits.IdleClose) * time.Microsecond,
+		IdleTimeout: time.Duration(o.Limits.IdleTimeout) * time.Microsecond,
 	}
 	for _, class := range o.Classes {
 		d.Classes = append(d.Classes, class.Name)
@@ -64,8 +65,9 @@
 	return d, nil
 }
 
-// CheckSockets returns a *FieldError if the object lacks what a proxy on real sockets needs: the
-// names of classes and tenants, and the times of its connections.
+// CheckSockets checks the settings that only a proxy on real sockets needs: the names of classes
+// and tenants, and the timeouts of connections. It returns a *FieldError if one is missing or
+// invalid.
 func (d *Deployment) CheckSockets() error {
 	if d.DialTimeout <= 0 {
 		return &FieldError{Field: "limits.dial_timeout_us", Reason: "not positive"}
@@ -79,12 +81,12 @@
 	return checkNames("tenants", d.Tenants)
 }
 
-// checkNames returns an error if a name in a list is empty or occurs twice.
+// checkNames returns a *FieldError if a name in a list is empty or duplicate.
 func checkNames(list string, names []string) error {
 	seen := map[string]bool{}
 	for i, name := range names {
 		if name == "" || seen[name] {
-			return &FieldError{Field: fmt.Sprintf("%s[%d].name", list, i), Reason: "missing or given twice"}
+			return &FieldError{Field: fmt.Sprintf("%s[%d].name", list, i), Reason: "missing or duplicate name"}
 		}
 		seen[name] = true
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"fernlanding/logic"
 )
 
-// validObject is a settings object, with a key that is unknown.
+// validObject is a valid settings object that contains an unknown key.
 const validObject = `{"contract":{"ask_every_us":10000000,"cold_us":24000000,"drain_grace_us":500000,` +
 	`"start_capacity":0.13},"failure_domains":["a","b"],"unheard_of":{"x":[1]},` +
 	`"limits":{"dial_timeout_us":200000,"idle_close_us":30000000,"max_retry_after_us":750000,"retry_after":true,` +
@@ -18,8 +18,9 @@
 	`"objective_us":500000,"repeat":"deduplicated","worth":1.0}],"siblings":3,"stage":0,` +
 	`"tenants":[{"name":"acme","portion":1,"quota_per_s":4}],"tiers":["t"],"weights":"rough"}`
 
-// Settings that did not reach the module were broken on every rough day.
-func TestDecodeConvertsModuleSettings(t *testing.T) {
+// Decode must convert every setting: settings that did not reach the balancer were violated on
+// every rough day of the simulator.
+func TestDecodeConvertsBalancerSettings(t *testing.T) {
 	text := strings.Replace(validObject, `"contract":{`, `"contract":{"busy_is_no_proof":true,"order_settle_us":7,`+
 		`"ratio_span_us":5000000,"resend_ratio":0.05,"spare_attempts":3,`, 1)
 	text = strings.Replace(text, `"dedup_scope":"cell"`, `"by_arrival":true,"dedup_scope":"cell"`, 1)
@@ -42,8 +43,8 @@
 	}
 }
 
-// An invalid field is named by its path in the object.
-func TestInvalidSettingsAreErrors(t *testing.T) {
+// The error for an invalid field has the path of the field in the object.
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	for _, c := range []struct {
 		old, new, want string
 		isField        bool
@@ -62,11 +63,11 @@
 			err = deployment.CheckSockets()
 		}
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s for %s: got %v", c.new, c.old, err)
+			t.Errorf("%s in place of %s: got error %v, want %q", c.new, c.old, err, c.want)
 		}
 		var fieldError *FieldError
 		if errors.As(err, &fieldError) != c.isField || c.isField && fieldError.Field != c.want {
-			t.Errorf("%s for %s: got %T %v", c.new, c.old, err, err)
+			t.Errorf("%s in place of %s: got error %T %v, want field error %v", c.new, c.old, err, err, c.isField)
 		}
 	}
 }
