--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -1,4 +1,5 @@
-// Package durable replaces files atomically: a crash leaves the old file or the new one, complete.
+// Package durable replaces files atomically: after a crash, a file has either its complete old
+// contents or its complete new contents.
 package durable
 
 import (
@@ -10,9 +11,9 @@
 	"path/filepath"
 )
 
-// WriteFile replaces the named file, or creates it. Its directory has to exist. With sync the new
-// file also outlives a crash of the machine, as far as the disk keeps its word; without, that of
-// the process alone.
+// WriteFile replaces or creates the named file. Its directory must exist. With sync, the new file
+// also survives a crash of the machine, as far as the disk honors the sync. Without sync, it
+// survives only a crash of the process.
 func WriteFile(name string, data []byte, perm fs.FileMode, sync bool) error {
 	staged, err := Stage(name, data, perm, sync)
 	if err != nil {
@@ -21,17 +22,17 @@
 	return staged.Commit()
 }
 
-// Staged is a file that is written but not in its place yet. Commit or Discard has to follow.
+// Staged is a file that is written but not yet in place. Commit or Discard must follow.
 type Staged struct{ temporary, name string }
 
-// Stage writes a file beside the place that it is to have, with the parameters of WriteFile.
+// Stage writes a file beside its final place. The parameters are those of WriteFile.
 func Stage(name string, data []byte, perm fs.FileMode, sync bool) (*Staged, error) {
 	f, err := os.CreateTemp(filepath.Dir(name), stagedPrefix(name))
 	if err != nil {
 		return nil, fmt.Errorf("write: %w", err)
 	}
 	staged := &Staged{temporary: f.Name(), name: name}
-	err = fill(f, data, perm, sync)
+	err = writeContents(f, data, perm, sync)
 	if err = errors.Join(err, f.Close()); err != nil {
 		staged.Discard()
 		return nil, fmt.Errorf("write: %w", err)
@@ -39,8 +40,8 @@
 	return staged, nil
 }
 
-// fill writes the contents of a new file.
-func fill(f *os.File, data []byte, perm fs.FileMode, sync bool) error {
+// writeContents writes the contents of a new file.
+func writeContents(f *os.File, data []byte, perm fs.FileMode, sync bool) error {
 	if _, err := f.Write(data); err != nil {
 		return err
 	}
@@ -53,10 +54,10 @@
 	return f.Sync()
 }
 
-// stagedPrefix returns what the names of the staged versions of a file begin with.
+// stagedPrefix returns the prefix of the names of the staged versions of a file.
 func stagedPrefix(name string) string { return "." + filepath.Base(name) + ".new-" }
 
-// Commit puts the file in its place. If that fails, the staged file is removed.
+// Commit moves the file to its final place. If that fails, the staged file is removed.
 func (s *Staged) Commit() error {
 	if err := os.Rename(s.temporary, s.name); err != nil {
 		s.Discard()
@@ -67,10 +68,10 @@
 
 // Discard removes the staged file.
 func (s *Staged) Discard() {
-	_ = os.Remove(s.temporary) // one that stays is found by RemoveStaged
+	_ = os.Remove(s.temporary) // RemoveStaged removes the file later if this fails
 }
 
-// ReadFile reads a file of at most limit bytes; a longer one is an error. It returns nil where
+// ReadFile reads a file of at most limit bytes. A longer file is an error. ReadFile returns nil if
 // there is no file.
 func ReadFile(name string, limit int64) ([]byte, error) {
 	f, err := os.Open(name)
@@ -86,16 +87,14 @@
 		return nil, fmt.Errorf("read: %w", err)
 	}
 	if int64(len(data)) > limit {
-		return nil, fmt.Errorf("read: %s: more than %d bytes found, that many at most expected", name, limit)
+		return nil, fmt.Errorf("read %s: file exceeds the limit of %d bytes", name, limit)
 	}
 	return data, nil
 }
 
-// RemoveStaged removes the staged versions of a file that processes have left behind that were
-// killed.
+// RemoveStaged removes the staged versions of a file that killed processes have left behind.
 func RemoveStaged(name string) {
-	// Neither error matters: what stays is neither read nor in the way, and is removed another
-	// time.
+	// Errors are ignored: a remaining file is never read, and the next call tries again.
 	staged, _ := filepath.Glob(filepath.Join(filepath.Dir(name), stagedPrefix(name)+"*"))
 	for _, temporary := range staged {
 		_ = os.Remove(temporary)
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -7,20 +7,20 @@
 	"testing"
 )
 
-// A file is replaced as a whole, staged files of a killed process are removed, and a read is
-// bounded.
+// A file is replaced as a whole, the staged files of a killed process are removed, and the size of
+// a read is limited.
 func TestWriteAndReadFile(t *testing.T) {
 	dir := t.TempDir()
 	name := filepath.Join(dir, "a.json")
 	if data, err := ReadFile(name, 10); data != nil || err != nil {
-		t.Errorf("no file: %q, %v", data, err)
+		t.Errorf("missing file: got %q, error %v", data, err)
 	}
 	for _, text := range []string{"first", "second", ""} {
 		if err := WriteFile(name, []byte(text), 0o600, true); err != nil {
 			t.Fatal(err)
 		}
 		if data, err := ReadFile(name, 6); err != nil || string(data) != text || data == nil {
-			t.Errorf("%q, %v; %q expected", data, err, text)
+			t.Errorf("got %q, error %v; want %q", data, err, text)
 		}
 	}
 	if err := os.WriteFile(filepath.Join(dir, ".a.json.new-123"), nil, 0o600); err != nil {
@@ -33,11 +33,11 @@
 	if err := WriteFile(name, []byte("1234567"), 0o600, false); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadFile(name, 6); err == nil || !strings.Contains(err.Error(), "more than 6 bytes") {
-		t.Errorf("too long: %v", err)
+	if _, err := ReadFile(name, 6); err == nil || !strings.Contains(err.Error(), "exceeds the limit of 6 bytes") {
+		t.Errorf("file above the limit: got error %v", err)
 	}
 	err := WriteFile(filepath.Join(dir, "none", "b"), nil, 0o600, true)
 	if err == nil || strings.Contains(err.Error(), "\n") {
-		t.Errorf("no directory: %v", err)
+		t.Errorf("missing directory: got error %v", err)
 	}
 }
--- a/internal/membership/cache/cache_test.go
+++ b/internal/membership/cache/cache_test.go
@@ -32,37 +32,37 @@
 	}
 }
 
-// expectNoFile fails the test where a store has a file.
+// expectNoFile fails the test if a store has a file.
 func expectNoFile(t *testing.T, what string, store *Store) {
 	t.Helper()
 	if list, _, err := store.Load(zero, time.Hour); list != nil || err != nil {
-		t.Errorf("%s: %v, %v", what, list, err)
+		t.Errorf("%s: got list %v, error %v", what, list, err)
 	}
 }
 
-// A list is loaded as it was stored, for as long as it is young enough, its source is the same, and
+// A stored list is loaded unchanged while it is younger than the limit, its source is the same, and
 // the clock has not stepped back.
-func TestLoadReturnsWhatWasStored(t *testing.T) {
+func TestLoadReturnsStoredList(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "made")
 	store := NewStore(dir, "rating", "here")
 	expectNoFile(t, "before the first list", store)
 	save(t, store, testList(), zero)
 	list, age, err := NewStore(dir, "rating", "here").Load(zero.Add(time.Minute), time.Hour)
 	if err != nil || age != time.Minute || !reflect.DeepEqual(list, testList()) {
-		t.Errorf("%+v, %v, %v", list, age, err)
+		t.Errorf("got list %+v, age %v, error %v", list, age, err)
 	}
 	for _, test := range []struct {
 		source string
 		now    time.Time
 		want   string
 	}{
-		{"here", zero.Add(time.Hour), "confirmed 1h0m0s ago, less than 1h0m0s expected"},
-		{"here", zero.Add(-time.Second), "confirmed 1s from now, a time in the past expected"},
-		{"there", zero, `source: "here" found, "there" expected`},
+		{"here", zero.Add(time.Hour), "confirmed 1h0m0s ago, want less than 1h0m0s"},
+		{"here", zero.Add(-time.Second), "confirmed 1s from now, want a time in the past"},
+		{"there", zero, `list of source "here", want source "there"`},
 	} {
 		list, _, err := NewStore(dir, "rating", test.source).Load(test.now, time.Hour)
 		if list != nil || err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%s at %v: %v, %v", test.source, test.now, list, err)
+			t.Errorf("source %s at %v: got list %v, error %v", test.source, test.now, list, err)
 		}
 	}
 	if err := store.Remove(); err != nil {
@@ -70,11 +70,11 @@
 	}
 	expectNoFile(t, "removed", store)
 	if err := store.Remove(); err != nil {
-		t.Errorf("removed twice: %v", err)
+		t.Errorf("second Remove: %v", err)
 	}
 }
 
-// A file that is not valid is no list; the error is one line.
+// An invalid file is not loaded, and the error has one line.
 func TestInvalidFileIsNotLoaded(t *testing.T) {
 	encodeList := func(list *membership.List) string {
 		data, err := encode(list, "here", zero)
@@ -87,7 +87,7 @@
 	with := func(before, after string) string {
 		text := strings.Replace(valid, before, after, 1)
 		if text == valid {
-			t.Fatalf("%s is not there", before)
+			t.Fatalf("the encoded list does not contain %s", before)
 		}
 		return text
 	}
@@ -95,20 +95,26 @@
 		return encodeList(&membership.List{Endpoints: endpoints})
 	}
 	for _, test := range []struct{ text, want string }{
-		{"", "a list in JSON expected"},
-		{valid[:len(valid)/2], "a list in JSON expected"},
-		{with(`"version":1`, `"version":2`), "version: 2 found, 1 expected"},
-		{with(`127.0.0.1:1`, `127.0.0.1:9`), "sum: "},
-		{of(), "0 endpoints of version 0 found"},
-		{of(membership.Endpoint{Address: "a:1"}), "list.endpoints[0].name: 0 bytes found, 1 to 256 expected"},
-		{of(membership.Endpoint{Name: "a", Address: "a"}), `address: "a" found, host:port expected`},
-		{of(membership.Endpoint{Name: "a", Address: "a:1", Weight: -1}), "weight: -1 found, 0 or more expected"},
-		{of(membership.Endpoint{Name: "a", Address: "a:1", Zone: strings.Repeat("z", 257)}), "zone: 257 bytes found"},
+		{"", "malformed file"},
+		{valid[:len(valid)/2], "malformed file"},
+		{with(`"version":1`, `"version":2`), "unsupported version 2, want 1"},
+		{with(`127.0.0.1:1`, `127.0.0.1:9`), "checksum mismatch: "},
+		{of(), "invalid list of 0 endpoints, version 0: "},
+		{of(membership.Endpoint{Address: "a:1"}), "list.endpoints[0]: name of 0 bytes, want 1 to 256"},
+		{of(membership.Endpoint{Name: "a", Address: "a"}), `invalid address "a": want host:port`},
+		{
+			of(membership.Endpoint{Name: "a", Address: "a:1", Weight: -1}),
+			"invalid weight -1: want a finite weight >= 0",
+		},
+		{
+			of(membership.Endpoint{Name: "a", Address: "a:1", Zone: strings.Repeat("z", 257)}),
+			"zone of 257 bytes exceeds the limit",
+		},
 		{
 			of(membership.Endpoint{Name: "a", Address: "a:1"}, membership.Endpoint{Name: "a", Address: "a:2"}),
-			`"a" is there twice`,
+			`duplicate name "a"`,
 		},
-		{strings.Repeat(" ", maxFileBytes+1), "that many at most expected"},
+		{strings.Repeat(" ", maxFileBytes+1), "file exceeds the limit of 8388608 bytes"},
 	} {
 		store := NewStore(t.TempDir(), "x", "here")
 		if err := os.WriteFile(store.path, []byte(test.text), 0o600); err != nil {
@@ -116,9 +122,9 @@
 		}
 		list, _, err := store.Load(zero, time.Hour)
 		if list != nil || err == nil {
-			t.Errorf("%.80q: %v, %v", test.text, list, err)
+			t.Errorf("%.80q: got list %v, error %v", test.text, list, err)
 		} else if text := err.Error(); !strings.Contains(text, test.want) || strings.Contains(text, "\n") {
-			t.Errorf("%.80q: %v", test.text, err)
+			t.Errorf("%.80q: got error %v", test.text, err)
 		}
 	}
 }
@@ -140,7 +146,7 @@
 			t.Fatal(err)
 		}
 		if parsed, _, err := parse(encoded, "here"); err != nil || !reflect.DeepEqual(list, parsed) {
-			t.Errorf("%+v came back as %+v, %v", list, parsed, err)
+			t.Errorf("list %+v decodes to %+v, error %v", list, parsed, err)
 		}
 	})
 }
--- a/internal/membership/cache/codec.go
+++ b/internal/membership/cache/codec.go
@@ -14,7 +14,7 @@
 const (
 	formatVersion = 1
 
-	// maxFileBytes is the size of the largest file that is written or read. A larger list is not
+	// maxFileBytes is the largest size of a file that is written or read. A larger list is not
 	// cached.
 	maxFileBytes = 8 << 20
 	maxEntries   = 100_000
@@ -26,17 +26,17 @@
 	Version   int             `json:"version"`
 	Source    string          `json:"source"`
 	Confirmed int64           `json:"confirmed_ms"` // Unix time in milliseconds
-	Sum       uint32          `json:"sum"`          // CRC-32C of the list's bytes
+	Sum       uint32          `json:"sum"`          // CRC-32C of the bytes of List
 	List      json.RawMessage `json:"list"`
 }
 
-// content is a list in a file.
+// content is a list as stored in a file.
 type content struct {
 	Index     int64   `json:"index"`
 	Endpoints []entry `json:"endpoints"`
 }
 
-// entry is an endpoint in a file.
+// entry is an endpoint as stored in a file.
 type entry struct {
 	Name     string  `json:"name"`
 	Address  string  `json:"address"`
@@ -68,20 +68,21 @@
 	})
 }
 
-// parse decodes the contents of a file of a source: its list, and when that was confirmed.
+// parse decodes a file and returns its list and the time of the list's confirmation. It returns an
+// error if the file is of another source.
 func parse(data []byte, source string) (*membership.List, time.Time, error) {
 	var f file
 	if err := json.Unmarshal(data, &f); err != nil {
-		return nil, time.Time{}, fmt.Errorf("a list in JSON expected: %w", err)
+		return nil, time.Time{}, fmt.Errorf("malformed file: %w", err)
 	}
 	if f.Version != formatVersion {
-		return nil, time.Time{}, fmt.Errorf("version: %d found, %d expected", f.Version, formatVersion)
+		return nil, time.Time{}, fmt.Errorf("unsupported version %d, want %d", f.Version, formatVersion)
 	}
 	if f.Source != source {
-		return nil, time.Time{}, fmt.Errorf("source: %.100q found, %.100q expected", f.Source, source)
+		return nil, time.Time{}, fmt.Errorf("list of source %.100q, want source %.100q", f.Source, source)
 	}
 	if sum := crc32.Checksum(f.List, castagnoli); sum != f.Sum {
-		return nil, time.Time{}, fmt.Errorf("sum: %d found, %d expected", f.Sum, sum)
+		return nil, time.Time{}, fmt.Errorf("checksum mismatch: file has %d, list has %d", f.Sum, sum)
 	}
 	var c content
 	if err := json.Unmarshal(f.List, &c); err != nil {
@@ -94,20 +95,20 @@
 	return list, time.UnixMilli(f.Confirmed), nil
 }
 
-// list returns the list that a file has, or an error that says what is wrong with it.
+// list converts the stored list, or returns an error if it is invalid.
 func (c *content) list() (*membership.List, error) {
 	if len(c.Endpoints) > maxEntries || len(c.Endpoints) == 0 || c.Index < 0 {
-		return nil, fmt.Errorf("list: %d endpoints of version %d found, 1 to %d and no negative version expected",
+		return nil, fmt.Errorf("invalid list of %d endpoints, version %d: want 1 to %d endpoints and a version >= 0",
 			len(c.Endpoints), c.Index, maxEntries)
 	}
 	list := &membership.List{Version: c.Index, Full: true}
 	seen := make(map[string]bool, len(c.Endpoints))
 	for i, e := range c.Endpoints {
 		if err := e.check(); err != nil {
-			return nil, fmt.Errorf("list.endpoints[%d].%w", i, err)
+			return nil, fmt.Errorf("list.endpoints[%d]: %w", i, err)
 		}
 		if seen[e.Name] {
-			return nil, fmt.Errorf("list.endpoints[%d].name: %.100q is there twice", i, e.Name)
+			return nil, fmt.Errorf("list.endpoints[%d]: duplicate name %.100q", i, e.Name)
 		}
 		seen[e.Name] = true
 		list.Endpoints = append(list.Endpoints, e.endpoint())
@@ -115,24 +116,24 @@
 	return list, nil
 }
 
-// check returns an error where a field is out of its bounds.
+// check returns an error if a field is invalid.
 func (e *entry) check() error {
 	if e.Name == "" || len(e.Name) > maxNameBytes {
-		return fmt.Errorf("name: %d bytes found, 1 to %d expected", len(e.Name), maxNameBytes)
+		return fmt.Errorf("name of %d bytes, want 1 to %d", len(e.Name), maxNameBytes)
 	}
 	if len(e.Zone) > maxNameBytes {
-		return fmt.Errorf("zone: %d bytes found, %d at most expected", len(e.Zone), maxNameBytes)
+		return fmt.Errorf("zone of %d bytes exceeds the limit of %d", len(e.Zone), maxNameBytes)
 	}
 	if _, _, err := net.SplitHostPort(e.Address); err != nil || len(e.Address) > maxNameBytes {
-		return fmt.Errorf("address: %.100q found, host:port expected", e.Address)
+		return fmt.Errorf("invalid address %.100q: want host:port", e.Address)
 	}
 	if !(e.Weight >= 0) || math.IsInf(e.Weight, 0) {
-		return fmt.Errorf("weight: %g found, 0 or more expected", e.Weight)
+		return fmt.Errorf("invalid weight %g: want a finite weight >= 0", e.Weight)
 	}
 	return nil
 }
 
-// endpoint converts an entry.
+// endpoint converts an entry to an endpoint.
 func (e *entry) endpoint() membership.Endpoint {
 	endpoint := membership.Endpoint{
 		Name: e.Name, Address: e.Address, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, StartedMs: e.SinceMs,
--- a/internal/membership/cache/recorder.go
+++ b/internal/membership/cache/recorder.go
@@ -11,62 +11,62 @@
 )
 
 const (
-	// writeDelay is how long after a list came it is written: changes come in bursts.
+	// writeDelay is the delay between a list and its write. It combines the changes of a burst.
 	writeDelay = 250 * time.Millisecond
-	// confirmInterval is the time between two writes of a list that has not changed, for the time
-	// of its confirmation.
+	// confirmInterval is the time between two writes of an unchanged list, which update the time of
+	// its confirmation.
 	confirmInterval = 10 * time.Second
 )
 
-// Recorder is a Sink before another: it writes what goes through it to a Store, without the next
-// sink having to wait for a disk. Run does the writing. It is safe for concurrent use.
+// Recorder is a Sink that forwards to the next Sink and writes the lists to a Store. Run does the
+// writing, so the next sink does not wait for a disk. Recorder is safe for concurrent use.
 type Recorder struct {
 	next    membership.Sink
 	store   *Store
-	current func() *membership.List // the full list as it stands behind next; nil: there is none
+	current func() *membership.List // returns the present full list of next; nil if there is none
 	log     *slog.Logger
-	updated chan struct{} // a list has come
+	updated chan struct{} // signals a new list
 
 	mu        sync.Mutex
-	confirmed time.Time // when the source last sent a list; zero: not since the last write
-	removed   bool      // there is no file, since its list would bring an endpoint back
-	removals  int       // lists so far that may have removed an endpoint
-	failing   bool      // the last write or removal has failed, which is logged
+	confirmed time.Time // when the source last sent a list; zero if that was before the last write
+	removed   bool      // there is no file, because its list would bring back a removed endpoint
+	removals  int       // number of lists so far that may have removed an endpoint
+	failing   bool      // the last write or removal failed, and the failure is logged
 	stopped   bool      // another recorder writes the list
 }
 
-// NewRecorder returns a Recorder before a sink. current returns the full list as it stands behind
-// the sink; nil: there is none.
+// NewRecorder returns a Recorder in front of next. The function current returns the present full
+// list of next, or nil if there is none.
 func NewRecorder(
 	next membership.Sink, store *Store, current func() *membership.List, log *slog.Logger,
 ) *Recorder {
 	return &Recorder{next: next, store: store, current: current, log: log, updated: make(chan struct{}, 1)}
 }
 
-// UpdateEndpoints implements membership.Sink. The next sink comes first, since a drain must not
-// wait for a disk.
+// UpdateEndpoints implements membership.Sink. It calls the next sink first, because a drain must
+// not wait for a disk.
 func (r *Recorder) UpdateEndpoints(list *membership.List) {
 	r.next.UpdateEndpoints(list)
-	r.noteUpdate(list)
+	r.recordUpdate(list)
 	r.wakeWriter()
 }
 
-// noteUpdate notes a list that the next sink has, and removes the file if the list may remove an
-// endpoint.
-func (r *Recorder) noteUpdate(list *membership.List) {
+// recordUpdate records that the next sink has applied a list, and removes the file if the list may
+// remove an endpoint.
+func (r *Recorder) recordUpdate(list *membership.List) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if mayRemove(list) {
 		r.removals++
 		if !r.removed && !r.stopped {
-			r.removed = r.noteResult(r.store.Remove())
+			r.removed = r.recordResult(r.store.Remove())
 		}
 	}
 	r.confirmed = time.Now()
 }
 
-// mayRemove reports whether a list may stop an endpoint from serving. A full one may, by what it
-// lacks.
+// mayRemove reports whether a list may stop an endpoint from serving. A full list may, because
+// endpoints can be absent from it.
 func mayRemove(list *membership.List) bool {
 	return list.Full || slices.ContainsFunc(list.Endpoints, func(e membership.Endpoint) bool {
 		return e.Status != membership.Serving
@@ -76,11 +76,12 @@
 func (r *Recorder) wakeWriter() {
 	select {
 	case r.updated <- struct{}{}:
-	default: // it is to wake already
+	default: // the writer is signaled already
 	}
 }
 
-// Stop has the recorder touch the store no more: another writes the list from here on.
+// Stop makes the recorder leave the store unchanged from now on, because another recorder writes
+// the list.
 func (r *Recorder) Stop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,7 +91,7 @@
 // UpdateFailed implements membership.Sink.
 func (r *Recorder) UpdateFailed() { r.next.UpdateFailed() }
 
-// Run writes lists until the context ends, and then the last one.
+// Run writes lists until the context ends, and then writes the last list.
 func (r *Recorder) Run(ctx context.Context) {
 	defer r.write()
 	timer := time.NewTimer(writeDelay)
@@ -108,8 +109,8 @@
 	}
 }
 
-// wait waits until it is time for the next write; it returns false if the context ends before. A
-// file that is right but for its time can wait; one that is not there can't.
+// wait waits until the next write is due. It returns false if the context ends before that. The
+// wait is longer if the file only needs a newer time of confirmation.
 func (r *Recorder) wait(ctx context.Context, timer *time.Timer) bool {
 	delay := writeDelay
 	if r.hasFile() {
@@ -131,16 +132,16 @@
 	}
 }
 
-// hasFile reports whether the store has a file that is not known to be wrong.
+// hasFile reports whether the store may have a file, whose endpoints have not been removed since.
 func (r *Recorder) hasFile() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.removed
 }
 
-// write writes the list as it stands, if the source has sent any since the last write. A list that
-// removes an endpoint meanwhile does not wait for the disk; what was written of the one before is
-// then discarded.
+// write writes the present list if the source has sent a list since the last write. A list that
+// removes an endpoint during the write does not wait for the disk; the staged file is then
+// discarded.
 func (r *Recorder) write() {
 	r.mu.Lock()
 	confirmed, removals, stopped := r.confirmed, r.removals, r.stopped
@@ -154,13 +155,13 @@
 	defer r.mu.Unlock()
 	switch {
 	case err != nil:
-		r.noteResult(err)
+		r.recordResult(err)
 	case r.stopped:
 		staged.Discard()
 	case r.removals != removals:
 		staged.Discard()
 		r.wakeWriter()
-	case r.noteResult(staged.Commit()):
+	case r.recordResult(staged.Commit()):
 		r.removed = false
 		if r.confirmed.Equal(confirmed) {
 			r.confirmed = time.Time{}
@@ -168,9 +169,9 @@
 	}
 }
 
-// noteResult notes the result of a write or removal, and reports whether it succeeded. Failures are
-// logged once until something succeeds.
-func (r *Recorder) noteResult(err error) bool {
+// recordResult records the result of a write or removal and reports whether it succeeded. Failures
+// are logged once until the next success.
+func (r *Recorder) recordResult(err error) bool {
 	if err != nil && !r.failing {
 		r.log.Warn("endpoint list not cached", "error", err)
 	}
--- a/internal/membership/cache/recorder_test.go
+++ b/internal/membership/cache/recorder_test.go
@@ -24,7 +24,7 @@
 
 func (p *pool) UpdateFailed() {}
 
-// current returns the list.
+// current returns the present list.
 func (p *pool) current() *membership.List {
 	list := p.list.Load()
 	if p.afterRead != nil {
@@ -33,7 +33,7 @@
 	return list
 }
 
-// fullList returns a full list of endpoints.
+// fullList returns a full list of endpoints with the given names.
 func fullList(version int64, names ...string) *membership.List {
 	list := &membership.List{Version: version, Full: true}
 	for _, name := range names {
@@ -42,7 +42,7 @@
 	return list
 }
 
-// stored returns the names of the endpoints of a store's list, or "none".
+// stored returns the names of the endpoints in a store's list, or "none".
 func stored(t *testing.T, store *Store) string {
 	t.Helper()
 	list, _, err := store.Load(time.Now(), time.Hour)
@@ -65,10 +65,10 @@
 	return NewRecorder(sink, store, sink.current, slog.New(slog.DiscardHandler)), store, sink
 }
 
-// A list is written soon after it came, one that removes an endpoint removes the older file at
-// once, the last one is written at the end, and one that has not changed is written again for the
-// time of its confirmation alone.
-func TestRecorderWritesTheCurrentList(t *testing.T) {
+// A new list is written after a short delay. A list that removes an endpoint removes the older file
+// at once. An unchanged list is written again only to update the time of its confirmation. The last
+// list is written at the end.
+func TestRecorderWritesCurrentList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		recorder, store, sink := newTestRecorder(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -76,10 +76,10 @@
 		running.Go(func() { recorder.Run(ctx) })
 		expectAfter := func(d time.Duration, want string) {
 			t.Helper()
-			time.Sleep(d) // the bubble's clock
+			time.Sleep(d) // with the clock of the synctest bubble
 			synctest.Wait()
 			if got := stored(t, store); got != want {
-				t.Errorf("%s, %s expected", got, want)
+				t.Errorf("stored list is %s, want %s", got, want)
 			}
 		}
 		expectAfter(time.Minute, "none")
@@ -94,7 +94,7 @@
 			sink.list.Store(fullList(2, "b"))
 			expectAfter(time.Second, "[b]")
 			if _, age, _ := store.Load(time.Now(), time.Hour); age > confirmInterval+2*time.Second {
-				t.Errorf("last confirmed %v ago", age)
+				t.Errorf("stored list was confirmed %v ago", age)
 			}
 		}
 		recorder.UpdateEndpoints(fullList(3, "c"))
@@ -104,13 +104,14 @@
 	})
 }
 
-// A list that removes an endpoint while an older one is being written is not overwritten by that.
-func TestOlderListIsNotWrittenBack(t *testing.T) {
+// A list that removes an endpoint while an older list is being written is not overwritten by the
+// older list.
+func TestOlderListDoesNotOverwriteRemoval(t *testing.T) {
 	recorder, store, sink := newTestRecorder(t)
 	expect := func(what, want string) {
 		t.Helper()
 		if got := stored(t, store); got != want {
-			t.Errorf("%s: %s, %s expected", what, got, want)
+			t.Errorf("%s: stored list is %s, want %s", what, got, want)
 		}
 	}
 	recorder.UpdateEndpoints(fullList(1, "a", "b"))
@@ -119,16 +120,16 @@
 	added := membership.Endpoint{Name: "c", Address: "127.0.0.1:1"}
 	recorder.UpdateEndpoints(&membership.List{Version: 2, Endpoints: []membership.Endpoint{added}})
 	sink.list.Store(fullList(2, "a", "b", "c"))
-	sink.afterRead = func() { // the writer has the list from before
+	sink.afterRead = func() { // the writer has already read the list before this update
 		sink.afterRead = nil
 		recorder.UpdateEndpoints(fullList(3, "b", "c"))
 	}
 	recorder.write()
-	expect("an older list", "none")
+	expect("after the removal", "none")
 	recorder.write()
-	expect("the list after it", "[b c]")
+	expect("after the next write", "[b c]")
 	recorder.Stop()
 	recorder.UpdateEndpoints(fullList(4, "d"))
 	recorder.write()
-	expect("a recorder that has been stopped", "[b c]")
+	expect("after Stop", "[b c]")
 }
--- a/internal/membership/catalog/catalog.go
+++ b/internal/membership/catalog/catalog.go
@@ -1,16 +1,18 @@
-// Package catalog follows an endpoint list of the platform's discovery over HTTP/1.1: a full list,
-// and watches (long polls) from its version on. A Client calls in one of three modes:
+// Package catalog follows an endpoint list of the platform's discovery over HTTP/1.1. A client
+// reads the full list and then watches (long polls) from its version on. A Client calls discovery
+// in one of three modes:
 //
-//   - pushed (pushed.go): an agent beside the replica has lists pushed to it and answers at once. A
-//     watch is always open; a silent agent is called ten times a second. This is the default.
-//   - on demand (on_demand.go, Config.Subscribe): all replicas call one service, which works
-//     through their calls in turn. The module says when to call after a failure.
+//   - pushed (pushed.go, the default): an agent on the replica's machine receives the lists and
+//     answers at once. A watch is always open. An agent that does not answer is called ten times
+//     a second.
+//   - on demand (on_demand.go, Config.OnDemand): all replicas call one service, which processes
+//     their calls in order. The balancer decides when to call after a failure.
 //   - scheduled (scheduled.go, Config.Scheduler): many replicas share one service, and package
-//     start schedules the calls of each.
+//     start schedules the calls of each replica.
 //
-// In all of them a call that fails changes nothing: the last list stands, the sink is notified of
-// the failure where the module acts on it, and the source counts as silent until a call is
-// answered.
+// In all modes a failed call changes nothing: the last list stays in use, the sink is notified of
+// the failure in the modes in which the balancer acts on it, and the source counts as silent until
+// a call succeeds.
 package catalog
 
 import (
@@ -26,9 +28,9 @@
 	"fernlanding/internal/start"
 )
 
-// dialTimeout is how long a connection to discovery may take to be established. net/http lets a
-// dial continue when its call is canceled, for as long as the kernel tries, and counts it: a dozen
-// calls into a partition would bar all others for two minutes.
+// dialTimeout bounds the dial of one connection to discovery. net/http continues a dial whose call
+// was canceled for as long as the kernel tries, and counts it towards the connection limit. Without
+// the timeout, a dozen calls into a partition would block all other calls for two minutes.
 const dialTimeout = time.Second
 
 // Client is a membership.Source that follows discovery.
@@ -40,44 +42,45 @@
 	random     *rand.Rand
 	tracker    *staleness.Tracker
 
-	hold           func() time.Duration // of the next watch
-	timeout        time.Duration        // of an answer, in addition to a watch's hold
-	silentInterval time.Duration        // between calls to a silent agent, where lists are pushed
+	nextHold       func() time.Duration // returns the hold of the next watch
+	timeout        time.Duration        // time for an answer, in addition to a watch's hold
+	silentInterval time.Duration        // time between calls to a silent agent in pushed mode
 }
 
-// Config is what a Client is made of.
+// Config is the configuration of a Client.
 type Config struct {
-	Address string // of discovery, host:port
-	// OnDemand has discovery called on demand; otherwise lists are pushed, or calls are scheduled
-	// by Scheduler.
+	Address string // host:port of discovery
+	// OnDemand selects the on-demand mode. If it is false, the mode is scheduled with a Scheduler
+	// and pushed without one.
 	OnDemand bool
-	// AwaitFirstRequest has the first call wait for the module's request too; with Subscribe.
+	// AwaitFirstRequest delays the first call until the balancer requests it. Requires OnDemand.
 	AwaitFirstRequest bool
-	// WatchRequested receives the module's requests for a call; with Subscribe.
+	// WatchRequested receives the balancer's requests for a call. Requires OnDemand.
 	WatchRequested <-chan struct{}
-	// Rand draws holds and backoffs. Run alone uses it. Nil: a source of its own.
+	// Rand draws holds and backoffs. Only Run uses it. If Rand is nil, the Client creates its own.
 	Rand *rand.Rand
-	// Scheduler, if not nil, schedules the calls, for a discovery that many replicas share. Not
-	// with Subscribe.
+	// Scheduler, if not nil, schedules the calls to a discovery that many replicas share. Not used
+	// with OnDemand.
 	Scheduler *start.PollScheduler
-	// KnownVersion is the version of the list that the replica begins with, with Scheduler, or with
-	// Subscribe and AwaitFirstRequest; negative: it has none, or its version is in doubt.
+	// KnownVersion is the version of the list with which the replica starts. A negative value means
+	// that there is no list or that its version is uncertain. Used with Scheduler, or with OnDemand
+	// and AwaitFirstRequest.
 	KnownVersion int64
-	KnownAge     time.Duration // of the list of KnownVersion; with Scheduler
-	// Urgent reports that the replica can't serve, or its backends fail, until there is a newer
-	// list; with Scheduler.
+	KnownAge     time.Duration // age of the list of KnownVersion; used with Scheduler
+	// Urgent reports whether the replica can't serve, or its backends fail, until a newer list
+	// arrives. Used with Scheduler.
 	Urgent func() bool
-	// Dial dials connections to discovery; nil: as net/http does by default, without keep-alive
-	// probes.
+	// Dial dials connections to discovery. If Dial is nil, the dialer is that of net/http without
+	// keep-alive probes.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	Log  *slog.Logger
 }
 
-// New returns a client of a discovery.
+// New returns a Client for the discovery of cfg.
 func New(cfg Config) *Client {
 	c := &Client{
 		cfg: cfg, log: cfg.Log, dial: cfg.Dial, random: cfg.Rand, tracker: staleness.NewTracker(),
-		hold: func() time.Duration { return pushedHold }, timeout: pushedTimeout, silentInterval: silentInterval,
+		nextHold: func() time.Duration { return pushedHold }, timeout: pushedTimeout, silentInterval: silentInterval,
 	}
 	if c.dial == nil {
 		c.dial = (&net.Dialer{KeepAlive: -1}).DialContext
@@ -87,7 +90,7 @@
 	}
 	if cfg.OnDemand {
 		c.timeout = onDemandTimeout
-		c.hold = func() time.Duration {
+		c.nextHold = func() time.Duration {
 			return minOnDemandHold + time.Duration(c.random.Int64N(int64(maxOnDemandHold-minOnDemandHold)))
 		}
 	}
@@ -97,8 +100,8 @@
 	return c
 }
 
-// connect dials a connection with a timeout of its own: the context is not that of the call, and
-// has no end.
+// connect dials a connection with its own timeout. The context that net/http passes is not the
+// context of the call and never ends.
 func (c *Client) connect(ctx context.Context, network, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -108,8 +111,8 @@
 // Health implements membership.Source.
 func (c *Client) Health() membership.Health { return c.tracker.Health() }
 
-// Run implements membership.Source. After a call that failed in a way that leaves the version in
-// doubt, it goes on with the full list.
+// Run implements membership.Source. After a failure that leaves the version uncertain, the next
+// call reads the full list.
 func (c *Client) Run(ctx context.Context, sink membership.Sink) {
 	defer c.httpClient.CloseIdleConnections()
 	switch {
--- a/internal/membership/catalog/contract_test.go
+++ b/internal/membership/catalog/contract_test.go
@@ -12,7 +12,7 @@
 	"fernlanding/internal/start"
 )
 
-// registry implements contract.Registry by a stand-in of the platform's discovery.
+// registry implements contract.Registry with a stand-in for the platform's discovery.
 type registry struct{ discovery *standin.Discovery }
 
 func (r registry) Put(endpoints ...membership.Endpoint) {
@@ -31,9 +31,9 @@
 		return "discovery is silent", true
 	case 2:
 		r.discovery.SetMode(standin.ListHalf)
-		r.discovery.Put(standin.Member{Name: "change", Address: "127.0.0.1:1"}) // an answer to break off
+		r.discovery.Put(standin.Member{Name: "change", Address: "127.0.0.1:1"}) // causes a response to truncate
 		r.discovery.Delete("change")
-		return "its answers break off", true
+		return "its responses are truncated", true
 	}
 	return "", false
 }
--- a/internal/membership/catalog/discovery_test.go
+++ b/internal/membership/catalog/discovery_test.go
@@ -15,7 +15,7 @@
 	"fernlanding/internal/membership"
 )
 
-// The answers of scripted services.
+// The responses of scripted services.
 const (
 	servingList   = `{"index":1,"snapshot":true,"endpoints":[{"name":"a","address":"127.0.0.1:1","status":"SERVING"}]}`
 	drainingList  = `{"index":2,"snapshot":true,"endpoints":[{"name":"a","address":"127.0.0.1:1","status":"DRAINING"}]}`
@@ -25,10 +25,10 @@
 	noChange     = `{"index":1,"snapshot":false,"endpoints":[]}`
 )
 
-// answer writes an answer. A client that has gone does not matter.
+// answer writes a response. The error is ignored because the client may have disconnected.
 func answer(w http.ResponseWriter, list string) { _, _ = io.WriteString(w, list) }
 
-// serve starts a discovery whose handler also gets the number of the call, from 1.
+// serve starts a discovery. The handler also receives the number of the call, from 1.
 func serve(t *testing.T, handler func(n int, w http.ResponseWriter, r *http.Request)) (addr string) {
 	t.Helper()
 	calls := make(chan int, 1)
@@ -42,13 +42,12 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// newPushedClient returns a client of an agent to which lists are pushed.
+// newPushedClient returns a client in the pushed mode.
 func newPushedClient(addr string) *Client {
 	return New(Config{Address: addr, Rand: rand.New(rand.NewPCG(1, 1)), Log: slog.New(slog.DiscardHandler)})
 }
 
-// newOnDemandClient returns a client of a service that all replicas call; its module never requests
-// a call.
+// newOnDemandClient returns a client in the on-demand mode. The balancer never requests a call.
 func newOnDemandClient(addr string) *Client {
 	return New(Config{
 		Address: addr, OnDemand: true, WatchRequested: make(chan struct{}),
@@ -68,26 +67,26 @@
 	})
 }
 
-// listSink passes on the lists that it is notified of.
+// listSink sends the lists that it receives to a channel.
 type listSink chan *membership.List
 
 func (s listSink) UpdateEndpoints(list *membership.List) { s <- list }
 
 func (s listSink) UpdateFailed() {}
 
-// next returns the next list; none in a long time fails the test.
+// next returns the next list, or fails the test after 20 s.
 func (s listSink) next(t *testing.T, what string) *membership.List {
 	t.Helper()
 	select {
 	case list := <-s:
 		return list
 	case <-time.After(20 * time.Second):
-		t.Fatalf("%s: not within 20 s", what)
+		t.Fatalf("%s: none within 20 s", what)
 		return nil
 	}
 }
 
-// requestingSink is a listSink whose module requests a call at once after a failure.
+// requestingSink is a listSink whose balancer requests a call as soon as one fails.
 type requestingSink struct {
 	listSink
 	requests chan<- struct{}
@@ -95,15 +94,15 @@
 
 func (s requestingSink) UpdateFailed() { s.requests <- struct{}{} }
 
-// rejectionLog measures how long after each rejection the next call came.
+// rejectionLog measures the delay between each rejection and the next call.
 type rejectionLog struct {
 	mu           sync.Mutex
 	lastRejected time.Time
 	delays       []time.Duration
 }
 
-// noteCall notes a call.
-func (l *rejectionLog) noteCall() {
+// recordCall records a call.
+func (l *rejectionLog) recordCall() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.lastRejected.IsZero() {
@@ -112,7 +111,7 @@
 	}
 }
 
-// reject rejects a call; retryAfter is empty for no Retry-After.
+// reject rejects a call, with a Retry-After header unless retryAfter is empty.
 func (l *rejectionLog) reject(w http.ResponseWriter, retryAfter string) {
 	l.mu.Lock()
 	l.lastRejected = time.Now()
@@ -123,37 +122,37 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// expectDelays fails the test where a call came sooner after a rejection than it should have.
+// expectDelays fails the test if a call followed a rejection sooner than least.
 func (l *rejectionLog) expectDelays(t *testing.T, least ...time.Duration) {
 	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.delays) != len(least) {
-		t.Fatalf("calls came %v after rejections, want %d", l.delays, len(least))
+		t.Fatalf("delays after rejections are %v, want %d of them", l.delays, len(least))
 	}
 	for i, delay := range l.delays {
 		if delay < least[i] {
-			t.Errorf("the call after rejection %d came after %v, sooner than %v", i+1, delay, least[i])
+			t.Errorf("delay after rejection %d is %v, want at least %v", i+1, delay, least[i])
 		}
 	}
 }
 
-// reply is what a scripted service answers to one call.
+// reply is the response of a scripted service to one call.
 type reply struct {
 	body       string // empty: the call is rejected
 	retryAfter string
 }
 
-// The replies of scripts.
+// The replies in scripts.
 var (
 	listReply     = reply{body: servingList}
 	noChangeReply = reply{body: noChange}
 	rejectReply   = reply{}
 )
 
-// script starts a service that gives each call the next reply, and holds all calls after the last.
-// Once it has sent the list, calls must be from its version.
-func (l *rejectionLog) script(t *testing.T, replies ...reply) (addr string) {
+// serveScript starts a service that gives each call the next reply and holds the calls after the
+// last reply. After the service has sent the list, calls must be from the list's version.
+func (l *rejectionLog) serveScript(t *testing.T, replies ...reply) (addr string) {
 	t.Helper()
 	listCall := -1 // the number of the call that got the list
 	for i, reply := range replies {
@@ -163,9 +162,9 @@
 		}
 	}
 	return serve(t, func(n int, w http.ResponseWriter, req *http.Request) {
-		l.noteCall()
+		l.recordCall()
 		if from := req.URL.Query().Get("from"); listCall > 0 && n > listCall && from != "1" {
-			t.Errorf("call %d is %s", n, req.URL)
+			t.Errorf("call %d requests %s", n, req.URL)
 		}
 		switch {
 		case n > len(replies):
--- a/internal/membership/catalog/fetch.go
+++ b/internal/membership/catalog/fetch.go
@@ -15,32 +15,32 @@
 
 const (
 	maxListBytes = 4 << 20
-	// maxRetryAfter is the longest Retry-After that is taken for what it says.
+	// maxRetryAfter caps the Retry-After of a response.
 	maxRetryAfter = time.Hour
 
-	// noVersion stands for the version of a list that there is not, or whose version is in doubt. A
-	// call from it is for the full list.
+	// noVersion means that there is no list, or that its version is uncertain. A call with
+	// noVersion reads the full list.
 	noVersion = -1
 )
 
-// errInvalidAnswer is the error of answers that are no valid list.
-var errInvalidAnswer = errors.New("invalid answer")
+// errInvalidResponse is the error of a response without a valid list.
+var errInvalidResponse = errors.New("invalid response")
 
-// overloadedError is the error of a call that discovery has rejected, with status 503 or 429.
+// overloadedError is the error of a call that discovery rejected with status 503 or 429.
 type overloadedError struct {
-	retryAfter time.Duration // RFC 9110, section 10.2.3; 0: none
+	retryAfter time.Duration // RFC 9110, section 10.2.3; 0 means none
 }
 
 // Error implements error.
 func (e *overloadedError) Error() string {
 	if e.retryAfter > 0 {
-		return fmt.Sprintf("discovery is overloaded or down, Retry-After %v", e.retryAfter)
+		return fmt.Sprintf("discovery is overloaded or unavailable, Retry-After %v", e.retryAfter)
 	}
-	return "discovery is overloaded or down"
+	return "discovery is overloaded or unavailable"
 }
 
-// outcomeOf returns how a call with an error (or nil) ended, and the Retry-After of the answer; 0:
-// none.
+// outcomeOf returns the outcome of a call that returned err, and the Retry-After of its response. A
+// Retry-After of 0 means none.
 func outcomeOf(err error) (start.Outcome, time.Duration) {
 	var overloaded *overloadedError
 	switch {
@@ -54,9 +54,9 @@
 	return start.Failed, 0
 }
 
-// fetch calls discovery for what is newer than a version or, with a negative version, for the full
-// list. A watch is held for some time; timeout is that of the answer in addition to the hold. A
-// delta to an older version than the one that it follows is an error.
+// fetch reads the changes since a version, or the full list if version is negative. A watch is held
+// for at most hold; timeout applies to the response in addition to hold. A delta whose version is
+// lower than the given version is an error.
 func (c *Client) fetch(ctx context.Context, version int64, hold, timeout time.Duration) (*membership.List, error) {
 	url := "http://" + c.cfg.Address + "/catalog/members"
 	if version >= 0 {
@@ -71,15 +71,15 @@
 	}
 	list, err := membership.Parse(data)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errInvalidAnswer, err)
+		return nil, fmt.Errorf("%w: %w", errInvalidResponse, err)
 	}
 	if !list.Full && list.Version < version {
-		return nil, fmt.Errorf("%w: version went back from %d to %d", errInvalidAnswer, version, list.Version)
+		return nil, fmt.Errorf("%w: version decreased from %d to %d", errInvalidResponse, version, list.Version)
 	}
 	return list, nil
 }
 
-// get returns the body of an answer with status 200.
+// get returns the body of a response with status 200.
 func (c *Client) get(ctx context.Context, url string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -89,22 +89,23 @@
 	if err != nil {
 		return nil, fmt.Errorf("call discovery: %w", err)
 	}
-	defer func() { _ = resp.Body.Close() }() // what was read of it is complete, or an error already
+	defer func() { _ = resp.Body.Close() }() // a read body is complete, or its error is returned already
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		return nil, &overloadedError{retryAfter: parseRetryAfter(resp.Header.Get("Retry-After"))}
 	default:
-		return nil, fmt.Errorf("call discovery: status %s", resp.Status)
+		return nil, fmt.Errorf("call discovery: unexpected status %s", resp.Status)
 	}
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
-		return nil, fmt.Errorf("read the list: %w", err)
+		return nil, fmt.Errorf("read endpoint list: %w", err)
 	}
 	return data, nil
 }
 
-// parseRetryAfter returns a Retry-After of seconds, integral or decimal; 0 for any other.
+// parseRetryAfter parses a Retry-After in integral or decimal seconds. It returns 0 for any other
+// value.
 func parseRetryAfter(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(seconds > 0) {
--- a/internal/membership/catalog/on_demand.go
+++ b/internal/membership/catalog/on_demand.go
@@ -10,77 +10,80 @@
 )
 
 const (
-	// A watch is held for between these times where nothing changes. A connection to the service
-	// can fall silent, and nothing shows it but an answer that is overdue: changes meanwhile count
-	// as notified 2 s after the hold. All replicas share one service, and watches that fall silent
-	// together are opened anew as far apart as their holds end. Changes end all holds at once, so
-	// each is drawn anew.
+	// A watch without a change is held for a random time between minOnDemandHold and
+	// maxOnDemandHold. If a connection to the service stops delivering data, the overdue response
+	// is the only symptom, and the platform considers the replica notified of a change 2 s after
+	// the hold. All replicas share one service; random holds spread the time at which watches that
+	// stop responding together are reopened. A change ends all holds at once, so each hold is drawn
+	// independently.
 	minOnDemandHold = 6 * time.Second
 	maxOnDemandHold = 14 * time.Second
-	// onDemandTimeout is the timeout of an answer in addition to a watch's hold. The service works
-	// through calls in turn, and what it has written counts as notified, whether or not its caller
-	// still waits. So a call is not canceled because its turn comes late: another is opened beside
-	// one that is overdue, since that may have fallen silent, and both are waited for. The service
-	// itself rejects what has waited too long.
+	// onDemandTimeout is the time for a response in addition to a watch's hold. The service
+	// processes calls in order, and the platform considers a written response delivered whether or
+	// not its caller still waits. A late call is therefore not canceled. Instead a second call is
+	// opened beside an overdue one, whose connection may be dead, and both are awaited. The service
+	// itself rejects calls that have waited too long.
 	onDemandTimeout = 10 * time.Second
-	// watchOverdue is how long after its hold a watch is overdue: it is silent, or waits its turn.
-	// What it misses counts as notified 2 s after its hold: the rest of them is for the next one's
-	// answer, which may have to wait its turn too.
+	// watchOverdue is the time after its hold at which a watch is overdue. Its connection may be
+	// dead, or the call is queued by the service. The platform considers the replica notified of a
+	// change 2 s after the hold; the rest of the 2 s is for the response to the next watch, which
+	// may be queued too.
 	watchOverdue = 500 * time.Millisecond
-	// fullOverdue is after how long a call for the full list is overdue at first; doubled with each
-	// that is.
+	// fullOverdue is the time after which the first call for the full list is overdue. It doubles
+	// with each overdue call.
 	fullOverdue    = 1500 * time.Millisecond
 	maxFullOverdue = 6 * time.Second
 
-	maxOnDemandCalls = 8 // that are open at a time
-	// firstRetryDelay is the delay after a first call that failed: the module knows of no list
-	// then, and requests none.
+	maxOnDemandCalls = 8 // open at a time
+	// firstRetryDelay is the delay after the first call fails. The balancer has no list then and
+	// requests no call.
 	firstRetryDelay = 500 * time.Millisecond
 )
 
-// onDemand is a Client's work where all replicas call one service, when the module requests it. One
-// goroutine owns it.
+// onDemand is the state of a Client in the on-demand mode, in which all replicas call one service
+// when the balancer requests it. One goroutine owns it.
 type onDemand struct {
-	client *Client
-	sink   membership.Sink
-	calls  sync.WaitGroup
-	ends   chan onDemandEnd
-	// timer fires when the newest call is overdue, or when to call again without the module's
-	// request.
+	client  *Client
+	sink    membership.Sink
+	calls   sync.WaitGroup
+	results chan onDemandResult
+	// timer fires when the newest call is overdue, or when the next call is due without a request
+	// of the balancer.
 	timer *time.Timer
 	retry *retryTimer // decides when to call again after a rejection
 
-	version       int64         // that stands; negative: there is none, or it is in doubt
-	newest        int           // number of the newest call; the first has 1
+	version       int64         // version of the list in use; negative if there is none or it is uncertain
+	newest        int           // number of the newest call; the first call is 1
 	openCalls     int           // calls that have not ended
-	lastTaken     int           // number of the call that brought the version that stands; 0: none has
-	watch         int           // number of the call that watches; 0: none does
-	fullOverdue   time.Duration // after which the next call for the full list is overdue
-	awaitsRequest bool          // of the module
+	lastApplied   int           // number of the call that returned the list in use; 0 if none has
+	watch         int           // number of the call that watches; 0 if none does
+	fullOverdue   time.Duration // time after which the next call for the full list is overdue
+	awaitsRequest bool          // the next call waits for a request of the balancer
 }
 
-// onDemandEnd is the end of a call.
-type onDemandEnd struct {
+// onDemandResult is the result of a call.
+type onDemandResult struct {
 	number int
-	from   int64 // the version that it was from
+	from   int64 // version that the call was made from
 	list   *membership.List
 	err    error
 }
 
-// runOnDemand is Run with Subscribe.
+// runOnDemand is Run in the on-demand mode.
 func (c *Client) runOnDemand(ctx context.Context, sink membership.Sink) {
 	ctx, cancel := context.WithCancel(ctx)
 	d := &onDemand{
-		client: c, sink: sink, ends: make(chan onDemandEnd), timer: time.NewTimer(0),
+		client: c, sink: sink, results: make(chan onDemandResult), timer: time.NewTimer(0),
 		version: noVersion, fullOverdue: fullOverdue, awaitsRequest: c.cfg.AwaitFirstRequest,
 	}
 	d.resetRetry()
 	defer d.calls.Wait()
 	defer cancel()
 	defer d.timer.Stop()
-	// A replica that begins with a list begins with a watch from it. The full list and then a watch
-	// are two calls in the same moment, which a service before which many start does not take: it
-	// rejects the watch, and what changes before the next one counts as notified early.
+	// A replica that starts with a list starts with a watch from its version. A full read followed
+	// by a watch would be two calls at the same moment. A service that many replicas call as they
+	// start rejects the second call, and the platform would consider the replica notified of
+	// changes that its next watch has yet to return.
 	if d.awaitsRequest {
 		d.version = c.cfg.KnownVersion
 		d.timer.Stop()
@@ -93,23 +96,23 @@
 			}
 		case <-d.timer.C:
 			d.call(ctx)
-		case end := <-d.ends:
-			d.handleEnd(ctx, end)
+		case result := <-d.results:
+			d.handleResult(ctx, result)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// call opens a watch from the version that stands or, where there is none, a call for the full
-// list.
+// call opens a watch from the version of the list in use, or reads the full list if there is no
+// version.
 func (d *onDemand) call(ctx context.Context) {
 	d.awaitsRequest = false
-	d.retry.noteCall(time.Now())
+	d.retry.recordCall(time.Now())
 	version, hold := d.version, time.Duration(0)
 	overdue := d.fullOverdue
 	if version >= 0 {
-		hold = d.client.hold()
+		hold = d.client.nextHold()
 		overdue = hold + watchOverdue
 	} else {
 		d.fullOverdue = min(2*d.fullOverdue, maxFullOverdue)
@@ -128,32 +131,32 @@
 	d.calls.Go(func() {
 		list, err := d.client.fetch(ctx, version, hold, d.client.timeout)
 		select {
-		case d.ends <- onDemandEnd{number: number, from: version, list: list, err: err}:
+		case d.results <- onDemandResult{number: number, from: version, list: list, err: err}:
 		case <-ctx.Done():
 		}
 	})
 }
 
-// handleEnd handles the end of a call. The newest call decides what follows; an older one that is
-// answered after all may bring an update.
-func (d *onDemand) handleEnd(ctx context.Context, end onDemandEnd) {
+// handleResult handles the result of a call. The newest call decides what follows; an older call
+// that succeeds late may still return an update.
+func (d *onDemand) handleResult(ctx context.Context, result onDemandResult) {
 	d.openCalls--
-	isNewest := end.number == d.newest
-	if end.number == d.watch {
+	isNewest := result.number == d.newest
+	if result.number == d.watch {
 		d.watch = 0
 	}
-	if end.err != nil {
-		if isNewest { // otherwise another has been opened beside it
-			d.fail(end.err)
+	if result.err != nil {
+		if isNewest { // otherwise a second call is open beside it
+			d.handleFailure(result.err)
 		}
 		return
 	}
 	d.resetRetry()
-	// Changes up to a version that stands already are no update, nor is a full list from before the
-	// one that stands was called for. Any other full list is: a service that starts anew counts
-	// anew.
-	if end.list.Version >= d.version || end.list.Full && end.number > d.lastTaken {
-		d.take(end)
+	// A delta up to a version that is already applied is not an update, nor is a full list whose
+	// call is older than the call of the list in use. Any other full list is an update: a service
+	// that restarts counts its versions from the start.
+	if result.list.Version >= d.version || result.list.Full && result.number > d.lastApplied {
+		d.deliver(result)
 	}
 	if d.watch == 0 && (d.version >= 0 || isNewest) {
 		d.fullOverdue = fullOverdue
@@ -161,40 +164,40 @@
 	}
 }
 
-// fail handles the failure of the newest call. The module is notified, and requests the next call,
-// except after a rejection: the service works on calls that it has rejected for their wait, so
-// those who come back soon after keep it from those whose turn could still come.
-func (d *onDemand) fail(err error) {
+// handleFailure handles the failure of the newest call. The balancer is notified and requests the
+// next call, except after a rejection. The service still processes calls that it has rejected for
+// their wait, so an early retry would delay the calls that can still be answered in time.
+func (d *onDemand) handleFailure(err error) {
 	d.client.log.Warn("discovery call failed", "error", err)
 	d.client.tracker.Failed()
-	result, retryAfter := outcomeOf(err)
-	if result == start.Rejected {
-		d.retry.noteRejection(time.Now(), retryAfter)
+	outcome, retryAfter := outcomeOf(err)
+	if outcome == start.Rejected {
+		d.retry.recordRejection(time.Now(), retryAfter)
 	} else {
 		d.version = noVersion
 	}
 	d.timer.Stop()
-	d.awaitsRequest = result != start.Rejected
+	d.awaitsRequest = outcome != start.Rejected
 	d.sink.UpdateFailed()
 	switch {
-	case result == start.Rejected:
+	case outcome == start.Rejected:
 		d.timer.Reset(time.Until(d.retry.due(false)))
-	case d.lastTaken == 0 && !d.client.cfg.AwaitFirstRequest:
+	case d.lastApplied == 0 && !d.client.cfg.AwaitFirstRequest:
 		d.timer.Reset(firstRetryDelay)
 	}
 }
 
-// resetRetry has the backoffs after rejections begin anew.
+// resetRetry restarts the backoffs after rejections at the first.
 func (d *onDemand) resetRetry() {
 	d.retry = newRetryTimer(time.Now(), 0, onDemandBackoff, d.client.random)
 }
 
-// take passes an answer on to the sink.
-func (d *onDemand) take(end onDemandEnd) {
-	if d.version >= 0 || end.list.Full || end.from < 0 { // otherwise the version stays in doubt
-		d.version = end.list.Version
+// deliver passes the list of a result to the sink.
+func (d *onDemand) deliver(result onDemandResult) {
+	if d.version >= 0 || result.list.Full || result.from < 0 { // otherwise the version stays uncertain
+		d.version = result.list.Version
 	}
-	d.lastTaken = end.number
-	d.sink.UpdateEndpoints(end.list)
-	d.client.tracker.Confirmed(end.list.Version, 0)
+	d.lastApplied = result.number
+	d.sink.UpdateEndpoints(result.list)
+	d.client.tracker.Confirmed(result.list.Version, 0)
 }
--- a/internal/membership/catalog/on_demand_test.go
+++ b/internal/membership/catalog/on_demand_test.go
@@ -11,9 +11,9 @@
 	"fernlanding/internal/membership"
 )
 
-// testAfterRejections follows a service that sends the list, rejects watches and answers one. The
-// module requests a watch at once each time.
-func testAfterRejections(t *testing.T, addr string) {
+// testWatchAfterRejections follows a service that sends the list, rejects watches and then answers
+// one. After each failure the balancer requests a watch at once.
+func testWatchAfterRejections(t *testing.T, addr string) {
 	t.Helper()
 	requests := make(chan struct{}, 10)
 	client := newOnDemandClient(addr)
@@ -21,36 +21,37 @@
 	lists := make(listSink, 10)
 	run(t, client, requestingSink{listSink: lists, requests: requests})
 	lists.next(t, "the first list")
-	lists.next(t, "the answer of the watch that was opened anew")
+	lists.next(t, "the response to the reopened watch")
 }
 
-// A shared service that sends Retry-After is not called until then, though the module requests a
-// call at once; but not for so long that what it has at its return is notified too late.
-func TestOnDemandRetryAfterIsKept(t *testing.T) {
+// A shared service that sends Retry-After is not called before that delay, although the balancer
+// requests a call at once. The honored delay is bounded, because after a longer one the list of the
+// service would arrive too late.
+func TestOnDemandRetryAfterIsHonoredUpToBound(t *testing.T) {
 	t.Parallel()
 	var rejections rejectionLog
-	addr := rejections.script(t, listReply, reply{retryAfter: "1"}, reply{retryAfter: "3600"}, noChangeReply)
-	testAfterRejections(t, addr)
-	rejections.expectDelays(t, time.Second, maxKeptRetryAfter)
+	addr := rejections.serveScript(t, listReply, reply{retryAfter: "1"}, reply{retryAfter: "3600"}, noChangeReply)
+	testWatchAfterRejections(t, addr)
+	rejections.expectDelays(t, time.Second, maxHonoredRetryAfter)
 }
 
-// A watch that is rejected is opened anew from the same version, later after each rejection, and no
-// sooner where the module requests it: the service works on calls that it has rejected, and clients
-// that come back soon keep its queue too long for all.
+// A rejected watch is reopened from the same version, with a longer delay after each rejection,
+// even if the balancer requests it sooner. The service processes calls that it has rejected, so
+// clients that return early keep its queue too long for all clients.
 func TestRejectedOnDemandWatchBacksOff(t *testing.T) {
 	t.Parallel()
 	var rejections rejectionLog
-	addr := rejections.script(t, listReply, rejectReply, rejectReply, noChangeReply)
-	testAfterRejections(t, addr)
+	addr := rejections.serveScript(t, listReply, rejectReply, rejectReply, noChangeReply)
+	testWatchAfterRejections(t, addr)
 	rejections.expectDelays(t, onDemandBackoff.first/2, backoffGrowth*onDemandBackoff.first/2)
 }
 
-// A replica that begins without a list, which its module does not request, backs off longer after
-// each rejection.
+// A replica that starts without a list backs off longer after each rejection. The balancer requests
+// no call then.
 func TestRejectedFirstOnDemandCallsBackOff(t *testing.T) {
 	t.Parallel()
 	var rejections rejectionLog
-	addr := rejections.script(t, rejectReply, rejectReply, rejectReply, listReply)
+	addr := rejections.serveScript(t, rejectReply, rejectReply, rejectReply, listReply)
 	lists := make(listSink, 10)
 	run(t, newOnDemandClient(addr), lists)
 	lists.next(t, "the first list")
@@ -58,8 +59,8 @@
 		onDemandBackoff.first/2, backoffGrowth*onDemandBackoff.first/2, onDemandBackoff.largest/2)
 }
 
-// A replica that begins without a list calls again after a call that failed: its module knows of
-// none, and requests none.
+// A replica that starts without a list calls again after a failed call. The balancer has no list
+// then and requests no call.
 func TestFirstOnDemandCallIsRetried(t *testing.T) {
 	addr := serve(t, func(n int, w http.ResponseWriter, r *http.Request) {
 		switch n {
@@ -76,24 +77,24 @@
 	lists.next(t, "the first list")
 }
 
-// A replica that begins with a list begins with a watch from its version: replicas that start
-// together then make one call each, which a service can take at once, and none is rejected for the
-// full list's sake. Only a version in doubt has the full list called for.
-func TestReplicaWithListBeginsWithAWatch(t *testing.T) {
+// A replica that starts with a list starts with a watch from its version. Replicas that start
+// together then make one call each, which the service can process at once, and no call is rejected
+// for the sake of the full list. The full list is only read if the version is uncertain.
+func TestReplicaWithListStartsWithWatch(t *testing.T) {
 	addr := serve(t, func(n int, w http.ResponseWriter, r *http.Request) {
 		from := r.URL.Query().Get("from")
 		switch {
-		case n == 1 && from == "7": // another service's, which counts anew
+		case n == 1 && from == "7": // a version of another service, which counts its own versions
 			answer(w, `{"index":3,"snapshot":false,"endpoints":[]}`)
 		case n == 2 && from == "":
 			answer(w, servingList)
 		case n > 2 && from == "1":
 			<-r.Context().Done()
 		default:
-			t.Errorf("call %d is %s", n, r.URL)
+			t.Errorf("call %d requests %s", n, r.URL)
 		}
 	})
-	requests := make(chan struct{}, 2) // of the module: at the start, and after the doubt
+	requests := make(chan struct{}, 2) // from the balancer: at the start, and after the version became uncertain
 	requests <- struct{}{}
 	client := New(Config{
 		Address: addr, OnDemand: true, AwaitFirstRequest: true, KnownVersion: 7, WatchRequested: requests,
@@ -102,29 +103,29 @@
 	lists := make(listSink, 10)
 	run(t, client, requestingSink{listSink: lists, requests: requests})
 	if list := lists.next(t, "the full list"); list.Version != 1 {
-		t.Errorf("first came %+v", list)
+		t.Errorf("first list is %+v", list)
 	}
 }
 
-// Where all replicas share the service, a watch that has fallen silent is opened anew as soon as it
-// is overdue, beside the one that is still waited for, and without a request of the module: what it
-// misses counts as notified 2 s after its hold.
-func TestOverdueWatchIsOpenedAnewBesideIt(t *testing.T) {
+// In the on-demand mode, a watch that stops responding is reopened as soon as it is overdue,
+// without a request of the balancer, while the first watch stays open. The platform considers the
+// replica notified of a missed change 2 s after the hold.
+func TestOverdueWatchIsReopenedBesideFirst(t *testing.T) {
 	firstCanceled := make(chan struct{})
 	addr := serve(t, func(n int, w http.ResponseWriter, r *http.Request) {
 		switch n {
 		case 1:
 			answer(w, servingList)
-		case 2: // falls silent
+		case 2: // does not respond
 			<-r.Context().Done()
 			close(firstCanceled)
 		case 3:
 			if r.URL.Query().Get("from") != "1" {
-				t.Errorf("the watch is opened anew by %s", r.URL)
+				t.Errorf("the watch is reopened by %s", r.URL)
 			}
 			select {
 			case <-firstCanceled:
-				t.Error("the silent watch had been canceled before another was opened")
+				t.Error("the silent watch was canceled before another was opened")
 			default:
 			}
 			answer(w, drainingDelta)
@@ -135,34 +136,34 @@
 	client := New(Config{
 		Address: addr, OnDemand: true, WatchRequested: make(chan struct{}), Log: slog.New(slog.DiscardHandler),
 	})
-	client.hold, client.timeout = func() time.Duration { return 50 * time.Millisecond }, time.Minute
+	client.nextHold, client.timeout = func() time.Duration { return 50 * time.Millisecond }, time.Minute
 	lists := make(listSink, 10)
 	run(t, client, lists)
 	lists.next(t, "the first list")
 	list := lists.next(t, "the change that the silent watch missed")
 	if list.Version != 2 || list.Endpoints[0].Status != membership.Draining {
-		t.Errorf("after the silence came %+v", list)
+		t.Errorf("list after the silence is %+v", list)
 	}
 }
 
-// What a shared service writes counts as notified, whether or not its caller still waits: a call
-// whose turn comes late is not canceled, and one that has been overtaken by the call beside it is
-// still taken.
-func TestLateOnDemandAnswerIsTaken(t *testing.T) {
+// The platform considers a response of a shared service delivered whether or not its caller still
+// waits. A call that is answered late is not canceled, and the list of a call that a newer call has
+// overtaken is still applied.
+func TestLateOnDemandResponseIsApplied(t *testing.T) {
 	second, taken := make(chan struct{}), make(chan struct{})
 	addr := serve(t, func(n int, w http.ResponseWriter, r *http.Request) {
 		waitFor := func(turn <-chan struct{}) {
 			select {
 			case <-turn:
 			case <-r.Context().Done():
-				t.Errorf("call %d, %s, was canceled before its turn", n, r.URL)
+				t.Errorf("call %d, %s, was canceled before its response", n, r.URL)
 			}
 		}
 		switch n {
 		case 1:
 			waitFor(second)
 			answer(w, servingList)
-		case 2: // for the full list, beside the first
+		case 2: // for the full list, beside the first call
 			close(second)
 			waitFor(taken)
 			answer(w, drainingList)
@@ -172,19 +173,19 @@
 	})
 	lists := make(listSink, 10)
 	run(t, newOnDemandClient(addr), lists)
-	if list := lists.next(t, "the list of the call whose turn came late"); list.Version != 1 {
-		t.Errorf("first came %+v", list)
+	if list := lists.next(t, "the list of the late call"); list.Version != 1 {
+		t.Errorf("first list is %+v", list)
 	}
 	close(taken)
-	list := lists.next(t, "the list of the call beside it")
+	list := lists.next(t, "the list of the second call")
 	if list.Version != 2 || list.Endpoints[0].Status != membership.Draining {
-		t.Errorf("then came %+v", list)
+		t.Errorf("second list is %+v", list)
 	}
 }
 
-// Of concurrent calls the older may be answered last, with what is older: that is no update. A new
-// watch is open from the first answer on.
-func TestOlderOnDemandAnswerIsNoUpdate(t *testing.T) {
+// Of two concurrent calls the older one may be answered last, with an older list. That list is not
+// an update. A new watch opens with the first response.
+func TestOlderOnDemandResponseIsNoUpdate(t *testing.T) {
 	second, watching, watchTurn := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	addr := serve(t, func(n int, w http.ResponseWriter, r *http.Request) {
 		waitFor := func(turn <-chan struct{}) {
@@ -203,7 +204,7 @@
 			answer(w, drainingList)
 		case 3:
 			if r.URL.Query().Get("from") != "2" {
-				t.Errorf("the watch is from %s", r.URL)
+				t.Errorf("the watch requests %s, want changes from version 2", r.URL)
 			}
 			close(watching)
 			waitFor(watchTurn)
@@ -218,20 +219,20 @@
 	lists := make(listSink, 10)
 	run(t, client, lists)
 	lists.next(t, "the second call's list")
-	for range 2 { // also the older answer has been read
+	for range 2 { // the older response has been read as well
 		select {
 		case <-closed:
 		case <-time.After(20 * time.Second):
-			t.Fatal("the older answer was not read within 20 s")
+			t.Fatal("the older response was not read within 20 s")
 		}
 	}
 	close(watchTurn)
 	if list := lists.next(t, "the watch's change"); list.Version != 3 {
-		t.Errorf("after version 2 came %+v", list)
+		t.Errorf("list after version 2 is %+v", list)
 	}
 }
 
-// closeNotifyingTransport notes each answer whose body has been closed.
+// closeNotifyingTransport sends to closed after the body of each response has been closed.
 type closeNotifyingTransport struct {
 	http.RoundTripper
 	closed chan<- struct{}
--- a/internal/membership/catalog/overload_test.go
+++ b/internal/membership/catalog/overload_test.go
@@ -14,25 +14,25 @@
 const (
 	overloadClients  = 100
 	overloadCallCost = 20 * time.Millisecond
-	overloadTimeout  = 500 * time.Millisecond  // after which a call that waits is rejected
-	overloadMaxQueue = 1250 * time.Millisecond // beyond which a call is rejected at once
-	// maxRejectionsPerClient bounds the calls that may be rejected for each client until all are
-	// answered. Clients that come back within the queue's length make some ten a second each, for
-	// ever.
+	overloadTimeout  = 500 * time.Millisecond  // wait after which a queued call is rejected
+	overloadMaxQueue = 1250 * time.Millisecond // wait above which a call is rejected at once
+	// maxRejectionsPerClient bounds the rejected calls per client until all clients are answered.
+	// Clients that return within the length of the queue make about ten calls a second each,
+	// without end.
 	maxRejectionsPerClient = 12
 )
 
-// overloadedService works off new watches in turn. It works on a call that it has rejected for its
-// wait as on any other, as a service does that notices too late that nobody waits. Watches that go
-// on cost it nothing.
+// overloadedService processes new watches in order. It also processes a call that it has rejected
+// for its wait, like a service that notices too late that the caller is gone. Open watches cost it
+// nothing.
 type overloadedService struct {
 	mu                sync.Mutex
 	busyUntil         time.Time
 	rejections        int
-	tooManyRejections chan struct{} // closed once more calls have been rejected than is allowed
+	tooManyRejections chan struct{} // closed once the allowed number of calls has been rejected
 }
 
-// enqueue takes a call into the queue, where it is short enough, and returns how long it will wait.
+// enqueue adds a call to the queue if the queue is short enough, and returns the wait of the call.
 func (s *overloadedService) enqueue() (wait time.Duration, accepted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +78,7 @@
 	answer(w, noChange)
 }
 
-// newResumingClient returns a client that begins with a list of version 0.
+// newResumingClient returns a client that starts with a list of version 0.
 func newResumingClient(addr string, seed uint64) *Client {
 	requests := make(chan struct{}, 1)
 	requests <- struct{}{}
@@ -88,9 +88,10 @@
 	})
 }
 
-// Clients that start together before a service that can't take all their calls at once leave it the
-// time to work off its queue, and all of them are answered. Where they come back sooner than that,
-// its queue stays longer than calls may wait, and nobody is answered any more.
+// A service can't process the calls of all clients that start together at once. Clients that back
+// off leave the service time to shorten its queue, and all of them are answered. If clients
+// returned sooner, the queue would stay longer than the allowed wait, and no client would be
+// answered.
 func TestClientsOfAnOverloadedServiceAreAllAnswered(t *testing.T) {
 	t.Parallel()
 	service := &overloadedService{tooManyRejections: make(chan struct{})}
@@ -104,7 +105,7 @@
 		select {
 		case <-lists:
 		case <-service.tooManyRejections:
-			t.Fatalf("%d of %d clients are answered, and %d calls were rejected",
+			t.Fatalf("%d of %d clients were answered before %d calls were rejected",
 				answered, overloadClients, maxRejectionsPerClient*overloadClients)
 		}
 	}
--- a/internal/membership/catalog/pushed.go
+++ b/internal/membership/catalog/pushed.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// pushedHold is how long a watch is held where nothing changes. A connection to the agent can
-	// fall silent, and nothing shows it but an answer that is overdue: changes meanwhile count as
-	// notified 2 s after the hold. Calling an agent costs nothing.
+	// pushedHold is how long a watch without a change is held. If a connection to the agent stops
+	// delivering data, the overdue response is the only symptom, and the platform considers the
+	// replica notified of a change 2 s after the hold. The hold is short because calls to an agent
+	// cost nothing.
 	pushedHold    = 2 * time.Second
 	pushedTimeout = time.Second // in addition to a watch's hold
 
-	maxOpenCalls    = 10               // while no call is answered; the oldest is canceled for one more
-	openCallTimeout = 10 * time.Second // of a call that may stand in a service's queue
-	logInterval     = time.Second      // between log lines while no call is answered
+	maxOpenCalls    = 10               // while none has succeeded; one more cancels the oldest
+	openCallTimeout = 10 * time.Second // for a call that a service may have queued
+	logInterval     = time.Second      // between log lines while no call succeeds
 	maxConnections  = 2 + maxOpenCalls // to discovery; a dial may outlive its call
 )
 
-// runPushed is Run where lists are pushed: it keeps a watch open, and after one that fails it
-// retries until a call is answered. The next watch follows an answer at once, lest changes in
-// between count as notified late.
+// runPushed is Run in the pushed mode. It keeps a watch open, and retries after a failed watch
+// until a call succeeds. The next watch follows a response at once, because the platform would
+// consider changes in between delivered too late.
 func (c *Client) runPushed(ctx context.Context, sink membership.Sink) {
 	version := int64(noVersion)
 	for ctx.Err() == nil {
@@ -39,35 +40,35 @@
 	}
 }
 
-// nextPushed returns the next answer: that of a watch from a version on, or that of the retries
-// after the watch has failed; without a version, that of calls for the full list. It returns nil
-// once the context has ended.
+// nextPushed returns the next list. With a version it opens a watch from that version, and retries
+// if the watch fails. Without a version it calls for the full list until a call succeeds. It
+// returns nil once the context has ended.
 func (c *Client) nextPushed(ctx context.Context, version int64) *membership.List {
 	r := &retries{
-		client: c, version: version, ends: make(chan retryEnd),
+		client: c, version: version, results: make(chan retryResult),
 		timer: newRetryTimer(time.Now(), c.silentInterval, pushedBackoff, c.random),
 	}
-	if version >= 0 { // otherwise what the agent has counts as notified from the first moment on
-		list, err := c.fetch(ctx, version, c.hold(), c.timeout)
+	if version >= 0 { // without a version, the replica counts as notified of the agent's list from the start
+		list, err := c.fetch(ctx, version, c.nextHold(), c.timeout)
 		if err == nil {
 			return list
 		}
 		if ctx.Err() != nil {
 			return nil
 		}
-		r.fail(err)
+		r.handleFailure(err)
 	}
 	return r.run(ctx)
 }
 
-// retries is the calls that are made until one is answered, concurrently where the agent is silent.
-// One goroutine owns it.
+// retries makes calls until one succeeds. Calls are concurrent while the agent is silent. One
+// goroutine owns it.
 type retries struct {
 	client     *Client
 	timer      *retryTimer
-	version    int64 // to watch from; negative: it is in doubt, and the full list is called for
+	version    int64 // version to watch from; negative if it is uncertain, which makes calls read the full list
 	open       []*openCall
-	ends       chan retryEnd
+	results    chan retryResult
 	calls      sync.WaitGroup
 	lastLogged time.Time
 }
@@ -75,14 +76,15 @@
 // openCall is a call that has not ended.
 type openCall struct{ cancel context.CancelFunc }
 
-// retryEnd is the end of a call.
-type retryEnd struct {
+// retryResult is the result of a call.
+type retryResult struct {
 	call *openCall
 	list *membership.List
 	err  error
 }
 
-// run calls until a call is answered, and returns that answer; nil once the context has ended.
+// run makes calls until one succeeds and returns its list. It returns nil once the context has
+// ended.
 func (r *retries) run(ctx context.Context) *membership.List {
 	ctx, cancel := context.WithCancel(ctx)
 	defer r.calls.Wait()
@@ -94,21 +96,21 @@
 		select {
 		case <-timer.C:
 			r.call(ctx)
-		case end := <-r.ends:
-			if end.err == nil {
-				return end.list
+		case result := <-r.results:
+			if result.err == nil {
+				return result.list
 			}
-			r.open = slices.DeleteFunc(r.open, func(call *openCall) bool { return call == end.call })
-			r.fail(end.err)
+			r.open = slices.DeleteFunc(r.open, func(call *openCall) bool { return call == result.call })
+			r.handleFailure(result.err)
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// call makes a call. At the bound of open calls, the oldest is canceled.
+// call makes a call. At maxOpenCalls, it cancels the oldest open call.
 func (r *retries) call(ctx context.Context) {
-	r.timer.noteCall(time.Now())
+	r.timer.recordCall(time.Now())
 	if len(r.open) == maxOpenCalls {
 		r.open[0].cancel()
 		r.open = r.open[1:]
@@ -120,20 +122,20 @@
 		defer cancel()
 		list, err := r.client.fetch(callCtx, version, 0, openCallTimeout)
 		select {
-		case r.ends <- retryEnd{call: call, list: list, err: err}:
+		case r.results <- retryResult{call: call, list: list, err: err}:
 		case <-ctx.Done():
 		}
 	})
 }
 
-// fail notes the failure of a watch, or of a call after it.
-func (r *retries) fail(err error) {
+// handleFailure handles the failure of a watch, or of a call after it.
+func (r *retries) handleFailure(err error) {
 	now := time.Now()
-	switch result, retryAfter := outcomeOf(err); result {
-	case start.Rejected: // the version is not in doubt
-		r.timer.noteRejection(now, retryAfter)
+	switch outcome, retryAfter := outcomeOf(err); outcome {
+	case start.Rejected: // the version stays certain
+		r.timer.recordRejection(now, retryAfter)
 	case start.Failed:
-		r.timer.noteFailure()
+		r.timer.recordFailure()
 		r.version = noVersion
 	case start.TimedOut, start.Answered:
 		r.version = noVersion
--- a/internal/membership/catalog/pushed_test.go
+++ b/internal/membership/catalog/pushed_test.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// longInterval is the time between calls to a silent agent in tests that are about rejections: a
-// test's process that stands still for a moment makes no call too many.
+// longInterval is the time between calls to a silent agent in tests of rejections. It is long so
+// that a test process that pauses for a moment makes no additional call.
 const longInterval = time.Second
 
-// newSlowPushedClient returns a client of an agent, with longInterval between calls while that is
-// silent.
+// newSlowPushedClient returns a client in the pushed mode that calls a silent agent every
+// longInterval.
 func newSlowPushedClient(addr string) *Client {
 	client := newPushedClient(addr)
 	client.silentInterval = longInterval
 	return client
 }
 
-// An agent that rejects calls is not silent: the delays between calls grow.
+// An agent that rejects calls is not silent, so the delays between calls grow.
 func TestRejectedPushedCallsBackOff(t *testing.T) {
 	t.Parallel()
 	var rejections rejectionLog
-	addr := rejections.script(t, rejectReply, rejectReply, rejectReply, rejectReply, listReply)
+	addr := rejections.serveScript(t, rejectReply, rejectReply, rejectReply, rejectReply, listReply)
 	lists := make(listSink, 10)
 	run(t, newSlowPushedClient(addr), lists)
 	lists.next(t, "the list")
@@ -34,35 +34,35 @@
 		125*time.Millisecond, 375*time.Millisecond, 1125*time.Millisecond, 1500*time.Millisecond)
 }
 
-// Retry-After is kept, but not for so long that what the service has at its return is notified too
-// late.
-func TestPushedRetryAfterIsKeptUpToABound(t *testing.T) {
+// Retry-After is honored up to a bound, because after a longer delay the list of the service would
+// arrive too late.
+func TestPushedRetryAfterIsHonoredUpToBound(t *testing.T) {
 	t.Parallel()
 	var rejections rejectionLog
-	addr := rejections.script(t, reply{retryAfter: "1"}, reply{retryAfter: "3600"}, listReply)
+	addr := rejections.serveScript(t, reply{retryAfter: "1"}, reply{retryAfter: "3600"}, listReply)
 	lists := make(listSink, 10)
 	run(t, newSlowPushedClient(addr), lists)
 	lists.next(t, "the list")
-	rejections.expectDelays(t, time.Second, maxKeptRetryAfter)
+	rejections.expectDelays(t, time.Second, maxHonoredRetryAfter)
 }
 
-// A watch that is rejected is opened anew from its version, after a delay as well.
+// A rejected watch is reopened from its version, after a backoff as well.
 func TestRejectedPushedWatchBacksOff(t *testing.T) {
 	t.Parallel()
 	var rejections rejectionLog
-	addr := rejections.script(t, listReply, rejectReply, noChangeReply)
+	addr := rejections.serveScript(t, listReply, rejectReply, noChangeReply)
 	lists := make(listSink, 10)
 	run(t, newSlowPushedClient(addr), lists)
 	lists.next(t, "the first list")
-	lists.next(t, "the answer after the rejection")
+	lists.next(t, "the response after the rejection")
 	rejections.expectDelays(t, 125*time.Millisecond)
 }
 
-// Where a second call is rejected while the first still waits its turn, the first is neither
-// canceled nor has calls beside it.
-func TestQueuedPushedCallIsWaitedFor(t *testing.T) {
+// If a second call is rejected while the first is queued, the first call is not canceled, and no
+// further call is made beside it.
+func TestQueuedPushedCallIsAwaited(t *testing.T) {
 	t.Parallel()
-	const turn = 1500 * time.Millisecond // by which a silent agent would be called anew
+	const turn = 1500 * time.Millisecond // longer than longInterval, after which a silent agent is called again
 	queueFull := make(chan struct{})
 	addr := serve(t, func(n int, w http.ResponseWriter, req *http.Request) {
 		switch {
@@ -72,26 +72,26 @@
 			case <-time.After(turn):
 				answer(w, servingList)
 			case <-req.Context().Done():
-				t.Error("the call was canceled before its turn")
+				t.Error("the call was canceled before its response")
 			}
 		case n == 2:
 			w.WriteHeader(http.StatusTooManyRequests)
 			close(queueFull)
 		case req.URL.Query().Get("from") == "":
-			t.Errorf("call %d is for the full list", n)
+			t.Errorf("call %d requests the full list", n)
 		default:
 			<-req.Context().Done()
 		}
 	})
 	lists := make(listSink, 10)
 	run(t, newSlowPushedClient(addr), lists)
-	if list := lists.next(t, "the list of the call that waited"); list.Version != 1 {
-		t.Errorf("%+v", list)
+	if list := lists.next(t, "the list of the queued call"); list.Version != 1 {
+		t.Errorf("list is %+v, want version 1", list)
 	}
 }
 
-// An agent that rejected a call and then falls silent is called again and again, whatever became of
-// the calls before.
+// An agent that rejects a call and then becomes silent is called repeatedly, whatever the results
+// of the earlier calls.
 func TestSilentAgentIsCalledAgainAfterARejection(t *testing.T) {
 	t.Parallel()
 	const hanging = 4
@@ -107,7 +107,7 @@
 				select {
 				case <-speaks:
 				default:
-					t.Errorf("call %d was canceled before the agent spoke", n)
+					t.Errorf("call %d was canceled before the agent responded", n)
 				}
 			}
 		case n == 2+hanging:
@@ -119,11 +119,11 @@
 	})
 	lists := make(listSink, 10)
 	run(t, newPushedClient(addr), lists)
-	lists.next(t, "the list of the agent that speaks again")
+	lists.next(t, "the list of the agent that responds again")
 }
 
-// An agent that was silent and then rejects all calls that it got meanwhile has rejected once: the
-// backoffs begin at the first.
+// If an agent was silent and then rejects all calls that it received meanwhile, they count as one
+// rejection, and the first backoff applies.
 func TestRejectionsAfterSilenceCountOnce(t *testing.T) {
 	t.Parallel()
 	const hanging = 2
@@ -138,7 +138,7 @@
 			rejections.reject(w, "")
 			close(speaks)
 		case n == hanging+2:
-			rejections.noteCall()
+			rejections.recordCall()
 			answer(w, servingList)
 		default:
 			<-req.Context().Done()
@@ -150,14 +150,15 @@
 	rejections.expectDelays(t, 125*time.Millisecond)
 }
 
-// An agent that was silent answers no call that it got meanwhile, and what it has when it speaks
-// again counts as notified at once. So it is called again and again though no call has ended: this
-// one speaks only while two calls hang.
+// An agent that was silent never answers the calls that it received meanwhile, and the platform
+// considers the replica notified of the agent's list as soon as the agent responds again. The agent
+// is therefore called repeatedly while earlier calls are open. The agent of this test responds only
+// while two calls hang.
 func TestSilentAgentIsCalledAgainBeforeItsCallsEnd(t *testing.T) {
 	var hanging atomic.Int64
 	addr := serve(t, func(n int, w http.ResponseWriter, r *http.Request) {
 		switch {
-		case n == 1: // the watch that falls silent, cut short
+		case n == 1: // the watch, which fails
 			w.WriteHeader(http.StatusBadGateway)
 		case hanging.Load() >= 2:
 			answer(w, drainingList)
@@ -173,16 +174,16 @@
 	select {
 	case list := <-lists:
 		if list.Version != 2 || !client.Health().SilentSince.IsZero() {
-			t.Errorf("%+v, %+v", list, client.Health())
+			t.Errorf("list %+v, health %+v", list, client.Health())
 		}
 	case <-time.After(5 * time.Second):
 		t.Error("no list: the agent is not called while a call hangs")
 	}
 }
 
-// A connection that is not established is given up, also when its call was long before: a partition
-// bars no call after it has healed.
-func TestHangingDialsBarNoOthers(t *testing.T) {
+// A dial that does not complete is abandoned, even if its call ended long before. Otherwise dials
+// into a partition would block calls after the partition has healed.
+func TestHangingDialsDoNotBlockCalls(t *testing.T) {
 	addr := serve(t, func(_ int, w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("from") {
 			<-r.Context().Done()
@@ -207,9 +208,9 @@
 	lists.next(t, "a list once connections are established")
 }
 
-// A new process calls again before its first call ends: what the agent has counts as notified from
-// its first moment on.
-func TestFirstPushedCallIsNotWaitedFor(t *testing.T) {
+// A new process makes a second call before its first one ends, because the platform considers the
+// replica notified of the agent's list from the start.
+func TestFirstPushedCallIsNotAwaited(t *testing.T) {
 	second := make(chan struct{})
 	addr := serve(t, func(n int, w http.ResponseWriter, r *http.Request) {
 		switch n {
@@ -217,7 +218,7 @@
 			select {
 			case <-second:
 			case <-r.Context().Done():
-				t.Error("the first call was canceled before there was another")
+				t.Error("the first call was canceled before there was a second one")
 			}
 		case 2:
 			close(second)
--- a/internal/membership/catalog/scheduled.go
+++ b/internal/membership/catalog/scheduled.go
@@ -10,24 +10,25 @@
 	"fernlanding/internal/start"
 )
 
-// scheduled is a Client's work where package start schedules the calls. One goroutine owns it.
+// scheduled is the state of a Client in the scheduled mode, in which package start schedules the
+// calls. One goroutine owns it.
 type scheduled struct {
 	client    *Client
 	scheduler *start.PollScheduler
 	sink      membership.Sink
-	began     time.Time
+	startedAt time.Time
 	calls     int   // made so far
-	version   int64 // that stands; negative: there is none
-	hasList   bool  // from an earlier process or from discovery
+	version   int64 // version of the list in use; negative if there is none
+	hasList   bool  // whether there is a list, from an earlier process or from discovery
 }
 
-// runScheduled is Run with a Scheduler.
+// runScheduled is Run in the scheduled mode.
 func (c *Client) runScheduled(ctx context.Context, sink membership.Sink) {
 	s := &scheduled{
-		client: c, scheduler: c.cfg.Scheduler, sink: sink, began: time.Now(),
+		client: c, scheduler: c.cfg.Scheduler, sink: sink, startedAt: time.Now(),
 		version: c.cfg.KnownVersion, hasList: c.cfg.KnownVersion >= 0,
 	}
-	next := s.scheduler.First(s.began, s.hasList, c.cfg.KnownAge)
+	next := s.scheduler.First(s.startedAt, s.hasList, c.cfg.KnownAge)
 	timer := time.NewTimer(next.Delay)
 	defer timer.Stop()
 	for {
@@ -40,12 +41,12 @@
 		if ctx.Err() != nil {
 			return
 		}
-		next = s.handleEnd(list, err)
+		next = s.handleResult(list, err)
 		timer.Reset(next.Delay)
 	}
 }
 
-// call makes a call as it was scheduled.
+// call makes a call as scheduled.
 func (s *scheduled) call(ctx context.Context, call start.Call) (*membership.List, error) {
 	s.calls++
 	if !call.Full {
@@ -53,26 +54,26 @@
 	}
 	list, err := s.client.fetch(ctx, noVersion, call.Hold, call.Timeout)
 	if err == nil && !list.Full {
-		return nil, fmt.Errorf("%w: changes up to version %d in place of the full list", errInvalidAnswer, list.Version)
+		return nil, fmt.Errorf("%w: delta to version %d instead of the full list", errInvalidResponse, list.Version)
 	}
 	return list, err
 }
 
-// handleEnd handles the end of a call, and returns the next one.
-func (s *scheduled) handleEnd(list *membership.List, err error) start.Call {
+// handleResult handles the result of a call and returns the next call.
+func (s *scheduled) handleResult(list *membership.List, err error) start.Call {
 	if err != nil {
-		return s.fail(err)
+		return s.handleFailure(err)
 	}
 	if list.Full && len(list.Endpoints) == 0 {
 		s.scheduler.ScheduleFull(time.Now())
 	}
-	s.take(list)
+	s.deliver(list)
 	return s.scheduler.Next(time.Now(), start.Answered, s.isUrgent(), 0)
 }
 
-// take passes an answer on to the sink, unless it is empty and there was no list before: a replica
-// that took this for its list would report that it is ready, and reject all requests.
-func (s *scheduled) take(list *membership.List) {
+// deliver passes a list to the sink, unless it is empty and there was no list before. A replica
+// that used an empty first list would report that it is ready and reject all requests.
+func (s *scheduled) deliver(list *membership.List) {
 	before := s.version
 	s.version = list.Version
 	switch {
@@ -80,7 +81,7 @@
 		s.sink.UpdateEndpoints(list)
 	case len(list.Endpoints) > 0:
 		s.hasList = true
-		s.client.log.Info("first endpoint list", "after", time.Since(s.began).Round(time.Millisecond),
+		s.client.log.Info("first endpoint list", "after", time.Since(s.startedAt).Round(time.Millisecond),
 			"calls", s.calls, "endpoints", len(list.Endpoints))
 		s.sink.UpdateEndpoints(list)
 	case list.Version != before:
@@ -89,21 +90,20 @@
 	s.client.tracker.Confirmed(s.version, 0)
 }
 
-// fail handles a call that was not answered, or with what is no valid list, and returns the next
-// one.
-func (s *scheduled) fail(err error) start.Call {
-	if errors.Is(err, errInvalidAnswer) {
+// handleFailure handles a failed call or an invalid response, and returns the next call.
+func (s *scheduled) handleFailure(err error) start.Call {
+	if errors.Is(err, errInvalidResponse) {
 		s.scheduler.RequireFull()
 	}
 	s.client.tracker.Failed()
 	s.sink.UpdateFailed()
-	result, retryAfter := outcomeOf(err)
-	next := s.scheduler.Next(time.Now(), result, s.isUrgent(), retryAfter)
+	outcome, retryAfter := outcomeOf(err)
+	next := s.scheduler.Next(time.Now(), outcome, s.isUrgent(), retryAfter)
 	s.client.log.Warn("discovery call failed", "error", err, "has_list", s.hasList, "calls", s.calls,
 		"next", next.Delay.Round(time.Millisecond), "full", next.Full, "reason", next.Reason)
 	return next
 }
 
-// isUrgent reports whether the replica can't serve, or its backends fail, until it has a newer
-// list.
+// isUrgent reports whether the replica can't serve, or its backends fail, until a newer list
+// arrives.
 func (s *scheduled) isUrgent() bool { return !s.hasList || s.client.cfg.Urgent() }
--- a/internal/membership/catalog/scheduled_test.go
+++ b/internal/membership/catalog/scheduled_test.go
@@ -11,7 +11,7 @@
 	"fernlanding/internal/start"
 )
 
-// callLog keeps the calls that a stand-in of discovery has got.
+// callLog records the calls that a stand-in for discovery has received.
 type callLog struct {
 	mu    sync.Mutex
 	calls []standin.DiscoveryCall
@@ -23,7 +23,7 @@
 	l.calls = append(l.calls, call)
 }
 
-// matching returns the calls that match.
+// matching returns the calls for which match returns true.
 func (l *callLog) matching(match func(standin.DiscoveryCall) bool) []standin.DiscoveryCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -36,21 +36,22 @@
 	return calls
 }
 
-// waitFor waits until more than a number of calls match.
+// waitFor waits until the number of matching calls exceeds more.
 func (l *callLog) waitFor(t *testing.T, what string, more int, match func(standin.DiscoveryCall) bool) {
 	t.Helper()
 	deadline := time.Now().Add(20 * time.Second)
 	for len(l.matching(match)) <= more {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not within 20 s", what)
+			t.Fatalf("%s: none within 20 s", what)
 		}
-		time.Sleep(time.Millisecond) // calls have no channel
+		time.Sleep(time.Millisecond) // polling, since there is no notification of calls
 	}
 }
 
-// A discovery that has lost all its members does not make a replica ready that has no list; of a
-// state that is older than the replica's the full list is read; a Retry-After is kept.
-func TestScheduledCallsToAFailingDiscovery(t *testing.T) {
+// An empty list from a discovery that has lost its members does not make a replica without a list
+// ready. If discovery returns to an older state, the replica reads the full list. Retry-After is
+// honored.
+func TestScheduledCallsToFailingDiscovery(t *testing.T) {
 	const retryAfter = 400 * time.Millisecond
 	var log callLog
 	discovery, err := standin.NewDiscoveryWith(standin.DiscoveryConfig{RetryAfter: retryAfter, Report: log.add})
@@ -71,12 +72,12 @@
 	}), lists)
 	log.waitFor(t, "calls while the list is empty", 3, func(standin.DiscoveryCall) bool { return true })
 	if len(lists) > 0 {
-		t.Fatalf("an empty list was passed on as the first: %+v", <-lists)
+		t.Fatalf("an empty list was delivered as the first list: %+v", <-lists)
 	}
 	discovery.SetMode(standin.ListWell)
 	discovery.Put(standin.Member{Name: "c", Address: "127.0.0.1:3"})
 	if list := <-lists; len(list.Endpoints) == 0 {
-		t.Fatalf("the first list: %+v", list)
+		t.Fatalf("first list is %+v", list)
 	}
 	isFullRead := func(call standin.DiscoveryCall) bool { return call.From < 0 && call.Status == 200 }
 	fullReads := len(log.matching(isFullRead))
@@ -88,6 +89,6 @@
 	log.waitFor(t, "two calls that are rejected", 1, isRejected)
 	rejected := log.matching(isRejected)
 	if delay := rejected[1].Began.Sub(rejected[0].Began); delay < retryAfter {
-		t.Errorf("called again %v after a rejection with Retry-After %v", delay, retryAfter)
+		t.Errorf("call came %v after a rejection with Retry-After %v", delay, retryAfter)
 	}
 }
--- a/internal/membership/consul/consul_test.go
+++ b/internal/membership/consul/consul_test.go
@@ -14,7 +14,7 @@
 	"fernlanding/internal/standin"
 )
 
-// registry implements contract.Registry by the stand-in.
+// registry implements contract.Registry with the stand-in for Consul.
 type registry struct{ health *standin.Health }
 
 func (r registry) Put(endpoints ...membership.Endpoint) { r.health.Put(standin.Members(endpoints)...) }
@@ -31,7 +31,7 @@
 		{"down", standin.HealthDown},
 		{"silent", standin.HealthSilent},
 		{"no leader", standin.HealthNoLeader},
-		{"cut short", standin.HealthTruncated},
+		{"truncated", standin.HealthTruncated},
 		{"no index", standin.HealthNoIndex},
 	}
 	if n >= len(faults) {
@@ -41,7 +41,7 @@
 	return faults[n].what, true
 }
 
-// newHealth starts a stand-in of the health API.
+// newHealth starts a stand-in for the health API.
 func newHealth(t *testing.T) *standin.Health {
 	t.Helper()
 	health, err := standin.NewHealth()
@@ -64,14 +64,14 @@
 	})
 }
 
-// listSink passes on the lists that it is notified of.
+// listSink sends the lists that it receives to a channel.
 type listSink chan *membership.List
 
 func (s listSink) UpdateFailed() {}
 
 func (s listSink) UpdateEndpoints(list *membership.List) { s <- list }
 
-// run runs a source until stop, which waits until it has ended.
+// run starts a source. Stop ends the source and waits until it has returned.
 func run(t *testing.T, source *Source, sink membership.Sink) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -85,9 +85,9 @@
 	return stop
 }
 
-// An index that falls resets the queries; what a second query answers holds, and the source does
-// not stay behind.
-func TestIndexThatFallsResetsTheQueries(t *testing.T) {
+// A decreasing index resets the queries. The next response is the list, so the source does not stay
+// behind.
+func TestDecreasingIndexResetsQueries(t *testing.T) {
 	health := newHealth(t)
 	for range 50 {
 		health.Put(standin.Member{Name: "a", Address: "127.0.0.1:1"})
@@ -104,8 +104,8 @@
 	}
 }
 
-// Wake-ups without a change are no updates, and no storm either.
-func TestWakeUpsWithoutChangeAreSpaced(t *testing.T) {
+// Queries that return without a change are not updates, and they are spaced.
+func TestQueriesWithoutChangeAreSpaced(t *testing.T) {
 	health := newHealth(t)
 	health.Put(standin.Member{Name: "a", Address: "127.0.0.1:1"})
 	lists := make(listSink, 100)
@@ -114,19 +114,19 @@
 	health.Fail(standin.HealthSpurious)
 	began, before := time.Now(), health.Reads()
 	for health.Reads() < before+5 {
-		time.Sleep(time.Millisecond) // reads have no channel
+		time.Sleep(time.Millisecond) // polling, since there is no notification of reads
 	}
 	took := time.Since(began)
 	stop()
 	if len(lists) != 0 {
-		t.Errorf("%d more lists", len(lists))
+		t.Errorf("got %d lists without a change", len(lists))
 	}
-	if took < 3*minPause { // five queries with four pauses between them, the first of which may have begun
-		t.Errorf("five queries in %v", took)
+	if took < 3*minPause { // five queries have four pauses between them, and the first pause may have begun earlier
+		t.Errorf("five queries took %v, want at least %v", took, 3*minPause)
 	}
 }
 
-// Instances become entries; those that are invalid are left out by the reconciler.
+// Instances become entries. The reconciler leaves out invalid ones.
 func TestInstancesBecomeEntries(t *testing.T) {
 	entries, err := parse([]byte(`[
 		{"Node":{"Address":"10.0.0.1","Datacenter":"d"},
@@ -147,7 +147,7 @@
 	snapshot := reconcile.Snapshot{Count: -1, Entries: entries}
 	result, err := reconcile.New(reconcile.Config{}).ApplySnapshot(time.Now(), snapshot)
 	if err != nil || len(result.List.Endpoints) != 3 || len(result.Invalid) != 4 {
-		t.Fatalf("%+v, %v", result, err)
+		t.Fatalf("got %+v, %v", result, err)
 	}
 	for i, want := range []membership.Endpoint{
 		{Name: "a", Address: "10.0.0.1:80", Zone: "d", Weight: 3},
@@ -160,7 +160,7 @@
 	}
 	for _, bad := range []string{"", "{", "null", "{}", `"x"`} {
 		if _, err := parse([]byte(bad)); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v", bad, err)
+			t.Errorf("parse(%q): got error %v, want a one-line error", bad, err)
 		}
 	}
 }
--- a/internal/membership/consul/instance.go
+++ b/internal/membership/consul/instance.go
@@ -10,11 +10,11 @@
 	"fernlanding/internal/membership/reconcile"
 )
 
-// invalidValue is the value of an entry that can't be decoded: the reconciler rejects the entry by
-// it.
+// invalidValue is the value of an entry that can't be decoded. It makes the reconciler reject the
+// entry.
 const invalidValue = `{"address":7}`
 
-// instance is one entry of the API's answer.
+// instance is one entry of the API's response.
 type instance struct {
 	Node struct {
 		Address    string
@@ -30,14 +30,14 @@
 	Checks []struct{ Status string }
 }
 
-// parse converts an answer to entries, whose values the reconciler decodes and checks one by one.
+// parse converts a response to entries. The reconciler decodes and checks the value of each entry.
 func parse(data []byte) ([]reconcile.Entry, error) {
 	var raw []json.RawMessage
 	if err := json.Unmarshal(data, &raw); err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
 	if raw == nil {
-		return nil, errors.New("list: null")
+		return nil, errors.New("list: null instead of an array")
 	}
 	var entries []reconcile.Entry
 	for n, text := range raw {
@@ -54,9 +54,9 @@
 	return entries, nil
 }
 
-// value returns an instance as the value of an entry. Zone, cell, since and status are in its
-// service's metadata; those that are no valid numbers or statuses stay as they are, for the
-// reconciler to reject.
+// value returns an instance as the value of an entry. Zone, cell, since and status are in the
+// service's metadata. Values that are not valid numbers or statuses are copied unchanged, and the
+// reconciler rejects the entry.
 func (i *instance) value() []byte {
 	host := i.Service.Address
 	if host == "" {
@@ -81,13 +81,14 @@
 	}
 	data, err := json.Marshal(value)
 	if err != nil {
-		return nil // a weight that is no number in JSON: the entry is invalid
+		return nil // the weight has no JSON form, so the entry is invalid
 	}
 	return data
 }
 
-// statusAndWeight returns what metadata and checks say. An instance with a critical check gets no
-// new requests, like one that drains; one with a warning has the weight for warnings.
+// statusAndWeight returns the status and weight according to the metadata and the checks. An
+// instance with a critical check gets no new requests, like a draining one. An instance with a
+// warning has the weight for warnings.
 func (i *instance) statusAndWeight() (status string, weight *float64) {
 	status, weight = "serving", i.Service.Weights.Passing
 	if text, ok := i.Service.Meta["status"]; ok {
@@ -104,7 +105,7 @@
 	return status, weight
 }
 
-// numberOrText returns the integer that a text is, or else the text.
+// numberOrText returns text as an integer if it is one, and otherwise text itself.
 func numberOrText(text string) any {
 	if n, err := strconv.ParseInt(text, 10, 64); err == nil {
 		return n
--- a/internal/membership/consul/query.go
+++ b/internal/membership/consul/query.go
@@ -14,26 +14,27 @@
 )
 
 const (
-	wait = 2 * time.Second // for which a query blocks where nothing changes
-	// queryTimeout is in addition to that: a connection can fall silent, and nothing else shows it.
+	queryWait = 2 * time.Second // how long a query without a change blocks
+	// queryTimeout is the time for a response in addition to queryWait. It detects a connection
+	// that no longer delivers data, which has no other symptom.
 	queryTimeout = time.Second
 	maxListBytes = 16 << 20
 )
 
-// The reasons for which an answer is rejected.
+// The reasons for rejecting a response.
 var (
 	errNoLeader = errors.New("read without a leader")
-	errNoIndex  = errors.New("no index")
+	errNoIndex  = errors.New("invalid X-Consul-Index")
 )
 
-// query makes one query, and returns the answer's index and entries. With index 0 it does not
-// block.
+// query makes one query and returns the index and the entries of the response. A query with index 0
+// does not block.
 func (s *Source) query(ctx context.Context, index uint64) (uint64, []reconcile.Entry, error) {
 	address := "http://" + s.cfg.Address + "/v1/health/service/" + url.PathEscape(s.cfg.Service)
 	timeout := queryTimeout
 	if index > 0 {
-		address += fmt.Sprintf("?index=%d&wait=%dms", index, wait.Milliseconds())
-		timeout += wait + wait/16 // the registry spreads its answers by a sixteenth
+		address += fmt.Sprintf("?index=%d&wait=%dms", index, queryWait.Milliseconds())
+		timeout += queryWait + queryWait/16 // the registry spreads its responses over a sixteenth of the wait
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -48,7 +49,7 @@
 	if err != nil {
 		return 0, nil, fmt.Errorf("query: %w", err)
 	}
-	defer func() { _ = resp.Body.Close() }() // what was read of it is complete, or an error already
+	defer func() { _ = resp.Body.Close() }() // a read body is complete, or its error is returned already
 	next, err := parseHeader(resp)
 	if err != nil {
 		return 0, nil, err
@@ -58,7 +59,7 @@
 		return 0, nil, fmt.Errorf("read: %w", err)
 	}
 	if len(data) > maxListBytes {
-		return 0, nil, fmt.Errorf("read: over %d bytes", maxListBytes)
+		return 0, nil, fmt.Errorf("read: response exceeds the limit of %d bytes", maxListBytes)
 	}
 	entries, err := parse(data)
 	if err != nil {
@@ -67,10 +68,10 @@
 	return next, entries, nil
 }
 
-// parseHeader returns the index of an answer, or why the answer is rejected.
+// parseHeader returns the index of a response, or the reason for rejecting the response.
 func parseHeader(resp *http.Response) (uint64, error) {
 	if resp.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("query: status %s", resp.Status)
+		return 0, fmt.Errorf("query: unexpected status %s", resp.Status)
 	}
 	if resp.Header.Get("X-Consul-Knownleader") == "false" {
 		return 0, errNoLeader
--- a/internal/membership/contract/contract.go
+++ b/internal/membership/contract/contract.go
@@ -1,5 +1,5 @@
-// Package contract is the test suite of the contract of membership.Source, whatever registry a
-// source follows.
+// Package contract is the test suite for the contract of membership.Source. It applies to sources
+// of every kind of registry.
 package contract
 
 import (
@@ -12,34 +12,34 @@
 	"fernlanding/internal/membership"
 )
 
-// timeout is how long the suite waits for what must happen. Only a failing test waits for it.
+// timeout is how long the suite waits for an expected event. Only a failing test waits that long.
 const timeout = 20 * time.Second
 
-// Registry is the registry that a source under test follows, controlled by the suite.
+// Registry is the registry that a source under test follows. The suite controls it.
 type Registry interface {
-	// Put adds or changes endpoints, in one version.
+	// Put adds or changes endpoints in one version.
 	Put(...membership.Endpoint)
-	// Delete removes endpoints, in one version.
+	// Delete removes endpoints in one version.
 	Delete(names ...string)
-	// InjectFault has the registry fail in its n-th way, and returns that in words; ok is false where it
-	// has no such way.
+	// InjectFault makes the registry fail with its n-th fault and returns a description of the
+	// fault. If there is no n-th fault, ok is false.
 	InjectFault(n int) (what string, ok bool)
-	// ClearFault ends the failure.
+	// ClearFault ends the fault.
 	ClearFault()
 }
 
-// NewSource returns a source that has not run, and its empty registry.
+// NewSource returns a source that has not run yet, and the empty registry that it follows.
 type NewSource func(t *testing.T) (membership.Source, Registry)
 
 // Test runs the suite.
 func Test(t *testing.T, newSource NewSource) {
 	t.Helper()
 	t.Run("order", func(t *testing.T) { testOrder(t, newSource) })
-	t.Run("breaks", func(t *testing.T) { testBreaks(t, newSource) })
+	t.Run("breaks", func(t *testing.T) { testFaults(t, newSource) })
 	t.Run("end", func(t *testing.T) { testEnd(t, newSource) })
 }
 
-// run runs a source until stop, which waits until it has ended.
+// run starts a source. Stop ends the source and waits until it has returned.
 func run(t *testing.T, source membership.Source, sink *recordingSink) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -53,9 +53,9 @@
 		select {
 		case <-done:
 		case <-time.After(timeout):
-			t.Error("Run does not return")
+			t.Error("Run does not return after its context has ended")
 		}
-		sink.end()
+		sink.markEnded()
 	})
 	t.Cleanup(stop)
 	return stop
@@ -69,13 +69,13 @@
 	}
 }
 
-// draining returns an endpoint as one that drains.
+// draining returns a copy of an endpoint with the status Draining.
 func draining(e membership.Endpoint) membership.Endpoint {
 	e.Status = membership.Draining
 	return e
 }
 
-// testOrder tests that everything that a registry says arrives, in its order.
+// testOrder tests that all changes of a registry arrive in order.
 func testOrder(t *testing.T, newSource NewSource) {
 	t.Helper()
 	source, registry := newSource(t)
@@ -85,15 +85,15 @@
 	run(t, source, sink)
 	sink.waitFor("the first list", a, b)
 	registry.Put(c)
-	sink.waitFor("one more", a, b, c)
+	sink.waitFor("an added endpoint", a, b, c)
 	registry.Put(draining(b))
-	sink.waitFor("a drain", a, draining(b), c)
+	sink.waitFor("a draining endpoint", a, draining(b), c)
 	registry.Delete("b2")
-	sink.waitFor("one less", a, c)
+	sink.waitFor("a deleted endpoint", a, c)
 	restarted := b
 	restarted.StartedMs, restarted.Address = 77, "127.0.0.1:9999"
 	registry.Put(restarted)
-	sink.waitFor("the name again, another process", a, restarted, c)
+	sink.waitFor("a new process with a deleted name", a, restarted, c)
 	moved := a
 	moved.Zone, moved.Weight = "b", 2.5
 	registry.Put(moved)
@@ -110,33 +110,33 @@
 	}
 	sink.waitFor("after a burst", want...)
 	registry.Delete("b1", "b2", "b3")
-	sink.waitFor("three in one step", want[3:]...)
+	sink.waitFor("three deletions in one version", want[3:]...)
 	if h := source.Health(); h.Version == 0 || !h.SilentSince.IsZero() || h.Invalid != 0 {
-		t.Errorf("health: %+v", h)
+		t.Errorf("health is %+v", h)
 	}
 	sink.check()
 }
 
-// testBreaks tests each way in which a registry fails.
-func testBreaks(t *testing.T, newSource NewSource) {
+// testFaults tests each fault of a registry.
+func testFaults(t *testing.T, newSource NewSource) {
 	t.Helper()
 	for n := 0; ; n++ {
 		source, registry := newSource(t)
 		what, ok := registry.InjectFault(n)
 		if !ok {
 			if n == 0 {
-				t.Error("a registry that can't fail")
+				t.Error("the registry has no faults")
 			}
 			return
 		}
 		registry.ClearFault()
-		testBreak(t, what, source, registry, n)
+		testFault(t, what, source, registry, n)
 	}
 }
 
-// testBreak tests that while a registry fails in its n-th way, the last list stands and the source
-// counts as silent, and that what changed meanwhile arrives afterwards, all of it.
-func testBreak(t *testing.T, what string, source membership.Source, registry Registry, n int) {
+// testFault tests the n-th fault of a registry. During the fault, the last list stays in use and
+// the source counts as silent. After the fault, all changes made meanwhile arrive.
+func testFault(t *testing.T, what string, source membership.Source, registry Registry, n int) {
 	t.Helper()
 	a, b, c := endpoint(1), endpoint(2), endpoint(3)
 	registry.Put(a, b)
@@ -146,7 +146,7 @@
 	registry.InjectFault(n)
 	deadline := time.Now().Add(timeout)
 	for source.Health().SilentSince.IsZero() && time.Now().Before(deadline) {
-		time.Sleep(time.Millisecond) // health has no channel
+		time.Sleep(time.Millisecond) // polling, since there is no notification of health
 	}
 	if h := source.Health(); h.SilentSince.IsZero() || h.Age(time.Now()) <= 0 {
 		t.Errorf("%s: the source does not count as silent: %+v", what, h)
@@ -162,8 +162,8 @@
 	sink.check()
 }
 
-// testEnd tests that a source ends with its context, before its first list too, and calls its sink
-// no more.
+// testEnd tests that a source ends with its context, even before its first list, and does not call
+// its sink afterwards.
 func testEnd(t *testing.T, newSource NewSource) {
 	t.Helper()
 	source, registry := newSource(t)
--- a/internal/membership/contract/sink.go
+++ b/internal/membership/contract/sink.go
@@ -12,18 +12,18 @@
 	"fernlanding/internal/membership"
 )
 
-// recordingSink keeps the list that a source yields, and the breaches of the contract.
+// recordingSink records the list of a source, and the source's violations of the contract.
 type recordingSink struct {
 	t *testing.T
 
-	mu        sync.Mutex
-	inCall    bool
-	ended     bool // Run has returned
-	hasList   bool
-	version   int64
-	endpoints map[string]membership.Endpoint // by name
-	changed   chan struct{}                  // closed at the end of the next call
-	breaches  []string
+	mu         sync.Mutex
+	inCall     bool
+	ended      bool // Run has returned
+	hasList    bool
+	version    int64
+	endpoints  map[string]membership.Endpoint // by name
+	changed    chan struct{}                  // closed at the end of the next call
+	violations []string
 }
 
 func newRecordingSink(t *testing.T) *recordingSink {
@@ -31,21 +31,22 @@
 	return &recordingSink{t: t, endpoints: map[string]membership.Endpoint{}, changed: make(chan struct{})}
 }
 
-// enter begins a call. The lock is not held during a call, so that concurrent ones show.
-func (s *recordingSink) enter() {
+// beginCall begins a call. The lock is not held during the call, so that concurrent calls are
+// detected.
+func (s *recordingSink) beginCall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.inCall {
-		s.breaches = append(s.breaches, "two calls at a time")
+		s.violations = append(s.violations, "concurrent calls of the sink")
 	}
 	if s.ended {
-		s.breaches = append(s.breaches, "a call after Run has returned")
+		s.violations = append(s.violations, "call of the sink after Run has returned")
 	}
 	s.inCall = true
 }
 
-// leave ends a call with what it does.
-func (s *recordingSink) leave(update func()) {
+// endCall applies update and ends a call.
+func (s *recordingSink) endCall(update func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	update()
@@ -56,13 +57,13 @@
 
 // UpdateEndpoints implements membership.Sink.
 func (s *recordingSink) UpdateEndpoints(list *membership.List) {
-	s.enter()
-	s.leave(func() {
+	s.beginCall()
+	s.endCall(func() {
 		if !s.hasList && !list.Full {
-			s.breaches = append(s.breaches, "the first list is not full")
+			s.violations = append(s.violations, "first list is not full")
 		}
 		if s.hasList && !list.Full && list.Version <= s.version {
-			s.breaches = append(s.breaches, fmt.Sprintf("a delta of version %d after %d", list.Version, s.version))
+			s.violations = append(s.violations, fmt.Sprintf("delta of version %d after %d", list.Version, s.version))
 		}
 		s.hasList, s.version = true, list.Version
 		if list.Full {
@@ -80,18 +81,18 @@
 
 // UpdateFailed implements membership.Sink.
 func (s *recordingSink) UpdateFailed() {
-	s.enter()
-	s.leave(func() {})
+	s.beginCall()
+	s.endCall(func() {})
 }
 
-// end notes that Run has returned.
-func (s *recordingSink) end() {
+// markEnded records that Run has returned.
+func (s *recordingSink) markEnded() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ended = true
 }
 
-// list returns the list as one line.
+// list returns the list formatted by format.
 func (s *recordingSink) list() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,10 +112,10 @@
 	return strings.Join(words, " ")
 }
 
-// waitFor waits until the list has some endpoints and no others.
+// waitFor waits until the list has exactly the given endpoints.
 func (s *recordingSink) waitFor(what string, want ...membership.Endpoint) {
 	s.t.Helper()
-	late := time.After(timeout)
+	deadline := time.After(timeout)
 	for {
 		s.mu.Lock()
 		changed := s.changed
@@ -125,18 +126,18 @@
 		}
 		select {
 		case <-changed:
-		case <-late:
+		case <-deadline:
 			s.t.Fatalf("%s: the list is\n%s\nwant\n%s", what, got, format(want...))
 		}
 	}
 }
 
-// check fails the test for each breach of the contract.
+// check fails the test for each violation of the contract.
 func (s *recordingSink) check() {
 	s.t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, breach := range s.breaches {
-		s.t.Error(breach)
+	for _, violation := range s.violations {
+		s.t.Error(violation)
 	}
 }
--- a/internal/membership/file/file.go
+++ b/internal/membership/file/file.go
@@ -1,9 +1,8 @@
-// Package file follows an endpoint list in a file. It is meant for machines on which something else
-// keeps the file up to date, and for tests. Whoever writes the file replaces it as a whole, by a
-// rename.
+// Package file follows an endpoint list in a file. It is intended for tests and for machines on
+// which another program maintains the file. The writer must replace the whole file with a rename.
 //
-// A file that is missing, cut short or no list changes nothing: the last list stands, and the
-// source counts as silent.
+// A file that is missing, truncated or not a list changes nothing: the last list stays in use, and
+// the source counts as silent.
 package file
 
 import (
@@ -22,12 +21,13 @@
 )
 
 const (
-	// checkInterval is how often the file is checked: a drain in it is known well within the 250 ms
-	// that the protocol allows.
+	// checkInterval is the time between checks of the file. It is well below the 250 ms within
+	// which the protocol requires a drain to be known.
 	checkInterval = 100 * time.Millisecond
 	maxFileBytes  = 32 << 20
-	// timestampSlack is how shortly before a read a file may have been modified and then change
-	// again unseen, since the clocks of file systems are coarse. Such a file is read again.
+	// timestampSlack is the age below which a modification time does not prove that a file is
+	// unchanged. File systems have coarse clocks, so a file that was modified that shortly before a
+	// read may change again with the same time. Such a file is read again.
 	timestampSlack = 2 * time.Second
 )
 
@@ -36,13 +36,13 @@
 	path     string
 	log      *slog.Logger
 	notifier *staleness.Notifier
-	lastInfo os.FileInfo // of the last file read; nil: the last read failed, or there was none
+	lastInfo os.FileInfo // of the last file read; nil if the last read failed or there was none
 	lastRead time.Time
-	lastErr  string // logged last; empty: the last check succeeded
+	lastErr  string // last logged error; empty if the last check succeeded
 }
 
-// New returns a source that follows a file: {"endpoints": [{"name", "address", "zone", "cell",
-// "status", "weight", "since"}]}. An invalid entry is left out and logged once.
+// New returns a Source that follows a file with the contents {"endpoints": [{"name", "address",
+// "zone", "cell", "status", "weight", "since"}]}. An invalid entry is left out and logged once.
 func New(path string, log *slog.Logger) *Source {
 	log = log.With("source", "file", "file", path)
 	return &Source{path: path, log: log, notifier: staleness.NewNotifier(log)}
@@ -77,7 +77,7 @@
 		err = s.read(sink)
 	}
 	if err != nil {
-		s.fail(sink, err)
+		s.handleFailure(sink, err)
 		return
 	}
 	s.lastErr = ""
@@ -89,9 +89,9 @@
 		info.ModTime().Equal(s.lastInfo.ModTime()) && s.lastRead.Sub(info.ModTime()) > timestampSlack
 }
 
-// fail notes that the file could not be read. Its sink is notified, and a line is logged, when the
-// error changes.
-func (s *Source) fail(sink membership.Sink, err error) {
+// handleFailure records that the file could not be read. When the error differs from the last one,
+// the sink is notified and the error is logged.
+func (s *Source) handleFailure(sink membership.Sink, err error) {
 	s.lastInfo = nil
 	s.notifier.Failed()
 	if err.Error() == s.lastErr {
@@ -102,7 +102,7 @@
 	sink.UpdateFailed()
 }
 
-// read reads the file, and notifies the sink of its list where that has changed.
+// read reads the file and passes its list to the sink if the list has changed.
 func (s *Source) read(sink membership.Sink) error {
 	f, err := os.Open(s.path)
 	if err != nil {
@@ -114,7 +114,7 @@
 		return err
 	}
 	if len(data) > maxFileBytes {
-		return fmt.Errorf("over %d bytes", maxFileBytes)
+		return fmt.Errorf("file exceeds the limit of %d bytes", maxFileBytes)
 	}
 	entries, err := parse(data)
 	if err != nil {
@@ -124,8 +124,8 @@
 	return err
 }
 
-// parse splits the contents of a file into entries, whose values the reconciler decodes and checks
-// one by one.
+// parse splits the contents of a file into entries. The reconciler decodes and checks the value of
+// each entry.
 func parse(data []byte) ([]reconcile.Entry, error) {
 	var raw struct {
 		Endpoints *[]json.RawMessage `json:"endpoints"`
@@ -134,7 +134,7 @@
 		return nil, err
 	}
 	if raw.Endpoints == nil {
-		return nil, errors.New("endpoints is missing")
+		return nil, errors.New("missing endpoints")
 	}
 	var entries []reconcile.Entry
 	seen := map[string]bool{}
@@ -147,14 +147,15 @@
 	return entries, nil
 }
 
-// parseEntry returns the entry of an endpoint in a file, by its index there. Its key is its name,
-// or else its address, or else its place, which is also the key where another entry has that name.
+// parseEntry returns the entry of the endpoint at the given index of a file. The entry's key is its
+// name, or its address if it has no name. If it has neither, or another entry has the key, the key
+// is the position in the file.
 func parseEntry(text json.RawMessage, index int, seen map[string]bool) reconcile.Entry {
 	var named struct {
 		Name    string `json:"name"`
 		Address string `json:"address"`
 	}
-	// An error shows again where the reconciler decodes the entry.
+	// The reconciler reports the error when it decodes the entry.
 	_ = json.Unmarshal(text, &named)
 	key := named.Name
 	if key == "" {
@@ -162,7 +163,7 @@
 	}
 	if key == "" || seen[key] {
 		if seen[key] && named.Name == "" {
-			text = nil // the same address a second time, and no name: the entry is invalid
+			text = nil // a repeated address without a name makes the entry invalid
 		}
 		key = fmt.Sprintf("(entry %d)", index+1)
 	}
--- a/internal/membership/file/file_test.go
+++ b/internal/membership/file/file_test.go
@@ -16,7 +16,7 @@
 	"fernlanding/internal/membership/contract"
 )
 
-// registry implements contract.Registry by a file.
+// registry implements contract.Registry with a file.
 type registry struct {
 	t    *testing.T
 	path string
@@ -26,15 +26,15 @@
 	fault     fault
 }
 
-// fault is what is wrong with the file.
+// fault is the fault of the file.
 type fault int
 
 const (
 	noFault fault = iota
 	missing
-	cutShort
+	truncated
 	otherContents
-	empty // torn: written in place, by a process that died
+	empty // as left by a process that died while it wrote the file in place
 )
 
 // contents returns the contents of a file with the endpoints.
@@ -55,7 +55,7 @@
 	return data
 }
 
-// write replaces the file, or writes it as the fault says.
+// write replaces the file, or writes it with the fault.
 func (r *registry) write() {
 	data := r.contents()
 	switch r.fault {
@@ -63,7 +63,7 @@
 	case missing:
 		_ = os.Remove(r.path) // it may be missing already
 		return
-	case cutShort:
+	case truncated:
 		data = data[:len(data)/2]
 	case otherContents:
 		data = []byte(`{"endpoint":[]}`)
@@ -100,7 +100,7 @@
 }
 
 func (r *registry) InjectFault(n int) (string, bool) {
-	faults := []string{"no file", "a file cut short", "another file", "an empty file"}
+	faults := []string{"no file", "a truncated file", "another file", "an empty file"}
 	if n >= len(faults) {
 		return "", false
 	}
@@ -128,8 +128,8 @@
 	})
 }
 
-// sink records each list that it is notified of as one line: the names; "~" follows a draining
-// endpoint. A failure is the line "failed".
+// sink records each list that it receives as one line of names. "~" follows a draining endpoint. A
+// failure is the line "failed".
 type sink struct{ lists []string }
 
 func (s *sink) UpdateFailed() { s.lists = append(s.lists, "failed") }
@@ -142,10 +142,10 @@
 	s.lists = append(s.lists, strings.Join(words, " "))
 }
 
-// Invalid entries are left out and logged once, ones that were valid before stand as draining, and
-// the same list written again is no update. An edit in place within the clock's tick, of the same
-// size, is seen.
-func TestContentsOfAFile(t *testing.T) {
+// Invalid entries are left out and logged once. An endpoint whose entry becomes invalid is
+// draining. A list that is written again without a change is not an update. An edit in place is
+// detected even if it keeps the size and happens within the resolution of the file's timestamp.
+func TestFileContents(t *testing.T) {
 	var log strings.Builder
 	path := filepath.Join(t.TempDir(), "list.json")
 	source, sink := New(path, slog.New(slog.NewTextHandler(&log, nil))), &sink{}
@@ -168,13 +168,13 @@
 	write(`{"name":"a","address":"x:2"}`)
 	want := []string{"a h:2", "a h:2", "a~ h:2", "a"}
 	if !slices.Equal(sink.lists, want) && !slices.Equal(sink.lists, append([]string{"a h:2"}, want...)) {
-		t.Errorf("got %q", sink.lists)
+		t.Errorf("got lists %q, want %q", sink.lists, want)
 	}
 	if n := strings.Count(log.String(), "invalid endpoint entry"); n != 5 {
-		t.Errorf("%d entries logged:\n%s", n, log.String())
+		t.Errorf("%d invalid entries logged, want 5:\n%s", n, log.String())
 	}
 	if !strings.Contains(log.String(), "more than half of the serving endpoints were removed") {
-		t.Errorf("half of the endpoints were removed without a line:\n%s", log.String())
+		t.Errorf("no log line for the removal of half of the endpoints:\n%s", log.String())
 	}
 }
 
@@ -188,7 +188,7 @@
 		seen := map[string]bool{}
 		for _, e := range entries {
 			if seen[e.Key] {
-				t.Fatalf("%q twice", e.Key)
+				t.Fatalf("duplicate key %q", e.Key)
 			}
 			seen[e.Key] = true
 		}
--- a/internal/membership/parse.go
+++ b/internal/membership/parse.go
@@ -7,14 +7,14 @@
 	"net"
 )
 
-// The statuses as the platform's discovery writes them.
+// The statuses in the JSON of the platform's discovery.
 const (
 	statusServing  = "SERVING"
 	statusDraining = "DRAINING"
 	statusDeleted  = "DELETED"
 )
 
-// entry is an entry of a list as the platform's discovery writes it.
+// entry is an endpoint in the JSON of the platform's discovery.
 type entry struct {
 	Name    string   `json:"name"`
 	Address string   `json:"address"`
@@ -25,11 +25,11 @@
 	SinceMs int64    `json:"since_ms"`
 }
 
-// endpoint converts an entry. Of a deleted one the address is not checked.
+// endpoint converts an entry. The address of a deleted endpoint is not checked.
 func (e entry) endpoint() (Endpoint, error) {
 	out := Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Cell: e.Group, Weight: 1, StartedMs: e.SinceMs}
 	if e.Name == "" {
-		return out, errors.New("name is missing")
+		return out, errors.New("missing name")
 	}
 	if e.Weight != nil {
 		out.Weight = *e.Weight
@@ -49,8 +49,8 @@
 	return out, err
 }
 
-// Parse decodes a list in the JSON form of the platform's discovery, which is also that of "known"
-// in LB_CONFIG. One invalid entry makes the list invalid as a whole.
+// Parse decodes a list in the JSON form of the platform's discovery, which is also the form of
+// "known" in LB_CONFIG. One invalid entry makes the whole list invalid.
 func Parse(data []byte) (*List, error) {
 	var raw struct {
 		Index     *int64   `json:"index"`
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	if raw.Index == nil || raw.Snapshot == nil || raw.Endpoints == nil {
-		return nil, errors.New("index, snapshot or endpoints is missing")
+		return nil, errors.New("missing index, snapshot or endpoints")
 	}
 	list := &List{Version: *raw.Index, Full: *raw.Snapshot}
 	for i, e := range *raw.Endpoints {
--- a/internal/membership/reconcile/delta.go
+++ b/internal/membership/reconcile/delta.go
@@ -9,24 +9,24 @@
 	"fernlanding/internal/membership"
 )
 
-// ApplyDelta takes a batch of changes. Those of revisions that are known already are duplicates and
-// ignored. An error says why the batch is rejected: nothing has changed then, and a snapshot is
-// needed.
+// ApplyDelta applies a batch of changes. Changes of revisions that are already known are duplicates
+// and are ignored. An error gives the reason for rejecting the batch; nothing has changed then, and
+// a snapshot is needed.
 func (r *Reconciler) ApplyDelta(delta Delta) (Result, error) {
 	if err := r.checkDelta(delta); err != nil {
 		return Result{}, err
 	}
 	if delta.Revision < r.revision {
-		return Result{}, nil // late
+		return Result{}, nil // a late batch
 	}
 	result := Result{ServingBefore: r.serving}
 	servedBefore := map[string]bool{}
-	changed := map[string]membership.Endpoint{} // by name, as it is after the batch
+	changed := map[string]membership.Endpoint{} // endpoints after the batch, by name
 	for _, event := range delta.Events {
 		if event.Revision <= r.revision {
 			continue
 		}
-		if previous := r.keys[event.Key]; previous != nil && previous.serves() {
+		if previous := r.keys[event.Key]; previous != nil && previous.isServing() {
 			servedBefore[previous.endpoint.Name] = true
 		}
 		result.addInvalid(r.applyEvent(event, changed))
@@ -42,20 +42,20 @@
 	return result, nil
 }
 
-// checkDelta returns why a delta is rejected, or nil.
+// checkDelta returns the reason for rejecting a delta, or nil.
 func (r *Reconciler) checkDelta(delta Delta) error {
 	if delta.Cluster != r.cluster {
 		return r.clusterError(delta.Cluster)
 	}
 	for i, event := range delta.Events {
 		if event.Revision > delta.Revision || i > 0 && event.Revision < delta.Events[i-1].Revision {
-			return fmt.Errorf("%w: %d in a batch of %d", ErrOutOfOrder, event.Revision, delta.Revision)
+			return fmt.Errorf("%w: revision %d in a batch up to %d", ErrOutOfOrder, event.Revision, delta.Revision)
 		}
 	}
 	return nil
 }
 
-// deltaList returns a list of the endpoints that have changed, ordered by name; nil where none has.
+// deltaList returns a list of the changed endpoints, ordered by name, or nil if none has changed.
 func (r *Reconciler) deltaList(changed map[string]membership.Endpoint) *membership.List {
 	if len(changed) == 0 {
 		return nil
@@ -67,7 +67,7 @@
 	return list
 }
 
-// applyEvent applies one change, and notes the endpoints that it changes.
+// applyEvent applies one change and adds the endpoints that it changes to changed.
 func (r *Reconciler) applyEvent(event Event, changed map[string]membership.Endpoint) *InvalidEntry {
 	previous := r.keys[event.Key]
 	r.removeKey(event.Key, changed)
@@ -92,7 +92,7 @@
 	if state == nil {
 		return
 	}
-	if state.serves() {
+	if state.isServing() {
 		r.serving--
 	}
 	if state.valid && r.owners[state.endpoint.Name] == key {
--- a/internal/membership/reconcile/entry.go
+++ b/internal/membership/reconcile/entry.go
@@ -11,20 +11,19 @@
 	"fernlanding/internal/membership"
 )
 
-// value is the value of an entry as registries store it. The type's name is part of the decoder's
-// errors, which relays report to the source of a list.
+// value is the value of an entry as registries store it. The name of the type is part of the
+// decoder's errors, which relays report to the source of a list.
 type value struct {
-	Name    string   `json:"name"` // of the instance; empty: the key's last part
+	Name    string   `json:"name"` // of the instance; if empty, the last part of the key
 	Address string   `json:"address"`
 	Zone    string   `json:"zone"`
 	Cell    int      `json:"cell"`
-	Status  string   `json:"status"` // serving or draining; empty: serving
+	Status  string   `json:"status"` // serving or draining; empty means serving
 	Weight  *float64 `json:"weight"`
-	SinceMs int64    `json:"since"` // Unix time in milliseconds
+	SinceMs int64    `json:"since"` // time of the last start, Unix time in milliseconds
 }
 
-// decode returns the endpoint that an entry describes, or an error that says why the entry is
-// invalid.
+// decode returns the endpoint that an entry describes, or the reason why the entry is invalid.
 func (c *Config) decode(e Entry) (membership.Endpoint, error) {
 	instance, ok := strings.CutPrefix(e.Key, c.Prefix+c.Service+"/")
 	if !ok || instance == "" || strings.Contains(instance, "/") || len(instance) > maxNameBytes {
@@ -40,8 +39,8 @@
 	return v.endpoint(instance)
 }
 
-// endpoint returns the endpoint that a value describes; it has the instance's name where the value
-// has none.
+// endpoint returns the endpoint that a value describes. Its name is instance if the value has no
+// name.
 func (v *value) endpoint(instance string) (membership.Endpoint, error) {
 	endpoint := membership.Endpoint{
 		Name: v.Name, Address: v.Address, Zone: v.Zone, Cell: v.Cell, Weight: 1, StartedMs: v.SinceMs,
@@ -50,12 +49,13 @@
 		endpoint.Name = instance
 	}
 	if len(endpoint.Name) > maxNameBytes {
-		return membership.Endpoint{}, fmt.Errorf("name: over %d bytes", maxNameBytes)
+		return membership.Endpoint{}, fmt.Errorf("name of %d bytes exceeds the limit of %d",
+			len(endpoint.Name), maxNameBytes)
 	}
 	if v.Weight != nil {
 		endpoint.Weight = *v.Weight
 		if !(endpoint.Weight >= 0) || math.IsInf(endpoint.Weight, 0) {
-			return membership.Endpoint{}, fmt.Errorf("weight: %g", endpoint.Weight)
+			return membership.Endpoint{}, fmt.Errorf("invalid weight %g: want a finite weight >= 0", endpoint.Weight)
 		}
 	}
 	switch v.Status {
@@ -63,7 +63,7 @@
 	case "draining":
 		endpoint.Status = membership.Draining
 	default:
-		return membership.Endpoint{}, fmt.Errorf("status: %q; serving or draining expected", v.Status)
+		return membership.Endpoint{}, fmt.Errorf("unknown status %q: want serving or draining", v.Status)
 	}
 	if err := checkAddress(v.Address); err != nil {
 		return membership.Endpoint{}, err
@@ -71,15 +71,15 @@
 	return endpoint, nil
 }
 
-// checkAddress returns an error where an address is not host:port, with a host and a port other
-// than 0.
+// checkAddress returns an error unless the address is host:port with a host and a port other than
+// 0.
 func checkAddress(address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || host == "" {
-		return fmt.Errorf("address: %q; host:port expected", address)
+		return fmt.Errorf("invalid address %q: want host:port", address)
 	}
 	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 {
-		return fmt.Errorf("address: %q; a port of 1 to 65535 expected", address)
+		return fmt.Errorf("invalid address %q: want a port of 1 to 65535", address)
 	}
 	return nil
 }
--- a/internal/membership/reconcile/key.go
+++ b/internal/membership/reconcile/key.go
@@ -7,23 +7,23 @@
 	"fernlanding/internal/membership"
 )
 
-// keyState is what is known of a key.
+// keyState is the state of one key.
 type keyState struct {
 	endpoint membership.Endpoint
-	// valid: the endpoint is in the list, as the entry has it or, with err, as draining with its
-	// last valid state.
+	// valid reports whether the endpoint is in the list: as in the entry or, if err is not nil, as
+	// draining with its last valid state.
 	valid bool
-	err   error // why the entry is invalid now; nil: it is valid
-	// claimed is the endpoint of a key that waits for another key's name, once it has that name.
+	err   error // reason why the entry is invalid now; nil if it is valid
+	// claimed is the endpoint that the key will have once it owns the name for which it waits.
 	claimed membership.Endpoint
 }
 
-// serves reports whether the key has an endpoint that serves.
-func (s *keyState) serves() bool { return s.valid && s.endpoint.Status == membership.Serving }
+// isServing reports whether the key has a serving endpoint.
+func (s *keyState) isServing() bool { return s.valid && s.endpoint.Status == membership.Serving }
 
-// setKey enters a key whose previous state, if any, has been taken out. An invalid entry is left
-// out or, if it was valid before, keeps its last valid state as draining. It is returned when it
-// has become invalid, not each time it is read.
+// setKey sets a key whose previous state, if any, has been removed. An invalid entry is left out
+// or, if the key was valid before, keeps its last valid state as draining. setKey returns the entry
+// when it becomes invalid, not each time it is read.
 func (r *Reconciler) setKey(e Entry, previous *keyState) *InvalidEntry {
 	endpoint, err := r.cfg.decode(e)
 	if err == nil {
@@ -46,7 +46,7 @@
 	if state.valid {
 		r.owners[state.endpoint.Name] = e.Key
 	}
-	if state.serves() {
+	if state.isServing() {
 		r.serving++
 	}
 	if err == nil || previous != nil && previous.err != nil && previous.err.Error() == err.Error() {
@@ -55,8 +55,8 @@
 	return &InvalidEntry{Key: e.Key, Err: err}
 }
 
-// reassignName gives a name that has become free to the first key that waits for it, and notes the
-// endpoints that this changes.
+// reassignName gives a free name to the first key that waits for it, and adds the endpoints that
+// this changes to changed.
 func (r *Reconciler) reassignName(name string, changed map[string]membership.Endpoint) {
 	first := ""
 	for key, waitsFor := range r.waiting {
@@ -68,7 +68,7 @@
 	if state == nil {
 		return
 	}
-	if state.valid && state.endpoint.Name != name { // it stood as draining under the name that it had
+	if state.valid && state.endpoint.Name != name { // the key was draining under its previous name
 		delete(r.owners, state.endpoint.Name)
 		changed[state.endpoint.Name] = deletedEndpoint(state.endpoint.Name)
 	}
@@ -76,7 +76,7 @@
 	*state = keyState{endpoint: state.claimed, valid: true}
 	r.owners[name] = first
 	changed[name] = state.endpoint
-	if state.serves() {
+	if state.isServing() {
 		r.serving++
 	}
 }
--- a/internal/membership/reconcile/random_test.go
+++ b/internal/membership/reconcile/random_test.go
@@ -10,8 +10,8 @@
 	"fernlanding/internal/membership"
 )
 
-// Whatever comes in whatever order, the list of a pool that applies the results has the endpoints
-// of the registry's entries at the end.
+// After random updates in a random order, the pool that applies the results has the endpoints of
+// the registry's entries.
 func TestListMatchesRegistryAfterRandomUpdates(t *testing.T) {
 	for seed := range uint64(1000) {
 		r := &randomRun{
@@ -24,7 +24,7 @@
 				r.change()
 			}
 			switch r.random.IntN(4) {
-			case 0: // a snapshot, and the changes are lost
+			case 0: // a snapshot replaces the pending changes
 				r.applySnapshot()
 				r.pending = nil
 			case 1:
@@ -41,8 +41,8 @@
 	}
 }
 
-// randomRun is a registry that changes at random, and a pool that applies the results of a
-// reconciler that follows it.
+// randomRun has a registry that changes at random, and a pool that applies the results of a
+// reconciler that follows the registry.
 type randomRun struct {
 	*testing.T
 	seed       uint64
@@ -54,7 +54,7 @@
 	pool       map[string]membership.Endpoint
 }
 
-// change deletes an entry of the registry, or puts one.
+// change deletes an entry of the registry or puts one.
 func (r *randomRun) change() {
 	r.revision++
 	instance := fmt.Sprint(r.random.IntN(6))
@@ -92,12 +92,12 @@
 	r.updatePool(result)
 }
 
-// applyDuplicate applies the same changes a second time, which changes nothing.
+// applyDuplicate applies the pending changes a second time, which must change nothing.
 func (r *randomRun) applyDuplicate() {
 	r.Helper()
 	result, err := r.reconciler.ApplyDelta(delta(r.revision, r.pending...))
 	if err != nil || result.List != nil {
-		r.Fatalf("seed %d: a duplicate changes the list: %s, %v", r.seed, format(result.List), err)
+		r.Fatalf("seed %d: duplicate delta changes the list to %s, error %v", r.seed, format(result.List), err)
 	}
 }
 
@@ -127,15 +127,15 @@
 		}
 	}
 	if serving != r.reconciler.serving {
-		r.Fatalf("seed %d: %d serve, counted %d", r.seed, serving, r.reconciler.serving)
+		r.Fatalf("seed %d: %d endpoints serve, reconciler counts %d", r.seed, serving, r.reconciler.serving)
 	}
 	for name, e := range r.pool {
 		if name == "n" {
-			continue // one of those that claim it
+			continue // several keys may claim this name
 		}
 		want, err := r.reconciler.cfg.decode(r.registry["/app/s/"+name])
 		if err != nil || want.Name == name && want != e {
-			r.Fatalf("seed %d: %s is %+v, want %+v, %v", r.seed, name, e, want, err)
+			r.Fatalf("seed %d: %s is %+v, want %+v, error %v", r.seed, name, e, want, err)
 		}
 	}
 	for key, e := range r.registry {
@@ -161,7 +161,7 @@
 		}
 		for _, e := range result.List.Endpoints {
 			if e.Name == "" || e.Address == "" || !(e.Weight >= 0) {
-				t.Fatalf("%+v", e)
+				t.Fatalf("invalid endpoint %+v", e)
 			}
 		}
 		changed := Event{Entry: Entry{Key: key1, Value: value2}, Revision: 2}
--- a/internal/membership/reconcile/reconcile.go
+++ b/internal/membership/reconcile/reconcile.go
@@ -1,10 +1,11 @@
-// Package reconcile turns what a registry answers into updates of an endpoint list, and rejects
-// what is no valid update. It is pure: no I/O, no clock; times come in as arguments.
+// Package reconcile converts the answers of a registry to updates of an endpoint list and rejects
+// answers that are not valid updates. It has no I/O and no clock; times are passed as arguments.
 //
-// A registry can be wrong in ways that would empty a pool: a stale member answers with an older
-// state, a restored backup begins anew, an answer is cut short, another cluster has the address.
-// None of that reaches a pool: the last list stands, and the source counts as silent. What does
-// reach it is in order, and a full list follows whatever may have been missed.
+// A registry can fail in ways that would empty a pool: a stale member returns an older state, a
+// restored backup restarts the revisions, a response is truncated, or another cluster has the
+// address. None of these answers reaches a pool: the last list stays in use, and the source counts
+// as silent. Updates reach the pool in order, and a full list follows after changes that may have
+// been missed.
 package reconcile
 
 import (
@@ -15,13 +16,13 @@
 	"fernlanding/internal/membership"
 )
 
-// Config says which entries a Reconciler accepts.
+// Config selects the entries that a Reconciler accepts.
 type Config struct {
-	Prefix  string // of all keys, with its last slash
+	Prefix  string // of all keys, including the trailing slash
 	Service string
-	// RestoreAfter is how long a registry of the same cluster must keep to a lower revision before
-	// it is taken for one that was restored from a backup, and its list is accepted; 0: never, only
-	// an operator's AcceptNext does that.
+	// RestoreAfter is how long a registry of the same cluster must report a lower revision until it
+	// is considered restored from a backup, and its list is accepted. 0 means never; then only
+	// AcceptNext, called for an operator, accepts it.
 	RestoreAfter time.Duration
 }
 
@@ -31,15 +32,15 @@
 	cfg         Config
 	cluster     string
 	revision    int64
-	hasSnapshot bool // a snapshot has been accepted
+	hasSnapshot bool // whether a snapshot has been accepted
 	keys        map[string]*keyState
-	owners      map[string]string // the key that owns a name, by name
-	waiting     map[string]string // the name that a key waits for, by key
-	serving     int               // endpoints that serve
+	owners      map[string]string // key that owns a name, by name
+	waiting     map[string]string // name that a key waits for, by key
+	serving     int               // number of serving endpoints
 
-	acceptNext    bool      // whatever the next snapshot's revision and cluster
-	lowerSince    time.Time // when a lower revision was first seen; zero: none stands out
-	lowerRevision int64     // the lower revision seen last
+	acceptNext    bool      // accept the next snapshot whatever its revision and cluster
+	lowerSince    time.Time // when a lower revision was first seen; zero if none is pending
+	lowerRevision int64     // last lower revision seen
 }
 
 // New returns a Reconciler without entries.
@@ -49,10 +50,10 @@
 	}
 }
 
-// Revision returns the revision up to which all changes are known; 0 before the first snapshot.
+// Revision returns the revision up to which all changes are known, 0 before the first snapshot.
 func (r *Reconciler) Revision() int64 { return r.revision }
 
-// List returns the full list as it stands, ordered by key; nil before the first snapshot.
+// List returns the present full list, ordered by key, or nil before the first snapshot.
 func (r *Reconciler) List() *membership.List {
 	if !r.hasSnapshot {
 		return nil
@@ -66,7 +67,7 @@
 	return list
 }
 
-// InvalidCount returns how many entries are invalid now.
+// InvalidCount returns the number of entries that are invalid now.
 func (r *Reconciler) InvalidCount() int {
 	count := 0
 	for _, state := range r.keys {
@@ -77,6 +78,6 @@
 	return count
 }
 
-// AcceptNext has the next snapshot accepted whatever its revision and cluster: an operator says
-// that it holds.
+// AcceptNext makes the Reconciler accept the next snapshot whatever its revision and cluster. An
+// operator requests it after verifying the registry.
 func (r *Reconciler) AcceptNext() { r.acceptNext = true }
--- a/internal/membership/reconcile/reconcile_test.go
+++ b/internal/membership/reconcile/reconcile_test.go
@@ -16,7 +16,7 @@
 	return New(Config{Prefix: "/app/", Service: "s", RestoreAfter: restoreAfter})
 }
 
-// entry returns the entry of an instance; more is the rest of its JSON value.
+// entry returns the entry of an instance. The argument more is the rest of its JSON value.
 func entry(name, address, more string) Entry {
 	return Entry{Key: "/app/s/" + name, Value: fmt.Appendf(nil, `{"address":%q%s}`, address, more)}
 }
@@ -35,8 +35,8 @@
 	return Event{Entry: Entry{Key: "/app/s/" + name}, Revision: revision, Deleted: true}
 }
 
-// format returns a list as one line: its version, "full", and the names; "~" follows a draining
-// endpoint, "-" a deleted one.
+// format returns a list as one line of its version, "full" for a full list, and the names. "~"
+// follows a draining endpoint, "-" a deleted one.
 func format(list *membership.List) string {
 	if list == nil {
 		return "nothing"
@@ -58,22 +58,22 @@
 	}
 }
 
-// What is rejected changes nothing: the last list stands, and what follows is applied as if it had
-// not come.
+// A rejected update changes nothing: the last list stays in use, and the next update is applied to
+// the state before the rejected one.
 func TestRejectedUpdatesChangeNothing(t *testing.T) {
 	a, b, c := entry("a", "h:1", ""), entry("b", "h:2", ""), entry("c", "h:3", "")
 	r := newReconciler(0)
 	result, err := r.ApplySnapshot(start, snapshot(10, a, b))
 	expect(t, "first", "10 full a b", result, err)
-	cutShort := snapshot(12, a)
-	cutShort.Count = 2
+	truncated := snapshot(12, a)
+	truncated.Count = 2
 	for _, test := range []struct {
 		what     string
 		snapshot Snapshot
 		want     error
 	}{
 		{"older", snapshot(9, c), ErrStaleRevision},
-		{"cut short", cutShort, ErrCountMismatch},
+		{"truncated", truncated, ErrCountMismatch},
 		{"another cluster", Snapshot{Cluster: "d", Revision: 12, Count: 1, Entries: []Entry{c}}, ErrClusterChanged},
 		{
 			"too many",
@@ -83,19 +83,19 @@
 	} {
 		result, err := r.ApplySnapshot(start, test.snapshot)
 		if !errors.Is(err, test.want) || result.List != nil {
-			t.Errorf("%s: got %v, %v", test.what, format(result.List), err)
+			t.Errorf("%s: got list %v, error %v", test.what, format(result.List), err)
 		}
 	}
 	if _, err := r.ApplyDelta(Delta{Cluster: "d", Revision: 12}); !errors.Is(err, ErrClusterChanged) {
-		t.Errorf("got %v", err)
+		t.Errorf("delta of another cluster: got error %v", err)
 	}
 	for _, events := range [][]Event{{put(14, c)}, {put(12, c), deletion(11, "a")}} {
 		if _, err := r.ApplyDelta(delta(13, events...)); !errors.Is(err, ErrOutOfOrder) {
-			t.Errorf("got %v", err)
+			t.Errorf("delta out of order: got error %v", err)
 		}
 	}
 	result, err = r.ApplyDelta(delta(10, deletion(10, "a")))
-	expect(t, "known already", "nothing", result, err)
+	expect(t, "duplicate", "nothing", result, err)
 	result, err = r.ApplyDelta(delta(8, deletion(8, "a")))
 	expect(t, "late", "nothing", result, err)
 	result, err = r.ApplyDelta(delta(12, put(11, c), deletion(12, "a")))
@@ -103,11 +103,11 @@
 	result, err = r.ApplyDelta(delta(20))
 	expect(t, "progress", "nothing", result, err)
 	if r.Revision() != 20 {
-		t.Errorf("at %d", r.Revision())
+		t.Errorf("revision is %d, want 20", r.Revision())
 	}
 }
 
-// A registry that was restored from a backup is accepted again when an operator says so.
+// A registry that was restored from a backup is accepted after AcceptNext.
 func TestRestoredRegistryIsAcceptedByOperator(t *testing.T) {
 	a, b := entry("a", "h:1", ""), entry("b", "h:2", "")
 	r := newReconciler(0)
@@ -115,22 +115,22 @@
 	for i := range 100 {
 		now := start.Add(time.Duration(i) * time.Hour)
 		if _, err := r.ApplySnapshot(now, snapshot(50, b)); !errors.Is(err, ErrStaleRevision) {
-			t.Fatalf("got %v", err)
+			t.Fatalf("got error %v", err)
 		}
 	}
 	r.AcceptNext()
 	result, err := r.ApplySnapshot(start, snapshot(50, b))
 	expect(t, "accepted", "50 full b", result, err)
 	if _, err := r.ApplySnapshot(start, snapshot(49, b)); !errors.Is(err, ErrStaleRevision) {
-		t.Errorf("AcceptNext held twice: %v", err)
+		t.Errorf("AcceptNext accepted a second snapshot: got error %v", err)
 	}
 	r.AcceptNext()
 	result, err = r.ApplySnapshot(start, Snapshot{Cluster: "d", Revision: 3, Count: 1, Entries: []Entry{a}})
 	expect(t, "another cluster accepted", "3 full a", result, err)
 }
 
-// A registry that was restored from a backup is accepted again when it has kept to its lower
-// revision for the configured time; not when it merely answers stale once in a while.
+// A registry that was restored from a backup is accepted after it has reported the lower revision
+// for the configured time, but not after occasional stale responses.
 func TestRestoredRegistryIsAcceptedAfterTime(t *testing.T) {
 	a, b := entry("a", "h:1", ""), entry("b", "h:2", "")
 	r := newReconciler(time.Minute)
@@ -146,33 +146,33 @@
 	}{
 		{0, 50, false},
 		{59, 51, false},
-		{61, 40, false}, // falls again: the time begins anew
+		{61, 40, false}, // decreases again: the time restarts
 		{100, 41, false},
-		{-50, 42, false}, // the clock steps
+		{-50, 42, false}, // the clock steps back
 		{9, 43, false},
 		{10, 44, true},
 	} {
 		if err := apply(test.seconds, test.revision); (err == nil) != test.accepted {
-			t.Errorf("%d s, %d: %v", test.seconds, test.revision, err)
+			t.Errorf("after %d s, revision %d: got error %v", test.seconds, test.revision, err)
 		}
 	}
-	if err := apply(30, 101); err != nil { // a stale member, then a good one
+	if err := apply(30, 101); err != nil { // a response of a current member after stale ones
 		t.Error(err)
 	}
 	if err := apply(31, 60); err == nil {
-		t.Error("a single stale answer was accepted")
+		t.Error("a single stale response was accepted")
 	}
 }
 
-// An invalid entry is left out and reported once; the others stand. One that was valid before
-// stands as draining.
+// An invalid entry is left out and reported once. The other entries are kept. An entry that was
+// valid before is draining.
 func TestInvalidEntries(t *testing.T) {
 	for _, test := range []struct {
 		entry Entry
 		want  string
 	}{
-		{Entry{Key: "/app/s/x", Value: []byte("{")}, "value"},
-		{Entry{Key: "/app/s/x"}, "value"},
+		{Entry{Key: "/app/s/x", Value: []byte("{")}, "value: "},
+		{Entry{Key: "/app/s/x"}, "value: "},
 		{entry("x", "h", ""), "address"},
 		{entry("x", ":1", ""), "address"},
 		{entry("x", "h:0", ""), "port"},
@@ -182,7 +182,7 @@
 		{Entry{Key: "/app/t/x", Value: []byte(`{"address":"h:1"}`)}, "pattern"},
 		{entry("x", "h:1", `,"zone":"`+strings.Repeat("z", 1<<20)+`"`), "bytes"},
 		{entry("x", "h:1", `,"name":"a"`), "another key"},
-		{entry("x", "h:1", `,"cell":"1"`), "value"},
+		{entry("x", "h:1", `,"cell":"1"`), "value: "},
 		{entry(strings.Repeat("x", 300), "h:1", ""), "pattern"},
 	} {
 		r := newReconciler(0)
@@ -190,11 +190,11 @@
 		expect(t, test.want, "1 full a", result, err)
 		if len(result.Invalid) != 1 || !strings.Contains(result.Invalid[0].Err.Error(), test.want) ||
 			len(result.Invalid[0].Err.Error()) > 500 || r.InvalidCount() != 1 {
-			t.Errorf("%s: got %v", test.want, result.Invalid)
+			t.Errorf("%s: got invalid entries %v", test.want, result.Invalid)
 		}
 		result, _ = r.ApplySnapshot(start, snapshot(2, entry("a", "h:1", ""), test.entry))
 		if len(result.Invalid) != 0 {
-			t.Errorf("%s: reported twice", test.want)
+			t.Errorf("%s: invalid entry is reported twice", test.want)
 		}
 		if test.entry.Key == "/app/s/x" {
 			testEntryBecomesInvalid(t, test.want, test.entry)
@@ -202,8 +202,8 @@
 	}
 }
 
-// testEntryBecomesInvalid tests that a valid entry x stands as draining once it has become invalid,
-// until it is valid again.
+// testEntryBecomesInvalid tests that the endpoint of a valid entry x is draining from the time the
+// entry becomes invalid until it is valid again.
 func testEntryBecomesInvalid(t *testing.T, what string, invalid Entry) {
 	t.Helper()
 	r := newReconciler(0)
@@ -219,7 +219,8 @@
 	expect(t, what, "4 x", result, err)
 }
 
-// A name that two keys claim is the first one's; when that is deleted, the other has it.
+// If two keys claim a name, the first key owns it. When the first key is deleted, the other one
+// owns it.
 func TestNameClaimedByTwoKeys(t *testing.T) {
 	r := newReconciler(0)
 	first, second := entry("a", "h:1", `,"name":"n"`), entry("b", "h:2", `,"name":"n"`)
@@ -228,16 +229,17 @@
 	result, err = r.ApplyDelta(delta(2, deletion(2, "a")))
 	expect(t, "the first is deleted", "2 n", result, err)
 	if result.List.Endpoints[0].Address != "h:2" || r.InvalidCount() != 0 {
-		t.Errorf("got %+v", result.List.Endpoints)
+		t.Errorf("got endpoints %+v, %d invalid entries", result.List.Endpoints, r.InvalidCount())
 	}
 	result, err = r.ApplyDelta(delta(4, deletion(3, "b"), put(4, entry("b", "h:3", `,"since":7`))))
-	expect(t, "deleted and made again", "4 b n-", result, err)
+	expect(t, "deleted and put again", "4 b n-", result, err)
 	if result.List.Endpoints[0].StartedMs != 7 {
-		t.Errorf("got %+v", result.List.Endpoints)
+		t.Errorf("got endpoints %+v, want a start time of 7", result.List.Endpoints)
 	}
 }
 
-// How many serving endpoints a pool loses in one step is reported, also when it loses all.
+// RemovedServing is the number of serving endpoints that one update stops from serving, even if it
+// stops all of them.
 func TestRemovedServingIsCounted(t *testing.T) {
 	r := newReconciler(0)
 	var all []Entry
@@ -256,7 +258,7 @@
 	}
 }
 
-// BenchmarkChange is one change of one entry among many.
+// BenchmarkChange measures one change of one entry among many.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/membership/reconcile/snapshot.go
+++ b/internal/membership/reconcile/snapshot.go
@@ -9,8 +9,8 @@
 	"fernlanding/internal/membership"
 )
 
-// ApplySnapshot takes a full read of the registry, read now. An error says why it is rejected;
-// nothing has changed then.
+// ApplySnapshot applies a full read of the registry made at the time now. An error gives the reason
+// for rejecting it; nothing has changed then.
 func (r *Reconciler) ApplySnapshot(now time.Time, snapshot Snapshot) (Result, error) {
 	if err := r.checkSnapshot(now, snapshot); err != nil {
 		return Result{}, err
@@ -30,30 +30,30 @@
 	return result, nil
 }
 
-// checkSnapshot returns why a snapshot is rejected, or nil.
+// checkSnapshot returns the reason for rejecting a snapshot, or nil.
 func (r *Reconciler) checkSnapshot(now time.Time, snapshot Snapshot) error {
 	switch {
 	case len(snapshot.Entries) > maxEntries:
 		return ErrTooManyEntries
 	case snapshot.Count >= 0 && snapshot.Count != int64(len(snapshot.Entries)):
-		return fmt.Errorf("%w: %d and %d", ErrCountMismatch, snapshot.Count, len(snapshot.Entries))
+		return fmt.Errorf("%w: header has %d, response has %d", ErrCountMismatch, snapshot.Count, len(snapshot.Entries))
 	case !r.hasSnapshot || r.acceptNext:
 		return nil
 	case snapshot.Cluster != r.cluster:
 		return r.clusterError(snapshot.Cluster)
 	case snapshot.Revision < r.revision && !r.isRestored(now, snapshot.Revision):
-		return fmt.Errorf("%w: %d, not %d", ErrStaleRevision, snapshot.Revision, r.revision)
+		return fmt.Errorf("%w: got %d, already at %d", ErrStaleRevision, snapshot.Revision, r.revision)
 	}
 	return nil
 }
 
-// clusterError returns the error of an answer by another cluster.
+// clusterError returns the error for a response of another cluster.
 func (r *Reconciler) clusterError(cluster string) error {
-	return fmt.Errorf("%w: %s, not %s", ErrClusterChanged, cluster, r.cluster)
+	return fmt.Errorf("%w: got %s, want %s", ErrClusterChanged, cluster, r.cluster)
 }
 
-// isRestored reports whether the registry has kept to a lower revision for so long that it counts
-// as restored from a backup. It notes the lower revision.
+// isRestored reports whether the registry has reported a lower revision for so long that it is
+// considered restored from a backup. It records the lower revision.
 func (r *Reconciler) isRestored(now time.Time, revision int64) bool {
 	if r.cfg.RestoreAfter <= 0 {
 		return false
@@ -65,18 +65,18 @@
 	return now.Sub(r.lowerSince) >= r.cfg.RestoreAfter
 }
 
-// servingNames returns the names of the endpoints that serve.
+// servingNames returns the names of the serving endpoints.
 func (r *Reconciler) servingNames() map[string]bool {
 	names := make(map[string]bool, r.serving)
 	for _, state := range r.keys {
-		if state.serves() {
+		if state.isServing() {
 			names[state.endpoint.Name] = true
 		}
 	}
 	return names
 }
 
-// replaceKeys replaces all keys by those of some entries.
+// replaceKeys replaces all keys with those of the given entries.
 func (r *Reconciler) replaceKeys(entries []Entry, result *Result) {
 	previous := r.keys
 	r.keys = make(map[string]*keyState, len(entries))
@@ -87,7 +87,7 @@
 	slices.SortFunc(sorted, func(x, y Entry) int { return strings.Compare(x.Key, y.Key) })
 	for i, e := range sorted {
 		if i > 0 && e.Key == sorted[i-1].Key {
-			continue // the answer was put together wrongly; the key's first value stands
+			continue // a duplicate key in a malformed response: the first value is used
 		}
 		result.addInvalid(r.setKey(e, previous[e.Key]))
 	}
--- a/internal/membership/reconcile/update.go
+++ b/internal/membership/reconcile/update.go
@@ -7,7 +7,7 @@
 	"fernlanding/internal/membership"
 )
 
-// Bounds of what is accepted.
+// Limits of accepted updates.
 const (
 	maxValueBytes = 16 << 10 // of an entry's value
 	maxEntries    = 100_000
@@ -22,9 +22,9 @@
 
 // Snapshot is a full read of a registry.
 type Snapshot struct {
-	Cluster  string // of the registry that has answered; empty: it does not say
-	Revision int64  // at which it was read
-	Count    int64  // of entries, as the answer's header has it; negative: it does not say
+	Cluster  string // cluster of the registry that answered; empty if unknown
+	Revision int64  // revision of the read
+	Count    int64  // number of entries according to the response header; negative if unknown
 	Entries  []Entry
 }
 
@@ -35,51 +35,51 @@
 	Deleted  bool
 }
 
-// Delta is a batch of changes. It has all changes of a revision, or none of them.
+// Delta is a batch of changes. For each revision it has all changes or none.
 type Delta struct {
 	Cluster  string
-	Revision int64 // up to which there are no other changes
+	Revision int64 // revision up to which there are no other changes
 	Events   []Event
 }
 
-// The reasons for which a snapshot or a delta is rejected as a whole.
+// The reasons for rejecting a whole snapshot or delta.
 var (
-	ErrClusterChanged = errors.New("another cluster")
-	ErrStaleRevision  = errors.New("an older revision than one already seen")
-	ErrCountMismatch  = errors.New("header and entries disagree")
+	ErrClusterChanged = errors.New("registry cluster changed")
+	ErrStaleRevision  = errors.New("stale revision")
+	ErrCountMismatch  = errors.New("entry count mismatch")
 	ErrTooManyEntries = errors.New("too many entries")
-	ErrOutOfOrder     = errors.New("changes beyond the revision that their header states")
+	ErrOutOfOrder     = errors.New("change out of order")
 )
 
-// The reasons for which an entry is invalid, besides what its value has wrong.
+// The reasons why an entry is invalid, apart from errors in its value.
 var (
-	errKeyPattern    = errors.New("a key outside the pattern PREFIX/SERVICE/INSTANCE")
-	errNameTaken     = errors.New("another key has this name")
-	errValueTooLarge = fmt.Errorf("over %d bytes", maxValueBytes)
+	errKeyPattern    = errors.New("key does not match the pattern PREFIX/SERVICE/INSTANCE")
+	errNameTaken     = errors.New("name is used by another key")
+	errValueTooLarge = fmt.Errorf("value exceeds the limit of %d bytes", maxValueBytes)
 )
 
-// Result is what an accepted snapshot or delta changes for a pool.
+// Result is the effect of an accepted snapshot or delta on a pool.
 type Result struct {
-	List *membership.List // what the pool has to be notified of; nil: nothing
-	// RemovedServing is how many serving endpoints stopped serving in this step, ServingBefore how
-	// many served before it.
+	List *membership.List // update for the pool; nil if nothing has changed
+	// RemovedServing is the number of serving endpoints that this update stopped from serving.
+	// ServingBefore is the number of serving endpoints before it.
 	RemovedServing, ServingBefore int
-	// Invalid has the entries that have become invalid; each is reported once.
+	// Invalid has the entries that have become invalid. Each is reported once.
 	Invalid []InvalidEntry
 }
 
-// RemovesMajority reports whether more than half of the serving endpoints stopped serving in this
-// step.
+// RemovesMajority reports whether the update stopped more than half of the serving endpoints from
+// serving.
 func (r *Result) RemovesMajority() bool { return r.RemovedServing*2 > r.ServingBefore }
 
-// addInvalid adds an entry to those that have become invalid; nil adds none.
+// addInvalid adds an entry that has become invalid; nil adds none.
 func (r *Result) addInvalid(invalid *InvalidEntry) {
 	if invalid != nil {
 		r.Invalid = append(r.Invalid, *invalid)
 	}
 }
 
-// InvalidEntry is an entry that is left out, or stands as draining with its last valid state.
+// InvalidEntry is an entry that is left out, or is draining with its last valid state.
 type InvalidEntry struct {
 	Key string
 	Err error
--- a/internal/membership/relayed/contract_test.go
+++ b/internal/membership/relayed/contract_test.go
@@ -14,8 +14,8 @@
 	"fernlanding/internal/membership/contract"
 )
 
-// registry implements contract.Registry by a source of distribution with a relay on sockets, and a
-// gate before the relay.
+// registry implements contract.Registry with a source of distribution and a relay, which use
+// sockets. A gate in front of the relay injects faults.
 type registry struct {
 	t      *testing.T
 	source *nodetest.Node
@@ -24,7 +24,7 @@
 	fault  int // noFault or one of the faults
 }
 
-// The faults that a registry can have.
+// The faults of a registry.
 const (
 	noFault = iota - 1
 	cut
@@ -51,7 +51,7 @@
 	}
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // not possible: no number is infinite
+		panic(err) // unreachable: no number is infinite
 	}
 	return data
 }
@@ -81,7 +81,7 @@
 }
 
 func (r *registry) ClearFault() {
-	if r.fault == relayKilled { // another process at its address, which has nothing yet
+	if r.fault == relayKilled { // a new process at the same address, without any state
 		r.relay = nodetest.StartRelay(r.t, "relay", r.relay.Address, r.source.Address)
 	}
 	r.fault = noFault
--- a/internal/membership/relayed/fake_test.go
+++ b/internal/membership/relayed/fake_test.go
@@ -16,7 +16,7 @@
 	"fernlanding/internal/membership"
 )
 
-// timeout is how long a test waits for what must happen. Only a failing test waits for it.
+// timeout is how long a test waits for an expected event. Only a failing test waits that long.
 const timeout = 20 * time.Second
 
 // subscription is a subscription at a fakeFollower.
@@ -61,8 +61,8 @@
 	f.health = health
 }
 
-// sink records each list that it is notified of as one line: its version, "full", and the names;
-// "~" follows a draining endpoint, "-" a deleted first.
+// sink records each list that it receives as one line of its version, "full" for a full list, and
+// the names. "~" follows a draining endpoint, "-" a deleted one.
 type sink struct {
 	lists    chan string
 	failures chan struct{}
@@ -83,14 +83,14 @@
 
 func (s *sink) UpdateFailed() { s.failures <- struct{}{} }
 
-// next returns what must come from a channel.
+// next returns the next value of a channel, or fails the test after timeout.
 func next[T any](t *testing.T, what string, values <-chan T) T {
 	t.Helper()
 	select {
 	case value := <-values:
 		return value
 	case <-time.After(timeout):
-		t.Fatalf("no %s", what)
+		t.Fatalf("no %s within the timeout", what)
 		panic("unreachable")
 	}
 }
@@ -98,7 +98,7 @@
 func (s *sink) expect(t *testing.T, want string) {
 	t.Helper()
 	if got := next(t, "list", s.lists); got != want {
-		t.Errorf("notified of %q, want %q", got, want)
+		t.Errorf("got list %q, want %q", got, want)
 	}
 }
 
@@ -106,13 +106,13 @@
 	t.Helper()
 	select {
 	case got := <-s.lists:
-		t.Errorf("notified of %q, want nothing", got)
+		t.Errorf("got list %q, want none", got)
 	default:
 	}
 }
 
-// run runs a source until stop, which waits until it has ended. It returns once the sink is
-// notified of the list.
+// run starts a source and returns after the source has added the sink. Stop ends the source and
+// waits until it has returned.
 func run(t *testing.T, source *Source, sink membership.Sink) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -129,14 +129,14 @@
 	deadline := time.Now().Add(timeout)
 	for !source.list.hasSink(sink) {
 		if time.Now().After(deadline) {
-			t.Fatal("the sink is not notified")
+			t.Fatal("the source has not added the sink")
 		}
-		time.Sleep(time.Millisecond) // it has no channel
+		time.Sleep(time.Millisecond) // polling, since there is no notification of added sinks
 	}
 	return stop
 }
 
-// hasSink reports whether a sink is notified of the list.
+// hasSink reports whether the list has the sink.
 func (l *followedList) hasSink(sink membership.Sink) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -156,7 +156,7 @@
 	return distribution.Item{Key: name, Value: value, Urgent: true}
 }
 
-// deletedA deletes the item "a".
+// deletedA returns an item that deletes the item "a".
 func deletedA() distribution.Item {
 	return distribution.Item{Key: "a", Deleted: true, Urgent: true}
 }
@@ -173,7 +173,7 @@
 	return distribution.Update{Resource: "lists/s", From: version(from), Version: version(to), Items: items}
 }
 
-// newLists returns the lists of a process, and the follower that follows them.
+// newLists returns a Lists and its follower.
 func newLists() (*Lists, *fakeFollower) {
 	lists, follower := NewLists(slog.New(slog.DiscardHandler)), newFakeFollower()
 	lists.SetFollower(follower)
@@ -184,7 +184,7 @@
 	t.Helper()
 	for _, update := range updates {
 		if err := subscriber.ApplyUpdate(update); err != nil {
-			t.Errorf("%s: %v", update.Version, err)
+			t.Errorf("apply version %s: %v", update.Version, err)
 		}
 	}
 }
--- a/internal/membership/relayed/list.go
+++ b/internal/membership/relayed/list.go
@@ -12,13 +12,13 @@
 	"fernlanding/internal/membership/staleness"
 )
 
-// maxSourceAge is how long the relays may have heard nothing from the distribution's source before
-// a list counts as silent. A relay hears from it with each blocking read, so this is some lost
-// reads in a row.
+// maxSourceAge is how long the relays may be without contact to the distribution's source before a
+// list counts as silent. A relay has contact with each blocking read, so this is several lost reads
+// in a row.
 const maxSourceAge = 15 * time.Second
 
-// followedList is the state of one list, and the sinks that are notified of it. It implements
-// follow.Subscriber. It is safe for concurrent use.
+// followedList is the state of one list and the sinks that receive it. It implements
+// follow.Subscriber and is safe for concurrent use.
 type followedList struct {
 	name string
 	log  *slog.Logger
@@ -27,17 +27,18 @@
 	references int // guarded by Lists.mu
 
 	followMu sync.Mutex
-	follower Follower // nil: none
-	cancel   func()   // of the subscription there; nil: none
+	follower Follower // nil if there is none
+	cancel   func()   // cancels the subscription at follower; nil if there is none
 
-	mu    sync.Mutex // held while sinks are notified
+	mu    sync.Mutex // held while sinks are called
 	sinks []membership.Sink
-	// reconciler's revisions count accepted updates, since a version of distribution has two parts.
+	// The revisions of reconciler count the accepted updates, because a distribution.Version has
+	// two parts.
 	reconciler *reconcile.Reconciler
-	inForce    distribution.Version // zero: none yet
-	confirmed  time.Time            // when that was put in force; before, when the list was made
+	inForce    distribution.Version // zero before the first version
+	confirmed  time.Time            // when inForce was put in force; before that, when the list was created
 	rejected   int64
-	rejectedAt time.Time // of the last update, if it was rejected; else zero
+	rejectedAt time.Time // when the last update was rejected; zero if it was accepted
 }
 
 func newFollowedList(name string, log *slog.Logger, now func() time.Time) *followedList {
@@ -47,7 +48,7 @@
 	}
 }
 
-// follow subscribes to a follower instead of the one before; nil: to none.
+// follow subscribes to a follower and cancels the previous subscription. With nil it only cancels.
 func (l *followedList) follow(follower Follower) {
 	l.followMu.Lock()
 	defer l.followMu.Unlock()
@@ -67,7 +68,7 @@
 	return l.inForce
 }
 
-// addSink has a sink notified of the list, first as it stands.
+// addSink adds a sink, which first receives the present list.
 func (l *followedList) addSink(sink membership.Sink) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,15 +78,15 @@
 	}
 }
 
-// removeSink has a sink notified no more, once a call of it that is under way has returned.
+// removeSink removes a sink. It returns after a call of the sink that is in progress has returned.
 func (l *followedList) removeSink(sink membership.Sink) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sinks = slices.DeleteFunc(l.sinks, func(s membership.Sink) bool { return s == sink })
 }
 
-// ApplyUpdate implements follow.Subscriber. Once it has returned without an error, the update is in
-// force: all sinks have been notified.
+// ApplyUpdate implements follow.Subscriber. After it returns without an error, all sinks have
+// received the update, which is then in force.
 func (l *followedList) ApplyUpdate(update distribution.Update) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,7 +117,7 @@
 	}
 }
 
-// health returns the health of a source of the list.
+// health returns the health of the sources of the list.
 func (l *followedList) health() membership.Health {
 	l.followMu.Lock()
 	follower := l.follower
@@ -130,11 +131,11 @@
 	confirmed, stale := l.confirmed, true
 	if follower != nil {
 		relays := follower.Health()
-		heard := relays.LastResponse.Add(-relays.SourceAge) // from the distribution's source
-		if heard.After(confirmed) {
-			confirmed = heard
+		lastContact := relays.LastResponse.Add(-relays.SourceAge) // the relays' last contact with the source
+		if lastContact.After(confirmed) {
+			confirmed = lastContact
 		}
-		stale = !relays.SilentSince.IsZero() || relays.LastResponse.IsZero() || l.now().Sub(heard) > maxSourceAge
+		stale = !relays.SilentSince.IsZero() || relays.LastResponse.IsZero() || l.now().Sub(lastContact) > maxSourceAge
 	}
 	switch {
 	case health.Version == 0:
--- a/internal/membership/relayed/list_test.go
+++ b/internal/membership/relayed/list_test.go
@@ -10,15 +10,15 @@
 	"fernlanding/internal/membership"
 )
 
-// Sinks are notified of full lists and deltas as such, numbered by the source's own count; an
-// invalid entry is left out, and one that was valid before drains.
-func TestSinkIsNotifiedOfUpdates(t *testing.T) {
+// Sinks receive full lists as full and deltas as deltas, numbered by the source's own count. An
+// invalid entry is left out. An endpoint whose entry becomes invalid is draining.
+func TestSinkReceivesUpdates(t *testing.T) {
 	lists, follower := newLists()
 	source, sink := NewSource(lists, "s"), newSink()
 	run(t, source, sink)
 	sub := next(t, "subscription", follower.subscribed)
 	if sub.resource != "lists/s" || !sub.has.IsZero() {
-		t.Fatalf("subscribed to %+v", sub)
+		t.Fatalf("got subscription %+v", sub)
 	}
 	apply(t, sub.subscriber, full(7, item("a"), item("b"), invalidItem("c")))
 	sink.expect(t, "1 full a b")
@@ -27,7 +27,7 @@
 	sink.expect(t, "2 a~ d")
 	sink.expect(t, "3 a- b~")
 	if health := source.Health(); health != (membership.Health{Version: 3, Invalid: 2}) {
-		t.Errorf("health %+v", health)
+		t.Errorf("health is %+v", health)
 	}
 	apply(t, sub.subscriber, full(21, item("d")))
 	sink.expect(t, "4 full d")
@@ -35,8 +35,8 @@
 	sink.expect(t, "5 full")
 }
 
-// An update that is invalid as a whole is rejected with its reason, and changes nothing; what
-// follows is applied.
+// An update that is invalid as a whole is rejected with its reason and changes nothing. The next
+// update is applied.
 func TestInvalidUpdatesAreRejected(t *testing.T) {
 	lists, follower := newLists()
 	source, sink := NewSource(lists, "s"), newSink()
@@ -58,23 +58,23 @@
 		{full(8, invalidItem("a"), invalidItem("b")), errNoValidEntry},
 	} {
 		if err := sub.subscriber.ApplyUpdate(test.update); !errors.Is(err, test.want) {
-			t.Errorf("%+v: %v, want %v", test.update, err, test.want)
+			t.Errorf("update %+v: got error %v, want %v", test.update, err, test.want)
 		}
 		sink.expectNothing(t)
 	}
 	if health := source.Health(); health.Rejected != 6 || health.SilentSince.IsZero() || health.Version != 1 {
-		t.Errorf("health %+v", health)
+		t.Errorf("health after rejected updates is %+v", health)
 	}
 	apply(t, sub.subscriber, delta(7, 9, deletedA()))
 	sink.expect(t, "2 a-")
 	if health := source.Health(); !health.SilentSince.IsZero() {
-		t.Errorf("health %+v", health)
+		t.Errorf("health after an accepted update is %+v", health)
 	}
 }
 
-// Sources of one list share a subscription. One that comes later is notified of the list as it
-// stands, and the subscription ends with the last of them.
-func TestSourcesShareASubscription(t *testing.T) {
+// Sources of one list share a subscription. A source that runs later starts with the present list.
+// The subscription ends with the last source.
+func TestSourcesShareSubscription(t *testing.T) {
 	lists, follower := newLists()
 	first, second := newSink(), newSink()
 	stopFirst := run(t, NewSource(lists, "s"), first)
@@ -84,7 +84,7 @@
 	first.expect(t, "2 b")
 	stopSecond := run(t, NewSource(lists, "s"), second)
 	second.expect(t, "2 full a b")
-	later := NewSource(lists, "s") // made before the others end, run after
+	later := NewSource(lists, "s") // created before the others end, run afterwards
 	apply(t, sub.subscriber, delta(8, 9, drainingItem("a")))
 	first.expect(t, "3 a~")
 	second.expect(t, "3 a~")
@@ -105,12 +105,12 @@
 	second.expectNothing(t)
 	third.expectNothing(t)
 	if len(follower.subscribed) > 0 || len(follower.canceled) > 0 || len(first.failures) > 0 {
-		t.Error("another subscription, another cancel, or a failure to a source that has ended")
+		t.Error("got another subscription, another cancel, or a failure at a source that has ended")
 	}
 }
 
-// Another follower resumes from the version in force, and the count of lists goes on with it.
-func TestAnotherFollowerResumes(t *testing.T) {
+// A new follower resumes from the version in force, and the source's own count of lists continues.
+func TestNewFollowerResumes(t *testing.T) {
 	lists, follower := newLists()
 	source, sink := NewSource(lists, "s"), newSink()
 	run(t, source, sink)
@@ -119,41 +119,41 @@
 	lists.SetFollower(nil)
 	next(t, "cancel of the subscription", follower.canceled)
 	if health := source.Health(); health.SilentSince.IsZero() {
-		t.Errorf("health without a follower: %+v", health)
+		t.Errorf("health without a follower is %+v", health)
 	}
 	other := newFakeFollower()
 	lists.SetFollower(other)
 	sub := next(t, "subscription", other.subscribed)
 	if sub.has != version(7) {
-		t.Errorf("resumes at %s", sub.has)
+		t.Errorf("subscription resumes at %s, want version 7", sub.has)
 	}
 	apply(t, sub.subscriber, delta(7, 8, item("b")))
 	sink.expect(t, "2 b")
 }
 
-// A list is as old as the last answer of the distribution's source: through silent relays, through
-// relays without their source, and before the first answer.
-func TestAgeOfAList(t *testing.T) {
+// The age of a list is the time since the last contact with the distribution's source. This holds
+// for silent relays, for relays without their source, and before the first answer.
+func TestListAge(t *testing.T) {
 	lists, follower := newLists()
 	at := time.Now()
 	anHour := at.Add(time.Hour)
 	lists.now = func() time.Time { return at }
 	source, sink := NewSource(lists, "s"), newSink()
 	if age := source.Health().Age(at.Add(time.Second)); age != time.Second {
-		t.Errorf("before Run: %v", age)
+		t.Errorf("age before Run is %v", age)
 	}
 	run(t, source, sink)
 	sub := next(t, "subscription", follower.subscribed)
 	follower.setHealth(follow.Health{})
 	if age := source.Health().Age(at.Add(time.Minute)); age != time.Minute {
-		t.Errorf("before the first list: %v", age)
+		t.Errorf("age before the first list is %v", age)
 	}
 	apply(t, sub.subscriber, full(7, item("a")))
 	sink.expect(t, "1 full a")
 	for _, test := range []struct {
 		what   string
 		health follow.Health
-		now    time.Duration // after the list was put in force
+		now    time.Duration // since the list was put in force
 		age    time.Duration
 	}{
 		{"fresh", follow.Health{LastResponse: at}, time.Second, 0},
@@ -176,7 +176,7 @@
 		source.list.now = func() time.Time { return at.Add(test.now) }
 		source.list.mu.Unlock()
 		if age := source.Health().Age(at.Add(test.now)); age != test.age {
-			t.Errorf("%s: %v old, want %v", test.what, age, test.age)
+			t.Errorf("%s: age is %v, want %v", test.what, age, test.age)
 		}
 	}
 }
--- a/internal/membership/relayed/lists.go
+++ b/internal/membership/relayed/lists.go
@@ -9,38 +9,38 @@
 	"fernlanding/internal/distribution/follow"
 )
 
-// resourcePrefix begins the names of resources that are endpoint lists.
+// resourcePrefix is the prefix of the names of resources that are endpoint lists.
 const resourcePrefix = "lists/"
 
-// Resource returns the name of the resource that has the named list.
+// Resource returns the resource name of the named list.
 func Resource(list string) string { return resourcePrefix + list }
 
-// Follower follows resources, usually a *follow.Follower.
+// Follower follows resources. It is usually a *follow.Follower.
 type Follower interface {
-	// Subscribe follows a resource from a version on until cancel is called.
+	// Subscribe follows a resource from a version until cancel is called.
 	Subscribe(resource string, has distribution.Version, subscriber follow.Subscriber) (cancel func())
-	// Health reports the state of the connection to the relays.
+	// Health returns the state of the connection to the relays.
 	Health() follow.Health
 }
 
-// Lists is all lists that a process follows, over one follower at a time. It is safe for concurrent
-// use.
+// Lists has all lists that a process follows, with one follower at a time. It is safe for
+// concurrent use.
 type Lists struct {
 	log *slog.Logger
 	now func() time.Time
 
 	mu       sync.Mutex
-	follower Follower // nil: none, the lists stand as they are
+	follower Follower // nil if there is none; the lists then keep their state
 	lists    map[string]*followedList
 }
 
-// NewLists returns a Lists that follows nothing.
+// NewLists returns a Lists without lists and without a follower.
 func NewLists(log *slog.Logger) *Lists {
 	return &Lists{log: log, now: time.Now, lists: map[string]*followedList{}}
 }
 
-// SetFollower follows the lists with another follower; nil: with none. The one before must have
-// ended. Each list resumes from the version that is in force.
+// SetFollower replaces the follower of the lists. With nil, the lists are not followed. The
+// previous follower must have ended. Each list resumes from the version in force.
 func (l *Lists) SetFollower(follower Follower) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,7 +50,7 @@
 	}
 }
 
-// acquire returns the named list, which is followed until everyone who has acquired it has released
+// acquire returns the named list. The list is followed until every caller of acquire has released
 // it.
 func (l *Lists) acquire(name string) *followedList {
 	l.mu.Lock()
--- a/internal/membership/relayed/relayed.go
+++ b/internal/membership/relayed/relayed.go
@@ -1,10 +1,12 @@
 // Package relayed follows endpoint lists that a source of package distribution publishes and relays
-// pass on. A list is the resource "lists/NAME": an item's key is the endpoint's name, its value has
-// the form that package reconcile decodes, with address, zone, cell, status, weight and since.
+// forward. A list is the resource "lists/NAME". The key of an item is the name of the endpoint. The
+// value of an item has the form that package reconcile decodes, with address, zone, cell, status,
+// weight and since.
 //
-// Lists has all lists of a process, over one follower of relays. Services that follow the same list
-// share one state of it, and one that comes later begins with the list as it stands. While the
-// relays are silent, or an update was rejected, the last list stands and counts as silent.
+// Lists has all lists of a process and uses one follower of relays. Services that follow the same
+// list share its state, and a service that is added later starts with the present list. While the
+// relays are silent or the last update was rejected, the last list stays in use and counts as
+// silent.
 package relayed
 
 import (
@@ -19,9 +21,9 @@
 	list  *followedList
 }
 
-// NewSource returns a source of the named list, which is followed from here on, until Run ends. So
-// the list does not lapse between the end of one source and the Run of another that was made
-// before.
+// NewSource returns a source of the named list. The list is followed from this call until Run ends.
+// A list therefore stays followed if one source ends after another was created and before the Run
+// of that one starts.
 func NewSource(lists *Lists, name string) *Source {
 	return &Source{lists: lists, list: lists.acquire(name)}
 }
@@ -34,6 +36,6 @@
 	s.lists.release(s.list)
 }
 
-// Health implements membership.Source. The list counts as silent while no relay answers, while the
-// relays hear nothing from the distribution's source, and after an update that was rejected.
+// Health implements membership.Source. The list counts as silent while no relay responds, while the
+// relays have no contact to the distribution's source, and after a rejected update.
 func (s *Source) Health() membership.Health { return s.list.health() }
--- a/internal/membership/relayed/update.go
+++ b/internal/membership/relayed/update.go
@@ -9,27 +9,27 @@
 	"fernlanding/internal/membership/reconcile"
 )
 
-// keyPrefix is what a reconcile.Reconciler without a prefix and a service expects before a key.
+// keyPrefix is the prefix of keys that a reconcile.Reconciler without a prefix and a service
+// expects.
 const keyPrefix = "/"
 
-// The reasons for which an update is rejected as a whole. Their texts are reported to the
-// distribution's source.
+// The reasons for rejecting a whole update. Their texts are reported to the distribution's source.
 var (
-	errResource     = errors.New("another resource")
-	errVersion      = errors.New("a version that is not after the one in force")
-	errBase         = errors.New("changes to another version than the one in force")
-	errDeleted      = errors.New("a deleted item in a whole list")
-	errNoValidEntry = errors.New("no entry of the list makes sense")
+	errResource     = errors.New("unexpected resource")
+	errVersion      = errors.New("version not newer than the one in force")
+	errBase         = errors.New("delta from a version other than the one in force")
+	errDeleted      = errors.New("deleted item in a full list")
+	errNoValidEntry = errors.New("no valid entry in the list")
 )
 
-// reconcile applies an update to the reconciler. An error says why it is rejected; nothing has
-// changed then.
+// reconcile applies an update to the reconciler. An error gives the reason for rejecting the
+// update; nothing has changed then.
 func (l *followedList) reconcile(update *distribution.Update) (reconcile.Result, error) {
 	if want := Resource(l.name); update.Resource != want {
-		return reconcile.Result{}, fmt.Errorf("%w: %.128q found, %q expected", errResource, update.Resource, want)
+		return reconcile.Result{}, fmt.Errorf("%w: got %.128q, want %q", errResource, update.Resource, want)
 	}
 	if !update.Version.After(l.inForce) {
-		return reconcile.Result{}, fmt.Errorf("%w: %s found, %s stands", errVersion, update.Version, l.inForce)
+		return reconcile.Result{}, fmt.Errorf("%w: got %s, in force is %s", errVersion, update.Version, l.inForce)
 	}
 	if update.IsSnapshot() {
 		return l.reconcileFull(update)
@@ -37,7 +37,7 @@
 	return l.reconcileDelta(update)
 }
 
-// reconcileFull applies an update that has the full list.
+// reconcileFull applies an update with the full list.
 func (l *followedList) reconcileFull(update *distribution.Update) (reconcile.Result, error) {
 	entries := make([]reconcile.Entry, len(update.Items))
 	for i := range update.Items {
@@ -52,8 +52,8 @@
 	return l.reconciler.ApplySnapshot(l.now(), snapshot(l.reconciler.Revision()+1, entries))
 }
 
-// checkFull returns an error for a full list without a valid entry: it is something else, published
-// by mistake. An empty list is valid.
+// checkFull returns an error for a full list without a valid entry, because such a list was
+// published by mistake. An empty list is valid.
 func checkFull(entries []reconcile.Entry, now time.Time) error {
 	if len(entries) == 0 {
 		return nil
@@ -70,10 +70,10 @@
 	return reconcile.Snapshot{Revision: revision, Count: -1, Entries: entries}
 }
 
-// reconcileDelta applies an update that has the changes since the version in force.
+// reconcileDelta applies an update with the changes since the version in force.
 func (l *followedList) reconcileDelta(update *distribution.Update) (reconcile.Result, error) {
 	if update.From.Compare(l.inForce) != 0 {
-		return reconcile.Result{}, fmt.Errorf("%w: %s found, %s stands", errBase, update.From, l.inForce)
+		return reconcile.Result{}, fmt.Errorf("%w: got %s, in force is %s", errBase, update.From, l.inForce)
 	}
 	delta := reconcile.Delta{Revision: l.reconciler.Revision() + 1}
 	for i := range update.Items {
@@ -84,7 +84,7 @@
 	return l.reconciler.ApplyDelta(delta)
 }
 
-// entry converts an item to the entry of a registry.
+// entry converts an item to an entry of a registry.
 func entry(item *distribution.Item) reconcile.Entry {
 	return reconcile.Entry{Key: keyPrefix + item.Key, Value: item.Value}
 }
--- a/internal/membership/staleness/notifier.go
+++ b/internal/membership/staleness/notifier.go
@@ -8,23 +8,24 @@
 	"fernlanding/internal/membership/reconcile"
 )
 
-// Notifier notifies a sink of the lists of a source that reads full lists without a version. It
-// numbers them itself, and skips those that are equal to the one before. It is not safe for
-// concurrent use, apart from Health.
+// Notifier passes the lists of a source to a sink. The source reads full lists that have no
+// version. Notifier numbers the lists itself and skips a list that equals the previous one. Apart
+// from Health, Notifier is not safe for concurrent use.
 type Notifier struct {
 	*Tracker
 	reconciler *reconcile.Reconciler
 	log        *slog.Logger
-	version    int64 // of the last list accepted
+	version    int64 // version of the last accepted list
 }
 
-// NewNotifier returns a notifier that has accepted no list.
+// NewNotifier returns a Notifier without an accepted list.
 func NewNotifier(log *slog.Logger) *Notifier {
 	return &Notifier{Tracker: NewTracker(), reconciler: reconcile.New(reconcile.Config{}), log: log}
 }
 
-// Update takes the entries of a full list, and notifies a sink if the list differs from the last
-// one, which it reports. An error says why the entries are rejected; the last list stands then.
+// Update applies the entries of a full list. If the list differs from the last one, Update passes
+// it to the sink and returns true. An error gives the reason for rejecting the entries; the last
+// list then stays in use.
 func (n *Notifier) Update(sink membership.Sink, entries []reconcile.Entry) (changed bool, err error) {
 	before := n.reconciler.List()
 	snapshot := reconcile.Snapshot{Revision: n.version + 1, Count: -1, Entries: entries}
@@ -43,18 +44,18 @@
 	return changed, nil
 }
 
-// Confirm notes that the source still has the list that stands.
+// Confirm records that the source still has the list in use.
 func (n *Notifier) Confirm() { n.Confirmed(n.version, n.reconciler.InvalidCount()) }
 
-// LogInvalid logs the entries of an update that have become invalid.
+// LogInvalid logs the entries that an update has made invalid.
 func LogInvalid(log *slog.Logger, result *reconcile.Result) {
 	for _, invalid := range result.Invalid {
 		log.Warn("invalid endpoint entry", "entry", invalid.Key, "error", invalid.Err)
 	}
 }
 
-// LogMajorityRemoved logs that an update has taken out more than half of the serving endpoints, if
-// it has.
+// LogMajorityRemoved logs a warning if an update has removed more than half of the serving
+// endpoints.
 func LogMajorityRemoved(log *slog.Logger, result *reconcile.Result) {
 	if result.RemovesMajority() {
 		log.Warn("more than half of the serving endpoints were removed",
--- a/internal/membership/staleness/staleness.go
+++ b/internal/membership/staleness/staleness.go
@@ -1,5 +1,5 @@
-// Package staleness has what sources of all kinds share: the tracker of a source's health, and the
-// notifier of sources that read full lists.
+// Package staleness has what all kinds of sources share: a tracker of the health of a source, and a
+// notifier for sources that read full lists.
 package staleness
 
 import (
@@ -9,22 +9,22 @@
 	"fernlanding/internal/membership"
 )
 
-// Tracker keeps the health of a source. It is safe for concurrent use.
+// Tracker records the health of a source. It is safe for concurrent use.
 type Tracker struct {
 	mu            sync.Mutex
 	lastConfirmed time.Time
 	health        membership.Health
 }
 
-// NewTracker returns the tracker of a source that begins now: it counts as silent until something
-// is confirmed.
+// NewTracker returns a tracker for a source that starts now. The source counts as silent until its
+// first valid answer.
 func NewTracker() *Tracker {
 	now := time.Now()
 	return &Tracker{lastConfirmed: now, health: membership.Health{SilentSince: now}}
 }
 
-// Confirmed notes that the source has answered with a valid update, or with none where nothing has
-// changed: the version of the list that stands, and how many of its entries are invalid.
+// Confirmed records a valid answer of the source, which may report no change. The arguments are the
+// version of the list in use and the number of its invalid entries.
 func (t *Tracker) Confirmed(version int64, invalid int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -32,7 +32,7 @@
 	t.health.Version, t.health.Invalid, t.health.SilentSince = version, invalid, time.Time{}
 }
 
-// Failed notes that the source has not answered, or with what is no valid update.
+// Failed records that the source did not answer, or that its answer was not a valid update.
 func (t *Tracker) Failed() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -42,7 +42,7 @@
 	}
 }
 
-// Health returns the health as it stands.
+// Health returns the present health of the source.
 func (t *Tracker) Health() membership.Health {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep has sleeps that a context can end early.
+// Package sleep provides sleeps that end early when a context ends.
 package sleep
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For sleeps for a duration, not at all where it is not positive. It reports whether the duration
+// For sleeps for the duration d. It returns at once if d is not positive. It reports whether d
 // passed before the context ended.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
@@ -22,6 +22,6 @@
 	}
 }
 
-// Until sleeps until a time, which may be past. It reports whether that time came before the
-// context ended.
+// Until sleeps until the time t and returns at once if t is past. It reports whether t came before
+// the context ended.
 func Until(ctx context.Context, t time.Time) bool { return For(ctx, time.Until(t)) }
--- a/internal/sleep/sleep_test.go
+++ b/internal/sleep/sleep_test.go
@@ -9,8 +9,8 @@
 	"fernlanding/internal/sleep"
 )
 
-// A sleep ends after its duration or with its context, whichever comes first; none begins where the
-// context has ended.
+// A sleep ends after its duration or with its context, whichever comes first. A sleep with an ended
+// context returns at once.
 func TestSleepEndsWithItsContext(t *testing.T) {
 	for name, test := range map[string]struct {
 		sleep, timeout, want time.Duration
@@ -35,7 +35,7 @@
 					start := time.Now()
 					completed := sleepFor(ctx, test.sleep)
 					if took := time.Since(start); completed != test.completed || took != test.want {
-						t.Errorf("%v after %v, want %v after %v", completed, took, test.completed, test.want)
+						t.Errorf("returned %v after %v, want %v after %v", completed, took, test.completed, test.want)
 					}
 				})
 			})
