--- a/internal/start/poll_test.go
+++ b/internal/start/poll_test.go
@@ -10,7 +10,7 @@
 
 var zero = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 
-// newSchedulers returns the schedulers of some replicas that are configured with a number of
+// newSchedulers returns the schedulers of count replicas, configured with the given number of
 // replicas.
 func newSchedulers(count, configured int) []*start.PollScheduler {
 	schedulers := make([]*start.PollScheduler, 0, count)
@@ -28,10 +28,10 @@
 	return s
 }
 
-// after returns the time some seconds after the first call.
+// after returns the time the given number of seconds after the first call.
 func after(seconds float64) time.Time { return zero.Add(time.Duration(seconds * float64(time.Second))) }
 
-// busiest returns the most times that fall into one interval of a length.
+// busiest returns the largest number of times within one interval of the given length.
 func busiest(times []time.Duration, length time.Duration) int {
 	count := map[time.Duration]int{}
 	most := 0
@@ -42,9 +42,9 @@
 	return most
 }
 
-// However many replicas start together, and are configured so, the sum of their first full reads
-// stays near 200 a second.
-func TestFirstFullReadsAreSpreadOverTheFleet(t *testing.T) {
+// Whatever the number of replicas that start together, if it is configured, the sum of their first
+// full reads stays near 200 a second.
+func TestFirstFullReadsAreSpreadOverFleet(t *testing.T) {
 	for _, n := range []int{100, 300, 3000} {
 		var delays []time.Duration
 		for _, s := range newSchedulers(n, n) {
@@ -60,17 +60,16 @@
 	}
 	for _, s := range newSchedulers(50, 0) {
 		if call := s.First(zero, false, 0); call.Delay > 250*time.Millisecond {
-			t.Errorf("a replica that knows of no others waits %v", call.Delay)
+			t.Errorf("first call of a replica with an unknown number of replicas waits %v", call.Delay)
 		}
 		if call := s.First(zero, true, 0); call.Full || call.Hold == 0 {
-			t.Errorf("a replica with a list does a full read: %+v", call)
+			t.Errorf("first call of a replica with a list is a full read: %+v", call)
 		}
 	}
 }
 
-// The older a list that a replica begins with, the wider its first call is spread: it costs
-// discovery more.
-func TestFirstCallsWithAListAreSpreadByItsAge(t *testing.T) {
+// First calls are spread more widely for an older cached list, which costs discovery more.
+func TestFirstCallsAreSpreadByListAge(t *testing.T) {
 	last := time.Duration(0)
 	for _, age := range []time.Duration{-time.Second, time.Second, 10 * time.Second, time.Minute, time.Hour} {
 		most := time.Duration(0)
@@ -78,18 +77,18 @@
 			most = max(most, s.First(zero, true, age).Delay)
 		}
 		if most < last || age < 0 && most > 250*time.Millisecond {
-			t.Errorf("age %v: up to %v, %v for a younger one", age, most, last)
+			t.Errorf("age %v: longest delay is %v, that of a younger list %v", age, most, last)
 		}
 		if age > time.Minute && (most < 4*time.Second || most > 5*time.Second) {
-			t.Errorf("age %v: up to %v", age, most)
+			t.Errorf("age %v: longest delay is %v", age, most)
 		}
 		last = most
 	}
 }
 
-// After any number of failures the replicas call as spread as after a few: no second has more than
-// twice its part.
-func TestBackoffsStaySpreadOverALongOutage(t *testing.T) {
+// Calls stay as spread after any number of failures as after a few. No second has more than twice
+// its share of calls.
+func TestBackoffsStaySpreadDuringLongOutage(t *testing.T) {
 	const replicas, limit = 400, 8 * time.Second // 400 times 20 ms
 	schedulers := newSchedulers(replicas, replicas)
 	next := make([]time.Duration, replicas)
@@ -103,26 +102,26 @@
 				calls = append(calls, next[i])
 				call := s.Next(zero.Add(next[i]), start.Failed, true, 0)
 				if call.Delay > limit || call.Delay < 250*time.Millisecond {
-					t.Fatalf("a backoff of %v", call.Delay)
+					t.Fatalf("backoff is %v", call.Delay)
 				}
 				next[i] += call.Delay
 			}
 		}
 		if second > 10*time.Second && len(calls) > 200 {
-			t.Errorf("%d calls in the second from %v", len(calls), second)
+			t.Errorf("%d calls in the second after %v", len(calls), second)
 		}
 		if most := busiest(calls, 100*time.Millisecond); second > 10*time.Second && most > 40 {
-			t.Errorf("%d calls in a tenth of the second from %v", most, second)
+			t.Errorf("%d calls in a tenth of the second after %v", most, second)
 		}
 	}
 }
 
 func TestNextCalls(t *testing.T) {
-	t.Run("Retry-After is kept", func(t *testing.T) {
+	t.Run("Retry-After is honored", func(t *testing.T) {
 		for range 100 {
 			call := newScheduler(false).Next(zero, start.Rejected, true, 7*time.Second)
 			if call.Delay < 7*time.Second || call.Delay > 11*time.Second {
-				t.Fatalf("after %v", call.Delay)
+				t.Fatalf("delay is %v, want 7 s to 11 s", call.Delay)
 			}
 		}
 	})
@@ -131,7 +130,7 @@
 		for i := range 8 {
 			call := s.Next(after(float64(i)), start.TimedOut, true, 0)
 			if call.Timeout != min(2*last, 30*time.Second) {
-				t.Fatalf("timeout %v after %v", call.Timeout, last)
+				t.Fatalf("timeout is %v after %v", call.Timeout, last)
 			}
 			last = call.Timeout
 		}
@@ -140,18 +139,18 @@
 		}
 		s.RequireFull()
 		if call := s.Next(after(20), start.Failed, true, 0); call.Timeout != 3*time.Second {
-			t.Errorf("timeout %v after four answers", call.Timeout)
+			t.Errorf("timeout is %v after four answers", call.Timeout)
 		}
 	})
 	t.Run("a watch over a slow link gets a longer timeout", func(t *testing.T) {
 		s := newScheduler(true)
 		first := s.Next(after(0), start.Answered, false, 0).Timeout
 		if call := s.Next(after(3), start.TimedOut, false, 0); call.Timeout <= first || call.Full {
-			t.Errorf("timeout %v and then %v, full %v", first, call.Timeout, call.Full)
+			t.Errorf("timeout is %v and then %v, full %v", first, call.Timeout, call.Full)
 		}
 	})
 	t.Run("after a failure a watch resumes, and one full read follows", testFullReadAfterFailure)
-	t.Run("an empty list is watched, and soon read again", func(t *testing.T) {
+	t.Run("an empty list is watched and soon read again", func(t *testing.T) {
 		for range 50 {
 			s, now := newScheduler(false), 0.0
 			s.ScheduleFull(after(now))
@@ -160,15 +159,15 @@
 				now += (call.Delay + max(call.Hold, time.Millisecond)).Seconds()
 			}
 			if now < 0.2 || now > 4.1 {
-				t.Fatalf("the full list is read again after %.1f s", now)
+				t.Fatalf("the full list is read again after %.1f s, want 0.2 s to 4.1 s", now)
 			}
 		}
 	})
-	t.Run("a contradiction requires the full list", func(t *testing.T) {
+	t.Run("RequireFull makes the next call a full read", func(t *testing.T) {
 		s := newScheduler(true)
 		s.RequireFull()
 		if call := s.Next(after(0), start.Failed, false, 0); !call.Full {
-			t.Errorf("%+v", call)
+			t.Errorf("next call is %+v", call)
 		}
 	})
 	t.Run("many answers in a row are spaced", func(t *testing.T) {
@@ -177,13 +176,13 @@
 			now += s.Next(after(now), start.Answered, false, 0).Delay.Seconds()
 		}
 		if now < 26 || now > 31 {
-			t.Errorf("200 answers at once took %.1f s", now)
+			t.Errorf("200 immediate answers took %.1f s, want 26 s to 31 s", now)
 		}
 		if call := s.Next(after(now), start.Answered, false, 0); call.Delay > 200*time.Millisecond {
-			t.Errorf("a watch that is spaced by %v is a new one", call.Delay)
+			t.Errorf("calls are spaced by %v, which does not continue a watch", call.Delay)
 		}
 	})
-	t.Run("a replica that starts again and again waits longer", func(t *testing.T) {
+	t.Run("a replica that restarts repeatedly waits longer", func(t *testing.T) {
 		mean := func(recentStarts int) (sum time.Duration) {
 			for seed := range uint64(200) {
 				random := rand.New(rand.NewPCG(seed, 2))
@@ -194,7 +193,7 @@
 		}
 		none, three, hundred := mean(0), mean(3), mean(100)
 		if none >= time.Second || three <= 2*time.Second || hundred <= 10*time.Second || hundred >= 20*time.Second {
-			t.Errorf("mean delays %v, %v, %v", none, three, hundred)
+			t.Errorf("mean delays are %v, %v, %v", none, three, hundred)
 		}
 	})
 }
@@ -202,22 +201,22 @@
 func testFullReadAfterFailure(t *testing.T) {
 	s := newScheduler(false)
 	if call := s.Next(after(0), start.Answered, false, 0); call.Full || call.Delay != 0 {
-		t.Fatalf("after the first list: %+v", call)
+		t.Fatalf("call after the first list is %+v", call)
 	}
 	now, fullReads := 1.0, 0
 	if call := s.Next(after(now), start.Failed, false, 0); call.Full {
-		t.Errorf("full at once: %+v", call)
+		t.Errorf("call after a failure is a full read: %+v", call)
 	}
 	for now < 300 {
 		if call := s.Next(after(now), start.Answered, false, 0); call.Full {
 			fullReads++
 			if now < 29 || now > 95 {
-				t.Errorf("the full read came after %.0f s", now)
+				t.Errorf("full read after %.0f s, want 29 s to 95 s", now)
 			}
 		}
 		now += 2
 	}
 	if fullReads != 1 {
-		t.Errorf("%d full reads after a failure", fullReads)
+		t.Errorf("%d full reads after a failure, want 1", fullReads)
 	}
 }
--- a/internal/start/record/record.go
+++ b/internal/start/record/record.go
@@ -1,6 +1,6 @@
-// Package record keeps the recent starts of a replica in a directory that outlives the process, so
-// that a replica that dies again and again right after its start can tell, and backs off. A file
-// that can't be read counts as empty: a record never keeps a replica from starting.
+// Package record keeps the recent starts of a replica in a directory that outlives the process.
+// From the record, a replica that repeatedly dies right after its start detects that and backs off.
+// A file that can't be read counts as empty, so a record never prevents a replica from starting.
 package record
 
 import (
@@ -18,7 +18,7 @@
 	fileName      = "starts.json"
 	formatVersion = 1
 
-	// StableAfter is how long a replica has to run for its starts to be forgotten.
+	// StableAfter is the run time after which a replica's starts are cleared.
 	StableAfter = 2 * time.Minute
 	// window is how long a start counts as recent.
 	window = 10 * time.Minute
@@ -36,17 +36,18 @@
 // Record is the record of starts in a directory. It is not safe for concurrent use.
 type Record struct{ dir string }
 
-// Open returns the record in a directory, which is created by the first write where it does not
+// Open returns the record in a directory. The first write creates the directory if it does not
 // exist.
 func Open(dir string) *Record { return &Record{dir: dir} }
 
-// RecordStart notes a start, and returns how many recent ones there were before it since the last
-// Clear. An error says what could not be read or written; the count holds as far as it goes.
+// RecordStart records a start. It returns the number of recent starts before this one since the
+// last Clear. An error reports what could not be read or written; the count then covers only the
+// starts that were read.
 func (r *Record) RecordStart(now time.Time) (recentStarts int, err error) {
 	previous, readErr := r.read()
 	var starts []int64
 	for _, at := range previous {
-		// A clock that has stepped back leaves starts in the future, which say nothing.
+		// A start in the future is left over from a clock that has stepped back.
 		if age := now.Sub(time.UnixMilli(at)); age >= 0 && age < window {
 			starts = append(starts, at)
 		}
@@ -59,21 +60,21 @@
 	return recentStarts, errors.Join(readErr, r.write(starts))
 }
 
-// Clear forgets all starts: this process runs stably.
+// Clear removes all starts, because this process runs stably.
 func (r *Record) Clear() error { return r.write(nil) }
 
-// read returns the starts on record; none where there is no file.
+// read returns the recorded starts, or none if there is no file.
 func (r *Record) read() ([]int64, error) {
 	data, err := durable.ReadFile(r.path(), maxFileBytes)
 	if err != nil {
-		return nil, fmt.Errorf("record of starts: %w", err)
+		return nil, fmt.Errorf("start record: %w", err)
 	}
 	if data == nil {
 		return nil, nil
 	}
 	starts, err := parse(data)
 	if err != nil {
-		return nil, fmt.Errorf("record of starts: %s: %w", r.path(), err)
+		return nil, fmt.Errorf("start record: %s: %w", r.path(), err)
 	}
 	return starts, nil
 }
@@ -84,13 +85,13 @@
 func parse(data []byte) ([]int64, error) {
 	var s state
 	if err := json.Unmarshal(data, &s); err != nil {
-		return nil, fmt.Errorf("a record in JSON expected: %w", err)
+		return nil, fmt.Errorf("malformed file: %w", err)
 	}
 	if s.Version != formatVersion {
-		return nil, fmt.Errorf("version %d found, %d expected", s.Version, formatVersion)
+		return nil, fmt.Errorf("unsupported version %d, want %d", s.Version, formatVersion)
 	}
 	if len(s.Starts) > maxStarts {
-		return nil, fmt.Errorf("%d starts found, %d at most expected", len(s.Starts), maxStarts)
+		return nil, fmt.Errorf("%d starts exceed the limit of %d", len(s.Starts), maxStarts)
 	}
 	return s.Starts, nil
 }
@@ -98,7 +99,7 @@
 // write replaces the file atomically.
 func (r *Record) write(starts []int64) error {
 	if err := r.replace(starts); err != nil {
-		return fmt.Errorf("record of starts: %w", err)
+		return fmt.Errorf("start record: %w", err)
 	}
 	return nil
 }
@@ -111,7 +112,7 @@
 	if err := os.MkdirAll(r.dir, 0o700); err != nil {
 		return err
 	}
-	// Not synced: it has to outlive the process, and hundreds that start together would wait for
-	// the disk.
+	// Without a sync: the record must only outlive the process, and with a sync hundreds of
+	// replicas that start together would wait for the disk.
 	return durable.WriteFile(r.path(), data, 0o600, false)
 }
--- a/internal/start/record/record_test.go
+++ b/internal/start/record/record_test.go
@@ -25,22 +25,22 @@
 	dir := filepath.Join(t.TempDir(), "made", "here")
 	for i := range 50 {
 		if n := recordStart(t, dir, zero.Add(time.Duration(i)*time.Second)); n != min(i, maxStarts) {
-			t.Fatalf("start %d: %d recent", i, n)
+			t.Fatalf("start %d: got %d recent starts", i, n)
 		}
 	}
 	if n := recordStart(t, dir, zero.Add(-time.Hour)); n != 0 {
-		t.Errorf("%d starts in the future count", n)
+		t.Errorf("%d starts in the future are counted", n)
 	}
 	recordStart(t, dir, zero)
 	if n := recordStart(t, dir, zero.Add(window)); n != 0 {
-		t.Errorf("%d starts from before the window count", n)
+		t.Errorf("%d starts before the window are counted", n)
 	}
 	recordStart(t, dir, zero.Add(window+time.Second))
 	if err := Open(dir).Clear(); err != nil {
 		t.Fatal(err)
 	}
 	if n := recordStart(t, dir, zero.Add(window+2*time.Second)); n != 0 {
-		t.Errorf("%d starts count after Clear", n)
+		t.Errorf("%d starts are counted after Clear", n)
 	}
 	if files, err := os.ReadDir(dir); err != nil || len(files) != 1 {
 		t.Errorf("files in the directory: %v, %v", files, err)
@@ -50,15 +50,15 @@
 // A file that can't be read is reported in one line, counts as empty, and is replaced.
 func TestInvalidRecordCountsAsEmpty(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
-		{"", "a record in JSON expected"},
-		{`{"version":1,"starts":[1,`, "a record in JSON expected"},
-		{`{"version":2,"starts":[]}`, "version 2 found, 1 expected"},
-		{`{"version":1,"starts":["x"]}`, "a record in JSON expected"},
+		{"", "malformed file"},
+		{`{"version":1,"starts":[1,`, "malformed file"},
+		{`{"version":2,"starts":[]}`, "unsupported version 2, want 1"},
+		{`{"version":1,"starts":["x"]}`, "malformed file"},
 		{
 			fmt.Sprintf(`{"version":1,"starts":[%s1]}`, strings.Repeat("1,", maxStarts)),
-			"33 starts found, 32 at most expected",
+			"33 starts exceed the limit of 32",
 		},
-		{strings.Repeat(" ", maxFileBytes+1), "more than 4096 bytes found"},
+		{strings.Repeat(" ", maxFileBytes+1), "file exceeds the limit of 4096 bytes"},
 	} {
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, fileName), []byte(test.text), 0o600); err != nil {
@@ -66,10 +66,10 @@
 		}
 		n, err := Open(dir).RecordStart(zero)
 		if n != 0 || err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%.40q: %d, %v", test.text, n, err)
+			t.Errorf("%.40q: got %d recent starts, error %v", test.text, n, err)
 		}
 		if n := recordStart(t, dir, zero.Add(time.Second)); n != 1 {
-			t.Errorf("%.40q: %d after it was replaced", test.text, n)
+			t.Errorf("%.40q: got %d recent starts after the file was replaced", test.text, n)
 		}
 	}
 	dir := t.TempDir()
@@ -77,7 +77,7 @@
 		t.Fatal(err)
 	}
 	if n, err := Open(filepath.Join(dir, "file")).RecordStart(zero); n != 0 || err == nil {
-		t.Errorf("a file for a directory: %d, %v", n, err)
+		t.Errorf("file in place of the directory: got %d recent starts, error %v", n, err)
 	}
 }
 
@@ -86,7 +86,7 @@
 	f.Add([]byte(`{"version":1,"starts":[99999999999999999999]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if starts, err := parse(data); err == nil && len(starts) > maxStarts {
-			t.Errorf("%d starts", len(starts))
+			t.Errorf("parse returned %d starts", len(starts))
 		}
 	})
 }
