--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,5 +1,5 @@
-// Package front holds what the fronts of all protocols share: where a request is forwarded to, and
-// the error responses to requests that are forwarded nowhere.
+// Package front defines what the fronts of all protocols share: the destination of a request, and
+// the error response to a request that is not forwarded.
 package front
 
 import (
@@ -9,54 +9,56 @@
 	"fernlanding/internal/core"
 )
 
-// Pool takes requests; *core.Pool is one. It may be used by many goroutines.
+// Pool forwards requests to backends; *core.Pool is one. A Pool is safe for concurrent use.
 type Pool interface {
-	// Do takes a request and returns its one final answer.
+	// Do forwards a request and returns its only answer.
 	Do(*core.Request) core.Answer
-	// Cancel ends a request whose client has left. It may come at any time, also before Do.
+	// Cancel ends a request whose client has disconnected. It may be called at any time, also
+	// before Do.
 	Cancel(*core.Request)
-	// Clock is the clock of the request's ClientDeadline.
+	// Clock returns the clock of the request's ClientDeadline.
 	Clock() core.Clock
 }
 
-// Destination is where a request is forwarded to, and as what.
+// Destination is the pool that a request is forwarded to, and the form in which it is forwarded.
 type Destination struct {
 	Pool             Pool
 	ID               string
 	Class            int
-	Tenant           int                 // -1: not given
+	Tenant           int                 // -1 means that the request names no tenant
 	Key              string              // what the request concerns; may be empty
-	Target           string              // forwarded path and query
-	Timeout          time.Duration       // from the request's arrival to its response
-	MaxBody          int64               // bytes of the body
-	NoBody           bool                // a body is an error
-	Memory           Memory              // that the body counts in; may be nil
-	MemoryRetryAfter time.Duration       // the Retry-After where Memory has none left
-	Mirror           func(*core.Request) // has a copy sent elsewhere, without waiting; may be nil
-	Header           []core.HeaderField  // replaces the client's fields of these names
+	Target           string              // path and query of the forwarded request
+	Timeout          time.Duration       // limit from the arrival of the request to its response
+	MaxBody          int64               // limit of the body in bytes
+	NoBody           bool                // rejects a request with a body
+	Memory           Memory              // counts the body; nil means that the body is not counted
+	MemoryRetryAfter time.Duration       // Retry-After of the response if Memory has none left
+	Mirror           func(*core.Request) // sends a copy elsewhere without waiting; may be nil
+	Header           []core.HeaderField  // fields that replace the client's fields of the same names
 }
 
-// Memory is a part of the process's memory for bodies. It may be used by many goroutines.
+// Memory is a share of the process's memory for bodies. A Memory is safe for concurrent use.
 type Memory interface {
-	// Acquire takes n bytes, or none, and reports whether it has.
+	// Acquire takes n bytes and reports whether they were available. Otherwise it takes none.
 	Acquire(n int64) bool
 	// Release gives n bytes back.
 	Release(n int64)
 }
 
-// RequestError says why a request is not forwarded: it is invalid, or nobody serves it.
+// RequestError is the reason why a request is not forwarded: the request is invalid, or nothing
+// serves it.
 type RequestError struct {
 	Status     int           // 4xx or 5xx
-	Reason     string        // the response's body
-	Allow      string        // of 405: the allowed methods
-	RetryAfter time.Duration // of 503; 0: not given
+	Reason     string        // body of the response
+	Allow      string        // allowed methods, with status 405
+	RetryAfter time.Duration // with status 503; 0 means no Retry-After
 }
 
 // Error implements error.
 func (e *RequestError) Error() string { return e.Reason }
 
-// Resolver finds where a request is forwarded to by its head alone. It may be used by many
-// goroutines.
+// Resolver determines the destination of a request from its head alone. A Resolver is safe for
+// concurrent use.
 type Resolver interface {
 	Resolve(r *http.Request) (Destination, *RequestError)
 }
--- a/internal/front/http1/conn.go
+++ b/internal/front/http1/conn.go
@@ -14,61 +14,62 @@
 )
 
 const (
-	// What a client sends while its request is in flight is read, so that its leaving is seen
-	// behind it. This much is kept for the next request; the rest is discarded, and the connection
-	// ends with its response.
+	// maxPipelined is how many bytes that a client sends while its request is in flight are kept
+	// for the next request. Such bytes are always read, so that a disconnect after them is
+	// detected. Bytes beyond the limit are discarded, and the connection closes after its response.
 	maxPipelined = maxRequestHead
-	// A client that sends this much behind a request does not wait: one that does sends one request
-	// at a time, of 64 KiB at most.
+	// maxPipelinedFlood is how many bytes a client may send after a request in flight. A client
+	// that sends more does not wait for the response: a client that does sends one request at a
+	// time, of at most 64 KiB.
 	maxPipelinedFlood = 1 << 20
 
-	pipelineChunk = 4 << 10 // bytes that are read at a time
+	pipelineChunk = 4 << 10 // bytes per read
 )
 
-// clientConn is one client's connection. While it carries no request it is in one of the
-// connTracker's lists.
+// clientConn is the connection of a client. While it carries no request, it is in one of the lists
+// of the connTracker.
 //
-// It reads with its lock held, and never waits with it. So whoever closes it knows what has been
-// read: a connection whose request has been read completely is not closed before its response,
-// whatever net/http has made of it so far.
+// clientConn reads with mu held and never waits with mu held. The code that closes the connection
+// therefore knows what has been read: a connection from which a complete request has been read is
+// not closed before its response, even if net/http has not reported the request yet.
 type clientConn struct {
 	net.Conn
 	raw        syscall.RawConn
 	acceptedAt time.Time
 
 	// Guarded by connTracker.mu.
-	enlistedAt time.Time
-	list       *list.List // nil while a request is open
-	element    *list.Element
+	listedAt time.Time  // when it was added to list
+	list     *list.List // nil while a request is open
+	element  *list.Element
 
-	mu             sync.Mutex
-	readsStopped   bool // nothing more is read: the connTracker closes the connection
-	requestOpen    bool // a head has been reported: what comes is its body, and then what is pipelined
-	hasServed      bool // a request has been answered
-	responding     bool // the response to the open request is being written
-	pipelined      []byte
-	pipelineLost   bool  // some of what was pipelined has been discarded
-	pipelinedBytes int64 // that came while the open request was in flight
-	lastRead       time.Time
-	nextHead       headScanner // while no request is open
+	mu                sync.Mutex
+	readsStopped      bool        // reads fail, because the connTracker closes the connection
+	requestOpen       bool        // net/http has reported a head; the body and then pipelined bytes follow
+	hasServed         bool        // a request has been answered
+	responding        bool        // the response to the open request is being written
+	pipelined         []byte      // bytes received while the open request was in flight, for the next request
+	pipelineTruncated bool        // some pipelined bytes have been discarded
+	pipelinedBytes    int64       // number of bytes received while the open request was in flight
+	lastRead          time.Time   // when bytes were last received
+	nextHead          headScanner // scans the head of the next request while no request is open
 }
 
 var (
 	errReadsStopped  = &net.OpError{Op: "read", Net: "tcp", Err: net.ErrClosed}
 	errPipelineFlood = &net.OpError{
-		Op: "read", Net: "tcp", Err: errors.New("the client goes on sending while its request is in flight"),
+		Op: "read", Net: "tcp", Err: errors.New("client sent too many bytes while its request was in flight"),
 	}
-	errNoSocket = errors.New("connection is not a socket")
+	errNotSocket = errors.New("connection is not a socket")
 )
 
-// pipelineChunks holds buffers of type *[pipelineChunk]byte.
+// pipelineChunks is a pool of buffers of type *[pipelineChunk]byte.
 var pipelineChunks = sync.Pool{New: func() any { return new([pipelineChunk]byte) }}
 
-// newClientConn returns the clientConn of a connection that has just been accepted.
+// newClientConn returns the clientConn of a newly accepted connection.
 func newClientConn(netConn net.Conn) (*clientConn, error) {
 	sc, ok := netConn.(syscall.Conn)
 	if !ok {
-		return nil, errNoSocket
+		return nil, errNotSocket
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
@@ -78,8 +79,9 @@
 }
 
 // Read implements net.Conn. While a request is open and its body has been read, net/http reads one
-// byte, to see the client leave, and looks no further once it has one. So that read takes what
-// comes and ends only with the connection, or when net/http calls it off.
+// byte to detect a disconnect, and stops looking once it has received a byte. For this read, Read
+// therefore consumes all bytes that arrive, and returns only when the connection ends or when
+// net/http interrupts the read.
 func (c *clientConn) Read(b []byte) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
@@ -88,8 +90,8 @@
 	switch {
 	case c.requestOpen && len(b) == 1:
 		c.mu.Unlock()
-		return 0, c.watch()
-	case c.pipelineLost: // what follows does not fit what was kept
+		return 0, c.watchForDisconnect()
+	case c.pipelineTruncated: // the bytes that follow do not continue those that were kept
 		c.mu.Unlock()
 		return 0, io.EOF
 	case len(c.pipelined) > 0:
@@ -101,7 +103,7 @@
 	return c.readSocket(b)
 }
 
-// takePipelined moves what was pipelined to b. The caller holds mu.
+// takePipelined moves pipelined bytes to b. The caller holds mu.
 func (c *clientConn) takePipelined(b []byte) int {
 	n := copy(b, c.pipelined)
 	c.pipelined = c.pipelined[n:]
@@ -121,8 +123,8 @@
 	}
 	err := c.raw.Read(read)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		// What came before the deadline, and was not read for want of time, is the client's request
-		// all the same.
+		// Bytes that arrived before the deadline, but that this process did not read in time, are
+		// part of the client's request all the same.
 		_ = c.raw.Control(func(fd uintptr) { read(fd) })
 		if n > 0 {
 			return n, nil
@@ -134,7 +136,7 @@
 	return n, asReadError(err)
 }
 
-// readAvailable reads what has come, without waiting.
+// readAvailable reads the bytes that have arrived, without waiting.
 func (c *clientConn) readAvailable(fd uintptr, b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,8 +153,9 @@
 	return n, err
 }
 
-// watch reads what a client sends while its request is in flight, until the client leaves.
-func (c *clientConn) watch() error {
+// watchForDisconnect reads what a client sends while its request is in flight, until the client
+// disconnects.
+func (c *clientConn) watchForDisconnect() error {
 	var readErr error
 	err := c.raw.Read(func(fd uintptr) (done bool) {
 		done, readErr = c.readPipelined(fd)
@@ -164,8 +167,8 @@
 	return asReadError(err)
 }
 
-// readPipelined reads all that has come and keeps it for the next request; done reports whether the
-// watch ends.
+// readPipelined reads all bytes that have arrived and keeps them for the next request. done reports
+// whether watchForDisconnect has to return.
 func (c *clientConn) readPipelined(fd uintptr) (done bool, err error) {
 	chunk, _ := pipelineChunks.Get().(*[pipelineChunk]byte)
 	defer pipelineChunks.Put(chunk)
@@ -176,7 +179,7 @@
 			return true, errReadsStopped
 		}
 		if c.responding {
-			return false, nil // net/http calls this read off when the response has been written
+			return false, nil // net/http interrupts this read once the response has been written
 		}
 		n, err := readNonblocking(fd, chunk[:])
 		if err != nil {
@@ -189,12 +192,12 @@
 		}
 		room := min(n, maxPipelined-len(c.pipelined))
 		c.pipelined = append(c.pipelined, chunk[:room]...)
-		c.pipelineLost = c.pipelineLost || room < n
+		c.pipelineTruncated = c.pipelineTruncated || room < n
 	}
 }
 
-// readNonblocking reads what has come, without waiting: EAGAIN if that is nothing, io.EOF at the
-// end.
+// readNonblocking reads the bytes that have arrived, without waiting. It returns EAGAIN if there
+// are none and io.EOF at the end of the stream.
 func readNonblocking(fd uintptr, b []byte) (int, error) {
 	for {
 		n, err := syscall.Read(int(fd), b)
@@ -209,8 +212,9 @@
 	}
 }
 
-// asReadError returns an error in the form that package net gives it, by which net/http tells a
-// client that has left from one that sends an invalid request.
+// asReadError returns an error in the form that package net gives to read errors. By that form,
+// net/http distinguishes a client that has disconnected from a client that sends an invalid
+// request.
 func asReadError(err error) error {
 	if err == nil || errors.Is(err, io.EOF) {
 		return err
@@ -225,7 +229,7 @@
 	return &net.OpError{Op: "read", Net: "tcp", Err: err}
 }
 
-// beginRequest notes that net/http has reported a head.
+// beginRequest records that net/http has reported a head.
 func (c *clientConn) beginRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -233,7 +237,7 @@
 	c.nextHead = headScanner{}
 }
 
-// endRequest notes that a response has been written.
+// endRequest records that a response has been written.
 func (c *clientConn) endRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -242,27 +246,28 @@
 	c.nextHead.scan(c.pipelined)
 }
 
-// beginResponse is called just before a response is written and reports whether that has to be the
-// connection's last. From then on nothing that follows the request is read: a client has its
-// response before its handler has ended, and may send its next request at once, of whatever size.
+// beginResponse is called just before a response is written and reports whether the connection has
+// to close after that response. From then on, no bytes that follow the request are read: a client
+// receives its response before the handler returns, and may at once send its next request, of any
+// size.
 func (c *clientConn) beginResponse() (last bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.responding = true
-	return c.pipelineLost
+	return c.pipelineTruncated
 }
 
-// isFirstRequest reports whether no request has been answered yet.
+// isFirstRequest reports whether no request on the connection has been answered yet.
 func (c *clientConn) isFirstRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.hasServed
 }
 
-// stopReadingIfQuiet has nothing more be read, before the connection is closed, if no request is
-// open, none has been read completely and nothing waits to be read. Otherwise it changes nothing
-// and returns false, also if a part of a request has come since partSince.
-func (c *clientConn) stopReadingIfQuiet(partSince time.Time) bool {
+// stopReadingIfIdle stops all reads, before the connection is closed, if no request is open, no
+// complete request has been read and no bytes wait to be read. Otherwise, or if part of a request
+// has arrived after partSince, it changes nothing and returns false.
+func (c *clientConn) stopReadingIfIdle(partSince time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	partIsRecent := c.nextHead.size > 0 && c.lastRead.After(partSince)
@@ -273,12 +278,12 @@
 	return true
 }
 
-// CloseWrite lets net/http end its side first, so that a client that is still sending can read its
-// error.
+// CloseWrite closes the write side. net/http calls it before it closes the connection, so that a
+// client that is still sending can read its error response.
 func (c *clientConn) CloseWrite() error {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
-		return errNoSocket
+		return errNotSocket
 	}
 	return half.CloseWrite()
 }
--- a/internal/front/http1/conn_test.go
+++ b/internal/front/http1/conn_test.go
@@ -11,8 +11,9 @@
 	"fernlanding/internal/socket"
 )
 
-// Between net/http's reading of a request and its report the connection looks idle and quiet.
-// Closing it lost the request, which may have been forwarded; its client sends it once more.
+// Between the time net/http reads a request and the time it reports the request, the connection
+// looks idle. Closing the connection then loses the request, which may have been forwarded; its
+// client sends it again.
 func TestConnectionWithCompleteRequestIsNotClosed(t *testing.T) {
 	for _, idle := range []bool{false, true} {
 		tracker, c, peer := acceptConn(t)
@@ -37,33 +38,33 @@
 			if part == last {
 				now := time.Now()
 				if tracker.evictFrom(tracker.silent, now) || tracker.evictFrom(tracker.idle, now) {
-					t.Errorf("idle %v: evicted with a complete request", idle)
+					t.Errorf("idle %v: connection with a complete request was evicted", idle)
 				}
 			}
-			if busy := tracker.closeIdle(-time.Second); busy != 1 {
-				t.Errorf("idle %v: closed by the drain with %q read", idle, part)
+			if remaining := tracker.closeIdle(-time.Second); remaining != 1 {
+				t.Errorf("idle %v: drain closed the connection after %q had been read", idle, part)
 			}
 		}
 	}
 }
 
-// What the connTracker closes is read no more: the client's request has not been read, and is sent
-// once more.
-func TestNothingIsReadAfterReadsStopped(t *testing.T) {
+// Nothing is read from a connection that the connTracker closes. A request that was not read is
+// sent again by its client.
+func TestNoReadAfterReadsAreStopped(t *testing.T) {
 	_, c, peer := acceptConn(t)
-	if !c.stopReadingIfQuiet(time.Time{}) {
-		t.Fatal("reads go on from a quiet connection")
+	if !c.stopReadingIfIdle(time.Time{}) {
+		t.Fatal("reads from an idle connection were not stopped")
 	}
 	send(t, peer, getRequest("1"))
 	waitUntil(t, func() bool { return !socket.IsIdle(c.Conn) })
 	var opErr *net.OpError
 	if n, err := c.Read(make([]byte, 4096)); n > 0 || !errors.As(err, &opErr) || opErr.Op != "read" {
-		t.Errorf("read %d bytes, %v", n, err)
+		t.Errorf("read %d bytes, %v, want a read error", n, err)
 	}
 }
 
-// A request that has come before the read deadline is read: a process that was stalled has not
-// looked.
+// A request that arrived before the read deadline is read, because a stalled process may not have
+// read it in time.
 func TestBytesBeforeDeadlineAreRead(t *testing.T) {
 	_, c, peer := acceptConn(t)
 	send(t, peer, getRequest("1"))
@@ -72,9 +73,9 @@
 		t.Fatal(err)
 	}
 	if n, err := c.Read(make([]byte, 4096)); n != len(getRequest("1")) || err != nil {
-		t.Errorf("read %d bytes, %v", n, err)
+		t.Errorf("read %d bytes, %v, want the request", n, err)
 	}
 	if _, err := c.Read(make([]byte, 4096)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("with nothing there: %v", err)
+		t.Errorf("with nothing to read: got %v, want %v", err, os.ErrDeadlineExceeded)
 	}
 }
--- a/internal/front/http1/drain.go
+++ b/internal/front/http1/drain.go
@@ -3,35 +3,36 @@
 import "time"
 
 const (
-	noNewAfter    = 200 * time.Millisecond // new connections surely come for this long after SIGTERM
-	acceptWindow  = 550 * time.Millisecond // and may still come for this long
-	drainInterval = 20 * time.Millisecond
+	noNewConnsAfter   = 200 * time.Millisecond // time after SIGTERM in which new connections are certain to arrive
+	acceptWindow      = 550 * time.Millisecond // time after SIGTERM in which new connections may arrive
+	drainPollInterval = 20 * time.Millisecond
 )
 
 // Drain ends the service after SIGTERM.
 //
-// Until lastCall clients are served as ever and keep their connections: new ones stop coming soon,
-// but a client uses those that it has while they stay open. What else it has is not known here:
-// other proxies may restart close behind each other, and for seconds this one may be the last,
-// while the successor comes no sooner for an early end. Then connections are closed as they fall
-// idle, until none is left or cutoff has come. What has been admitted has its answer by then, but
-// for the time that it takes to write it; Drain waits for that until end, and closes nothing under
-// a response before.
+// Until closeIdleAt, clients are served as usual and keep their connections. New connections soon
+// stop arriving, but a client uses its existing connections as long as they stay open. Drain does
+// not know whether a client has connections to other replicas: other replicas may restart shortly
+// after one another, and this one may be the last for seconds. An early end would not make the
+// successor start sooner. From closeIdleAt, connections are closed as they become idle, until none
+// is left or cutoff has passed. Admitted requests have their answers by cutoff, but the responses
+// still have to be written. Drain waits for that until end, and closes no connection with an open
+// response before end.
 //
-// This also covers other proxies that have crashed and a load balancer that is slow to take a new
-// one in. It hurts where a supervisor starts the successor only when this process has ended: that
-// is then seconds later.
-func (f *Front) Drain(lastCall, cutoff, end time.Time) {
-	f.serveUntil(lastCall)
+// This also covers other replicas that have crashed and a load balancer that is slow to add a new
+// replica. The drawback: a supervisor that starts the successor only after this process has ended
+// starts the successor seconds later.
+func (f *Front) Drain(closeIdleAt, cutoff, end time.Time) {
+	f.serveUntil(closeIdleAt)
 	f.closing.Store(true)
-	// The listener stays to the last: closing it resets the connections that the kernel has
-	// accepted and this process has not, with the requests on them.
+	// The listener stays open to the end. Closing it resets the connections that the kernel has
+	// accepted and this process has not, together with the requests on them.
 	for accepting := true; ; accepting = f.conns.acceptPending() {
 		for f.conns.closeIdle(acceptWindow) > 0 && time.Now().Before(cutoff) {
-			time.Sleep(drainInterval)
+			time.Sleep(drainPollInterval)
 		}
-		for f.conns.closeQuiet() > 0 && time.Now().Before(end) { // a request that has come is answered
-			time.Sleep(drainInterval)
+		for f.conns.closeIdleOrPartial() > 0 && time.Now().Before(end) { // a request that has arrived is answered
+			time.Sleep(drainPollInterval)
 		}
 		if !accepting || !time.Now().Before(end) {
 			break
@@ -40,14 +41,14 @@
 	_ = f.server.Close() // not Shutdown, which drops a request that has just been read
 }
 
-// serveUntil fails health checks and serves until new connections no longer come, and then until
-// lastCall or until no connection is left.
-func (f *Front) serveUntil(lastCall time.Time) {
+// serveUntil fails health checks and serves until new connections no longer arrive, and then until
+// closeIdleAt or until no connection is left.
+func (f *Front) serveUntil(closeIdleAt time.Time) {
 	began := time.Now()
 	f.draining.Store(true)
 	for elapsed := time.Duration(0); elapsed < acceptWindow ||
-		time.Now().Before(lastCall) && f.conns.count() > 0; elapsed = time.Since(began) {
-		f.noNew.Store(elapsed >= noNewAfter)
-		time.Sleep(drainInterval)
+		time.Now().Before(closeIdleAt) && f.conns.count() > 0; elapsed = time.Since(began) {
+		f.noNewConns.Store(elapsed >= noNewConnsAfter)
+		time.Sleep(drainPollInterval)
 	}
 }
--- a/internal/front/http1/drain_test.go
+++ b/internal/front/http1/drain_test.go
@@ -9,32 +9,32 @@
 	"time"
 )
 
-// stallingListener is a listener whose process is too busy to accept.
+// stallingListener is the listener of a process that is too busy to accept.
 type stallingListener struct {
 	*net.TCPListener
-	stall   chan struct{} // closed: the process is no longer busy
-	stalled chan struct{} // one for each Accept that has begun
+	stall   chan struct{} // closed when the process is no longer busy
+	stalled chan struct{} // receives a value for each Accept call
 }
 
-// Accept implements net.Listener: it waits for the end of the stall.
+// Accept implements net.Listener. It waits for the end of the stall.
 func (l *stallingListener) Accept() (net.Conn, error) {
 	l.stalled <- struct{}{}
 	<-l.stall
 	return l.TCPListener.Accept()
 }
 
-// startDrain drains a front in the background; the channel is closed at the end.
-func startDrain(f *Front, lastCall, cutoff, end time.Time) <-chan struct{} {
+// startDrain drains a front in the background. The channel is closed at the end of the drain.
+func startDrain(f *Front, closeIdleAt, cutoff, end time.Time) <-chan struct{} {
 	drained := make(chan struct{})
 	go func() {
 		defer close(drained)
-		f.Drain(lastCall, cutoff, end)
+		f.Drain(closeIdleAt, cutoff, end)
 	}()
 	return drained
 }
 
-// A connection that the kernel has accepted and a busy process has not is served, also at the end
-// of the drain.
+// A connection that the kernel has accepted, and that a busy process has not, is served even at the
+// end of the drain.
 func TestDrainServesConnectionsInKernelQueue(t *testing.T) {
 	pool := newGatedPool()
 	close(pool.gate)
@@ -48,13 +48,13 @@
 	waitUntil(t, func() bool { return f.Stats().Closing })
 	close(l.stall)
 	if resp := readResponse(t, r, "1"); !resp.Close {
-		t.Error("its response is not its last")
+		t.Error("the response does not close the connection")
 	}
 	receive(t, "end of the drain", drained)
 }
 
-// A request that has been read at the end of the drain, and that net/http has not reported yet, is
-// waited for: the end closes nothing under it.
+// At the end of the drain, a request may have been read that net/http has not reported yet. The
+// drain waits for it and does not close its connection.
 func TestDrainWaitsForRequestThatHasBeenRead(t *testing.T) {
 	l := listen(t)
 	f := New(Config{Listener: l, Quota: unlimitedQuota{}, Log: slog.New(slog.DiscardHandler)})
@@ -80,18 +80,18 @@
 	select {
 	case <-step.C:
 	case <-drained:
-		t.Fatal("the drain ended under a request that had been read")
+		t.Fatal("drain ended before a request that had been read was answered")
 	}
 	f.conns.onStateChange(netConn, http.StateActive)
 	f.conns.onStateChange(netConn, http.StateClosed)
 	receive(t, "end of the drain", drained)
 	if err := receive(t, "end of Accept", acceptEnded); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("Accept: %v", err)
+		t.Errorf("Accept: got %v, want %v", err, net.ErrClosed)
 	}
 }
 
-// A response that is being written at the cutoff is not cut off: there is time until SIGKILL.
-func TestDrainLetsResponseAtCutoffBeWritten(t *testing.T) {
+// A response that is being written at the cutoff is completed, because there is time until SIGKILL.
+func TestDrainWaitsForResponseWriteAtCutoff(t *testing.T) {
 	pool, l := newGatedPool(), listen(t)
 	f := serve(t, l, pool)
 	conn, r := dial(t, l)
@@ -100,12 +100,12 @@
 	now := time.Now()
 	cutoff := now.Add(acceptWindow)
 	drained := startDrain(f, now, cutoff, now.Add(waitLimit))
-	past := time.NewTimer(time.Until(cutoff) + 5*drainInterval)
+	past := time.NewTimer(time.Until(cutoff) + 5*drainPollInterval)
 	defer past.Stop()
 	select {
 	case <-past.C:
 	case <-drained:
-		t.Fatal("the drain ended under an open request")
+		t.Fatal("drain ended while a request was open")
 	}
 	close(pool.gate)
 	readResponse(t, r, "1")
--- a/internal/front/http1/front.go
+++ b/internal/front/http1/front.go
@@ -1,20 +1,20 @@
-// Package http1 takes clients' requests over HTTP/1.1 and answers them.
+// Package http1 accepts clients' requests over HTTP/1.1 and responds to them.
 //
-// A Front reads and checks a request, forwards it to the pool that its resolver names, and writes
+// A Front reads and checks a request, forwards it to the pool that its resolver selects, and writes
 // the pool's answer (handler.go, request.go, response.go). Its connTracker accepts connections and
-// knows which of them carry a request (listener.go, tracker.go); each is a clientConn, which reads
-// behind net/http's back what a client sends while its request is in flight (conn.go). Drain ends
-// the service without losing a request (drain.go).
+// tracks which of them carry a request (listener.go, tracker.go). Each connection is a clientConn,
+// which reads what a client sends while its request is in flight and hides these reads from
+// net/http (conn.go). Drain ends the service without losing a request (drain.go).
 //
-// These rules of docs/design/crossings.md are kept here:
+// The package keeps these rules of docs/design/crossings.md:
 //
-//   - A client that leaves has its request canceled, whatever it has sent behind it: see
-//     clientConn.watch and Front.forward.
+//   - The request of a client that disconnects is canceled, even if the client has sent more bytes
+//     after the request: see clientConn.watchForDisconnect and Front.forwardOnce.
 //   - What a client sends while its request is in flight is its next request: see
 //     clientConn.pipelined.
 //   - A request that has been read is answered before its connection is closed: see
-//     clientConn.stopReadingIfQuiet.
-//   - During a drain a connection that the kernel has accepted is served: see
+//     clientConn.stopReadingIfIdle.
+//   - During a drain, a connection that the kernel has accepted is served: see
 //     connTracker.acceptPending.
 package http1
 
@@ -33,39 +33,39 @@
 )
 
 const (
-	maxRequestHead = 16 << 10 // bytes of a request before its body
+	maxRequestHead = 16 << 10 // bytes of a request head
 
-	// A client that connects is owed a response or a close within 3 s: it has headTimeout to send a
-	// head, and firstRequestTimeout from its connecting to the end of its first request's body. A
-	// later body has as long as a head.
+	// A client that connects gets a response or a close within 3 s. It has headTimeout to send a
+	// head, and firstRequestTimeout from the time it connects to the end of the body of its first
+	// request. The body of a later request has headTimeout.
 	headTimeout         = 2200 * time.Millisecond
 	firstRequestTimeout = 2800 * time.Millisecond
 
-	idleTimeout = 10 * time.Second // for the next request on a connection
-	writeLeeway = 5 * time.Second  // beyond the longest deadline, for the client to take its response
+	idleTimeout = 10 * time.Second // limit of the wait for the next request on a connection
+	writeMargin = 5 * time.Second  // added to the longest timeout, for the client to read its response
 )
 
-// Config is what a Front is made of.
+// Config is the configuration of a Front.
 type Config struct {
 	Listener   net.Listener
 	Resolver   front.Resolver
-	IsHealthy  func() bool   // reports whether what is behind the front can serve
-	MaxTimeout time.Duration // of any request
-	Quota      Quota         // of open connections
+	IsHealthy  func() bool     // reports whether the services behind the front can serve requests
+	MaxTimeout time.Duration   // longest timeout of a request
+	Quota      DescriptorQuota // limit of open connections
 	Log        *slog.Logger
 }
 
-// Front takes requests from clients and forwards them to the pools that the resolver names.
+// Front accepts requests from clients and forwards them to the pools that the resolver selects.
 type Front struct {
-	cfg      Config
-	server   *http.Server
-	conns    *connTracker
-	draining atomic.Bool // health checks fail
-	noNew    atomic.Bool // clients may be unable to open new connections to this replica
-	closing  atomic.Bool // each connection ends with its response
+	cfg        Config
+	server     *http.Server
+	conns      *connTracker
+	draining   atomic.Bool // health checks fail
+	noNewConns atomic.Bool // clients may be unable to open new connections to this replica
+	closing    atomic.Bool // each connection closes after its response
 }
 
-// New returns a front that serves from Serve on.
+// New returns a Front, which accepts connections once Serve is called.
 func New(cfg Config) *Front {
 	f := &Front{cfg: cfg, conns: newConnTracker(cfg.Listener, cfg.Quota)}
 	f.server = &http.Server{
@@ -73,7 +73,7 @@
 		ReadHeaderTimeout: headTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxRequestHead,
-		WriteTimeout:      headTimeout + cfg.MaxTimeout + writeLeeway,
+		WriteTimeout:      headTimeout + cfg.MaxTimeout + writeMargin,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, c)
 		},
@@ -83,10 +83,11 @@
 	return f
 }
 
-// connKey is the context key of the clientConn on which a request came.
+// connKey is the context key of the clientConn that carries a request.
 type connKey struct{}
 
-// debugLogger sends net/http's remarks on broken clients to the debug level.
+// debugLogger returns a logger that logs net/http's messages about failing clients at the debug
+// level.
 func debugLogger(l *slog.Logger) *log.Logger { return slog.NewLogLogger(l.Handler(), slog.LevelDebug) }
 
 // Addr returns the address that clients connect to.
@@ -102,7 +103,7 @@
 }
 
 // Close ends the front at once.
-func (f *Front) Close() { _ = f.server.Close() } // the listener's error is of no use: the front has ended
+func (f *Front) Close() { _ = f.server.Close() } // the error is of no use: the listener is no longer needed
 
 // CloseIdleConnection closes one connection that carries no request and reports whether there was
 // one.
@@ -112,23 +113,23 @@
 	return f.conns.evict()
 }
 
-// Stats counts a front's connections and says how far its drain has come.
+// Stats holds the connection counts of a front and the state of its drain.
 type Stats struct {
-	Open   int // connections
+	Open   int // open connections
 	Silent int // connections that have never carried a request
 	Idle   int // connections between two requests
 
 	Draining         bool // health checks fail
 	NoNewConnections bool // clients may be unable to open new connections to this replica
-	Closing          bool // each connection ends with its response
+	Closing          bool // each connection closes after its response
 }
 
-// Stats returns the present counts.
+// Stats returns the current counts and state.
 func (f *Front) Stats() Stats {
 	f.conns.mu.Lock()
 	defer f.conns.mu.Unlock()
 	return Stats{
 		Open: len(f.conns.conns), Silent: f.conns.silent.Len(), Idle: f.conns.idle.Len(),
-		Draining: f.draining.Load(), NoNewConnections: f.noNew.Load(), Closing: f.closing.Load(),
+		Draining: f.draining.Load(), NoNewConnections: f.noNewConns.Load(), Closing: f.closing.Load(),
 	}
 }
--- a/internal/front/http1/handler.go
+++ b/internal/front/http1/handler.go
@@ -10,9 +10,9 @@
 	"fernlanding/logic"
 )
 
-const maxForwards = 4 // at finding a pool that admits a request, while a new configuration takes effect
+const maxForwards = 4 // pools that are tried for a request while a new configuration takes effect
 
-// ServeHTTP answers health checks and forwards requests.
+// ServeHTTP responds to health checks and forwards requests.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	conn, _ := r.Context().Value(connKey{}).(*clientConn)
@@ -54,7 +54,7 @@
 	f.writeAnswer(w, answer)
 }
 
-// serveHealth answers a health check.
+// serveHealth responds to a health check.
 func (f *Front) serveHealth(w http.ResponseWriter) {
 	if f.cfg.IsHealthy() && !f.draining.Load() {
 		w.WriteHeader(http.StatusOK)
@@ -64,8 +64,9 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// forward hands a request to its destination's pool and waits for the answer. A pool may close
-// after it was named, and has then seen nothing of the request: it is resolved anew.
+// forward passes a request to the pool of its destination and waits for the answer. A pool may
+// close after the resolver has selected it. That pool has not forwarded the request, so the request
+// is resolved again.
 func (f *Front) forward(
 	r *http.Request, arrived time.Time, dest front.Destination, body []byte,
 ) (core.Answer, *front.RequestError) {
@@ -79,11 +80,11 @@
 			return core.Answer{}, reqErr
 		}
 		dest = next
-		dest.Mirror = nil // the copy has been sent
+		dest.Mirror = nil // the copy has already been sent
 	}
 }
 
-// forwardOnce hands a request to one pool and waits for the answer. If the client leaves, the
+// forwardOnce passes a request to one pool and waits for the answer. If the client disconnects, the
 // request is canceled.
 func (f *Front) forwardOnce(r *http.Request, arrived time.Time, dest *front.Destination, body []byte) core.Answer {
 	req := &core.Request{
@@ -94,13 +95,13 @@
 		Method: r.Method, Target: dest.Target, Host: r.Host,
 		Header: forwardedHeader(r.Header, dest.Header), Body: body,
 	}
-	if f.noNew.Load() {
+	if f.noNewConns.Load() {
 		req.ClientConnections, req.IdleClientConnections = f.conns.clientConnections()
 	}
 	if dest.Mirror != nil {
 		dest.Mirror(req)
 	}
-	// net/http cancels the context when the client leaves.
+	// net/http cancels the context when the client disconnects.
 	stop := context.AfterFunc(r.Context(), func() { dest.Pool.Cancel(req) })
 	defer stop()
 	return dest.Pool.Do(req)
--- a/internal/front/http1/headscanner.go
+++ b/internal/front/http1/headscanner.go
@@ -5,15 +5,15 @@
 // emptyLine ends a head whose lines end in CRLF.
 var emptyLine = []byte("\r\n\r\n")
 
-// headScanner looks for the end of a head in what comes: an empty line. A bare line feed ends a
-// line too, as in net/http.
+// headScanner looks for the empty line at the end of a head in a stream of bytes. A bare line feed
+// ends a line too, as in net/http.
 type headScanner struct {
-	size      int  // bytes so far
-	lineEmpty bool // so far, the present line
-	complete  bool // an empty line has come
+	size      int  // bytes scanned so far
+	lineEmpty bool // the current line is empty so far
+	complete  bool // an empty line has been found
 }
 
-// scan takes the next bytes.
+// scan processes the next bytes.
 func (s *headScanner) scan(b []byte) {
 	s.size += len(b)
 	if s.complete || bytes.Contains(b, emptyLine) {
--- a/internal/front/http1/headscanner_test.go
+++ b/internal/front/http1/headscanner_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// However a head is split, its end is found where an empty line stands, and not before.
+// The end of a head is found at the first empty line and not before, however the head is split.
 func FuzzHeadScanner(f *testing.F) {
 	for _, s := range []string{
 		getRequest("1"), "GET / HTTP/1.1\nHost: h\n\n", "\r\n\r\n", "GET / HTTP/1.1\r\nA: b\r\n", "\n\r", "",
@@ -13,7 +13,7 @@
 		f.Add([]byte(s), 1, 3)
 	}
 	f.Fuzz(func(t *testing.T, b []byte, i, j int) {
-		if len(b) > 1<<12 || bytes.Contains(b, []byte("\r\r")) { // no valid line has such
+		if len(b) > 1<<12 || bytes.Contains(b, []byte("\r\r")) { // no valid line contains them
 			return
 		}
 		i, j = min(max(i, 0), len(b)), min(max(j, 0), len(b))
--- a/internal/front/http1/helpers_test.go
+++ b/internal/front/http1/helpers_test.go
@@ -14,45 +14,45 @@
 	"fernlanding/internal/front"
 )
 
-const waitLimit = 10 * time.Second // for what must happen
+const waitLimit = 10 * time.Second // limit of each wait for an expected event
 
-// receive returns what must come from a channel.
+// receive returns the next value of a channel. The test fails if none arrives within waitLimit.
 func receive[T any](t *testing.T, what string, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(waitLimit):
-		t.Fatalf("no %s", what)
+		t.Fatalf("no %s within %v", what, waitLimit)
 	}
 	return v
 }
 
-// waitUntil waits for what must become true.
+// waitUntil waits until ok returns true. The test fails if that takes longer than waitLimit.
 func waitUntil(t *testing.T, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitLimit); !ok(); time.Sleep(time.Millisecond) { // the kernel has no channel
+	for end := time.Now().Add(waitLimit); !ok(); time.Sleep(time.Millisecond) { // polls: there is no event to wait for
 		if time.Now().After(end) {
-			t.Fatal("the condition never became true")
+			t.Fatalf("condition not true within %v", waitLimit)
 		}
 	}
 }
 
-// closeAtEnd closes what a test has opened, if the test has not.
+// closeAtEnd closes c at the end of the test. The test may have closed it before.
 func closeAtEnd(t *testing.T, c io.Closer) {
 	t.Helper()
 	t.Cleanup(func() { _ = c.Close() })
 }
 
-// gatedPool is a pool, and the resolver of all requests to it, whose answers wait for a gate or for
-// their client to leave.
+// gatedPool is a pool, and the resolver of all requests to it. Its answers wait until the gate
+// opens or the client of the request disconnects.
 type gatedPool struct {
-	admitted, canceled chan string // the IDs of requests
-	gate               chan struct{}
+	admitted, canceled chan string   // IDs of requests
+	gate               chan struct{} // a value lets one answer pass; closed for all
 	cancels            chan *core.Request
-	release            func() // of each response; nil: none
+	release            func() // Release of each response; may be nil
 }
 
-// newGatedPool returns a pool whose gate is closed.
+// newGatedPool returns a pool whose gate is shut.
 func newGatedPool() *gatedPool {
 	return &gatedPool{
 		admitted: make(chan string, 100), canceled: make(chan string, 100),
@@ -63,7 +63,7 @@
 // Clock implements front.Pool.
 func (p *gatedPool) Clock() core.Clock { return core.NewClock() }
 
-// Do implements front.Pool. It answers 200 with the request's ID.
+// Do implements front.Pool. It answers with status 200 and the ID of the request.
 func (p *gatedPool) Do(r *core.Request) core.Answer {
 	p.admitted <- r.ID
 	for {
@@ -84,7 +84,7 @@
 // Cancel implements front.Pool.
 func (p *gatedPool) Cancel(r *core.Request) { p.cancels <- r }
 
-// Resolve takes the path for a request's ID.
+// Resolve implements front.Resolver. The path of a request is its ID.
 func (p *gatedPool) Resolve(r *http.Request) (front.Destination, *front.RequestError) {
 	return front.Destination{
 		Pool: p, ID: strings.TrimPrefix(r.URL.Path, "/"), Tenant: -1, Target: r.RequestURI,
@@ -92,13 +92,13 @@
 	}, nil
 }
 
-// unlimitedQuota is a quota without a limit.
+// unlimitedQuota is a DescriptorQuota without a limit.
 type unlimitedQuota struct{}
 
-// Acquire implements Quota.
+// Acquire implements DescriptorQuota.
 func (unlimitedQuota) Acquire() bool { return true }
 
-// Release implements Quota.
+// Release implements DescriptorQuota.
 func (unlimitedQuota) Release() {}
 
 // listen returns a listener on a loopback port.
@@ -112,7 +112,7 @@
 	return l
 }
 
-// serve serves a front for a pool until the test ends.
+// serve runs a front for a pool until the test ends.
 func serve(t *testing.T, l net.Listener, pool *gatedPool) *Front {
 	t.Helper()
 	f := New(Config{
@@ -145,7 +145,7 @@
 // getRequest returns the text of a request.
 func getRequest(id string) string { return "GET /" + id + " HTTP/1.1\r\nHost: h\r\n\r\n" }
 
-// send writes to a connection.
+// send writes text to a connection.
 func send(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
@@ -153,7 +153,7 @@
 	}
 }
 
-// readResponse reads a response and checks that it is a request's.
+// readResponse reads a response and checks that it belongs to the request with the given ID.
 func readResponse(t *testing.T, r *bufio.Reader, id string) *http.Response {
 	t.Helper()
 	resp, err := http.ReadResponse(r, nil)
@@ -161,28 +161,28 @@
 		t.Fatalf("request %s: %v", id, err)
 	}
 	if body, err := io.ReadAll(resp.Body); err != nil || string(body) != id {
-		t.Fatalf("request %s: %q, %v", id, body, err)
+		t.Fatalf("request %s: got body %q, %v", id, body, err)
 	}
 	return resp
 }
 
-// onlyConn returns a function that asks the one connection of a front, with its locks held; false
-// if there is none.
-func onlyConn(f *Front, ask func(*clientConn) bool) func() bool {
+// onlyConn returns a function that applies check to the only connection of a front, with its locks
+// held. The function returns false if there is no connection.
+func onlyConn(f *Front, check func(*clientConn) bool) func() bool {
 	return func() bool {
 		f.conns.mu.Lock()
 		defer f.conns.mu.Unlock()
 		for _, c := range f.conns.conns {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			return ask(c)
+			return check(c)
 		}
 		return false
 	}
 }
 
-// acceptConn returns a connection that a connTracker has accepted and that net/http does not know
-// of, and its peer.
+// acceptConn returns a connection that a connTracker has accepted and that net/http does not know,
+// and its peer.
 func acceptConn(t *testing.T) (tracker *connTracker, c *clientConn, peer net.Conn) {
 	t.Helper()
 	tracker = newConnTracker(listen(t), unlimitedQuota{})
@@ -194,7 +194,7 @@
 	closeAtEnd(t, netConn)
 	c, ok := netConn.(*clientConn)
 	if !ok {
-		t.Fatalf("accepted a %T", netConn)
+		t.Fatalf("accepted connection is a %T, want *clientConn", netConn)
 	}
 	return tracker, c, peer
 }
--- a/internal/front/http1/listener.go
+++ b/internal/front/http1/listener.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	maxEvictions = 4 // at making room for one connection
+	maxEvictions = 4 // connections that are closed to make room for one
 
-	pendingWait    = 20 * time.Millisecond // for connections in the kernel's queue, before the listener is closed
-	pendingTimeout = time.Second           // where nobody accepts
+	pendingWait    = 20 * time.Millisecond // wait for connections in the kernel's queue before the listener is closed
+	pendingTimeout = time.Second           // limit of acceptPending if Accept is not running
 )
 
-// Accept returns the next connection for which there is room. Once acceptPending has found none it
-// returns net.ErrClosed.
+// Accept returns the next connection for which there is room. It returns net.ErrClosed once
+// acceptPending has found no pending connection.
 func (t *connTracker) Accept() (net.Conn, error) {
 	for retried := false; ; {
 		netConn, err := t.Listener.Accept()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded) && !retried:
-			// The deadline may have passed before it was known what had come; a new call looks
-			// first and then waits.
+			// The deadline may have passed before Accept looked for pending connections. A second
+			// call looks first and then waits.
 			retried = true
 			t.setAcceptDeadline(time.Now().Add(pendingWait))
 			continue
@@ -44,18 +44,18 @@
 	}
 }
 
-// setAcceptDeadline has Accept end by then; a listener that has no deadlines is closed.
+// setAcceptDeadline makes Accept return at the deadline. A listener without deadlines is closed.
 func (t *connTracker) setAcceptDeadline(deadline time.Time) {
 	l, ok := t.Listener.(interface {
 		SetDeadline(deadline time.Time) error
 	})
 	if !ok || l.SetDeadline(deadline) != nil {
-		_ = t.Close() // Accept returns the error that this one says
+		_ = t.Close() // Accept returns the error as well
 	}
 }
 
-// acceptPending waits for a connection that the kernel has already accepted and reports whether one
-// has come; if not, Accept has ended. It is for one caller at a time.
+// acceptPending waits for a connection that the kernel has already accepted and reports whether
+// there was one. If there was none, Accept has returned. It must not be called concurrently.
 func (t *connTracker) acceptPending() bool {
 	t.setAcceptDeadline(time.Now().Add(pendingWait))
 	t.pendingWanted.Store(true)
@@ -69,7 +69,8 @@
 	}
 }
 
-// admit counts a connection in. It returns nil if there is no room for it.
+// admit adds a connection to the open connections. It returns nil if there is no room for the
+// connection.
 func (t *connTracker) admit(netConn net.Conn) *clientConn {
 	c, err := newClientConn(netConn)
 	if err != nil {
@@ -83,6 +84,6 @@
 		}
 	}
 	t.conns[c] = c
-	t.enlist(c, t.silent)
+	t.moveTo(c, t.silent)
 	return c
 }
--- a/internal/front/http1/pipeline_test.go
+++ b/internal/front/http1/pipeline_test.go
@@ -8,9 +8,9 @@
 	"fernlanding/internal/socket"
 )
 
-// net/http looks no further than one byte behind a request: a client that has sent more and left
-// was not seen to leave.
-func TestClientLeavingIsSeenBehindPipelinedBytes(t *testing.T) {
+// net/http detects a disconnect by reading one byte after a request, and stops looking once it has
+// received that byte. It does not detect the disconnect of a client that has sent more.
+func TestDisconnectIsDetectedAfterPipelinedBytes(t *testing.T) {
 	for _, c := range []struct {
 		name, body, pipelined string
 	}{
@@ -27,18 +27,18 @@
 			head := fmt.Sprintf("POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", len(c.body))
 			send(t, conn, head+c.body)
 			receive(t, "request", pool.admitted)
-			send(t, conn, c.pipelined) // comes after the request has been read, whatever of it is in one segment
+			send(t, conn, c.pipelined) // arrives after the request has been read, in any number of segments
 			if err := conn.Close(); err != nil {
 				t.Fatal(err)
 			}
 			if id := receive(t, "cancel", pool.canceled); id != "1" {
-				t.Errorf("%s was canceled", id)
+				t.Errorf("request %s was canceled, want 1", id)
 			}
 		})
 	}
 }
 
-// A client that goes on sending while its request is in flight does not wait for the response.
+// A client that keeps sending while its request is in flight does not wait for the response.
 func TestPipelineFloodCancelsRequest(t *testing.T) {
 	pool, l := newGatedPool(), listen(t)
 	serve(t, l, pool)
@@ -55,8 +55,8 @@
 	receive(t, "cancel", pool.canceled)
 }
 
-// What a client sends while its request is in flight is its next request; where not all of it was
-// kept the connection ends with the response.
+// What a client sends while its request is in flight is its next request. If some of it was not
+// kept, the connection closes after the response.
 func TestPipelinedBytesAreTheNextRequest(t *testing.T) {
 	pool, l := newGatedPool(), listen(t)
 	f := serve(t, l, pool)
@@ -64,12 +64,12 @@
 	send(t, conn, getRequest("1"))
 	receive(t, "request", pool.admitted)
 	send(t, conn, getRequest("2")+getRequest("3"))
-	hasKept := func(n int, lost bool) func() bool {
-		return onlyConn(f, func(c *clientConn) bool { return len(c.pipelined) == n && c.pipelineLost == lost })
+	hasKept := func(n int, cut bool) func() bool {
+		return onlyConn(f, func(c *clientConn) bool { return len(c.pipelined) == n && c.pipelineTruncated == cut })
 	}
 	waitUntil(t, hasKept(len(getRequest("2")+getRequest("3")), false))
 	if f.conns.closeIdle(0) != 1 {
-		t.Error("an open request's connection was closed")
+		t.Error("connection with an open request was closed")
 	}
 	for _, id := range []string{"1", "2", "3"} {
 		pool.gate <- struct{}{}
@@ -81,29 +81,29 @@
 	waitUntil(t, hasKept(maxPipelined, true))
 	close(pool.gate)
 	if resp := readResponse(t, r, "4"); !resp.Close {
-		t.Error("a response behind which something was discarded is not the last")
+		t.Error("the response after which bytes were discarded does not close the connection")
 	}
 	if _, err := r.ReadByte(); err == nil {
-		t.Error("something follows the last response")
+		t.Error("bytes follow the last response")
 	}
 }
 
-// A client has its response before the handler has ended, and sends its next request at once: none
-// of it is taken for what was pipelined.
-func TestNextRequestMayComeDuringResponse(t *testing.T) {
+// A client receives its response before the handler returns, and may send its next request at once.
+// None of that request counts as pipelined.
+func TestNextRequestMayArriveDuringResponse(t *testing.T) {
 	pool, l := newGatedPool(), listen(t)
 	ended := make(chan struct{})
 	pool.release = func() { <-ended }
 	f := serve(t, l, pool)
 	conn, r := dial(t, l)
-	id := strings.Repeat("1", 8<<10) // is sent in its first write
+	id := strings.Repeat("1", 8<<10) // response is sent in its first write
 	send(t, conn, getRequest(id))
 	receive(t, "request", pool.admitted)
 	pool.gate <- struct{}{}
 	readResponse(t, r, id)
 	body := strings.Repeat("b", 60<<10)
 	send(t, conn, fmt.Sprintf("POST /2 HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
-	waitUntil(t, onlyConn(f, func(c *clientConn) bool { return c.pipelineLost || !socket.IsIdle(c.Conn) }))
+	waitUntil(t, onlyConn(f, func(c *clientConn) bool { return c.pipelineTruncated || !socket.IsIdle(c.Conn) }))
 	close(pool.gate)
 	close(ended)
 	readResponse(t, r, "2")
--- a/internal/front/http1/request.go
+++ b/internal/front/http1/request.go
@@ -10,19 +10,19 @@
 	"fernlanding/internal/front"
 )
 
-// checkFraming rejects requests whose end may be seen at two places.
+// checkFraming rejects requests whose end is ambiguous.
 func checkFraming(r *http.Request) *front.RequestError {
-	if !r.ProtoAtLeast(1, 1) { // in these net/http drops a Transfer-Encoding unseen
+	if !r.ProtoAtLeast(1, 1) { // net/http silently drops the Transfer-Encoding of such requests
 		return &front.RequestError{Status: http.StatusHTTPVersionNotSupported, Reason: "HTTP/1.1 is spoken here"}
 	}
-	if len(r.TransferEncoding) > 0 { // with a Content-Length beside it the body may hide another request
+	if len(r.TransferEncoding) > 0 { // together with a Content-Length, the body may hide another request
 		return &front.RequestError{Status: http.StatusLengthRequired, Reason: "a body needs Content-Length alone"}
 	}
 	return nil
 }
 
-// reserveBodyMemory takes the memory for a request's body and returns how many bytes that is. A
-// body that is too large takes none: readBody rejects it.
+// reserveBodyMemory takes the memory for the body of a request and returns the number of bytes. It
+// takes none for a body that is too large, because readBody rejects that body.
 func reserveBodyMemory(r *http.Request, dest *front.Destination) (int64, *front.RequestError) {
 	n := r.ContentLength
 	if dest.Memory == nil || n <= 0 || n > dest.MaxBody {
@@ -37,8 +37,8 @@
 	return n, nil
 }
 
-// readBody reads a body of known length. Its buffer grows with what comes: a length alone costs no
-// memory.
+// readBody reads a body of known length. Its buffer grows with the bytes that arrive, so a
+// Content-Length alone costs no memory.
 func readBody(
 	w http.ResponseWriter, r *http.Request, conn *clientConn, dest *front.Destination,
 ) ([]byte, *front.RequestError) {
@@ -54,13 +54,13 @@
 	if conn.isFirstRequest() {
 		deadline = conn.acceptedAt.Add(firstRequestTimeout)
 	}
-	// Errors of SetReadDeadline say that the connection is closed, which the read says too.
+	// An error of SetReadDeadline means that the connection is closed, which the read reports too.
 	controller := http.NewResponseController(w)
 	_ = controller.SetReadDeadline(deadline)
 	var body bytes.Buffer
 	_, err := body.ReadFrom(r.Body)
-	// While the answer is awaited net/http reads on, to see a client that leaves; that has no
-	// deadline.
+	// While the request waits for its answer, net/http reads on to detect a disconnect. That read
+	// has no deadline.
 	_ = controller.SetReadDeadline(time.Time{})
 	if err != nil {
 		return nil, &front.RequestError{Status: http.StatusBadRequest, Reason: "the body broke off"}
@@ -68,16 +68,16 @@
 	return body.Bytes(), nil
 }
 
-// hopByHopFields are the fields that concern one connection (RFC 9110, section 7.6.1) or the
-// framing.
+// hopByHopFields are the names of the fields that concern a single connection (RFC 9110, section
+// 7.6.1) or the framing of the message.
 var hopByHopFields = [...]string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// forwardedHeader returns the fields of a request that are forwarded: all but those that concern
-// the connection, and the replacements instead of the client's fields of their names. It takes the
-// others out of h.
+// forwardedHeader returns the fields of a request that are forwarded: all fields but those that
+// concern the connection, with replacements in place of the client's fields of the same names. It
+// deletes the fields that are not forwarded from h.
 func forwardedHeader(h http.Header, replacements []core.HeaderField) []core.HeaderField {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
--- a/internal/front/http1/response.go
+++ b/internal/front/http1/response.go
@@ -9,15 +9,15 @@
 	"fernlanding/internal/front"
 )
 
-// errorLinger is how long what an invalid request's client still sends is read, so that it can read
-// its error.
-const errorLinger = 500 * time.Millisecond
+// errorLingerTimeout is how long the front reads what the client of an invalid request still sends,
+// so that the client can read its error response.
+const errorLingerTimeout = 500 * time.Millisecond
 
-// writeError answers a request that is not forwarded. The connection ends: what follows may not be
-// the next request.
+// writeError responds to a request that is not forwarded. The connection closes afterwards, because
+// the bytes that follow may not be the next request.
 func (f *Front) writeError(w http.ResponseWriter, reqErr *front.RequestError) {
-	// net/http reads the rest of a body before the connection ends; it may never come.
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(errorLinger))
+	// net/http reads the rest of a body before it closes the connection. The rest may never arrive.
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(errorLingerTimeout))
 	if reqErr.Allow != "" {
 		w.Header().Set("Allow", reqErr.Allow)
 	}
@@ -28,11 +28,11 @@
 	}, reqErr.RetryAfter, true)
 }
 
-// writeAnswer writes a pool's answer and releases its response.
+// writeAnswer writes the answer of a pool and releases its response.
 func (f *Front) writeAnswer(w http.ResponseWriter, answer core.Answer) {
 	defer answer.Response.Close()
 	if answer.Verdict == core.Canceled {
-		panic(http.ErrAbortHandler) // a return would answer 200
+		panic(http.ErrAbortHandler) // a return would send a response with status 200
 	}
 	resp := answer.Response
 	if resp == nil {
@@ -42,7 +42,7 @@
 	f.writeResponse(w, resp, retryAfter, answer.Verdict == core.Rejected)
 }
 
-// verdictStatus returns the status for a verdict that comes without a backend's response.
+// verdictStatus returns the status for a verdict without a response from a backend.
 func verdictStatus(v core.Verdict) int {
 	switch v {
 	case core.Shed, core.NotAdmitted:
@@ -56,18 +56,18 @@
 	}
 }
 
-// writeResponse writes a response, with a Retry-After if that is more than 0. With last, or during
-// the drain, the connection ends with it.
+// writeResponse writes a response, with Retry-After if retryAfter is more than 0. The connection
+// closes after the response if last is set or the front is closing its connections.
 func (f *Front) writeResponse(w http.ResponseWriter, resp *core.Response, retryAfter time.Duration, last bool) {
 	h := w.Header()
-	h["Content-Type"] = nil // net/http is not to guess one
+	h["Content-Type"] = nil // prevents net/http from guessing one
 	for _, field := range resp.Header {
 		h[field.Name] = append(h[field.Name], field.Value)
 	}
 	if last || f.closing.Load() {
 		h["Connection"] = []string{"close"}
 	}
-	// A response to HEAD gives the length of a body that it lacks.
+	// A response to HEAD gives the length of a body that it does not have.
 	if statusAllowsBody(resp.StatusCode) && h["Content-Length"] == nil {
 		h["Content-Length"] = []string{strconv.Itoa(len(resp.Body))}
 	}
@@ -76,7 +76,7 @@
 	}
 	w.WriteHeader(resp.StatusCode)
 	if len(resp.Body) > 0 {
-		_, _ = w.Write(resp.Body) // a client that has left is no error
+		_, _ = w.Write(resp.Body) // a client that has disconnected is not an error
 	}
 }
 
--- a/internal/front/http1/tracker.go
+++ b/internal/front/http1/tracker.go
@@ -10,49 +10,51 @@
 )
 
 const (
-	// silentGrace is how old a connection that has never carried a request has to be to be evicted
-	// first: a younger one may be a client's that is about to send.
-	silentGrace = 250 * time.Millisecond
+	// silentGracePeriod is the age that a connection without any request so far has to exceed to be
+	// evicted before idle connections. The client of a younger connection may be about to send.
+	silentGracePeriod = 250 * time.Millisecond
 
-	// recentRead is how lately a part of a head has to have come for its rest to be waited for.
-	recentRead = 100 * time.Millisecond
+	// recentReadWindow is how recently part of a head has to have arrived for the front to wait for
+	// the rest.
+	recentReadWindow = 100 * time.Millisecond
 )
 
-// Quota is the clients' part of the process's file descriptors.
-type Quota interface {
-	// Acquire takes a descriptor and reports whether there was room, or others could make some.
+// DescriptorQuota is the clients' share of the process's file descriptors.
+type DescriptorQuota interface {
+	// Acquire takes a descriptor and reports whether one was available or could be made available.
 	Acquire() bool
 	// Release gives a descriptor back.
 	Release()
 }
 
-// connTracker accepts the connections of clients and knows which of them carry a request. It goes
-// on accepting at the limit: were the others left in the kernel, connections without a request
-// would shut out those with one. The connection that has been silent or idle longest makes room;
-// where all carry requests, the new one is closed at once.
+// connTracker accepts the connections of clients and tracks which of them carry a request. It
+// accepts connections at the limit too: if the others stayed in the kernel, connections without a
+// request would block connections with a request. To make room, connTracker closes the connection
+// that has been silent or idle longest. If all connections carry requests, it closes the new
+// connection at once.
 type connTracker struct {
 	net.Listener
-	quota Quota // of open connections
+	quota DescriptorQuota // limit of open connections
 
 	pendingWanted atomic.Bool // acceptPending waits for the next connection
-	pendingFound  chan bool   // whether there was one
+	pendingFound  chan bool   // reports whether there was one
 
 	mu     sync.Mutex
 	conns  map[net.Conn]*clientConn
-	silent *list.List // of *clientConn that have never carried a request, the oldest first
-	idle   *list.List // of *clientConn between two requests, the one that has been idle longest first
+	silent *list.List // of *clientConn that have never carried a request, oldest first
+	idle   *list.List // of *clientConn between two requests, longest idle first
 }
 
 // newConnTracker returns a connTracker that accepts from a listener.
-func newConnTracker(l net.Listener, quota Quota) *connTracker {
+func newConnTracker(l net.Listener, quota DescriptorQuota) *connTracker {
 	return &connTracker{
 		Listener: l, quota: quota, pendingFound: make(chan bool, 1),
 		conns: map[net.Conn]*clientConn{}, silent: list.New(), idle: list.New(),
 	}
 }
 
-// onStateChange follows what net/http makes of a connection. A request is open from StateActive,
-// when its head has been read, to StateIdle, when its response has been written.
+// onStateChange handles the states that net/http reports for a connection. A request is open from
+// StateActive, when its head has been read, to StateIdle, when its response has been written.
 func (t *connTracker) onStateChange(netConn net.Conn, state http.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -61,49 +63,49 @@
 		return // evicted
 	}
 	switch state {
-	case http.StateNew: // admit has listed it
+	case http.StateNew: // admit has added the connection
 	case http.StateActive:
 		c.beginRequest()
-		t.enlist(c, nil)
+		t.moveTo(c, nil)
 	case http.StateIdle:
 		c.endRequest()
-		t.enlist(c, t.idle)
+		t.moveTo(c, t.idle)
 	case http.StateClosed, http.StateHijacked:
 		t.remove(c)
 	}
 }
 
-// enlist puts a connection that carries no request at the end of a list; nil takes it out of its
-// list. The caller holds mu.
-func (t *connTracker) enlist(c *clientConn, in *list.List) {
+// moveTo moves a connection that carries no request to the end of a list. If the list is nil, the
+// connection is only taken out of its present list. The caller holds mu.
+func (t *connTracker) moveTo(c *clientConn, in *list.List) {
 	if c.list != nil {
 		c.list.Remove(c.element)
 	}
 	c.list = in
 	if in != nil {
-		c.enlistedAt, c.element = time.Now(), in.PushBack(c)
+		c.listedAt, c.element = time.Now(), in.PushBack(c)
 	}
 }
 
-// remove forgets a connection and releases its descriptor. The caller holds mu.
+// remove stops tracking a connection and releases its descriptor. The caller holds mu.
 func (t *connTracker) remove(c *clientConn) {
-	t.enlist(c, nil)
+	t.moveTo(c, nil)
 	delete(t.conns, c)
 	t.quota.Release()
 }
 
-// removeAndClose forgets a connection and closes it. The caller holds mu.
+// removeAndClose stops tracking a connection and closes it. The caller holds mu.
 func (t *connTracker) removeAndClose(c *clientConn) {
 	t.remove(c)
-	_ = c.Close() // nothing on it is still wanted
+	_ = c.Close() // the error does not matter: the connection is no longer used
 }
 
-// evict closes one connection that carries no request and reports whether there was one: the oldest
-// silent one unless that is within silentGrace, then the one that has been idle longest, then the
-// oldest silent one after all. The caller holds mu.
+// evict closes one connection that carries no request and reports whether there was one. It tries
+// the oldest silent connections if the oldest is older than silentGracePeriod, then the connections
+// that have been idle longest, then the oldest silent connections of any age. The caller holds mu.
 func (t *connTracker) evict() bool {
 	now := time.Now()
-	if oldest := t.silent.Front(); oldest != nil && now.Sub(connOf(oldest).enlistedAt) > silentGrace {
+	if oldest := t.silent.Front(); oldest != nil && now.Sub(connOf(oldest).listedAt) > silentGracePeriod {
 		if t.evictFrom(t.silent, now) {
 			return true
 		}
@@ -111,12 +113,13 @@
 	return t.evictFrom(t.idle, now) || t.evictFrom(t.silent, now)
 }
 
-// evictFrom closes the first connection of a list on which no request has come, nor a part of one
-// just now: closing that would lose it. The caller holds mu.
+// evictFrom closes the first connection of a list on which no request has arrived, nor part of one
+// within recentReadWindow: closing a connection with a request would lose the request. The caller
+// holds mu.
 func (t *connTracker) evictFrom(from *list.List, now time.Time) bool {
 	for element := from.Front(); element != nil; element = element.Next() {
 		c := connOf(element)
-		if c.stopReadingIfQuiet(now.Add(-recentRead)) {
+		if c.stopReadingIfIdle(now.Add(-recentReadWindow)) {
 			t.removeAndClose(c)
 			return true
 		}
@@ -124,20 +127,20 @@
 	return false
 }
 
-// connOf returns the connection in a list's element: the lists hold nothing else.
+// connOf returns the connection in a list element. The lists hold nothing else.
 func connOf(element *list.Element) *clientConn {
 	c, _ := element.Value.(*clientConn)
 	return c
 }
 
-// count returns how many connections are open.
+// count returns the number of open connections.
 func (t *connTracker) count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.conns)
 }
 
-// clientConnections returns how many connections have carried a request, and how many of them are
+// clientConnections returns how many connections have carried a request and how many of these are
 // idle.
 func (t *connTracker) clientConnections() (all, idle int) {
 	t.mu.Lock()
@@ -145,23 +148,24 @@
 	return len(t.conns) - t.silent.Len(), t.idle.Len()
 }
 
-// closeIdle closes the connections that carry no request and returns how many others there are. One
-// that is silent and younger than minAge, or on which something has come that has not been
-// answered, is left alone: closing it would lose a request.
+// closeIdle closes the connections that carry no request and returns how many connections remain.
+// It keeps a silent connection that is younger than minAge, and a connection on which bytes have
+// arrived that have not been answered, because closing it would lose a request.
 func (t *connTracker) closeIdle(minAge time.Duration) (remaining int) {
 	return t.closeIf(func(c *clientConn) bool {
-		mayClose := c.list == t.idle || c.list == t.silent && time.Since(c.enlistedAt) > minAge
-		return mayClose && c.stopReadingIfQuiet(time.Time{})
+		mayClose := c.list == t.idle || c.list == t.silent && time.Since(c.listedAt) > minAge
+		return mayClose && c.stopReadingIfIdle(time.Time{})
 	})
 }
 
-// closeQuiet is closeIdle at the end of the drain: connections with a part of a head are closed
-// too.
-func (t *connTracker) closeQuiet() (remaining int) {
-	return t.closeIf(func(c *clientConn) bool { return c.list != nil && c.stopReadingIfQuiet(time.Now()) })
+// closeIdleOrPartial closes the connections that carry no request at the end of the drain and
+// returns how many connections remain. In contrast to closeIdle, it also closes young silent
+// connections and connections on which only part of a head has arrived.
+func (t *connTracker) closeIdleOrPartial() (remaining int) {
+	return t.closeIf(func(c *clientConn) bool { return c.list != nil && c.stopReadingIfIdle(time.Now()) })
 }
 
-// closeIf closes the connections that may be closed and returns how many others there are.
+// closeIf closes the connections that mayClose accepts and returns how many connections remain.
 func (t *connTracker) closeIf(mayClose func(*clientConn) bool) (remaining int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/sidecar/allocator.go
+++ b/internal/sidecar/allocator.go
@@ -132,8 +132,8 @@
 // Release counts a connection out.
 func (q descriptorQuota) Release() { q.allocator.release(q.party, 1) }
 
-// Overdrawn reports whether idle connections have to be closed.
-func (q descriptorQuota) Overdrawn() bool { return q.allocator.isOverdrawn(q.party) }
+// OverFairShare reports whether idle connections have to be closed.
+func (q descriptorQuota) OverFairShare() bool { return q.allocator.isOverdrawn(q.party) }
 
 // memoryQuota is a service's quota of the process's memory for bodies, in bytes.
 type memoryQuota struct {
--- a/internal/sidecar/service.go
+++ b/internal/sidecar/service.go
@@ -103,13 +103,13 @@
 // upstreamConfig returns the configuration of a service's upstream.
 func upstreamConfig(cfg *config.Service, shared *sharedResources) upstream.Config {
 	upstreamCfg := upstream.Config{
-		DialTimeout:     cfg.DialTimeout,
-		IdleClose:       cfg.IdleTimeout,
-		ReuseDelay:      upstream.UntrustedReuseDelay,
-		Quota:           descriptorQuota{allocator: shared.descriptors, party: cfg.Name},
-		MaxResponse:     cfg.MaxResponse,
-		PassAllStatuses: cfg.PassAllStatuses,
-		LimitDials:      shared.sharedListService,
+		DialTimeout:        cfg.DialTimeout,
+		BackendIdleTimeout: cfg.IdleTimeout,
+		ReuseDelay:         upstream.UntrustedReuseDelay,
+		Quota:              descriptorQuota{allocator: shared.descriptors, party: cfg.Name},
+		MaxResponse:        cfg.MaxResponse,
+		PassAllStatuses:    cfg.PassAllStatuses,
+		LimitDials:         shared.sharedListService,
 		IsNonIdempotent: func(class int) bool {
 			return cfg.Balancer.Classes[class].Idempotency == logic.NonIdempotent
 		},
@@ -119,11 +119,11 @@
 	}
 	if shared.memory != nil {
 		upstreamCfg.Memory = memoryQuota{allocator: shared.memory, party: cfg.Name}
-		upstreamCfg.UncountedBody = uncountedBody
+		upstreamCfg.MaxUncountedBody = uncountedBody
 		upstreamCfg.HoldUntilRelease = true
 	} else {
 		upstreamCfg.Memory = make(bodySlots, max(minLargeBodies, int(shared.memoryMB)/mbPerLargeBody))
-		upstreamCfg.UncountedBody = platformUncountedBody
+		upstreamCfg.MaxUncountedBody = platformUncountedBody
 	}
 	return upstreamCfg
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,4 @@
-// Package socket asks the kernel about sockets what package net does not tell.
+// Package socket asks the kernel for the state of sockets that package net does not report.
 package socket
 
 import (
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// IsIdle reports whether a connection is open with nothing to read. A peer that has closed an idle
-// connection, or that sends what nobody asked for, shows here without waiting. It returns false for
-// a connection that is not a socket.
+// IsIdle reports, without waiting, whether a connection is open with nothing to read. It returns
+// false if the peer has closed the connection or has sent bytes that are not read yet, and for a
+// connection that is not a socket.
 func IsIdle(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -20,12 +20,12 @@
 		return false
 	}
 	idle := false
-	// Control, not Read: Read waits for any other reader, and the server always has one on an idle
-	// client.
+	// Control is used because Read waits for any other reader, and the server always has a reader
+	// on an idle client connection.
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		idle = errors.Is(err, syscall.EAGAIN) // the end of the stream is no error, nor is a byte
+		idle = errors.Is(err, syscall.EAGAIN) // the error is nil at the end of the stream and for a byte
 	})
 	return err == nil && idle
 }
--- a/internal/upstream/http1/body.go
+++ b/internal/upstream/http1/body.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	maxTrailer   = 4 << 10  // bytes of the trailer section behind the chunks
-	bodyPartSize = 64 << 10 // bytes of a large body that are waited for at a time; also the most of a chunked one
+	maxTrailer   = 4 << 10  // bytes of the trailer section after the chunks
+	bodyPartSize = 64 << 10 // bytes of a large body per responseStallTimeout; also the limit of a chunked body
 )
 
 // readBody reads the body that a head announces into the response.
@@ -26,23 +26,23 @@
 		resp.Header = append(resp.Header, core.HeaderField{Name: "Content-Length", Value: length})
 		return nil
 	case a.Method == http.MethodHead || h.statusCode == http.StatusNoContent || h.statusCode == http.StatusNotModified:
-		return nil // RFC 9112, section 6.3
+		return nil // no body (RFC 9112, section 6.3)
 	case h.contentLength > cfg.MaxResponse:
 		return errResponseTooLarge
-	case h.contentLength > cfg.UncountedBody:
+	case h.contentLength > cfg.MaxUncountedBody:
 		return rt.readLargeBody(a, c, h.contentLength, resp)
 	case h.contentLength >= 0:
 		return readSmallBody(a, c, h.contentLength, resp)
 	case h.chunked:
 		return rt.readChunkedBody(a, c, resp)
 	}
-	return errUnknownLength // its end would look the same as a break
+	return errNoFraming // the end of the body could not be told from a broken connection
 }
 
 // readSmallBody reads a body that is not counted in Memory.
 func readSmallBody(a *core.Attempt, c *conn, length int64, resp *core.Response) error {
 	if int64(c.reader.Buffered()) < length {
-		if err := c.extendDeadline(a, time.Now().Add(responseStall)); err != nil {
+		if err := c.extendDeadline(a, time.Now().Add(responseStallTimeout)); err != nil {
 			return err
 		}
 	}
@@ -51,8 +51,8 @@
 	return err
 }
 
-// readLargeBody reads a body for which memory is reserved first. Each part of it may take as long
-// as a small body.
+// readLargeBody reads a body for which memory is reserved first. Each part of the body may take as
+// long as a small body.
 func (rt *roundTripper) readLargeBody(a *core.Attempt, c *conn, length int64, resp *core.Response) error {
 	if err := rt.reserveMemory(a, c, length, resp); err != nil {
 		return err
@@ -63,12 +63,12 @@
 	return err
 }
 
-// readParts fills a body part by part, each within responseStall.
+// readParts fills body in parts. Each part has to arrive within responseStallTimeout.
 func readParts(a *core.Attempt, c *conn, body []byte) error {
 	for len(body) > 0 {
 		part := body[:min(len(body), bodyPartSize)]
 		body = body[len(part):]
-		if err := c.extendDeadline(a, time.Now().Add(responseStall)); err != nil {
+		if err := c.extendDeadline(a, time.Now().Add(responseStallTimeout)); err != nil {
 			return err
 		}
 		if _, err := io.ReadFull(c.reader, part); err != nil {
@@ -78,16 +78,16 @@
 	return nil
 }
 
-// readChunkedBody reads a body in the chunked coding. Its length is not known ahead: it counts as
-// the most that is read.
+// readChunkedBody reads a body in the chunked transfer coding. The length of the body is not known
+// in advance, so memory is reserved for the limit.
 func (rt *roundTripper) readChunkedBody(a *core.Attempt, c *conn, resp *core.Response) error {
 	limit := min(rt.upstream.cfg.MaxResponse, bodyPartSize)
-	if limit > rt.upstream.cfg.UncountedBody {
+	if limit > rt.upstream.cfg.MaxUncountedBody {
 		if err := rt.reserveMemory(a, c, limit, resp); err != nil {
 			return err
 		}
 	}
-	if err := c.extendDeadline(a, time.Now().Add(responseStall)); err != nil {
+	if err := c.extendDeadline(a, time.Now().Add(responseStallTimeout)); err != nil {
 		resp.Close()
 		return err
 	}
@@ -97,7 +97,7 @@
 	return err
 }
 
-// readChunks reads chunks of at most limit bytes together, and the trailer section.
+// readChunks reads chunks of at most limit bytes in total, and the trailer section.
 func readChunks(r *bufio.Reader, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(httputil.NewChunkedReader(r), limit+1))
 	if err != nil {
@@ -109,7 +109,8 @@
 	return body, skipTrailer(r)
 }
 
-// skipTrailer reads over the trailer section: fields that nobody asked for, and an empty line.
+// skipTrailer discards the trailer section, which consists of fields that are not forwarded and an
+// empty line.
 func skipTrailer(r *bufio.Reader) error {
 	for n := 0; n <= maxTrailer; {
 		line, err := r.ReadSlice('\n')
@@ -127,7 +128,8 @@
 	return errTrailerTooLarge
 }
 
-// reserveMemory waits for memory until the attempt ends. The response's Release gives it back.
+// reserveMemory waits for memory until the attempt ends. The Release of the response gives the
+// memory back.
 func (rt *roundTripper) reserveMemory(a *core.Attempt, c *conn, n int64, resp *core.Response) error {
 	memory := rt.upstream.cfg.Memory
 	ctx, release := a.Context()
@@ -136,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	if !a.SetCanceler(c) { // Context has taken its place
+	if !a.SetCanceler(c) { // Context replaced c as the canceler
 		memory.Release(n)
 		return context.Canceled
 	}
@@ -144,8 +146,9 @@
 	return nil
 }
 
-// releaseAfterRead gives a body's memory back once it has been read, unless it is to be held until
-// the response's Release. After an error it is always given back.
+// releaseAfterRead gives the memory of a body back once the body has been read, unless
+// HoldUntilRelease keeps the memory until the response's Release. After an error, the memory is
+// always given back.
 func (rt *roundTripper) releaseAfterRead(resp *core.Response, readErr error) {
 	if readErr != nil || !rt.upstream.cfg.HoldUntilRelease {
 		resp.Close()
--- a/internal/upstream/http1/connpool.go
+++ b/internal/upstream/http1/connpool.go
@@ -11,42 +11,42 @@
 	"fernlanding/internal/socket"
 )
 
-// conn is a connection to a backend; it carries one request at a time.
+// conn is a connection to a backend. It carries one request at a time.
 type conn struct {
 	net.Conn
-	raw       syscall.RawConn // nil: the connection has none
-	reader    *bufio.Reader
-	out       []byte // buffer for the next request
-	endpoint  *endpoint
-	epoch     int // of the endpoint when the connection was opened
-	idleSince time.Time
-	responded bool // a first byte has been read since the present request was sent
+	raw        syscall.RawConn // nil if the connection has none
+	reader     *bufio.Reader
+	requestBuf []byte // buffer for the next request
+	endpoint   *endpoint
+	epoch      int // epoch of the endpoint when the connection was opened
+	idleSince  time.Time
+	responded  bool // a byte has been read since the current request was sent
 }
 
-// Cancel implements core.Canceler: reads and writes on the connection end, and it is then closed,
-// never reused.
+// Cancel implements core.Canceler. It ends reads and writes on the connection, which is then closed
+// and never reused.
 func (c *conn) Cancel() { c.setDeadline(time.Unix(1, 0)) }
 
-// setDeadline bounds reads and writes. Its error is of no interest: it says that the connection is
-// closed, which the next read or write says too.
+// setDeadline bounds reads and writes. It ignores the error, which means that the connection is
+// closed: the next read or write reports that too.
 func (c *conn) setDeadline(t time.Time) { _ = c.SetDeadline(t) }
 
-// extendDeadline gives reads on the connection until t, within the attempt's deadline, unless the
-// attempt has been canceled.
+// extendDeadline sets the deadline of the connection to t, or to the attempt's deadline if that is
+// earlier. It returns errCanceled if the attempt has been canceled.
 func (c *conn) extendDeadline(a *core.Attempt, t time.Time) error {
 	if a.Deadline.Before(t) {
 		t = a.Deadline
 	}
 	c.setDeadline(t)
-	if a.Canceled() { // its Cancel may have come before the deadline was set anew
+	if a.Canceled() { // Cancel may have set its deadline just before this one replaced it
 		return errCanceled
 	}
 	return nil
 }
 
-// takeIdle takes the most recently used idle connection whose reuse delay is over and on which
-// nothing has come since. It returns nil if there is none, or if the endpoint is no longer in that
-// epoch.
+// takeIdle takes the most recently used idle connection whose reuse delay has passed and on which
+// nothing has arrived since its last response. It returns nil if there is none, or if epoch is no
+// longer the endpoint's epoch.
 func (u *Upstream) takeIdle(e *endpoint, epoch int) *conn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -68,18 +68,19 @@
 	return nil
 }
 
-// isReusable reports whether an idle connection's time is not over and its peer has neither closed
-// it nor sent more.
+// isReusable reports whether an idle connection is within maxIdle and its peer has neither closed
+// it nor sent anything.
 func (u *Upstream) isReusable(c *conn, now time.Time) bool {
 	return now.Sub(c.idleSince) < u.maxIdle && socket.IsIdle(c.Conn)
 }
 
-// putIdle keeps a connection for reuse, unless its endpoint has changed since it was opened.
+// putIdle keeps a connection for reuse. It closes the connection instead if the endpoint has
+// changed since the connection was opened, or if idle connections have to be closed.
 func (u *Upstream) putIdle(c *conn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	e := c.endpoint
-	if e.epoch != c.epoch || !e.ready || u.cfg.Quota.Overdrawn() {
+	if e.epoch != c.epoch || !e.ready || u.cfg.Quota.OverFairShare() {
 		u.closeLocked(c)
 		return
 	}
@@ -97,8 +98,8 @@
 
 // closeLocked closes a connection and releases its descriptor. The caller holds mu.
 func (u *Upstream) closeLocked(c *conn) {
-	_ = c.Close() // nothing on it is still wanted
-	u.open--
+	_ = c.Close() // the error does not matter: the connection is no longer used
+	u.openConns--
 	u.cfg.Quota.Release()
 }
 
@@ -121,8 +122,8 @@
 	return true
 }
 
-// CloseExpired implements core.Upstream: it closes the idle connections whose time is over or whose
-// peer has closed them.
+// CloseExpired implements core.Upstream. It closes the idle connections that have reached maxIdle
+// or whose peer has closed them.
 func (u *Upstream) CloseExpired(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -140,23 +141,23 @@
 	}
 }
 
-// requiresNewConn reports whether a request of a class is to have a connection of its own. A kept
-// one may have been closed by its peer, or by something between, with no sign of it: that shows
-// only under the next request, which may have run (RFC 9112, section 9.3.1). Where that has
-// happened lately, non-idempotent requests go over new connections, which costs a handshake and not
-// the request.
+// requiresNewConn reports whether a request of a class needs a new connection. The peer of an idle
+// connection, or a middlebox, may have closed it without a sign that this process can see. That
+// shows only under the next request, which may have run (RFC 9112, section 9.3.1). For
+// newConnWindow after such a failure, non-idempotent requests use new connections, which costs a
+// handshake instead of a lost request.
 func (u *Upstream) requiresNewConn(class int) bool {
 	if u.cfg.IsNonIdempotent == nil || !u.cfg.IsNonIdempotent(class) {
 		return false
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return !u.lastBreak.IsZero() && time.Since(u.lastBreak) < u.newConnWindow
+	return !u.lastReuseFailure.IsZero() && time.Since(u.lastReuseFailure) < u.newConnWindow
 }
 
-// recordBreak notes that a kept connection broke under a request, before any response.
-func (u *Upstream) recordBreak() {
+// recordReuseFailure records that a reused connection failed under a request before any response.
+func (u *Upstream) recordReuseFailure() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.lastBreak = time.Now()
+	u.lastReuseFailure = time.Now()
 }
--- a/internal/upstream/http1/connpool_test.go
+++ b/internal/upstream/http1/connpool_test.go
@@ -12,34 +12,34 @@
 	"fernlanding/logic"
 )
 
-// The peer closes a kept connection; http.Transport would send a request that ran into it a second
-// time.
+// A backend may close an idle connection. http.Transport would send a request that runs into the
+// close a second time.
 func TestConnectionClosedByPeerIsNotReused(t *testing.T) {
-	b := backendtest.Start(t, backendtest.Says(served, false)) // promises to stay, then closes
+	b := backendtest.Start(t, backendtest.Says(served, false)) // closes without a Connection: close
 	u := newUpstream(4, b.Addr)
 	for n := range 3 {
 		if res := newAttempt(u, "a", waitLimit).run(); res.Status != logic.OK {
-			t.Fatalf("attempt %d: got %v", n, res.Status)
+			t.Fatalf("attempt %d: got %v, want %v", n, res.Status, logic.OK)
 		}
 		receive(t, "close", b.Closed)
-		waitUntil(t, func() bool { // the close has reached this end
+		waitUntil(t, func() bool { // until the close has arrived
 			u.mu.Lock()
 			defer u.mu.Unlock()
 			return !socket.IsIdle(u.endpoints["a"].idle[0].Conn)
 		})
 	}
 	if b.Requests.Load() != 3 || b.Conns.Load() != 3 {
-		t.Errorf("%d requests on %d connections", b.Requests.Load(), b.Conns.Load())
+		t.Errorf("got %d requests on %d connections, want 3 on 3", b.Requests.Load(), b.Conns.Load())
 	}
 	u.CloseExpired(time.Now())
-	if u.open != 0 {
-		t.Errorf("%d connections open after CloseExpired", u.open)
+	if u.openConns != 0 {
+		t.Errorf("%d connections open after CloseExpired, want 0", u.openConns)
 	}
 }
 
-// Where connections are cut while they are idle, and only the next request shows it, each one lost
-// a non-idempotent request: every fifth of them on such a day.
-func TestNonIdempotentRequestsAvoidKeptConnectionsAfterBreak(t *testing.T) {
+// If connections are cut while they are idle, and only the next request shows it, each cut would
+// lose a non-idempotent request: every fifth such request was lost on days with such cuts.
+func TestNonIdempotentRequestsAvoidReusedConnectionsAfterFailure(t *testing.T) {
 	var mu sync.Mutex
 	seen := map[io.Writer]int{}
 	reply := func(w io.Writer, _ *http.Request, _ int) bool {
@@ -50,13 +50,13 @@
 		if first {
 			_, _ = io.WriteString(w, served)
 		}
-		return first // the second request on a connection finds it cut
+		return first // the connection is cut at its second request
 	}
 	b := backendtest.Start(t, reply)
 	u := newUpstream(4, b.Addr)
 	u.cfg.IsNonIdempotent = func(class int) bool { return class == 1 }
 	run := func(class int) logic.Status {
-		endReuseDelay(u)
+		expireReuseDelay(u)
 		a := newAttempt(u, "a", waitLimit)
 		a.Class = class
 		return a.run().Status
@@ -68,17 +68,17 @@
 		}
 	}
 	if lost != 1 {
-		t.Errorf("%d of 20 non-idempotent requests were lost", lost)
+		t.Errorf("%d of 20 non-idempotent requests lost, want 1", lost)
 	}
 	if s := u.Stats(); s.Open != 0 {
-		t.Errorf("%d connections are kept that nobody will use", s.Open)
+		t.Errorf("%d connections open that no request will use, want 0", s.Open)
 	}
 	if first, second := run(0), run(0); first != logic.OK || second != logic.Reset {
-		t.Errorf("an idempotent request does not keep its connection: %v, %v", first, second)
+		t.Errorf("idempotent requests: got %v and %v, want OK and Reset on one connection", first, second)
 	}
-	u.newConnWindow = 0 // the time is over: kept connections are used again
+	u.newConnWindow = 0 // ends the window: connections are reused again
 	if first, second := run(1), run(1); first != logic.OK || second != logic.Reset {
-		t.Errorf("later: %v, %v", first, second)
+		t.Errorf("non-idempotent requests after the window: got %v and %v, want OK and Reset", first, second)
 	}
 }
 
@@ -96,35 +96,35 @@
 	}
 	u.putIdle(conns[0])
 	u.putIdle(conns[1])
-	endReuseDelay(u)
+	expireReuseDelay(u)
 	u.putIdle(conns[2])
 	if c := u.takeIdle(e, e.epoch); c != conns[1] {
-		t.Error("not the most recently used one whose reuse delay is over")
+		t.Error("did not take the most recently used connection whose reuse delay has passed")
 	}
 	u.putIdle(conns[1])
 	u.CloseExpired(time.Now().Add(u.maxIdle))
-	if len(e.idle) != 0 || u.open != 0 {
-		t.Errorf("%d idle, %d open", len(e.idle), u.open)
+	if len(e.idle) != 0 || u.openConns != 0 {
+		t.Errorf("%d connections idle and %d open after maxIdle, want 0", len(e.idle), u.openConns)
 	}
 }
 
-func TestQuotaLimitClosesIdleConnection(t *testing.T) {
+func TestDescriptorLimitClosesIdleConnection(t *testing.T) {
 	quick := backendtest.Start(t, backendtest.Says(served, true))
 	slow := backendtest.Start(t, backendtest.Hang(t))
 	u := newUpstream(1, quick.Addr, slow.Addr)
 	if res := newAttempt(u, "a", waitLimit).run(); res.Status != logic.OK {
-		t.Fatalf("got %v", res.Status)
+		t.Fatalf("got %v, want %v", res.Status, logic.OK)
 	}
 	hanging := newAttempt(u, "b", waitLimit)
 	results := hanging.start()
 	receive(t, "close of the idle connection", quick.Closed)
 	waitUntil(t, func() bool { return slow.Requests.Load() == 1 })
 	if res := newAttempt(u, "a", waitLimit).run(); res.Status != logic.NotSent {
-		t.Errorf("over the limit: got %v", res.Status)
+		t.Errorf("at the limit: got %v, want %v", res.Status, logic.NotSent)
 	}
 	hanging.Cancel()
 	receive(t, "result", results)
 	if res := newAttempt(u, "a", waitLimit).run(); res.Status != logic.OK {
-		t.Errorf("with room again: got %v", res.Status)
+		t.Errorf("below the limit again: got %v, want %v", res.Status, logic.OK)
 	}
 }
--- a/internal/upstream/http1/dial.go
+++ b/internal/upstream/http1/dial.go
@@ -12,10 +12,11 @@
 	"fernlanding/internal/core"
 )
 
-const maxAcquireAttempts = 4 // at a descriptor for which an idle connection has to be closed
+const maxAcquireTries = 4 // to get a descriptor by closing an idle connection
 
-// connect returns a connection for an attempt, and whether it is a kept one: an idle one unless
-// forceNew, or else a new one. With Config.LimitDials it waits for whichever comes first.
+// connect returns a connection for an attempt and whether it is a reused one. It takes an idle
+// connection, unless forceNew is set, and otherwise dials a new one. With Config.LimitDials, it
+// waits for whichever is available first.
 func (rt *roundTripper) connect(a *core.Attempt, forceNew bool) (c *conn, reused bool, err error) {
 	if !forceNew {
 		c = rt.upstream.takeIdle(rt.endpoint, rt.epoch)
@@ -32,8 +33,8 @@
 	return c, false, err
 }
 
-// connectLimited dials once the endpoint's limiter allows it. Until then it takes an idle
-// connection as soon as there is one, unless forceNew.
+// connectLimited dials once the endpoint's dial limiter allows it. Until then, it takes an idle
+// connection as soon as there is one, unless forceNew is set.
 func (rt *roundTripper) connectLimited(ctx context.Context, forceNew bool) (c *conn, reused bool, err error) {
 	for {
 		change, err := rt.beginDial()
@@ -60,8 +61,9 @@
 	}
 }
 
-// beginDial counts a dial in. If none is allowed now it returns a channel that is closed when to
-// try again; while the endpoint is backed off it returns errDialBackoff.
+// beginDial counts a dial with the dial limiter. If no dial is allowed yet, it returns a channel
+// that is closed when the caller has to try again. During the dial backoff of the endpoint, it
+// returns errDialBackoff.
 func (rt *roundTripper) beginDial() (change <-chan struct{}, err error) {
 	u, e := rt.upstream, rt.endpoint
 	u.mu.Lock()
@@ -69,7 +71,7 @@
 	if e.epoch != rt.epoch {
 		return nil, errEndpointChanged
 	}
-	allowed, wait := e.dials.Allow(time.Now())
+	allowed, wait := e.dialLimiter.Allow(time.Now())
 	switch {
 	case allowed:
 		return nil, nil
@@ -82,20 +84,20 @@
 	return e.connChange, nil
 }
 
-// endDial counts a dial out that ended with dialErr. A dial whose attempt ended first, or for which
-// there was no descriptor, says nothing of the endpoint.
+// endDial tells the dial limiter that a dial has ended with dialErr. A dial whose attempt ended
+// first, or for which there was no descriptor, is not evidence about the endpoint.
 func (rt *roundTripper) endDial(dialErr error, attemptEnded bool) {
 	u, e := rt.upstream, rt.endpoint
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if e.epoch == rt.epoch {
 		failed := dialErr != nil && !attemptEnded && !errors.Is(dialErr, errNoDescriptor)
-		e.dials.Done(time.Now(), dialErr == nil, failed)
+		e.dialLimiter.Done(time.Now(), dialErr == nil, failed)
 	}
 	e.notifyWaiters()
 }
 
-// dial opens a connection within the dial timeout and the context's time.
+// dial opens a connection within the dial timeout and the context's deadline.
 func (u *Upstream) dial(ctx context.Context, e *endpoint, addr string, epoch int) (*conn, error) {
 	if !u.acquireDescriptor() {
 		return nil, errNoDescriptor
@@ -106,7 +108,7 @@
 		e.unreachable = err != nil && ctx.Err() == nil
 	}
 	if err != nil {
-		u.open--
+		u.openConns--
 	}
 	u.mu.Unlock()
 	if err != nil {
@@ -117,7 +119,7 @@
 	return &conn{Conn: netConn, raw: raw, reader: reader, endpoint: e, epoch: epoch}, nil
 }
 
-// dialRaw opens a connection. The raw connection is nil if it has none.
+// dialRaw opens a connection and returns its raw connection, which is nil if there is none.
 func (u *Upstream) dialRaw(ctx context.Context, addr string) (net.Conn, syscall.RawConn, error) {
 	netConn, err := u.dialer(ctx, "tcp", addr)
 	if err != nil {
@@ -129,19 +131,19 @@
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
-		_ = netConn.Close() // the error that counts is the one above
+		_ = netConn.Close() // the error of SyscallConn is returned
 		return nil, nil, err
 	}
 	return netConn, raw, nil
 }
 
-// acquireDescriptor counts a connection in. At the limit the one that has been idle longest makes
-// room.
+// acquireDescriptor takes a descriptor for a new connection and counts the connection as open. At
+// the limit, it closes the connection that has been idle longest to make room.
 func (u *Upstream) acquireDescriptor() bool {
-	for range maxAcquireAttempts {
+	for range maxAcquireTries {
 		if u.cfg.Quota.Acquire() {
 			u.mu.Lock()
-			u.open++
+			u.openConns++
 			u.mu.Unlock()
 			return true
 		}
--- a/internal/upstream/http1/dial_limit_test.go
+++ b/internal/upstream/http1/dial_limit_test.go
@@ -14,16 +14,16 @@
 	"fernlanding/logic"
 )
 
-// gatedDialer is a dialer whose dials end when they are let.
+// gatedDialer is a dialer whose dials end when the test allows it.
 type gatedDialer struct {
 	mu      sync.Mutex
 	dialing int
-	maxSeen int           // dials at once
-	began   chan struct{} // one for each dial that begins
-	end     chan error    // one for each dial that may end
+	maxSeen int           // largest number of concurrent dials
+	began   chan struct{} // receives a value for each dial that begins
+	end     chan error    // takes a value for each dial that may end
 }
 
-// dial waits for end, and then dials or returns the error that came.
+// dial waits for a value from end, and then dials or returns the error that it received.
 func (d *gatedDialer) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	d.add(1)
 	defer d.add(-1)
@@ -39,7 +39,7 @@
 	return (&net.Dialer{}).DialContext(ctx, network, addr)
 }
 
-// add counts dials in or out.
+// add adds n to the number of dials in progress.
 func (d *gatedDialer) add(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -47,14 +47,15 @@
 	d.maxSeen = max(d.maxSeen, d.dialing)
 }
 
-// newLimitedUpstream returns an upstream with LimitDials and one backend, whose dials the
-// gatedDialer lets end.
+// newLimitedUpstream returns an Upstream with LimitDials and one backend. The gatedDialer controls
+// when dials end.
 func newLimitedUpstream(t *testing.T) (*Upstream, *gatedDialer, *backendtest.Backend) {
 	t.Helper()
 	b := backendtest.Start(t, backendtest.Says(served, true))
 	u := New(Config{
-		DialTimeout: waitLimit, IdleClose: 40 * time.Second, Quota: &fixedQuota{max: 100}, Memory: make(slotMemory, 1),
-		MaxResponse: maxResponse, UncountedBody: uncountedBody, LimitDials: true,
+		DialTimeout: waitLimit, BackendIdleTimeout: 40 * time.Second,
+		Quota: &fixedQuota{max: 100}, Memory: make(slotMemory, 1),
+		MaxResponse: maxResponse, MaxUncountedBody: uncountedBody, LimitDials: true,
 	})
 	d := &gatedDialer{began: make(chan struct{}, 100), end: make(chan error, 100)}
 	u.dialer = d.dial
@@ -63,17 +64,17 @@
 	return u, d, b
 }
 
-// startGet carries one request in the background.
+// startGet sends one request in the background.
 func startGet(u *Upstream, timeout time.Duration) <-chan core.AttemptResult {
 	request := &core.Request{Method: "GET", Target: "/"}
 	return testAttempt{core.NewAttempt(request, time.Now().Add(timeout)), u.RoundTripper("a")}.start()
 }
 
-// Twenty requests for an unproven backend open two connections, and those that wait take what the
-// first ones leave.
+// Twenty requests to a backend without established connections dial two connections. The other
+// requests wait and reuse the connections of the first ones.
 func TestDialsToUnprovenBackendAreLimited(t *testing.T) {
 	u, dialer, b := newLimitedUpstream(t)
-	const requests, dialing = 20, 4 // two at first, twice as many once one has come up
+	const requests, dialing = 20, 4 // two at first, twice as many once a connection is established
 	results := make(chan core.AttemptResult, requests)
 	for range requests {
 		go func(result <-chan core.AttemptResult) { results <- <-result }(startGet(u, waitLimit))
@@ -84,79 +85,79 @@
 	maxSeen := dialer.maxSeen
 	dialer.mu.Unlock()
 	if maxSeen != 2 {
-		t.Errorf("%d dials at once", maxSeen)
+		t.Errorf("%d concurrent dials, want 2", maxSeen)
 	}
 	dialer.end <- nil
-	for range requests - dialing { // all but those whose own dial is under way
-		if res := receive(t, "result over the one connection", results); res.Status != logic.OK {
-			t.Errorf("%v", res.Status)
+	for range requests - dialing { // all requests but those whose own dial is in progress
+		if res := receive(t, "result over the first connection", results); res.Status != logic.OK {
+			t.Errorf("got %v, want %v", res.Status, logic.OK)
 		}
 	}
 	if n := b.Conns.Load(); n != 1 {
-		t.Errorf("%d connections have come up", n)
+		t.Errorf("%d connections established, want 1", n)
 	}
 	for range requests {
 		dialer.end <- nil
 	}
 	for range dialing {
 		if res := receive(t, "result", results); res.Status != logic.OK {
-			t.Errorf("%v", res.Status)
+			t.Errorf("got %v, want %v", res.Status, logic.OK)
 		}
 	}
 }
 
-// After a failed dial, further attempts fail at once until the backoff is over; an update that has
-// the backend restarted ends the backoff.
+// After a failed dial, further attempts fail at once until the backoff ends. An update that reports
+// a restart of the backend ends the backoff.
 func TestDialsBackOffAfterFailure(t *testing.T) {
 	u, dialer, b := newLimitedUpstream(t)
 	dialer.end <- errors.New("no route")
 	if res := receive(t, "result", startGet(u, waitLimit)); res.Status != logic.ConnectFailed {
-		t.Fatalf("%v", res.Status)
+		t.Fatalf("got %v, want %v", res.Status, logic.ConnectFailed)
 	}
-	receive(t, "the dial", dialer.began)
+	receive(t, "dial", dialer.began)
 	if u.Stats().Unreachable != 1 {
-		t.Error("the backend does not count as unreachable")
+		t.Error("backend not counted as unreachable")
 	}
-	for range 3 { // 50 ms of backoff, which doubles: these take none of it
+	for range 3 { // a failed dial would double the backoff of 50 ms; these attempts do not dial
 		if res := receive(t, "result", startGet(u, waitLimit)); res.Status != logic.ConnectFailed {
-			t.Errorf("during the backoff: %v", res.Status)
+			t.Errorf("during the backoff: got %v, want %v", res.Status, logic.ConnectFailed)
 		}
 	}
 	if len(dialer.began) != 0 {
-		t.Skip("the machine was away for the whole backoff")
+		t.Skip("the test was stalled for the whole backoff")
 	}
 	restarted := newEndpoint("a", b.Addr, membership.Serving)
 	restarted.StartedMs = 7
 	u.UpdateEndpoints(false, []membership.Endpoint{restarted})
 	dialer.end <- nil
 	if res := receive(t, "result", startGet(u, waitLimit)); res.Status != logic.OK || u.Stats().Unreachable != 0 {
-		t.Errorf("after the restart: %v", res.Status)
+		t.Errorf("after the restart: got %v, want %v", res.Status, logic.OK)
 	}
 }
 
-// An attempt whose deadline passes while it waits for a connection has proof that it never ran; so
-// has one whose backend drains.
+// An attempt that waits for a connection while its deadline passes, or while its backend drains, is
+// NotSent, which proves that the request never ran.
 func TestWaitForConnectionEndsWithAttempt(t *testing.T) {
 	u, dialer, b := newLimitedUpstream(t)
 	first, second := startGet(u, waitLimit), startGet(u, waitLimit)
 	receive(t, "first dial", dialer.began)
 	receive(t, "second dial", dialer.began)
 	if res := receive(t, "result", startGet(u, 20*time.Millisecond)); res.Status != logic.NotSent {
-		t.Errorf("past its deadline: %v", res.Status)
+		t.Errorf("past the deadline: got %v, want %v", res.Status, logic.NotSent)
 	}
 	third := startGet(u, waitLimit)
 	u.UpdateEndpoints(false, []membership.Endpoint{newEndpoint("a", b.Addr, membership.Draining)})
 	if res := receive(t, "result", third); res.Status != logic.NotSent {
-		t.Errorf("its backend drains: %v", res.Status)
+		t.Errorf("backend draining: got %v, want %v", res.Status, logic.NotSent)
 	}
 	dialer.end <- nil
 	dialer.end <- nil
 	for _, results := range []<-chan core.AttemptResult{first, second} {
 		if res := receive(t, "result", results); res.Status != logic.NotSent {
-			t.Errorf("connected after the drain: %v", res.Status)
+			t.Errorf("connected after the drain: got %v, want %v", res.Status, logic.NotSent)
 		}
 	}
 	if n := b.Requests.Load(); n != 0 {
-		t.Errorf("%d requests after the drain", n)
+		t.Errorf("backend received %d requests after the drain, want 0", n)
 	}
 }
--- a/internal/upstream/http1/dial_test.go
+++ b/internal/upstream/http1/dial_test.go
@@ -22,28 +22,29 @@
 	}
 	u := newUpstream(4, l.Addr().String())
 	if res := newAttempt(u, "a", waitLimit).run(); res.Status != logic.ConnectFailed {
-		t.Errorf("got %v", res.Status)
+		t.Errorf("got %v, want %v", res.Status, logic.ConnectFailed)
 	}
-	if u.open != 0 {
-		t.Errorf("%d connections still counted", u.open)
+	if u.openConns != 0 {
+		t.Errorf("%d connections counted as open, want 0", u.openConns)
 	}
 }
 
 func TestAnyDialErrorIsConnectFailed(t *testing.T) {
 	u := newUpstream(4, "127.0.0.1:1")
 	u.dialer = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("too many open files") }
-	if res := newAttempt(u, "a", waitLimit).run(); res.Status != logic.ConnectFailed || u.open != 0 {
-		t.Errorf("got %v with %d open", res.Status, u.open)
+	if res := newAttempt(u, "a", waitLimit).run(); res.Status != logic.ConnectFailed || u.openConns != 0 {
+		t.Errorf("got %v with %d connections open, want %v with 0", res.Status, u.openConns, logic.ConnectFailed)
 	}
 }
 
-// A dial takes time. Meanwhile the backend may drain or the attempt may end; nothing is sent then.
-func TestNothingIsSentIfAttemptIsOutdatedAfterDial(t *testing.T) {
+// During a dial, the backend may drain, leave or restart, or the attempt may end. Nothing is sent
+// then.
+func TestRequestIsNotSentIfAttemptIsStaleAfterDial(t *testing.T) {
 	for name, meanwhile := range map[string]func(u *Upstream, addr string, a testAttempt){
 		"drained": func(u *Upstream, addr string, _ testAttempt) {
 			u.UpdateEndpoints(false, []membership.Endpoint{newEndpoint("a", addr, membership.Draining)})
 		},
-		"gone": func(u *Upstream, _ string, _ testAttempt) { u.UpdateEndpoints(true, nil) },
+		"removed": func(u *Upstream, _ string, _ testAttempt) { u.UpdateEndpoints(true, nil) },
 		"restarted": func(u *Upstream, addr string, _ testAttempt) {
 			e := newEndpoint("a", addr, membership.Serving)
 			e.StartedMs = 7
@@ -61,12 +62,12 @@
 				return c, err
 			})
 			if res := a.run(); res.Status != logic.NotSent {
-				t.Errorf("got %v", res.Status)
+				t.Errorf("got %v, want %v", res.Status, logic.NotSent)
 			}
-			u.UpdateEndpoints(true, nil) // closes what is idle
+			u.UpdateEndpoints(true, nil) // closes idle connections
 			receive(t, "close", b.Closed)
-			if b.Requests.Load() != 0 || u.open != 0 {
-				t.Errorf("%d requests came, %d connections open", b.Requests.Load(), u.open)
+			if b.Requests.Load() != 0 || u.openConns != 0 {
+				t.Errorf("backend received %d requests, %d connections open, want 0", b.Requests.Load(), u.openConns)
 			}
 		})
 	}
--- a/internal/upstream/http1/endpoint.go
+++ b/internal/upstream/http1/endpoint.go
@@ -8,23 +8,23 @@
 	"fernlanding/internal/start"
 )
 
-// endpoint is one backend as the endpoint list now has it, with the idle connections to it. Its
-// fields are guarded by Upstream.mu.
+// endpoint is a backend as the current endpoint list describes it, with the idle connections to it.
+// Upstream.mu guards its fields.
 type endpoint struct {
 	name    string
 	addr    string
-	started int64 // milliseconds, as the list has it; another value is another incarnation
+	started int64 // start time in milliseconds from the endpoint list; another value means a restart
 	ready   bool
 
-	// epoch goes up when the backend drains, leaves, restarts or moves. It is written under both
-	// Upstream.mu and writeMu and may be read under either.
+	// epoch increases when the backend drains, leaves, restarts or moves. It is written with both
+	// Upstream.mu and writeMu held and may be read with either of them held.
 	epoch   int
-	writeMu sync.RWMutex // read-locked while a request's first write is under way; see roundTripper.beginWrite
+	writeMu sync.RWMutex // read-locked during a request's first write; see roundTripper.beginWrite
 
-	idle        []*conn // the most recently used last
+	idle        []*conn // most recently used last
 	unreachable bool    // the last dial failed
-	dials       start.DialLimiter
-	connChange  chan struct{} // closed when a dial has ended or a connection falls idle; nil: nobody waits for that
+	dialLimiter start.DialLimiter
+	connChange  chan struct{} // closed when a dial ends or a connection becomes idle; nil if no attempt waits
 }
 
 // notifyWaiters wakes the attempts that wait for a connection.
@@ -35,9 +35,10 @@
 	}
 }
 
-// UpdateEndpoints implements core.Upstream. Idle connections to a backend that has restarted,
-// moved, drained or left are closed: nothing new is to be sent there, or the process at their other
-// end is no more.
+// UpdateEndpoints implements core.Upstream. It closes the idle connections to a backend that has
+// restarted, moved, drained or left. No new request may be sent to a backend that has drained or
+// left, and after a restart or move the process at the other end of the connections no longer
+// exists.
 func (u *Upstream) UpdateEndpoints(full bool, entries []membership.Endpoint) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -66,7 +67,7 @@
 	}
 }
 
-// removeUnlisted removes the endpoints that a snapshot lacks. The caller holds mu.
+// removeUnlisted removes the endpoints that are missing from a snapshot. The caller holds mu.
 func (u *Upstream) removeUnlisted(snapshot []membership.Endpoint) {
 	listed := make(map[string]bool, len(snapshot))
 	for _, entry := range snapshot {
@@ -81,14 +82,14 @@
 	}
 }
 
-// advanceEpoch begins a new epoch of an endpoint: attempts chosen in an earlier one send nothing
-// from here on. The caller holds mu.
+// advanceEpoch starts a new epoch of an endpoint. Attempts that selected the endpoint in an earlier
+// epoch send nothing from then on. The caller holds mu.
 func (u *Upstream) advanceEpoch(e *endpoint) {
-	e.writeMu.Lock() // waits for the first writes that have seen the old epoch
+	e.writeMu.Lock() // waits for first writes that have read the old epoch
 	e.epoch++
 	e.writeMu.Unlock()
 	e.unreachable = false
-	e.dials.Reset()
+	e.dialLimiter.Reset()
 	e.notifyWaiters()
 	for _, c := range e.idle {
 		u.closeLocked(c)
@@ -96,7 +97,7 @@
 	e.idle = nil
 }
 
-// isCurrent reports whether an endpoint is still in an epoch.
+// isCurrent reports whether epoch is still the epoch of an endpoint.
 func (u *Upstream) isCurrent(e *endpoint, epoch int) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/upstream/http1/errors.go
+++ b/internal/upstream/http1/errors.go
@@ -5,33 +5,34 @@
 	"fmt"
 )
 
-// errNotSent is the class of the errors after which nothing was sent, and which are no evidence
-// against the backend.
+// errNotSent is wrapped by each error that means that nothing was sent. Such an error is not
+// evidence against the backend.
 var errNotSent = errors.New("not sent")
 
 var (
-	errNoDescriptor    = fmt.Errorf("%w: no file descriptor is left", errNotSent)
-	errEndpointChanged = fmt.Errorf("%w: the endpoint has drained, restarted, moved or left", errNotSent)
-	errSendTooLate     = fmt.Errorf("%w: past the time by which it had to be sent", errNotSent)
-	errAttemptEnded    = fmt.Errorf("%w: the attempt ended while it waited for a connection", errNotSent)
+	errNoDescriptor    = fmt.Errorf("%w: no file descriptor available", errNotSent)
+	errEndpointChanged = fmt.Errorf("%w: endpoint has drained, restarted, moved or been removed", errNotSent)
+	errSendTooLate     = fmt.Errorf("%w: send deadline exceeded", errNotSent)
+	errAttemptEnded    = fmt.Errorf("%w: attempt ended while waiting for a connection", errNotSent)
 )
 
-// errDialBackoff says that dials to the endpoint have failed and that none is made for now.
-var errDialBackoff = errors.New("dials to the endpoint are backed off")
+// errDialBackoff means that dials to the endpoint have failed and that no dial is allowed until the
+// backoff ends.
+var errDialBackoff = errors.New("endpoint is in dial backoff")
 
-// errCanceled says that the attempt has been canceled while its response was read.
+// errCanceled means that the attempt was canceled while its response was being read.
 var errCanceled = errors.New("attempt canceled")
 
-// errResponseTooLarge says that a response's body is longer than Config.MaxResponse.
+// errResponseTooLarge means that a response body exceeds Config.MaxResponse.
 var errResponseTooLarge = errors.New("response body too large")
 
-// What makes a response malformed.
+// Errors of malformed responses.
 var (
-	errMalformedHead        = errors.New("malformed head")
+	errMalformedHead        = errors.New("malformed response head")
 	errMalformedLength      = errors.New("malformed or conflicting Content-Length")
-	errConflictingFraming   = errors.New("both Content-Length and Transfer-Encoding")
+	errConflictingFraming   = errors.New("response has both Content-Length and Transfer-Encoding")
 	errUnknownCoding        = errors.New("unknown transfer coding")
-	errUnknownLength        = errors.New("neither Content-Length nor Transfer-Encoding")
+	errNoFraming            = errors.New("response has neither Content-Length nor Transfer-Encoding")
 	errTooManyInformational = errors.New("too many informational responses")
 	errMalformedTrailer     = errors.New("malformed trailer section")
 	errTrailerTooLarge      = errors.New("trailer section too large")
--- a/internal/upstream/http1/head.go
+++ b/internal/upstream/http1/head.go
@@ -7,20 +7,20 @@
 	"fernlanding/internal/core"
 )
 
-// head is what the head of a response says.
+// head is the parsed head of a response.
 type head struct {
 	statusCode    int
-	contentLength int64 // -1: not given
+	contentLength int64 // -1 means that the field is missing
 	chunked       bool
-	close         bool               // the connection ends with this response
-	notStarted    bool               // Not-Started: 1
-	fields        []core.HeaderField // forwarded to the client
+	close         bool               // the connection closes after this response
+	notStarted    bool               // the head has Not-Started: 1
+	fields        []core.HeaderField // fields that are forwarded to the client
 }
 
-// parseHead parses a status line and fields (RFC 9112, sections 4 and 5), each with its CRLF. It is
-// strict: what two readers could take for two things is an error. With passAll every field that
-// does not concern the connection is forwarded; otherwise only Content-Type is. The result keeps
-// nothing of b.
+// parseHead parses a status line and field lines (RFC 9112, sections 4 and 5), each with its CRLF.
+// It is strict: it returns an error for anything that two parsers could read differently. With
+// passAll, every field that does not concern the connection is forwarded; otherwise only
+// Content-Type is forwarded. The result does not refer to b.
 func parseHead(b []byte, passAll bool) (head, error) {
 	line, rest, ok := bytes.Cut(b, []byte("\r\n"))
 	if !ok {
@@ -45,7 +45,7 @@
 	return h, nil
 }
 
-// parseStatusLine parses HTTP/1.x SP 3DIGIT [SP text].
+// parseStatusLine parses a status line: HTTP/1.x SP 3DIGIT [SP text].
 func parseStatusLine(line []byte) (head, error) {
 	h := head{contentLength: -1}
 	const prefix = len("HTTP/1.1 ")
@@ -72,7 +72,7 @@
 	return h, nil
 }
 
-// parseFieldLine parses one field line and takes what it says.
+// parseFieldLine parses one field line and applies the field to the head.
 func (h *head) parseFieldLine(line []byte, passAll bool) error {
 	colon := bytes.IndexByte(line, ':')
 	if colon <= 0 || !isToken(line[:colon]) || !isFieldText(line[colon+1:]) {
@@ -81,7 +81,7 @@
 	return h.applyField(line[:colon], bytes.Trim(line[colon+1:], " \t"), passAll)
 }
 
-// applyField takes what one field says. It keeps copies of name and value.
+// applyField applies one field to the head. It copies name and value.
 func (h *head) applyField(name, value []byte, passAll bool) error {
 	switch {
 	case equalFold(name, "Content-Length"):
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// canonicalName returns the canonical form of a field's name. The usual names allocate nothing.
+// canonicalName returns the canonical form of a field name. Common names cause no allocation.
 func canonicalName(name []byte) string {
 	switch string(name) {
 	case "Content-Type":
@@ -122,8 +122,8 @@
 	return textproto.CanonicalMIMEHeaderKey(string(name))
 }
 
-// isHopByHop reports whether a field concerns one connection (RFC 9110, section 7.6.1) or its
-// framing.
+// isHopByHop reports whether a field concerns a single connection (RFC 9110, section 7.6.1) or the
+// framing of the message.
 func isHopByHop(name []byte) bool {
 	for _, n := range [...]string{"Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Upgrade", "Proxy-Authenticate"} {
 		if equalFold(name, n) {
@@ -133,17 +133,16 @@
 	return false
 }
 
-// equalFold reports whether b is an ASCII word, in whatever case.
+// equalFold reports whether b equals an ASCII word without regard to case.
 func equalFold(b []byte, word string) bool {
 	return len(b) == len(word) && bytes.EqualFold(b, []byte(word))
 }
 
-// parseContentLength parses 1*DIGIT, also repeated as a list of equal values (RFC 9110, section
-// 8.6).
+// parseContentLength parses 1*DIGIT or a list of equal values of that form (RFC 9110, section 8.6).
 func parseContentLength(value []byte) (int64, error) {
 	first, rest, more := bytes.Cut(value, []byte(","))
 	first = bytes.Trim(first, " \t")
-	if len(first) == 0 || len(first) > 18 { // 18 digits always fit
+	if len(first) == 0 || len(first) > 18 { // 18 digits always fit into an int64
 		return 0, errMalformedLength
 	}
 	var length int64
@@ -177,8 +176,8 @@
 		bytes.IndexByte([]byte("!#$%&'*+-.^_`|~"), c) >= 0
 }
 
-// isFieldText reports whether b may stand in a field's value or a reason phrase (RFC 9110, section
-// 5.5).
+// isFieldText reports whether b has only bytes that are allowed in a field value or a reason phrase
+// (RFC 9110, section 5.5).
 func isFieldText(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
--- a/internal/upstream/http1/head_test.go
+++ b/internal/upstream/http1/head_test.go
@@ -25,7 +25,7 @@
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 0\r\n",
 	} {
 		if h, err := parseHead([]byte(text), true); err == nil {
-			t.Errorf("%q: %+v", text, h)
+			t.Errorf("%q: parsed as %+v, want an error", text, h)
 		}
 	}
 }
@@ -45,34 +45,34 @@
 	}
 }
 
-// What this parser accepts net/http accepts too, and both see the same: it is the stricter of the
-// two.
+// parseHead is stricter than net/http: net/http accepts each head that parseHead accepts, and both
+// see the same status and framing.
 func FuzzParseHead(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX: y\r\n"))
 	f.Add([]byte("HTTP/1.0 503 No\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n"))
 	f.Add([]byte("HTTP/1.1 404\r\nContent-Length: 2, 2\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if bytes.Contains(b, []byte("\r\n\r\n")) || len(b) > maxResponseHead {
-			return // no head
+			return // not a head
 		}
 		h, err := parseHead(b, true)
 		if err != nil {
 			return
 		}
 		if strings.Contains(string(b), ",") || h.close && h.chunked {
-			return // net/http takes no list of equal lengths, and no chunks in HTTP/1.0
+			return // net/http rejects lists of equal lengths, and chunks in HTTP/1.0
 		}
 		reader := bufio.NewReader(bytes.NewReader(append(b, "\r\n"...)))
 		resp, err := http.ReadResponse(reader, &http.Request{Method: http.MethodGet})
 		if err != nil {
-			t.Fatalf("%q: parsed as %+v, and net/http says %v", b, h, err)
+			t.Fatalf("%q: parsed as %+v, but net/http returned %v", b, h, err)
 		}
 		if !agrees(&h, resp) {
-			t.Fatalf("%q: parsed as %+v, by net/http as %+v", b, h, resp)
+			t.Fatalf("%q: parsed as %+v, but by net/http as %+v", b, h, resp)
 		}
 		for _, f := range h.fields {
 			if len(resp.Header[f.Name]) == 0 {
-				t.Fatalf("%q: %q is no field to net/http: %v", b, f.Name, resp.Header)
+				t.Fatalf("%q: net/http has no field %q: %v", b, f.Name, resp.Header)
 			}
 		}
 	})
--- a/internal/upstream/http1/helpers_test.go
+++ b/internal/upstream/http1/helpers_test.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	waitLimit = 20 * time.Second // for what must happen
+	waitLimit = 20 * time.Second // limit of each wait for an expected event
 
 	uncountedBody = 64 << 10
 	maxResponse   = 1 << 20
 )
 
-// receive returns what must come from a channel.
+// receive returns the next value of a channel. The test fails if none arrives within waitLimit.
 func receive[T any](t *testing.T, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(waitLimit):
-		t.Fatalf("no %s", what)
+		t.Fatalf("no %s within %v", what, waitLimit)
 		panic("unreachable")
 	}
 }
 
-// waitUntil waits for what must become true.
+// waitUntil waits until ok returns true. The test fails if that takes longer than waitLimit.
 func waitUntil(t *testing.T, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitLimit); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the condition never became true")
+			t.Fatalf("condition not true within %v", waitLimit)
 		}
 	}
 }
 
-// closeAtEnd closes what a test has opened, if the test has not.
+// closeAtEnd closes c at the end of the test. The test may have closed it before.
 func closeAtEnd(t *testing.T, c interface{ Close() error }) {
 	t.Helper()
 	t.Cleanup(func() { _ = c.Close() })
@@ -56,13 +56,13 @@
 	return membership.Endpoint{Name: name, Address: addr, Zone: "a", Status: status}
 }
 
-// fixedQuota is a quota that nobody shares.
+// fixedQuota is a DescriptorQuota that nothing else shares.
 type fixedQuota struct {
 	mu         sync.Mutex
 	max, inUse int
 }
 
-// Acquire implements Quota.
+// Acquire implements DescriptorQuota.
 func (q *fixedQuota) Acquire() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -73,17 +73,17 @@
 	return true
 }
 
-// Release implements Quota.
+// Release implements DescriptorQuota.
 func (q *fixedQuota) Release() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.inUse--
 }
 
-// Overdrawn implements Quota.
-func (q *fixedQuota) Overdrawn() bool { return false }
+// OverFairShare implements DescriptorQuota.
+func (q *fixedQuota) OverFairShare() bool { return false }
 
-// slotMemory is memory for as many bodies as the channel holds, of whatever size.
+// slotMemory is a Memory for as many bodies as the capacity of the channel, whatever their sizes.
 type slotMemory chan struct{}
 
 // Reserve implements Memory.
@@ -99,13 +99,13 @@
 // Release implements Memory.
 func (m slotMemory) Release(int64) { <-m }
 
-// newUpstream returns an upstream with endpoints "a", "b" and so on, and at most maxConns
+// newUpstream returns an Upstream with endpoints "a", "b" and so on, and at most maxConns
 // connections.
 func newUpstream(maxConns int, addrs ...string) *Upstream {
 	u := New(Config{
-		DialTimeout: 5 * time.Second, IdleClose: 40 * time.Second, ReuseDelay: UntrustedReuseDelay,
+		DialTimeout: 5 * time.Second, BackendIdleTimeout: 40 * time.Second, ReuseDelay: UntrustedReuseDelay,
 		Quota: &fixedQuota{max: maxConns}, Memory: make(slotMemory, 1),
-		MaxResponse: maxResponse, UncountedBody: uncountedBody,
+		MaxResponse: maxResponse, MaxUncountedBody: uncountedBody,
 	})
 	var endpoints []membership.Endpoint
 	for i, addr := range addrs {
@@ -115,7 +115,7 @@
 	return u
 }
 
-// hookDial has a function called at the end of each dial; it may replace the connection.
+// hookDial makes u call hook at the end of each dial. The hook may replace the connection.
 func hookDial(u *Upstream, hook func(net.Conn, error) (net.Conn, error)) {
 	dial := u.dialer
 	u.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -123,8 +123,8 @@
 	}
 }
 
-// endReuseDelay makes the idle connections old enough to be reused.
-func endReuseDelay(u *Upstream) {
+// expireReuseDelay makes the idle connections old enough for reuse.
+func expireReuseDelay(u *Upstream) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, e := range u.endpoints {
@@ -134,7 +134,7 @@
 	}
 }
 
-// testAttempt is an attempt on its way to an endpoint.
+// testAttempt is an attempt with the RoundTripper that carries it out.
 type testAttempt struct {
 	*core.Attempt
 	rt core.RoundTripper
@@ -150,7 +150,7 @@
 	return results
 }
 
-// newAttempt returns an attempt whose deadline is in timeout.
+// newAttempt returns an attempt whose deadline is timeout from now.
 func newAttempt(u *Upstream, name string, timeout time.Duration) testAttempt {
 	return testAttempt{core.NewAttempt(&core.Request{
 		Request: logic.Request{ID: "1"},
--- a/internal/upstream/http1/request.go
+++ b/internal/upstream/http1/request.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// timeoutHeader tells a backend how many milliseconds its caller will wait.
+	// timeoutHeader is the name of the field that tells a backend for how many milliseconds its
+	// caller waits.
 	timeoutHeader = "Request-Timeout-Ms"
 
-	maxKeptBuffer = 16 << 10 // a request buffer that has grown beyond this is not kept
+	maxReusedBuffer = 16 << 10 // limit in bytes of a request buffer that is kept for the next request
 )
 
-// writeRequest writes a whole encoded request. An error means that its last byte was not written.
+// writeRequest writes an encoded request. An error means that the last byte was not written.
 func (rt *roundTripper) writeRequest(a *core.Attempt, c *conn, request []byte) error {
 	if c.raw == nil {
 		_, err := rt.beginWrite(a, func() (int, error) { return c.Write(request) })
@@ -38,9 +39,10 @@
 	return err
 }
 
-// beginWrite makes a request's first write if the endpoint is what it was when it was chosen and it
-// is not too late to begin. That check and the write are one step to UpdateEndpoints, which waits
-// for writeMu: once it has returned, nothing begins at an endpoint that has changed.
+// beginWrite makes the first write of a request, provided that the endpoint has not changed since
+// it was selected and that SendBy has not passed. It holds writeMu for the check and the write.
+// UpdateEndpoints waits for writeMu, so nothing begins at an endpoint that has changed once
+// UpdateEndpoints has returned.
 func (rt *roundTripper) beginWrite(a *core.Attempt, write func() (int, error)) (int, error) {
 	rt.endpoint.writeMu.RLock()
 	defer rt.endpoint.writeMu.RUnlock()
@@ -53,7 +55,8 @@
 	return write()
 }
 
-// writeNonblocking writes what the socket's buffer takes: EAGAIN if that is nothing.
+// writeNonblocking writes as much as the socket's buffer accepts. It returns EAGAIN if the buffer
+// accepts nothing.
 func writeNonblocking(fd uintptr, b []byte) (int, error) {
 	for {
 		n, err := syscall.Write(int(fd), b)
@@ -63,10 +66,10 @@
 	}
 }
 
-// encodeRequest encodes the whole request into one buffer, so that one write tells whether its last
-// byte was sent. The result is valid until the next call.
+// encodeRequest encodes the whole request into one buffer, so that the result of one write tells
+// whether the last byte was sent. The result is valid until the next call.
 func (c *conn) encodeRequest(a *core.Attempt) []byte {
-	r, b := a.Request, c.out[:0]
+	r, b := a.Request, c.requestBuf[:0]
 	b = append(b, r.Method...)
 	b = append(b, ' ')
 	b = append(b, r.Target...)
@@ -83,9 +86,9 @@
 	}
 	b = append(b, "\r\n"...)
 	b = append(b, r.Body...)
-	c.out = b
-	if cap(b) > maxKeptBuffer {
-		c.out = nil
+	c.requestBuf = b
+	if cap(b) > maxReusedBuffer {
+		c.requestBuf = nil
 	}
 	return b
 }
@@ -98,7 +101,7 @@
 	return append(b, "\r\n"...)
 }
 
-// appendIntField appends a header field line whose value is a number.
+// appendIntField appends a header field line with a decimal value.
 func appendIntField(b []byte, name string, value int64) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
--- a/internal/upstream/http1/request_test.go
+++ b/internal/upstream/http1/request_test.go
@@ -15,21 +15,21 @@
 	"fernlanding/logic"
 )
 
-// gatedConn stops a request between the check of the endpoint list and its first byte.
+// gatedConn blocks a request between the check of the endpoint list and its first byte.
 type gatedConn struct {
 	*net.TCPConn
-	reached chan struct{} // the request is at the gate
-	gate    chan struct{}
+	reached chan struct{} // receives a value when the request is at the gate
+	gate    chan struct{} // closed to let the request pass
 }
 
-// Write implements net.Conn: it waits at the gate.
+// Write implements net.Conn. It waits at the gate.
 func (c gatedConn) Write(b []byte) (int, error) {
 	c.reached <- struct{}{}
 	<-c.gate
 	return c.TCPConn.Write(b)
 }
 
-// SyscallConn implements syscall.Conn: writes on the raw connection wait at the gate too.
+// SyscallConn implements syscall.Conn. Writes on the raw connection wait at the gate too.
 func (c gatedConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.TCPConn.SyscallConn()
 	return gatedRawConn{raw, c}, err
@@ -41,21 +41,21 @@
 	conn gatedConn
 }
 
-// Write implements syscall.RawConn: it waits at the gate.
+// Write implements syscall.RawConn. It waits at the gate.
 func (r gatedRawConn) Write(f func(uintptr) bool) error {
 	r.conn.reached <- struct{}{}
 	<-r.conn.gate
 	return r.RawConn.Write(f)
 }
 
-// A drain, an end or a restart that is notified between the check of the list and the first byte
-// holds the request back.
+// An update that drains, removes or restarts the endpoint may arrive between the check of the
+// endpoint list and the first byte of a request. The request is not sent then.
 func TestNoWriteBeginsAfterUpdateEndpoints(t *testing.T) {
 	restarted := newEndpoint("a", "", membership.Serving)
 	restarted.StartedMs = 7
 	for name, entry := range map[string]membership.Endpoint{
 		"drained":   newEndpoint("a", "", membership.Draining),
-		"gone":      newEndpoint("a", "", membership.Deleted),
+		"removed":   newEndpoint("a", "", membership.Deleted),
 		"restarted": restarted,
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -66,7 +66,7 @@
 				if err == nil {
 					tcpConn, ok := c.(*net.TCPConn)
 					if !ok {
-						t.Errorf("dialed a %T", c)
+						t.Errorf("dialed connection is a %T, want *net.TCPConn", c)
 					}
 					gated.TCPConn = tcpConn
 				}
@@ -78,19 +78,19 @@
 			u.UpdateEndpoints(false, []membership.Endpoint{entry})
 			close(gated.gate)
 			if res := receive(t, "outcome", results); res.Status != logic.NotSent {
-				t.Errorf("got %v", res.Status)
+				t.Errorf("got %v, want %v", res.Status, logic.NotSent)
 			}
 			receive(t, "close", b.Closed)
 			if n := b.Requests.Load(); n > 0 {
-				t.Errorf("%d requests came after the update", n)
+				t.Errorf("backend received %d requests after the update, want 0", n)
 			}
 		})
 	}
 }
 
-// A retry whose connection comes up after its SendBy is not sent: its backend's dedup window may be
-// over.
-func TestNothingIsSentAfterSendBy(t *testing.T) {
+// A retry whose connection is established after SendBy is not sent, because the dedup window of its
+// backend may be over.
+func TestRequestIsNotSentAfterSendBy(t *testing.T) {
 	b := backendtest.Start(t, backendtest.Says(served, true))
 	u := newUpstream(4, b.Addr)
 	a := newAttempt(u, "a", waitLimit)
@@ -99,16 +99,16 @@
 		return c, err
 	})
 	if res := a.run(); res.Status != logic.NotSent {
-		t.Errorf("got %v", res.Status)
+		t.Errorf("got %v, want %v", res.Status, logic.NotSent)
 	}
 	receive(t, "close", b.Closed)
 	if n := b.Requests.Load(); n > 0 {
-		t.Errorf("%d requests came", n)
+		t.Errorf("backend received %d requests, want 0", n)
 	}
 }
 
-// A client that leaves while its request is being written is no fault of the backend's, which has
-// read none of it.
+// A client that disconnects while its request is being written is not the fault of the backend,
+// which has not read the request.
 func TestCancelDuringWriteIsNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -117,7 +117,7 @@
 	closeAtEnd(t, l)
 	u := newUpstream(4, l.Addr().String())
 	a := newAttempt(u, "a", waitLimit)
-	a.Method, a.Body = http.MethodPost, []byte(strings.Repeat("x", 32<<20)) // more than the kernel takes
+	a.Method, a.Body = http.MethodPost, []byte(strings.Repeat("x", 32<<20)) // more than the kernel buffers
 	results := a.start()
 	c, err := l.Accept()
 	if err != nil {
@@ -129,12 +129,12 @@
 	}
 	a.Cancel()
 	if res := receive(t, "outcome", results); res.Status != logic.NotSent {
-		t.Errorf("got %v", res.Status)
+		t.Errorf("got %v, want %v", res.Status, logic.NotSent)
 	}
 }
 
-// A write that breaks off before the last byte proves that the request never ran; one that ended
-// does not.
+// A write that fails before the last byte proves that the request never ran. A complete write does
+// not.
 func TestPartialWriteIsConnectFailed(t *testing.T) {
 	u := newUpstream(4, "127.0.0.1:1")
 	u.dialer = func(context.Context, string, string) (net.Conn, error) {
@@ -146,7 +146,7 @@
 		return near, nil
 	}
 	if res := newAttempt(u, "a", waitLimit).run(); res.Status != logic.ConnectFailed {
-		t.Errorf("got %v", res.Status)
+		t.Errorf("got %v, want %v", res.Status, logic.ConnectFailed)
 	}
 }
 
@@ -160,9 +160,9 @@
 	newAttempt(newUpstream(4, b.Addr), "a", 900*time.Millisecond+waitLimit).run()
 	r := receive(t, "request", requests)
 	if r.RequestURI != "/look/k%2f1?x=%20y" || r.Host != "backend.local" || r.Header.Get("Request-Id") != "1" {
-		t.Errorf("got %s %s %v", r.RequestURI, r.Host, r.Header)
+		t.Errorf("got target %s, host %s, header %v", r.RequestURI, r.Host, r.Header)
 	}
 	if ms := r.Header.Get("Request-Timeout-Ms"); len(ms) != 5 || ms > "20900" {
-		t.Errorf("Request-Timeout-Ms %q", ms)
+		t.Errorf("got Request-Timeout-Ms %q, want 5 digits and at most 20900", ms)
 	}
 }
--- a/internal/upstream/http1/response.go
+++ b/internal/upstream/http1/response.go
@@ -12,19 +12,20 @@
 )
 
 const (
-	maxResponseHead  = 8 << 10 // bytes of a response before its body
-	maxInformational = 8       // 1xx responses ahead of the final one
+	maxResponseHead  = 8 << 10 // bytes of a response head
+	maxInformational = 8       // 1xx responses before the final one
 
-	// responseStall bounds the wait for the rest of a response that has begun, or for the next part
-	// of a large one: it is on its way, and one whose length does not fit its body never ends.
-	responseStall = 500 * time.Millisecond
+	// responseStallTimeout bounds the wait for the rest of a response that has begun, or for the
+	// next part of a large body. The rest should already be in transit, and a response whose
+	// Content-Length exceeds its body never ends.
+	responseStallTimeout = 500 * time.Millisecond
 )
 
-// headEnd ends a head: the last field's CRLF and the empty line.
+// headEnd is the end of a head: the CRLF of the last field line and the empty line.
 var headEnd = []byte("\r\n\r\n")
 
-// readResponse reads the whole response: one that breaks off counts as none. It reports whether the
-// connection can carry another request.
+// readResponse reads a complete response; a response that breaks off counts as none. reusable
+// reports whether the connection can carry another request.
 func (rt *roundTripper) readResponse(a *core.Attempt, c *conn) (res core.AttemptResult, reusable bool, err error) {
 	c.responded = false
 	if _, err := c.reader.Peek(1); err != nil {
@@ -43,10 +44,10 @@
 	if err != nil {
 		return res, false, fmt.Errorf("read body: %w", err)
 	}
-	return rt.result(&h, resp), !h.close && c.reader.Buffered() == 0, nil
+	return rt.attemptResult(&h, resp), !h.close && c.reader.Buffered() == 0, nil
 }
 
-// readFinalHead reads heads until one that is not informational (1xx).
+// readFinalHead reads heads up to the first one that is not informational (1xx).
 func (rt *roundTripper) readFinalHead(a *core.Attempt, c *conn) (head, error) {
 	for range maxInformational + 1 {
 		h, err := rt.readHead(a, c)
@@ -60,7 +61,7 @@
 // readHead reads and parses the next head.
 func (rt *roundTripper) readHead(a *core.Attempt, c *conn) (head, error) {
 	if buffered, _ := c.reader.Peek(c.reader.Buffered()); !bytes.Contains(buffered, headEnd) {
-		if err := c.extendDeadline(a, time.Now().Add(responseStall)); err != nil {
+		if err := c.extendDeadline(a, time.Now().Add(responseStallTimeout)); err != nil {
 			return head{}, err
 		}
 	}
@@ -71,26 +72,26 @@
 	return parseHead(b, rt.upstream.cfg.PassAllStatuses)
 }
 
-// readHeadBytes reads the next head, without its empty line. The result is valid until the next
-// read.
+// readHeadBytes reads the next head and returns it without the empty line. The result is valid
+// until the next read.
 func (c *conn) readHeadBytes() ([]byte, error) {
 	for need := 1; ; {
 		_, err := c.reader.Peek(need)
-		buffered, _ := c.reader.Peek(c.reader.Buffered()) // never fails: it is all there
+		buffered, _ := c.reader.Peek(c.reader.Buffered()) // cannot fail: the bytes are buffered
 		if end := bytes.Index(buffered, headEnd); end >= 0 {
-			_, _ = c.reader.Discard(end + len(headEnd)) // the same
+			_, _ = c.reader.Discard(end + len(headEnd)) // cannot fail either
 			return buffered[:end+len("\r\n")], nil
 		}
-		if err != nil { // also bufio.ErrBufferFull, for a head that does not end
+		if err != nil { // includes bufio.ErrBufferFull, for a head that exceeds the buffer
 			return nil, err
 		}
 		need = len(buffered) + 1
 	}
 }
 
-// result turns a response into the attempt's outcome. Only 503 and 504 with Not-Started say that
-// the request never ran.
-func (rt *roundTripper) result(h *head, resp *core.Response) core.AttemptResult {
+// attemptResult turns a response into the result of the attempt. Only 503 and 504 with Not-Started
+// mean that the request never ran.
+func (rt *roundTripper) attemptResult(h *head, resp *core.Response) core.AttemptResult {
 	passAll := rt.upstream.cfg.PassAllStatuses
 	switch {
 	case h.statusCode == http.StatusOK, passAll && h.statusCode < 400:
@@ -105,10 +106,11 @@
 		return core.AttemptResult{Status: logic.Error, InvalidRequest: true, Response: resp}
 	}
 	if !passAll {
-		return core.AttemptResult{Status: logic.Error} // it may have run
+		return core.AttemptResult{Status: logic.Error} // the request may have run
 	}
-	// A client takes 429 and 503 for a rejection, after which a retry is harmless, and 408 for much
-	// the same. Only this proxy can say that, since it knows of all attempts.
+	// A client takes 429 and 503 for a rejection, after which a retry is harmless, and takes 408
+	// much the same way. Only this proxy can state that a retry is harmless, because it knows of
+	// all attempts. These statuses of a backend are therefore replaced.
 	switch resp.StatusCode {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		resp.StatusCode = http.StatusBadGateway
@@ -116,13 +118,12 @@
 	return core.AttemptResult{Status: logic.Error, Response: resp}
 }
 
-// isOverloaded reports whether a head rejects a request that has not been started.
+// isOverloaded reports whether a head rejects a request that the backend has not started.
 func (h *head) isOverloaded() bool {
 	return (h.statusCode == http.StatusServiceUnavailable || h.statusCode == http.StatusGatewayTimeout) && h.notStarted
 }
 
-// isInvalidRequest reports whether a head says that the request is at fault, whichever backend gets
-// it.
+// isInvalidRequest reports whether a head rejects the request itself, as every backend would.
 func (h *head) isInvalidRequest() bool {
 	return h.statusCode >= 400 && h.statusCode < 500 &&
 		h.statusCode != http.StatusRequestTimeout && h.statusCode != http.StatusTooManyRequests
--- a/internal/upstream/http1/roundtrip.go
+++ b/internal/upstream/http1/roundtrip.go
@@ -7,7 +7,7 @@
 	"fernlanding/logic"
 )
 
-// roundTripper is an endpoint as the list had it when the decision module chose it.
+// roundTripper reaches an endpoint as it was listed when the decision module selected it.
 type roundTripper struct {
 	upstream *Upstream
 	endpoint *endpoint
@@ -26,17 +26,17 @@
 		}
 		return core.AttemptResult{Status: logic.ConnectFailed}
 	}
-	// A dial takes time. What has ended, drained or left meanwhile gets nothing new; beginWrite
-	// looks again.
+	// During the dial, the attempt may have ended, or the endpoint may have drained or left.
+	// Nothing is sent then. beginWrite checks the endpoint again.
 	if a.Canceled() || a.DeadlinePassed() || !u.isCurrent(rt.endpoint, rt.epoch) {
 		u.putIdle(c)
 		return core.AttemptResult{Status: logic.NotSent}
 	}
 	res, reusable := rt.exchange(a, c)
 	if reused && res.Status == logic.Reset && !c.responded {
-		u.recordBreak()
+		u.recordReuseFailure()
 	}
-	if reusable && !forceNew { // other requests of this class will not use it either
+	if reusable && !forceNew { // with forceNew, other requests of the class do not reuse it either
 		u.putIdle(c)
 	} else {
 		u.closeConn(c)
@@ -44,8 +44,8 @@
 	return res
 }
 
-// exchange writes the request and reads the response; reusable reports whether the connection can
-// carry another.
+// exchange writes the request and reads the response. reusable reports whether the connection can
+// carry another request.
 func (rt *roundTripper) exchange(a *core.Attempt, c *conn) (res core.AttemptResult, reusable bool) {
 	c.setDeadline(a.Deadline)
 	if !a.SetCanceler(c) {
@@ -57,9 +57,9 @@
 		}
 	}()
 	if err := rt.writeRequest(a, c, c.encodeRequest(a)); err != nil {
-		// The last byte was not written, so the backend cannot have begun.
+		// The last byte was not written, so the backend cannot have started the request.
 		if errors.Is(err, errNotSent) || a.Canceled() {
-			return core.AttemptResult{Status: logic.NotSent}, false // no evidence against the backend
+			return core.AttemptResult{Status: logic.NotSent}, false // not evidence against the backend
 		}
 		return core.AttemptResult{Status: logic.ConnectFailed}, false
 	}
--- a/internal/upstream/http1/roundtrip_test.go
+++ b/internal/upstream/http1/roundtrip_test.go
@@ -14,7 +14,7 @@
 	"fernlanding/logic"
 )
 
-// What comes back decides the outcome that the decision module sees, and with it whether a request
+// The response determines the status that the decision module sees, and with it whether the request
 // may be retried.
 func TestResponseOutcome(t *testing.T) {
 	for _, c := range []struct {
@@ -86,14 +86,14 @@
 				t.Errorf("got %+v, want %v", res, c.want)
 			}
 			if n := b.Requests.Load(); n != 1 {
-				t.Errorf("%d requests came", n)
+				t.Errorf("backend received %d requests, want 1", n)
 			}
 		})
 	}
 }
 
-// Responses of some hundred KiB were taken for errors, each retried five times and held against its
-// backends.
+// Responses of some hundred KiB were once treated as errors. Each was retried five times and
+// counted against its backends.
 func TestLargeResponsesAreServed(t *testing.T) {
 	for _, size := range []int{uncountedBody + 1, 400_000, maxResponse} {
 		head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
@@ -106,19 +106,19 @@
 			all.Go(func() {
 				res := newAttempt(u, "a", waitLimit).run()
 				if res.Status != logic.OK || len(res.Response.Body) != size {
-					t.Errorf("%d bytes: got %v with %d", size, res.Status, len(res.Response.Body))
+					t.Errorf("body of %d bytes: got %v with %d bytes", size, res.Status, len(res.Response.Body))
 				}
 			})
 		}
 		all.Wait()
 		if len(memory) != 0 {
-			t.Errorf("%d large responses still counted", len(memory))
+			t.Errorf("%d large responses still counted in memory, want 0", len(memory))
 		}
 	}
 }
 
-// The connection stays open behind what has come. A response that never ends was waited for until
-// the request's deadline.
+// A backend may send part of a response and keep the connection open. Without responseStallTimeout,
+// the rest is waited for until the request's deadline.
 func TestStalledResponseIsReset(t *testing.T) {
 	for name, text := range map[string]string{
 		"length beyond the body": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
@@ -129,18 +129,19 @@
 			b := backendtest.Start(t, backendtest.Says(text, true))
 			u := newUpstream(4, b.Addr)
 			if res := newAttempt(u, "a", time.Hour).run(); res.Status != logic.Reset {
-				t.Errorf("got %v", res.Status)
+				t.Errorf("got %v, want %v", res.Status, logic.Reset)
 			}
 			receive(t, "close", b.Closed)
-			if u.open != 0 {
-				t.Errorf("%d connections open", u.open)
+			if u.openConns != 0 {
+				t.Errorf("%d connections open, want 0", u.openConns)
 			}
 		})
 	}
 }
 
-// A second response right behind the first, in one write or a little later, belongs to no request.
-func TestBytesAfterResponseAreNeverTheNextResponse(t *testing.T) {
+// A second response directly after the first, in the same write or a little later, belongs to no
+// request.
+func TestSurplusBytesAreNotTakenForNextResponse(t *testing.T) {
 	for name, apart := range map[string]bool{"in one write": false, "apart": true} {
 		t.Run(name, func(t *testing.T) {
 			b := backendtest.Start(t, func(w io.Writer, _ *http.Request, n int) bool {
@@ -166,46 +167,47 @@
 	}
 }
 
-func TestHungBackendTimesOutAndLosesConnection(t *testing.T) {
+func TestHungBackendTimesOutAndConnectionIsClosed(t *testing.T) {
 	b := backendtest.Start(t, backendtest.Hang(t))
 	u := newUpstream(4, b.Addr)
 	if res := newAttempt(u, "a", 50*time.Millisecond).run(); res.Status != logic.TimedOut {
-		t.Errorf("got %v", res.Status)
+		t.Errorf("got %v, want %v", res.Status, logic.TimedOut)
 	}
-	if u.open != 0 || len(u.endpoints["a"].idle) != 0 {
-		t.Error("the connection is kept")
+	if u.openConns != 0 || len(u.endpoints["a"].idle) != 0 {
+		t.Error("connection still open or idle after the timeout")
 	}
 }
 
 func TestCanceledAttemptClosesConnection(t *testing.T) {
-	came := make(chan struct{}, 1)
-	gone := make(chan error, 1)
+	received := make(chan struct{}, 1)
+	closed := make(chan error, 1)
 	b := backendtest.Start(t, func(w io.Writer, _ *http.Request, _ int) bool {
-		came <- struct{}{}
+		received <- struct{}{}
 		conn, ok := w.(net.Conn)
 		if !ok {
-			gone <- nil
+			closed <- nil
 			return false
 		}
 		_, err := conn.Read(make([]byte, 1))
-		gone <- err
+		closed <- err
 		return false
 	})
 	u := newUpstream(4, b.Addr)
 	a := newAttempt(u, "a", waitLimit)
 	results := a.start()
-	receive(t, "request", came)
+	receive(t, "request", received)
 	a.Cancel()
 	if res := receive(t, "result", results); res.Status != logic.Canceled {
-		t.Errorf("got %v", res.Status)
+		t.Errorf("got %v, want %v", res.Status, logic.Canceled)
 	}
-	if err := receive(t, "end of the connection", gone); err == nil {
-		t.Error("the connection is still open")
+	if err := receive(t, "end of the connection", closed); err == nil {
+		t.Error("connection still open after the cancel")
 	}
 }
 
-// The close crosses the request: it is sent exactly once, and may have run.
-func TestCloseCrossingRequestIsOneReset(t *testing.T) {
+// The backend's close of an idle connection crosses the next request. The request is sent exactly
+// once, and it may have run.
+func TestCloseCrossingRequestIsReset(t *testing.T) {
 	b := backendtest.Start(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 1 {
 			_, _ = io.WriteString(w, served)
@@ -214,13 +216,13 @@
 	})
 	u := newUpstream(4, b.Addr)
 	if res := newAttempt(u, "a", waitLimit).run(); res.Status != logic.OK {
-		t.Fatalf("got %v", res.Status)
+		t.Fatalf("got %v, want %v", res.Status, logic.OK)
 	}
-	endReuseDelay(u)
+	expireReuseDelay(u)
 	if res := newAttempt(u, "a", waitLimit).run(); res.Status != logic.Reset {
-		t.Errorf("got %v", res.Status)
+		t.Errorf("got %v, want %v", res.Status, logic.Reset)
 	}
 	if b.Requests.Load() != 2 || b.Conns.Load() != 1 {
-		t.Errorf("%d requests on %d connections", b.Requests.Load(), b.Conns.Load())
+		t.Errorf("got %d requests on %d connections, want 2 on 1", b.Requests.Load(), b.Conns.Load())
 	}
 }
--- a/internal/upstream/http1/upstream.go
+++ b/internal/upstream/http1/upstream.go
@@ -1,22 +1,22 @@
-// Package http1 carries attempts to backends over HTTP/1.1 and keeps their connections for reuse.
+// Package http1 carries attempts to backends over HTTP/1.1 and reuses idle connections to them.
 //
 // An Upstream holds the endpoints of one pool (endpoint.go) and the connections to them
-// (connpool.go, dial.go). Each attempt is one RoundTrip (roundtrip.go): the request is written
-// (request.go), and the response is read and turned into the attempt's outcome (response.go,
-// body.go, head.go).
+// (connpool.go, dial.go). RoundTrip carries out one attempt (roundtrip.go): it writes the request
+// (request.go), reads the response (head.go, body.go) and derives the result of the attempt
+// (response.go).
 //
-// These rules of docs/design/crossings.md are kept here:
+// The package keeps these rules of docs/design/crossings.md:
 //
-//   - A RoundTrip sends its request at most once. It never retries by itself: whether another
-//     attempt is allowed is decided in package logic, which has to know of each of them.
-//   - Nothing is sent once the client has left: RoundTrip looks after the dial, and conn.Cancel
-//     ends a write or read that is under way.
-//   - Nothing begins at an endpoint that has drained, restarted, moved or gone once UpdateEndpoints
-//     has returned: see roundTripper.beginWrite.
-//   - A connection is reused only ReuseDelay after its last response, and only if nothing follows
-//     that response: see Upstream.takeIdle.
-//   - Non-idempotent requests avoid kept connections for a while after one broke under a request:
-//     see Upstream.requiresNewConn.
+//   - RoundTrip sends its request at most once and never retries it. Package logic decides whether
+//     another attempt is allowed, because it has to know of every attempt.
+//   - RoundTrip sends nothing after the client has disconnected: it checks the attempt after the
+//     dial, and conn.Cancel ends a write or read in progress.
+//   - Once UpdateEndpoints has returned, no request begins at an endpoint that is draining, was
+//     removed, has restarted or has moved: see roundTripper.beginWrite.
+//   - A connection is reused only after ReuseDelay has passed since its last response, and only if
+//     no bytes followed that response: see Upstream.takeIdle.
+//   - Non-idempotent requests avoid idle connections for a while after a reused connection failed
+//     under a request: see Upstream.requiresNewConn.
 package http1
 
 import (
@@ -27,73 +27,75 @@
 )
 
 const (
-	// UntrustedReuseDelay is the reuse delay where backends may be faulty. A second response or
-	// noise may follow a response. It came within 2 ms where it was seen; a connection that is used
-	// again sooner could take it for the next request's response.
+	// UntrustedReuseDelay is the ReuseDelay for backends that may be faulty. A faulty backend may
+	// send a second response or noise after a response. Such bytes have been seen to arrive within
+	// 2 ms. A connection that is reused before they arrive takes them for the response to its next
+	// request.
 	UntrustedReuseDelay = 20 * time.Millisecond
 
-	// newConnWindow is how long non-idempotent requests get new connections after a kept one broke.
-	// One such request is lost in that time at most, for a handshake each.
+	// newConnWindow is how long non-idempotent requests use new connections after a reused
+	// connection failed. At most one such request is lost in that time, at the cost of one
+	// handshake per request.
 	newConnWindow = 30 * time.Second
 )
 
-// Quota is this upstream's part of the process's file descriptors.
-type Quota interface {
-	// Acquire takes a descriptor and reports whether there was room, or others could make some. It
-	// may close kept connections of other upstreams, and is called with no lock held.
+// DescriptorQuota is the share of the process's file descriptors that an upstream may use.
+type DescriptorQuota interface {
+	// Acquire takes a descriptor and reports whether one was available or could be made available.
+	// Acquire may close idle connections of other upstreams, so it is called with no lock held.
 	Acquire() bool
 	// Release gives a descriptor back.
 	Release()
-	// Overdrawn reports whether kept connections are to be closed.
-	Overdrawn() bool
+	// OverFairShare reports whether the upstream has to close idle connections.
+	OverFairShare() bool
 }
 
-// Memory is this upstream's part of the process's memory for bodies.
+// Memory is the share of the process's memory for bodies that an upstream may use.
 type Memory interface {
-	// Reserve waits for n bytes until the context ends.
+	// Reserve waits until n bytes are available, or returns an error when the context ends.
 	Reserve(ctx context.Context, n int64) error
 	// Release gives n bytes back.
 	Release(n int64)
 }
 
-// Config is what an Upstream is made of.
+// Config is the configuration of an Upstream.
 type Config struct {
-	DialTimeout      time.Duration // a connection that is not established by then has failed
-	IdleClose        time.Duration // a backend closes a connection that has been idle this long
-	ReuseDelay       time.Duration // between a response and the next request on its connection; see UntrustedReuseDelay
-	Quota            Quota
-	Memory           Memory
-	MaxResponse      int64 // bytes of a response's body; a longer one is an error
-	UncountedBody    int64 // bytes of a body that is not counted in Memory
-	HoldUntilRelease bool  // memory is given back by the response's Release, not once the body has been read
+	DialTimeout        time.Duration // limit for establishing a connection
+	BackendIdleTimeout time.Duration // idle time after which a backend closes a connection
+	ReuseDelay         time.Duration // minimum time from a response to the next request; see UntrustedReuseDelay
+	Quota              DescriptorQuota
+	Memory             Memory
+	MaxResponse        int64 // limit of a response body in bytes; a longer body is an error
+	MaxUncountedBody   int64 // limit in bytes up to which a body is not counted in Memory
+	HoldUntilRelease   bool  // keeps memory until the response's Release, not only until the body has been read
 
-	// IsNonIdempotent reports whether a request of a class may not be sent again once it may have
-	// run; nil: none.
+	// IsNonIdempotent reports whether a request of a class must not be sent again once it may have
+	// run. A nil function means that no class is non-idempotent.
 	IsNonIdempotent func(class int) bool
 
-	// PassAllStatuses has responses of every status forwarded with their header. Otherwise only
-	// those with status 200 are, with their Content-Type.
+	// PassAllStatuses forwards responses of every status with their header. Without it, only
+	// responses with status 200 are forwarded, with their Content-Type.
 	PassAllStatuses bool
 
-	// LimitDials has connections to a backend that has not proven itself opened a few at a time:
-	// see start.DialLimiter.
+	// LimitDials limits concurrent dials to a backend to a few until connections to the backend
+	// have been established: see start.DialLimiter.
 	LimitDials bool
 }
 
-// Upstream holds the connections to all endpoints of a pool. It stands in for http.Transport, which
-// by itself retries a GET or a request with an idempotency key when a kept connection turns out to
-// be dead: an attempt that the decision module would not know of. It may be used by many
-// goroutines.
+// Upstream holds the connections to all endpoints of a pool. It replaces http.Transport, which by
+// itself retries a GET or a request with an idempotency key when a reused connection turns out to
+// be dead. The decision module would not know of that attempt. An Upstream is safe for concurrent
+// use.
 type Upstream struct {
 	cfg           Config
 	dialer        func(ctx context.Context, network, addr string) (net.Conn, error)
 	newConnWindow time.Duration // see requiresNewConn
-	maxIdle       time.Duration // connections idle for longer are closed, well before the backend does it
+	maxIdle       time.Duration // limit of idle time, well below BackendIdleTimeout
 
-	mu        sync.Mutex
-	endpoints map[string]*endpoint // by name
-	open      int                  // connections, idle or in use
-	lastBreak time.Time            // when a kept connection last broke under a request; zero if none has
+	mu               sync.Mutex
+	endpoints        map[string]*endpoint // by name
+	openConns        int                  // connections that are idle or in use
+	lastReuseFailure time.Time            // when a reused connection last failed under a request; zero if none has
 }
 
 // New returns an Upstream with no endpoints.
@@ -102,23 +104,23 @@
 	return &Upstream{
 		cfg:           cfg,
 		dialer:        dialer.DialContext,
-		maxIdle:       cfg.IdleClose * 3 / 4,
+		maxIdle:       cfg.BackendIdleTimeout * 3 / 4,
 		newConnWindow: newConnWindow,
 		endpoints:     map[string]*endpoint{},
 	}
 }
 
-// Stats counts the listed backends and the connections to them.
+// Stats holds the numbers of listed backends and of connections to them.
 type Stats struct {
 	Backends, Open, Idle int
-	Unreachable          int // backends to which the last dial failed
+	Unreachable          int // backends whose last dial failed
 }
 
-// Stats returns the present counts.
+// Stats returns the current numbers.
 func (u *Upstream) Stats() Stats {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	stats := Stats{Backends: len(u.endpoints), Open: u.open}
+	stats := Stats{Backends: len(u.endpoints), Open: u.openConns}
 	for _, e := range u.endpoints {
 		stats.Idle += len(e.idle)
 		if e.unreachable {
