--- a/cmd/fernrelay/main.go
+++ b/cmd/fernrelay/main.go
@@ -3,9 +3,9 @@
 //	fernrelay source -listen ADDR -state DIR                     accepts writes and persists them
 //	fernrelay relay -listen ADDR -name NAME -upstream ADDR,ADDR  serves what its upstream has
 //
-// Its exit code is 0 after SIGTERM or SIGINT, and 2 if it could not run. Both commands print
-// "listening ADDR" on standard output once they accept connections, and log to standard error.
-// docs/operate/distribution.md is the operators' page.
+// The exit code is 0 after SIGTERM or SIGINT, and 2 if the program fails. Both commands print
+// "listening ADDR" to standard output when they accept connections, and log to standard error. The
+// operation of both is described in docs/operate/distribution.md.
 package main
 
 import (
@@ -35,14 +35,14 @@
 const (
 	exitOK     = 0
 	exitFailed = 2
-	// gcPercent is lower than the default: what a relay holds changes little, so that collecting
-	// more often costs little.
+	// gcPercent is lower than the default, because the heap of a relay changes little and more
+	// frequent collections therefore cost little.
 	gcPercent = 50
 )
 
 func main() { os.Exit(runUntilSignal()) }
 
-// runUntilSignal runs the program until it fails or a signal ends it, and returns the exit code.
+// runUntilSignal runs the program until it fails or receives a signal, and returns the exit code.
 func runUntilSignal() int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -54,7 +54,7 @@
 func run(ctx context.Context, args []string, out, log io.Writer) int {
 	err := newCommand(out, log).Run(ctx, append([]string{"fernrelay"}, args...))
 	if err != nil {
-		_, _ = fmt.Fprintf(log, "fernrelay: %v\n", err) // the exit code says it too
+		_, _ = fmt.Fprintf(log, "fernrelay: %v\n", err) // the exit code reports the failure too
 		return exitFailed
 	}
 	return exitOK
@@ -69,7 +69,7 @@
 		ErrWriter:      log,
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 		Action: func(context.Context, *cli.Command) error {
-			return errors.New("one of source and relay expected")
+			return errors.New("missing command: source or relay required")
 		},
 		Commands: []*cli.Command{
 			{Name: "source", Usage: "take writes and keep them", Action: runSource, Flags: sourceFlags()},
@@ -115,7 +115,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = dir.Close() }() // every write is durable, and the lock ends with the process
+	defer func() { _ = dir.Close() }() // writes are durable, and the lock is released with the process
 	traffic := new(httpapi.Traffic)
 	source := node.New(node.Config{
 		Name:    "source",
@@ -152,19 +152,19 @@
 	return serve(ctx, c, server{service: relay, node: relay.Node, traffic: traffic})
 }
 
-// parseAddresses parses a list of host:port, separated by commas.
+// parseAddresses parses a comma-separated list of addresses in the form host:port.
 func parseAddresses(list string) ([]string, error) {
 	addresses := strings.Split(list, ",")
 	for _, address := range addresses {
 		_, port, err := net.SplitHostPort(address)
 		if err != nil || port == "" {
-			return nil, fmt.Errorf("upstream: %.64q found, host:port expected", address)
+			return nil, fmt.Errorf("upstream: invalid address %.64q: not host:port", address)
 		}
 	}
 	return addresses, nil
 }
 
-// sessionLimits returns the limits of the command line.
+// sessionLimits returns the default limits with the number of sessions from the command line.
 func sessionLimits(c *cli.Command) distribution.SessionLimits {
 	limits := distribution.DefaultSessionLimits()
 	limits.Sessions = c.Int("sessions")
--- a/cmd/fernrelay/main_test.go
+++ b/cmd/fernrelay/main_test.go
@@ -40,17 +40,17 @@
 	return p
 }
 
-// end stops a program, and checks that it ends with code 0.
+// end stops a program and checks that its exit code is 0.
 func (p *program) end(t *testing.T) {
 	t.Helper()
 	p.stop()
 	if code := <-p.code; code != 0 {
-		t.Errorf("ended with %d: %s", code, p.log)
+		t.Errorf("got exit code %d, want 0: %s", code, p.log)
 	}
 }
 
-// A source and a relay start, distribute a write, and end, even while a read waits. A source that
-// restarts has the write.
+// A source and a relay start, distribute a write and end, even while a read waits. The source has
+// the write after a restart.
 func TestSourceAndRelay(t *testing.T) {
 	state := t.TempDir()
 	source := start(t, "source", "-listen", "127.0.0.1:0", "-state", state)
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	req.Session = first.Session
-	if len(first.Updates) == 0 { // the relay did not have it yet
+	if len(first.Updates) == 0 { // the relay did not have the resource yet
 		second, err := client.Follow(ctx, relay.address, req)
 		if err != nil || len(second.Updates) != 1 {
 			t.Fatalf("%+v, %v", second, err)
@@ -95,7 +95,7 @@
 	}
 	relay.end(t)
 	if err := <-waiting; err == nil {
-		t.Error("a waiting read is answered by a relay that has ended")
+		t.Error("a waiting read got a response from a relay that has ended")
 	}
 	source.end(t)
 	again := start(t, "source", "-listen", "127.0.0.1:0", "-state", state)
@@ -105,7 +105,7 @@
 	again.end(t)
 }
 
-// A program that can't run ends with code 2 and says why.
+// A program that can't run ends with exit code 2 and prints the reason.
 func TestCannotRun(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -116,17 +116,17 @@
 		return []string{"relay", "-listen", "127.0.0.1:0", "-name", name, "-upstream", upstream}
 	}
 	for want, args := range map[string][]string{
-		"one of source and relay expected": {},
-		"flag":                             {"source", "-listen", "127.0.0.1:0"},
-		"host:port expected":               relay("r", "127.0.0.1:1,"),
-		"name of 0 bytes found":            relay("", "127.0.0.1:1"),
-		"address already in use":           {"source", "-listen", l.Addr().String(), "-state", t.TempDir()},
-		"not a directory":                  {"source", "-listen", "127.0.0.1:0", "-state", "/dev/null/state"},
+		"source or relay required":            {},
+		"flag":                                {"source", "-listen", "127.0.0.1:0"},
+		"invalid address \"\": not host:port": relay("r", "127.0.0.1:1,"),
+		"name of 0 bytes found":               relay("", "127.0.0.1:1"),
+		"address already in use":              {"source", "-listen", l.Addr().String(), "-state", t.TempDir()},
+		"not a directory":                     {"source", "-listen", "127.0.0.1:0", "-state", "/dev/null/state"},
 	} {
 		var log bytes.Buffer
 		code := run(context.Background(), args, io.Discard, &log)
 		if code != exitFailed || !strings.Contains(log.String(), want) {
-			t.Errorf("%v: ended with %d: %s", args, code, log.String())
+			t.Errorf("%v: got exit code %d, want %d with %q: %s", args, code, exitFailed, want, log.String())
 		}
 	}
 }
--- a/cmd/fernrelay/serve.go
+++ b/cmd/fernrelay/serve.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// spareConns are connections beside one for each session: for writes, reports, statuses and
-	// health checks.
+	// spareConns is the number of connections allowed in addition to one for each session. They are
+	// for writes, reports, statuses and health checks.
 	spareConns = 1_024
-	// shutdownTimeout is how long open connections may take to end.
+	// shutdownTimeout is the time after which a shutdown closes the connections still open.
 	shutdownTimeout = time.Second
 )
 
@@ -29,10 +29,10 @@
 	Run(ctx context.Context)
 }
 
-// server is a source or relay, and what it needs to be served.
+// server is a source or relay with the objects that serving it requires.
 type server struct {
 	service runner
-	node    *node.Node // of the service
+	node    *node.Node // node of the service
 	traffic *httpapi.Traffic
 }
 
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintf(c.Root().Writer, "listening %s\n", listener.Addr()) // for scripts, if any read it
+	_, _ = fmt.Fprintf(c.Root().Writer, "listening %s\n", listener.Addr()) // scripts may read the address
 	httpServer := httpapi.NewServer(s.service)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -63,8 +63,8 @@
 	return err
 }
 
-// shutdown lets open connections end for shutdownTimeout, and then closes them. The context has
-// ended.
+// shutdown waits up to shutdownTimeout for open connections to end, and then closes them. The given
+// context has already ended.
 func shutdown(ctx context.Context, httpServer *http.Server) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
--- a/internal/distribution/coalesce.go
+++ b/internal/distribution/coalesce.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// coalescingSession is a session whose pending updates are held back, so that later ones go out
-// with them.
+// coalescingSession is a session whose pending updates are delayed, so that later updates are sent
+// together with them.
 type coalescingSession struct {
 	session *Session
-	since   time.Time
+	since   time.Time // start of the delay
 }
 
-// PendingUpdate is one update that a follower can get: what has changed in a resource since a
-// version.
+// PendingUpdate identifies an update that a follower can receive: the changes of a resource since
+// the version From.
 type PendingUpdate struct {
 	Resource string
 	From     Version
 }
 
-// Pending returns the updates that the session's read can be answered with now. If updates are held
-// back for coalescing it returns none, and until when they are. All pending updates go out
-// together, so one urgent item releases them all. A read that is not answered now waits from here
-// on, until [Sessions.ReadEnded].
+// Pending returns the updates with which the session's read can be answered now. If updates are
+// delayed for coalescing, Pending returns no updates and the time at which the delay ends. All
+// pending updates are sent together, so one urgent item ends the delay for all of them. A read that
+// is not answered now counts as waiting until [Sessions.ReadEnded].
 func (s *Sessions) Pending(
 	session *Session, store *Store, now time.Time,
 ) (pending []PendingUpdate, heldUntil time.Time) {
@@ -50,20 +50,20 @@
 	return pending, time.Time{}
 }
 
-// ReadEnded notes that the session's read has been answered or given up.
+// ReadEnded records that the session's read has been answered or has been canceled.
 func (s *Sessions) ReadEnded(session *Session) {
 	session.waiting = false
 	session.coalescingSince = time.Time{}
 }
 
-// startCoalescing holds back the session's pending updates from now on.
+// startCoalescing delays the session's pending updates from now on.
 func (s *Sessions) startCoalescing(session *Session, now time.Time) {
 	session.coalescingSince = now
 	s.coalescing = append(s.coalescing, coalescingSession{session: session, since: now})
 }
 
-// ResourceChanged notes that a resource has a new version, and returns the sessions whose reads can
-// be answered now. It takes time linear in the number of the resource's followers.
+// ResourceChanged records that a resource has a new version, and returns the sessions whose reads
+// can be answered now. Its running time is linear in the number of followers of the resource.
 func (s *Sessions) ResourceChanged(name string, urgent bool, now time.Time) []*Session {
 	f := s.followed[name]
 	if f == nil {
@@ -86,8 +86,8 @@
 	return ready
 }
 
-// ReleaseCoalesced returns the sessions whose updates have been held back long enough, and when to
-// call it again; zero: nothing is held back.
+// ReleaseCoalesced returns the sessions whose coalescing delay has ended, and the time of the next
+// call. The zero time means that no updates are delayed.
 func (s *Sessions) ReleaseCoalesced(now time.Time) (ready []*Session, next time.Time) {
 	released := 0
 	for ; released < len(s.coalescing); released++ {
@@ -97,14 +97,14 @@
 			next = heldUntil
 			break
 		}
-		// Else the read has been answered meanwhile, by an urgent item or at the end of its hold.
+		// Otherwise the read was already answered, by an urgent item or at the end of its hold.
 		if held.session.waiting && held.session.coalescingSince.Equal(held.since) {
 			ready = append(ready, held.session)
 		}
 	}
 	s.coalescing = s.coalescing[released:]
 	if len(s.coalescing) == 0 {
-		s.coalescing = nil // frees the sessions that the array behind it still refers to
+		s.coalescing = nil // lets the garbage collector free the sessions in the underlying array
 	}
 	return ready, next
 }
--- a/internal/distribution/fixture_test.go
+++ b/internal/distribution/fixture_test.go
@@ -5,25 +5,25 @@
 	"testing"
 )
 
-// testStoreBytes is a limit that no test reaches.
+// testStoreBytes is a limit on the size of a store that no test reaches.
 const testStoreBytes = 1 << 24
 
-// at returns a version.
+// at returns the version with an epoch and a revision.
 func at(epoch, revision uint64) Version { return Version{Epoch: epoch, Revision: revision} }
 
-// set returns an item with a JSON string as its value.
-func set(key, value string) Item {
+// newItem returns an item with a JSON string as its value.
+func newItem(key, value string) Item {
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // not possible: a string
+		panic(err) // unreachable: a string can be encoded
 	}
 	return Item{Key: key, Value: data}
 }
 
-// deleted returns the deletion of a key.
-func deleted(key string) Item { return Item{Key: key, Deleted: true} }
+// newDeletion returns an item that deletes a key.
+func newDeletion(key string) Item { return Item{Key: key, Deleted: true} }
 
-// write plans and applies a write, and returns its update; nil: it changes nothing.
+// write plans and applies a write, and returns its update, or nil if the write changes nothing.
 func write(t *testing.T, s *Store, put *PutRequest, next Version) *Update {
 	t.Helper()
 	u, err := s.Plan(put, next)
@@ -34,7 +34,7 @@
 		return nil
 	}
 	if applied, err := s.Apply(u); err != nil || !applied {
-		t.Fatalf("apply: %v, %v", applied, err)
+		t.Fatalf("Apply returned %v, %v; want true, nil", applied, err)
 	}
 	return u
 }
--- a/internal/distribution/follow/apply.go
+++ b/internal/distribution/follow/apply.go
@@ -6,9 +6,9 @@
 	"fernlanding/internal/distribution"
 )
 
-// applyUpdates hands the updates of a response to their subscribers. An error says that an update
-// does not apply to what is in force, so that the relay can't be trusted with the session; a
-// subscriber's rejection is none.
+// applyUpdates passes the updates of a response to their subscribers. It returns an error if an
+// update does not apply to the version in force, because the relay's session is then inconsistent.
+// A rejection by a subscriber is not an error.
 func (f *Follower) applyUpdates(updates []distribution.Update) error {
 	for i := range updates {
 		if err := f.applyUpdate(&updates[i]); err != nil {
@@ -18,12 +18,12 @@
 	return nil
 }
 
-// applyUpdate hands one update to its subscriber. Errors are those of applyUpdates.
+// applyUpdate passes one update to its subscriber. Its errors are those of applyUpdates.
 func (f *Follower) applyUpdate(u *distribution.Update) error {
 	f.mu.Lock()
 	sub := f.subscriptions[u.Resource]
 	if sub == nil {
-		f.unsentUnfollowed[u.Resource] = true // sent again: it may have crossed the read
+		f.unsentUnfollowed[u.Resource] = true // sent again, because a read may have arrived after it
 		f.mu.Unlock()
 		return nil
 	}
@@ -31,7 +31,7 @@
 	f.mu.Unlock()
 	if err := checkApplies(u, inForce); err != nil {
 		if unsent {
-			return nil // the relay did not know what is in force: its response crossed a new subscription
+			return nil // sent before the relay received the position of a new subscription
 		}
 		return err
 	}
@@ -63,10 +63,10 @@
 	sub.position = distribution.Position{Resource: u.Resource, InForce: u.Version}
 }
 
-// checkApplies returns an error if an update does not lead on from the version in force.
+// checkApplies returns an error if an update does not apply to the version in force.
 func checkApplies(u *distribution.Update, inForce distribution.Version) error {
 	if !u.Version.After(inForce) {
-		return fmt.Errorf("%s: version %v found, one after %v expected", u.Resource, u.Version, inForce)
+		return fmt.Errorf("%s: update to version %v is not after version %v", u.Resource, u.Version, inForce)
 	}
 	if !u.IsSnapshot() && u.From != inForce {
 		return &distribution.DeltaBaseError{Resource: u.Resource, Current: inForce, From: u.From}
@@ -74,7 +74,8 @@
 	return nil
 }
 
-// rejectionReason returns an error's text, cut to MaxReasonBytes at the end of a UTF-8 character.
+// rejectionReason returns the text of an error, truncated to MaxReasonBytes at the end of a UTF-8
+// character.
 func rejectionReason(err error) string {
 	text := err.Error()
 	for end := min(len(text), distribution.MaxReasonBytes); ; end-- {
--- a/internal/distribution/follow/config.go
+++ b/internal/distribution/follow/config.go
@@ -10,48 +10,49 @@
 	"fernlanding/internal/distribution"
 )
 
-// DefaultHold is how long a read waits for an update.
+// DefaultHold is the default hold of a read.
 const DefaultHold = 4 * time.Second
 
-// Subscriber applies the updates of resources. Its methods are called one at a time and in order,
-// all from Run.
+// Subscriber applies the updates of resources. Run calls its methods one at a time and in order.
 type Subscriber interface {
-	// ApplyUpdate puts an update in force. An error rejects it: what was in force stays so, and the
-	// error's text is reported.
+	// ApplyUpdate puts an update in force. An error rejects the update: the previous version stays
+	// in force, and the error text is reported.
 	ApplyUpdate(update distribution.Update) error
-	// UpdateFailed is called when no relay has answered for some time. What was in force stays so.
+	// UpdateFailed is called when no relay has responded for some time. The current version stays
+	// in force.
 	UpdateFailed()
 }
 
 // Transport calls relays. Its methods are safe for concurrent use.
 type Transport interface {
-	// Follow sends a request and returns the response. Errors: distribution.ErrUnknownSession,
-	// *httpapi.OverloadedError, others.
+	// Follow sends a request and returns the response. Its errors include
+	// distribution.ErrUnknownSession and *httpapi.OverloadedError.
 	Follow(ctx context.Context, address string, req *distribution.FollowRequest) (*distribution.FollowResponse, error)
-	// Ready returns nil if a relay answers and hears from the source.
+	// Ready returns nil if a relay responds and is not disconnected from the source.
 	Ready(ctx context.Context, address string) error
+	// Close closes idle connections.
 	Close()
 }
 
-// Config is what a Follower is made of.
+// Config configures a Follower.
 type Config struct {
-	// Name is the name of this follower: unique in the fleet, and the same after a restart.
+	// Name is the name of the follower, unique in the fleet and the same after a restart.
 	Name string
 	Kind distribution.Kind
-	// Relays are the addresses of the relays, host:port.
+	// Relays are the addresses of the relays in the form host:port.
 	Relays []string
-	// Hold is how long a read waits for an update, a minute at most; 0: DefaultHold.
+	// Hold is the time that a read waits for an update, at most one minute. 0 means DefaultHold.
 	Hold time.Duration
-	// Rand is used by Run alone; nil: one with a random seed.
+	// Rand is the random generator, used only by Run. Nil means a generator with a random seed.
 	Rand *rand.Rand
-	// Log is nil for none.
+	// Log is the logger. Nil means no logging.
 	Log *slog.Logger
-	// Dial opens connections; nil: the dialer of httpapi.NewClient.
+	// Dial opens connections. Nil means the default dialer of httpapi.NewClient.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// withDefaults returns the configuration with defaults in place of what is not set, and bounds
-// applied.
+// withDefaults returns the configuration with defaults for unset fields and with Hold limited to
+// its maximum.
 func (c Config) withDefaults() Config {
 	if c.Hold == 0 {
 		c.Hold = DefaultHold
@@ -66,26 +67,28 @@
 	return c
 }
 
-// Health is how a Follower stands with its relays.
+// Health is the state of a Follower's connection to its relays.
 type Health struct {
-	// Relay is the relay that it reads from; empty before the first response.
+	// Relay is the address of the relay that the follower reads from, empty before the first
+	// response.
 	Relay string
-	// SilentSince is since when no relay has answered; zero while one does.
+	// SilentSince is the time since which no relay has responded, zero while one responds.
 	SilentSince time.Time
-	// LastResponse is when the last response arrived; zero: none has.
+	// LastResponse is the time of the last response, zero before the first response.
 	LastResponse time.Time
-	// SourceAge is how long before LastAnswer the relay had last heard from the source.
+	// SourceAge is the time between the last response of the source to the relay and LastResponse.
 	SourceAge time.Duration
-	// Disconnected says that the relay, or one above it, hears from no upstream.
+	// Disconnected reports that the relay, or a relay upstream of it, has no upstream that
+	// responds.
 	Disconnected bool
 }
 
-// Stats count since the start.
+// Stats are counters since the start of the follower.
 type Stats struct {
-	BytesIn, BytesOut        int64 // on all connections
-	MessagesIn, MessagesOut  int64 // responses and requests
-	Updates, SnapshotUpdates int64 // applied; of these, snapshots
+	BytesIn, BytesOut        int64 // bytes received and sent on all connections
+	MessagesIn, MessagesOut  int64 // responses received and requests sent
+	Updates, SnapshotUpdates int64 // updates applied, and snapshots among them
 	Rejected                 int64 // updates that subscribers rejected
-	Sessions                 int64 // opened, each with all positions
-	Switches                 int64 // from one relay to another
+	Sessions                 int64 // sessions opened, each with all positions
+	Switches                 int64 // switches from one relay to another
 }
--- a/internal/distribution/follow/fixture_test.go
+++ b/internal/distribution/follow/fixture_test.go
@@ -12,26 +12,26 @@
 	"fernlanding/internal/distribution/httpapi"
 )
 
-// testTimeout bounds what a test waits for.
+// testTimeout is the longest time that a test waits for a request.
 const testTimeout = 20 * time.Second
 
-// call is one request of a Follower, which the test answers.
+// call is one request of a Follower, to which the test responds.
 type call struct {
 	address string
 	req     distribution.FollowRequest
 	result  chan result
 }
 
-// result is what a call returns.
+// result is the result of a call.
 type result struct {
 	response *distribution.FollowResponse
 	err      error
 }
 
-// scriptedTransport is a Transport whose calls the test answers.
+// scriptedTransport is a Transport to whose calls the test responds.
 type scriptedTransport struct {
 	calls chan call
-	ready func(address string) error // nil: no relay is
+	ready func(address string) error // result of Ready; nil means that no relay is ready
 }
 
 // Follow implements Transport.
@@ -63,20 +63,20 @@
 // Close implements Transport.
 func (s *scriptedTransport) Close() {}
 
-// fixture is a running Follower on a scripted Transport.
+// fixture is a Follower on a scripted Transport, and the subscriber of the Follower.
 type fixture struct {
 	t *testing.T
 	*Follower
-	transport *scriptedTransport
-	updates   chan distribution.Update
-	reject    error                            // what ApplyUpdate returns
-	failed    chan bool                        // has a value for each UpdateFailed
-	sent      map[string]distribution.Position // by reads and reports
-	skipped   atomic.Int64                     // nanoseconds that the clock is ahead
-	cancel    func()                           // ends Run
+	transport   *scriptedTransport
+	updates     chan distribution.Update
+	reject      error                            // result of ApplyUpdate
+	failed      chan bool                        // receives a value for each UpdateFailed
+	sent        map[string]distribution.Position // last positions sent by reads and reports, by resource
+	clockOffset atomic.Int64                     // offset of the Follower's clock in nanoseconds
+	cancel      func()                           // ends Run
 }
 
-// start returns a running Follower with a subscription of the resource "r".
+// start returns a running Follower that follows the resource "r".
 func start(t *testing.T, has distribution.Version, relays ...string) *fixture {
 	t.Helper()
 	f := prepare(t, has, relays...)
@@ -84,7 +84,7 @@
 	return f
 }
 
-// prepare returns a Follower with a subscription of the resource "r", which does not run yet.
+// prepare returns a Follower that follows the resource "r" and does not run yet.
 func prepare(t *testing.T, has distribution.Version, relays ...string) *fixture {
 	t.Helper()
 	f := &fixture{
@@ -96,7 +96,7 @@
 	}
 	cfg := Config{Name: "p", Kind: distribution.KindProxy, Relays: relays, Rand: testRand(), Hold: time.Minute}
 	f.Follower = newFollower(cfg, f.transport, new(httpapi.Traffic))
-	f.now = func() time.Time { return time.Now().Add(time.Duration(f.skipped.Load())) }
+	f.now = func() time.Time { return time.Now().Add(time.Duration(f.clockOffset.Load())) }
 	f.Subscribe("r", has, f)
 	return f
 }
@@ -122,8 +122,8 @@
 // UpdateFailed implements Subscriber.
 func (f *fixture) UpdateFailed() { f.failed <- true }
 
-// next returns the next call.
-func (f *fixture) next() call {
+// nextCall returns the next call, and records the positions that it sends.
+func (f *fixture) nextCall() call {
 	f.t.Helper()
 	select {
 	case c := <-f.transport.calls:
@@ -132,16 +132,16 @@
 		}
 		return c
 	case <-time.After(testTimeout):
-		f.t.Fatal("no call")
+		f.t.Fatalf("no call in %v", testTimeout)
 		return call{}
 	}
 }
 
-// read returns the next call that waits for an update; reports before it are answered.
-func (f *fixture) read() call {
+// nextRead returns the next call that waits for an update. It answers the reports before that call.
+func (f *fixture) nextRead() call {
 	f.t.Helper()
 	for {
-		c := f.next()
+		c := f.nextCall()
 		if c.req.HoldMs > 0 {
 			return c
 		}
--- a/internal/distribution/follow/follower.go
+++ b/internal/distribution/follow/follower.go
@@ -1,12 +1,14 @@
-// Package follow is the follower's side of distribution. A [Follower] keeps one long poll open, for
-// all resources that a process follows, at one of several relays; it fails over to another relay
-// where that one fails, and returns to a preferred one later. Subscribers get the updates in order;
-// the version of a resource never goes back.
+// Package follow implements the follower's side of package distribution. A [Follower] keeps one
+// long poll for all resources of a process open at one of several relays. If that relay fails, the
+// Follower fails over to another relay, and later returns to a preferred relay. Subscribers receive
+// the updates in order, and the version of a resource never decreases.
 //
-// The parts, each in its own file: Follower and the state that its goroutines share; reader, the
-// loop of reads and failover; the reports that can't wait for the next read; relayPicker (pure),
-// which orders the relays and backs off from those that fail; and relayProber, which looks for a
-// better relay than the current one.
+// The parts of the package are in separate files:
+//   - Follower, with the state that its goroutines share
+//   - reader, the loop of reads and failover
+//   - the reports that can't wait for the next read
+//   - relayPicker, which orders the relays and backs off from failed relays, without I/O or clock
+//   - relayProber, which looks for a better relay than the current one
 package follow
 
 import (
@@ -18,43 +20,45 @@
 	"fernlanding/internal/distribution/httpapi"
 )
 
-// Follower follows resources. Its methods are safe for concurrent use.
+// Follower follows resources at relays. Its methods are safe for concurrent use.
 type Follower struct {
 	cfg       Config
 	transport Transport
 	traffic   *httpapi.Traffic
 	now       func() time.Time
-	// leaveTimeout bounds the request that ends the session when the follower ends.
+	// leaveTimeout is the timeout of the request that closes the session when the follower ends.
 	leaveTimeout time.Duration
-	// reportPending wakes the reports: there is something that the relay should know before the
-	// next read.
+	// reportPending wakes sendReports, because a report can't wait for the next read.
 	reportPending chan struct{}
 
-	// sending is held while a read is composed, and by a report until its request is answered, so
-	// that a later request does not overtake an earlier one that says something older. It is taken
-	// before mu.
-	sending sync.Mutex
+	// sendMu is held while a read is composed, and by a report until its response has arrived.
+	// Otherwise a request with older content could arrive after a newer one. It is locked before
+	// mu.
+	sendMu sync.Mutex
 
 	mu            sync.Mutex
 	subscriptions map[string]*subscription // by resource
-	sessionID     string                   // empty: no session
-	relay         string                   // that answered last
-	// What the session does not know yet.
-	unsentPositions  map[string]bool // resources
-	unsentUnfollowed map[string]bool // resources that the session need not follow any more
-	unsentStatuses   map[string]bool // of statuses
+	sessionID     string                   // empty without a session
+	relay         string                   // address of the relay that responded last
+
+	// The next three fields contain the resources about which the session has not been informed.
+
+	unsentPositions  map[string]bool // resources with a changed position
+	unsentUnfollowed map[string]bool // resources that are no longer followed
+	unsentStatuses   map[string]bool // resources with a changed status
 	statuses         map[string]*distribution.ResourceStatus
 	health           Health
 	stats            Stats
 }
 
-// New returns a follower that calls relays over HTTP. It does nothing before Run.
+// New returns a follower that calls relays over HTTP. The follower is inactive until Run is called.
 func New(cfg Config) *Follower {
 	traffic := new(httpapi.Traffic)
 	return newFollower(cfg, httpapi.NewClient(traffic.Dial(cfg.Dial)), traffic)
 }
 
-// newFollower returns a follower that calls relays by a transport, whose bytes traffic counts.
+// newFollower returns a follower that calls relays by a transport. The traffic counts the bytes of
+// that transport.
 func newFollower(cfg Config, transport Transport, traffic *httpapi.Traffic) *Follower {
 	return &Follower{
 		cfg:              cfg.withDefaults(),
@@ -71,7 +75,7 @@
 	}
 }
 
-// Run follows until the context ends. It is called once.
+// Run follows resources until the context ends. It must be called only once.
 func (f *Follower) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	var reports sync.WaitGroup
@@ -88,7 +92,7 @@
 	r.run(ctx)
 }
 
-// Health returns how the follower stands with its relays.
+// Health returns the state of the follower's connection to its relays.
 func (f *Follower) Health() Health {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/distribution/follow/reader.go
+++ b/internal/distribution/follow/reader.go
@@ -12,41 +12,42 @@
 )
 
 const (
-	// responseTimeout is how much later than its hold a read may be answered, else it has failed.
+	// responseTimeout is the time after the hold of a read after which the read has failed.
 	responseTimeout = time.Second
-	// requestTimeout bounds a request that does not wait for an update.
+	// requestTimeout is the timeout of a request that does not wait for an update.
 	requestTimeout = time.Second
-	// endLeaveTimeout bounds the request that ends the session when the follower ends: nobody is to
-	// wait long for it.
+	// endLeaveTimeout is the timeout of the request that closes the session when the follower ends.
+	// It is short because it delays the end of the process.
 	endLeaveTimeout = 250 * time.Millisecond
-	// failureNoticeDelay is how long after a hold without a response UpdateFailed is called.
+	// failureNoticeDelay is the time without a response, in addition to the hold, after which
+	// UpdateFailed is called.
 	failureNoticeDelay = 2 * time.Second
-	// logInterval is how often the log says that no relay answers.
+	// logInterval is the minimum time between two log lines that no relay answers.
 	logInterval = 5 * time.Second
 )
 
-// reader reads from one relay after another for a Follower. Its fields belong to the goroutine of
-// run.
+// reader is the loop that reads from the relays of a Follower. Its fields are used only by the
+// goroutine of run.
 type reader struct {
 	f      *Follower
 	picker *relayPicker
 	prober *relayProber
 
-	current  int         // the choice to read from
-	open     bool        // there is a session, and it has been answered
-	openedAt time.Time   // of the session
-	previous *sessionRef // the session that was left for a better relay; nil: none
+	current  int         // index of the relay to read from
+	open     bool        // whether the relay has responded in the current session
+	openedAt time.Time   // time at which the session was opened
+	previous *sessionRef // session that was left for a better relay; nil means none
 
 	startedAt      time.Time
-	lastNoticeAt   time.Time // of UpdateFailed; zero: not since the last response
-	lastLogAt      time.Time // of the line that no relay answers; zero: not since the last response
+	lastNoticeAt   time.Time // time of the last UpdateFailed; zero means none since the last response
+	lastLogAt      time.Time // time of the last log line that no relay answers; zero like lastNoticeAt
 	backgroundJobs sync.WaitGroup
 }
 
-// sessionRef names a session at a relay.
+// sessionRef identifies a session at a relay.
 type sessionRef struct{ address, id string }
 
-// request is a request and the relay that it goes to.
+// request is a request and the address of the relay that receives it.
 type request struct {
 	distribution.FollowRequest
 	address string
@@ -63,7 +64,7 @@
 	}
 }
 
-// run reads until the context ends, and then ends the session.
+// run reads until the context ends, and then closes the session.
 func (r *reader) run(ctx context.Context) {
 	defer r.backgroundJobs.Wait()
 	defer r.leaveAtEnd(ctx)
@@ -80,7 +81,7 @@
 	}
 }
 
-// chooseRelay decides which relay to read from next, and returns how long to wait before.
+// chooseRelay chooses the relay to read from next, and returns the time to wait before the read.
 func (r *reader) chooseRelay() (wait time.Duration) {
 	if !r.open {
 		r.current, wait = r.picker.next(r.f.now())
@@ -94,7 +95,8 @@
 	return 0
 }
 
-// read reads once. Without a session it opens one, and is answered at once.
+// read performs one read and applies the updates of the response. Without a session the read opens
+// one and is answered at once.
 func (r *reader) read(ctx context.Context) error {
 	req := r.compose()
 	readCtx, cancel := r.readContext(ctx, req)
@@ -111,7 +113,8 @@
 }
 
 // readContext returns the context of a read. If the follower ends while a session is being opened,
-// the read goes on for leaveTimeout: without its response there is no session ID to leave by.
+// the read continues for leaveTimeout, because its response has the session ID that is needed to
+// close the session.
 func (r *reader) readContext(ctx context.Context, req *request) (context.Context, context.CancelFunc) {
 	if req.Session != "" {
 		return context.WithTimeout(ctx, responseTimeout+r.f.cfg.Hold)
@@ -124,11 +127,12 @@
 	}
 }
 
-// compose returns the next read, with all that the session does not know.
+// compose returns the next read, with all positions and unfollowed resources that the session has
+// not been informed about.
 func (r *reader) compose() *request {
 	f := r.f
-	f.sending.Lock()
-	defer f.sending.Unlock()
+	f.sendMu.Lock()
+	defer f.sendMu.Unlock()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	req := f.newRequest(r.picker.address(r.current))
@@ -165,15 +169,15 @@
 	}
 	r.lastNoticeAt = time.Time{}
 	r.lastLogAt = time.Time{}
-	if len(f.unsentStatuses) > 0 { // positions go with the next read
+	if len(f.unsentStatuses) > 0 { // positions are sent with the next read
 		f.wakeReports()
 	}
 }
 
-// readSucceeded follows up on a read that has been answered.
+// readSucceeded updates the state of the reader after a successful read.
 func (r *reader) readSucceeded(ctx context.Context) {
 	if r.open {
-		r.picker.succeeded(r.current) // a session that goes on, not one that was only opened
+		r.picker.succeeded(r.current) // only after a read that continues a session
 	} else {
 		r.open = true
 		r.openedAt = r.f.now()
@@ -185,24 +189,25 @@
 	r.prober.start(ctx, r.f.cfg.Rand, &r.backgroundJobs)
 }
 
-// readFailed follows up on a read that has failed: the next one opens a session, here or at another
-// relay.
+// readFailed updates the state of the reader after a failed read. The next read opens a session at
+// the same or another relay.
 func (r *reader) readFailed(err error) {
 	now := r.f.now()
 	endedEarly := r.open && now.Sub(r.openedAt) < r.f.cfg.Hold
 	r.open = false
 	r.previous = nil
 	r.forgetSession()
-	// A relay that restarts knows no session, and a new one is opened at once. A session that ends
-	// as soon as it has been opened is another matter: a second process of the same name, for
-	// example.
+	// A relay that has restarted knows no session, so a new session is opened at once. The relay
+	// counts as failed if the session was lost soon after it was opened, because its cause may
+	// persist, for example a second process with the same name.
 	if endedEarly || !errors.Is(err, distribution.ErrUnknownSession) {
 		r.picker.failed(r.current, now, retryAfter(err), r.f.cfg.Rand)
 	}
 	r.noticeFailure(now, err)
 }
 
-// noticeFailure logs that no relay answers, and tells the subscribers once that has lasted.
+// noticeFailure logs that no relay answers, and calls UpdateFailed after some time without a
+// response.
 func (r *reader) noticeFailure(now time.Time, err error) {
 	f := r.f
 	f.mu.Lock()
@@ -225,7 +230,7 @@
 	}
 }
 
-// forgetSession ends the session at this side, and returns which it was.
+// forgetSession discards the current session without a request to its relay, and returns it.
 func (r *reader) forgetSession() *sessionRef {
 	r.f.mu.Lock()
 	defer r.f.mu.Unlock()
@@ -234,15 +239,15 @@
 	return session
 }
 
-// leaveAtEnd ends the session at the relay when the follower ends.
+// leaveAtEnd closes the session at the relay when the follower ends.
 func (r *reader) leaveAtEnd(ctx context.Context) {
 	if session := r.forgetSession(); session.id != "" {
 		r.sendLeave(context.WithoutCancel(ctx), session, r.f.leaveTimeout)
 	}
 }
 
-// sendLeave ends a session at its relay, in the background. Else the relay would count this
-// follower for some more holds.
+// sendLeave closes a session at its relay, in the background. Otherwise the relay would count the
+// follower until the session expires, after several holds.
 func (r *reader) sendLeave(ctx context.Context, session *sessionRef, timeout time.Duration) {
 	f := r.f
 	req := &distribution.FollowRequest{Follower: f.cfg.Name, Kind: f.cfg.Kind, Session: session.id, Leave: true}
@@ -252,11 +257,11 @@
 	r.backgroundJobs.Go(func() {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
-		_, _ = f.transport.Follow(ctx, session.address, req) // the session expires by itself too
+		_, _ = f.transport.Follow(ctx, session.address, req) // after a failure the session expires
 	})
 }
 
-// retryAfter returns how long an overloaded relay asks to wait; 0: err says nothing of it.
+// retryAfter returns the Retry-After of an overloaded relay, or 0 if err has none.
 func retryAfter(err error) time.Duration {
 	var overloaded *httpapi.OverloadedError
 	if errors.As(err, &overloaded) {
--- a/internal/distribution/follow/relay_picker.go
+++ b/internal/distribution/follow/relay_picker.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// A relay that has failed is not asked again for a time drawn between half and all of a
-	// backoff, which doubles with each failure in a row from minBackoff to maxBackoff.
+	// minBackoff and maxBackoff limit the backoff from a failed relay. The backoff doubles with
+	// each consecutive failure, and the relay is skipped for a random time between half of the
+	// backoff and all of it.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 5 * time.Second
-	// maxRetryAfter bounds the Retry-After of a relay that is kept. Its followers come back spread
-	// over as much time again.
+	// maxRetryAfter is the maximum Retry-After that the picker honors. The followers of the relay
+	// retry at random times between the Retry-After and twice that.
 	maxRetryAfter = 10 * time.Second
-	// maxBackoffDoublings keeps the backoff from overflowing; maxBackoff is reached before.
+	// maxBackoffDoublings prevents overflow of the backoff, which reaches maxBackoff earlier.
 	maxBackoffDoublings = 10
 )
 
-// relayPicker chooses the relay to read from. A relay is named by its index in the order of
-// preference. relayPicker is pure: time and randomness are arguments.
+// relayPicker chooses the relay to read from. A relay is identified by its index in the order of
+// preference. A relayPicker performs no I/O: time and random generator are arguments.
 type relayPicker struct {
 	relays []relay // by preference
 }
@@ -30,13 +31,13 @@
 // relay is one relay to choose from.
 type relay struct {
 	address      string
-	failures     int       // in a row
-	backoffUntil time.Time // not asked before then
+	failures     int       // number of consecutive failures
+	backoffUntil time.Time // time until which the relay is skipped
 }
 
-// newRelayPicker orders relays by rendezvous hashing. Each follower has its own order, the same
-// after a restart, and the followers of a relay that fails are spread evenly over the others.
-// Duplicates are dropped.
+// newRelayPicker orders relays by rendezvous hashing and removes duplicates. Each follower has its
+// own order, which is the same after a restart. The followers of a failed relay are spread evenly
+// over the other relays.
 func newRelayPicker(follower string, addresses []string) *relayPicker {
 	type scoredAddress struct {
 		address string
@@ -70,8 +71,8 @@
 	return addresses
 }
 
-// next returns the relay to ask, and how long to wait before: the first one that is not backed off
-// from, else the one that may be asked soonest.
+// next returns the relay to read from and the time to wait before the read. It is the most
+// preferred relay without a backoff, or the one whose backoff ends first if all have one.
 func (p *relayPicker) next(now time.Time) (choice int, wait time.Duration) {
 	for i := range p.relays {
 		if !now.Before(p.relays[i].backoffUntil) {
@@ -84,7 +85,8 @@
 	return choice, p.relays[choice].backoffUntil.Sub(now)
 }
 
-// failed notes that a relay did not answer, or asked to come back after retryAfter (0: it did not).
+// failed records that a read from a relay has failed. A retryAfter of 0 means that the relay sent
+// none.
 func (p *relayPicker) failed(choice int, now time.Time, retryAfter time.Duration, random *rand.Rand) {
 	r := &p.relays[choice]
 	backoff := min(minBackoff<<min(r.failures, maxBackoffDoublings), maxBackoff)
@@ -97,7 +99,7 @@
 	r.backoffUntil = now.Add(wait)
 }
 
-// succeeded notes that a relay answers.
+// succeeded records that a read from a relay has succeeded.
 func (p *relayPicker) succeeded(choice int) {
 	p.relays[choice].failures = 0
 	p.relays[choice].backoffUntil = time.Time{}
--- a/internal/distribution/follow/relay_picker_test.go
+++ b/internal/distribution/follow/relay_picker_test.go
@@ -10,7 +10,8 @@
 // testRand returns a generator with a fixed seed.
 func testRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// Followers are spread evenly over relays, and those of a relay that fails evenly over the others.
+// Followers are spread evenly over the relays. The followers of a failed relay are spread evenly
+// over the other relays.
 func TestRendezvousHashing(t *testing.T) {
 	relays := []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:1"}
 	const followers = 4_000
@@ -18,7 +19,7 @@
 	for i := range followers {
 		p := newRelayPicker(fmt.Sprint("proxy-", i), relays)
 		if len(p.relays) != 4 {
-			t.Fatalf("%d relays, 4 expected", len(p.relays))
+			t.Fatalf("got %d relays, want 4", len(p.relays))
 		}
 		first[p.relays[0].address]++
 		if p.relays[0].address == relays[0] {
@@ -27,17 +28,17 @@
 	}
 	for _, address := range relays[:4] {
 		if n := first[address]; n < followers/4*9/10 || n > followers/4*11/10 {
-			t.Errorf("%s is the first choice of %d of %d", address, n, followers)
+			t.Errorf("%s is the first choice of %d of %d followers, want about a quarter", address, n, followers)
 		}
 	}
 	for _, address := range relays[1:4] {
 		if n := second[address]; n < first[relays[0]]/3*8/10 || n > first[relays[0]]/3*12/10 {
-			t.Errorf("%s is the second choice of %d of %d", address, n, first[relays[0]])
+			t.Errorf("%s is the second choice of %d of %d followers, want about a third", address, n, first[relays[0]])
 		}
 	}
 }
 
-// A relay that fails is not asked for a growing time, but is asked again.
+// A failed relay is skipped for an increasing time and then tried again.
 func TestBackoff(t *testing.T) {
 	now, random := time.Unix(1_000, 0), testRand()
 	p := newRelayPicker("p", []string{"a", "b"})
@@ -45,25 +46,25 @@
 		longest := min(minBackoff<<min(failures, maxBackoffDoublings), maxBackoff)
 		choice, wait := p.next(now)
 		if choice != 0 || wait != 0 {
-			t.Fatalf("choice %d in %v", choice, wait)
+			t.Fatalf("after the backoff: got choice %d in %v, want 0 at once", choice, wait)
 		}
 		p.failed(0, now, 0, random)
 		if choice, wait := p.next(now); choice != 1 || wait != 0 {
-			t.Fatalf("after a failure: choice %d in %v", choice, wait)
+			t.Fatalf("after a failure: got choice %d in %v, want 1 at once", choice, wait)
 		}
 		if wait := p.relays[0].backoffUntil.Sub(now); wait < longest/2 || wait > longest {
-			t.Fatalf("failure %d: backoff of %v, %v at most expected", failures, wait, longest)
+			t.Fatalf("failure %d: got a backoff of %v, want %v to %v", failures, wait, longest/2, longest)
 		}
 		now = p.relays[0].backoffUntil
 	}
 	p.succeeded(0)
 	p.failed(0, now, 0, random)
 	if wait := p.relays[0].backoffUntil.Sub(now); wait > minBackoff {
-		t.Errorf("after an answer: backoff of %v", wait)
+		t.Errorf("after a success: got a backoff of %v, want at most %v", wait, minBackoff)
 	}
 }
 
-// If all relays have failed, the one that may be asked soonest is chosen.
+// If all relays have failed, the relay whose backoff ends first is chosen.
 func TestAllRelaysFail(t *testing.T) {
 	now, random := time.Unix(1_000, 0), testRand()
 	p := newRelayPicker("p", []string{"a", "b", "c"})
@@ -73,12 +74,14 @@
 	choice, wait := p.next(now)
 	for _, r := range p.relays {
 		if wait <= 0 || now.Add(wait).After(r.backoffUntil) {
-			t.Errorf("choice %d in %v; %s could be asked at %v", choice, wait, r.address, r.backoffUntil.Sub(now))
+			t.Errorf("got choice %d in %v, but the backoff of %s ends in %v",
+				choice, wait, r.address, r.backoffUntil.Sub(now))
 		}
 	}
 }
 
-// Retry-After is kept up to a bound, and its followers come back spread over as much time again.
+// A Retry-After is honored up to a limit, and the followers of the relay retry at random times
+// between the Retry-After and twice that.
 func TestRetryAfter(t *testing.T) {
 	now, random := time.Unix(1_000, 0), testRand()
 	for _, retryAfter := range []time.Duration{time.Second, time.Hour} {
@@ -86,7 +89,7 @@
 		p.failed(0, now, retryAfter, random)
 		bound := min(retryAfter, maxRetryAfter)
 		if _, wait := p.next(now); wait < bound || wait > 2*bound {
-			t.Errorf("Retry-After of %v: %v", retryAfter, wait)
+			t.Errorf("Retry-After of %v: got a wait of %v, want %v to %v", retryAfter, wait, bound, 2*bound)
 		}
 	}
 }
--- a/internal/distribution/follow/relay_prober.go
+++ b/internal/distribution/follow/relay_prober.go
@@ -10,45 +10,46 @@
 )
 
 const (
-	// probeTimeout bounds a health check.
+	// probeTimeout is the timeout of a readiness check.
 	probeTimeout = 500 * time.Millisecond
-	// probeInterval is the mean time between health checks of the preferred relays, while another
-	// one is read from.
+	// probeInterval is the mean time between readiness checks of the relays that are preferred to
+	// the current one.
 	probeInterval = 2 * time.Second
-	// failbackSpread is the longest time until a follower returns to a preferred relay that is
-	// ready again, so that not all its followers return at once.
+	// failbackSpread is the maximum random time before a follower returns to a preferred relay that
+	// is ready again. It prevents all followers of that relay from returning at once.
 	failbackSpread = 5 * time.Second
 )
 
-// relayProber checks whether a better relay than the current one is ready. Normally only those
-// preferred to the current one are better, and are returned to after a random wait. While the
-// current one is disconnected from the source any other is better, and is switched to at once. It
-// is safe for concurrent use.
+// relayProber checks whether a better relay than the current one is ready. Normally only the relays
+// that are preferred to the current one are better, and the reader switches to one of them after a
+// random time. While the current relay is disconnected from the source, every other relay is
+// better, and the reader switches at once. A relayProber is safe for concurrent use.
 type relayProber struct {
 	transport Transport
 	addresses []string // by preference
 
 	mu           sync.Mutex
-	current      int  // the relay that is read from
-	disconnected bool // the current relay is disconnected from the source
-	preferred    int  // the relay to switch to, if found
+	current      int  // index of the relay that the reader reads from
+	disconnected bool // whether the current relay is disconnected from the source
+	preferred    int  // index of the relay to switch to, if found is set
 	found        bool
 	running      bool
 }
 
-// probeState is what a probe starts from.
+// probeState is the state of the prober at the start of a probe.
 type probeState struct {
 	current      int
-	candidates   int // the first so many relays may be better than the current one; 0: none
+	candidates   int // number of relays, by preference, that may be better than the current one
 	disconnected bool
 }
 
-// newRelayProber returns a prober that has not been told of a current relay.
+// newRelayProber returns a prober without a current relay.
 func newRelayProber(transport Transport, addresses []string) *relayProber {
 	return &relayProber{transport: transport, addresses: addresses}
 }
 
-// setCurrent notes which relay is read from, and whether it is disconnected from the source.
+// setCurrent records the relay that the reader reads from, and whether that relay is disconnected
+// from the source.
 func (p *relayProber) setCurrent(choice int, disconnected bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,8 +57,8 @@
 	p.disconnected = disconnected
 }
 
-// takePreferred returns the relay to switch to from the current one, if a better one has been found
-// since the last call.
+// takePreferred returns the relay to switch to, if a better relay than the current one has been
+// found since the last call.
 func (p *relayProber) takePreferred(current int) (choice int, found bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,8 +67,8 @@
 	return p.preferred, found
 }
 
-// start starts probing in the background if that is not under way and there may be a better relay.
-// It draws a seed from random.
+// start starts probing in the background, unless the prober is already running or no relay can be
+// better than the current one. It draws the seed of the prober's random generator from random.
 func (p *relayProber) start(ctx context.Context, random *rand.Rand, jobs *sync.WaitGroup) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,8 +80,8 @@
 	jobs.Go(func() { p.run(ctx, own) })
 }
 
-// candidates returns how many relays, the first ones by preference, may be better than the current
-// one. The caller holds p.mu.
+// candidates returns the number of relays, counted from the most preferred one, that may be better
+// than the current one. The caller holds p.mu.
 func (p *relayProber) candidates() int {
 	if p.disconnected {
 		return len(p.addresses)
@@ -88,7 +89,7 @@
 	return p.current
 }
 
-// run probes until no relay can be better than the current one, or the context ends.
+// run probes until no relay can be better than the current one or the context ends.
 func (p *relayProber) run(ctx context.Context, random *rand.Rand) {
 	for {
 		state := p.nextState()
@@ -105,8 +106,8 @@
 	}
 }
 
-// nextState returns what the next probe starts from. If there is nothing to probe, the prober no
-// longer runs.
+// nextState returns the state for the next probe. If there are no candidates, it marks the prober
+// as not running.
 func (p *relayProber) nextState() probeState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,7 +116,7 @@
 	return state
 }
 
-// probeDelay returns how long to wait before the next probe.
+// probeDelay returns the time to wait before the next probe.
 func (s probeState) probeDelay(random *rand.Rand) time.Duration {
 	delay := probeInterval/2 + time.Duration(random.Int64N(int64(probeInterval)))
 	if s.disconnected {
@@ -124,8 +125,8 @@
 	return delay
 }
 
-// firstReady returns the first candidate that is ready, other than the current relay; negative:
-// none is.
+// firstReady returns the first candidate other than the current relay that is ready, or -1 if none
+// is.
 func (p *relayProber) firstReady(ctx context.Context, state probeState) int {
 	for choice := range state.candidates {
 		if choice != state.current && p.ready(ctx, choice) {
@@ -135,9 +136,9 @@
 	return -1
 }
 
-// confirm reports whether to switch to a relay that is ready. Without haste it first waits for a
-// random time, after which the relay must still be ready: it may have been disconnected from the
-// source meanwhile.
+// confirm reports whether to switch to a relay that is ready. It returns true at once if the
+// current relay is disconnected from the source. Otherwise it waits for a random time and checks
+// the relay again, because that relay may have been disconnected from the source in the meantime.
 func (p *relayProber) confirm(ctx context.Context, state probeState, choice int, random *rand.Rand) bool {
 	if state.disconnected {
 		return true
@@ -148,8 +149,8 @@
 	return p.ready(ctx, choice)
 }
 
-// prefer has the reader switch to a relay, if it still reads from the one that the probe started
-// from.
+// prefer makes the reader switch to a relay, if the reader's relay has not changed since the start
+// of the probe.
 func (p *relayProber) prefer(state probeState, choice int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -157,7 +158,7 @@
 	p.found = p.current == state.current
 }
 
-// ready reports whether a relay answers and hears from the source.
+// ready reports whether a relay responds and is not disconnected from the source.
 func (p *relayProber) ready(ctx context.Context, choice int) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/distribution/follow/report.go
+++ b/internal/distribution/follow/report.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// maxReportStatuses is how many statuses go in one report.
+	// maxReportStatuses is the maximum number of statuses in one report.
 	maxReportStatuses = 512
-	// reportRetryDelay is when a report that failed is sent again.
+	// reportRetryDelay is the delay before a failed report is sent again.
 	reportRetryDelay = 200 * time.Millisecond
 )
 
-// Report reports statuses of the followers behind a relay to its upstream. The latest of each
-// resource counts; those of resources that are not subscribed to are ignored.
+// Report reports statuses of the followers behind a relay to its upstream. Only the latest status
+// of each resource is sent. Statuses of resources without a subscription are ignored.
 func (f *Follower) Report(statuses []distribution.ResourceStatus) {
 	f.mu.Lock()
 	for i := range statuses {
@@ -32,7 +32,7 @@
 	f.wakeReports()
 }
 
-// wakeReports has sendReports look for something to report.
+// wakeReports makes sendReports send pending reports.
 func (f *Follower) wakeReports() {
 	select {
 	case f.reportPending <- struct{}{}:
@@ -40,8 +40,8 @@
 	}
 }
 
-// sendReports sends what can't wait for the next read until the context ends: statuses, and
-// resources that are followed anew or no longer.
+// sendReports sends the reports that can't wait for the next read, until the context ends. These
+// are statuses, newly followed resources and resources that are no longer followed.
 func (f *Follower) sendReports(ctx context.Context) {
 	for {
 		select {
@@ -55,8 +55,7 @@
 	}
 }
 
-// sendPending sends reports until there is nothing more to report. It returns false if the context
-// has ended.
+// sendPending sends reports until none is pending. It returns false if the context has ended.
 func (f *Follower) sendPending(ctx context.Context) bool {
 	for {
 		more, err := f.sendReport(ctx)
@@ -69,11 +68,11 @@
 	}
 }
 
-// sendReport sends what the session does not know, if there is anything, and reports whether there
-// is more.
+// sendReport sends one report if there is anything that the session has not been informed about,
+// and reports whether another report has to be sent.
 func (f *Follower) sendReport(ctx context.Context) (more bool, err error) {
-	f.sending.Lock()
-	defer f.sending.Unlock()
+	f.sendMu.Lock()
+	defer f.sendMu.Unlock()
 	req := f.composeReport()
 	if req == nil {
 		return false, nil
@@ -88,14 +87,13 @@
 		return len(f.unsentStatuses) > 0, nil
 	}
 	if f.sessionID != req.Session {
-		return false, err // the next session sends everything
+		return false, err // the first read of the next session sends everything
 	}
 	f.markUnsent(req)
 	return !errors.Is(err, distribution.ErrUnknownSession), err
 }
 
-// markUnsent marks what a request says as unknown to the session, because the request has failed.
-// The caller holds f.mu.
+// markUnsent marks the content of a failed request as unsent. The caller holds f.mu.
 func (f *Follower) markUnsent(req *request) {
 	for i := range req.Positions {
 		f.unsentPositions[req.Positions[i].Resource] = true
@@ -110,7 +108,7 @@
 	}
 }
 
-// composeReport returns the next report, or nil if there is none.
+// composeReport returns the next report, or nil if there is nothing to report.
 func (f *Follower) composeReport() *request {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -135,7 +133,7 @@
 	return req
 }
 
-// newRequest returns a request of the current session without any content. The caller holds f.mu.
+// newRequest returns an empty request of the current session. The caller holds f.mu.
 func (f *Follower) newRequest(address string) *request {
 	return &request{
 		address:       address,
--- a/internal/distribution/follow/subscription.go
+++ b/internal/distribution/follow/subscription.go
@@ -7,16 +7,16 @@
 	"fernlanding/internal/distribution"
 )
 
-// subscription is a resource that is followed. Its subscriber is called by Run's goroutine alone.
+// subscription is a followed resource. Its subscriber is called only by the goroutine of Run.
 type subscription struct {
 	subscriber Subscriber
 	position   distribution.Position
 }
 
-// Subscribe follows a resource, of which the subscriber has a version (zero: none), until cancel is
-// called. A subscriber may follow several resources. A resource has one subscriber at a time: a
-// second one replaces the first. A call that was about to begin may still come after cancel has
-// returned.
+// Subscribe follows a resource until cancel is called. The argument has is the version that the
+// subscriber has, or zero if it has none. A subscriber may follow several resources. A resource has
+// one subscriber at a time: a second subscriber replaces the first. The subscriber may still be
+// called once after cancel has returned, if that call was about to begin.
 func (f *Follower) Subscribe(resource string, has distribution.Version, s Subscriber) (cancel func()) {
 	sub := &subscription{subscriber: s, position: distribution.Position{Resource: resource, InForce: has}}
 	f.mu.Lock()
@@ -28,7 +28,7 @@
 	return func() { f.unsubscribe(resource, sub) }
 }
 
-// unsubscribe ends a subscription, if another has not replaced it.
+// unsubscribe ends a subscription, unless another one has replaced it.
 func (f *Follower) unsubscribe(resource string, sub *subscription) {
 	f.mu.Lock()
 	if f.subscriptions[resource] == sub {
@@ -41,8 +41,8 @@
 	f.wakeReports()
 }
 
-// takeUnsentPositions returns the positions and the resources no longer followed that the session
-// does not know, and marks them as sent. The caller holds f.mu.
+// takeUnsentPositions returns the unsent positions and unfollowed resources, and marks them as
+// sent. The caller holds f.mu.
 func (f *Follower) takeUnsentPositions() (positions []distribution.Position, unfollowed []string) {
 	for name := range f.unsentPositions {
 		if sub := f.subscriptions[name]; sub != nil {
@@ -58,7 +58,8 @@
 	return positions, unfollowed
 }
 
-// markAllUnsent marks everything as unknown to the session, which is new. The caller holds f.mu.
+// markAllUnsent marks all positions and statuses as unsent for a new session. The caller holds
+// f.mu.
 func (f *Follower) markAllUnsent() {
 	clear(f.unsentUnfollowed)
 	for name := range f.subscriptions {
--- a/internal/distribution/follow/subscription_test.go
+++ b/internal/distribution/follow/subscription_test.go
@@ -9,27 +9,27 @@
 	"fernlanding/internal/distribution/httpapi"
 )
 
-// A resource that is followed anew, or no longer, is reported beside the read that waits.
+// A newly followed resource, and one that is no longer followed, is reported while a read waits.
 func TestSubscribeWhileReadWaits(t *testing.T) {
 	f := start(t, version(1), "a")
-	f.read().ok()
-	waiting := f.read()
+	f.nextRead().ok()
+	waiting := f.nextRead()
 	cancel := f.Subscribe("q", version(7), f)
-	report := f.next()
+	report := f.nextCall()
 	want := []distribution.Position{{Resource: "q", InForce: version(7)}}
 	if report.req.HoldMs != 0 || !slices.Equal(report.req.Positions, want) {
-		t.Errorf("%+v", report.req)
+		t.Errorf("after Subscribe: got %+v, want a report of positions %+v", report.req, want)
 	}
 	report.ok()
 	cancel()
-	report = f.next()
+	report = f.nextCall()
 	if !slices.Equal(report.req.Unfollowed, []string{"q"}) {
-		t.Errorf("%+v", report.req)
+		t.Errorf("after cancel: got %+v, want q unfollowed", report.req)
 	}
 	report.fail(errors.New("lost"))
-	report = f.next()
+	report = f.nextCall()
 	if !slices.Equal(report.req.Unfollowed, []string{"q"}) {
-		t.Errorf("after a lost report: %+v", report.req)
+		t.Errorf("after a lost report: got %+v, want q unfollowed", report.req)
 	}
 	report.ok()
 	waiting.ok(
@@ -37,20 +37,20 @@
 		distribution.Update{Resource: "r", From: version(1), Version: version(2)},
 	)
 	if u := <-f.updates; u.Resource != "r" {
-		t.Errorf("%+v of a resource that is no longer followed", u)
+		t.Errorf("got update %+v of a resource that is no longer followed", u)
 	}
-	if next := f.read(); !slices.Equal(next.req.Unfollowed, []string{"q"}) || f.sent["r"].InForce != version(2) {
-		t.Errorf("%+v", next.req)
+	if next := f.nextRead(); !slices.Equal(next.req.Unfollowed, []string{"q"}) || f.sent["r"].InForce != version(2) {
+		t.Errorf("after an update of an unfollowed resource: got %+v, want q unfollowed again", next.req)
 	}
 }
 
-// The last status of each resource is reported beside the read, again after a report that is lost,
-// and all of them in a new session; none of a resource that is no longer followed.
+// The last status of each resource is reported while a read waits, again after a report is lost,
+// and again in a new session. Statuses of resources that are no longer followed are not reported.
 func TestStatusReports(t *testing.T) {
 	f := start(t, version(1), "a")
 	cancel := f.Subscribe("q", version(1), f)
-	f.read().ok()
-	waiting := f.read()
+	f.nextRead().ok()
+	waiting := f.nextRead()
 	status := func(name string, proxies int) distribution.ResourceStatus {
 		return distribution.ResourceStatus{
 			Resource: name,
@@ -58,52 +58,53 @@
 		}
 	}
 	f.Report([]distribution.ResourceStatus{status("q", 1), status("r", 1), status("unfollowed", 1)})
-	report := f.next()
+	report := f.nextCall()
 	if len(report.req.Statuses) != 2 || report.req.HoldMs != 0 {
-		t.Errorf("%+v", report.req)
+		t.Errorf("got %+v, want a report of 2 statuses", report.req)
 	}
 	f.Report([]distribution.ResourceStatus{status("r", 2)})
 	report.fail(errors.New("lost"))
-	report = f.next()
+	report = f.nextCall()
 	if len(report.req.Statuses) != 2 || f.statuses["r"].Counts[0].Proxies != 2 {
-		t.Errorf("after a lost report: %+v", report.req)
+		t.Errorf("after a lost report: got %+v, want a report of 2 statuses", report.req)
 	}
 	report.ok()
 	cancel()
-	f.next().ok()
+	f.nextCall().ok()
 	waiting.fail(distribution.ErrUnknownSession)
-	f.read().ok()
+	f.nextRead().ok()
 	for {
-		if c := f.next(); len(c.req.Statuses) > 0 {
+		if c := f.nextCall(); len(c.req.Statuses) > 0 {
 			if c.req.Statuses[0].Resource != "r" || len(c.req.Statuses) != 1 {
-				t.Errorf("in a new session: %+v", c.req)
+				t.Errorf("in a new session: got %+v, want the status of r only", c.req)
 			}
 			return
 		}
 	}
 }
 
-// A delta that crosses a new subscription without a version is no fault of the relay: the next read
-// sends the position. Once that has been sent, such a delta is a fault.
+// A relay may send a delta before it receives the position of a new subscription without a version.
+// The follower ignores the delta and sends the position with the next read. After that, such a
+// delta is an error.
 func TestDeltaCrossesNewSubscription(t *testing.T) {
 	f := &fixture{t: t, updates: make(chan distribution.Update, 10)}
 	cfg := Config{Name: "p", Kind: distribution.KindProxy}
 	f.Follower = newFollower(cfg, &scriptedTransport{}, new(httpapi.Traffic))
 	f.Subscribe("r", version(3), f)
 	f.markAllUnsent()
-	f.takeUnsentPositions() // the relay gets version 3, and its delta is on the way
+	f.takeUnsentPositions() // the relay receives version 3 and has sent a delta from it
 	f.Subscribe("r", distribution.Version{}, f)
 	delta := []distribution.Update{{Resource: "r", From: version(3), Version: version(5)}}
 	if err := f.applyUpdates(delta); err != nil {
-		t.Errorf("the session would end: %v", err)
+		t.Errorf("before the position is sent: got error %v, which would end the session", err)
 	}
 	if positions, _ := f.takeUnsentPositions(); len(positions) != 1 || !positions[0].InForce.IsZero() {
-		t.Errorf("the next read sends %+v", positions)
+		t.Errorf("next read: got positions %+v, want one without a version", positions)
 	}
 	if err := f.applyUpdates(delta); err == nil {
-		t.Error("a delta to a version other than the one that was sent is accepted")
+		t.Error("after the position was sent: a delta from another version was accepted")
 	}
 	if len(f.updates) > 0 {
-		t.Errorf("applied: %+v", <-f.updates)
+		t.Errorf("update %+v was applied", <-f.updates)
 	}
 }
--- a/internal/distribution/followed.go
+++ b/internal/distribution/followed.go
@@ -7,13 +7,13 @@
 	id         uint32
 	name       string
 	sessions   map[*Session]struct{}
-	proxies    int                         // that follow it at this relay
-	counts     map[Version]int             // of these proxies, by the version in force
-	rejections map[*Session]Rejection      // of these proxies
-	reports    map[*Session]ResourceStatus // the last one of each relay behind this one
+	proxies    int                         // number of proxies that follow the resource at this relay
+	counts     map[Version]int             // numbers of these proxies by version in force
+	rejections map[*Session]Rejection      // rejections of these proxies
+	reports    map[*Session]ResourceStatus // last report of each relay behind this one
 }
 
-// follow adds a resource that nobody has followed so far.
+// follow adds a resource that no session has followed so far.
 func (s *Sessions) follow(name string) *followedResource {
 	s.lastID++
 	f := &followedResource{
@@ -26,8 +26,9 @@
 	return f
 }
 
-// count adds a number of proxies, which may be negative, to those that have a version in force.
-func (f *followedResource) count(v Version, delta int) {
+// adjustCount adds delta, which may be negative, to the number of proxies that have a version in
+// force.
+func (f *followedResource) adjustCount(v Version, delta int) {
 	f.proxies += delta
 	f.counts[v] += delta
 	if f.counts[v] == 0 {
@@ -35,7 +36,7 @@
 	}
 }
 
-// setRejection records which version a proxy rejects, if any.
+// setRejection records the version that a proxy rejects, if any.
 func (f *followedResource) setRejection(session *Session, p *Position) {
 	if p.Rejected.IsZero() {
 		delete(f.rejections, session)
@@ -55,31 +56,32 @@
 	}
 	_, found := session.find(f)
 	if !found {
-		return // a relay reports only what it follows; this report has crossed its unfollowing
+		return // a relay reports only followed resources; this report was sent before the unfollow arrived
 	}
 	if f.reports == nil {
 		f.reports = make(map[*Session]ResourceStatus)
 	}
 	f.reports[session] = *status
-	s.changed[f.name] = true
+	s.changedStatuses[f.name] = true
 }
 
 // IsFollowed reports whether any session follows a resource.
 func (s *Sessions) IsFollowed(name string) bool { return s.followed[name] != nil }
 
-// DrainChanged returns the resources whose status has changed since the last call, sorted.
+// DrainChanged returns the names of the resources whose status has changed since the last call,
+// sorted.
 func (s *Sessions) DrainChanged() []string {
-	names := make([]string, 0, len(s.changed))
-	for name := range s.changed {
+	names := make([]string, 0, len(s.changedStatuses))
+	for name := range s.changedStatuses {
 		names = append(names, name)
 	}
-	clear(s.changed)
+	clear(s.changedStatuses)
 	slices.Sort(names)
 	return names
 }
 
-// InForce reports whether all proxies that follow a resource have its latest version in force, by
-// what this relay knows.
+// InForce reports whether all proxies that follow a resource have its latest version in force,
+// according to the positions and reports that this relay has received.
 func (s *Sessions) InForce(name string, latest Version) bool {
 	f := s.followed[name]
 	if f == nil {
@@ -98,8 +100,8 @@
 	return true
 }
 
-// Status returns how far a resource is in force at the proxies of this relay and of those behind
-// it.
+// Status returns the in-force status of a resource at the proxies of this relay and of the relays
+// behind it.
 func (s *Sessions) Status(name string, latest Version) ResourceStatus {
 	f := s.followed[name]
 	if f == nil {
@@ -122,7 +124,7 @@
 		status.Rejections = append(status.Rejections, rejection)
 	}
 	if f.counts[latest] == f.proxies {
-		return status // without a look at each session
+		return status // no laggards, so the sessions need not be searched
 	}
 	for session := range f.sessions {
 		if session.Kind != KindProxy {
--- a/internal/distribution/httpapi/client.go
+++ b/internal/distribution/httpapi/client.go
@@ -20,24 +20,24 @@
 const (
 	dialTimeout       = time.Second
 	clientIdleTimeout = 90 * time.Second
-	maxIdleConns      = 2       // to each relay
-	bufferBytes       = 2 << 10 // of a connection, each way
-	maxErrorBytes     = 512     // of the body of an error, or of a small response
-	// maxRetryAfter is the longest Retry-After that is believed; a longer one is ignored.
+	maxIdleConns      = 2       // idle connections per relay
+	bufferBytes       = 2 << 10 // size of the read and of the write buffer of a connection
+	maxErrorBytes     = 512     // size of the body of an error response, or of a small response
+	// maxRetryAfter is the longest Retry-After that the client accepts. It ignores a longer one.
 	maxRetryAfter = time.Hour
 )
 
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// defaultDial returns the DialFunc of a client for which none is configured.
+// defaultDial returns the DialFunc of a client without a configured one.
 func defaultDial() DialFunc { return (&net.Dialer{KeepAlive: -1}).DialContext }
 
 // Client calls sources and relays. It is safe for concurrent use.
 type Client struct{ http *http.Client }
 
-// NewClient returns a client that opens connections with dial. Nil means TCP without keep-alive
-// probes: a read that is not answered in time shows a broken connection earlier.
+// NewClient returns a client that opens connections with dial. A nil dial means TCP without
+// keep-alive probes, because the timeout of a read detects a broken connection earlier.
 func NewClient(dial DialFunc) *Client {
 	if dial == nil {
 		dial = defaultDial()
@@ -60,11 +60,11 @@
 	}}
 }
 
-// Close closes the connections that are idle.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Follow sends a long poll and waits for its response, as long as the request says. Errors:
-// distribution.ErrUnknownSession, *OverloadedError, others.
+// Follow sends a long poll and waits for its response until the context ends. Its errors include
+// distribution.ErrUnknownSession and *OverloadedError.
 func (c *Client) Follow(
 	ctx context.Context, address string, req *distribution.FollowRequest,
 ) (*distribution.FollowResponse, error) {
@@ -74,20 +74,20 @@
 		return nil, err
 	}
 	if err := resp.Validate(); err != nil {
-		return nil, fmt.Errorf("%s: answer: %w", address, err)
+		return nil, fmt.Errorf("%s: response: %w", address, err)
 	}
 	return resp, nil
 }
 
-// Put writes to a resource at the source, and returns its new version. Errors:
-// *distribution.ConflictError, *OverloadedError, others.
+// Put writes to a resource at the source and returns the new version of the resource. Its errors
+// include *distribution.ConflictError and *OverloadedError.
 func (c *Client) Put(ctx context.Context, address string, req *distribution.PutRequest) (distribution.Version, error) {
 	var resp distribution.PutResponse
 	err := c.call(ctx, http.MethodPost, address, PathPut, req, &resp, maxErrorBytes)
 	return resp.Version, err
 }
 
-// Status returns how far a resource is in force at the proxies behind a source or relay.
+// Status returns the in-force status of a resource at the proxies behind a source or relay.
 func (c *Client) Status(ctx context.Context, address, resource string) (*distribution.ResourceStatus, error) {
 	status := new(distribution.ResourceStatus)
 	path := PathStatus + "?resource=" + url.QueryEscape(resource)
@@ -119,18 +119,19 @@
 	return stats, c.call(ctx, http.MethodGet, address, PathStats, nil, stats, distribution.MaxRequestBytes)
 }
 
-// Healthy returns nil if a source or relay answers.
+// Healthy returns nil if a source or relay responds.
 func (c *Client) Healthy(ctx context.Context, address string) error {
 	return c.call(ctx, http.MethodGet, address, PathHealth, nil, nil, maxErrorBytes)
 }
 
-// Ready returns nil if a source or relay answers and is not disconnected from the source.
+// Ready returns nil if a source or relay responds and is not disconnected from the source.
 func (c *Client) Ready(ctx context.Context, address string) error {
 	return c.call(ctx, http.MethodGet, address, PathReady, nil, nil, maxErrorBytes)
 }
 
-// call sends a request with in (nil: none) as its JSON body, and decodes the response's body of up
-// to maxBytes into out (nil: none). Errors begin with the address.
+// call sends a request with in as its JSON body and decodes the body of the response, of up to
+// maxBytes, into out. A nil in means no body, and a nil out ignores the body of the response. Error
+// texts begin with the address.
 func (c *Client) call(ctx context.Context, method, address, path string, in, out any, maxBytes int64) error {
 	var body io.Reader
 	if in != nil {
@@ -149,11 +150,11 @@
 	if err != nil {
 		var urlErr *url.Error
 		if errors.As(err, &urlErr) {
-			err = urlErr.Err // without the URL, whose address is named below
+			err = urlErr.Err // without the URL, because the error text names the address already
 		}
 		return fmt.Errorf("%s: %w", address, err)
 	}
-	defer func() { _ = resp.Body.Close() }() // what was needed of it has been read
+	defer func() { _ = resp.Body.Close() }() // the needed part of the body has been read
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("%s: %w", address, responseError(resp))
 	}
@@ -163,24 +164,24 @@
 	return decodeBody(resp.Body, out, address, maxBytes)
 }
 
-// decodeBody decodes a body of up to maxBytes.
+// decodeBody decodes the JSON body of a response of up to maxBytes.
 func decodeBody(body io.Reader, out any, address string, maxBytes int64) error {
 	data, err := io.ReadAll(io.LimitReader(body, maxBytes+1))
 	if err != nil {
-		return fmt.Errorf("%s: answer: %w", address, err)
+		return fmt.Errorf("%s: response: %w", address, err)
 	}
 	if int64(len(data)) > maxBytes {
-		return fmt.Errorf("%s: answer: more than %d bytes found, that many at most expected", address, maxBytes)
+		return fmt.Errorf("%s: response body exceeds the limit of %d bytes", address, maxBytes)
 	}
 	if err := json.Unmarshal(data, out); err != nil {
-		return fmt.Errorf("%s: answer: %w", address, err)
+		return fmt.Errorf("%s: response: %w", address, err)
 	}
 	return nil
 }
 
-// responseError returns the error that a response stands for.
+// responseError returns the error that corresponds to a response with an error status.
 func responseError(resp *http.Response) error {
-	// What can be read of the text is the reason; the status says what has happened.
+	// A read error is ignored: the status determines the error, and the text is only its reason.
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	reason := fmt.Sprintf("status %d: %.200s", resp.StatusCode, strings.TrimSpace(string(text)))
 	switch resp.StatusCode {
@@ -197,8 +198,8 @@
 	return errors.New(reason)
 }
 
-// parseRetryAfter parses a Retry-After header in seconds; 0: it has none, or one beyond
-// maxRetryAfter.
+// parseRetryAfter parses a Retry-After header in seconds. It returns 0 if the header is missing,
+// invalid or longer than maxRetryAfter.
 func parseRetryAfter(text string) time.Duration {
 	seconds, err := strconv.ParseUint(text, 10, 32)
 	if err != nil || seconds > uint64(maxRetryAfter/time.Second) {
--- a/internal/distribution/httpapi/handler.go
+++ b/internal/distribution/httpapi/handler.go
@@ -22,10 +22,10 @@
 	return mux
 }
 
-// handler has a method for each path.
+// handler serves a Service, with a method for each path.
 type handler struct{ service Service }
 
-// follow answers PathFollow.
+// follow serves PathFollow.
 func (h *handler) follow(w http.ResponseWriter, r *http.Request) {
 	req := new(distribution.FollowRequest)
 	if !readMessage(w, r, req) {
@@ -40,7 +40,7 @@
 	writeFollowResponse(w, resp)
 }
 
-// put answers PathPut.
+// put serves PathPut.
 func (h *handler) put(w http.ResponseWriter, r *http.Request) {
 	req := new(distribution.PutRequest)
 	if !readMessage(w, r, req) {
@@ -54,7 +54,7 @@
 	writeJSON(w, distribution.PutResponse{Version: version})
 }
 
-// status answers PathStatus.
+// status serves PathStatus.
 func (h *handler) status(w http.ResponseWriter, r *http.Request) {
 	name := r.URL.Query().Get("resource")
 	if err := distribution.ValidateName("resource", name); err != nil {
@@ -64,7 +64,7 @@
 	writeJSON(w, h.service.Status(name))
 }
 
-// resource answers PathResource.
+// resource serves PathResource.
 func (h *handler) resource(w http.ResponseWriter, r *http.Request) {
 	update := h.service.Resource(r.URL.Query().Get("name"))
 	if update == nil {
@@ -74,13 +74,13 @@
 	writeJSON(w, update)
 }
 
-// stats answers PathStats.
+// stats serves PathStats.
 func (h *handler) stats(w http.ResponseWriter, _ *http.Request) { writeJSON(w, h.service.Stats()) }
 
-// health answers PathHealth.
+// health serves PathHealth.
 func (h *handler) health(w http.ResponseWriter, _ *http.Request) { writeBody(w) }
 
-// ready answers PathReady.
+// ready serves PathReady.
 func (h *handler) ready(w http.ResponseWriter, _ *http.Request) {
 	if h.service.Disconnected() {
 		writeStatus(w, http.StatusServiceUnavailable, "cut off from the source")
@@ -89,11 +89,11 @@
 	writeBody(w)
 }
 
-// message is a message from outside.
+// message is a message from another process.
 type message interface{ Validate() error }
 
-// readMessage decodes and validates the body of a request. If it can't, it answers the request and
-// returns false.
+// readMessage decodes and validates the body of a request. If the body is invalid, readMessage
+// responds with status 400 and returns false.
 func readMessage(w http.ResponseWriter, r *http.Request, into message) bool {
 	data, err := readBody(http.MaxBytesReader(w, r.Body, distribution.MaxRequestBytes), r.ContentLength)
 	if err == nil {
@@ -109,8 +109,8 @@
 	return true
 }
 
-// readBody reads a body to its end. A small one of known length, as a heartbeat's is, takes one
-// allocation.
+// readBody reads a body to its end. A small body of known length, such as that of a heartbeat,
+// requires only one allocation.
 func readBody(body io.Reader, length int64) ([]byte, error) {
 	const smallBytes = 4 << 10
 	if length < 0 || length > smallBytes {
--- a/internal/distribution/httpapi/httpapi_test.go
+++ b/internal/distribution/httpapi/httpapi_test.go
@@ -15,7 +15,7 @@
 	"fernlanding/internal/distribution"
 )
 
-// scriptedService answers all calls with what a test sets.
+// scriptedService is a Service with a response and an error that a test sets.
 type scriptedService struct {
 	response *EncodedResponse
 	err      error
@@ -45,8 +45,8 @@
 // Stats implements Service.
 func (s *scriptedService) Stats() distribution.Stats { return distribution.Stats{Name: "relay"} }
 
-// start serves a service until the test ends, and returns its address and the bytes of its
-// connections.
+// start serves a service until the test ends, and returns the address and the traffic of its
+// listener.
 func start(t *testing.T, service Service, maxConns int) (string, *Traffic) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -67,7 +67,7 @@
 	return l.Addr().String(), traffic
 }
 
-// heartbeat returns a read with nothing new.
+// heartbeat returns a read without changed positions.
 func heartbeat() *distribution.FollowRequest {
 	return &distribution.FollowRequest{
 		Follower: "proxy-of-usual-length-12345",
@@ -77,8 +77,8 @@
 	}
 }
 
-// Errors of a service reach the client as what they are.
-func TestErrorsOverTheWire(t *testing.T) {
+// The client returns the typed errors of the service, and reports readiness by the status.
+func TestErrorMapping(t *testing.T) {
 	service := &scriptedService{}
 	address, _ := start(t, service, 10)
 	c := NewClient(nil)
@@ -87,40 +87,40 @@
 
 	service.err = distribution.ErrUnknownSession
 	if _, err := c.Follow(ctx, address, heartbeat()); !errors.Is(err, distribution.ErrUnknownSession) {
-		t.Errorf("%v", err)
+		t.Errorf("Follow: got error %v, want ErrUnknownSession", err)
 	}
 	service.err = &OverloadedError{RetryAfter: 7 * time.Second, Reason: "full"}
 	var overloaded *OverloadedError
 	_, err := c.Follow(ctx, address, heartbeat())
 	if !errors.As(err, &overloaded) || overloaded.RetryAfter != 7*time.Second {
-		t.Errorf("%v", err)
+		t.Errorf("Follow: got error %v, want an OverloadedError with Retry-After 7s", err)
 	}
 	sent := &distribution.ConflictError{Resource: "r", Found: distribution.Version{Epoch: 1, Revision: 2}}
 	service.err = sent
 	var conflict *distribution.ConflictError
 	_, err = c.Put(ctx, address, &distribution.PutRequest{Resource: "r"})
 	if !errors.As(err, &conflict) || *conflict != *sent {
-		t.Errorf("%v", err)
+		t.Errorf("Put: got error %v, want the conflict %v", err, sent)
 	}
 	if _, err := c.Resource(ctx, address, "r"); err == nil || !strings.Contains(err.Error(), "no such resource") {
-		t.Errorf("%v", err)
+		t.Errorf("Resource: got error %v, want no such resource", err)
 	}
 	if s, err := c.Stats(ctx, address); err != nil || s.Name != "relay" {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("Stats: got %+v, %v", s, err)
 	}
 	if err := c.Healthy(ctx, address); err != nil {
 		t.Error(err)
 	}
 	if err := c.Ready(ctx, address); !errors.As(err, &overloaded) {
-		t.Errorf("disconnected, and ready: %v", err)
+		t.Errorf("Ready of a disconnected service: got error %v, want an OverloadedError", err)
 	}
 	service.err = nil
 	if err := c.Ready(ctx, address); err != nil {
-		t.Errorf("not ready: %v", err)
+		t.Errorf("Ready of a connected service: %v", err)
 	}
 }
 
-// Updates are sent as they were encoded, and a heartbeat is small.
+// Encoded updates are sent unchanged, and a heartbeat and its response are small.
 func TestFollowResponse(t *testing.T) {
 	update := []byte(`{"resource":"r","version":"1.2","items":[{"key":"a","value":"<&>"}]}`)
 	service := &scriptedService{response: &EncodedResponse{
@@ -137,33 +137,33 @@
 		t.Fatal(err)
 	}
 	if r.Session != "s1" || r.SourceAgeMs != 3_000 || !r.Disconnected {
-		t.Errorf("%+v", r)
+		t.Errorf("got %+v", r)
 	}
 	if len(r.Updates) != 2 || string(r.Updates[1].Items[0].Value) != `"<&>"` {
-		t.Errorf("%+v", r.Updates)
+		t.Errorf("got updates %+v", r.Updates)
 	}
 	service.response = &EncodedResponse{Session: "s1"}
 	inBefore, outBefore := traffic.In.Load(), traffic.Out.Load()
 	r, err = c.Follow(context.Background(), address, heartbeat())
 	if err != nil || len(r.Updates) > 0 {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("heartbeat: got %+v, %v; want no updates", r, err)
 	}
-	const limit = 4 * 150 // one read each 4 s, for 150 bytes a second
+	const limit = 4 * 150 // one read every 4 s, at 150 bytes per second
 	in, out := traffic.In.Load()-inBefore, traffic.Out.Load()-outBefore
 	if in > limit || out > limit {
-		t.Errorf("a heartbeat of %d bytes and a response of %d, %d at most expected", in, out, limit)
+		t.Errorf("got a heartbeat of %d bytes and a response of %d, want at most %d", in, out, limit)
 	}
 }
 
-// The client bounds and validates responses.
+// The client limits the size of responses and validates them.
 func TestInvalidResponses(t *testing.T) {
 	for want, body := range map[string]string{
-		"unexpected end of JSON":             `{"session":`,
-		"session: 0 bytes found":             `{}`,
-		"updates[0]: resource: name of 0":    `{"session":"s","updates":[{}]}`,
-		"epoch.revision":                     `{"session":"s","updates":[{"resource":"r","version":"x"}]}`,
-		"status 500: broken":                 "",
-		"answer: more than 10 bytes found, ": strings.Repeat(" ", 100),
+		"unexpected end of JSON":                      `{"session":`,
+		"session: 0 bytes found":                      `{}`,
+		"updates[0]: resource: name of 0":             `{"session":"s","updates":[{}]}`,
+		"epoch.revision":                              `{"session":"s","updates":[{"resource":"r","version":"x"}]}`,
+		"status 500: broken":                          "",
+		"response body exceeds the limit of 10 bytes": strings.Repeat(" ", 100),
 	} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			if body == "" {
@@ -178,14 +178,14 @@
 			err = c.call(context.Background(), http.MethodGet, address, PathStats, nil, new(distribution.Stats), 10)
 		}
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v found, %q expected", err, want)
+			t.Errorf("got error %v, want one line with %q", err, want)
 		}
 		c.Close()
 		server.Close()
 	}
 }
 
-// An invalid request is answered with one line.
+// An invalid request is answered with status 400 and a body of one line.
 func TestInvalidRequests(t *testing.T) {
 	address, _ := start(t, &scriptedService{}, 2)
 	for _, body := range []string{
@@ -206,13 +206,13 @@
 			t.Fatal(err)
 		}
 		if resp.StatusCode != http.StatusBadRequest || strings.Count(string(text), "\n") != 1 {
-			t.Errorf("%.50s: status %d, %q", body, resp.StatusCode, text)
+			t.Errorf("%.50s: got status %d with body %q, want status 400 with one line", body, resp.StatusCode, text)
 		}
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// Connections beyond the bound are closed.
+// Connections beyond the limit are closed.
 func TestConnectionsAreBounded(t *testing.T) {
 	address, _ := start(t, &scriptedService{}, 2)
 	var conns []net.Conn
@@ -226,23 +226,23 @@
 		conns = append(conns, conn)
 	}
 	for _, conn := range conns {
-		// Either fails on a connection that has been closed.
+		// On a closed connection the write or the read fails.
 		_, _ = io.WriteString(conn, "GET "+PathHealth+" HTTP/1.1\r\nHost: a\r\n\r\n")
 		if n, _ := conn.Read(make([]byte, 1)); n == 0 {
 			closed++
 		}
 	}
 	if closed < 2 {
-		t.Errorf("%d of 4 connections closed, 2 at least expected", closed)
+		t.Errorf("got %d of 4 connections closed, want at least 2", closed)
 	}
 }
 
-// A Retry-After is ignored unless it is within its bound.
+// A Retry-After beyond maxRetryAfter is ignored.
 func FuzzRetryAfter(f *testing.F) {
 	f.Add("5")
 	f.Fuzz(func(t *testing.T, text string) {
 		if d := parseRetryAfter(text); d < 0 || d > maxRetryAfter {
-			t.Errorf("%q: %v", text, d)
+			t.Errorf("%q: got %v, want 0 to %v", text, d, maxRetryAfter)
 		}
 	})
 }
--- a/internal/distribution/httpapi/response.go
+++ b/internal/distribution/httpapi/response.go
@@ -11,10 +11,10 @@
 	"fernlanding/internal/distribution"
 )
 
-// writeTimeout is how long a client may take to read a response before its connection is closed.
+// writeTimeout limits the time to write a response. The connection is closed after it.
 const writeTimeout = 10 * time.Second
 
-// writeFollowResponse answers a long poll. The updates are written as they were encoded.
+// writeFollowResponse answers a long poll. It writes the encoded updates unchanged.
 func writeFollowResponse(w http.ResponseWriter, resp *EncodedResponse) {
 	head := appendHead(nil, resp)
 	if len(resp.Updates) == 0 {
@@ -32,10 +32,10 @@
 	writeBody(w, append(parts, []byte("]}"))...)
 }
 
-// appendHead appends the JSON of a response up to its updates.
+// appendHead appends the JSON of a response up to the updates.
 func appendHead(to []byte, resp *EncodedResponse) []byte {
 	to = append(to, `{"session":`...)
-	to = strconv.AppendQuote(to, resp.Session) // as JSON does, because it is letters and digits
+	to = strconv.AppendQuote(to, resp.Session) // valid JSON, because it is letters and digits
 	to = append(to, `,"source_age_ms":`...)
 	to = strconv.AppendInt(to, resp.SourceAge.Milliseconds(), 10)
 	if resp.Disconnected {
@@ -62,16 +62,16 @@
 	}
 	setWriteDeadline(w)
 	header := w.Header()
-	// Nobody reads the date and the content type, and they would be most of a heartbeat's response.
+	// No client reads Date and Content-Type, which would be most of the response to a heartbeat.
 	header["Date"] = nil
 	header["Content-Type"] = nil
 	header["Content-Length"] = []string{strconv.Itoa(length)}
 	for _, part := range parts {
-		_, _ = w.Write(part) // a follower that has gone reads again
+		_, _ = w.Write(part) // a follower whose connection failed reads again
 	}
 }
 
-// writeError answers with the status that an error stands for.
+// writeError answers with the status that corresponds to an error.
 func writeError(w http.ResponseWriter, err error) {
 	var conflict *distribution.ConflictError
 	var overloaded *OverloadedError
@@ -94,7 +94,7 @@
 	}
 }
 
-// writeConflict answers with status 409 and the conflict as JSON, which the client decodes again.
+// writeConflict answers with status 409 and the conflict as JSON, which the client decodes.
 func writeConflict(w http.ResponseWriter, conflict *distribution.ConflictError) {
 	data, err := json.Marshal(conflict)
 	if err != nil {
@@ -103,18 +103,18 @@
 	}
 	setWriteDeadline(w)
 	w.WriteHeader(http.StatusConflict)
-	_, _ = w.Write(data) // a client that has gone has no use for it
+	_, _ = w.Write(data) // nothing to do if the connection failed
 }
 
-// writeStatus answers with a status and a text.
+// writeStatus answers with a status and a text body.
 func writeStatus(w http.ResponseWriter, status int, text string) {
 	setWriteDeadline(w)
 	http.Error(w, text, status)
 }
 
-// setWriteDeadline bounds how long the client may take to read the response. A connection keeps its
-// deadline, so each response has to set one.
+// setWriteDeadline limits the time to write a response to writeTimeout. A connection keeps its
+// deadline, so every response has to set a new one.
 func setWriteDeadline(w http.ResponseWriter) {
-	// A test's recorder has no deadlines.
+	// The error is ignored because response recorders in tests do not support deadlines.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 }
--- a/internal/distribution/httpapi/server.go
+++ b/internal/distribution/httpapi/server.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Bounds of a server's connections.
+// Limits of the connections of a server.
 const (
 	readHeaderTimeout = 5 * time.Second
 	maxHeaderBytes    = 8 << 10
 	serverIdleTimeout = 2 * time.Minute
 )
 
-// NewServer returns an HTTP server of a source or relay. It logs nothing.
+// NewServer returns an HTTP server for a source or relay. The server logs nothing.
 func NewServer(service Service) *http.Server {
 	return &http.Server{
 		Handler:           Handler(service),
@@ -27,13 +27,13 @@
 	}
 }
 
-// Listener returns a listener that counts the bytes of its connections. It has up to maxConns
-// connections open at a time, and closes any further one at once.
+// Listener returns a listener that counts the bytes of its connections. The listener keeps up to
+// maxConns connections open at a time and closes further connections at once.
 func Listener(inner net.Listener, maxConns int, traffic *Traffic) net.Listener {
 	return &limitedListener{Listener: inner, maxConns: int64(maxConns), traffic: traffic}
 }
 
-// limitedListener bounds the number of open connections.
+// limitedListener limits the number of open connections.
 type limitedListener struct {
 	net.Listener
 	maxConns int64
@@ -52,11 +52,11 @@
 			return &limitedConn{Conn: l.traffic.count(conn), listener: l}, nil
 		}
 		l.open.Add(-1)
-		_ = conn.Close() // nothing has been read or written
+		_ = conn.Close() // no data is lost: nothing has been read or written
 	}
 }
 
-// limitedConn is a connection that counts as open at its listener until it is closed.
+// limitedConn is a connection that its listener counts as open until the connection is closed.
 type limitedConn struct {
 	net.Conn
 	listener *limitedListener
--- a/internal/distribution/httpapi/service.go
+++ b/internal/distribution/httpapi/service.go
@@ -1,6 +1,6 @@
-// Package httpapi carries the messages of distribution over HTTP/1.1: long polls, writes, statuses
-// and metrics. [Handler] serves a source or relay, [Client] calls one, and [Listener] and
-// [NewServer] bound their connections.
+// Package httpapi transfers the messages of package distribution over HTTP/1.1: long polls, writes,
+// statuses and metrics. [Handler] serves a source or relay, [Client] calls one, and [Listener] and
+// [NewServer] limit their connections.
 package httpapi
 
 import (
@@ -11,7 +11,7 @@
 	"fernlanding/internal/distribution"
 )
 
-// The paths of a source or relay.
+// Paths of the HTTP API of a source or relay.
 const (
 	PathFollow   = "/v1/follow"   // POST FollowRequest: FollowResponse; 410: unknown session
 	PathPut      = "/v1/put"      // POST PutRequest: PutResponse; 409: the resource has another version
@@ -22,42 +22,44 @@
 	PathReady    = "/_ready"      // GET: 200; 503: disconnected from the source
 )
 
-// EncodedResponse is a FollowResponse whose updates are encoded already: many followers share each.
+// EncodedResponse is a FollowResponse with encoded updates, which many followers share.
 type EncodedResponse struct {
 	Session      string // letters and digits
 	SourceAge    time.Duration
 	Disconnected bool
-	Updates      [][]byte // each an Update as JSON
+	Updates      [][]byte // each is an Update as JSON
 }
 
-// Errors that a Service returns, beside those of package distribution.
+// Errors that a Service returns in addition to those of package distribution.
 var (
 	ErrNotSource  = errors.New("not the source")
 	ErrNotFound   = errors.New("no such resource")
 	ErrSuperseded = errors.New("another read of the same session has begun")
 )
 
-// Service is a source or relay. Its methods are called concurrently.
+// Service is a source or relay. Its methods must be safe for concurrent use.
 type Service interface {
-	// Follow answers a long poll. The caller calls done when the response has been written, or
-	// could not be.
+	// Follow answers a long poll. The caller calls done after the response has been written or
+	// could not be written.
 	Follow(ctx context.Context, req *distribution.FollowRequest) (resp *EncodedResponse, done func(), err error)
-	// Put makes a write durable and applies it; ErrNotSource at a relay.
+	// Put makes a write durable and applies it. It returns ErrNotSource at a relay.
 	Put(req *distribution.PutRequest) (distribution.Version, error)
-	// Status returns how far a resource is in force.
+	// Status returns the in-force status of a resource.
 	Status(resource string) distribution.ResourceStatus
-	// Resource returns a snapshot, or nil if there is no such resource.
+	// Resource returns a snapshot of a resource, or nil if the service does not have the resource.
 	Resource(name string) *distribution.Update
+	// Stats returns the metrics of the service.
 	Stats() distribution.Stats
-	// Disconnected reports whether a relay, or one above it, hears from no upstream.
+	// Disconnected reports whether the service, or a relay upstream of it, has no upstream that
+	// responds.
 	Disconnected() bool
 }
 
-// OverloadedError says that a source or relay rejects a call for now.
+// OverloadedError is returned when a source or relay temporarily rejects a request.
 type OverloadedError struct {
-	RetryAfter time.Duration // 0: unknown
+	RetryAfter time.Duration // time after which to retry; 0 means unknown
 	Reason     string
 }
 
 // Error implements error.
-func (e *OverloadedError) Error() string { return "turned away: " + e.Reason }
+func (e *OverloadedError) Error() string { return "overloaded: " + e.Reason }
--- a/internal/distribution/httpapi/traffic.go
+++ b/internal/distribution/httpapi/traffic.go
@@ -6,11 +6,11 @@
 	"sync/atomic"
 )
 
-// Traffic counts the bytes of connections. It is safe for concurrent use.
+// Traffic counts the bytes received and sent on connections. It is safe for concurrent use.
 type Traffic struct{ In, Out atomic.Int64 }
 
-// Dial returns a DialFunc that opens connections with dial and counts their bytes. Nil means the
-// dialer of [NewClient].
+// Dial returns a DialFunc that opens connections with dial and counts their bytes. A nil dial means
+// the default dialer of [NewClient].
 func (t *Traffic) Dial(dial DialFunc) DialFunc {
 	if dial == nil {
 		dial = defaultDial()
@@ -24,7 +24,7 @@
 	}
 }
 
-// count returns the connection with its bytes counted.
+// count returns a connection that counts the bytes of conn.
 func (t *Traffic) count(conn net.Conn) net.Conn { return &countedConn{Conn: conn, traffic: t} }
 
 // countedConn is a connection whose bytes are counted.
--- a/internal/distribution/node/bench_process_test.go
+++ b/internal/distribution/node/bench_process_test.go
@@ -14,7 +14,8 @@
 	"fernlanding/internal/distribution/httpapi"
 )
 
-// startFleet starts a source with resources, and a relay behind it whose process ID is returned.
+// startFleet starts a source with resources and a relay behind it. It returns their addresses and
+// the process ID of the relay.
 func startFleet(b *testing.B) (source, relay string, pid int) {
 	b.Helper()
 	program, source := startSourceProcess(b)
@@ -22,7 +23,8 @@
 	return source, relay, pid
 }
 
-// startSourceProcess builds the program and starts a source with resources.
+// startSourceProcess builds the program and starts a source with resources. It returns the path of
+// the program and the address of the source.
 func startSourceProcess(b *testing.B) (program, source string) {
 	b.Helper()
 	program = filepath.Join(b.TempDir(), "fernrelay")
@@ -62,8 +64,7 @@
 	return s
 }
 
-// startProcess starts the program until the benchmark ends, and returns where it listens and its
-// process ID.
+// startProcess starts the program until the benchmark ends, and returns its address and process ID.
 func startProcess(b *testing.B, program string, args ...string) (address string, pid int) {
 	b.Helper()
 	c := exec.Command(program, args...)
@@ -84,10 +85,10 @@
 	return address, c.Process.Pid
 }
 
-// cpuSeconds returns the processor time of a process.
+// cpuSeconds returns the CPU time of a process in seconds.
 func cpuSeconds(b *testing.B, pid int) float64 {
 	b.Helper()
-	const ticksPerSecond, userField, systemField = 100, 11, 12 // of the fields behind the name
+	const ticksPerSecond, userField, systemField = 100, 11, 12 // field indexes after the process name
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		b.Fatal(err)
@@ -105,7 +106,7 @@
 	return (user + system) / ticksPerSecond
 }
 
-// rssBytes returns the resident memory of a process.
+// rssBytes returns the resident set size of a process in bytes.
 func rssBytes(b *testing.B, pid int) int {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
--- a/internal/distribution/node/bench_test.go
+++ b/internal/distribution/node/bench_test.go
@@ -16,15 +16,15 @@
 	"fernlanding/internal/distribution/httpapi"
 )
 
-// What the benchmarks run.
+// Sizes and times of the benchmarks.
 const (
 	benchSessions  = 2_000            // followers of a relay
-	benchResources = 10               // that each follows
-	benchRest      = 20 * time.Second // of BenchmarkRelayAtRest
+	benchResources = 10               // resources that each follower follows
+	benchRest      = 20 * time.Second // duration of BenchmarkRelayAtRest
 )
 
-// BenchmarkRelayAtRest measures a relay process whose followers have everything that they follow.
-// Run it with -benchtime 1x.
+// BenchmarkRelayAtRest measures a relay process whose followers have the latest version of all
+// their resources. Run it with -benchtime 1x.
 func BenchmarkRelayAtRest(b *testing.B) {
 	_, relay, pid := startFleet(b)
 	followAll(b, relay)
@@ -32,7 +32,7 @@
 	defer client.Close()
 	for b.Loop() {
 		before, cpu := benchStats(b, client, relay), cpuSeconds(b, pid)
-		time.Sleep(benchRest) // what is measured is the idle time
+		time.Sleep(benchRest) // the benchmark measures the idle time
 		after, spent := benchStats(b, client, relay), cpuSeconds(b, pid)-cpu
 		messages := float64(after.MessagesIn - before.MessagesIn)
 		b.ReportMetric(100*spent/benchRest.Seconds(), "%core")
@@ -45,7 +45,7 @@
 	}
 }
 
-// BenchmarkChange measures an urgent change that goes to all followers of a relay process.
+// BenchmarkChange measures an urgent change that a relay process sends to all followers.
 func BenchmarkChange(b *testing.B) {
 	source, relay, pid := startFleet(b)
 	received := followAll(b, relay)
@@ -70,8 +70,8 @@
 	b.ReportMetric(float64(after.BytesOut-before.BytesOut)/sent, "B-out/update")
 }
 
-// BenchmarkFailover measures how the followers of a relay that is killed resume at two others that
-// know their versions. Run it with -benchtime 1x.
+// BenchmarkFailover measures how the followers of a killed relay resume at two other relays that
+// have their versions. Run it with -benchtime 1x.
 func BenchmarkFailover(b *testing.B) {
 	program, source := startSourceProcess(b)
 	var relays []string
@@ -104,7 +104,7 @@
 	}
 }
 
-// addStats adds the counters of relays that the benchmarks read to sum.
+// addStats adds to sum the metrics of relays that the benchmarks use.
 func addStats(b *testing.B, client *httpapi.Client, sum *distribution.Stats, relays ...string) {
 	b.Helper()
 	for _, relay := range relays {
@@ -125,15 +125,15 @@
 	for {
 		var sum distribution.Stats
 		addStats(b, client, &sum, relays...)
-		if sum.WaitingReads >= benchSessions*99/100 { // some are always between two reads
+		if sum.WaitingReads >= benchSessions*99/100 { // some followers are always between two reads
 			return
 		}
 		<-ticker.C
 	}
 }
 
-// BenchmarkHeartbeat counts the allocations of a relay for a read without an update. Its time is
-// mostly the hold.
+// BenchmarkHeartbeat measures the allocations of a relay for a read without an update. Most of its
+// time per operation is the hold.
 func BenchmarkHeartbeat(b *testing.B) {
 	n := New(Config{Name: "relay"})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -179,8 +179,8 @@
 	}
 }
 
-// BenchmarkSessionMemory measures what a relay keeps of a follower of ten resources, apart from its
-// connection.
+// BenchmarkSessionMemory measures the memory that a relay uses for a follower of ten resources,
+// without the connection.
 func BenchmarkSessionMemory(b *testing.B) {
 	for b.Loop() {
 		before := heapBytes()
@@ -203,7 +203,7 @@
 	}
 }
 
-// heapBytes returns the size of the live heap.
+// heapBytes returns the size of the live heap in bytes.
 func heapBytes() int64 {
 	var stats runtime.MemStats
 	runtime.GC()
@@ -211,8 +211,8 @@
 	return int64(stats.HeapAlloc)
 }
 
-// followAll starts the followers and waits until they have everything. Each further update calls
-// Done of what it returns.
+// followAll starts the followers and waits until they have all resources. Each further update calls
+// Done of the returned WaitGroup.
 func followAll(b *testing.B, relays ...string) *sync.WaitGroup {
 	b.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -234,7 +234,7 @@
 	return updates
 }
 
-// countingSubscriber calls Done for each update.
+// countingSubscriber is a subscriber that calls Done for each update.
 type countingSubscriber struct{ updates *sync.WaitGroup }
 
 // ApplyUpdate implements follow.Subscriber.
--- a/internal/distribution/node/encode.go
+++ b/internal/distribution/node/encode.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// maxResponseBytes is how many bytes of updates end a response; the other updates wait for the
-	// next read.
+	// maxResponseBytes is the size of updates from which on no further update is added to a
+	// response. The remaining updates are sent with the next read.
 	maxResponseBytes = 4 << 20
-	// maxCacheBytes bounds the encoded updates that are cached.
+	// maxCacheBytes is the maximum size of the cached encoded updates.
 	maxCacheBytes = 16 << 20
 )
 
-// respond returns a response with the pending updates, encoded. The lock is held.
+// respond returns a response with the encoded pending updates. The caller holds n.mu.
 func (n *Node) respond(session *distribution.Session, pending []distribution.PendingUpdate) *httpapi.EncodedResponse {
 	resp := &httpapi.EncodedResponse{
 		Session:      session.ID,
@@ -40,8 +40,8 @@
 	return resp
 }
 
-// encode returns an update as JSON, shared by all followers that get the same one. The lock is
-// held.
+// encode returns an update as JSON. All followers that receive the same update share its encoding.
+// The caller holds n.mu.
 func (n *Node) encode(pending distribution.PendingUpdate) encodedUpdate {
 	key := updateKey{resource: pending.Resource, from: pending.From, version: n.store.Version(pending.Resource)}
 	if cached, found := n.encoded.get(key); found {
@@ -49,7 +49,7 @@
 	}
 	update := n.store.UpdateSince(pending.Resource, pending.From)
 	data, err := json.Marshal(update)
-	if err != nil { // not possible: values were decoded from JSON
+	if err != nil { // unreachable: the values were decoded from JSON
 		return encodedUpdate{}
 	}
 	n.stats.Encodings++
@@ -61,7 +61,7 @@
 // encodedUpdate is an update as JSON.
 type encodedUpdate struct {
 	data []byte
-	full bool // a snapshot
+	full bool // whether the update is a snapshot
 }
 
 // updateKey identifies an update.
@@ -70,7 +70,7 @@
 	from, version distribution.Version
 }
 
-// updateCache caches encoded updates up to a number of bytes, and evicts the oldest ones first.
+// updateCache caches encoded updates up to a total size, and evicts the oldest ones first.
 type updateCache struct {
 	maxBytes int64
 	bytes    int64
@@ -89,7 +89,7 @@
 	return e, found
 }
 
-// put caches an update that is not cached yet, unless it is larger than the cache.
+// put caches an update that is not cached yet, unless the update is larger than the cache.
 func (c *updateCache) put(key updateKey, e encodedUpdate) {
 	size := int64(len(e.data))
 	if size > c.maxBytes {
--- a/internal/distribution/node/failover_test.go
+++ b/internal/distribution/node/failover_test.go
@@ -9,8 +9,8 @@
 	"fernlanding/internal/distribution/httpapi"
 )
 
-// After a relay's failure its proxy goes on at the other relay from the version that it has, by
-// deltas alone, and returns once the relay is up again.
+// After the failure of its relay a proxy resumes at the other relay from the version that it has,
+// by deltas only. It returns to the first relay when that relay is up again.
 func TestResumeAfterRelayFailure(t *testing.T) {
 	source := startSource(t, t.TempDir(), "")
 	relays := map[string]*testNode{}
@@ -22,7 +22,7 @@
 	}
 	p := startProxy(t, "p1", addresses...)
 	p.awaitVersion(put(t, source.address, item("b1", "1"), item("b2", "1")))
-	// The other relay has the resource too, by another proxy.
+	// The other relay has the resource too, because another proxy follows it there.
 	for _, address := range addresses {
 		startProxy(t, "beside "+address, address).awaitVersion(source.store.Version(resource))
 	}
@@ -31,25 +31,25 @@
 	p.awaitVersion(put(t, source.address, urgently(item("b1", "2"))))
 	p.mu.Lock()
 	if p.snapshots != 1 || p.deltas != 1 {
-		t.Errorf("%d snapshots and %d deltas, 1 and 1 expected", p.snapshots, p.deltas)
+		t.Errorf("got %d snapshots and %d deltas, want 1 and 1", p.snapshots, p.deltas)
 	}
 	p.mu.Unlock()
 	if second := p.Health().Relay; second == first || p.Stats().Switches != 1 {
-		t.Errorf("reads from %s, the failed one is %s; %d switches", second, first, p.Stats().Switches)
+		t.Errorf("got relay %s after %d switches, want 1 switch from %s", second, p.Stats().Switches, first)
 	}
 
 	startRelay(t, "relay again", first, source.address)
-	eventually(t, "the return to the preferred relay", func() bool { return p.Health().Relay == first })
+	eventually(t, "return to the preferred relay", func() bool { return p.Health().Relay == first })
 	p.awaitVersion(put(t, source.address, item("b2", "3")))
-	eventually(t, "one proxy is counted once", func() bool {
+	eventually(t, "all proxies in force, each counted once", func() bool {
 		progress := statusOf(source, source.store.Version(resource))
-		// With the two beside it, one of which has lost its relay for now.
+		// The proxy and the two others, one of which had lost its relay for a time.
 		return progress.Proxies == 3 && progress.Done()
 	})
 }
 
-// A relay that restarts knows no session: its proxies open new ones with all positions, and get no
-// snapshot and nothing older.
+// A relay that restarts knows no session. Its proxies open new sessions with all positions, and
+// receive neither a snapshot nor an older version.
 func TestUnknownSession(t *testing.T) {
 	source := startSource(t, t.TempDir(), "")
 	relay := startRelay(t, "relay", "", source.address)
@@ -62,30 +62,30 @@
 		Follower: "p1", Kind: distribution.KindProxy, Session: "none", HoldMs: 100,
 	})
 	if !errors.Is(err, distribution.ErrUnknownSession) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want ErrUnknownSession", err)
 	}
 	relay.kill()
 	relay = startRelay(t, "relay", relay.address, source.address)
-	eventually(t, "a new session", func() bool { return p.Stats().Sessions >= 2 })
-	eventually(t, "the relay has the resource", func() bool { return relay.Stats().Resources == 1 })
+	eventually(t, "new session", func() bool { return p.Stats().Sessions >= 2 })
+	eventually(t, "resource at the relay", func() bool { return relay.Stats().Resources == 1 })
 	p.awaitVersion(put(t, source.address, item("b1", "2")))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.snapshots != 1 || p.deltas != 1 {
-		t.Errorf("%d snapshots and %d deltas, 1 and 1 expected", p.snapshots, p.deltas)
+		t.Errorf("got %d snapshots and %d deltas, want 1 and 1", p.snapshots, p.deltas)
 	}
 }
 
-// A relay falls silent without its connections breaking: the read times out and the other relay is
-// asked. With all silent UpdateFailed is called.
+// A relay stops responding while its connections stay open. The read times out and the proxy reads
+// from the other relay. If no relay responds, UpdateFailed is called.
 func TestSilentRelay(t *testing.T) {
 	source := startSource(t, t.TempDir(), "")
 	relay := startRelay(t, "relay", "", source.address)
-	var links []*link
+	var forwarders []*forwarder
 	var addresses []string
 	for range 2 {
-		l := startLink(t, relay.address)
-		links = append(links, l)
+		l := startForwarder(t, relay.address)
+		forwarders = append(forwarders, l)
 		addresses = append(addresses, l.address)
 	}
 	p := startProxy(t, "p1", addresses...)
@@ -94,63 +94,65 @@
 	if p.Health().Relay == addresses[1] {
 		used = 1
 	}
-	links[used].silence()
+	forwarders[used].stall()
 	p.awaitVersion(put(t, source.address, item("b1", "2")))
-	links[1-used].silence()
+	forwarders[1-used].stall()
 	p.await("UpdateFailed", func() bool { return p.failures > 0 })
 	if p.Health().SilentSince.IsZero() {
-		t.Error("no relay answers, and Health does not say so")
+		t.Error("Health.SilentSince is zero although no relay responds")
 	}
 }
 
-// A relay answers and hears from no upstream: its proxies switch to one that does, and get updates
-// there. If there is none they stay, and keep what they have.
+// A relay responds but has lost its upstream. Its proxies switch to a relay that has an upstream,
+// and receive updates there. If there is no such relay, the proxies stay at their relay and keep
+// their versions.
 func TestRelayDisconnectedFromSource(t *testing.T) {
 	source := startSource(t, t.TempDir(), "")
-	var links []*link
+	var forwarders []*forwarder
 	var addresses []string
 	for _, name := range []string{"relay-1", "relay-2"} {
-		l := startLink(t, source.address)
-		links = append(links, l)
+		l := startForwarder(t, source.address)
+		forwarders = append(forwarders, l)
 		addresses = append(addresses, startRelay(t, name, "", l.address).address)
 	}
 	p := startProxy(t, "p1", addresses...)
 	first := put(t, source.address, item("b1", "1"))
 	p.awaitVersion(first)
-	for _, address := range addresses { // so that each relay knows the version
+	for _, address := range addresses { // makes each relay follow the resource
 		startProxy(t, "beside "+address, address).awaitVersion(first)
 	}
 	used := 0
 	if p.Health().Relay == addresses[1] {
 		used = 1
 	}
-	links[used].silence()
+	forwarders[used].stall()
 	last := put(t, source.address, urgently(item("b1", "2")))
 	p.awaitVersion(last)
 	if h := p.Health(); h.Relay != addresses[1-used] || p.Stats().Switches != 1 {
-		t.Errorf("reads from %s, %s is disconnected", h.Relay, addresses[used])
+		t.Errorf("got relay %s after %d switches, want 1 switch from the disconnected relay %s",
+			h.Relay, p.Stats().Switches, addresses[used])
 	}
-	links[1-used].silence()
-	eventually(t, "all relays are disconnected", func() bool { return p.Health().Disconnected })
+	forwarders[1-used].stall()
+	eventually(t, "disconnected relay reported", func() bool { return p.Health().Disconnected })
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.version != last || p.snapshots != 1 {
-		t.Errorf("version %v after %d snapshots, %v after 1 expected", p.version, p.snapshots, last)
+		t.Errorf("got version %v after %d snapshots, want %v after 1", p.version, p.snapshots, last)
 	}
 }
 
-// A relay is not ready before its upstream has answered: it has nothing to serve.
+// A relay is not ready until its upstream has responded, because it has nothing to serve.
 func TestNewRelayIsDisconnectedUntilUpstreamAnswers(t *testing.T) {
 	source := startSource(t, t.TempDir(), "")
-	silent := startLink(t, source.address)
-	silent.silence()
+	stalled := startForwarder(t, source.address)
+	stalled.stall()
 	c := httpapi.NewClient(nil)
 	defer c.Close()
 	var overloaded *httpapi.OverloadedError
-	disconnected := startRelay(t, "disconnected", "", silent.address)
+	disconnected := startRelay(t, "disconnected", "", stalled.address)
 	if err := c.Ready(context.Background(), disconnected.address); !errors.As(err, &overloaded) {
-		t.Errorf("disconnected from the start: %v", err)
+		t.Errorf("Ready of a relay without an upstream: got error %v, want an OverloadedError", err)
 	}
-	relay := startRelay(t, "relay", "", startLink(t, source.address).address)
-	eventually(t, "the relay is ready", func() bool { return c.Ready(context.Background(), relay.address) == nil })
+	relay := startRelay(t, "relay", "", startForwarder(t, source.address).address)
+	eventually(t, "relay ready", func() bool { return c.Ready(context.Background(), relay.address) == nil })
 }
--- a/internal/distribution/node/fixture_test.go
+++ b/internal/distribution/node/fixture_test.go
@@ -15,7 +15,7 @@
 	"fernlanding/internal/distribution/statedir"
 )
 
-// testTimeout bounds what a test waits for.
+// testTimeout is the longest time that a test waits for a condition.
 const testTimeout = 20 * time.Second
 
 // testNode is a source or relay on a loopback socket.
@@ -24,13 +24,12 @@
 	address string
 	server  *http.Server
 	cancel  context.CancelFunc
-	parts   sync.WaitGroup
-	state   *statedir.Dir // of a source
-	dialer  *testDialer   // of a relay
+	running sync.WaitGroup
+	state   *statedir.Dir // nil for a relay
+	dialer  *testDialer   // nil for a source
 }
 
-// testDialer opens a relay's connections to its upstream until crash: then nothing more is sent on
-// any.
+// testDialer opens the connections of a relay to its upstream. After crash nothing is sent on them.
 type testDialer struct {
 	mu      sync.Mutex
 	crashed bool
@@ -53,7 +52,7 @@
 	return conn, nil
 }
 
-// crash closes all connections, and keeps further ones from being opened.
+// crash closes all connections and prevents further ones.
 func (d *testDialer) crash() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -69,7 +68,7 @@
 	Run(ctx context.Context)
 }
 
-// serve serves a node at an address (empty: any) until the test ends.
+// serve serves a node at an address until the test ends. An empty address means any free port.
 func serve(t *testing.T, service testService, n *Node, address string) *testNode {
 	t.Helper()
 	if address == "" {
@@ -81,13 +80,13 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &testNode{Node: n, address: l.Addr().String(), server: httpapi.NewServer(service), cancel: cancel}
-	s.parts.Go(func() { service.Run(ctx) })
-	s.parts.Go(func() { _ = s.server.Serve(httpapi.Listener(l, 10_000, n.traffic)) })
+	s.running.Go(func() { service.Run(ctx) })
+	s.running.Go(func() { _ = s.server.Serve(httpapi.Listener(l, 10_000, n.traffic)) })
 	t.Cleanup(s.kill)
 	return s
 }
 
-// kill ends a node as a crash does: its connections break.
+// kill ends a node in the way of a crash: its connections are closed.
 func (s *testNode) kill() {
 	if s.dialer != nil {
 		s.dialer.crash()
@@ -95,13 +94,13 @@
 	s.cancel()
 	_ = s.server.Close()
 	s.Close()
-	s.parts.Wait()
+	s.running.Wait()
 	if s.state != nil {
 		_ = s.state.Close()
 	}
 }
 
-// startSource starts a source with its state in dir.
+// startSource starts a source that persists its state in dir.
 func startSource(t *testing.T, dir, address string) *testNode {
 	t.Helper()
 	d, err := statedir.Open(dir, testClock)
@@ -117,7 +116,7 @@
 	return s
 }
 
-// startRelay starts a relay at an address (empty: any).
+// startRelay starts a relay at an address. An empty address means any free port.
 func startRelay(t *testing.T, name, address string, upstream ...string) *testNode {
 	t.Helper()
 	d := &testDialer{}
@@ -127,13 +126,14 @@
 	return s
 }
 
-// testClock is the clock by which a source begins its epoch: the first one is 1.
+// testClock is the time, in Unix seconds, at which sources begin their epochs. It makes the first
+// epoch 1.
 const testClock = 1
 
 // testHold is the hold of the reads in tests.
 const testHold = 500 * time.Millisecond
 
-// eventually polls until something holds.
+// eventually polls until a condition holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(testTimeout)
@@ -141,13 +141,13 @@
 	defer ticker.Stop()
 	for !holds() {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not seen", what)
+			t.Fatalf("%s: not reached in %v", what, testTimeout)
 		}
 		<-ticker.C
 	}
 }
 
-// put writes changes of resource at a source.
+// put writes changes to resource at a source and returns the new version.
 func put(t *testing.T, address string, items ...distribution.Item) distribution.Version {
 	t.Helper()
 	c := httpapi.NewClient(nil)
@@ -163,22 +163,22 @@
 func item(key, value string) distribution.Item {
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // not possible: a string
+		panic(err) // unreachable: a string can be encoded
 	}
 	return distribution.Item{Key: key, Value: data}
 }
 
-// urgently returns an item as an urgent one.
+// urgently returns a copy of an item that is marked as urgent.
 func urgently(i distribution.Item) distribution.Item {
 	i.Urgent = true
 	return i
 }
 
-// statusOf returns how far a version of resource is in force, by what a node knows.
+// statusOf returns the progress of a version of resource according to a node.
 func statusOf(s *testNode, v distribution.Version) distribution.Progress {
 	status := s.Status(resource)
 	return status.Progress(v)
 }
 
-// resource is what most tests write.
+// resource is the name of the resource that most tests write.
 const resource = "service-a"
--- a/internal/distribution/node/follow.go
+++ b/internal/distribution/node/follow.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// maxOpeningReads is how many reads may open a session at a time. Each may bring all resources.
+	// maxOpeningReads is the maximum number of concurrent reads that open a session. The response
+	// to each of them may contain all resources.
 	maxOpeningReads = 64
-	// openingRetryAfter is the Retry-After beyond maxOpeningReads.
+	// openingRetryAfter is the Retry-After of reads beyond maxOpeningReads.
 	openingRetryAfter = time.Second
-	// sessionRetryAfter is the Retry-After beyond the limit of sessions.
+	// sessionRetryAfter is the Retry-After of reads beyond the limit on sessions.
 	sessionRetryAfter = 5 * time.Second
-	// disconnectedHold is the longest hold of reads while the node is disconnected from the source,
-	// because their followers may find a better relay.
+	// disconnectedHold is the maximum hold of reads while the node is disconnected from the source,
+	// because the followers may find a better relay.
 	disconnectedHold = time.Second
-	// holdTick and minHoldTicks: a hold of at least minHoldTicks ticks ends at a multiple of
-	// holdTick.
+	// holdTick is the time of which the end of a hold is a multiple, if the hold is at least
+	// minHoldTicks ticks long.
 	holdTick     = 200 * time.Millisecond
 	minHoldTicks = 5
-	// holdJitter is the largest part by which the hold after an update is shortened.
+	// holdJitter is the largest fraction by which the hold after an update is shortened.
 	holdJitter = 0.75
 )
 
@@ -50,7 +51,7 @@
 	return resp, done, nil
 }
 
-// rejectOpening returns the error of a read beyond maxOpeningReads.
+// rejectOpening counts a read beyond maxOpeningReads and returns its error.
 func (n *Node) rejectOpening() error {
 	n.mu.Lock()
 	n.stats.RejectedSessions++
@@ -68,17 +69,18 @@
 	if err != nil {
 		return nil, err
 	}
-	if req.Session == "" { // answered at once, so that the follower learns its session
+	if req.Session == "" { // answered at once, so that the follower receives its session ID
 		return n.awaitUpdates(ctx, session, now)
 	}
-	if req.HoldMs == 0 || session.Closed() { // a report beside a read, or a session that was left
+	if req.HoldMs == 0 || session.Closed() { // a report, or a request that ends the session
 		return n.respond(session, nil), nil
 	}
 	hold := time.Duration(req.HoldMs) * time.Millisecond
 	return n.awaitUpdates(ctx, session, n.holdUntil(session, now, hold))
 }
 
-// applyRequest opens or resumes the request's session and applies what it says. The lock is held.
+// applyRequest opens or resumes the session of a request and applies the content of the request.
+// The caller holds n.mu.
 func (n *Node) applyRequest(req *distribution.FollowRequest, now time.Time) (*distribution.Session, error) {
 	session, err := n.openOrResume(req, now)
 	if err != nil {
@@ -88,16 +90,16 @@
 		n.upstream.followed(req.Positions[i].Resource)
 	}
 	if len(req.Positions) > 0 || len(req.Statuses) > 0 {
-		n.upstream.statusChanged(n.completesAny(req))
+		n.upstream.statusChanged(n.anyInForce(req))
 	}
 	if w := n.waiters[session]; w != nil && len(req.Positions) > 0 {
-		w.signal() // a report may make an update pending for the read that waits
+		w.signal() // a report may make an update pending for the waiting read
 	}
 	return session, nil
 }
 
-// openOrResume returns the session of a request, which is a new one if the request names none. The
-// lock is held.
+// openOrResume returns the session of a request. It opens a new session if the request names none.
+// The caller holds n.mu.
 func (n *Node) openOrResume(req *distribution.FollowRequest, now time.Time) (*distribution.Session, error) {
 	if req.Session != "" {
 		return n.resume(req, now)
@@ -115,7 +117,7 @@
 	return session, nil
 }
 
-// resume returns the session that a request names. The lock is held.
+// resume returns the session that a request names. The caller holds n.mu.
 func (n *Node) resume(req *distribution.FollowRequest, now time.Time) (*distribution.Session, error) {
 	session, err := n.sessions.Resume(req, now)
 	if errors.Is(err, distribution.ErrUnknownSession) {
@@ -127,9 +129,9 @@
 	return session, err
 }
 
-// completesAny reports whether the latest version of any resource that a request reports on is in
-// force at all proxies. The lock is held.
-func (n *Node) completesAny(req *distribution.FollowRequest) bool {
+// anyInForce reports whether the latest version of any resource in the positions and statuses of a
+// request is in force at all proxies. The caller holds n.mu.
+func (n *Node) anyInForce(req *distribution.FollowRequest) bool {
 	for i := range req.Positions {
 		if n.isInForce(req.Positions[i].Resource) {
 			return true
@@ -143,16 +145,17 @@
 	return false
 }
 
-// isInForce reports whether the latest version of a resource is in force at all proxies. The lock
-// is held.
+// isInForce reports whether the latest version of a resource is in force at all proxies. The caller
+// holds n.mu.
 func (n *Node) isInForce(resource string) bool {
 	return n.sessions.InForce(resource, n.store.Version(resource))
 }
 
-// holdUntil returns when a read without an update is answered, at the end of its hold at the
-// latest. Responses that go out together in ticks cost a fraction of the same responses one by one.
-// After an update, which goes to many followers at once, the next holds are shortened at random, so
-// that these followers do not come back together each time. The lock is held.
+// holdUntil returns the time at which a read without an update is answered, at the latest the end
+// of its hold. The time is a multiple of a tick, because responses that are sent together cost a
+// fraction of the same responses sent one by one. An update is sent to many followers at once, so
+// the hold of the next read of each of them is shortened at random. Otherwise all these followers
+// would read at the same time from then on. The caller holds n.mu.
 func (n *Node) holdUntil(session *distribution.Session, now time.Time, hold time.Duration) time.Time {
 	if w := n.waiters[session]; w != nil && w.lastHadUpdates {
 		w.lastHadUpdates = false
--- a/internal/distribution/node/node.go
+++ b/internal/distribution/node/node.go
@@ -1,11 +1,10 @@
-// Package node is a source or a relay at work: it joins the state machines of package distribution
-// (a Store and a Sessions) behind one lock, and adds what they lack: the reads that wait, timers
-// and the clock.
+// Package node runs a source or a relay. It combines the state machines of package distribution, a
+// Store and a Sessions, under one lock, and adds waiting reads, timers and the clock.
 //
-// A [Node] is a source if its Config has a Persist. A [Relay] is a Node that follows an upstream
-// with package follow. Both implement httpapi.Service. In short: a read (Follow) opens or resumes a
-// session, and waits until an update is pending or its hold is over; a write (Put, or Apply at a
-// relay) changes the store and wakes the reads it can answer.
+// A [Node] is a source if its Config has a Persist function. A [Relay] is a Node that follows an
+// upstream with package follow. Both implement httpapi.Service. A read (Follow) opens or resumes a
+// session and waits until an update is pending or the hold of the read has ended. A write (Put, or
+// Apply at a relay) changes the store and wakes the reads that it answers.
 package node
 
 import (
@@ -20,46 +19,46 @@
 )
 
 const (
-	// DefaultStoreBytes bounds the keys and values of a Node.
+	// DefaultStoreBytes is the default limit on the size of the keys and values of a Node.
 	DefaultStoreBytes = 1 << 30
-	// expireInterval is how often sessions are checked for expiry.
+	// expireInterval is the interval at which expired sessions are closed.
 	expireInterval = time.Second
-	// sessionPrefixBytes is the length of the random part of session IDs.
+	// sessionPrefixBytes is the size of the random part of session IDs, before hex encoding.
 	sessionPrefixBytes = 6
 )
 
-// Config is what a Node is made of.
+// Config configures a Node.
 type Config struct {
 	Name       string
-	StoreBytes int64                      // 0: DefaultStoreBytes
-	Limits     distribution.SessionLimits // no Sessions: DefaultSessionLimits
-	// Persist makes a write durable before it is in force. It gets a snapshot of the resource as it
-	// is to be. Nil: the node is not a source.
+	StoreBytes int64                      // limit on keys and values; 0 means DefaultStoreBytes
+	Limits     distribution.SessionLimits // zero Sessions means DefaultSessionLimits
+	// Persist makes a write durable before the write is in force. Its argument is a snapshot of the
+	// resource after the write. Nil means that the node is not a source.
 	Persist func(*distribution.Update) error
-	// Epoch is the epoch of a source's writes.
+	// Epoch is the epoch of the writes of a source.
 	Epoch uint64
-	// Traffic has the bytes of followers' connections, which httpapi.Listener counts; nil: none are
-	// counted.
+	// Traffic counts the bytes of followers' connections and is updated by httpapi.Listener. Nil
+	// means that no bytes are counted.
 	Traffic *httpapi.Traffic
-	// Now is the clock; nil: time.Now.
+	// Now is the clock. Nil means time.Now.
 	Now func() time.Time
 }
 
-// Node is a source, or the serving side of a relay. It implements httpapi.Service.
+// Node is a source, or the part of a relay that serves followers. It implements httpapi.Service.
 type Node struct {
 	cfg      Config
 	now      func() time.Time
 	traffic  *httpapi.Traffic
 	upstream upstream
-	// sessionPrefix begins the IDs of all sessions, so that those of an earlier process are
-	// unknown.
+	// sessionPrefix is the random prefix of all session IDs, so that the sessions of an earlier
+	// process are unknown.
 	sessionPrefix string
-	// openingReads is a semaphore of reads that open a session.
+	// openingReads is a semaphore that limits the reads that open a session.
 	openingReads chan struct{}
 	closed       chan struct{}
 	closeOnce    sync.Once
 
-	// putMu is held by a Put, from its plan to its end. It is taken before mu.
+	// putMu serializes writes. Put holds it from planning to applying. It is locked before mu.
 	putMu sync.Mutex
 
 	mu              sync.Mutex
@@ -67,33 +66,34 @@
 	sessions        *distribution.Sessions
 	waiters         map[*distribution.Session]*waiter
 	encoded         *updateCache
-	lastSession     uint64 // the number of the last session
-	lastRevision    uint64 // that a source has used
+	lastSession     uint64 // number of the last session
+	lastRevision    uint64 // last revision that a source has used
 	waitingReads    int
 	releaseTimer    *time.Timer // runs releaseCoalesced
 	releaseTimerSet bool
 	stats           distribution.Stats
 }
 
-// upstream is where a node's resources come from. All methods are called with the node's lock held.
+// upstream provides the resources of a node. All methods are called with the node's lock held.
 type upstream interface {
-	// sourceAge returns the time since the source was last heard from.
+	// sourceAge returns the time since the source last responded.
 	sourceAge() time.Duration
-	// disconnected reports whether no upstream is heard from, here or above.
+	// disconnected reports whether this node, or a relay upstream of it, has no upstream that
+	// responds.
 	disconnected() bool
-	// addStats fills in the upstream's part of the metrics.
+	// addStats sets the upstream metrics in stats.
 	addStats(stats *distribution.Stats)
 	// followed is called when a session follows a resource.
 	followed(resource string)
-	// statusChanged is called when in-force reports have arrived. Complete says that a version may
-	// have just come into force at all proxies.
+	// statusChanged is called when in-force reports have arrived. The argument complete reports
+	// whether a version may now be in force at all proxies.
 	statusChanged(complete bool)
 }
 
-// noUpstream is the upstream of a source.
+// noUpstream is the upstream of a source, which has none.
 type noUpstream struct{}
 
-// sourceAge implements upstream: the source is its own.
+// sourceAge implements upstream. It returns 0, because the node is the source.
 func (noUpstream) sourceAge() time.Duration { return 0 }
 
 // disconnected implements upstream.
@@ -136,7 +136,7 @@
 		encoded:       newUpdateCache(maxCacheBytes),
 	}
 	n.releaseTimer = time.AfterFunc(time.Hour, n.releaseCoalesced)
-	n.releaseTimer.Stop() // it is set when there is something to release
+	n.releaseTimer.Stop() // set again when updates are delayed
 	return n
 }
 
@@ -147,7 +147,7 @@
 	return hex.EncodeToString(random)
 }
 
-// Close ends all reads. Run has to have ended.
+// Close ends all waiting reads. It must be called after the context of Run has ended.
 func (n *Node) Close() {
 	n.closeOnce.Do(func() { close(n.closed) })
 	n.releaseTimer.Stop()
@@ -167,7 +167,7 @@
 	}
 }
 
-// expireSessions closes the sessions whose followers do not read any more.
+// expireSessions closes the sessions that have been idle for too long.
 func (n *Node) expireSessions() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -177,7 +177,7 @@
 	}
 }
 
-// sessionEnded wakes the read of a session that has been closed, if one waits.
+// sessionEnded wakes the waiting read of a session that has been closed, if there is one.
 func (n *Node) sessionEnded(session *distribution.Session) {
 	if w := n.waiters[session]; w != nil {
 		w.signal()
--- a/internal/distribution/node/nodetest/nodetest.go
+++ b/internal/distribution/node/nodetest/nodetest.go
@@ -1,5 +1,5 @@
-// Package nodetest runs sources and relays of distribution on loopback sockets, for the tests of
-// other packages, and a [Gate] that injects faults on the way to them.
+// Package nodetest runs sources and relays of package distribution on loopback sockets for tests of
+// other packages. Its [FaultProxy] injects faults into the connections to them.
 package nodetest
 
 import (
@@ -16,10 +16,10 @@
 	"fernlanding/internal/distribution/node"
 )
 
-// Hold is how long the reads of relays wait: short, so that a fault shows soon.
+// Hold is the hold of the reads of relays. It is short so that faults are detected soon.
 const Hold = 500 * time.Millisecond
 
-// maxConns is how many connections a node accepts.
+// maxConns is the maximum number of open connections of a node.
 const maxConns = 1_000
 
 // Node is a source or relay on a socket.
@@ -37,14 +37,14 @@
 	Run(ctx context.Context)
 }
 
-// StartSource starts a source that has its writes in memory only. It ends with the test.
+// StartSource starts a source that keeps its writes in memory only. The source ends with the test.
 func StartSource(tb testing.TB) *Node {
 	tb.Helper()
 	n := node.New(node.Config{Name: "source", Epoch: 1, Persist: func(*distribution.Update) error { return nil }})
 	return start(tb, n, n, "127.0.0.1:0")
 }
 
-// StartRelay starts a relay at an address, such as 127.0.0.1:0. It ends with the test.
+// StartRelay starts a relay at an address such as 127.0.0.1:0. The relay ends with the test.
 func StartRelay(tb testing.TB, name, address string, upstream ...string) *Node {
 	tb.Helper()
 	r := node.NewRelay(node.Config{Name: name}, follow.Config{Relays: upstream, Hold: Hold})
@@ -62,13 +62,13 @@
 	served := &Node{Node: n, Address: listener.Addr().String(), server: httpapi.NewServer(s), cancel: cancel}
 	served.running.Go(func() { s.Run(ctx) })
 	served.running.Go(func() {
-		_ = served.server.Serve(httpapi.Listener(listener, maxConns, new(httpapi.Traffic))) // until Kill
+		_ = served.server.Serve(httpapi.Listener(listener, maxConns, new(httpapi.Traffic))) // returns after Kill
 	})
 	tb.Cleanup(served.Kill)
 	return served
 }
 
-// Kill ends a node as a crash does: its connections break. Killing it again has no effect.
+// Kill ends a node in the way of a crash: its connections are closed. Further calls have no effect.
 func (n *Node) Kill() {
 	n.cancel()
 	_ = n.server.Close()
@@ -76,7 +76,7 @@
 	n.running.Wait()
 }
 
-// Write writes changes to a resource at a source, and returns the new version.
+// Write writes changes to a resource at a source and returns the new version of the resource.
 func (n *Node) Write(tb testing.TB, resource string, items ...distribution.Item) distribution.Version {
 	tb.Helper()
 	version, err := n.Put(&distribution.PutRequest{Resource: resource, Items: items})
--- a/internal/distribution/node/proxy_test.go
+++ b/internal/distribution/node/proxy_test.go
@@ -11,33 +11,33 @@
 	"fernlanding/internal/distribution/follow"
 )
 
-// proxy is a Follower, and a subscriber that keeps what it gets.
+// proxy is a Follower with a subscriber that keeps the items of the updates.
 type proxy struct {
 	t *testing.T
 	*follow.Follower
-	end func() // ends it
+	stop func() // ends the Follower
 
 	mu        sync.Mutex
-	change    chan struct{} // closed when anything changes, and replaced
+	changedCh chan struct{} // closed and replaced when anything changes
 	items     map[string]string
 	version   distribution.Version
-	snapshots int    // applied
-	deltas    int    // applied
-	failures  int    // calls of UpdateFailed
-	reject    string // the key that is rejected
+	snapshots int    // number of snapshots applied
+	deltas    int    // number of deltas applied
+	failures  int    // number of calls of UpdateFailed
+	reject    string // key whose updates are rejected; empty means none
 }
 
 // startProxy starts a proxy that follows resource.
 func startProxy(t *testing.T, name string, relays ...string) *proxy {
 	t.Helper()
-	p := &proxy{t: t, change: make(chan struct{}), items: make(map[string]string)}
+	p := &proxy{t: t, changedCh: make(chan struct{}), items: make(map[string]string)}
 	p.Follower = follow.New(follow.Config{Name: name, Kind: distribution.KindProxy, Relays: relays, Hold: testHold})
 	p.Subscribe(resource, distribution.Version{}, p)
-	p.end = run(t, p.Follower)
+	p.stop = run(t, p.Follower)
 	return p
 }
 
-// run runs a follower until the test ends, or until end is called.
+// run runs a follower until the test ends or end is called.
 func run(t *testing.T, f *follow.Follower) (end func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -55,9 +55,9 @@
 func (p *proxy) ApplyUpdate(u distribution.Update) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	defer p.changed()
+	defer p.notifyChanged()
 	if !u.Version.After(p.version) {
-		p.t.Errorf("went back from %v to %v", p.version, u.Version)
+		p.t.Errorf("got version %v, want one after %v", u.Version, p.version)
 	}
 	for _, item := range u.Items {
 		if p.reject != "" && item.Key == p.reject {
@@ -86,22 +86,22 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.failures++
-	p.changed()
+	p.notifyChanged()
 }
 
-// changed wakes await. The lock is held.
-func (p *proxy) changed() {
-	close(p.change)
-	p.change = make(chan struct{})
+// notifyChanged wakes await. The caller holds p.mu.
+func (p *proxy) notifyChanged() {
+	close(p.changedCh)
+	p.changedCh = make(chan struct{})
 }
 
-// await waits until something holds of the proxy, whose lock is held while it is checked.
+// await waits until a condition holds. The proxy's lock is held while the condition is checked.
 func (p *proxy) await(what string, holds func() bool) {
 	p.t.Helper()
 	timeout := time.After(testTimeout)
 	for {
 		p.mu.Lock()
-		done, change := holds(), p.change
+		done, change := holds(), p.changedCh
 		p.mu.Unlock()
 		if done {
 			return
@@ -111,7 +111,7 @@
 		case <-timeout:
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.t.Fatalf("%s: not seen; version %v, items %v, health %+v", what, p.version, p.items, p.Health())
+			p.t.Fatalf("%s: not reached; version %v, items %v, health %+v", what, p.version, p.items, p.Health())
 		}
 	}
 }
@@ -122,17 +122,16 @@
 	p.await("version "+v.String(), func() bool { return !v.After(p.version) })
 }
 
-// awaitSourceAge waits until a relay without its source answers all the same, and reports the
-// source's age.
+// awaitSourceAge waits until a relay that has lost its source responds with the source age.
 func (p *proxy) awaitSourceAge(relay *testNode) {
 	p.t.Helper()
-	eventually(p.t, "a response with the source's age", func() bool {
+	eventually(p.t, "response with the source age", func() bool {
 		return p.Health().SourceAge > testHold && relay.Stats().SourceAgeMs > 0
 	})
 }
 
-// awaitAnswer waits until a relay has answered.
+// awaitAnswer waits until a relay has responded.
 func (p *proxy) awaitAnswer() {
 	p.t.Helper()
-	eventually(p.t, "a response", func() bool { return !p.Health().LastResponse.IsZero() })
+	eventually(p.t, "response", func() bool { return !p.Health().LastResponse.IsZero() })
 }
--- a/internal/distribution/node/relay.go
+++ b/internal/distribution/node/relay.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	// reportInterval is how often a relay reports how far its resources are in force, if that has
-	// changed.
+	// reportInterval is the interval at which a relay reports the statuses that have changed.
 	reportInterval = time.Second
-	// minReportInterval is the least time between two reports, even if a version has come into
+	// minReportInterval is the minimum time between two reports, even if a version has come into
 	// force at all proxies.
 	minReportInterval = 50 * time.Millisecond
-	// unfollowDelay is how long a relay follows a resource that no session follows any more.
+	// unfollowDelay is the time for which a relay continues to follow a resource that no session
+	// follows.
 	unfollowDelay = time.Minute
-	// disconnectedDelay is how long no upstream answers until the relay counts as disconnected:
-	// long enough to fail over.
+	// disconnectedDelay is the time without a response of an upstream after which the relay counts
+	// as disconnected. It is long enough for a failover to another upstream.
 	disconnectedDelay = 500 * time.Millisecond
 )
 
-// Relay is a Node whose resources come from an upstream. It follows what its own followers follow,
-// and nothing else.
+// Relay is a Node whose resources come from an upstream. It follows only the resources that its own
+// followers follow.
 type Relay struct {
 	*Node
 	follower  *follow.Follower
 	startedAt time.Time
-	// inForce wakes the reports: a version may have come into force at all proxies.
-	inForce chan struct{}
+	// reportNow triggers a report, because a version may have come into force at all proxies.
+	reportNow chan struct{}
 
-	followMu  sync.Mutex // taken after the node's lock
-	cancels   map[string]func()
-	idleSince map[string]time.Time // since when no session has followed a resource
+	followMu  sync.Mutex           // locked after the node's lock
+	cancels   map[string]func()    // end the subscriptions, by resource
+	idleSince map[string]time.Time // time since which no session follows a resource
 }
 
-// NewRelay returns a relay. The Name and Kind of upstream are filled in.
+// NewRelay returns a relay. It sets the Name and Kind of upstream.
 func NewRelay(cfg Config, upstream follow.Config) *Relay {
 	upstream.Name = cfg.Name
 	upstream.Kind = distribution.KindRelay
@@ -48,7 +48,7 @@
 	r := &Relay{
 		Node:      New(cfg),
 		follower:  follow.New(upstream),
-		inForce:   make(chan struct{}, 1),
+		reportNow: make(chan struct{}, 1),
 		cancels:   make(map[string]func()),
 		idleSince: make(map[string]time.Time),
 	}
@@ -59,14 +59,14 @@
 
 // Run follows the upstream until the context ends.
 func (r *Relay) Run(ctx context.Context) {
-	var parts sync.WaitGroup
-	parts.Go(func() { r.Node.Run(ctx) })
-	parts.Go(func() { r.follower.Run(ctx) })
-	parts.Go(func() { r.reportLoop(ctx) })
-	parts.Wait()
+	var running sync.WaitGroup
+	running.Go(func() { r.Node.Run(ctx) })
+	running.Go(func() { r.follower.Run(ctx) })
+	running.Go(func() { r.reportLoop(ctx) })
+	running.Wait()
 }
 
-// UpstreamHealth returns how the relay stands with its upstreams.
+// UpstreamHealth returns the state of the relay's connection to its upstreams.
 func (r *Relay) UpstreamHealth() follow.Health { return r.follower.Health() }
 
 // reportLoop reports statuses to the upstream until the context ends.
@@ -83,9 +83,9 @@
 			disconnected := r.Disconnected()
 			if disconnected != wasDisconnected {
 				wasDisconnected = disconnected
-				r.answerAll() // so that the followers know at once
+				r.answerAll() // informs the followers at once
 			}
-		case <-r.inForce:
+		case <-r.reportNow:
 		case <-ctx.Done():
 			return
 		}
@@ -99,7 +99,7 @@
 	}
 }
 
-// report reports the statuses that have changed.
+// report sends the statuses that have changed to the upstream.
 func (r *Relay) report() {
 	r.mu.Lock()
 	var statuses []distribution.ResourceStatus
@@ -112,7 +112,7 @@
 	}
 }
 
-// unfollowIdle unfollows and forgets the resources that no session has followed for unfollowDelay.
+// unfollowIdle unfollows and drops the resources that no session has followed for unfollowDelay.
 func (r *Relay) unfollowIdle() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -135,7 +135,8 @@
 	}
 }
 
-// relayUpstream is the upstream of a relay's Node, and applies what the relay follows.
+// relayUpstream is the upstream of a relay's Node. It also applies the updates of the resources
+// that the relay follows.
 type relayUpstream struct{ relay *Relay }
 
 // sourceAge implements upstream.
@@ -148,8 +149,9 @@
 	return max(0, r.now().Sub(health.LastResponse)) + health.SourceAge
 }
 
-// disconnected implements upstream. A relay is disconnected until an upstream has answered, while
-// none has for some time, and while the one that answers is itself disconnected.
+// disconnected implements upstream. A relay is disconnected until an upstream has responded, while
+// no upstream has responded for disconnectedDelay, and while the responding upstream is itself
+// disconnected.
 func (u *relayUpstream) disconnected() bool {
 	health := u.relay.follower.Health()
 	if health.LastResponse.IsZero() || health.Disconnected {
@@ -167,7 +169,7 @@
 	stats.UpstreamSwitches = own.Switches
 }
 
-// followed implements upstream: the relay follows the resource too.
+// followed implements upstream. It makes the relay follow the resource.
 func (u *relayUpstream) followed(resource string) {
 	r := u.relay
 	r.followMu.Lock()
@@ -178,14 +180,14 @@
 	}
 }
 
-// statusChanged implements upstream: a version that has come into force at all proxies is reported
+// statusChanged implements upstream. A version that has come into force at all proxies is reported
 // at once.
 func (u *relayUpstream) statusChanged(complete bool) {
 	if !complete {
 		return
 	}
 	select {
-	case u.relay.inForce <- struct{}{}:
+	case u.relay.reportNow <- struct{}{}:
 	default:
 	}
 }
@@ -193,5 +195,6 @@
 // ApplyUpdate implements follow.Subscriber.
 func (u *relayUpstream) ApplyUpdate(update distribution.Update) error { return u.relay.Apply(&update) }
 
-// UpdateFailed implements follow.Subscriber. The relay serves on what it has, and reports its age.
+// UpdateFailed implements follow.Subscriber. It does nothing: the relay continues to serve its
+// resources and reports the source age.
 func (u *relayUpstream) UpdateFailed() {}
--- a/internal/distribution/node/session_test.go
+++ b/internal/distribution/node/session_test.go
@@ -9,8 +9,8 @@
 	"fernlanding/internal/distribution/httpapi"
 )
 
-// A write reaches a proxy through two levels of relays, as a delta where it has the version before,
-// and the source reports that it is in force.
+// A write reaches a proxy through two levels of relays, as a delta if the proxy has the previous
+// version. The source then reports that the version is in force.
 func TestUpdateThroughRelays(t *testing.T) {
 	source := startSource(t, t.TempDir(), "")
 	region := startRelay(t, "region", "", source.address)
@@ -23,7 +23,7 @@
 	p.awaitVersion(second)
 	p.mu.Lock()
 	if p.snapshots != 1 || p.deltas != 1 || p.items["b1"] != `"draining"` || p.items["b2"] != `"up"` {
-		t.Errorf("%d snapshots, %d deltas, items %v", p.snapshots, p.deltas, p.items)
+		t.Errorf("got %d snapshots, %d deltas and items %v", p.snapshots, p.deltas, p.items)
 	}
 	p.mu.Unlock()
 	eventually(t, "in force at the source", func() bool {
@@ -32,7 +32,7 @@
 	})
 }
 
-// A proxy that ends leaves its session, and is no longer counted.
+// A proxy that ends closes its session and is no longer counted.
 func TestEndedProxyIsNotCounted(t *testing.T) {
 	source := startSource(t, t.TempDir(), "")
 	zone := startRelay(t, "zone", "", source.address)
@@ -42,15 +42,14 @@
 	stays.awaitVersion(version)
 	ends.awaitVersion(version)
 	eventually(t, "both in force", func() bool { return statusOf(zone, version).Proxies == 2 })
-	ends.end()
+	ends.stop()
 	if progress := statusOf(zone, version); progress.Proxies != 1 {
-		t.Errorf("%d proxies are counted at the relay", progress.Proxies)
+		t.Errorf("status of the relay: got %d proxies, want 1", progress.Proxies)
 	}
-	eventually(t, "one at the source", func() bool { return statusOf(source, version).Proxies == 1 })
+	eventually(t, "one proxy at the source", func() bool { return statusOf(source, version).Proxies == 1 })
 }
 
-// A report that the network delays until its follower has left does not get the follower counted
-// again.
+// A report that arrives after its follower has left does not count the follower again.
 func TestReportAfterLeave(t *testing.T) {
 	source := startSource(t, t.TempDir(), "")
 	version := put(t, source.address, item("b1", "up"))
@@ -71,14 +70,14 @@
 		t.Fatal(err)
 	}
 	if _, err := c.Follow(ctx, source.address, &late); !errors.Is(err, distribution.ErrUnknownSession) {
-		t.Errorf("the late report: %v", err)
+		t.Errorf("late report: got error %v, want ErrUnknownSession", err)
 	}
 	if progress := statusOf(source, version); progress.Proxies != 0 {
-		t.Errorf("%d proxies are counted", progress.Proxies)
+		t.Errorf("got %d proxies in the status, want 0", progress.Proxies)
 	}
 }
 
-// A read that waits when its follower leaves is answered at once.
+// A waiting read is answered at once when its follower leaves.
 func TestLeaveEndsWaitingRead(t *testing.T) {
 	source := startSource(t, t.TempDir(), "")
 	c := httpapi.NewClient(nil)
@@ -97,12 +96,12 @@
 		_, err := c.Follow(ctx, source.address, &waits)
 		read <- err
 	}()
-	eventually(t, "a read waits", func() bool { return source.Stats().WaitingReads == 1 })
+	eventually(t, "waiting read", func() bool { return source.Stats().WaitingReads == 1 })
 	follower.Leave = true
 	if _, err := c.Follow(ctx, source.address, &follower); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-read; !errors.Is(err, distribution.ErrUnknownSession) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want ErrUnknownSession", err)
 	}
 }
--- a/internal/distribution/node/source_test.go
+++ b/internal/distribution/node/source_test.go
@@ -12,7 +12,7 @@
 	"fernlanding/internal/distribution/statedir"
 )
 
-// A source that restarts has its resources under the same versions, and its further writes have a
+// After a restart a source has its resources with the same versions, and further writes have a
 // later epoch.
 func TestSourceRestart(t *testing.T) {
 	dir := t.TempDir()
@@ -25,22 +25,22 @@
 	p.awaitSourceAge(relay)
 	source = startSource(t, dir, source.address)
 	if v := source.store.Version(resource); v != before {
-		t.Errorf("version %v after the restart, %v expected", v, before)
+		t.Errorf("after the restart: got version %v, want %v", v, before)
 	}
 	after := put(t, source.address, item("b1", "2"))
 	if after.Epoch <= before.Epoch || after.Revision <= before.Revision {
-		t.Errorf("%v written after %v", after, before)
+		t.Errorf("write after the restart: got version %v, want a later epoch and revision than %v", after, before)
 	}
 	p.awaitVersion(after)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.snapshots != 1 || p.deltas != 1 {
-		t.Errorf("%d snapshots and %d deltas, 1 and 1 expected", p.snapshots, p.deltas)
+		t.Errorf("got %d snapshots and %d deltas, want 1 and 1", p.snapshots, p.deltas)
 	}
 }
 
-// A source fails after a write is durable and before it answers: after the restart the write is
-// there, and a publisher that retries it on the version it knew gets a conflict.
+// A source fails after a write is durable and before it responds. After the restart the source has
+// the write, and a publisher that retries with the version expected before receives a conflict.
 func TestSourceFailsAfterPersist(t *testing.T) {
 	dir := t.TempDir()
 	d, err := statedir.Open(dir, 1)
@@ -67,23 +67,23 @@
 	}
 	_, err = c.Put(context.Background(), source.address, second)
 	if err == nil || !strings.Contains(err.Error(), "died") {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want the error of Persist", err)
 	}
 	if source.store.Version("service-b") != (distribution.Version{}) {
-		t.Error("a write that failed is in force")
+		t.Error("a failed write is in force")
 	}
 	source.kill()
 	source = startSource(t, dir, source.address)
-	c.Close() // its connection is to the process that died
+	c.Close() // the connection to the old process is broken
 	var conflict *distribution.ConflictError
 	_, err = c.Put(context.Background(), source.address, second)
 	if !errors.As(err, &conflict) || conflict.Found.IsZero() {
-		t.Errorf("%v; a conflict with the durable write expected", err)
+		t.Errorf("got error %v, want a conflict with the durable write", err)
 	}
 	p.awaitVersion(put(t, source.address, item("b1", "2")))
 }
 
-// Of two writes that expect the same version one succeeds; a relay accepts none.
+// Of two writes that expect the same version exactly one succeeds. A relay rejects all writes.
 func TestConditionalPut(t *testing.T) {
 	source := startSource(t, t.TempDir(), "")
 	relay := startRelay(t, "relay", "", source.address)
@@ -107,18 +107,18 @@
 	}
 	var conflict *distribution.ConflictError
 	if first != nil || !errors.As(second, &conflict) {
-		t.Fatalf("%v, %v", first, second)
+		t.Fatalf("got errors %v and %v, want one conflict", first, second)
 	}
 	if conflict.Expected != v || conflict.Found != source.store.Version(resource) {
-		t.Errorf("%v", conflict)
+		t.Errorf("got conflict %v", conflict)
 	}
 	_, err := c.Put(context.Background(), relay.address, &distribution.PutRequest{Resource: resource})
 	if err == nil || !strings.Contains(err.Error(), "not the source") {
-		t.Errorf("%v", err)
+		t.Errorf("write at a relay: got error %v, want not the source", err)
 	}
 }
 
-// At its limit of sessions, or of reads that open one, a node rejects followers with a Retry-After.
+// At the limit on sessions or on reads that open one, a node rejects followers with a Retry-After.
 func TestTooManySessions(t *testing.T) {
 	limits := distribution.DefaultSessionLimits()
 	limits.Sessions = 1
@@ -131,7 +131,7 @@
 	_, err := c.Follow(context.Background(), source.address, open)
 	var overloaded *httpapi.OverloadedError
 	if !errors.As(err, &overloaded) || overloaded.RetryAfter != sessionRetryAfter {
-		t.Errorf("%v", err)
+		t.Errorf("too many sessions: got error %v, want Retry-After %v", err, sessionRetryAfter)
 	}
 	for range maxOpeningReads {
 		n.openingReads <- struct{}{}
@@ -139,6 +139,6 @@
 	open.Follower = "p1"
 	_, err = c.Follow(context.Background(), source.address, open)
 	if !errors.As(err, &overloaded) || overloaded.RetryAfter != openingRetryAfter {
-		t.Errorf("%v", err)
+		t.Errorf("too many opening reads: got error %v, want Retry-After %v", err, openingRetryAfter)
 	}
 }
--- a/internal/distribution/node/update_test.go
+++ b/internal/distribution/node/update_test.go
@@ -12,8 +12,8 @@
 	"fernlanding/internal/distribution/follow"
 )
 
-// A proxy that takes long to apply an update gets the latest state after it, not what came in
-// between, and the relay has no backlog for it.
+// A proxy that applies an update slowly next receives the latest state without the states between,
+// and the relay keeps no backlog for the proxy.
 func TestSlowReader(t *testing.T) {
 	source := startSource(t, t.TempDir(), "")
 	relay := startRelay(t, "relay", "", source.address)
@@ -39,7 +39,7 @@
 	quick.awaitVersion(last)
 	stats := relay.Stats()
 	if stats.StoreBytes > 2*size || stats.CacheBytes > maxCacheBytes {
-		t.Errorf("the relay keeps %d bytes, and %d encoded, of a resource of %d",
+		t.Errorf("the relay keeps %d bytes in the store and %d encoded bytes of a resource of %d bytes",
 			stats.StoreBytes, stats.CacheBytes, size)
 	}
 	close(slow.release)
@@ -50,8 +50,8 @@
 			break
 		}
 	}
-	if updates != 2 { // the first one, and all that was written since
-		t.Errorf("%d updates for %d writes, 2 expected", updates, writes+1)
+	if updates != 2 { // the first update, and one with all writes since
+		t.Errorf("got %d updates for %d writes, want 2", updates, writes+1)
 	}
 }
 
@@ -74,29 +74,30 @@
 // UpdateFailed implements follow.Subscriber.
 func (s *slowSubscriber) UpdateFailed() {}
 
-// Changes of a burst go out together; an urgent one goes out at once, with what is held back.
+// Changes of a burst are sent together. An urgent change is sent at once, together with the delayed
+// changes.
 func TestUrgentUpdateEndsCoalescing(t *testing.T) {
 	limits := distribution.DefaultSessionLimits()
-	limits.Coalesce = time.Hour // nothing but an urgent item ends it
+	limits.Coalesce = time.Hour // only an urgent item ends the delay
 	n := New(Config{Name: "source", Epoch: 1, Limits: limits, Persist: func(*distribution.Update) error { return nil }})
 	source := serve(t, n, n, "")
 	p := startProxy(t, "p1", source.address)
 	p.awaitVersion(put(t, source.address, item("b1", "1"), item("b2", "1")))
-	eventually(t, "a read waits", func() bool { return source.Stats().WaitingReads == 1 })
+	eventually(t, "waiting read", func() bool { return source.Stats().WaitingReads == 1 })
 	put(t, source.address, item("b1", "2"))
 	put(t, source.address, item("b1", "3"))
 	p.awaitVersion(put(t, source.address, urgently(item("b2", "2"))))
 	p.mu.Lock()
 	if p.deltas != 1 || p.items["b1"] != `"3"` {
-		t.Errorf("%d deltas, items %v; 1 expected", p.deltas, p.items)
+		t.Errorf("got %d deltas and items %v, want 1 delta with the last change of b1", p.deltas, p.items)
 	}
 	p.mu.Unlock()
 	if s := source.Stats(); s.CoalescedUpdates != 1 || s.UrgentHeldUs > testTimeout.Microseconds() {
-		t.Errorf("%+v", s)
+		t.Errorf("got %+v, want 1 coalesced update", s)
 	}
 }
 
-// Without an urgent item the changes of a burst are coalesced, and do go out.
+// Without an urgent item the changes of a burst are coalesced and sent after the delay.
 func TestBurstIsCoalesced(t *testing.T) {
 	source := startSource(t, t.TempDir(), "")
 	p := startProxy(t, "p1", source.address)
@@ -110,12 +111,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.deltas >= writes {
-		t.Errorf("%d updates for %d writes", p.deltas, writes)
+		t.Errorf("got %d updates for %d writes, want fewer updates than writes", p.deltas, writes)
 	}
 }
 
-// A rejected update leaves what was in force, and the source knows of it with the reason. A better
-// version replaces it.
+// After a rejected update the previous version stays in force, and the status of the source has the
+// rejection with its reason. A later valid version is applied.
 func TestRejectedUpdate(t *testing.T) {
 	source := startSource(t, t.TempDir(), "")
 	relay := startRelay(t, "relay", "", source.address)
@@ -128,14 +129,14 @@
 	p.awaitVersion(good)
 	bad := put(t, source.address, item("bad", "1"))
 	rejection := distribution.Rejection{Follower: "p1", Version: bad, Reason: "key bad makes no sense"}
-	eventually(t, "the rejection at the source", func() bool {
+	eventually(t, "rejection at the source", func() bool {
 		progress := statusOf(source, bad)
 		return slices.Equal(progress.Rejections, []distribution.Rejection{rejection}) &&
 			progress.InForce == 1 && progress.Proxies == 2
 	})
 	p.mu.Lock()
 	if p.version != good {
-		t.Errorf("version %v in force, %v expected", p.version, good)
+		t.Errorf("got version %v in force, want %v", p.version, good)
 	}
 	p.mu.Unlock()
 	better := put(t, source.address, distribution.Item{Key: "bad", Deleted: true}, item("b1", "2"))
@@ -149,7 +150,7 @@
 	})
 }
 
-// All followers that get the same update share one encoding.
+// All followers that receive the same update share one encoding.
 func TestSharedEncoding(t *testing.T) {
 	source := startSource(t, t.TempDir(), "")
 	const proxies = 20
@@ -169,7 +170,7 @@
 		p.awaitVersion(second)
 	}
 	if s := source.Stats(); s.Encodings != 2 || s.SnapshotUpdates != proxies || s.DeltaUpdates != proxies {
-		t.Errorf("%d encodings, %d snapshots, %d deltas; 2, %d, %d expected",
+		t.Errorf("got %d encodings, %d snapshots, %d deltas; want 2, %d, %d",
 			s.Encodings, s.SnapshotUpdates, s.DeltaUpdates, proxies, proxies)
 	}
 }
--- a/internal/distribution/node/waiter.go
+++ b/internal/distribution/node/waiter.go
@@ -8,17 +8,17 @@
 	"fernlanding/internal/distribution/httpapi"
 )
 
-// waiter is the read of a session. A session has one read at a time: a second one supersedes the
-// first. The node's lock guards its fields.
+// waiter is the state of the reads of a session. A session has one waiting read at a time: a second
+// read supersedes the first. The fields are guarded by the node's lock.
 type waiter struct {
-	wake           chan struct{} // holds one wake-up
-	read           uint64        // the number of the read that waits
-	urgentSince    time.Time     // since when an urgent item has been pending; zero: none is
-	lastHadUpdates bool          // the read before was answered with updates
-	answerNow      bool          // the read is answered now, with updates or without
+	wake           chan struct{} // buffers one wake-up
+	readNumber     uint64        // number of the current read
+	urgentSince    time.Time     // time since which an urgent item is pending; zero means none is
+	lastHadUpdates bool          // whether the previous read was answered with updates
+	answerNow      bool          // whether to answer the read now, even without updates
 }
 
-// signal wakes the read that waits, or the next one.
+// signal wakes the waiting read, or the next one if none waits.
 func (w *waiter) signal() {
 	select {
 	case w.wake <- struct{}{}:
@@ -26,14 +26,15 @@
 	}
 }
 
-// awaitUpdates returns the response to a read: the pending updates, or none once its hold is over.
-// The lock is held, but not while the read waits. Errors: distribution.ErrUnknownSession,
-// httpapi.ErrSuperseded, that of the context, *httpapi.OverloadedError when the node closes.
+// awaitUpdates returns the response to a read, with the pending updates, or without updates once
+// the hold of the read has ended. The caller holds n.mu, which is released while the read waits.
+// The error is distribution.ErrUnknownSession, httpapi.ErrSuperseded, the error of the context, or
+// an *httpapi.OverloadedError when the node closes.
 func (n *Node) awaitUpdates(
 	ctx context.Context, session *distribution.Session, until time.Time,
 ) (*httpapi.EncodedResponse, error) {
 	w := n.beginRead(session)
-	read := w.read
+	read := w.readNumber
 	var timer *time.Timer
 	for {
 		now := n.now()
@@ -49,12 +50,12 @@
 			timer = time.NewTimer(until.Sub(now))
 			defer timer.Stop()
 		}
-		err := n.sleep(ctx, w, timer)
+		err := n.waitForWake(ctx, w, timer)
 		switch {
 		case session.Closed():
 			return nil, distribution.ErrUnknownSession
-		case w.read != read:
-			w.signal() // the wake-up may have been meant for the later read
+		case w.readNumber != read:
+			w.signal() // the wake-up may have been intended for the later read
 			return nil, httpapi.ErrSuperseded
 		case err != nil:
 			n.endRead(session, w, now)
@@ -63,9 +64,10 @@
 	}
 }
 
-// sleep waits, with the lock released, until an update may be pending or the timer fires. An error
-// says that nobody waits for the response any more.
-func (n *Node) sleep(ctx context.Context, w *waiter, timer *time.Timer) error {
+// waitForWake waits, with the lock released, until an update may be pending or the timer fires. It
+// returns an error if the context ends or the node is closed, because nobody waits for the response
+// any more. The caller holds n.mu.
+func (n *Node) waitForWake(ctx context.Context, w *waiter, timer *time.Timer) error {
 	n.waitingReads++
 	n.mu.Unlock()
 	defer func() {
@@ -84,7 +86,7 @@
 	}
 }
 
-// answerAll has all waiting reads answered now.
+// answerAll causes all waiting reads to be answered now.
 func (n *Node) answerAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -94,8 +96,8 @@
 	}
 }
 
-// beginRead begins a read of a session, in place of an earlier one that still waits. The lock is
-// held.
+// beginRead begins a read of a session, which supersedes a read that still waits. The caller holds
+// n.mu.
 func (n *Node) beginRead(session *distribution.Session) *waiter {
 	w := n.waiters[session]
 	if w == nil {
@@ -104,12 +106,12 @@
 	} else {
 		w.signal()
 	}
-	w.read++
+	w.readNumber++
 	w.answerNow = false
 	return w
 }
 
-// endRead ends a session's read. The lock is held.
+// endRead ends the read of a session. The caller holds n.mu.
 func (n *Node) endRead(session *distribution.Session, w *waiter, now time.Time) {
 	n.sessions.ReadEnded(session)
 	if !w.urgentSince.IsZero() {
@@ -118,7 +120,7 @@
 	}
 }
 
-// wake wakes the reads of sessions. The lock is held.
+// wake wakes the reads of sessions. The caller holds n.mu.
 func (n *Node) wake(sessions []*distribution.Session) {
 	for _, session := range sessions {
 		if w := n.waiters[session]; w != nil {
@@ -127,8 +129,9 @@
 	}
 }
 
-// setReleaseTimer sets the timer for the next coalesced updates, unless it is set already, and
-// wakes the reads for which that time has come. The lock is held.
+// setReleaseTimer wakes the reads whose updates are no longer delayed, and sets the timer for the
+// next release of delayed updates. It does nothing if the timer is set already. The caller holds
+// n.mu.
 func (n *Node) setReleaseTimer(now time.Time) {
 	if n.releaseTimerSet {
 		return
@@ -141,7 +144,7 @@
 	}
 }
 
-// releaseCoalesced wakes the reads whose updates have been held back long enough.
+// releaseCoalesced wakes the reads whose updates are no longer delayed.
 func (n *Node) releaseCoalesced() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/distribution/node/write.go
+++ b/internal/distribution/node/write.go
@@ -7,8 +7,8 @@
 	"fernlanding/internal/distribution/httpapi"
 )
 
-// Put implements httpapi.Service. A write is durable before it is in force. Errors:
-// httpapi.ErrNotSource, *distribution.ConflictError, distribution.ErrFull, those of Persist.
+// Put implements httpapi.Service. A write is durable before it is in force. The errors include
+// httpapi.ErrNotSource, *distribution.ConflictError, distribution.ErrFull and errors of Persist.
 func (n *Node) Put(req *distribution.PutRequest) (distribution.Version, error) {
 	if n.cfg.Persist == nil {
 		return distribution.Version{}, httpapi.ErrNotSource
@@ -34,14 +34,14 @@
 	return plan.update.Version, nil
 }
 
-// putPlan is what a write amounts to.
+// putPlan is the result of planning a write.
 type putPlan struct {
-	current  distribution.Version // of the resource, before the write
-	update   *distribution.Update // nil: the write changes nothing
-	snapshot *distribution.Update // the resource after the update
+	current  distribution.Version // version of the resource before the write
+	update   *distribution.Update // nil means that the write changes nothing
+	snapshot *distribution.Update // snapshot of the resource after the update
 }
 
-// planPut plans a write, and gives it a revision if it changes something.
+// planPut plans a write, and assigns a revision if the write changes anything.
 func (n *Node) planPut(req *distribution.PutRequest) (putPlan, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -55,21 +55,21 @@
 	plan := putPlan{current: n.store.Version(req.Resource), update: update}
 	if update != nil {
 		plan.snapshot = n.store.Preview(update)
-		// A revision is never used again, even if the write fails: it may be on the disk all the
-		// same.
+		// A revision is never reused, even if the write fails, because the failed write may be on
+		// disk nevertheless.
 		n.lastRevision = next.Revision
 	}
 	return plan, nil
 }
 
-// Apply applies an update of the upstream, and wakes the reads that it can answer.
+// Apply applies an update from the upstream and wakes the reads that the update answers.
 func (n *Node) Apply(u *distribution.Update) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.apply(u)
 }
 
-// apply applies an update, and wakes the reads that it can answer. The lock is held.
+// apply applies an update and wakes the reads that the update answers. The caller holds n.mu.
 func (n *Node) apply(u *distribution.Update) error {
 	previous := n.store.Version(u.Resource)
 	applied, err := n.store.Apply(u)
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// Load restores a resource as it was persisted. It is called before anything else.
+// Load restores a resource from its persisted snapshot. It must be called before the node serves.
 func (n *Node) Load(u *distribution.Update) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/distribution/resource.go
+++ b/internal/distribution/resource.go
@@ -7,25 +7,27 @@
 
 // resource is one resource in a Store.
 type resource struct {
-	version  Version
-	urgent   Version // of the last change with an urgent item
-	items    map[string]entry
-	live     int   // items that are not deleted
-	liveSize int64 // of their keys and values
+	version   Version
+	urgent    Version // version of the last change with an urgent item
+	items     map[string]entry
+	liveItems int   // number of items that are not deleted
+	liveBytes int64 // size of the keys and values of these items
 
-	history     []historyStep // oldest first, each from where the one before ends; the last ends at version
-	historyKeys int           // in all steps
+	// history has the oldest step first. Each step begins at the version at which the previous one
+	// ends, and the last step ends at version.
+	history     []historyStep
+	historyKeys int // number of keys in all steps
 }
 
-// entry is an item, or a deleted one for as long as the history has its deletion.
+// entry is an item, or a deleted item as long as the history contains its deletion.
 type entry struct {
 	item    Item
-	version Version // of its last change
+	version Version // version of the last change of the item
 }
 
-// changes returns the items of a write that differ from the current ones. A replacing write deletes
-// the keys it lacks.
-func (r *resource) changes(put *PutRequest) []Item {
+// changedItems returns the items of a write that differ from the current ones. A replacing write
+// deletes the keys that it lacks.
+func (r *resource) changedItems(put *PutRequest) []Item {
 	var changes []Item
 	for i := range put.Items {
 		if r.differs(&put.Items[i]) {
@@ -38,7 +40,7 @@
 	return changes
 }
 
-// differs reports whether an item is not the current one.
+// differs reports whether a change differs from the current item.
 func (r *resource) differs(change *Item) bool {
 	e, found := r.items[change.Key]
 	if !found || e.item.Deleted {
@@ -47,8 +49,8 @@
 	return change.Deleted || e.item.Urgent != change.Urgent || !bytes.Equal(e.item.Value, change.Value)
 }
 
-// deletionsFor returns the deletions that leave only the keys of the items, sorted by key. They are
-// urgent: what is missing from a complete endpoint list is out of use.
+// deletionsFor returns the deletions of all keys that items lacks, sorted by key. The deletions are
+// urgent, because an endpoint that is missing from a complete list is out of use.
 func (r *resource) deletionsFor(items []Item) []Item {
 	kept := make(map[string]bool, len(items))
 	for i := range items {
@@ -64,9 +66,9 @@
 	return deletions
 }
 
-// liveAfter returns how many items the resource has after an update.
-func (r *resource) liveAfter(u *Update) int {
-	live := r.live
+// itemCountAfter returns the number of items that the resource has after an update.
+func (r *resource) itemCountAfter(u *Update) int {
+	live := r.liveItems
 	if u.IsSnapshot() {
 		live = 0
 	}
@@ -84,11 +86,12 @@
 	return live
 }
 
-// apply makes changes, and returns by how many bytes the resource has grown. Gap says that the
-// changes come from a snapshot, so that versions between the current one and to are unknown.
-func (r *resource) apply(items []Item, to Version, gap bool) int64 {
-	sizeBefore := r.liveSize
-	step := historyStep{from: r.version, to: to, gap: gap, keys: make([]string, 0, len(items))}
+// apply applies changes and returns by how many bytes the resource has grown. If fromSnapshot is
+// set, the changes come from a snapshot and the versions between the current one and to are
+// unknown.
+func (r *resource) apply(items []Item, to Version, fromSnapshot bool) int64 {
+	sizeBefore := r.liveBytes
+	step := historyStep{from: r.version, to: to, fromSnapshot: fromSnapshot, keys: make([]string, 0, len(items))}
 	for i := range items {
 		r.setItem(items[i], to)
 		step.keys = append(step.keys, items[i].Key)
@@ -99,18 +102,18 @@
 	}
 	r.version = to
 	r.trimHistory()
-	return r.liveSize - sizeBefore
+	return r.liveBytes - sizeBefore
 }
 
-// setItem makes one change.
+// setItem applies one change.
 func (r *resource) setItem(item Item, to Version) {
 	if old, found := r.items[item.Key]; found && !old.item.Deleted {
-		r.live--
-		r.liveSize -= itemSize(&old.item)
+		r.liveItems--
+		r.liveBytes -= itemSize(&old.item)
 	}
 	if !item.Deleted {
-		r.live++
-		r.liveSize += itemSize(&item)
+		r.liveItems++
+		r.liveBytes += itemSize(&item)
 	}
 	if item.Urgent {
 		r.urgent = to
@@ -120,7 +123,7 @@
 
 // snapshot returns all items, sorted by key.
 func (r *resource) snapshot(name string) *Update {
-	u := &Update{Resource: name, Version: r.version, Items: make([]Item, 0, r.live)}
+	u := &Update{Resource: name, Version: r.version, Items: make([]Item, 0, r.liveItems)}
 	for _, e := range r.items {
 		if !e.item.Deleted {
 			u.Items = append(u.Items, e.item)
--- a/internal/distribution/sessions.go
+++ b/internal/distribution/sessions.go
@@ -14,14 +14,15 @@
 	ErrTooManySessions = errors.New("too many sessions")
 )
 
-// SessionLimits bound what a relay keeps of its followers.
+// SessionLimits are the limits of the sessions of a source or a relay.
 type SessionLimits struct {
-	// Sessions is how many sessions are open at a time.
+	// Sessions is the maximum number of open sessions.
 	Sessions int
-	// Coalesce is how long an update without an urgent item is held back, to be sent with others.
+	// Coalesce is the time that an update without an urgent item is delayed, so that it is sent
+	// together with others. 0 means no delay.
 	Coalesce time.Duration
-	// MinIdle is the least time without a read after which a session expires. It expires after
-	// idleHolds holds else.
+	// MinIdle is the minimum time without a read after which a session expires. A session expires
+	// after idleHolds times its hold if that is longer.
 	MinIdle time.Duration
 }
 
@@ -30,26 +31,26 @@
 	return SessionLimits{Sessions: 20_000, Coalesce: 50 * time.Millisecond, MinIdle: 3 * time.Second}
 }
 
-// idleHolds is after how many holds without a read a session expires.
+// idleHolds is the number of holds without a read after which a session expires.
 const idleHolds = 3
 
-// Sessions is what a relay knows of its followers: what each has, and what it waits for. The
-// updates that a follower can get are computed from the Store when its read can be answered, so
-// that there is no backlog. It is not safe for concurrent use.
+// Sessions are the open sessions of a source or a relay: the positions of each follower, and the
+// reads that wait. The pending updates of a follower are computed from the Store when its read can
+// be answered, so that there is no backlog. Sessions is not safe for concurrent use.
 type Sessions struct {
-	limits     SessionLimits
-	byID       map[string]*Session
-	byFollower map[string]*Session
-	followed   map[string]*followedResource
-	lastID     uint32 // of a followedResource
-	coalescing []coalescingSession
-	changed    map[string]bool // resources whose status has changed since DrainChanged
-	counters   SessionCounters
+	limits          SessionLimits
+	byID            map[string]*Session
+	byFollower      map[string]*Session
+	followed        map[string]*followedResource
+	lastID          uint32 // ID of the last followedResource
+	coalescing      []coalescingSession
+	changedStatuses map[string]bool // resources whose status has changed since DrainChanged
+	counters        SessionCounters
 }
 
-// SessionCounters count since the start of the process.
+// SessionCounters are counters since the start of the process.
 type SessionCounters struct {
-	Coalesced int64 // updates that went out together with an earlier one of the same resource
+	Coalesced int64 // updates that were sent with an earlier one of the same resource
 	Rejected  int64 // updates that proxies rejected
 }
 
@@ -61,20 +62,20 @@
 
 	positions       []position // sorted by the ID of the resource
 	expiresAt       time.Time
-	waiting         bool      // a read waits for an update
-	coalescingSince time.Time // since when pending updates have been held back; zero: none are
-	ended           bool
+	waiting         bool      // whether a read waits for an update
+	coalescingSince time.Time // time since which pending updates are delayed; zero means none are
+	closed          bool
 }
 
-// position is what a follower has of a resource.
+// position states which version of a resource a follower has.
 type position struct {
 	resource *followedResource
 	inForce  Version
 	rejected Version
 }
 
-// latestSeen returns the latest version that the follower has applied or rejected: it gets only
-// what comes after.
+// latestSeen returns the latest version that the follower has applied or rejected. The follower
+// receives only later versions.
 func (p *position) latestSeen() Version {
 	if p.rejected.After(p.inForce) {
 		return p.rejected
@@ -82,14 +83,14 @@
 	return p.inForce
 }
 
-// NewSessions returns a Sessions without any session.
+// NewSessions returns a Sessions without open sessions.
 func NewSessions(limits SessionLimits) *Sessions {
 	return &Sessions{
-		limits:     limits,
-		byID:       make(map[string]*Session),
-		byFollower: make(map[string]*Session),
-		followed:   make(map[string]*followedResource),
-		changed:    make(map[string]bool),
+		limits:          limits,
+		byID:            make(map[string]*Session),
+		byFollower:      make(map[string]*Session),
+		followed:        make(map[string]*followedResource),
+		changedStatuses: make(map[string]bool),
 	}
 }
 
@@ -99,8 +100,9 @@
 // Counters returns the counters.
 func (s *Sessions) Counters() SessionCounters { return s.counters }
 
-// Open opens a session under an ID that has not been used before. It closes an earlier session of
-// the same follower, and returns that as replaced. Errors: ErrTooManySessions, ErrFull.
+// Open opens a session with an ID that has not been used before. It closes an earlier session of
+// the same follower and returns that session as replaced. The error is ErrTooManySessions or
+// ErrFull.
 func (s *Sessions) Open(id string, req *FollowRequest, now time.Time) (opened, replaced *Session, err error) {
 	replaced = s.byFollower[req.Follower]
 	if replaced == nil && len(s.byID) >= s.limits.Sessions {
@@ -120,9 +122,9 @@
 	return opened, replaced, nil
 }
 
-// Resume applies a further request of a session. One with Leave set closes the session, so that
-// earlier requests of the same follower that arrive later are not counted. Errors:
-// ErrUnknownSession; ErrFull, with the session.
+// Resume applies a further request of a session. A request with Leave set closes the session, so
+// that an earlier request of the same follower that arrives later is not counted. The error is
+// ErrUnknownSession, or ErrFull together with the session.
 func (s *Sessions) Resume(req *FollowRequest, now time.Time) (*Session, error) {
 	session := s.byID[req.Session]
 	if session == nil || session.Follower != req.Follower || session.Kind != req.Kind {
@@ -135,7 +137,7 @@
 	return session, s.applyRequest(session, req, now)
 }
 
-// applyRequest applies what a request says about its session.
+// applyRequest applies the content of a request to its session.
 func (s *Sessions) applyRequest(session *Session, req *FollowRequest, now time.Time) error {
 	if req.HoldMs > 0 || session.expiresAt.IsZero() {
 		idle := max(idleHolds*time.Duration(req.HoldMs)*time.Millisecond, s.limits.MinIdle)
@@ -155,7 +157,8 @@
 	return nil
 }
 
-// applyPosition records what a follower has of a resource, which it follows from then on.
+// applyPosition records the position of a follower in a resource. The follower follows the resource
+// from then on.
 func (s *Sessions) applyPosition(session *Session, to *Position) error {
 	f := s.followed[to.Resource]
 	if f == nil && len(s.followed) >= MaxResources {
@@ -172,27 +175,28 @@
 	p := &session.positions[at]
 	if session.Kind == KindProxy {
 		if found {
-			f.count(p.inForce, -1)
+			f.adjustCount(p.inForce, -1)
 		}
-		f.count(to.InForce, 1)
+		f.adjustCount(to.InForce, 1)
 		f.setRejection(session, to)
 		if !to.Rejected.IsZero() && to.Rejected != p.rejected {
 			s.counters.Rejected++
 		}
-		s.changed[f.name] = true
+		s.changedStatuses[f.name] = true
 	}
 	p.inForce = to.InForce
 	p.rejected = to.Rejected
 	return nil
 }
 
-// find returns where the position of a resource is, or is to be inserted, and whether there is one.
+// find returns the index of the position of a resource, or the index at which to insert the
+// position, and whether the session has a position of the resource.
 func (s *Session) find(f *followedResource) (int, bool) {
 	byID := func(p position, id uint32) int { return cmp.Compare(p.resource.id, id) }
 	return slices.BinarySearchFunc(s.positions, f.id, byID)
 }
 
-// unfollow removes a resource from what a session follows.
+// unfollow removes a resource from those that a session follows.
 func (s *Sessions) unfollow(session *Session, name string) {
 	f := s.followed[name]
 	if f == nil {
@@ -206,17 +210,17 @@
 	session.positions = slices.Delete(session.positions, at, at+1)
 }
 
-// detach takes a session out of the status of a resource, and forgets the resource if nobody else
-// follows it.
+// detach removes a session from the status of a resource, and removes the resource if no other
+// session follows it.
 func (s *Sessions) detach(session *Session, p *position) {
 	f := p.resource
 	if session.Kind == KindProxy {
-		f.count(p.inForce, -1)
+		f.adjustCount(p.inForce, -1)
 	}
 	delete(f.rejections, session)
 	delete(f.reports, session)
 	delete(f.sessions, session)
-	s.changed[f.name] = true
+	s.changedStatuses[f.name] = true
 	if len(f.sessions) == 0 {
 		delete(s.followed, f.name)
 	}
@@ -224,10 +228,10 @@
 
 // Close closes a session. Closing it again has no effect.
 func (s *Sessions) Close(session *Session) {
-	if session.ended {
+	if session.closed {
 		return
 	}
-	session.ended = true
+	session.closed = true
 	for i := range session.positions {
 		s.detach(session, &session.positions[i])
 	}
@@ -237,9 +241,9 @@
 }
 
 // Closed reports whether the session has been closed.
-func (s *Session) Closed() bool { return s.ended }
+func (s *Session) Closed() bool { return s.closed }
 
-// Expire closes the sessions whose followers have not read for too long, and returns them.
+// Expire closes and returns the sessions that have been idle for too long.
 func (s *Sessions) Expire(now time.Time) []*Session {
 	var expired []*Session
 	for _, session := range s.byID {
--- a/internal/distribution/sessions_model_test.go
+++ b/internal/distribution/sessions_model_test.go
@@ -13,9 +13,9 @@
 type modelProxy struct {
 	replica
 	name         string
-	session      *Session // nil: none
+	session      *Session // nil means none
 	reading      bool
-	pendingSince time.Time // since when an update has waited for it; zero: none has
+	pendingSince time.Time // time since which an update is pending; zero means none is
 }
 
 // relayModel is a relay with its proxies, on a virtual clock.
@@ -30,10 +30,10 @@
 	revision uint64
 }
 
-// Under random writes, lost responses, slow and dead proxies, and restarts of the relay: a waiting
-// read is answered within the coalescing time, and at once if an urgent item changes; the counts
-// are those of the positions reported; what a proxy has after a read is what the relay has; in the
-// end all have the latest version.
+// The model makes random writes, loses responses, slows down and stops proxies, and restarts the
+// relay. A waiting read is answered within the coalescing time, and at once if an urgent item
+// changes. The counts of the status match the reported positions. After a read a proxy has the
+// items of the relay, and in the end all proxies have the latest version.
 func TestSessionsModel(t *testing.T) {
 	for seed := range uint64(100) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -54,7 +54,7 @@
 	}
 }
 
-// step makes one random event happen.
+// step performs one random event.
 func (m *relayModel) step() {
 	m.advance(time.Duration(m.random.IntN(20)) * time.Millisecond)
 	p := m.proxies[m.random.IntN(len(m.proxies))]
@@ -73,7 +73,7 @@
 	}
 }
 
-// advance lets time pass, and releases held updates on time.
+// advance advances the clock, and releases delayed updates when they are due.
 func (m *relayModel) advance(d time.Duration) {
 	end := m.now.Add(d)
 	for {
@@ -94,11 +94,11 @@
 	}
 }
 
-// write makes a random change, and wakes the reads that it can answer.
+// write makes a random change, and wakes the reads that the change answers.
 func (m *relayModel) write() {
-	item := set(fmt.Sprint(m.random.IntN(5)), fmt.Sprint(m.random.IntN(100)))
+	item := newItem(fmt.Sprint(m.random.IntN(5)), fmt.Sprint(m.random.IntN(100)))
 	if m.random.IntN(3) == 0 {
-		item = deleted(item.Key)
+		item = newDeletion(item.Key)
 	}
 	item.Urgent = m.random.IntN(4) == 0
 	m.revision++
@@ -113,17 +113,17 @@
 	m.wake(m.sessions.ResourceChanged("r", item.Urgent, m.now))
 	for _, p := range m.proxies {
 		if p.reading && item.Urgent {
-			m.t.Fatalf("%s still waits after an urgent change", p.name)
+			m.t.Fatalf("read of %s still waits after an urgent change", p.name)
 		}
 	}
 }
 
-// read lets a proxy read, unless it waits already. The response can get lost.
+// read starts a read of a proxy, unless one waits already. The response may be lost.
 func (m *relayModel) read(p *modelProxy) {
 	if p.reading {
 		return
 	}
-	req := openRequest(p.name, KindProxy, has("r", p.at))
+	req := openRequest(p.name, KindProxy, positionAt("r", p.at))
 	if p.session != nil {
 		req.Session = p.session.ID
 		session, err := m.sessions.Resume(req, m.now)
@@ -140,7 +140,7 @@
 	m.answer(p)
 }
 
-// wake answers the waiting reads of some sessions.
+// wake answers the waiting reads of the given sessions.
 func (m *relayModel) wake(sessions []*Session) {
 	for _, p := range m.proxies {
 		if p.reading && slices.Contains(sessions, p.session) {
@@ -149,7 +149,7 @@
 	}
 }
 
-// answer ends a read if an update is pending.
+// answer answers the read of a proxy if an update is pending.
 func (m *relayModel) answer(p *modelProxy) {
 	pending, _ := m.sessions.Pending(p.session, m.store, m.now)
 	if len(pending) == 0 {
@@ -157,18 +157,17 @@
 	}
 	m.sessions.ReadEnded(p.session)
 	p.reading, p.pendingSince = false, time.Time{}
-	if m.random.IntN(5) == 0 { // lost
+	if m.random.IntN(5) == 0 { // the response is lost
 		p.session = nil
 		return
 	}
 	p.apply(m.t, m.store.UpdateSince("r", pending[0].From))
 	if !maps.Equal(p.items, contents(m.store)) {
-		m.t.Fatalf("%s at %v: %v found, %v expected", p.name, p.at, p.items, contents(m.store))
+		m.t.Fatalf("%s at version %v: got %v, want %v", p.name, p.at, p.items, contents(m.store))
 	}
 }
 
-// check compares the counts with the positions, and how long reads have waited with how long they
-// may.
+// check checks that the counts match the positions, and that no read waits longer than allowed.
 func (m *relayModel) check() {
 	counts := make(map[Version]int)
 	for _, s := range m.sessions.byID {
@@ -177,17 +176,17 @@
 		}
 	}
 	if f := m.sessions.followed["r"]; f != nil && !maps.Equal(f.counts, counts) || f == nil && len(counts) > 0 {
-		m.t.Fatalf("counts %v expected", counts)
+		m.t.Fatalf("counts differ from the positions, want %v", counts)
 	}
 	longest := m.sessions.limits.Coalesce + 20*time.Millisecond
 	for _, p := range m.proxies {
 		if p.reading && !p.pendingSince.IsZero() && m.now.Sub(p.pendingSince) > longest {
-			m.t.Fatalf("%s has waited %v for an update", p.name, m.now.Sub(p.pendingSince))
+			m.t.Fatalf("%s has waited %v for an update, want at most %v", p.name, m.now.Sub(p.pendingSince), longest)
 		}
 	}
 }
 
-// finish lets all proxies read until they have everything, and checks that they do.
+// finish makes all proxies read repeatedly, and checks that they have the latest version.
 func (m *relayModel) finish() {
 	for range 50 {
 		m.advance(100 * time.Millisecond)
@@ -197,10 +196,10 @@
 	}
 	for _, p := range m.proxies {
 		if p.at != m.store.Version("r") || !maps.Equal(p.items, contents(m.store)) {
-			m.t.Fatalf("%s: version %v, %v expected", p.name, p.at, m.store.Version("r"))
+			m.t.Fatalf("%s: got version %v, want %v", p.name, p.at, m.store.Version("r"))
 		}
 	}
 	if !m.sessions.InForce("r", m.store.Version("r")) {
-		m.t.Fatal("in force at all proxies, and not reported so")
+		m.t.Fatal("InForce is false although all proxies have the latest version")
 	}
 }
--- a/internal/distribution/statedir/statedir.go
+++ b/internal/distribution/statedir/statedir.go
@@ -1,6 +1,6 @@
-// Package statedir keeps a source's resources in a directory: a file with a snapshot of each
-// resource, and one with the epoch of the source's writes. A write is atomic, and durable before it
-// returns.
+// Package statedir persists the resources of a source in a directory. The directory has a file with
+// the snapshot of each resource, and a file with the epoch of the source's writes. Each write is
+// atomic, and durable when the call returns.
 package statedir
 
 import (
@@ -20,7 +20,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// The files of a directory, which stay as they are: sources of other versions read them.
+// Names of the files in a directory. They must not change, because sources of other versions of the
+// program read them.
 const (
 	epochFile      = "epoch"
 	lockFile       = "lock"
@@ -28,26 +29,26 @@
 )
 
 const (
-	maxEpochBytes    = 64      // of the epoch's file
-	maxResourceBytes = 1 << 30 // of a resource's file
+	maxEpochBytes    = 64      // size of the epoch file
+	maxResourceBytes = 1 << 30 // size of the file of a resource
 	fileMode         = 0o600
 	dirMode          = 0o700
-	nameHashBytes    = 16 // of a resource's name in its file's name
+	nameHashBytes    = 16 // size of the hash of a resource's name in the name of its file
 )
 
-// Dir is a source's directory. One process at a time has it open. Its methods are not safe for
-// concurrent use.
+// Dir is the directory of a source. Only one process at a time can open the directory. The methods
+// of a Dir are not safe for concurrent use.
 type Dir struct {
 	path  string
 	lock  *os.File
 	epoch uint64
 }
 
-// Open opens a directory, which it creates if necessary, and begins an epoch after all earlier
-// ones. The epoch is no less than clock, the Unix time in seconds: followers would ignore a source
-// that has lost its directory, or has an older copy of it, if its epoch were not after the ones
-// that they have seen. Errors: another process has the directory open, or it can't be read or
-// written.
+// Open opens a directory, creating the directory if necessary, and begins an epoch after all
+// earlier ones. The epoch is at least clock, the Unix time in seconds. Otherwise followers would
+// ignore a source that has lost its directory or has an older copy, because the epoch would not be
+// after the epochs that the followers have seen. Open returns an error if another process has the
+// directory open, or if the directory can't be read or written.
 func Open(path string, clock int64) (*Dir, error) {
 	if err := os.MkdirAll(path, dirMode); err != nil {
 		return nil, fmt.Errorf("state: %w", err)
@@ -58,7 +59,7 @@
 	}
 	d := &Dir{path: path, lock: lock}
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		return nil, errors.Join(fmt.Errorf("state: %s: another process has it: %w", path, err), lock.Close())
+		return nil, errors.Join(fmt.Errorf("state: %s: in use by another process: %w", path, err), lock.Close())
 	}
 	if err := d.beginEpoch(clock); err != nil {
 		return nil, errors.Join(err, lock.Close())
@@ -66,7 +67,7 @@
 	return d, nil
 }
 
-// beginEpoch writes the next epoch.
+// beginEpoch determines the next epoch and writes the epoch file.
 func (d *Dir) beginEpoch(clock int64) error {
 	name := filepath.Join(d.path, epochFile)
 	durable.RemoveStaged(name)
@@ -78,7 +79,7 @@
 	if data != nil { // the file exists
 		last, err = strconv.ParseUint(strings.TrimSpace(string(data)), 10, 64)
 		if err != nil {
-			return fmt.Errorf("state: %s: %.20q found, a whole number expected", name, data)
+			return fmt.Errorf("state: %s: invalid epoch %.20q: not a whole number", name, data)
 		}
 	}
 	d.epoch = max(last+1, uint64(max(clock, 0)))
@@ -89,13 +90,13 @@
 	return nil
 }
 
-// Epoch returns the epoch of this process's writes.
+// Epoch returns the epoch of the writes of this process.
 func (d *Dir) Epoch() uint64 { return d.epoch }
 
 // Close lets another process open the directory.
 func (d *Dir) Close() error { return d.lock.Close() }
 
-// Save replaces the file of a resource by a snapshot of it.
+// Save replaces the file of a resource with a snapshot of the resource.
 func (d *Dir) Save(snapshot *distribution.Update) error {
 	data, err := json.Marshal(snapshot)
 	if err != nil {
@@ -104,14 +105,14 @@
 	return durable.WriteFile(d.resourceFile(snapshot.Resource), data, fileMode, true)
 }
 
-// resourceFile returns the path of a resource's file. It is named by a hash, because a resource's
-// name can be too long for a file's, and can have any character.
+// resourceFile returns the path of the file of a resource. The file is named by a hash, because the
+// name of a resource can be too long for a file name and can contain any character.
 func (d *Dir) resourceFile(resource string) string {
 	sum := sha256.Sum256([]byte(resource))
 	return filepath.Join(d.path, hex.EncodeToString(sum[:nameHashBytes])+resourceSuffix)
 }
 
-// Load calls apply with the snapshot of each resource, and ends at the first error.
+// Load calls apply with the snapshot of each resource and stops at the first error.
 func (d *Dir) Load(apply func(*distribution.Update) error) error {
 	names, err := filepath.Glob(filepath.Join(d.path, "*"+resourceSuffix))
 	if err != nil {
@@ -137,12 +138,12 @@
 		return err
 	}
 	if d.resourceFile(snapshot.Resource) != name {
-		return fmt.Errorf("resource %q found, another one's file", snapshot.Resource)
+		return fmt.Errorf("resource %q in the file of another resource", snapshot.Resource)
 	}
 	return apply(snapshot)
 }
 
-// Decode decodes and validates the content of a resource's file.
+// Decode decodes and validates the content of the file of a resource.
 func Decode(data []byte) (*distribution.Update, error) {
 	u := new(distribution.Update)
 	if err := json.Unmarshal(data, u); err != nil {
@@ -152,7 +153,7 @@
 		return nil, err
 	}
 	if !u.IsSnapshot() {
-		return nil, fmt.Errorf("from: %v found, a whole resource expected", u.From)
+		return nil, fmt.Errorf("delta from version %v instead of a snapshot", u.From)
 	}
 	return u, nil
 }
