--- a/internal/distribution/statedir/statedir_test.go
+++ b/internal/distribution/statedir/statedir_test.go
@@ -21,7 +21,7 @@
 	return d
 }
 
-// snapshot returns a resource with one item.
+// snapshot returns a snapshot of a resource with one item.
 func snapshot(resource string, revision uint64) *distribution.Update {
 	return &distribution.Update{
 		Resource: resource,
@@ -44,8 +44,9 @@
 	return all
 }
 
-// The last write of each resource is loaded after a restart, whatever its name. Each process has
-// its own epoch, later than all before, even if the directory is lost.
+// The last write of each resource is loaded after a restart, even if the name of the resource is no
+// valid file name. Each process has its own epoch, which is later than all before, even if the
+// directory is lost.
 func TestSaveAndLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	d := open(t, path, 0)
@@ -57,42 +58,42 @@
 			}
 		}
 	}
-	if _, err := Open(path, 0); err == nil || !strings.Contains(err.Error(), "another process has it") {
-		t.Errorf("two processes in one directory: %v", err)
+	if _, err := Open(path, 0); err == nil || !strings.Contains(err.Error(), "in use by another process") {
+		t.Errorf("second Open of a directory: got error %v, want in use by another process", err)
 	}
 	if err := d.Close(); err != nil {
 		t.Fatal(err)
 	}
-	staged := filepath.Join(path, ".epoch.new-1") // of a killed process
+	staged := filepath.Join(path, ".epoch.new-1") // left by a killed process
 	if err := os.WriteFile(staged, []byte("9"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	again := open(t, path, 0)
 	if d.Epoch() != 1 || again.Epoch() != 2 {
-		t.Errorf("epochs %d and %d", d.Epoch(), again.Epoch())
+		t.Errorf("got epochs %d and %d, want 1 and 2", d.Epoch(), again.Epoch())
 	}
 	all := load(t, again)
 	for _, name := range names {
 		if u := all[name]; u == nil || u.Version.Revision != 2 || len(u.Items) != 1 {
-			t.Errorf("%s: %+v", name, u)
+			t.Errorf("%s: got %+v, want revision 2 with 1 item", name, u)
 		}
 	}
 	if lost := open(t, t.TempDir(), 1_000); lost.Epoch() != 1_000 {
-		t.Errorf("epoch %d after a lost directory, with the clock at 1000", lost.Epoch())
+		t.Errorf("new directory with the clock at 1000: got epoch %d, want 1000", lost.Epoch())
 	}
 }
 
-// A directory with a corrupt file is rejected, in one line.
+// A directory with a corrupt file is rejected with an error of one line.
 func TestCorruptDirectory(t *testing.T) {
 	another, err := json.Marshal(snapshot("r", 1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for want, file := range map[string]struct{ name, content string }{
-		"a whole number expected":   {epochFile, "x"},
-		"unexpected end of JSON":    {"1.json", "{"},
-		"another one's file":        {"1.json", string(another)},
-		"a whole resource expected": {"1.json", `{"resource":"r","from":"1.1","version":"1.2"}`},
+		"invalid epoch \"x\"":           {epochFile, "x"},
+		"unexpected end of JSON":        {"1.json", "{"},
+		"in the file of another":        {"1.json", string(another)},
+		"from version 1.1 instead of a": {"1.json", `{"resource":"r","from":"1.1","version":"1.2"}`},
 	} {
 		path := t.TempDir()
 		if err := os.WriteFile(filepath.Join(path, file.name), []byte(file.content), 0o600); err != nil {
@@ -104,18 +105,18 @@
 			_ = d.Close()
 		}
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v found, %q expected", err, want)
+			t.Errorf("got error %v, want one line with %q", err, want)
 		}
 	}
 }
 
-// What Decode accepts is a valid snapshot.
+// Decode accepts only valid snapshots.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"resource":"r","version":"1.2","items":[{"key":"a","value":1}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		u, err := Decode(data)
 		if err == nil && (!u.IsSnapshot() || u.Validate() != nil) {
-			t.Errorf("%+v", u)
+			t.Errorf("got %+v, want a valid snapshot", u)
 		}
 	})
 }
--- a/internal/distribution/status.go
+++ b/internal/distribution/status.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// ResourceStatus is how far a resource is in force over a number of proxies.
+// ResourceStatus states which versions of a resource a group of proxies has in force.
 type ResourceStatus struct {
 	Resource string `json:"resource"`
-	// Counts are the proxies by the version that they have in force, latest first.
+	// Counts are the numbers of proxies by version in force, latest version first.
 	Counts []VersionCount `json:"counts"`
-	// Rejections names MaxLaggards proxies at most.
+	// Rejections contains at most MaxLaggards proxies.
 	Rejections []Rejection `json:"refusals,omitempty"`
-	// Laggards names MaxLaggards proxies at most, of those whose version is not the latest.
+	// Laggards contains at most MaxLaggards of the proxies whose version is not the latest.
 	Laggards []Laggard `json:"behind,omitempty"`
 }
 
-// VersionCount is how many proxies have a version in force.
+// VersionCount is the number of proxies that have a version in force.
 type VersionCount struct {
 	Version Version `json:"version"`
 	Proxies int     `json:"proxies"`
@@ -36,9 +36,9 @@
 	InForce  Version `json:"in_force,omitzero"`
 }
 
-// MergeStatus sums up the reports of several relays on a resource, and what a relay knows of its
-// own followers. Latest is the resource's version at the process that merges them; it comes first
-// among the counts, even if no proxy has it.
+// MergeStatus merges statuses of a resource: the reports of several relays, and the status of the
+// followers of the merging relay. The argument latest is the version of the resource at the merging
+// process. The counts begin with latest even if no proxy has that version.
 func MergeStatus(name string, latest Version, parts ...*ResourceStatus) ResourceStatus {
 	counts := make(map[Version]int)
 	merged := ResourceStatus{Resource: name}
@@ -68,8 +68,8 @@
 	return merged
 }
 
-// boundCounts sums up the oldest versions where there are too many, under the oldest of them: a
-// proxy must not count for a version that it does not have.
+// boundCounts limits the counts to MaxCounts. It adds up the counts of the excess versions under
+// the oldest version, because a proxy must not count for a version that it does not have.
 func boundCounts(counts []VersionCount) []VersionCount {
 	if len(counts) <= MaxCounts {
 		return counts
@@ -81,8 +81,8 @@
 	return append(counts[:MaxCounts-1], oldest)
 }
 
-// boundRejections keeps MaxLaggards rejections: the last one of each follower, and of these the
-// latest versions.
+// boundRejections limits the rejections to MaxLaggards. It keeps the last rejection of each
+// follower, and of these the ones of the latest versions.
 func boundRejections(rejections []Rejection) []Rejection {
 	slices.SortFunc(rejections, func(a, b Rejection) int {
 		return cmp.Or(strings.Compare(a.Follower, b.Follower), b.Version.Compare(a.Version))
@@ -92,8 +92,8 @@
 	return rejections[:min(len(rejections), MaxLaggards)]
 }
 
-// boundLaggards keeps the MaxLaggards that are furthest behind, each follower once with its latest
-// version.
+// boundLaggards limits the laggards to the MaxLaggards with the oldest versions. Each follower is
+// contained once, with its latest version.
 func boundLaggards(laggards []Laggard) []Laggard {
 	slices.SortFunc(laggards, func(a, b Laggard) int {
 		return cmp.Or(strings.Compare(a.Follower, b.Follower), b.InForce.Compare(a.InForce))
@@ -103,16 +103,17 @@
 	return laggards[:min(len(laggards), MaxLaggards)]
 }
 
-// Progress is how far one version of a resource is in force.
+// Progress is the progress of the rollout of one version of a resource.
 type Progress struct {
-	// InForce is how many of the Proxies that follow the resource have the version or a later one.
+	// Proxies is the number of proxies that follow the resource. InForce is the number of these
+	// proxies that have the version or a later one in force.
 	InForce, Proxies int
-	// Rejections and Laggards are those of the status that concern the version.
+	// Rejections and Laggards are the entries of the status that concern the version.
 	Rejections []Rejection
 	Laggards   []Laggard
 }
 
-// Progress returns how far a version is in force.
+// Progress returns the progress of the rollout of a version.
 func (s *ResourceStatus) Progress(version Version) Progress {
 	var progress Progress
 	for _, count := range s.Counts {
@@ -134,5 +135,5 @@
 	return progress
 }
 
-// Done reports whether the version is in force at all proxies.
+// Done reports whether all proxies have the version in force.
 func (p *Progress) Done() bool { return p.InForce == p.Proxies }
--- a/internal/distribution/status_test.go
+++ b/internal/distribution/status_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// Reports of relays are snapshots: the last one of each counts, and that of a closed session no
-// longer does.
+// Reports of relays are snapshots: only the last report of each relay counts, and the report of a
+// closed session does not.
 func TestMergedStatus(t *testing.T) {
 	s := NewSessions(DefaultSessionLimits())
-	open(t, s, "s1", openRequest("p1", KindProxy, has("r", at(1, 2))), testStart)
-	relay := open(t, s, "s2", openRequest("relay", KindRelay, has("r", at(1, 2))), testStart)
+	open(t, s, "s1", openRequest("p1", KindProxy, positionAt("r", at(1, 2))), testStart)
+	relay := open(t, s, "s2", openRequest("relay", KindRelay, positionAt("r", at(1, 2))), testStart)
 	for _, behind := range []int{3, 1} {
 		report := ResourceStatus{
 			Resource: "r",
@@ -28,19 +28,19 @@
 		t.Error(err)
 	}
 	if want := []VersionCount{{at(1, 3), 0}, {at(1, 2), 11}, {at(1, 1), 1}}; !slices.Equal(status.Counts, want) {
-		t.Errorf("%v, %v expected", status.Counts, want)
+		t.Errorf("counts: got %v, want %v", status.Counts, want)
 	}
 	if want := []Laggard{{"p9", at(1, 1)}, {"p1", at(1, 2)}}; !slices.Equal(status.Laggards, want) {
-		t.Errorf("%v, %v expected", status.Laggards, want)
+		t.Errorf("laggards: got %v, want %v", status.Laggards, want)
 	}
 	s.Close(relay)
 	status = s.Status("r", at(1, 2))
 	if progress := status.Progress(at(1, 2)); !progress.Done() || progress.Proxies != 1 {
-		t.Errorf("%+v", status)
+		t.Errorf("after the relay's session closed: got %+v, want 1 proxy with its version in force", status)
 	}
 }
 
-// A status is bounded, whatever is merged.
+// A merged status stays within its bounds, and counts no version as in force where it is not.
 func TestStatusIsBounded(t *testing.T) {
 	var parts []*ResourceStatus
 	for p := range 5 {
@@ -59,13 +59,12 @@
 		t.Error(err)
 	}
 	if progress := merged.Progress(at(2, 1)); progress.Proxies != 5*MaxCounts {
-		t.Errorf("%d proxies, %d expected", progress.Proxies, 5*MaxCounts)
+		t.Errorf("got %d proxies, want %d", progress.Proxies, 5*MaxCounts)
 	}
-	// A version is never counted as in force where it is not.
 	for revision := 1; revision <= 5*MaxCounts; revision += 7 {
 		progress := merged.Progress(at(1, uint64(revision)))
 		if most := 5*MaxCounts - revision + 1; progress.InForce > most {
-			t.Errorf("revision %d: in force at %d proxies, %d at most expected", revision, progress.InForce, most)
+			t.Errorf("revision %d: got %d proxies in force, want at most %d", revision, progress.InForce, most)
 		}
 	}
 }
--- a/internal/distribution/store.go
+++ b/internal/distribution/store.go
@@ -7,14 +7,13 @@
 	"slices"
 )
 
-// ErrFull says that a limit on resources or bytes has been reached.
+// ErrFull is returned when a limit on resources or bytes has been reached.
 var ErrFull = errors.New("the store is full")
 
-// ConflictError rejects a conditional write. Its JSON is on the wire with the field names as they
-// are here.
+// ConflictError rejects a conditional write. It is sent as JSON under the names of its fields.
 type ConflictError struct {
 	Resource string
-	// Found is the current version, Expected the one that the write names.
+	// Found is the current version, and Expected is the version that the write names.
 	Found, Expected Version
 }
 
@@ -23,7 +22,7 @@
 	return fmt.Sprintf("%s: version %v found, %v expected", e.Resource, e.Found, e.Expected)
 }
 
-// DeltaBaseError says that a delta does not apply to the current version.
+// DeltaBaseError is returned when the base version of a delta is not the current version.
 type DeltaBaseError struct {
 	Resource      string
 	Current, From Version
@@ -31,18 +30,18 @@
 
 // Error implements error.
 func (e *DeltaBaseError) Error() string {
-	return fmt.Sprintf("%s: changes to version %v found, changes to version %v expected", e.Resource, e.From, e.Current)
+	return fmt.Sprintf("%s: delta from version %v does not apply to version %v", e.Resource, e.From, e.Current)
 }
 
-// Store holds the resources of a source or a relay, and their recent history. The version of a
-// resource never goes back. A Store is not safe for concurrent use.
+// Store holds the resources of a source or a relay and their recent history. The version of a
+// resource never decreases. A Store is not safe for concurrent use.
 type Store struct {
 	resources map[string]*resource
 	bytes     int64
 	maxBytes  int64
 }
 
-// NewStore returns an empty store, which takes up to maxBytes of keys and values.
+// NewStore returns an empty store that holds up to maxBytes of keys and values.
 func NewStore(maxBytes int64) *Store {
 	return &Store{resources: make(map[string]*resource), maxBytes: maxBytes}
 }
@@ -50,11 +49,11 @@
 // Len returns the number of resources.
 func (s *Store) Len() int { return len(s.resources) }
 
-// Bytes returns the size of all keys and values.
+// Bytes returns the size of all keys and values in bytes.
 func (s *Store) Bytes() int64 { return s.bytes }
 
-// Version returns the current version of a resource, or the zero Version if there is no such
-// resource.
+// Version returns the current version of a resource, or the zero Version if the store does not have
+// the resource.
 func (s *Store) Version(name string) Version {
 	if r := s.resources[name]; r != nil {
 		return r.version
@@ -68,9 +67,9 @@
 	return r != nil && r.urgent.After(since)
 }
 
-// Plan returns the update that a write amounts to, with next as its version, or nil if the write
-// would change nothing. It leaves the store as it is; Apply makes the change. Errors:
-// *ConflictError, ErrFull, too many items.
+// Plan returns the update that performs a write, with next as its version, or nil if the write
+// would change nothing. Plan does not change the store; [Store.Apply] applies the update. Plan
+// returns a *ConflictError, ErrFull, or an error if there are too many items.
 func (s *Store) Plan(put *PutRequest, next Version) (*Update, error) {
 	r := s.resources[put.Resource]
 	if r == nil {
@@ -79,7 +78,7 @@
 	if put.Expected != nil && *put.Expected != r.version {
 		return nil, &ConflictError{Resource: put.Resource, Found: r.version, Expected: *put.Expected}
 	}
-	update := &Update{Resource: put.Resource, From: r.version, Version: next, Items: r.changes(put)}
+	update := &Update{Resource: put.Resource, From: r.version, Version: next, Items: r.changedItems(put)}
 	if len(update.Items) == 0 && !r.version.IsZero() {
 		return nil, nil
 	}
@@ -89,9 +88,9 @@
 	return update, nil
 }
 
-// Apply brings a resource to an update's version, and reports whether it did: an update that is not
-// after the current version is ignored. The store keeps the update's items. Errors: *BaseError,
-// ErrFull, too many items.
+// Apply brings a resource to the version of an update and reports whether the resource has changed.
+// An update whose version is not after the current one is ignored. The store retains the items of
+// the update. Apply returns a *DeltaBaseError, ErrFull, or an error if there are too many items.
 func (s *Store) Apply(u *Update) (bool, error) {
 	r := s.resources[u.Resource]
 	if r == nil {
@@ -109,15 +108,15 @@
 	s.resources[u.Resource] = r
 	items := u.Items
 	if u.IsSnapshot() {
-		items = r.changes(&PutRequest{Items: u.Items, Replace: true})
+		items = r.changedItems(&PutRequest{Items: u.Items, Replace: true})
 	}
 	s.bytes += r.apply(items, u.Version, u.IsSnapshot())
 	return true, nil
 }
 
-// checkCapacity returns an error if a resource can't take an update within the limits.
+// checkCapacity returns an error if an update to a resource would exceed a limit of the store.
 func (s *Store) checkCapacity(name string, r *resource, u *Update) error {
-	live := r.liveAfter(u)
+	live := r.itemCountAfter(u)
 	if live > MaxItems {
 		return fmt.Errorf("%s: %d items found, %d at most expected", name, live, MaxItems)
 	}
@@ -135,9 +134,9 @@
 	return nil
 }
 
-// UpdateSince returns the update that brings a follower from a version to the current one: a delta if the
-// history has the changes, else a snapshot. It is nil if the follower has the current version or a
-// later one.
+// UpdateSince returns the update that brings a follower from a version to the current one. The
+// update is a delta if the history has the changes, and a snapshot otherwise. UpdateSince returns
+// nil if the follower has the current version or a later one.
 func (s *Store) UpdateSince(name string, from Version) *Update {
 	r := s.resources[name]
 	if r == nil || !r.version.After(from) {
@@ -150,8 +149,8 @@
 	return &Update{Resource: name, From: from, Version: r.version, Items: r.changesFrom(first)}
 }
 
-// Snapshot returns a resource with all its items, sorted by key, or nil if there is no such
-// resource.
+// Snapshot returns a resource with all its items, sorted by key, or nil if the store does not have
+// the resource.
 func (s *Store) Snapshot(name string) *Update {
 	r := s.resources[name]
 	if r == nil {
@@ -160,7 +159,7 @@
 	return r.snapshot(name)
 }
 
-// Preview returns the snapshot of a resource as it will be once an update of Plan is applied.
+// Preview returns the snapshot that a resource will have after an update from Plan is applied.
 func (s *Store) Preview(u *Update) *Update {
 	changed := make(map[string]bool, len(u.Items))
 	after := &Update{Resource: u.Resource, Version: u.Version}
@@ -181,15 +180,15 @@
 	return after
 }
 
-// Drop forgets a resource.
+// Drop removes a resource from the store.
 func (s *Store) Drop(name string) {
 	if r := s.resources[name]; r != nil {
-		s.bytes -= r.liveSize
+		s.bytes -= r.liveBytes
 		delete(s.resources, name)
 	}
 }
 
-// itemSize returns the size of an item's key and value.
+// itemSize returns the size of an item's key and value in bytes.
 func itemSize(i *Item) int64 { return int64(len(i.Key) + len(i.Value)) }
 
 // compareKeys orders items by key.
--- a/internal/distribution/store_model_test.go
+++ b/internal/distribution/store_model_test.go
@@ -7,20 +7,20 @@
 	"testing"
 )
 
-// replica is a follower in the model tests.
+// replica is a follower's copy of the resource "r" in the model tests.
 type replica struct {
 	at    Version
 	items map[string]string
 }
 
-// apply applies an update; nil: there is none.
+// apply applies an update. A nil update has no effect.
 func (r *replica) apply(t *testing.T, u *Update) {
 	t.Helper()
 	if u == nil {
 		return
 	}
 	if !u.Version.After(r.at) || !u.IsSnapshot() && u.From != r.at {
-		t.Fatalf("at %v: update from %v to %v", r.at, u.From, u.Version)
+		t.Fatalf("follower at version %v received an update from %v to %v", r.at, u.From, u.Version)
 	}
 	if err := u.Validate(); err != nil {
 		t.Fatal(err)
@@ -38,29 +38,30 @@
 	r.at = u.Version
 }
 
-// Under random writes, restarts of the source that lose the last of them, restarts of relays, and
-// followers that switch between relays: a follower has at each version what the source had at that
-// version, its version never goes back, and in the end all have the latest.
+// The model makes random writes, restarts the source with loss of its last writes, restarts relays,
+// and switches followers between relays. At each version a follower has the items that the source
+// had at that version, the follower's version never decreases, and in the end all followers have
+// the latest version.
 func TestStoreModel(t *testing.T) {
 	for seed := range uint64(100) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runStoreModel(t, rand.New(rand.NewPCG(seed, 1))) })
 	}
 }
 
-// storeModel is the fleet of TestStoreModel.
+// storeModel is a source with relays and followers in TestStoreModel.
 type storeModel struct {
 	t         *testing.T
 	random    *rand.Rand
 	source    *Store
-	saved     *Update // what the source has on disk; an older version if writes are lost
+	saved     *Update // snapshot on the disk of the source; an older version if writes are lost
 	epoch     uint64
 	revision  uint64
-	history   map[Version]map[string]string // what the source had at each version
+	history   map[Version]map[string]string // items of the source at each version
 	relays    []*Store
 	followers []*replica
 }
 
-// runStoreModel runs the model with one random generator.
+// runStoreModel runs the model with a random generator.
 func runStoreModel(t *testing.T, random *rand.Rand) {
 	t.Helper()
 	m := &storeModel{
@@ -76,21 +77,21 @@
 	for range 400 {
 		m.step()
 	}
-	m.revision++ // a write after the last restart, so that its version is after all that any follower has
-	write(t, m.source, &PutRequest{Resource: "r", Items: []Item{set("last", "1")}}, at(m.epoch, m.revision))
+	m.revision++ // a write after the last restart, so its version is after all versions of followers
+	write(t, m.source, &PutRequest{Resource: "r", Items: []Item{newItem("last", "1")}}, at(m.epoch, m.revision))
 	for _, relay := range m.relays {
 		m.sync(relay, m.source)
 	}
 	for i, f := range m.followers {
 		f.apply(t, m.relays[i%len(m.relays)].UpdateSince("r", f.at))
 		if f.at != m.source.Version("r") || !maps.Equal(f.items, contents(m.source)) {
-			t.Fatalf("follower %d: %v %v; the source has %v %v",
+			t.Fatalf("follower %d: got version %v with %v; want version %v with %v",
 				i, f.at, f.items, m.source.Version("r"), contents(m.source))
 		}
 	}
 }
 
-// step makes one random event happen.
+// step performs one random event.
 func (m *storeModel) step() {
 	relay := m.relays[m.random.IntN(len(m.relays))]
 	switch n := m.random.IntN(100); {
@@ -100,7 +101,7 @@
 		m.restart()
 	case n < 44:
 		*relay = *NewStore(testStoreBytes)
-	case n < 48: // relays behind relays
+	case n < 48: // a relay reads from another relay
 		m.pull(relay, m.relays[m.random.IntN(len(m.relays))])
 	case n < 70:
 		m.pull(relay, m.source)
@@ -108,19 +109,19 @@
 		f := m.followers[m.random.IntN(len(m.followers))]
 		f.apply(m.t, relay.UpdateSince("r", f.at))
 		if want, found := m.history[f.at]; !f.at.IsZero() && (!found || !maps.Equal(f.items, want)) {
-			m.t.Fatalf("at %v: %v found, %v expected", f.at, f.items, want)
+			m.t.Fatalf("version %v: got %v, want %v", f.at, f.items, want)
 		}
 	}
 }
 
-// pull lets a relay read once from its upstream. A response that is lost changes nothing.
+// pull makes a relay read once from its upstream. The response may be lost.
 func (m *storeModel) pull(relay, upstream *Store) {
 	if m.random.IntN(10) > 0 {
 		m.sync(relay, upstream)
 	}
 }
 
-// sync brings a relay to what its upstream has.
+// sync brings a relay to the version of its upstream.
 func (m *storeModel) sync(relay, upstream *Store) {
 	u := upstream.UpdateSince("r", relay.Version("r"))
 	if u == nil {
@@ -135,21 +136,21 @@
 func (m *storeModel) write() {
 	put := &PutRequest{Resource: "r", Replace: m.random.IntN(10) == 0}
 	for _, key := range m.random.Perm(8)[:1+m.random.IntN(3)] {
-		item := set(fmt.Sprint(key), fmt.Sprint(m.random.IntN(3)))
+		item := newItem(fmt.Sprint(key), fmt.Sprint(m.random.IntN(3)))
 		if m.random.IntN(3) == 0 && !put.Replace {
-			item = deleted(item.Key)
+			item = newDeletion(item.Key)
 		}
 		put.Items = append(put.Items, item)
 	}
 	m.revision++
 	write(m.t, m.source, put, at(m.epoch, m.revision))
 	m.history[m.source.Version("r")] = contents(m.source)
-	if m.random.IntN(4) > 0 { // else lost at the next restart
+	if m.random.IntN(4) > 0 { // otherwise the write is lost at the next restart
 		m.saved = m.source.Snapshot("r")
 	}
 }
 
-// restart restarts the source in a new epoch; it may have lost its last writes.
+// restart restarts the source in a new epoch. The source may have lost its last writes.
 func (m *storeModel) restart() {
 	m.source = NewStore(testStoreBytes)
 	m.epoch++
--- a/internal/distribution/validate.go
+++ b/internal/distribution/validate.go
@@ -7,23 +7,23 @@
 	"unicode/utf8"
 )
 
-// Bounds of what is taken from outside.
+// Limits of messages from other processes.
 const (
-	MaxNameBytes   = 128     // of the name of a resource or a follower, or of an item's key
-	MaxReasonBytes = 256     // of the reason of a rejection
-	MaxItemBytes   = 1 << 20 // of an item's value
-	MaxItems       = 20_000  // of a resource
-	MaxResources   = 8_192   // at a source, and that a follower follows
-	MaxLaggards    = 20      // that a status names, and as many rejections
+	MaxNameBytes   = 128     // size of the name of a resource or a follower, or of an item's key
+	MaxReasonBytes = 256     // size of the reason of a rejection
+	MaxItemBytes   = 1 << 20 // size of an item's value
+	MaxItems       = 20_000  // items of a resource
+	MaxResources   = 8_192   // resources of a source, or that a follower follows
+	MaxLaggards    = 20      // laggards in a status, and also rejections
 
-	MaxRequestBytes  = 16 << 20  // of a FollowRequest or PutRequest
-	MaxResponseBytes = 256 << 20 // of a FollowResponse
-	MaxHoldMs        = 60_000    // of a long poll, in milliseconds
-	MaxSessionBytes  = 64        // of a session's ID
+	MaxRequestBytes  = 16 << 20  // size of a FollowRequest or PutRequest
+	MaxResponseBytes = 256 << 20 // size of a FollowResponse
+	MaxHoldMs        = 60_000    // hold of a long poll, in milliseconds
+	MaxSessionBytes  = 64        // size of a session ID
 	MaxCounts        = 1_024     // versions in a status
 )
 
-// Validate returns what is wrong with a request, in one line, or nil.
+// Validate returns an error of one line if the request is invalid.
 func (r *FollowRequest) Validate() error {
 	if err := ValidateName("follower", r.Follower); err != nil {
 		return err
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// validateUnfollowed checks the resources that are no longer followed.
+// validateUnfollowed checks the names of the resources that are no longer followed.
 func (r *FollowRequest) validateUnfollowed() error {
 	if err := validateCount("unfollowed", len(r.Unfollowed), MaxResources); err != nil {
 		return err
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// validateStatuses checks the statuses of a request, which only a relay sends.
+// validateStatuses checks the statuses of a request. Only a relay may send statuses.
 func (r *FollowRequest) validateStatuses() error {
 	if r.Kind != KindRelay && len(r.Statuses) > 0 {
 		return fmt.Errorf("statuses: %d found of a %s, none expected", len(r.Statuses), r.Kind)
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// Validate returns what is wrong with a position, in one line, or nil.
+// Validate returns an error of one line if the position is invalid.
 func (p *Position) Validate() error {
 	if err := ValidateName("resource", p.Resource); err != nil {
 		return err
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// Validate returns what is wrong with a response, in one line, or nil.
+// Validate returns an error of one line if the response is invalid.
 func (r *FollowResponse) Validate() error {
 	if r.Session == "" || len(r.Session) > MaxSessionBytes {
 		return fmt.Errorf("session: %d bytes found, 1 to %d expected", len(r.Session), MaxSessionBytes)
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// Validate returns what is wrong with an update, in one line, or nil.
+// Validate returns an error of one line if the update is invalid.
 func (u *Update) Validate() error {
 	if err := ValidateName("resource", u.Resource); err != nil {
 		return err
@@ -132,7 +132,7 @@
 	if !u.Version.After(u.From) {
 		return fmt.Errorf("version: %v found, one after %v expected", u.Version, u.From)
 	}
-	// A delta may delete as many items as the resource can have, and add as many.
+	// A delta may delete up to MaxItems items and add as many.
 	limit := MaxItems
 	if !u.IsSnapshot() {
 		limit = 2 * MaxItems
@@ -140,7 +140,7 @@
 	return validateItems(u.Items, limit, !u.IsSnapshot())
 }
 
-// Validate returns what is wrong with a write, in one line, or nil.
+// Validate returns an error of one line if the write is invalid.
 func (r *PutRequest) Validate() error {
 	if err := ValidateName("resource", r.Resource); err != nil {
 		return err
@@ -148,7 +148,7 @@
 	return validateItems(r.Items, MaxItems, !r.Replace)
 }
 
-// Validate returns what is wrong with a status, in one line, or nil.
+// Validate returns an error of one line if the status is invalid.
 func (s *ResourceStatus) Validate() error {
 	if err := ValidateName("resource", s.Resource); err != nil {
 		return err
@@ -162,7 +162,7 @@
 	return s.validateLaggards()
 }
 
-// validateCounts checks the counts of a status, and their order.
+// validateCounts checks the counts of a status and their order, which is latest version first.
 func (s *ResourceStatus) validateCounts() error {
 	if err := validateCount("counts", len(s.Counts), MaxCounts); err != nil {
 		return err
@@ -211,7 +211,8 @@
 	return nil
 }
 
-// validateItems checks the items of a write or an update; allowDeleted: they are changes.
+// validateItems checks the items of a write or an update. If allowDeleted is set, the items are
+// changes and may be deletions.
 func validateItems(items []Item, limit int, allowDeleted bool) error {
 	if err := validateCount("items", len(items), limit); err != nil {
 		return err
@@ -229,7 +230,7 @@
 	return nil
 }
 
-// validate checks an item; allowDeleted: it is a change.
+// validate checks an item. If allowDeleted is set, the item is a change and may be a deletion.
 func (i *Item) validate(allowDeleted bool) error {
 	if err := ValidateName("key", i.Key); err != nil {
 		return err
@@ -252,8 +253,8 @@
 	return nil
 }
 
-// ValidateName returns what is wrong with the name of a resource, a key or a follower, in one line
-// that begins with place, or nil.
+// ValidateName returns an error if the name of a resource, a key or a follower is invalid. The
+// error text is one line that begins with place.
 func ValidateName(place, name string) error {
 	if name == "" || len(name) > MaxNameBytes {
 		return fmt.Errorf("%s: name of %d bytes found, 1 to %d expected", place, len(name), MaxNameBytes)
@@ -269,7 +270,7 @@
 	return nil
 }
 
-// validateCount checks the length of a list.
+// validateCount returns an error if the length of a list exceeds the limit.
 func validateCount(place string, found, limit int) error {
 	if found > limit {
 		return fmt.Errorf("%s: %d found, %d at most expected", place, found, limit)
--- a/internal/distribution/validate_test.go
+++ b/internal/distribution/validate_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// checkRoundTrip decodes a message. If it is valid, it must still be so after encoding and decoding
-// it again.
+// checkRoundTrip checks that a message that is valid after decoding is still valid after it has
+// been encoded and decoded again.
 func checkRoundTrip[M any, P interface {
 	*M
 	Validate() error
@@ -19,7 +19,7 @@
 	}
 	if err := message.Validate(); err != nil {
 		if strings.Contains(err.Error(), "\n") {
-			t.Errorf("more than one line: %q", err)
+			t.Errorf("error has more than one line: %q", err)
 		}
 		return
 	}
@@ -65,8 +65,8 @@
 	f.Fuzz(func(t *testing.T, data []byte) { checkRoundTrip[ResourceStatus](t, data) })
 }
 
-// A message beyond a bound, or one that is inconsistent, is rejected in one line that names the
-// place, what was found and what was expected.
+// A message that exceeds a limit or is inconsistent is rejected with an error of one line, which
+// names the field, the value found and the value expected.
 func TestValidateRejectsInvalidMessages(t *testing.T) {
 	long := strings.Repeat("x", MaxNameBytes+1)
 	value := json.RawMessage("1")
@@ -136,7 +136,7 @@
 			"updates[0]: items[0]: key \"a\": deleted found in a whole resource",
 			&FollowResponse{
 				Session: "s",
-				Updates: []Update{{Resource: "r", Version: at(1, 1), Items: []Item{deleted("a")}}},
+				Updates: []Update{{Resource: "r", Version: at(1, 1), Items: []Item{newDeletion("a")}}},
 			},
 		},
 		{
@@ -175,19 +175,19 @@
 	} {
 		err := test.message.Validate()
 		if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v found, %q expected", err, test.want)
+			t.Errorf("got error %v, want one line with %q", err, test.want)
 		}
 	}
 }
 
-// ParseVersion parses what String returns, and nothing else.
+// ParseVersion parses the form that String returns and rejects other texts.
 func TestVersionText(t *testing.T) {
 	for _, bad := range []string{"", "1", "1.", ".1", "1.2.3", "-1.2", "x.1"} {
 		if v, err := ParseVersion(bad); err == nil {
-			t.Errorf("%q is version %v", bad, v)
+			t.Errorf("%q: got version %v, want an error", bad, v)
 		}
 	}
 	if v, err := ParseVersion("7.18446744073709551615"); err != nil || v.String() != "7.18446744073709551615" {
-		t.Errorf("%v, %v", v, err)
+		t.Errorf("got %v, %v", v, err)
 	}
 }
--- a/internal/distribution/version.go
+++ b/internal/distribution/version.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// Version orders the states of a resource: by epoch, then by revision. A source that may have lost
-// writes begins a new epoch, whose versions are all later than those of the epochs before. The zero
-// Version stands for "no state yet".
+// Version orders the states of a resource by epoch, then by revision. A source that may have lost
+// writes begins a new epoch, whose versions are all later than those of earlier epochs. The zero
+// Version means that there is no state yet.
 type Version struct {
 	Epoch    uint64
 	Revision uint64
@@ -55,7 +55,7 @@
 // MarshalText implements [encoding.TextMarshaler].
 func (v Version) MarshalText() ([]byte, error) { return []byte(v.String()), nil }
 
-// UnmarshalText implements [encoding.TextUnmarshaler]. After an error v is the zero Version.
+// UnmarshalText implements [encoding.TextUnmarshaler]. It sets v to the zero Version on error.
 func (v *Version) UnmarshalText(text []byte) error {
 	parsed, err := ParseVersion(string(text))
 	*v = parsed
