--- a/internal/sidecar/active_config.go
+++ b/internal/sidecar/active_config.go
@@ -8,33 +8,33 @@
 	"fernlanding/internal/route"
 )
 
-// activeConfig is a configuration in force, by which requests are resolved. It is an immutable
-// snapshot; the sticky assignments and the mirror slots that it refers to outlive it.
+// activeConfig is an active configuration, which resolves requests. It is an immutable snapshot,
+// but shares its sticky assignments and mirror slots with the configurations before and after it.
 type activeConfig struct {
-	platform         *platformResolver // on the platform, and nil elsewhere
-	services         map[string]*service
-	routesByListener map[string]*listenerRoutes
-	routes           map[string]*activeRoute // by name
+	platform         *platformResolver          // nil except on the platform
+	services         map[string]*service        // by name
+	routesByListener map[string]*listenerRoutes // by listener name
+	routes           map[string]*activeRoute    // by route name
 	sticky           *stickyAssignments
-	mirrorSlots      chan struct{} // holds one for each mirrored request in flight
+	mirrorSlots      chan struct{} // a semaphore: one element for each mirrored request in flight
 }
 
-// listenerRoutes is one listener's routes.
+// listenerRoutes is the routes of one listener.
 type listenerRoutes struct {
 	table  *route.Table
-	routes []*activeRoute // by the table's numbers
+	routes []*activeRoute // indexed by the numbers that table returns
 }
 
-// activeRoute is a route with the services that it leads to.
+// activeRoute is a route with its destinations.
 type activeRoute struct {
 	config.Route
-	split          *route.Split // nil: one arm
+	split          *route.Split // nil if there is one arm
 	arms           []splitArm
-	mirror         *splitArm // nil: requests are not mirrored
+	mirror         *splitArm // nil if requests are not mirrored
 	previousSplits []previousSplit
 }
 
-// newActiveConfig builds a configuration that takes the place of previous; nil: it is the first.
+// newActiveConfig builds the configuration that replaces previous, which is nil for the first one.
 func newActiveConfig(
 	app *config.App, services map[string]*service, previous *activeConfig, shared *sharedResources,
 ) (*activeConfig, error) {
@@ -46,7 +46,7 @@
 	if previous != nil {
 		c.sticky, c.mirrorSlots = previous.sticky, previous.mirrorSlots
 	} else {
-		c.sticky, c.mirrorSlots = newStickyAssignments(), make(chan struct{}, maxMirrors)
+		c.sticky, c.mirrorSlots = newStickyAssignments(), make(chan struct{}, maxMirroredInFlight)
 	}
 	if app.Kind == config.Platform {
 		svc := services[config.PlatformService]
@@ -78,7 +78,7 @@
 	return c, nil
 }
 
-// newActiveRoutes returns the routes of a configuration, in its order.
+// newActiveRoutes returns the routes of a configuration, in the order of the configuration.
 func newActiveRoutes(app *config.App, builder *armBuilder) ([]*activeRoute, error) {
 	routes := make([]*activeRoute, len(app.Routes))
 	for i, configured := range app.Routes {
@@ -107,11 +107,11 @@
 // armBuilder builds the arms of a configuration's routes.
 type armBuilder struct {
 	services map[string]*service
-	tenants  map[string]map[string]int // by service and name
+	tenants  map[string]map[string]int // indexes of tenants, by service and tenant name
 	memory   *allocator
 }
 
-// newArmBuilder returns a builder of arms that lead to services.
+// newArmBuilder returns a builder of arms whose destinations are among services.
 func newArmBuilder(services map[string]*service, shared *sharedResources) *armBuilder {
 	b := &armBuilder{services: services, tenants: map[string]map[string]int{}, memory: shared.memory}
 	for name, svc := range services {
@@ -120,7 +120,7 @@
 	return b
 }
 
-// build returns the arm that leads to a target.
+// build returns the arm that forwards to target.
 func (b *armBuilder) build(target config.Target) splitArm {
 	svc := b.services[target.Service]
 	class := svc.cfg.Class(target.Class)
@@ -136,7 +136,7 @@
 		policy:   svc.cfg.ClassPolicies[class],
 		maxBody:  svc.cfg.MaxBody,
 		tenants:  b.tenants[target.Service],
-		memory:   memoryQuota{allocator: b.memory, party: target.Service},
+		memory:   memoryQuota{allocator: b.memory, consumer: target.Service},
 	}
 }
 
--- a/internal/sidecar/allocator.go
+++ b/internal/sidecar/allocator.go
@@ -11,91 +11,92 @@
 	"fernlanding/internal/quota"
 )
 
-// maxShedRounds is how often an acquisition has others give back one of what they keep idle, at
-// most.
-const maxShedRounds = 32
+// maxReclaims limits how many idle resources of other consumers one acquisition reclaims.
+const maxReclaims = 32
 
-// allocator is a quota.Allocator of descriptors or of memory that many goroutines use.
+// allocator is a quota.Allocator of descriptors or of memory. It is safe for concurrent use.
 type allocator struct {
 	clock core.Clock
 
-	mu       sync.Mutex // guards what follows
-	quotas   *quota.Allocator
-	shedders map[string]func() bool // has a party give back one of what it keeps idle; called without the lock
-	released chan struct{}          // closed at the next release; nil: nobody waits for one
+	mu         sync.Mutex // guards the fields below
+	quotas     *quota.Allocator
+	reclaimers map[string]func() bool // release one idle resource of a consumer; called without mu held
+	released   chan struct{}          // closed at the next release; nil if nothing waits for it
 }
 
-// newAllocator returns an allocator without floors.
+// newAllocator returns an allocator of total without floors.
 func newAllocator(clock core.Clock, total int64) (*allocator, error) {
 	quotas, err := quota.New(total)
 	if err != nil {
 		return nil, err
 	}
-	return &allocator{clock: clock, quotas: quotas, shedders: map[string]func() bool{}}, nil
+	return &allocator{clock: clock, quotas: quotas, reclaimers: map[string]func() bool{}}, nil
 }
 
-// setFloors sets what each party can have at any time. The total can't change.
+// setFloors sets the guaranteed quota of each consumer. The total can't change.
 func (a *allocator) setFloors(parts config.Parts) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if parts.Total != a.quotas.Total() {
-		return fmt.Errorf("%d in all, %d since the start", parts.Total, a.quotas.Total())
+		return fmt.Errorf("total of %d differs from the total of %d at startup", parts.Total, a.quotas.Total())
 	}
 	return a.quotas.SetFloors(parts.Names, parts.Floors)
 }
 
-// setShedder sets what has a party give back one of what it keeps idle; shed reports whether it
-// did. nil: nothing.
-func (a *allocator) setShedder(party string, shed func() bool) {
+// setReclaimer sets the function that releases one idle resource of a consumer and reports whether
+// there was one. A nil function removes the reclaimer.
+func (a *allocator) setReclaimer(consumer string, reclaim func() bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if shed == nil {
-		delete(a.shedders, party)
+	if reclaim == nil {
+		delete(a.reclaimers, consumer)
 		return
 	}
-	a.shedders[party] = shed
+	a.reclaimers[consumer] = reclaim
 }
 
-// acquire acquires n for a party, or nothing, and reports whether it did. Where there is no
-// capacity, others give back what they keep idle.
-func (a *allocator) acquire(party string, n int64) bool {
-	for range maxShedRounds {
-		ok, shedders := a.tryAcquire(party, n)
+// acquire acquires n for a consumer, or nothing, and reports whether it did. If there is no
+// capacity, acquire reclaims idle resources of other consumers.
+func (a *allocator) acquire(consumer string, n int64) bool {
+	for range maxReclaims {
+		ok, reclaimers := a.tryAcquire(consumer, n)
 		if ok {
 			return true
 		}
-		if !slices.ContainsFunc(shedders, func(shed func() bool) bool { return shed() }) {
+		if !slices.ContainsFunc(reclaimers, func(reclaim func() bool) bool { return reclaim() }) {
 			break
 		}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.quotas.MarkStarved(a.clock.Now(), party)
+	a.quotas.MarkStarved(a.clock.Now(), consumer)
 	return false
 }
 
-// tryAcquire acquires n, or returns what may free capacity.
-func (a *allocator) tryAcquire(party string, n int64) (ok bool, shedders []func() bool) {
+// tryAcquire acquires n, or returns the reclaimers that may free capacity.
+func (a *allocator) tryAcquire(consumer string, n int64) (ok bool, reclaimers []func() bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.clock.Now()
-	if a.quotas.Acquire(now, party, n) {
+	if a.quotas.Acquire(now, consumer, n) {
 		return true, nil
 	}
-	for _, excess := range a.quotas.Borrowers(now, party) {
-		// A client's idle connection is no mere cache: its close may cross a request.
-		if shed := a.shedders[excess.Name]; shed != nil && (excess.OverFairShare || excess.Name != config.Clients) {
-			shedders = append(shedders, shed)
+	for _, b := range a.quotas.Borrowers(now, consumer) {
+		// The close of a client's idle connection may race with the client's next request, so
+		// clients give up connections only beyond their fair share, or if the acquiring consumer
+		// lacks its floor.
+		if reclaim := a.reclaimers[b.Name]; reclaim != nil && (b.OverFairShare || b.Name != config.Clients) {
+			reclaimers = append(reclaimers, reclaim)
 		}
 	}
-	return false, shedders
+	return false, reclaimers
 }
 
-// release gives n back.
-func (a *allocator) release(party string, n int64) {
+// release returns n of a consumer to the allocator.
+func (a *allocator) release(consumer string, n int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.quotas.Release(party, n)
+	a.quotas.Release(consumer, n)
 	if a.released != nil {
 		close(a.released)
 		a.released = nil
@@ -112,47 +113,50 @@
 	return a.released
 }
 
-// isOverdrawn reports whether a party has more than it may keep.
-func (a *allocator) isOverdrawn(party string) bool {
+// isOverFairShare reports whether a consumer has to release its idle resources, since another
+// consumer is starved; see quota.Allocator.OverFairShare.
+func (a *allocator) isOverFairShare(consumer string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.quotas.OverFairShare(a.clock.Now(), party)
+	return a.quotas.OverFairShare(a.clock.Now(), consumer)
 }
 
-// descriptorQuota is a party's quota of descriptors. It implements the Quota of fronts and
-// upstreams.
+// descriptorQuota is a consumer's quota of file descriptors. It implements the
+// DescriptorQuota interfaces of fronts and upstreams.
 type descriptorQuota struct {
 	allocator *allocator
-	party     string
+	consumer  string
 }
 
-// Acquire counts a connection in, and reports whether it may be opened.
-func (q descriptorQuota) Acquire() bool { return q.allocator.acquire(q.party, 1) }
+// Acquire acquires the descriptor of a connection, and reports whether the connection may be
+// opened.
+func (q descriptorQuota) Acquire() bool { return q.allocator.acquire(q.consumer, 1) }
 
-// Release counts a connection out.
-func (q descriptorQuota) Release() { q.allocator.release(q.party, 1) }
+// Release releases the descriptor of a connection.
+func (q descriptorQuota) Release() { q.allocator.release(q.consumer, 1) }
 
-// OverFairShare reports whether idle connections have to be closed.
-func (q descriptorQuota) OverFairShare() bool { return q.allocator.isOverdrawn(q.party) }
+// OverFairShare reports whether idle connections must be closed.
+func (q descriptorQuota) OverFairShare() bool { return q.allocator.isOverFairShare(q.consumer) }
 
-// memoryQuota is a service's quota of the process's memory for bodies, in bytes.
+// memoryQuota is a service's quota of the process's memory for bodies, in bytes. It implements
+// front.Memory and the Memory interface of upstreams.
 type memoryQuota struct {
 	allocator *allocator
-	party     string
+	consumer  string
 }
 
 // Acquire implements front.Memory.
-func (q memoryQuota) Acquire(n int64) bool { return q.allocator.acquire(q.party, n) }
+func (q memoryQuota) Acquire(n int64) bool { return q.allocator.acquire(q.consumer, n) }
 
-// Release implements front.Memory and the upstream's Memory.
-func (q memoryQuota) Release(n int64) { q.allocator.release(q.party, n) }
+// Release implements front.Memory and the Memory interface of upstreams.
+func (q memoryQuota) Release(n int64) { q.allocator.release(q.consumer, n) }
 
-// Reserve implements the upstream's Memory: it waits until it has n bytes, or returns the context's
-// error.
+// Reserve implements the Memory interface of upstreams. It waits until it has acquired n bytes, or
+// returns the error of a context that has ended.
 func (q memoryQuota) Reserve(ctx context.Context, n int64) error {
 	for {
-		released := q.allocator.nextRelease() // before the attempt, so that no release is missed
-		if q.allocator.acquire(q.party, n) {
+		released := q.allocator.nextRelease() // taken before the acquisition, so that no release is missed
+		if q.allocator.acquire(q.consumer, n) {
 			return nil
 		}
 		select {
@@ -163,10 +167,11 @@
 	}
 }
 
-// bodySlots is memory for a number of bodies, of any size. It implements the upstream's Memory.
+// bodySlots is memory for a fixed number of bodies of any size. It implements the Memory interface
+// of upstreams.
 type bodySlots chan struct{}
 
-// Reserve waits until it has a slot, or returns the context's error.
+// Reserve waits until it has a slot, or returns the error of a context that has ended.
 func (s bodySlots) Reserve(ctx context.Context, _ int64) error {
 	select {
 	case s <- struct{}{}:
@@ -176,5 +181,5 @@
 	}
 }
 
-// Release gives a slot back.
+// Release frees a slot.
 func (s bodySlots) Release(int64) { <-s }
--- a/internal/sidecar/class_policy_test.go
+++ b/internal/sidecar/class_policy_test.go
@@ -6,17 +6,19 @@
 	"fernlanding/internal/standin"
 )
 
-// closeWithoutAnswer is a handler that runs the request and closes the connection instead of an
-// answer.
-func closeWithoutAnswer(*standin.Call) bool { return false }
+// closeWithoutResponse is a handler that runs the request and closes the connection without a
+// response.
+func closeWithoutResponse(*standin.Call) bool { return false }
 
-// rejectNotStarted is a handler that rejects the request and states that nothing has run.
+// rejectNotStarted is a handler that rejects the request and states with a Not-Started field that
+// the request has not run.
 func rejectNotStarted(c *standin.Call) bool {
 	return c.Reply(503, "Not-Started: 1\r\n", nil) == nil
 }
 
-// A class with resend = "never" is sent once, whatever its idempotency, unless nothing has run.
-func TestResendNeverIsSentOnce(t *testing.T) {
+// A request of a class with resend = "never" has one attempt, whatever its idempotency. It is
+// retried only if the first attempt has certainly not run.
+func TestResendNeverDisablesRetries(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		class string
@@ -36,10 +38,10 @@
 			3,
 		},
 	} {
-		a, b := backend(t, closeWithoutAnswer), backend(t, closeWithoutAnswer)
+		a, b := startBackend(t, closeWithoutResponse), startBackend(t, closeWithoutResponse)
 		p := startVersion2(
 			t, routeTo("a"),
-			serviceText{
+			serviceTOML{
 				name: "a", classes: c.class, source: endpointsAt(a.Addr(), b.Addr()),
 				extra: "retry_budget = { free = 100 }",
 			},
@@ -47,36 +49,37 @@
 		resp, _ := sendRequest(t, p, "POST", "/a", "Idempotency-Key: k")
 		n := a.Requests() + b.Requests()
 		if n != c.want || resp.StatusCode < 500 || c.want == 1 && resp.StatusCode != 502 {
-			t.Errorf("%s: %d attempts, want %d; answer %d", c.class, n, c.want, resp.StatusCode)
+			t.Errorf("%s: %d attempts, want %d; status %d", c.class, n, c.want, resp.StatusCode)
 		}
 	}
-	a, b := backend(t, rejectNotStarted), backend(t, standin.Echo)
+	a, b := startBackend(t, rejectNotStarted), startBackend(t, standin.Echo)
 	app := decodeVersion2(
 		t, routeTo("a"),
-		serviceText{
+		serviceTOML{
 			name:    "a",
 			classes: `one = { repeat = "safe", resend = "never", objective = "2s", deadline = "4s" }`,
 			source:  endpointsAt(a.Addr(), b.Addr()),
 		},
 	)
-	const mostStarts = 10 // a sidecar whose first calls go to the other backend soon prefers that
-	for i := 0; i == 0 || i < mostStarts && a.Requests() == 0; i++ {
+	const maxStarts = 10 // a sidecar whose first requests go to the other backend soon prefers that backend
+	for i := 0; i == 0 || i < maxStarts && a.Requests() == 0; i++ {
 		p := startSidecar(t, app)
 		for range 8 {
 			if resp, _ := sendRequest(t, p, "POST", "/a"); resp.StatusCode != 200 {
-				t.Errorf("what has not run was not retried: %d", resp.StatusCode)
+				t.Errorf("got %d, want a retry of the request that has not run", resp.StatusCode)
 			}
 		}
 	}
 	if a.Requests() == 0 {
-		t.Error("the backend that rejects was never chosen")
+		t.Error("the rejecting backend got no request")
 	}
 }
 
-// The idempotency key is the field that the class names, which must occur once and not be empty.
-func TestKeyIsTheConfiguredField(t *testing.T) {
-	a := backend(t, standin.Echo)
-	p := startVersion2(t, routeTo("a"), serviceText{
+// The idempotency key is in the field that the class configures. The field must occur exactly once
+// and not be empty.
+func TestIdempotencyKeyFieldIsConfigurable(t *testing.T) {
+	a := startBackend(t, standin.Echo)
+	p := startVersion2(t, routeTo("a"), serviceTOML{
 		name:    "a",
 		classes: `one = { repeat = "keyed", key = "record-id", dedup_window = "30s" }`,
 		source:  endpointsAt(a.Addr()),
@@ -96,13 +99,13 @@
 		}
 	}
 	if n := a.Requests(); n != 1 {
-		t.Errorf("%d requests came, want 1", n)
+		t.Errorf("backend got %d requests, want 1", n)
 	}
 }
 
-// Early data may be a replay (RFC 8470): a request of a class that is not idempotent is answered
-// 425 at once and not forwarded; one of an idempotent class is forwarded, unless its owner says
-// otherwise.
+// Early data may be a replay (RFC 8470). A request in early data is rejected with status 425 and
+// not forwarded if its class is not idempotent. It is forwarded if its class is idempotent, unless
+// the class sets early_data = false.
 func TestEarlyDataOfNonIdempotentClassesIsRejected(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -114,45 +117,45 @@
 		{safeClass, 200},
 		{`look = { repeat = "safe", early_data = false }`, 425},
 	} {
-		a := backend(t, standin.Echo)
-		p := startVersion2(t, routeTo("a"), serviceText{name: "a", classes: c.class, source: endpointsAt(a.Addr())})
+		a := startBackend(t, standin.Echo)
+		p := startVersion2(t, routeTo("a"), serviceTOML{name: "a", classes: c.class, source: endpointsAt(a.Addr())})
 		resp, _ := sendRequest(t, p, "POST", "/a", "Idempotency-Key: k", "Early-Data: 1")
-		if came := a.Requests(); resp.StatusCode != c.want || (came == 1) != (c.want == 200) {
-			t.Errorf("%s: got %d, %d came; want %d", c.class, resp.StatusCode, came, c.want)
+		if n := a.Requests(); resp.StatusCode != c.want || (n == 1) != (c.want == 200) {
+			t.Errorf("%s: got %d, want %d; backend got %d requests", c.class, resp.StatusCode, c.want, n)
 		}
 		if resp, _ := sendRequest(t, p, "POST", "/a", "Idempotency-Key: k"); resp.StatusCode != 200 {
-			t.Errorf("%s: without early data: got %d", c.class, resp.StatusCode)
+			t.Errorf("%s, without early data: got %d, want 200", c.class, resp.StatusCode)
 		}
 	}
 }
 
-// The sidecar's own answers have the status codes that the service configures.
-func TestOwnAnswersHaveConfiguredStatusCodes(t *testing.T) {
+// Responses that the sidecar generates have the status codes that the service configures.
+func TestGeneratedResponsesHaveConfiguredStatusCodes(t *testing.T) {
 	t.Parallel()
 	codes := "answers = { refused = 429, failed = 500, expired = 500 }"
-	a := backend(t, closeWithoutAnswer)
+	a := startBackend(t, closeWithoutResponse)
 	p := startVersion2(
 		t, routeTo("a"),
-		serviceText{name: "a", classes: unsafeClass, source: endpointsAt(a.Addr()), extra: codes},
+		serviceTOML{name: "a", classes: unsafeClass, source: endpointsAt(a.Addr()), extra: codes},
 	)
 	if resp, _ := sendRequest(t, p, "POST", "/a"); resp.StatusCode != 500 {
-		t.Errorf("failed: got %d", resp.StatusCode)
+		t.Errorf("failed: got %d, want 500", resp.StatusCode)
 	}
-	b := backend(t, standin.Hangs)
-	p = startVersion2(t, routeTo("b"), serviceText{
+	b := startBackend(t, standin.Hangs)
+	p = startVersion2(t, routeTo("b"), serviceTOML{
 		name:    "b",
 		classes: `post = { repeat = "unsafe", objective = "50ms", deadline = "100ms" }`,
 		source:  endpointsAt(b.Addr()), extra: codes,
 	})
 	if resp, _ := sendRequest(t, p, "POST", "/b"); resp.StatusCode != 500 {
-		t.Errorf("expired: got %d", resp.StatusCode)
+		t.Errorf("expired: got %d, want 500", resp.StatusCode)
 	}
-	p = startVersion2(t, routeTo("c"), serviceText{
+	p = startVersion2(t, routeTo("c"), serviceTOML{
 		name: "c", classes: unsafeClass,
 		source: `endpoints = [{ address = "127.0.0.1:1", status = "draining" }]`,
 		extra:  codes,
 	})
 	if resp, _ := sendRequest(t, p, "POST", "/c"); resp.StatusCode != 429 || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("refused: got %d, %v", resp.StatusCode, resp.Header)
+		t.Errorf("shed: got %d, %v, want 429 with Retry-After", resp.StatusCode, resp.Header)
 	}
 }
--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -14,7 +14,7 @@
 	"fernlanding/internal/standin/backendtest"
 )
 
-// hungListener is a backend whose accept queue is full: dialing it hangs.
+// hungListener returns a listener whose accept queue is full, so that dialing it hangs.
 func hungListener(tb testing.TB) net.Listener {
 	tb.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -43,22 +43,21 @@
 	}
 }
 
-// awaitClose waits until the proxy closes a connection to a backend, by which it cancels the
-// attempt.
+// awaitClose waits until the proxy cancels the attempt by closing its connection to the backend.
 func awaitClose(w io.Writer) {
 	conn := w.(net.Conn) //nolint:forcetypeassert // backendtest passes its connection
 	_, _ = conn.Read(make([]byte, 1))
 }
 
-// disconnectStage is when a client disconnects.
+// disconnectStage is the state of a request when its client disconnects.
 type disconnectStage struct {
 	name     string
-	trailing string // what the client has sent behind its request
-	draining bool
-	dialing  bool // while a connection to the backend is dialed
+	trailing string // bytes that the client has sent after its request
+	draining bool   // the sidecar is draining
+	dialing  bool   // the connection to the backend is being dialed
 }
 
-// disconnectStages returns all stages, each with nothing, little and much behind the request.
+// disconnectStages returns all stages, each with no, few and many bytes after the request.
 func disconnectStages() []disconnectStage {
 	var stages []disconnectStage
 	for name, trailing := range map[string]string{
@@ -74,18 +73,18 @@
 	return stages
 }
 
-// disconnect has a client disconnect in a stage, and returns how long it took until nothing of its
-// request was left.
+// disconnect disconnects a client in a stage. It returns the time until the pool has removed the
+// request.
 func (s disconnectStage) disconnect(tb testing.TB, n int) time.Duration {
 	tb.Helper()
 	ended := make(chan struct{}, 10)
-	came := make(chan struct{}, 10)
+	received := make(chan struct{}, 10)
 	var addr string
 	if s.dialing {
 		addr = hungListener(tb).Addr().String()
 	} else {
 		addr = backendtest.Start(tb, func(w io.Writer, _ *http.Request, _ int) bool {
-			came <- struct{}{}
+			received <- struct{}{}
 			awaitClose(w)
 			ended <- struct{}{}
 			return false
@@ -97,7 +96,7 @@
 	requests := func() int { return p.platformService().pool.Stats().Requests }
 	waitUntil(tb, func() bool { return requests() == 1 })
 	if !s.dialing {
-		receive(tb, "request", came)
+		receive(tb, "request", received)
 	}
 	if s.draining {
 		p.stop()
@@ -113,7 +112,8 @@
 	return time.Since(disconnected)
 }
 
-// A client that disconnects while its request is open ends it, whatever it has sent behind it.
+// A client that disconnects cancels its open request, even if it has sent more bytes after the
+// request.
 func TestClientDisconnectEndsRequest(t *testing.T) {
 	for n, s := range disconnectStages() {
 		t.Run(s.name, func(t *testing.T) {
@@ -123,16 +123,16 @@
 	}
 }
 
-// The attempt that a disconnect cancels has failed and its class is idempotent, but there is no
-// retry.
+// A disconnect of the client cancels the attempt and makes it fail. There is no retry, although the
+// request is idempotent.
 func TestNoRetryAfterClientDisconnect(t *testing.T) {
-	came := make(chan struct{}, 10)
+	received := make(chan struct{}, 10)
 	reply := func(w io.Writer, r *http.Request, _ int) bool {
 		if r.Header.Get("Request-Id") != "1" {
-			_, err := io.WriteString(w, served)
+			_, err := io.WriteString(w, servedResponse)
 			return err == nil
 		}
-		came <- struct{}{}
+		received <- struct{}{}
 		awaitClose(w)
 		return false
 	}
@@ -143,20 +143,20 @@
 	)
 	c, other := connect(t, p), connect(t, p)
 	c.send(t, lookRequest("1", 8000)+"x")
-	receive(t, "request", came)
+	receive(t, "request", received)
 	_ = c.Close()
 	waitUntil(t, func() bool { return p.platformService().pool.Stats().Requests == 0 })
 	other.send(t, lookRequest("2", 8000))
-	if resp, body := other.answer(t); resp.StatusCode != 200 || body != "ok" {
-		t.Errorf("got %s", resp.Status)
+	if resp, body := other.readResponse(t); resp.StatusCode != 200 || body != "ok" {
+		t.Errorf("got %s %q, want 200 with body ok", resp.Status, body)
 	}
 	if n := a.Requests.Load() + b.Requests.Load(); n != 2 {
-		t.Errorf("%d requests came for two clients", n)
+		t.Errorf("backends got %d requests for two clients, want 2", n)
 	}
 }
 
-// BenchmarkClientDisconnect measures in how many of many disconnects nothing of the request was
-// left within the 0.3 s that the operators state.
+// BenchmarkClientDisconnect measures the fraction of disconnects after which the request is removed
+// within the required 0.3 s.
 func BenchmarkClientDisconnect(b *testing.B) {
 	for _, s := range disconnectStages() {
 		b.Run(strings.ReplaceAll(s.name, ", ", "/"), func(b *testing.B) {
@@ -174,11 +174,12 @@
 	}
 }
 
-// Many clients that send much and disconnect do not affect the others, and leave nothing behind.
-func TestManyClientDisconnectsLeaveNothing(t *testing.T) {
+// Many clients that send many requests and disconnect do not affect other clients, and all state of
+// their requests is released.
+func TestManyClientDisconnectsReleaseAllState(t *testing.T) {
 	p, _ := startProxyWithBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
 		if r.Header.Get("Request-Id") == "usual" {
-			_, err := io.WriteString(w, served)
+			_, err := io.WriteString(w, servedResponse)
 			return err == nil
 		}
 		awaitClose(w)
@@ -193,41 +194,41 @@
 		}
 		usual := connect(t, p)
 		usual.send(t, lookRequest("usual", 8000))
-		if resp, body := usual.answer(t); resp.StatusCode != 200 || body != "ok" {
-			t.Errorf("round %d: got %s", round, resp.Status)
+		if resp, body := usual.readResponse(t); resp.StatusCode != 200 || body != "ok" {
+			t.Errorf("round %d: got %s %q, want 200 with body ok", round, resp.Status, body)
 		}
 		_ = usual.Close()
 		waitUntil(t, func() bool { return p.stats().Open == 0 && p.platformService().pool.Stats().Requests == 0 })
 	}
 }
 
-// A client's disconnect cancels the attempt at the backend.
+// A disconnect of the client cancels the attempt at the backend.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
-	came := make(chan struct{}, 1)
+	received := make(chan struct{}, 1)
 	ended := make(chan struct{}, 1)
 	p, _ := startProxyWithBackend(t, func(w io.Writer, _ *http.Request, _ int) bool {
-		came <- struct{}{}
+		received <- struct{}{}
 		awaitClose(w)
 		ended <- struct{}{}
 		return false
 	})
 	c := connect(t, p)
 	c.send(t, lookRequest("1", 8000))
-	receive(t, "request", came)
+	receive(t, "request", received)
 	_ = c.Close()
 	receive(t, "end of the attempt", ended)
-	waitUntil(t, func() bool { return p.platformService().pool.Stats().Requests == 0 }) // nothing is left of it
+	waitUntil(t, func() bool { return p.platformService().pool.Stats().Requests == 0 })
 }
 
 // A request whose client disconnects before the end of the body is not forwarded.
 func TestClientDisconnectDuringBodyForwardsNothing(t *testing.T) {
-	p, b := startProxyWithBackend(t, backendtest.Says(served, true))
+	p, b := startProxyWithBackend(t, backendtest.Says(servedResponse, true))
 	c := connect(t, p)
 	c.send(t, postHead("3", "Content-Length: 9")+"abc")
 	waitUntil(t, func() bool { return p.stats().Open == 1 })
 	_ = c.Close()
 	waitUntil(t, func() bool { return p.stats().Open == 0 })
 	if n := b.Requests.Load(); n != 0 {
-		t.Errorf("%d requests were forwarded", n)
+		t.Errorf("%d requests forwarded, want none", n)
 	}
 }
--- a/internal/sidecar/configuration_cache.go
+++ b/internal/sidecar/configuration_cache.go
@@ -10,41 +10,42 @@
 	"fernlanding/internal/durable"
 )
 
-// maxCachedBytes bounds the file of a cached configuration: a configuration, with what JSON adds.
+// maxCachedBytes limits the file of a cached configuration. The factor 2 is for the JSON encoding.
 const maxCachedBytes = 2 * config.MaxFile
 
-// cachedConfiguration is the file in the state directory that holds the configuration that relays
-// have brought.
+// cachedConfiguration is the content of the file in the state directory that caches the remote
+// configuration.
 type cachedConfiguration struct {
 	Name      string               `json:"name"`
-	InForce   distribution.Version `json:"in_force"`
+	Version   distribution.Version `json:"in_force"`
 	Fragments map[string]string    `json:"fragments"`
 }
 
-// configurationFile returns the path of that file.
-func configurationFile(dir string) string { return filepath.Join(dir, "configuration.json") }
+// configurationCachePath returns the path of the cached configuration in the state directory dir.
+func configurationCachePath(dir string) string { return filepath.Join(dir, "configuration.json") }
 
-// saveLocked caches the configuration in force for the next process, where there is a state
-// directory. c.mu is held.
+// saveLocked caches the applied configuration for the next process. It does nothing if dir, the
+// state directory, is empty. c.mu must be held.
 func (c *remoteConfiguration) saveLocked(dir string) {
 	if dir == "" {
 		return
 	}
-	cached := cachedConfiguration{Name: c.name, InForce: c.inForce, Fragments: map[string]string{}}
+	cached := cachedConfiguration{Name: c.name, Version: c.applied, Fragments: map[string]string{}}
 	for key, text := range c.fragments {
 		cached.Fragments[key] = string(text)
 	}
 	data, err := json.Marshal(cached)
 	if err == nil {
-		err = durable.WriteFile(configurationFile(dir), data, 0o600, false)
+		err = durable.WriteFile(configurationCachePath(dir), data, 0o600, false)
 	}
 	if err != nil {
 		c.log.Warn("configuration not cached", "error", err)
 	}
 }
 
-// restore returns the configuration to begin with: the one that an earlier process has cached, if
-// it fits the file that this process is started with, else that file's.
+// restore returns the initial configuration: the one that an earlier process has cached, if that is
+// compatible with the file that this process is started with, otherwise the configuration of the
+// file.
 func (c *remoteConfiguration) restore(file *config.App) *config.App {
 	if file.Distribution.Configuration == "" || file.StateDir == "" {
 		return file
@@ -56,14 +57,14 @@
 	if app == nil {
 		return file
 	}
-	c.log.Info("cached configuration restored", "version", c.inForce.String())
+	c.log.Info("cached configuration restored", "version", c.applied.String())
 	return app
 }
 
-// load reads the cached configuration. It returns nil if there is none of the name that the file
-// follows.
+// load reads the cached configuration. It returns nil if there is none under the name of the remote
+// configuration that the file specifies.
 func (c *remoteConfiguration) load(file *config.App) (*config.App, error) {
-	path := configurationFile(file.StateDir)
+	path := configurationCachePath(file.StateDir)
 	data, err := durable.ReadFile(path, maxCachedBytes)
 	if err != nil || data == nil {
 		return nil, err
@@ -86,6 +87,6 @@
 	if err := checkRemoteReload(file, app); err != nil {
 		return nil, err
 	}
-	c.name, c.inForce, c.fragments = cached.Name, cached.InForce, fragments
+	c.name, c.applied, c.fragments = cached.Name, cached.Version, fragments
 	return app, nil
 }
--- a/internal/sidecar/duplicate_id_test.go
+++ b/internal/sidecar/duplicate_id_test.go
@@ -12,20 +12,22 @@
 	"fernlanding/internal/standin"
 )
 
-// stalledLink is a link to a sidecar that stalls, as one whose process is stopped, and then reads
-// all at once: what the first connection carries during the stall is held back until the second one
-// has carried something, and its close comes last.
+// stalledLink is a TCP proxy that makes a sidecar appear stalled, as if its process were stopped
+// and then read all pending bytes at once. During the stall it holds back the bytes of the first
+// connection until the second connection has carried bytes. It forwards the close of the first
+// connection last.
 type stalledLink struct {
 	target    string
-	opened    atomic.Int32
+	opened    atomic.Int32 // connections
 	stalled   atomic.Bool
-	retried   chan struct{} // closed once the second connection has carried bytes
-	forwarded chan struct{} // closed once what was held back is forwarded
+	retried   chan struct{} // closed when the second connection has carried bytes
+	forwarded chan struct{} // closed when the held back bytes have been forwarded
 }
 
-const closeDelay = 50 * time.Millisecond // of the first connection's close, after the second one's bytes
+// closeDelay is the time from the second connection's bytes to the close of the first connection.
+const closeDelay = 50 * time.Millisecond
 
-// startStalledLink starts a link to a sidecar until the test ends.
+// startStalledLink starts a link to a sidecar at target until the test ends.
 func startStalledLink(t *testing.T, target string) (link *stalledLink, addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,7 +48,7 @@
 	return link, l.Addr().String()
 }
 
-// forward copies a connection's bytes both ways.
+// forward copies the bytes of a connection in both directions.
 func (l *stalledLink) forward(client net.Conn, number int32) {
 	defer func() { _ = client.Close() }()
 	server, err := net.Dial("tcp", l.target)
@@ -77,11 +79,11 @@
 		}
 	}
 	if held && number == 1 {
-		_, _ = io.Copy(io.Discard, server) // until it is closed
+		_, _ = io.Copy(io.Discard, server) // until the server closes the connection
 	}
 }
 
-// holdBack holds back the first bytes of a connection during the stall.
+// holdBack blocks until the first bytes of a connection during the stall may be forwarded.
 func (l *stalledLink) holdBack(number int32) {
 	switch number {
 	case 1:
@@ -92,26 +94,26 @@
 	}
 }
 
-// warmUpCalls is after how many calls a sidecar knows that calls are quick, and gives up one that
-// hangs well before its deadline.
-const warmUpCalls = 60
+// warmUpRequests is the number of requests after which a sidecar has learned that responses are
+// fast. It then abandons a hanging attempt long before the deadline.
+const warmUpRequests = 60
 
-// Of two sidecars in a row the second stalls. The first one gives its attempt up and retries with
-// the same ID, and the second reads both before it sees the first attempt's connection closed. The
-// request is served, and no two attempts of it are in flight at once.
+// The second of two chained sidecars stalls. The first sidecar cancels its attempt and retries with
+// the same ID, and the second sidecar reads both attempts before it sees the close of the first
+// attempt's connection. The request is served, and its attempts never overlap at the backend.
 func TestRetryReadBeforeCloseOfFirstAttemptIsServed(t *testing.T) {
 	var attempts, overlapping atomic.Int32
-	firstConn := make(chan net.Conn, 1) // that the first attempt came on
-	last := backend(t, func(c *standin.Call) bool {
+	firstConn := make(chan net.Conn, 1) // connection of the first attempt
+	lastBackend := startBackend(t, func(c *standin.Call) bool {
 		if c.URL.Path != "/a/hang" {
 			return standin.Echo(c)
 		}
 		if attempts.Add(1) == 1 {
 			firstConn <- c.Conn
-			_, _ = c.Conn.Read(make([]byte, 1)) // until its caller gives it up
+			_, _ = c.Conn.Read(make([]byte, 1)) // until the second sidecar cancels the attempt
 			return false
 		}
-		if socket.IsIdle(<-firstConn) { // its caller has not closed it
+		if socket.IsIdle(<-firstConn) { // the second sidecar has not closed the connection
 			overlapping.Add(1)
 		}
 		return standin.Echo(c)
@@ -119,21 +121,21 @@
 	routes := routeTo("a")
 	second := startVersion1(
 		t, 200, routes,
-		serviceText{name: "a", classes: safeClass, source: endpointsAt(last.Addr())},
+		serviceTOML{name: "a", classes: safeClass, source: endpointsAt(lastBackend.Addr())},
 	)
 	link, addr := startStalledLink(t, second.Addr())
-	first := startVersion1(t, 200, routes, serviceText{name: "a", classes: safeClass, source: endpointsAt(addr)})
-	for range warmUpCalls {
+	first := startVersion1(t, 200, routes, serviceTOML{name: "a", classes: safeClass, source: endpointsAt(addr)})
+	for range warmUpRequests {
 		if resp, _ := sendRequest(t, first, "GET", "/a/quick"); resp.StatusCode != http.StatusOK {
-			t.Fatalf("a quick call got %d", resp.StatusCode)
+			t.Fatalf("warm-up request: got %d, want 200", resp.StatusCode)
 		}
 	}
 	link.stalled.Store(true)
 	resp, body := sendRequest(t, first, "GET", "/a/hang", "Request-Id: one")
 	if resp.StatusCode != http.StatusOK || link.opened.Load() != 2 {
-		t.Fatalf("got %d %q over %d connections", resp.StatusCode, body, link.opened.Load())
+		t.Fatalf("got %d %q over %d connections, want 200 over 2", resp.StatusCode, body, link.opened.Load())
 	}
 	if attempts.Load() != 2 || overlapping.Load() != 0 {
-		t.Errorf("%d attempts, %d while the first was in flight", attempts.Load(), overlapping.Load())
+		t.Errorf("%d attempts, %d overlapping, want 2 and 0", attempts.Load(), overlapping.Load())
 	}
 }
--- a/internal/sidecar/endpoint_list.go
+++ b/internal/sidecar/endpoint_list.go
@@ -9,17 +9,17 @@
 	"fernlanding/internal/membership"
 )
 
-// endpointList passes updates on to a pool and keeps the complete list, which a successor of the
-// pool begins with and which is cached. It implements membership.Sink.
+// endpointList forwards updates to a pool and keeps the complete list. The list is cached, and is
+// the initial list of a pool that replaces this one. It implements membership.Sink.
 type endpointList struct {
 	pool *core.Pool
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	version   int64
 	endpoints map[string]membership.Endpoint // by name
 }
 
-// newEndpointList returns an empty list.
+// newEndpointList returns an empty list for a pool.
 func newEndpointList(pool *core.Pool) *endpointList {
 	return &endpointList{pool: pool, endpoints: map[string]membership.Endpoint{}}
 }
@@ -33,7 +33,7 @@
 // UpdateFailed implements membership.Sink.
 func (l *endpointList) UpdateFailed() { l.pool.UpdateFailed() }
 
-// updateFromCache applies a list as it was last known; see core.Pool.UpdateFromCache.
+// updateFromCache applies the last known list; see core.Pool.UpdateFromCache.
 func (l *endpointList) updateFromCache(list *membership.List) {
 	l.apply(list)
 	l.pool.UpdateFromCache(list)
@@ -62,7 +62,7 @@
 	}
 }
 
-// snapshot returns the complete list, sorted by name; nil if it is empty.
+// snapshot returns the complete list, sorted by name, or nil if the list is empty.
 func (l *endpointList) snapshot() *membership.List {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/sidecar/endpoint_source.go
+++ b/internal/sidecar/endpoint_source.go
@@ -22,14 +22,14 @@
 )
 
 const (
-	maxTokenBytes       = 4 << 10 // of a registry's token
-	unreachableFraction = 8       // one of so many backends that can't be reached makes a newer list urgent
+	maxTokenBytes      = 4 << 10 // limit of a registry's token
+	unreachableDivisor = 8       // a newer list is urgent if 1/8 of the backends can't be reached
 )
 
-// setSource follows a source in place of the one before. The new source starts only when the old
-// one has ended, so that no update of the old one comes later, and it starts with a snapshot, since
-// the versions of two sources do not compare. Until the new source has answered the old list stays
-// in force. The context is without an end.
+// setSource replaces the service's source. The new source starts only after the old source has
+// stopped, so that no update of the old source follows. The new source starts with a snapshot,
+// since the versions of two sources can't be compared. The old list stays active until the first
+// update of the new source. The context must not end before the service is stopped.
 func (s *service) setSource(ctx context.Context, source config.Source, log *slog.Logger) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,18 +63,18 @@
 	s.sourceRun.Go(func() { follower.Run(ctx, sink) })
 }
 
-// resumePoint is where a source starts.
+// resumePoint is the point at which a source starts.
 type resumePoint struct {
-	version int64 // from which on the source sends deltas; negative: it sends a snapshot
-	// awaitRequest has a source that the module requests wait for its first request. Without any
-	// list the module requests nothing.
-	awaitRequest bool
+	version int64 // version after which the source sends deltas; negative if it starts with a snapshot
+	// awaitFirstRequest makes an on-demand source wait for a request of the module before its first
+	// call. The module requests no call before it has a list.
+	awaitFirstRequest bool
 }
 
-// firstResumePoint returns where the service's first source starts: at the version of the list that
-// the service began with, if that is of the same source.
+// firstResumePoint returns the point at which the service's first source starts: the version of the
+// service's initial list, if that list is from the same source.
 func (s *service) firstResumePoint(source config.Source) resumePoint {
-	resume := resumePoint{version: -1, awaitRequest: s.cfg.KnownList != nil}
+	resume := resumePoint{version: -1, awaitFirstRequest: s.cfg.KnownList != nil}
 	if !reflect.DeepEqual(source, s.cfg.Source) {
 		return resume
 	}
@@ -86,7 +86,7 @@
 	return resume
 }
 
-// newSource returns a source that is not static. s.mu is held.
+// newSource returns a source that is not static. s.mu must be held.
 func (s *service) newSource(source config.Source, resume resumePoint, log *slog.Logger) membership.Source {
 	switch source.Kind {
 	case config.File:
@@ -106,12 +106,12 @@
 	}
 }
 
-// newCatalogSource returns a source that follows the platform's discovery. s.mu is held.
+// newCatalogSource returns a source that follows the platform's discovery. s.mu must be held.
 func (s *service) newCatalogSource(source config.Source, resume resumePoint, log *slog.Logger) membership.Source {
 	cfg := catalog.Config{
 		Address:           source.Address,
 		OnDemand:          s.cfg.Balancer.WatchEndpoints,
-		AwaitFirstRequest: resume.awaitRequest,
+		AwaitFirstRequest: resume.awaitFirstRequest,
 		KnownVersion:      resume.version,
 		WatchRequested:    s.pool.WatchRequested(),
 		Rand:              s.watchRand,
@@ -121,17 +121,17 @@
 	if s.pollRand != nil && !cfg.OnDemand {
 		replicas := s.cfg.Balancer.Replicas
 		if replicas == 1 {
-			replicas = 0 // unknown: 1 is the default
+			replicas = 0 // unknown, since 1 is the default
 		}
 		polls := startup.PollConfig{Replicas: replicas, RecentStarts: s.recentStarts}
 		cfg.Scheduler = startup.NewPollScheduler(polls, s.pollRand)
 		cfg.KnownAge, cfg.Urgent = s.restoredAge, s.needsListSoon
 	}
-	s.recentStarts = 0 // a later source, after a reload, is no start
+	s.recentStarts = 0 // a source that a reload sets is not part of a start
 	return catalog.New(cfg)
 }
 
-// stopFollowing stops the source, waits for its end and has no other follow.
+// stopFollowing stops the source and waits for its end. No other source can be set afterwards.
 func (s *service) stopFollowing() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +142,7 @@
 	s.sourceRun.Wait()
 }
 
-// stopRecording has the list cached no more: a successor with the same name caches its own.
+// stopRecording stops caching the list, since a new service with the same name caches its own list.
 func (s *service) stopRecording() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,7 +151,7 @@
 	}
 }
 
-// currentSource returns the source that the service follows, or is to follow first.
+// currentSource returns the source that the service follows, or its first source before start.
 func (s *service) currentSource() config.Source {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,28 +161,29 @@
 	return s.source
 }
 
-// needsListSoon reports whether a newer list is urgent: the service has none, or many of its
-// backends can't be reached.
+// needsListSoon reports whether a newer list is urgent: the service has no list, or at least
+// 1/unreachableDivisor of its backends can't be reached.
 func (s *service) needsListSoon() bool {
 	stats := s.upstream.Stats()
-	return !s.isReady() || stats.Unreachable > 0 && stats.Unreachable*unreachableFraction >= stats.Backends
+	return !s.isReady() || stats.Unreachable > 0 && stats.Unreachable*unreachableDivisor >= stats.Backends
 }
 
-// isCacheable reports whether lists of a source are cached. A file is there anyway, and what stands
-// in the configuration needs no cache.
+// isCacheable reports whether lists of a source are cached. Lists in a file or in the configuration
+// are on this machine already.
 func isCacheable(source config.Source) bool {
 	return source.Kind == config.Catalog || source.Kind == config.Consul || source.Kind == config.Relay
 }
 
-// cacheStore returns the store that caches a source's list. The source's identity is stored with
-// the list, so its text must not change: another identity has cached lists ignored.
+// cacheStore returns the store that caches a source's list. The store keeps the source's identity
+// with the list and ignores lists of another identity, so the format of the identity must not
+// change.
 func (s *service) cacheStore(source config.Source) *cache.Store {
 	identity := fmt.Sprintf("%d %s %s", source.Kind, source.Address, source.RemoteName)
 	return cache.NewStore(s.cacheDir, s.cfg.Name, identity)
 }
 
-// restoreEndpoints has the service begin with the list that an earlier process has cached, if it
-// can be used.
+// restoreEndpoints makes the list that an earlier process has cached the service's initial list, if
+// the list is valid and not too old.
 func (s *service) restoreEndpoints(shared *sharedResources) {
 	list, age, err := s.cacheStore(s.cfg.Source).Load(time.Now(), shared.maxListAge)
 	log := shared.log.With("service", s.cfg.Name)
@@ -200,8 +201,8 @@
 	s.endpoints.restore(list)
 }
 
-// readToken reads a registry's token. Without one the registry's answer says what it thinks of
-// that.
+// readToken reads a registry's token. It returns an empty token if path is empty or can't be read;
+// the registry decides whether to accept requests without a token.
 func readToken(path string, log *slog.Logger) string {
 	if path == "" {
 		return ""
@@ -214,13 +215,13 @@
 	return strings.TrimSpace(text)
 }
 
-// readBounded reads the first bytes of a file, limit at most.
+// readBounded reads at most the first limit bytes of a file.
 func readBounded(path string, limit int64) (string, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = f.Close() }() // nothing was written
+	defer func() { _ = f.Close() }() // the file was only read
 	data, err := io.ReadAll(io.LimitReader(f, limit))
 	return string(data), err
 }
--- a/internal/sidecar/endpoint_source_test.go
+++ b/internal/sidecar/endpoint_source_test.go
@@ -17,12 +17,12 @@
 
 // listSource is a source of endpoint lists that a sidecar follows.
 type listSource struct {
-	service string // lines of the service's configuration
-	file    string // lines of the whole file's
-	put     func(members []standin.Member)
+	serviceLines string                         // configuration lines of the service
+	fileLines    string                         // configuration lines outside of services
+	put          func(members []standin.Member) // replaces the list
 }
 
-// listStatus returns a member's status as lists word it.
+// listStatus returns the status of a member in the form that lists use.
 func listStatus(member standin.Member) string {
 	if member.Status == "DRAINING" {
 		return "draining"
@@ -30,7 +30,7 @@
 	return "serving"
 }
 
-// fileSource returns a list in a file.
+// fileSource returns a source that reads a file.
 func fileSource(t *testing.T) listSource {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "list.json")
@@ -50,10 +50,10 @@
 			t.Error(err)
 		}
 	}
-	return listSource{service: fmt.Sprintf("membership = \"file\"\npath = %q", path), put: put}
+	return listSource{serviceLines: fmt.Sprintf("membership = \"file\"\npath = %q", path), put: put}
 }
 
-// consulSource returns a list in a registry's health API.
+// consulSource returns a source that reads a registry's health API.
 func consulSource(t *testing.T) listSource {
 	t.Helper()
 	health, err := standin.NewHealth()
@@ -81,10 +81,10 @@
 	}
 	service := fmt.Sprintf("membership = \"consul\"\ndiscovery = %q\n", health.Addr()) +
 		fmt.Sprintf("registered_as = \"rating\"\ntoken_file = %q", token)
-	return listSource{service: service, put: put}
+	return listSource{serviceLines: service, put: put}
 }
 
-// relaySource returns a list that comes by a relay.
+// relaySource returns a source that follows a relay.
 func relaySource(t *testing.T) listSource {
 	t.Helper()
 	source := nodetest.StartSource(t)
@@ -100,24 +100,24 @@
 		}
 	}
 	return listSource{
-		service: "membership = \"relay\"\nas = \"rating\"",
-		file:    fmt.Sprintf("[distribution]\nrelays = [%q]\n", relay.Address),
-		put:     put,
+		serviceLines: "membership = \"relay\"\nas = \"rating\"",
+		fileLines:    fmt.Sprintf("[distribution]\nrelays = [%q]\n", relay.Address),
+		put:          put,
 	}
 }
 
-// listItem returns a backend as an item of a list.
+// listItem returns the item of a backend in an endpoint list.
 func listItem(name, address, status string) distribution.Item {
 	value, err := json.Marshal(map[string]any{"address": address, "status": status})
 	if err != nil {
-		panic(err) // not possible: it is all strings
+		panic(err) // not possible, since all values are strings
 	}
 	return distribution.Item{Key: name, Value: value, Urgent: status != "serving"}
 }
 
-// No new request reaches a backend more than 250 ms after a source has listed it as draining or has
-// removed it, by the backend's own clock, and no request is lost while the list changes under load.
-func TestDrainsOfEverySourceAreObeyed(t *testing.T) {
+// A backend gets no new request later than 250 ms after a source has listed it as draining or has
+// removed it, as the backend measures it. No request is lost while the list changes under load.
+func TestDrainingEndpointsOfEverySourceGetNoNewRequests(t *testing.T) {
 	const grace = 250 * time.Millisecond
 	for name, newSource := range map[string]func(*testing.T) listSource{
 		"file": fileSource, "consul": consulSource, "relay": relaySource,
@@ -130,7 +130,7 @@
 			var members []standin.Member
 			for i := range 6 {
 				id := fmt.Sprint(i)
-				b := backend(t, func(c *standin.Call) bool {
+				b := startBackend(t, func(c *standin.Call) bool {
 					mu.Lock()
 					if at, ok := removed[id]; ok && time.Since(at) > grace {
 						late[id] = max(late[id], time.Since(at))
@@ -142,8 +142,8 @@
 			}
 			source.put(members)
 			p := startVersion2(
-				t, routeTo("a")+source.file,
-				serviceText{name: "a", classes: safeClass, source: source.service},
+				t, routeTo("a")+source.fileLines,
+				serviceTOML{name: "a", classes: safeClass, source: source.serviceLines},
 			)
 			if err := p.WaitReady(context.Background(), 20*time.Second); err != nil {
 				t.Fatal(err)
@@ -152,11 +152,11 @@
 			var clients sync.WaitGroup
 			var sent, failed int
 			for range 4 {
-				c := connect(t, p) // one each: a connection for each request would take all descriptors
+				c := connect(t, p) // one per client, since one per request would use up all descriptors
 				clients.Go(func() {
 					for ctx.Err() == nil {
 						c.send(t, requestText("GET", "/a"))
-						resp, _ := c.answer(t)
+						resp, _ := c.readResponse(t)
 						mu.Lock()
 						sent++
 						if resp.StatusCode != 200 {
@@ -166,7 +166,7 @@
 					}
 				})
 			}
-			pause := func(d time.Duration) { <-time.After(d) } // what is measured is that nothing comes in this time
+			pause := func(d time.Duration) { <-time.After(d) } // the test observes that no request arrives meanwhile
 			for n := range 4 {
 				pause(150 * time.Millisecond)
 				mu.Lock()
@@ -177,7 +177,7 @@
 					source.put(members)
 				} else {
 					source.put(append([]standin.Member{}, append(members[:n:n], members[n+1:]...)...))
-					members[n].Status = "DRAINING" // and is back, draining, with the next list
+					members[n].Status = "DRAINING" // the next list contains it again, as draining
 				}
 				pause(grace + 100*time.Millisecond)
 			}
@@ -185,8 +185,9 @@
 			clients.Wait()
 			if len(late) > 0 || failed > 0 || sent < 100 {
 				t.Errorf(
-					"of %d requests %d were not served; to drained backends after their grace: %v",
-					sent, failed, late,
+					"%d requests, want at least 100; %d not served, want 0; "+
+						"latest requests at draining or removed backends: %v, want none after %v",
+					sent, failed, late, grace,
 				)
 			}
 		})
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -18,34 +18,36 @@
 	"fernlanding/internal/standin/backendtest"
 )
 
-const testTimeout = 20 * time.Second // of a test's wait for an event that must come
+// testTimeout limits each wait for an expected event.
+const testTimeout = 20 * time.Second
 
-// receive receives what must come from a channel.
+// receive receives a value from a channel, and fails the test after testTimeout.
 func receive[T any](tb testing.TB, what string, c <-chan T) T {
 	tb.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(testTimeout):
-		tb.Fatalf("no %s", what)
+		tb.Fatalf("timed out waiting for: %s", what)
 		panic("unreachable")
 	}
 }
 
-// served is a backend's answer with the body ok.
-const served = backendtest.Served
+// servedResponse is a backend's response with the body ok.
+const servedResponse = backendtest.Served
 
-// waitUntil waits until a condition holds that must come to hold.
+// waitUntil waits until a condition holds, and fails the test after testTimeout.
 func waitUntil(tb testing.TB, ok func() bool) {
 	tb.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			tb.Fatal("the condition never held")
+			tb.Fatal("timed out waiting for a condition")
 		}
 	}
 }
 
-// runningSidecar is a sidecar in Run; stop does what SIGTERM does, done receives what Run returned.
+// runningSidecar is a sidecar in Run. Its stop has the effect of SIGTERM, and done receives the
+// result of Run.
 type runningSidecar struct {
 	*Sidecar
 	app  *config.App
@@ -77,20 +79,20 @@
 	return running
 }
 
-// client is one connection of a client.
+// client is a client with one connection.
 type client struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-// hasDrained reports whether no service drains that the configuration no longer names.
+// hasDrained reports whether all replaced and removed services have drained.
 func (r *runningSidecar) hasDrained() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.drainingServices) == 0
 }
 
-// connect opens a connection to a sidecar; it is closed when the test ends.
+// connect opens a connection to a sidecar. The connection is closed when the test ends.
 func connect(tb testing.TB, p *runningSidecar) *client {
 	tb.Helper()
 	c, err := net.Dial("tcp", p.Addr())
@@ -110,8 +112,8 @@
 	}
 }
 
-// answer reads an answer and its body.
-func (c *client) answer(tb testing.TB) (*http.Response, string) {
+// readResponse reads a response and its body.
+func (c *client) readResponse(tb testing.TB) (*http.Response, string) {
 	tb.Helper()
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
@@ -124,11 +126,11 @@
 	return resp, string(body)
 }
 
-// serviceText is one service of a test's configuration.
-type serviceText struct {
+// serviceTOML is the TOML text of one service in a configuration.
+type serviceTOML struct {
 	name    string
-	classes string // as TOML: lines of "name = { ... }"
-	source  string // lines that say where the list comes from
+	classes string // lines of "name = { ... }"
+	source  string // lines of the endpoint source
 	extra   string // further lines
 }
 
@@ -139,12 +141,12 @@
 	unsafeClass = `post = { repeat = "unsafe", objective = "2s", deadline = "4s" }`
 )
 
-// catalogAt returns the lines of a service whose list comes from a discovery.
+// catalogAt returns the lines of a service whose list comes from a discovery at address.
 func catalogAt(address string) string {
 	return fmt.Sprintf("membership = \"catalog\"\ndiscovery = %q", address)
 }
 
-// endpointsAt returns the line of a service with a static list.
+// endpointsAt returns the line of a service with a static list of addresses.
 func endpointsAt(addrs ...string) string {
 	var b strings.Builder
 	b.WriteString("endpoints = [")
@@ -155,19 +157,19 @@
 }
 
 // decodeVersion1 returns a configuration in version 1 of the format.
-func decodeVersion1(t *testing.T, sockets int, routes string, services ...serviceText) *config.App {
+func decodeVersion1(t *testing.T, sockets int, routes string, services ...serviceTOML) *config.App {
 	t.Helper()
 	return decode(t, "version = 1", sockets, routes, services)
 }
 
 // decodeVersion2 returns a configuration in version 2 of the format.
-func decodeVersion2(t *testing.T, routes string, services ...serviceText) *config.App {
+func decodeVersion2(t *testing.T, routes string, services ...serviceTOML) *config.App {
 	t.Helper()
 	return decode(t, "version = 2\nname = \"test\"", 200, routes, services)
 }
 
-// decode returns a configuration with one listener; head is its first lines.
-func decode(t *testing.T, head string, sockets int, routes string, services []serviceText) *config.App {
+// decode returns a configuration with one listener. head is the first lines of the file.
+func decode(t *testing.T, head string, sockets int, routes string, services []serviceTOML) *config.App {
 	t.Helper()
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s\nlisteners = [{ address = \"127.0.0.1:0\" }]\n", head)
@@ -184,24 +186,24 @@
 }
 
 // startVersion1 runs a sidecar with a configuration in version 1 of the format.
-func startVersion1(t *testing.T, sockets int, routes string, services ...serviceText) *runningSidecar {
+func startVersion1(t *testing.T, sockets int, routes string, services ...serviceTOML) *runningSidecar {
 	t.Helper()
 	return startSidecar(t, decodeVersion1(t, sockets, routes, services...))
 }
 
 // startVersion2 runs a sidecar with a configuration in version 2 of the format.
-func startVersion2(t *testing.T, routes string, services ...serviceText) *runningSidecar {
+func startVersion2(t *testing.T, routes string, services ...serviceTOML) *runningSidecar {
 	t.Helper()
 	return startSidecar(t, decodeVersion2(t, routes, services...))
 }
 
-// routeTo returns the route by prefix to the one class of a service.
+// routeTo returns a route that forwards the prefix "/service" to the single class of a service.
 func routeTo(service string) string {
 	return fmt.Sprintf("[[routes]]\nname = %q\nprefix = \"/%s\"\nservice = %q\n", service, service, service)
 }
 
-// backend starts a backend until the test ends.
-func backend(tb testing.TB, h standin.Handler) *standin.Backend {
+// startBackend starts a backend until the test ends.
+func startBackend(tb testing.TB, h standin.Handler) *standin.Backend {
 	tb.Helper()
 	b, err := standin.NewBackend(h)
 	if err != nil {
@@ -211,7 +213,7 @@
 	return b
 }
 
-// holdUntil returns a handler that answers once release is closed.
+// holdUntil returns a handler that responds when release is closed.
 func holdUntil(release <-chan struct{}) standin.Handler {
 	return func(c *standin.Call) bool {
 		select {
@@ -223,7 +225,7 @@
 	}
 }
 
-// sendRequest sends one request on a connection of its own and returns the answer and its body.
+// sendRequest sends one request on a new connection and returns the response and its body.
 func sendRequest(t *testing.T, p *runningSidecar, method, target string, header ...string) (*http.Response, string) {
 	t.Helper()
 	c := connect(t, p)
@@ -235,10 +237,10 @@
 		}
 		return resp, ""
 	}
-	return c.answer(t)
+	return c.readResponse(t)
 }
 
-// requestText returns a request as it is sent.
+// requestText returns the text of a request, with an empty body if the method is POST.
 func requestText(method, target string, header ...string) string {
 	text := method + " " + target + " HTTP/1.1\r\nHost: h\r\n"
 	for _, h := range header {
@@ -250,7 +252,7 @@
 	return text + "\r\n"
 }
 
-// mustReload applies a configuration that is valid.
+// mustReload applies a valid configuration.
 func mustReload(t *testing.T, p *runningSidecar, app *config.App) {
 	t.Helper()
 	if err := p.Reload(app); err != nil {
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -18,36 +18,36 @@
 // dialFunc opens connections, as net.Dialer.DialContext does.
 type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// HollowOptions configures a hollow sidecar, which has the control half alone: its configuration is
-// in force, its sources follow their endpoint lists and its pools decide, but it has neither
-// listeners nor connections to backends.
+// HollowOptions configures a hollow sidecar, which has the control plane of a sidecar only: it
+// applies its configuration, its sources follow their endpoint lists and its pools choose
+// endpoints, but it has neither listeners nor connections to backends.
 type HollowOptions struct {
-	// Dial opens the connections to list services; nil: as usual.
+	// Dial opens the connections to list services. Nil means the usual dialer.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// InForce, if not nil, is called when a service's pool has applied a list, on the goroutine of
-	// its source.
+	// OnListApplied, if not nil, is called after a service's pool has applied a list, on the
+	// goroutine of the service's source.
 	OnListApplied func(service string, list *membership.List)
 }
 
-// NewHollow returns a sidecar without listeners. Run follows its endpoint lists until the context
-// ends.
+// NewHollow returns a sidecar without listeners. Run follows the sidecar's endpoint lists until the
+// context ends.
 func NewHollow(app *config.App, log *slog.Logger, options HollowOptions) (*Sidecar, error) {
 	return open(app, log, &options)
 }
 
-// Do has a service's pool take a request, as a front would.
+// Do passes a request to a service's pool, as a front does, and returns the pool's answer.
 func (s *Sidecar) Do(service string, r *core.Request) (core.Answer, error) {
 	svc := s.active.Load().services[service]
 	if svc == nil {
-		return core.Answer{}, fmt.Errorf("service %s: not in the configuration", service)
+		return core.Answer{}, fmt.Errorf("unknown service %q", service)
 	}
 	return svc.pool.Do(r), nil
 }
 
-// Clock returns the clock that requests' deadlines are of.
+// Clock returns the clock of the deadlines of requests.
 func (s *Sidecar) Clock() core.Clock { return s.shared.clock }
 
-// dial returns what opens connections to list services; nil: as usual.
+// dial returns the function that opens connections to list services. Nil means the usual dialer.
 func (h *HollowOptions) dial() dialFunc {
 	if h == nil {
 		return nil
@@ -55,15 +55,15 @@
 	return h.Dial
 }
 
-// sink returns the sink for a service's endpoint lists, which passes them on to next.
+// sink returns the sink for a service's endpoint lists, which forwards them to next.
 func (h *HollowOptions) sink(service string, next membership.Sink) membership.Sink {
 	if h == nil || h.OnListApplied == nil {
 		return next
 	}
-	return notifyingSink{Sink: next, service: service, inForce: h.OnListApplied}
+	return notifyingSink{Sink: next, service: service, onListApplied: h.OnListApplied}
 }
 
-// upstream returns what carries out the attempts of a pool.
+// upstream returns the upstream that carries out the attempts of a pool.
 func (h *HollowOptions) upstream(network *upstream.Upstream) core.Upstream {
 	if h == nil {
 		return network
@@ -71,21 +71,21 @@
 	return instantUpstream{network}
 }
 
-// notifyingSink is a sink that calls inForce when a list has been applied.
+// notifyingSink is a sink that calls onListApplied after a list has been applied.
 type notifyingSink struct {
 	membership.Sink
-	service string
-	inForce func(service string, list *membership.List)
+	service       string
+	onListApplied func(service string, list *membership.List)
 }
 
 // UpdateEndpoints implements membership.Sink.
 func (s notifyingSink) UpdateEndpoints(list *membership.List) {
 	s.Sink.UpdateEndpoints(list)
-	s.inForce(s.service, list)
+	s.onListApplied(s.service, list)
 }
 
-// instantUpstream is an upstream whose backends answer at once. It keeps the state of the real one
-// and opens no connection.
+// instantUpstream is an upstream whose backends respond at once. It keeps the state of the embedded
+// upstream and opens no connection.
 type instantUpstream struct{ *upstream.Upstream }
 
 // RoundTripper implements core.Upstream.
@@ -96,7 +96,7 @@
 	return instantRoundTripper{}
 }
 
-// instantRoundTripper reaches a backend that answers at once.
+// instantRoundTripper is the round tripper of a backend that responds at once.
 type instantRoundTripper struct{}
 
 // RoundTrip implements core.RoundTripper.
--- a/internal/sidecar/listeners.go
+++ b/internal/sidecar/listeners.go
@@ -10,7 +10,7 @@
 	"fernlanding/internal/front/http1"
 )
 
-// listen opens the listeners, all or none, and makes their fronts.
+// listen opens all listeners, or none, and creates their fronts.
 func (s *Sidecar) listen(app *config.App) error {
 	listeners, err := openListeners(app.Listeners)
 	if err != nil {
@@ -26,22 +26,22 @@
 			Resolver:   &resolver{sidecar: s, listener: l.Name},
 			IsHealthy:  s.isHealthy,
 			MaxTimeout: maxTimeout,
-			Quota:      descriptorQuota{allocator: s.shared.descriptors, party: config.Clients},
+			Quota:      descriptorQuota{allocator: s.shared.descriptors, consumer: config.Clients},
 			Log:        s.log,
 		}))
 	}
-	s.shared.descriptors.setShedder(config.Clients, s.closeIdleClient)
+	s.shared.descriptors.setReclaimer(config.Clients, s.closeIdleClient)
 	return nil
 }
 
-// openListeners opens listeners, all or none.
+// openListeners opens all listeners, or none.
 func openListeners(configured []config.Listener) ([]net.Listener, error) {
 	var opened []net.Listener
 	for _, l := range configured {
 		listener, err := net.Listen("tcp", l.Address)
 		if err != nil {
 			for _, o := range opened {
-				_ = o.Close() // the error of interest is the one above
+				_ = o.Close() // the error of net.Listen is returned
 			}
 			return nil, fmt.Errorf("listen: %w", err)
 		}
@@ -60,7 +60,7 @@
 	return false
 }
 
-// resolver resolves the requests of one listener by the configuration in force.
+// resolver resolves the requests of one listener with the active configuration.
 type resolver struct {
 	sidecar  *Sidecar
 	listener string
--- a/internal/sidecar/mirror.go
+++ b/internal/sidecar/mirror.go
@@ -2,11 +2,11 @@
 
 import "fernlanding/internal/core"
 
-// maxMirrors is the number of mirrored requests in flight, at most.
-const maxMirrors = 64
+// maxMirroredInFlight limits the mirrored requests in flight.
+const maxMirroredInFlight = 64
 
-// sendMirror sends a copy of a request to an arm, on a goroutine of its own. Nobody waits for its
-// answer; beyond the bound there is no copy.
+// sendMirror sends a copy of a request to an arm on a new goroutine and discards the response. It
+// sends nothing if maxMirroredInFlight copies are in flight.
 func (c *activeConfig) sendMirror(arm *splitArm, r *core.Request) {
 	select {
 	case c.mirrorSlots <- struct{}{}:
--- a/internal/sidecar/platform.go
+++ b/internal/sidecar/platform.go
@@ -10,17 +10,17 @@
 	"fernlanding/logic"
 )
 
-// platformResolver resolves requests on the platform: there is one service, and Request-Class names
-// the class.
+// platformResolver resolves requests on the platform, where there is one service and the
+// Request-Class field names the class.
 type platformResolver struct {
 	deployment *settings.Deployment
 	maxBody    int64
 	pool       front.Pool
-	classes    map[string]int
-	tenants    map[string]int
+	classes    map[string]int // indexes by name
+	tenants    map[string]int // indexes by name
 }
 
-// newPlatformResolver returns a resolver for the platform's one service.
+// newPlatformResolver returns a resolver for the single service of the platform.
 func newPlatformResolver(deployment *settings.Deployment, maxBody int64, pool front.Pool) *platformResolver {
 	return &platformResolver{
 		deployment: deployment,
@@ -40,10 +40,10 @@
 	return indexes
 }
 
-// resolve returns where a request is forwarded.
+// resolve returns the destination of a request.
 func (p *platformResolver) resolve(req *http.Request) (front.Destination, *front.RequestError) {
-	if fault := checkSingleFields(req.Header); fault != nil {
-		return front.Destination{}, fault
+	if reqErr := checkSingleFields(req.Header); reqErr != nil {
+		return front.Destination{}, reqErr
 	}
 	class, ok := p.classes[firstValue(req.Header, "Request-Class")]
 	if !ok {
@@ -58,13 +58,13 @@
 		return front.Destination{}, badRequest("no Request-Id, or a long one")
 	}
 	settings := &p.deployment.Balancer.Classes[class]
-	method, fault := checkClass(settings, req)
-	if fault != nil {
-		return front.Destination{}, fault
+	method, reqErr := checkClass(settings, req)
+	if reqErr != nil {
+		return front.Destination{}, reqErr
 	}
-	timeout, fault := parseTimeout(firstValue(req.Header, "Request-Timeout-Ms"))
-	if fault != nil {
-		return front.Destination{}, fault
+	timeout, reqErr := parseTimeout(firstValue(req.Header, "Request-Timeout-Ms"))
+	if reqErr != nil {
+		return front.Destination{}, reqErr
 	}
 	tenant, ok := p.tenants[firstValue(req.Header, "Tenant")]
 	if !ok {
@@ -77,14 +77,14 @@
 		Tenant:  tenant,
 		Key:     rest[strings.LastIndexByte(rest, '/')+1:],
 		Target:  req.RequestURI,
-		Timeout: answerTimeout(min(time.Duration(settings.Deadline)*time.Microsecond, timeout)),
+		Timeout: responseTimeout(min(time.Duration(settings.Deadline)*time.Microsecond, timeout)),
 		MaxBody: p.maxBody,
 		NoBody:  method == http.MethodGet,
 	}, nil
 }
 
-// checkClass rejects a request whose method or idempotency key does not fit its class. It returns
-// the class's method.
+// checkClass rejects a request if its class requires another method, or if an Idempotency-Key field
+// is missing or not allowed. It returns the method of the class.
 func checkClass(class *logic.Class, req *http.Request) (string, *front.RequestError) {
 	method := http.MethodPost
 	if class.Idempotency == logic.Idempotent {
--- a/internal/sidecar/platform_helpers_test.go
+++ b/internal/sidecar/platform_helpers_test.go
@@ -13,7 +13,7 @@
 	"fernlanding/internal/standin/backendtest"
 )
 
-// platformSettings is the settings object of the platform, with a class for each kind of
+// platformSettings is a settings object of the platform with one class for each kind of
 // idempotency.
 const platformSettings = `{"contract":{"cold_us":1000000,"start_capacity":0.3},"failure_domains":["a"],` +
 	`"limits":{"dial_timeout_us":5000000,"idle_close_us":30000000,"max_retry_after_us":2000000,"retry_after":true,` +
@@ -25,20 +25,20 @@
 	`{"give_up_us":8000000,"name":"post","objective_us":4000000,"repeat":"at_most_once","worth":1}],` +
 	`"siblings":1,"stage":0,"tenants":[{"name":"acme","portion":1,"quota_per_s":1000}],"weights":"off"}`
 
-// fakeDiscovery answers calls with its replies, in their order, and then holds every watch.
+// fakeDiscovery responds to calls with its replies, in order, and then holds every call.
 type fakeDiscovery struct {
 	address string
-	replies chan string   // the next answers; "" breaks the connection
-	calls   chan string   // the queries that came
-	closed  chan struct{} // ends the held calls
+	replies chan string   // the next responses; "" breaks the connection
+	queries chan string   // the received queries
+	closed  chan struct{} // closed to end held calls
 }
 
 // startDiscovery starts a discovery until the test ends.
 func startDiscovery(tb testing.TB) *fakeDiscovery {
 	tb.Helper()
-	d := &fakeDiscovery{replies: make(chan string, 10), calls: make(chan string, 1000), closed: make(chan struct{})}
+	d := &fakeDiscovery{replies: make(chan string, 10), queries: make(chan string, 1000), closed: make(chan struct{})}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		d.calls <- r.URL.RawQuery
+		d.queries <- r.URL.RawQuery
 		select {
 		case text := <-d.replies:
 			if text == "" {
@@ -57,21 +57,21 @@
 	return d
 }
 
-// listJSON returns a discovery's answer.
+// listJSON returns a response of discovery.
 func listJSON(index int, full bool, entries ...string) string {
 	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, full, strings.Join(entries, ","))
 }
 
-// endpointJSON returns an entry of it.
+// endpointJSON returns one endpoint of a response of discovery.
 func endpointJSON(name, addr, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","type":"m","group":1,"status":%q,"weight":1,"since_ms":0}`,
 		name, addr, status)
 }
 
-// platformService returns the platform's one service.
+// platformService returns the single service of the platform.
 func (r *runningSidecar) platformService() *service { return r.services[config.PlatformService] }
 
-// setDiscovery reloads with another discovery.
+// setDiscovery reloads the configuration with another address of discovery.
 func (r *runningSidecar) setDiscovery(discovery string) {
 	app, s := *r.app, *r.app.Services[0]
 	s.Source.Address = discovery
@@ -79,14 +79,14 @@
 	_ = r.Reload(&app)
 }
 
-// startProxy starts the platform's proxy, with a known list if it is not empty.
+// startProxy starts the platform's proxy. The proxy has a known list if known is not empty.
 func startProxy(tb testing.TB, discovery string, sockets int, known string) *runningSidecar {
 	tb.Helper()
 	return startProxyTrusting(tb, discovery, sockets, known, false)
 }
 
-// startProxyTrusting is startProxy with or without trust in the backends, whose connections are
-// then reused at once.
+// startProxyTrusting is startProxy with or without trust in the backends. Connections to trusted
+// backends are reused at once.
 func startProxyTrusting(tb testing.TB, discovery string, sockets int, known string, trusted bool) *runningSidecar {
 	tb.Helper()
 	text := fmt.Sprintf(
@@ -127,9 +127,11 @@
 		"Request-Timeout-Ms: 4000\r\n" + length + "\r\n\r\n"
 }
 
-// startCrowdedProxy starts the platform's proxy with capacity for few client connections, and
-// returns for how many.
-func startCrowdedProxy(tb testing.TB, reply func(io.Writer, *http.Request, int) bool) (p *runningSidecar, most int) {
+// startProxyWithFewConnections starts the platform's proxy with capacity for few client
+// connections, and returns the limit.
+func startProxyWithFewConnections(tb testing.TB, reply func(io.Writer, *http.Request, int) bool) (
+	p *runningSidecar, maxConns int,
+) {
 	tb.Helper()
 	b := backendtest.Start(tb, reply)
 	p = startProxy(tb, startDiscovery(tb).address, 80, listJSON(1, true, endpointJSON("a", b.Addr, "SERVING")))
--- a/internal/sidecar/platform_test.go
+++ b/internal/sidecar/platform_test.go
@@ -14,9 +14,9 @@
 	"fernlanding/internal/standin/backendtest"
 )
 
-// Requests of all classes are served, on one connection to the backend.
+// Requests of all classes are served on one connection to the backend.
 func TestPlatformServesAllClasses(t *testing.T) {
-	b := backendtest.Start(t, backendtest.Says(served, true))
+	b := backendtest.Start(t, backendtest.Says(servedResponse, true))
 	p := startProxyTrusting(
 		t, startDiscovery(t).address, 200,
 		listJSON(1, true, endpointJSON("a", b.Addr, "SERVING")),
@@ -30,67 +30,67 @@
 		postHead("3", "Content-Length: 3") + "abc",
 	} {
 		c.send(t, text)
-		if resp, body := c.answer(t); resp.StatusCode != 200 || body != "ok" {
-			t.Errorf("request %d: got %s %q", i, resp.Status, body)
+		if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
+			t.Errorf("request %d: got %s %q, want 200 with body ok", i, resp.Status, body)
 		}
 	}
 	if b.Requests.Load() != 3 || b.Conns.Load() != 1 {
-		t.Errorf("%d requests on %d connections", b.Requests.Load(), b.Conns.Load())
+		t.Errorf("%d requests on %d connections, want 3 on 1", b.Requests.Load(), b.Conns.Load())
 	}
 }
 
-// An invalid request is answered at once and its connection is closed; neither the request is
-// forwarded nor what is in its body or behind it. Bodies that never arrive were waited for without
-// end once.
+// An invalid request gets an error response at once and its connection is closed. Neither the
+// request nor any bytes in its body or after it are forwarded. The proxy does not wait for bodies
+// that never arrive.
 func TestInvalidRequestsAreNotForwarded(t *testing.T) {
 	t.Parallel()
-	p, b := startProxyWithBackend(t, backendtest.Says(served, true))
+	p, b := startProxyWithBackend(t, backendtest.Says(servedResponse, true))
 	for name, c := range map[string]struct {
 		text string
 		want int
 	}{
-		"no class":         {"GET /look/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n", 400},
-		"unknown class":    {strings.ReplaceAll(lookRequest("1", 9), "look", "leap"), 400},
-		"class, no body":   {strings.ReplaceAll(postHead("1", "Content-Length: 9"), "post", "past"), 400},
-		"hundreds at once": {strings.Repeat(strings.ReplaceAll(lookRequest("1", 9), "look", "leap"), 300), 400},
-		"other path":       {strings.Replace(lookRequest("1", 9), "/look", "/rate", 1), 400},
-		"full address":     {strings.Replace(lookRequest("1", 9), "/look", "http://h/look", 1), 400},
-		"no id":            {strings.Replace(lookRequest("1", 9), "Request-Id", "Other", 1), 400},
-		"long id":          {lookRequest(strings.Repeat("1", 9000), 9), 400},
-		"two ids":          {strings.Replace(lookRequest("1", 9), "Tenant: acme", "Request-Id: 2", 1), 400},
-		"wrong method":     {strings.Replace(lookRequest("1", 9), "GET", "PUT", 1), 405},
-		"needless key":     {strings.Replace(lookRequest("1", 9), "Tenant", "Idempotency-Key", 1), 400},
-		"missing key":      {strings.ReplaceAll(postHead("1", "Content-Length: 0"), "post", "rate"), 400},
+		"no class":               {"GET /look/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n", 400},
+		"unknown class":          {strings.ReplaceAll(lookRequest("1", 9), "look", "leap"), 400},
+		"unknown class, no body": {strings.ReplaceAll(postHead("1", "Content-Length: 9"), "post", "past"), 400},
+		"pipelined":              {strings.Repeat(strings.ReplaceAll(lookRequest("1", 9), "look", "leap"), 300), 400},
+		"other path":             {strings.Replace(lookRequest("1", 9), "/look", "/rate", 1), 400},
+		"absolute-form target":   {strings.Replace(lookRequest("1", 9), "/look", "http://h/look", 1), 400},
+		"no id":                  {strings.Replace(lookRequest("1", 9), "Request-Id", "Other", 1), 400},
+		"long id":                {lookRequest(strings.Repeat("1", 9000), 9), 400},
+		"two ids":                {strings.Replace(lookRequest("1", 9), "Tenant: acme", "Request-Id: 2", 1), 400},
+		"wrong method":           {strings.Replace(lookRequest("1", 9), "GET", "PUT", 1), 405},
+		"unexpected key":         {strings.Replace(lookRequest("1", 9), "Tenant", "Idempotency-Key", 1), 400},
+		"missing key":            {strings.ReplaceAll(postHead("1", "Content-Length: 0"), "post", "rate"), 400},
 		"body on a GET": {
 			strings.Replace(lookRequest("1", 9), "Tenant: acme", "Content-Length: 2", 1) + "ab",
 			400,
 		},
-		"no time":           {strings.Replace(lookRequest("1", 9), "-Ms: 9", "-Ms: soon", 1), 400},
-		"empty time":        {strings.Replace(lookRequest("1", 9), "-Ms: 9", "-Ms:", 1), 400},
-		"negative time":     {lookRequest("1", -5), 400},
-		"time unknown":      {strings.Replace(lookRequest("1", 9), "Request-Timeout-Ms", "Other", 1), 400},
-		"too large":         {postHead("3", "Content-Length: 65537"), 413},
-		"60 MB":             {postHead("3", "Content-Length: 60000000") + strings.Repeat("x", 100000), 413},
-		"negative length":   {postHead("3", "Content-Length: -4"), 400},
-		"length is no word": {postHead("3", "Content-Length: ten"), 400},
-		"two lengths":       {postHead("3", "Content-Length: 2\r\nContent-Length: 5") + "hello", 400},
-		"chunks":            {postHead("3", "Transfer-Encoding: chunked") + "3\r\nabc\r\n0\r\n\r\n", 411},
-		"chunks never come": {postHead("3", "Transfer-Encoding: chunked"), 411},
-		"hidden behind": {
+		"invalid timeout":     {strings.Replace(lookRequest("1", 9), "-Ms: 9", "-Ms: soon", 1), 400},
+		"empty timeout":       {strings.Replace(lookRequest("1", 9), "-Ms: 9", "-Ms:", 1), 400},
+		"negative timeout":    {lookRequest("1", -5), 400},
+		"no timeout":          {strings.Replace(lookRequest("1", 9), "Request-Timeout-Ms", "Other", 1), 400},
+		"too large":           {postHead("3", "Content-Length: 65537"), 413},
+		"60 MB":               {postHead("3", "Content-Length: 60000000") + strings.Repeat("x", 100000), 413},
+		"negative length":     {postHead("3", "Content-Length: -4"), 400},
+		"length not a number": {postHead("3", "Content-Length: ten"), 400},
+		"two lengths":         {postHead("3", "Content-Length: 2\r\nContent-Length: 5") + "hello", 400},
+		"chunked body":        {postHead("3", "Transfer-Encoding: chunked") + "3\r\nabc\r\n0\r\n\r\n", 411},
+		"chunks never arrive": {postHead("3", "Transfer-Encoding: chunked"), 411},
+		"smuggled request, Content-Length first": {
 			postHead("3", "Content-Length: 4\r\nTransfer-Encoding: chunked") + "0\r\n\r\n" + lookRequest("4", 4000),
 			411,
 		},
-		"hidden inside": {
+		"smuggled request, Transfer-Encoding first": {
 			postHead("3", "Transfer-Encoding: chunked\r\nContent-Length: 5") + "0\r\n\r\n" + lookRequest("4", 4000),
 			411,
 		},
-		"odd coding": {postHead("3", "Content-Length: 4\r\nTransfer-Encoding: xchunked") + "abcd", 501},
-		"hidden in HTTP/1.0": {
+		"unknown transfer coding": {postHead("3", "Content-Length: 4\r\nTransfer-Encoding: xchunked") + "abcd", 501},
+		"both framings in HTTP/1.0": {
 			strings.Replace(postHead("3", "Content-Length: 4\r\nTransfer-Encoding: chunked"), "1.1", "1.0", 1),
 			505,
 		},
-		"no HTTP": {"what is this\r\n\r\n", 400},
-		"huge head": {
+		"not HTTP": {"what is this\r\n\r\n", 400},
+		"oversized header section": {
 			"GET /look/k HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 64<<10) + "\r\n\r\n",
 			431,
 		},
@@ -98,11 +98,11 @@
 		t.Run(name, func(t *testing.T) {
 			cl := connect(t, p)
 			cl.send(t, c.text)
-			if resp, _ := cl.answer(t); resp.StatusCode != c.want || !resp.Close {
-				t.Errorf("got %s, close %v", resp.Status, resp.Close)
+			if resp, _ := cl.readResponse(t); resp.StatusCode != c.want || !resp.Close {
+				t.Errorf("got %s, close %v, want %d, close true", resp.Status, resp.Close, c.want)
 			}
-			if rest, _ := io.ReadAll(cl.r); len(rest) > 0 { // a reset is an end too
-				t.Errorf("then got %q", rest)
+			if rest, _ := io.ReadAll(cl.r); len(rest) > 0 { // a reset ends the connection as well
+				t.Errorf("got %q after the response, want nothing", rest)
 			}
 		})
 	}
@@ -111,10 +111,10 @@
 	}
 }
 
-// A connection without a request, or with one that never ends, is closed in time.
+// A connection without a request, or with an incomplete request, is closed after a timeout.
 func TestUnfinishedRequestsTimeOut(t *testing.T) {
 	t.Parallel()
-	p, b := startProxyWithBackend(t, backendtest.Says(served, true))
+	p, b := startProxyWithBackend(t, backendtest.Says(servedResponse, true))
 	var all sync.WaitGroup
 	for name, text := range map[string]string{
 		"silent": "", "half a head": "GET /look/k HTTP/1.1\r\nHos",
@@ -126,7 +126,7 @@
 		all.Go(func() {
 			got, err := io.ReadAll(c.r)
 			if err != nil || len(got) > 0 && !strings.HasPrefix(string(got), "HTTP/1.1 4") {
-				t.Errorf("%s: got %q, %v after %v", name, got, err, time.Since(start))
+				t.Errorf("%s: got %q, %v after %v, want the end or a status 4xx", name, got, err, time.Since(start))
 			}
 		})
 	}
@@ -137,51 +137,51 @@
 	}
 }
 
-// The read deadline of the body ends with the body; when it did not, it ended requests that were in
-// flight.
-func TestSlowAnswerOutlivesBodyReadDeadline(t *testing.T) {
+// The read deadline of a request's body is cleared after the body has been read. Otherwise the
+// deadline ends requests in flight.
+func TestSlowResponseOutlivesBodyReadDeadline(t *testing.T) {
 	t.Parallel()
 	p, _ := startProxyWithBackend(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		time.Sleep(3*time.Second + 200*time.Millisecond)
-		_, _ = io.WriteString(w, served)
+		_, _ = io.WriteString(w, servedResponse)
 		return true
 	})
 	c := connect(t, p)
 	c.send(t, postHead("3", "Content-Length: 3")+"abc")
-	if resp, body := c.answer(t); resp.StatusCode != 200 || body != "ok" {
-		t.Errorf("got %s", resp.Status)
+	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
+		t.Errorf("got %s %q, want 200 with body ok", resp.Status, body)
 	}
 }
 
-// A backend that answers 400 is no outlier, and the request is not retried.
-func TestBackend400IsNotRetriedNorBlamed(t *testing.T) {
+// A response with status 400 is not retried and does not make the backend an outlier.
+func TestBackend400IsNeitherRetriedNorCountedAsFailure(t *testing.T) {
 	t.Parallel()
 	p, b := startProxyWithBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
 		if r.URL.RawQuery != "" {
 			_, _ = io.WriteString(w, "HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n")
 		} else {
-			_, _ = io.WriteString(w, served)
+			_, _ = io.WriteString(w, servedResponse)
 		}
 		return true
 	})
 	for i := range 40 {
 		c := connect(t, p)
 		c.send(t, strings.Replace(lookRequest(fmt.Sprint(i), 4000), "/k", "/k?v=1", 1))
-		if resp, _ := c.answer(t); resp.StatusCode != 400 {
-			t.Fatalf("got %s", resp.Status)
+		if resp, _ := c.readResponse(t); resp.StatusCode != 400 {
+			t.Fatalf("got %s, want 400", resp.Status)
 		}
 	}
 	if n := b.Requests.Load(); n != 40 {
-		t.Errorf("%d attempts for 40 requests", n)
+		t.Errorf("%d attempts for 40 requests, want 40", n)
 	}
 	c := connect(t, p)
 	c.send(t, lookRequest("good", 4000))
-	if resp, _ := c.answer(t); resp.StatusCode != 200 {
-		t.Errorf("then got %s", resp.Status)
+	if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
+		t.Errorf("valid request: got %s, want 200", resp.Status)
 	}
 }
 
-// A request that the module sheds is answered at once, with a Retry-After.
+// A request that the module sheds gets a response with Retry-After at once.
 func TestShedRequestGetsRetryAfter(t *testing.T) {
 	p, b := startProxyWithBackend(
 		t,
@@ -189,47 +189,49 @@
 	)
 	c := connect(t, p)
 	c.send(t, lookRequest("1", 8000))
-	resp, _ := c.answer(t)
+	resp, _ := c.readResponse(t)
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("got %s %v", resp.Status, resp.Header)
+		t.Errorf("got %s %v, want 503 with Retry-After", resp.Status, resp.Header)
 	}
 	if n := b.Requests.Load(); n < 1 || n > 3 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("%d attempts, want 1 to 3", n)
 	}
 }
 
-// A non-idempotent request to a hung backend is answered at its deadline, after one attempt.
-func TestHungBackendIsAnsweredAtDeadline(t *testing.T) {
+// A non-idempotent request to a hung backend fails at its deadline, after one attempt.
+func TestRequestToHungBackendFailsAtDeadline(t *testing.T) {
 	t.Parallel()
 	p, b := startProxyWithBackend(t, backendtest.Hang(t))
 	c := connect(t, p)
 	start := time.Now()
 	c.send(t, "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\n"+
 		"Request-Timeout-Ms: 1000\r\nContent-Length: 0\r\n\r\n")
-	resp, _ := c.answer(t)
+	resp, _ := c.readResponse(t)
 	if resp.StatusCode != http.StatusBadGateway && resp.StatusCode != http.StatusGatewayTimeout {
-		t.Errorf("got %s after %v", resp.Status, time.Since(start))
+		t.Errorf("got %s after %v, want 502 or 504", resp.Status, time.Since(start))
 	}
 	if n := b.Requests.Load(); n != 1 {
-		t.Errorf("%d attempts of a non-idempotent request", n)
+		t.Errorf("%d attempts of a non-idempotent request, want 1", n)
 	}
 }
 
-// Two requests with one ID could not be told apart; the second was never answered once.
+// Two open requests with the same ID can't be distinguished, so the second request is rejected.
+// Otherwise it never gets a response.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	p, b := startProxyWithBackend(t, backendtest.Hang(t))
 	first, second := connect(t, p), connect(t, p)
 	first.send(t, lookRequest("1", 8000))
 	waitUntil(t, func() bool { return b.Requests.Load() == 1 })
 	second.send(t, lookRequest("1", 8000))
-	if resp, _ := second.answer(t); resp.StatusCode != 400 {
-		t.Errorf("got %s", resp.Status)
+	if resp, _ := second.readResponse(t); resp.StatusCode != 400 {
+		t.Errorf("got %s, want 400", resp.Status)
 	}
 }
 
-// Over a long day IDs, keys, backends and zones are ever new; what has ended leaves nothing behind.
-func TestEndedRequestsAndEndpointsAreForgotten(t *testing.T) {
-	p, _ := startProxyWithBackend(t, backendtest.Says(served, true))
+// A proxy sees new IDs, keys, backends and zones all the time. Ended requests and removed endpoints
+// must not leave any state, or memory use grows without bound.
+func TestEndedRequestsAndRemovedEndpointsReleaseState(t *testing.T) {
+	p, _ := startProxyWithBackend(t, backendtest.Says(servedResponse, true))
 	const clients, each = 8, 250
 	var all sync.WaitGroup
 	for i := range clients {
@@ -238,7 +240,7 @@
 			for n := range each {
 				target := fmt.Sprintf("/look/k%d-%d", i, n)
 				c.send(t, strings.Replace(lookRequest(fmt.Sprint(i, "-", n), 4000), "/look/k", target, 1))
-				c.answer(t)
+				c.readResponse(t)
 			}
 		})
 	}
@@ -252,6 +254,6 @@
 	}
 	poolStats, upstreamStats := pool.Stats(), p.platformService().upstream.Stats()
 	if poolStats != (core.Stats{Zones: 1}) || upstreamStats.Backends != 1 {
-		t.Errorf("left behind: %+v, %+v", poolStats, upstreamStats)
+		t.Errorf("remaining state: %+v, %+v, want one zone and one backend only", poolStats, upstreamStats)
 	}
 }
--- a/internal/sidecar/process.go
+++ b/internal/sidecar/process.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	memoryLimitFraction = 0.6 // of the process's limit: the runtime collects harder from there on
-	relaxedGCMinMB      = 64  // of memory, from which on an application's sidecar collects less often
-	relaxedGCPercent    = 400 // of the live heap, before the next collection
+	memoryLimitFraction = 0.6 // soft limit of the runtime, from which it collects garbage more often, per process limit
+	relaxedGCMinMB      = 64  // memory limit from which an application's sidecar collects garbage less often
+	relaxedGCPercent    = 400 // heap growth before the next collection, in percent of the live heap
 )
 
-// ApplyRuntimeLimits sets the Go runtime's limits to what the process may use. It affects the whole
-// process and is for its main package.
+// ApplyRuntimeLimits sets the limits of the Go runtime by the process limits of a configuration. It
+// affects the whole process and is meant for main packages.
 func ApplyRuntimeLimits(app *config.App) {
 	process := app.Process
 	if process.MemoryMB > 0 {
@@ -24,8 +24,8 @@
 	if process.Cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(process.Cores)))
 	}
-	// The live heap is a few MB: with the usual 100% a busy sidecar collects a hundred times a
-	// second.
+	// The live heap is a few MB, so with the default of 100% a busy sidecar collects garbage a
+	// hundred times a second.
 	if app.Kind == config.Application && (process.MemoryMB == 0 || process.MemoryMB >= relaxedGCMinMB) {
 		debug.SetGCPercent(relaxedGCPercent)
 	}
--- a/internal/sidecar/readiness.go
+++ b/internal/sidecar/readiness.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	notReadyLogInterval = 5 * time.Second       // between two log lines on why the sidecar is not ready
-	readyPollInterval   = 50 * time.Millisecond // between two looks whether it is
+	notReadyLogInterval = 5 * time.Second       // between log lines that say why the sidecar is not ready
+	readyPollInterval   = 50 * time.Millisecond // between readiness checks
 )
 
-// isHealthy reports whether the sidecar can serve. One service without a list does not keep the
-// others from serving: it is enough that one service has a list, or that there is none.
+// isHealthy reports whether the sidecar can serve: at least one service has an endpoint list, or
+// there are no services. A service without a list does not make the sidecar unhealthy, since the
+// other services can serve.
 func (s *Sidecar) isHealthy() bool {
 	services := s.active.Load().services
 	for _, svc := range services {
@@ -25,7 +26,8 @@
 	return len(services) == 0
 }
 
-// WaitReady waits until every service has an endpoint list, but no longer than timeout.
+// WaitReady waits until every service has an endpoint list. It returns an error after timeout, or
+// when the context ends.
 func (s *Sidecar) WaitReady(ctx context.Context, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -33,14 +35,14 @@
 		select {
 		case <-svc.pool.Ready():
 		case <-ctx.Done():
-			return fmt.Errorf("service %s has no list of backends: %w", name, ctx.Err())
+			return fmt.Errorf("service %s has no endpoint list: %w", name, ctx.Err())
 		}
 	}
 	return nil
 }
 
-// logStartup logs when the sidecar is ready, and now and then until then why it is not. It clears
-// the record of starts once the sidecar has run for record.StableAfter.
+// logStartup logs when the sidecar becomes ready. Until then it logs periodically why the sidecar
+// is not ready. It clears the record of starts after the sidecar has run for record.StableAfter.
 func (s *Sidecar) logStartup(ctx context.Context) {
 	began := time.Now()
 	lastLogged := began
@@ -70,7 +72,7 @@
 	}
 }
 
-// clearStartRecord clears the record of starts, if one is kept.
+// clearStartRecord clears the record of starts, if there is one.
 func (s *Sidecar) clearStartRecord() {
 	if s.startRecord == nil {
 		return
--- a/internal/sidecar/relay_follower.go
+++ b/internal/sidecar/relay_follower.go
@@ -13,22 +13,22 @@
 	"fernlanding/internal/membership/relayed"
 )
 
-// relayFollower is the sidecar's one follower of the relays that its configuration names, with all
-// endpoint lists that come from them. It outlives configurations: services join and leave lists,
-// and where other relays are named a new follower resumes from the versions in force. Without
-// relays it does nothing.
+// relayFollower is the single follower of the relays that the sidecar's configuration names. It
+// follows all endpoint lists from relays, and the remote configuration. It persists across
+// configurations: services subscribe to lists and unsubscribe, and after a change of the relays a
+// new follower resumes from the applied versions. Without relays it does nothing.
 type relayFollower struct {
 	lists  *relayed.Lists
-	remote *remoteConfiguration // follows the application's configuration where that comes by relays
+	remote *remoteConfiguration // subscribes to the remote configuration, if one is configured
 	log    *slog.Logger
-	dial   dialFunc // nil: as usual
+	dial   dialFunc // nil means the usual dialer
 
-	mu       sync.Mutex // guards what follows; held while the follower changes
+	mu       sync.Mutex // guards the fields below; held while the follower is replaced
 	running  bool
-	cfg      config.Distribution // with the name filled in
-	follower *follow.Follower    // nil: no relays are configured
-	cancel   context.CancelFunc  // ends the follower that runs; nil: none does
-	done     chan struct{}       // closed when it has ended
+	cfg      config.Distribution // its Name is set even if none is configured
+	follower *follow.Follower    // nil if no relays are configured
+	cancel   context.CancelFunc  // stops the running follower; nil if none runs
+	done     chan struct{}       // closed when the running follower has ended
 }
 
 // newRelayFollower returns a follower without relays.
@@ -36,14 +36,14 @@
 	return &relayFollower{lists: relayed.NewLists(log), remote: remote, log: log, dial: dial}
 }
 
-// configure sets the first configuration, before start.
+// configure sets the first configuration. It must be called before start.
 func (r *relayFollower) configure(app *config.App) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.configureLocked(app)
 }
 
-// reconfigure follows the relays of a configuration from here on. The context is without an end.
+// reconfigure switches to the relays of a configuration. The context must not end before stop.
 func (r *relayFollower) reconfigure(ctx context.Context, app *config.App) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -52,8 +52,8 @@
 	}
 }
 
-// configureLocked sets a configuration, and reports whether it differs from the one before. Then
-// the present follower has ended and the new one does not run yet. r.mu is held.
+// configureLocked sets a configuration, and reports whether its distribution part has changed. If
+// so, the previous follower has ended and the new follower does not run yet. r.mu must be held.
 func (r *relayFollower) configureLocked(app *config.App) bool {
 	cfg := app.Distribution
 	cfg.Name = followerName(app)
@@ -78,7 +78,8 @@
 	return true
 }
 
-// followerName returns the sidecar's name among all followers, which is the same after a restart.
+// followerName returns the name that identifies the sidecar among all followers. The name does not
+// change with a restart.
 func followerName(app *config.App) string {
 	if app.Distribution.Name != "" {
 		return app.Distribution.Name
@@ -93,7 +94,7 @@
 	return name[:min(len(name), distribution.MaxNameBytes)]
 }
 
-// start starts to follow, until stop. The context is without an end.
+// start runs the follower until stop. The context must not end before stop.
 func (r *relayFollower) start(ctx context.Context) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,7 +102,7 @@
 	r.runLocked(ctx)
 }
 
-// stop ends the follower and waits until nothing of it is left.
+// stop stops the follower and waits for its end.
 func (r *relayFollower) stop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,7 +110,7 @@
 	r.stopLocked()
 }
 
-// runLocked runs the follower on a goroutine of its own, if start has been called. r.mu is held.
+// runLocked runs the follower on a new goroutine, if start has been called. r.mu must be held.
 func (r *relayFollower) runLocked(ctx context.Context) {
 	if r.follower == nil || !r.running {
 		return
@@ -123,7 +124,7 @@
 	}(r.follower, r.done)
 }
 
-// stopLocked ends the follower that runs, if any. r.mu is held.
+// stopLocked stops the running follower, if any, and waits for its end. r.mu must be held.
 func (r *relayFollower) stopLocked() {
 	if r.cancel == nil {
 		return
--- a/internal/sidecar/relay_follower_test.go
+++ b/internal/sidecar/relay_follower_test.go
@@ -13,9 +13,9 @@
 	"fernlanding/internal/standin"
 )
 
-// decodeRelayed returns a configuration whose services follow the lists of their names by relays,
-// unless they say otherwise.
-func decodeRelayed(t *testing.T, relays []string, services ...serviceText) *config.App {
+// decodeRelayed returns a configuration with relays. Services without a source follow the lists of
+// their own names from the relays.
+func decodeRelayed(t *testing.T, relays []string, services ...serviceTOML) *config.App {
 	t.Helper()
 	top := ""
 	for i := range services {
@@ -30,14 +30,15 @@
 	return decodeVersion2(t, top, services...)
 }
 
-// follower returns the sidecar's present follower.
+// follower returns the sidecar's current follower, or nil.
 func (r *runningSidecar) follower() *follow.Follower {
 	r.shared.relays.mu.Lock()
 	defer r.shared.relays.mu.Unlock()
 	return r.shared.relays.follower
 }
 
-// waitForListVersion waits until a relay reports that one proxy has a list in force, in a version.
+// waitForListVersion waits until a relay reports that a single proxy has applied version v of a
+// list.
 func waitForListVersion(t *testing.T, relay *nodetest.Node, list string, v distribution.Version) {
 	t.Helper()
 	waitUntil(t, func() bool {
@@ -46,34 +47,34 @@
 	})
 }
 
-// wantStatus sends a request that must be answered with a status.
+// wantStatus sends a request and checks the status of the response.
 func wantStatus(t *testing.T, p *runningSidecar, target string, want int) {
 	t.Helper()
 	if resp, _ := sendRequest(t, p, "GET", target); resp.StatusCode != want {
-		t.Errorf("%s: %d, want %d", target, resp.StatusCode, want)
+		t.Errorf("%s: got %d, want %d", target, resp.StatusCode, want)
 	}
 }
 
-// The one follower of a sidecar stays while services are added, removed and changed. A service that
-// is replaced begins with the list in force: no further snapshot is read.
+// A sidecar keeps its follower while services are added, removed and changed. A service that
+// replaces another starts with the applied list, so the follower reads no further snapshot.
 func TestReloadKeepsFollower(t *testing.T) {
 	t.Parallel()
 	source := nodetest.StartSource(t)
 	relay := nodetest.StartRelay(t, "relay", "127.0.0.1:0", source.Address)
-	b := backend(t, standin.Echo)
+	b := startBackend(t, standin.Echo)
 	one := source.Write(t, "lists/one", listItem("b", b.Addr(), "serving"))
 	two := source.Write(t, "lists/two", listItem("b", b.Addr(), "serving"))
-	app := func(services ...serviceText) *config.App {
+	app := func(services ...serviceTOML) *config.App {
 		return decodeRelayed(t, []string{relay.Address}, services...)
 	}
-	p := startSidecar(t, app(serviceText{name: "one", classes: safeClass}))
+	p := startSidecar(t, app(serviceTOML{name: "one", classes: safeClass}))
 	waitForListVersion(t, relay, "one", one)
 	follower := p.follower()
 
-	mustReload(t, p, app(serviceText{name: "one", classes: safeClass}, serviceText{name: "two", classes: safeClass}))
+	mustReload(t, p, app(serviceTOML{name: "one", classes: safeClass}, serviceTOML{name: "two", classes: safeClass}))
 	waitForListVersion(t, relay, "two", two)
 	wantStatus(t, p, "/two", 200)
-	mustReload(t, p, app(serviceText{name: "one", classes: unsafeClass})) // another pool over the same list
+	mustReload(t, p, app(serviceTOML{name: "one", classes: unsafeClass})) // a new pool with the same list
 	wantStatus(t, p, "/one", 200)
 	waitUntil(t, func() bool {
 		counts := relay.Status("lists/two").Counts
@@ -83,65 +84,65 @@
 
 	drained := source.Write(t, "lists/one", listItem("b", b.Addr(), "draining"))
 	waitForListVersion(t, relay, "one", drained)
-	served := b.Requests()
+	before := b.Requests()
 	wantStatus(t, p, "/one", 503)
-	if b.Requests() != served {
-		t.Error("a backend whose drain is in force got a request")
+	if b.Requests() != before {
+		t.Error("a draining backend got a request")
 	}
 	if s := follower.Stats(); p.follower() != follower || s.Sessions != 1 || s.SnapshotUpdates != 2 {
-		t.Errorf("%d sessions and %d snapshots, want 1 and 2", s.Sessions, s.SnapshotUpdates)
+		t.Errorf("%d sessions and %d snapshots, want 1 and 2 by the same follower", s.Sessions, s.SnapshotUpdates)
 	}
 }
 
-// After a reload that names other relays another follower resumes from the versions in force;
+// After a reload with other relays a new follower resumes from the applied versions. After a reload
 // without relays there is no follower.
 func TestNewRelaysResumeFromVersionsInForce(t *testing.T) {
 	t.Parallel()
 	source := nodetest.StartSource(t)
 	first := nodetest.StartRelay(t, "first", "127.0.0.1:0", source.Address)
 	second := nodetest.StartRelay(t, "second", "127.0.0.1:0", source.Address)
-	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
+	a, b := startBackend(t, standin.Echo), startBackend(t, standin.Echo)
 	version := source.Write(t, "lists/one", listItem("a", a.Addr(), "serving"))
-	one := serviceText{name: "one", classes: safeClass}
+	one := serviceTOML{name: "one", classes: safeClass}
 	p := startSidecar(t, decodeRelayed(t, []string{first.Address}, one))
 	waitForListVersion(t, first, "one", version)
 	wantStatus(t, p, "/one", 200)
 
 	mustReload(t, p, decodeRelayed(t, []string{second.Address}, one))
 	waitForListVersion(t, second, "one", version)
-	waitUntil(t, func() bool { // the relay has deltas only since a version that it has seen
+	waitUntil(t, func() bool { // the relay has deltas only after a version that it has received
 		u := second.Resource("lists/one")
 		return u != nil && u.Version == version
 	})
 	version = source.Write(t, "lists/one", listItem("a", a.Addr(), "draining"), listItem("b", b.Addr(), "serving"))
 	waitForListVersion(t, second, "one", version)
-	served := a.Requests()
+	before := a.Requests()
 	wantStatus(t, p, "/one", 200)
-	if a.Requests() != served || b.Requests() != 1 {
-		t.Errorf("the change is not in force: %d and %d requests", a.Requests()-served, b.Requests())
+	if a.Requests() != before || b.Requests() != 1 {
+		t.Errorf("update not applied: %d and %d requests, want 0 and 1", a.Requests()-before, b.Requests())
 	}
 	if s := p.follower().Stats(); s.SnapshotUpdates != 0 || s.Updates != 1 {
-		t.Errorf("%d snapshots of %d updates, want 0 of 1", s.SnapshotUpdates, s.Updates)
+		t.Errorf("%d snapshots in %d updates, want 0 in 1", s.SnapshotUpdates, s.Updates)
 	}
 
 	second.Kill()
 	wantStatus(t, p, "/one", 200)
-	mustReload(t, p, decodeRelayed(t, nil, serviceText{name: "one", classes: safeClass, source: endpointsAt(b.Addr())}))
+	mustReload(t, p, decodeRelayed(t, nil, serviceTOML{name: "one", classes: safeClass, source: endpointsAt(b.Addr())}))
 	if p.follower() != nil {
-		t.Error("without relays there is a follower")
+		t.Error("got a follower without relays")
 	}
 	wantStatus(t, p, "/one", 200)
 }
 
-// A sidecar that starts while no relay answers serves by the list that an earlier one has cached;
-// once a relay answers it reads a snapshot.
-func TestCachedListServesWhileRelaysAreDown(t *testing.T) {
+// A sidecar that starts while no relay responds serves with the list that an earlier process has
+// cached. When a relay responds again, the sidecar reads a snapshot.
+func TestCachedListIsUsedWhileRelaysAreDown(t *testing.T) {
 	t.Parallel()
 	source := nodetest.StartSource(t)
 	relay := nodetest.StartRelay(t, "relay", "127.0.0.1:0", source.Address)
-	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
+	a, b := startBackend(t, standin.Echo), startBackend(t, standin.Echo)
 	version := source.Write(t, "lists/one", listItem("a", a.Addr(), "serving"))
-	app := decodeRelayed(t, []string{relay.Address}, serviceText{name: "one", classes: safeClass})
+	app := decodeRelayed(t, []string{relay.Address}, serviceTOML{name: "one", classes: safeClass})
 	app.StateDir, app.ListAge = t.TempDir(), time.Minute
 	earlier := startSidecar(t, app)
 	waitForListVersion(t, relay, "one", version)
@@ -151,15 +152,18 @@
 	relay.Kill()
 	p := startSidecar(t, app)
 	if !p.isHealthy() {
-		t.Error("not ready at once")
+		t.Error("not healthy right after the start")
 	}
 	wantStatus(t, p, "/one", 200)
 	version = source.Write(t, "lists/one", listItem("a", a.Addr(), "draining"), listItem("b", b.Addr(), "serving"))
 	relay = nodetest.StartRelay(t, "relay", relay.Address, source.Address)
 	waitForListVersion(t, relay, "one", version)
-	served := a.Requests()
+	before := a.Requests()
 	wantStatus(t, p, "/one", 200)
-	if s := p.follower().Stats(); a.Requests() != served || b.Requests() != 1 || s.SnapshotUpdates != 1 {
-		t.Errorf("%d and %d requests, %d snapshots", a.Requests()-served, b.Requests(), s.SnapshotUpdates)
+	if s := p.follower().Stats(); a.Requests() != before || b.Requests() != 1 || s.SnapshotUpdates != 1 {
+		t.Errorf(
+			"%d and %d requests, %d snapshots, want 0 and 1 requests, 1 snapshot",
+			a.Requests()-before, b.Requests(), s.SnapshotUpdates,
+		)
 	}
 }
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -11,16 +11,16 @@
 )
 
 var (
-	errImmutable = errors.New("can't change while the program runs")
-	errStopping  = errors.New("the sidecar is ending")
-	errRemote    = errors.New("the configuration comes by relays: " +
-		"its file is taken again once distribution.configuration or the relays differ")
+	errImmutable           = errors.New("can't change while the process runs")
+	errStopping            = errors.New("the sidecar is shutting down")
+	errRemoteConfiguration = errors.New("the configuration comes from relays: " +
+		"a file replaces it only if distribution.configuration or the relays differ")
 )
 
-// Reload applies a new configuration as a whole, or not at all, and then returns an error. Open
-// requests are not affected: a service that is no longer named accepts nothing new and ends with
-// its last answer. Listeners and process limits can't change. Where relays have brought the
-// configuration in force, a file replaces it only if it says something else about relays.
+// Reload applies a new configuration completely. On error it changes nothing. Open requests are not
+// affected: a removed service accepts no new requests and stops after its last response. Listeners
+// and process limits can't change. A configuration from a file replaces one from relays only if its
+// distribution part differs.
 func (s *Sidecar) Reload(app *config.App) error {
 	s.reloadSlot <- struct{}{}
 	defer func() { <-s.reloadSlot }()
@@ -34,7 +34,7 @@
 		return nil
 	}
 	if reflect.DeepEqual(app.Distribution, s.app.Distribution) && !s.remote.version().IsZero() {
-		return errRemote
+		return errRemoteConfiguration
 	}
 	if err := checkReload(s.app, app); err != nil {
 		return err
@@ -42,20 +42,20 @@
 	return s.replaceLocked(app)
 }
 
-// reloadPlatformLocked applies the discovery of the platform's file; the rest of the file applies
-// from the next start on.
+// reloadPlatformLocked applies the discovery of the platform's file. The rest of the file takes
+// effect at the next start. s.mu must be held.
 func (s *Sidecar) reloadPlatformLocked(app *config.App) {
 	if s.started {
 		s.services[config.PlatformService].setSource(context.Background(), app.Services[0].Source, s.log)
 	}
 }
 
-// reloadRemote applies a configuration that relays have brought, unless followerStopped is closed
-// before its turn comes: the follower that has brought it is to end.
+// reloadRemote applies a configuration from relays. It gives up if followerStopped is closed while
+// it waits for another reload: that reload then waits for the follower, which calls reloadRemote.
 func (s *Sidecar) reloadRemote(app *config.App, followerStopped <-chan struct{}) error {
 	select {
 	case s.reloadSlot <- struct{}{}:
-	case <-followerStopped: // by a reload that waits for this one's follower
+	case <-followerStopped:
 		return errStopping
 	}
 	defer func() { <-s.reloadSlot }()
@@ -67,11 +67,11 @@
 	return s.replaceLocked(app)
 }
 
-// immutableError returns the error of a part of the configuration that can't change.
+// immutableError returns the error for a changed part of the configuration that can't change.
 func immutableError(part string) error { return fmt.Errorf("%s: %w", part, errImmutable) }
 
-// checkReload returns an error if a configuration differs from another in what can't change while
-// the program runs.
+// checkReload returns an error if two configurations differ in a part that can't change while the
+// process runs.
 func checkReload(from, to *config.App) error {
 	switch {
 	case to.Kind != from.Kind:
@@ -84,9 +84,10 @@
 	return nil
 }
 
-// checkRemoteReload returns an error, beyond those of checkReload, if a configuration differs from
-// another in what can't change by relays: the follower that brings a configuration can't be
-// replaced by it, and its name follows from the application's where none is configured.
+// checkRemoteReload returns the errors of checkReload, and an error if two configurations differ in
+// a part that a remote configuration can't change. A remote configuration can't replace the
+// follower that delivers it. That includes the follower's name, which is derived from the
+// application's name if none is configured.
 func checkRemoteReload(from, to *config.App) error {
 	if !reflect.DeepEqual(to.Distribution, from.Distribution) || followerName(to) != followerName(from) {
 		return immutableError("distribution")
@@ -94,7 +95,7 @@
 	return checkReload(from, to)
 }
 
-// replaceLocked builds a configuration and swaps it for the one in force; s.mu is held.
+// replaceLocked builds a configuration and makes it active. s.mu must be held.
 func (s *Sidecar) replaceLocked(app *config.App) error {
 	next, err := s.build(app)
 	if err != nil {
@@ -109,8 +110,8 @@
 	return nil
 }
 
-// build builds all that a configuration needs and that is not there, and starts none of it. An
-// error changes nothing.
+// build builds everything that a configuration needs and that does not exist yet, without starting
+// it. An error changes nothing.
 func (s *Sidecar) build(app *config.App) (*activeConfig, error) {
 	services, err := s.buildServices(app)
 	if err != nil {
@@ -119,8 +120,8 @@
 	return newActiveConfig(app, services, s.active.Load(), &s.shared)
 }
 
-// buildServices returns the services of a configuration by name. One whose settings have not
-// changed is the present one, with its pool and what that has learned.
+// buildServices returns the services of a configuration by name. A service whose settings have not
+// changed is the existing one, so that its pool keeps its learned state.
 func (s *Sidecar) buildServices(app *config.App) (map[string]*service, error) {
 	seed := app.Seed
 	if seed == 0 {
@@ -129,12 +130,12 @@
 	services := map[string]*service{}
 	for i, cfg := range app.Services {
 		present := s.services[cfg.Name]
-		if present != nil && sameButSource(present.cfg, cfg) {
+		if present != nil && equalExceptSource(present.cfg, cfg) {
 			services[cfg.Name] = present
 			continue
 		}
 		if present != nil && reflect.DeepEqual(present.currentSource(), cfg.Source) {
-			cfg.KnownList = present.endpoints.snapshot() // the new pool begins with what its predecessor knows
+			cfg.KnownList = present.endpoints.snapshot() // the new pool starts with the list of the old one
 		}
 		built, err := newService(cfg, seed+uint64(i), &s.shared)
 		if err != nil {
@@ -145,21 +146,21 @@
 	return services, nil
 }
 
-// install puts the first configuration in force, before Run.
+// install makes the first configuration active. It must be called before Run.
 func (s *Sidecar) install(app *config.App, next *activeConfig) {
 	s.shared.setFloors(app)
 	s.shared.relays.configure(app)
 	s.app, s.services = app, next.services
 	for name, svc := range next.services {
-		s.shared.descriptors.setShedder(name, svc.upstream.CloseOldestIdle)
+		s.shared.descriptors.setReclaimer(name, svc.upstream.CloseOldestIdle)
 	}
 	s.active.Store(next)
 }
 
-// swap puts a configuration in force in place of another, starts its new services and drains those
-// that it replaces. It can't fail. s.mu is held.
+// swap replaces the active configuration, starts the new services and drains the replaced and
+// removed ones. It can't fail. s.mu must be held.
 func (s *Sidecar) swap(app *config.App, next *activeConfig) {
-	ctx := context.Background() // services and followers end when they are stopped, and not with a caller
+	ctx := context.Background() // services and followers run until they are stopped, independent of any caller
 	s.shared.setFloors(app)
 	s.shared.relays.reconfigure(ctx, app)
 	previous := s.services
@@ -169,7 +170,7 @@
 			svc.setSource(ctx, app.Service(name).Source, s.log)
 			continue
 		}
-		s.shared.descriptors.setShedder(name, svc.upstream.CloseOldestIdle)
+		s.shared.descriptors.setReclaimer(name, svc.upstream.CloseOldestIdle)
 		if s.started {
 			svc.start(ctx, s.log)
 		}
@@ -180,14 +181,13 @@
 			continue
 		}
 		if next.services[name] == nil {
-			s.shared.descriptors.setShedder(name, nil)
+			s.shared.descriptors.setReclaimer(name, nil)
 		}
 		s.drainService(svc)
 	}
 }
 
-// drainService drains a service that the configuration no longer names, in the background. s.mu is
-// held.
+// drainService drains a replaced or removed service in the background. s.mu must be held.
 func (s *Sidecar) drainService(svc *service) {
 	s.drainingServices[svc] = true
 	s.drains.Go(func() {
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -15,17 +15,17 @@
 	"fernlanding/internal/standin"
 )
 
-// A service is removed while a request to it is open: the request is answered, and nothing new is
-// forwarded there.
+// A service is removed while it has an open request. The request is served, and no new requests are
+// forwarded to the service.
 func TestRemovedServiceDrains(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	old, kept := backend(t, holdUntil(release)), backend(t, standin.Echo)
-	keptText := serviceText{name: "kept", classes: safeClass, source: endpointsAt(kept.Addr())}
+	old, kept := startBackend(t, holdUntil(release)), startBackend(t, standin.Echo)
+	keptText := serviceTOML{name: "kept", classes: safeClass, source: endpointsAt(kept.Addr())}
 	p := startVersion1(
 		t, 200,
 		routeTo("old")+routeTo("kept"),
-		serviceText{name: "old", classes: unsafeClass, source: endpointsAt(old.Addr())},
+		serviceTOML{name: "old", classes: unsafeClass, source: endpointsAt(old.Addr())},
 		keptText,
 	)
 	c := connect(t, p)
@@ -34,29 +34,29 @@
 	keptService := p.services["kept"]
 	mustReload(t, p, decodeVersion1(t, 200, routeTo("kept"), keptText))
 	if p.services["kept"] != keptService {
-		t.Error("a service that did not change has a new pool")
+		t.Error("an unchanged service was replaced")
 	}
 	if resp, _ := sendRequest(t, p, "POST", "/old/charge"); resp.StatusCode != 404 {
-		t.Errorf("after the reload: %s", resp.Status)
+		t.Errorf("removed service, new request: got %s, want 404", resp.Status)
 	}
 	if resp, _ := sendRequest(t, p, "GET", "/kept"); resp.StatusCode != 200 {
-		t.Errorf("the other service: %s", resp.Status)
+		t.Errorf("unchanged service: got %s, want 200", resp.Status)
 	}
 	close(release)
-	if resp, body := c.answer(t); resp.StatusCode != 200 || body != "POST /old/charge\n" {
-		t.Errorf("the charge: %s %q", resp.Status, body)
+	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "POST /old/charge\n" {
+		t.Errorf("removed service, open request: got %s %q, want 200", resp.Status, body)
 	}
 	waitUntil(t, p.hasDrained)
 	waitUntil(t, func() bool { _, open, _ := old.Conns(); return open == 0 })
 	if old.Requests() != 1 {
-		t.Errorf("%d requests arrived", old.Requests())
+		t.Errorf("removed service got %d requests, want 1", old.Requests())
 	}
 }
 
-// A configuration that can't be applied changes nothing at all.
+// A configuration that can't be applied changes nothing.
 func TestFailedReloadChangesNothing(t *testing.T) {
-	b := backend(t, standin.Echo)
-	s := serviceText{name: "s", classes: safeClass, source: endpointsAt(b.Addr())}
+	b := startBackend(t, standin.Echo)
+	s := serviceTOML{name: "s", classes: safeClass, source: endpointsAt(b.Addr())}
 	p := startVersion1(t, 200, routeTo("s"), s)
 	before := p.active.Load()
 	for _, app := range []*config.App{
@@ -74,21 +74,21 @@
 		{Kind: config.Platform},
 	} {
 		if err := p.Reload(app); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v, want one of one line", err)
 		}
 	}
 	if p.active.Load() != before {
-		t.Error("something has changed")
+		t.Error("the active configuration has changed")
 	}
 	if resp, _ := sendRequest(t, p, "GET", "/s"); resp.StatusCode != 200 {
-		t.Errorf("got %s", resp.Status)
+		t.Errorf("got %s, want 200", resp.Status)
 	}
 }
 
-// Services under load are reloaded 50 times: routes and weights change, services are added and
-// removed. No request is lost and no effect happens twice, counted at the backends.
-func TestReloadsUnderLoadLoseNothing(t *testing.T) {
-	const clients, reloadsAtLeast = 12, 50
+// The configuration is reloaded 50 times under load. The reloads change routes and weights, and add
+// and remove services. No request is lost, and the backends count no effect twice.
+func TestReloadsUnderLoadLoseNoRequests(t *testing.T) {
+	const clients, reloads = 12, 50
 	effects := standin.NewEffects(30 * time.Second)
 	var workers []*standin.Worker
 	for i := range 8 {
@@ -104,26 +104,27 @@
 		t.Cleanup(w.Close)
 		workers = append(workers, w)
 	}
-	two := func(i int, classes string) serviceText {
+	withTwoWorkers := func(i int, classes string) serviceTOML {
 		name := string(rune('a' + i))
-		return serviceText{
+		return serviceTOML{
 			name: name, classes: classes,
 			source: endpointsAt(workers[2*i].Addr(), workers[2*i+1].Addr()),
 		}
 	}
-	a, b, c, d := two(0, keyedClass), two(1, keyedClass), two(2, safeClass), two(3, unsafeClass)
+	a, b := withTwoWorkers(0, keyedClass), withTwoWorkers(1, keyedClass)
+	c, d := withTwoWorkers(2, safeClass), withTwoWorkers(3, unsafeClass)
 	random := rand.New(rand.NewPCG(5, 6))
 	look, post := routeTo("c"), routeTo("d")
 	next := func(i int) *config.App {
 		routes := splitRoute(random.IntN(100), 1+random.IntN(100))
-		if i%3 == 0 { // another order and another route
+		if i%3 == 0 { // one more route, before the others
 			routes = fmt.Sprintf("[[routes]]\nname = \"n%d\"\nexact = \"/other/%d\"\nservice = \"c\"\n", i, i) + routes
 		}
 		c := c
-		if i%2 == 0 { // its settings change: a new pool, while the old one drains
+		if i%2 == 0 { // new settings need a new pool, while the old pool drains
 			c.extra = fmt.Sprintf("attempts = %d", 2+i%4/2)
 		}
-		if i%5 == 4 { // a service is removed
+		if i%5 == 4 { // service d is removed
 			return decodeVersion1(t, 400, routes+look, a, b, c)
 		}
 		return decodeVersion1(t, 400, routes+look+post, a, b, c, d)
@@ -146,7 +147,7 @@
 				}
 				attempts := 1
 				if n%3 == 1 && n%2 == 0 {
-					attempts = 3 // the client's retries, under one key
+					attempts = 3 // the client retries with the same key
 				}
 				for attempt := range attempts {
 					sent.Add(1)
@@ -158,7 +159,7 @@
 						return
 					}
 					_, _ = io.Copy(io.Discard, resp.Body)
-					isWithoutRoute := resp.StatusCode == 404 && target == "/d/x" // while the service is removed
+					isWithoutRoute := resp.StatusCode == 404 && target == "/d/x" // while service d is removed
 					switch {
 					case resp.StatusCode == 200:
 						served.Add(1)
@@ -175,9 +176,9 @@
 			}
 		})
 	}
-	for i := range reloadsAtLeast {
+	for i := range reloads {
 		before := served.Load()
-		waitUntil(t, func() bool { return served.Load() > before+20 }) // under load
+		waitUntil(t, func() bool { return served.Load() > before+20 }) // load between reloads
 		mustReload(t, p, next(i+1))
 	}
 	done.Store(true)
@@ -186,13 +187,13 @@
 	total := served.Load() + rejected.Load() + failed.Load() + unanswered.Load()
 	if total != sent.Load() || unanswered.Load() > 0 || failed.Load() > 0 {
 		t.Errorf(
-			"sent %d: served %d, rejected %d, failed %d, no answer %d",
+			"sent %d: served %d, rejected %d, failed %d, without response %d",
 			sent.Load(), served.Load(), rejected.Load(),
 			failed.Load(), unanswered.Load(),
 		)
 	}
-	if twice := effects.Duplicates(); len(twice) > 0 {
-		t.Errorf("%d effects twice: %.200v", len(twice), twice)
+	if duplicates := effects.Duplicates(); len(duplicates) > 0 {
+		t.Errorf("%d effects happened twice: %.200v", len(duplicates), duplicates)
 	}
 	t.Logf("%d sent, %d served, %d rejected, %d effects", sent.Load(), served.Load(), rejected.Load(), effects.Count())
 }
--- a/internal/sidecar/remote_configuration.go
+++ b/internal/sidecar/remote_configuration.go
@@ -14,51 +14,50 @@
 )
 
 // ConfigurationResource returns the name of the resource that carries an application's
-// configuration, by fragments.
+// configuration. Each item of the resource is a fragment of the configuration.
 func ConfigurationResource(name string) string { return "config/" + name }
 
-// remoteConfiguration applies the application's configuration that relays bring, in place of the
-// one that the sidecar was started with. It implements follow.Subscriber: a configuration that
-// can't be applied is rejected, and the one in force stays.
+// remoteConfiguration applies the application's configuration from relays, which replaces the
+// configuration that the sidecar was started with. It implements follow.Subscriber: a configuration
+// that can't be applied is rejected, and the active configuration stays.
 type remoteConfiguration struct {
 	sidecar *Sidecar
 	log     *slog.Logger
 
-	mu              sync.Mutex // guards what follows
-	name            string     // of the configuration that is followed; empty: none is
-	inForce         distribution.Version
-	fragments       map[string][]byte // of the configuration in force; nil: relays have brought none
-	followerStopped <-chan struct{}   // closed when the follower is to end; nil: none has run
+	mu              sync.Mutex           // guards the fields below
+	name            string               // of the followed configuration; empty if none is followed
+	applied         distribution.Version // version of fragments; zero if fragments is nil
+	fragments       map[string][]byte    // of the applied configuration; nil if none came from relays
+	followerStopped <-chan struct{}      // closed when the follower is being stopped; nil before the first follower
 }
 
-// reset follows the configuration of another name, or the same from the beginning: no version of it
-// is in force.
+// reset sets the name of the followed configuration and discards the applied version. It keeps the
+// version of a restored configuration of the same name before the first follower has run.
 func (c *remoteConfiguration) reset(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.name != name || c.followerStopped != nil { // otherwise it has been restored and not followed yet
-		c.inForce, c.fragments = distribution.Version{}, nil
+	if c.name != name || c.followerStopped != nil {
+		c.applied, c.fragments = distribution.Version{}, nil
 	}
 	c.name = name
 }
 
-// version returns the version in force; zero: relays have brought none.
+// version returns the applied version, or the zero version if no configuration came from relays.
 func (c *remoteConfiguration) version() distribution.Version {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.inForce
+	return c.applied
 }
 
-// setFollowerStopped sets what is closed when the follower is to end whose updates come from here
-// on.
+// setFollowerStopped sets the channel that is closed when the current follower is being stopped.
 func (c *remoteConfiguration) setFollowerStopped(stopped <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.followerStopped = stopped
 }
 
-// ApplyUpdate implements follow.Subscriber. An error has one line, since it goes back to the
-// operator.
+// ApplyUpdate implements follow.Subscriber. Its errors have one line, since they are reported to
+// the operator.
 func (c *remoteConfiguration) ApplyUpdate(update distribution.Update) error {
 	c.mu.Lock()
 	fragments, followerStopped := c.fragments, c.followerStopped
@@ -76,7 +75,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.inForce, c.fragments = update.Version, fragments
+	c.applied, c.fragments = update.Version, fragments
 	c.log.Info(
 		"configuration applied",
 		"services", len(app.Services), "routes", len(app.Routes), "version", update.Version.String(),
@@ -85,10 +84,10 @@
 	return nil
 }
 
-// UpdateFailed implements follow.Subscriber. What is in force stays.
+// UpdateFailed implements follow.Subscriber. The active configuration stays.
 func (c *remoteConfiguration) UpdateFailed() {}
 
-// applyItems returns the fragments after an update; those before it stay as they are.
+// applyItems returns the fragments after an update. It does not modify fragments.
 func applyItems(fragments map[string][]byte, update *distribution.Update) (map[string][]byte, error) {
 	after := map[string][]byte{}
 	if !update.IsSnapshot() {
@@ -101,14 +100,14 @@
 		}
 		var text string
 		if err := json.Unmarshal(item.Value, &text); err != nil {
-			return nil, fmt.Errorf("fragment %q: text expected: %w", item.Key, err)
+			return nil, fmt.Errorf("fragment %q: value is not a string: %w", item.Key, err)
 		}
 		after[item.Key] = []byte(text)
 	}
 	return after, nil
 }
 
-// firstLine returns an error with the first line of another's text.
+// firstLine returns err, reduced to the first line of its text.
 func firstLine(err error) error {
 	line, _, hasMore := strings.Cut(err.Error(), "\n")
 	if !hasMore {
--- a/internal/sidecar/remote_configuration_test.go
+++ b/internal/sidecar/remote_configuration_test.go
@@ -16,8 +16,9 @@
 	"fernlanding/internal/standin"
 )
 
-// remoteConfigurationText returns an application's configuration that relays bring under the name
-// "shop", with a service for each backend.
+// remoteConfigurationText returns an application's configuration with one service for each backend.
+// It follows the remote configuration "shop" from a relay. state is the text of the state
+// directory.
 func remoteConfigurationText(relay, state string, backends ...*standin.Backend) string {
 	var b strings.Builder
 	b.WriteString("version = 2\nname = \"test\"\nlisteners = [{ address = \"127.0.0.1:0\" }]\n")
@@ -33,7 +34,7 @@
 	return b.String()
 }
 
-// mustDecode decodes a configuration that is valid.
+// mustDecode decodes a valid configuration.
 func mustDecode(t *testing.T, text string) *config.App {
 	t.Helper()
 	app, err := config.Decode("file", []byte(text))
@@ -43,7 +44,7 @@
 	return app
 }
 
-// publish writes a file to the source, by its fragments.
+// publish writes the fragments of a configuration to the source.
 func publish(t *testing.T, source *nodetest.Node, text string) distribution.Version {
 	t.Helper()
 	put := &distribution.PutRequest{Resource: ConfigurationResource("shop"), Replace: true}
@@ -61,13 +62,14 @@
 	return version
 }
 
-// waitForConfiguration waits until a relay reports that the one sidecar has a version in force and
-// has rejected another (zero: none), and returns the reason.
-func waitForConfiguration(t *testing.T, relay *nodetest.Node, inForce, rejected distribution.Version) (reason string) {
+// waitForConfiguration waits until a relay reports that the sidecar has applied one version and has
+// rejected another, and returns the reason. A zero rejected version means that there is no
+// rejection.
+func waitForConfiguration(t *testing.T, relay *nodetest.Node, applied, rejected distribution.Version) (reason string) {
 	t.Helper()
 	waitUntil(t, func() bool {
 		status := relay.Status(ConfigurationResource("shop"))
-		if !slices.Contains(status.Counts, distribution.VersionCount{Version: inForce, Proxies: 1}) {
+		if !slices.Contains(status.Counts, distribution.VersionCount{Version: applied, Proxies: 1}) {
 			return false
 		}
 		if rejected.IsZero() {
@@ -82,14 +84,14 @@
 	return reason
 }
 
-// A configuration that relays bring replaces the file's. One that can't be applied is rejected with
-// its reason and changes nothing; reverting it is one more update, and only what has changed is
-// sent.
+// A configuration from relays replaces the configuration of the file. A configuration that can't be
+// applied is rejected with a reason and changes nothing. Its revert is one more update, which
+// carries only the changes.
 func TestRemoteConfigurationIsApplied(t *testing.T) {
 	t.Parallel()
 	source := nodetest.StartSource(t)
 	relay := nodetest.StartRelay(t, "relay", "127.0.0.1:0", source.Address)
-	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
+	a, b := startBackend(t, standin.Echo), startBackend(t, standin.Echo)
 	file := remoteConfigurationText(relay.Address, "", a)
 	p := startSidecar(t, mustDecode(t, file))
 	wantStatus(t, p, "/s0", 200)
@@ -99,9 +101,9 @@
 	second := publish(t, source, two)
 	waitForConfiguration(t, relay, second, distribution.Version{})
 	wantStatus(t, p, "/s1", 200)
-	fullUpdates := p.follower().Stats().SnapshotUpdates
+	snapshotUpdates := p.follower().Stats().SnapshotUpdates
 
-	for what, broken := range map[string]string{
+	for part, broken := range map[string]string{
 		"field":        strings.Replace(two, "[services.s1.classes]", "[services.s1.clases]", 1),
 		"distribution": strings.Replace(two, relay.Address, "127.0.0.1:1", 1),
 		"listeners":    strings.Replace(two, "127.0.0.1:0", "127.0.0.1:1", 1),
@@ -109,7 +111,7 @@
 	} {
 		rejected := publish(t, source, broken)
 		if reason := waitForConfiguration(t, relay, second, rejected); reason == "" || strings.Contains(reason, "\n") {
-			t.Errorf("%s: rejected because of %q, want a line", what, reason)
+			t.Errorf("%s: rejected with reason %q, want one line", part, reason)
 		}
 		wantStatus(t, p, "/s1", 200)
 	}
@@ -118,42 +120,42 @@
 	waitForConfiguration(t, relay, reverted, distribution.Version{})
 	wantStatus(t, p, "/s0", 200)
 	wantStatus(t, p, "/s1", 404)
-	if s := p.follower().Stats(); s.SnapshotUpdates != fullUpdates || s.Sessions != 1 {
-		t.Errorf("%d more full updates and %d sessions, want 0 and 1", s.SnapshotUpdates-fullUpdates, s.Sessions)
+	if s := p.follower().Stats(); s.SnapshotUpdates != snapshotUpdates || s.Sessions != 1 {
+		t.Errorf("%d more snapshots and %d sessions, want 0 and 1", s.SnapshotUpdates-snapshotUpdates, s.Sessions)
 	}
 }
 
-// Once relays have brought a configuration the file is not applied, unless it says something else
-// about relays.
+// After a configuration from relays has been applied, a file is not applied unless its distribution
+// part differs.
 func TestFileDoesNotReplaceRemoteConfiguration(t *testing.T) {
 	t.Parallel()
 	source := nodetest.StartSource(t)
 	relay := nodetest.StartRelay(t, "relay", "127.0.0.1:0", source.Address)
-	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
+	a, b := startBackend(t, standin.Echo), startBackend(t, standin.Echo)
 	one, two := remoteConfigurationText(relay.Address, "", a), remoteConfigurationText(relay.Address, "", a, b)
 	p := startSidecar(t, mustDecode(t, one))
 	waitForConfiguration(t, relay, distribution.Version{}, distribution.Version{})
-	mustReload(t, p, mustDecode(t, two)) // relays have brought nothing yet
+	mustReload(t, p, mustDecode(t, two)) // no configuration has come from relays yet
 	wantStatus(t, p, "/s1", 200)
 
 	version := publish(t, source, one)
 	waitForConfiguration(t, relay, version, distribution.Version{})
 	wantStatus(t, p, "/s1", 404)
-	if err := p.Reload(mustDecode(t, two)); !errors.Is(err, errRemote) {
-		t.Errorf("the file was applied in place of a configuration by relays: %v", err)
+	if err := p.Reload(mustDecode(t, two)); !errors.Is(err, errRemoteConfiguration) {
+		t.Errorf("reload of a file: got error %v, want %v", err, errRemoteConfiguration)
 	}
 	wantStatus(t, p, "/s1", 404)
 	mustReload(t, p, mustDecode(t, strings.Replace(two, "configuration = \"shop\"\n", "", 1)))
 	wantStatus(t, p, "/s1", 200)
 }
 
-// A process starts with the cached configuration, not with the older one of its file, and reads no
-// full update. An invalid cached configuration is ignored.
+// A process starts with the cached configuration instead of the older configuration of its file,
+// and reads no update. An invalid cached configuration is ignored.
 func TestCachedConfigurationIsRestored(t *testing.T) {
 	t.Parallel()
 	source := nodetest.StartSource(t)
 	relay := nodetest.StartRelay(t, "relay", "127.0.0.1:0", source.Address)
-	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
+	a, b := startBackend(t, standin.Echo), startBackend(t, standin.Echo)
 	dir := t.TempDir()
 	state := fmt.Sprintf(", state_dir = %q", dir)
 	file := mustDecode(t, remoteConfigurationText(relay.Address, state, a))
@@ -172,7 +174,7 @@
 	p.stop()
 	_ = receive(t, "end of the next sidecar", p.done)
 
-	if err := os.WriteFile(configurationFile(dir), []byte(`{"name":"shop","in_force":"1.`), 0o600); err != nil {
+	if err := os.WriteFile(configurationCachePath(dir), []byte(`{"name":"shop","in_force":"1.`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	relay.Kill()
@@ -181,22 +183,22 @@
 	wantStatus(t, p, "/s1", 404)
 }
 
-// A reload that names other relays stops a follower that waits to apply a configuration: neither
-// waits for the other.
+// A reload with other relays stops the follower while the follower waits to apply a configuration.
+// The reload and the follower must not wait for each other.
 func TestReloadDuringRemoteConfigurationDoesNotDeadlock(t *testing.T) {
 	t.Parallel()
 	source := nodetest.StartSource(t)
 	first := nodetest.StartRelay(t, "first", "127.0.0.1:0", source.Address)
 	second := nodetest.StartRelay(t, "second", "127.0.0.1:0", source.Address)
-	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
+	a, b := startBackend(t, standin.Echo), startBackend(t, standin.Echo)
 	p := startSidecar(t, mustDecode(t, remoteConfigurationText(first.Address, "", a)))
 	version := publish(t, source, remoteConfigurationText(first.Address, "", a, b))
 	waitForConfiguration(t, first, version, distribution.Version{})
 
-	p.reloadSlot <- struct{}{} // a reload is under way
+	p.reloadSlot <- struct{}{} // another reload is in progress
 	before := p.follower().Stats().MessagesIn
 	late := publish(t, source, remoteConfigurationText(first.Address, "", a))
-	waitUntil(t, func() bool { // the follower has it, and waits
+	waitUntil(t, func() bool { // the follower has received it and waits
 		u := first.Resource(ConfigurationResource("shop"))
 		return u != nil && u.Version == late && p.follower().Stats().MessagesIn > before
 	})
@@ -213,19 +215,20 @@
 			t.Error(err)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("the reload and the follower wait for each other")
+		t.Fatal("deadlock between the reload and the follower")
 	}
 	<-p.reloadSlot
 	wantStatus(t, p, "/s1", 200)
 }
 
-// A follower without a configured name has the application's. A configuration that changes it is
-// rejected: it would replace the follower that brings it, and wait for itself.
+// A follower without a configured name uses the application's name. A remote configuration that
+// changes that name is rejected, since it would replace the follower that delivers it, and the
+// follower would wait for its own end.
 func TestRemoteConfigurationCannotRenameFollower(t *testing.T) {
 	t.Parallel()
 	source := nodetest.StartSource(t)
 	relay := nodetest.StartRelay(t, "relay", "127.0.0.1:0", source.Address)
-	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
+	a, b := startBackend(t, standin.Echo), startBackend(t, standin.Echo)
 	unnamed := func(text string) string { return strings.Replace(text, "name = \"sidecar\"\n", "", 1) }
 	p := startSidecar(t, mustDecode(t, unnamed(remoteConfigurationText(relay.Address, "", a))))
 	first := publish(t, source, unnamed(remoteConfigurationText(relay.Address, "", a)))
@@ -238,7 +241,7 @@
 	)
 	rejected := publish(t, source, renamed)
 	if reason := waitForConfiguration(t, relay, first, rejected); !strings.Contains(reason, "distribution") {
-		t.Errorf("rejected because of %q", reason)
+		t.Errorf("rejected with reason %q, want one that names distribution", reason)
 	}
 	wantStatus(t, p, "/s1", 404)
 	next := publish(t, source, unnamed(remoteConfigurationText(relay.Address, "", a, b)))
--- a/internal/sidecar/request_fields.go
+++ b/internal/sidecar/request_fields.go
@@ -10,19 +10,19 @@
 
 const (
 	maxRequestIDBytes = 128
-	maxTimeoutMS      = 1e9 // beyond which a client's timeout counts as this
+	maxTimeoutMS      = 1e9 // larger timeouts of clients are reduced to this
 
-	// The answer to a request is to leave this long before its client gives up, so that a busy core
-	// does not make it late, but a request with little time keeps most of it.
-	answerMargin         = 30 * time.Millisecond
-	answerMarginFraction = 8 // of the request's time: the margin is at most one part of so many
+	// A response is due this long before the client's timeout, so that a busy core does not delay
+	// the response beyond the timeout. responseMarginDivisor limits the margin for short timeouts.
+	responseMargin        = 30 * time.Millisecond
+	responseMarginDivisor = 8 // the margin is at most 1/8 of the client's timeout
 )
 
-// singleFields are the header fields that may occur once.
+// singleFields are the header fields that may occur only once.
 var singleFields = [...]string{"Request-Id", "Request-Class", "Request-Timeout-Ms", "Tenant", "Idempotency-Key"}
 
-// checkSingleFields rejects a header in which a field occurs more than once that would then have
-// two meanings.
+// checkSingleFields rejects a header that repeats one of singleFields, since the meaning of such a
+// field would be ambiguous.
 func checkSingleFields(header http.Header) *front.RequestError {
 	for _, name := range singleFields {
 		if len(header[name]) > 1 {
@@ -32,13 +32,13 @@
 	return nil
 }
 
-// badRequest returns the answer to a request that is invalid.
+// badRequest returns the error of an invalid request.
 func badRequest(reason string) *front.RequestError {
 	return &front.RequestError{Status: http.StatusBadRequest, Reason: reason}
 }
 
-// firstValue returns the first value of a field whose name is in canonical form; empty: there is
-// none.
+// firstValue returns the first value of a field, or an empty string if there is none. The name must
+// be in canonical form.
 func firstValue(header http.Header, name string) string {
 	if values := header[name]; len(values) > 0 {
 		return values[0]
@@ -55,7 +55,8 @@
 	return time.Duration(min(ms, maxTimeoutMS)) * time.Millisecond, nil
 }
 
-// answerTimeout returns within what time a request is answered whose client waits for a time.
-func answerTimeout(clientWait time.Duration) time.Duration {
-	return clientWait - min(answerMargin, clientWait/answerMarginFraction)
+// responseTimeout returns the time within which a response is due if the client waits for
+// clientWait.
+func responseTimeout(clientWait time.Duration) time.Duration {
+	return clientWait - min(responseMargin, clientWait/responseMarginDivisor)
 }
--- a/internal/sidecar/resolve.go
+++ b/internal/sidecar/resolve.go
@@ -13,34 +13,34 @@
 	"fernlanding/logic"
 )
 
-// retryLater is the Retry-After of a request that the sidecar itself rejects.
-const retryLater = time.Second
+// defaultRetryAfter is the Retry-After of requests that the sidecar itself sheds.
+const defaultRetryAfter = time.Second
 
-// resolve returns where a request of a listener is forwarded, and as what.
+// resolve returns the destination of a request that a listener has received.
 func (c *activeConfig) resolve(listener string, req *http.Request) (front.Destination, *front.RequestError) {
 	if c.platform != nil {
 		return c.platform.resolve(req)
 	}
-	if fault := checkSingleFields(req.Header); fault != nil {
-		return front.Destination{}, fault
+	if reqErr := checkSingleFields(req.Header); reqErr != nil {
+		return front.Destination{}, reqErr
 	}
-	dest := front.Destination{Tenant: -1, MemoryRetryAfter: retryLater}
-	matched, fault := c.routesByListener[listener].match(req, &dest)
-	if fault != nil {
-		return front.Destination{}, fault
+	dest := front.Destination{Tenant: -1, MemoryRetryAfter: defaultRetryAfter}
+	matched, reqErr := c.routesByListener[listener].match(req, &dest)
+	if reqErr != nil {
+		return front.Destination{}, reqErr
 	}
-	arm, fault := c.chooseArm(matched, req)
-	if fault != nil {
-		return dest, fault
+	arm, reqErr := c.chooseArm(matched, req)
+	if reqErr != nil {
+		return dest, reqErr
 	}
-	if fault := arm.checkPolicy(req.Header); fault != nil {
-		return front.Destination{}, fault
+	if reqErr := arm.checkPolicy(req.Header); reqErr != nil {
+		return front.Destination{}, reqErr
 	}
-	timeout, fault := clientTimeout(matched, arm, req.Header)
-	if fault != nil {
-		return front.Destination{}, fault
+	timeout, reqErr := clientTimeout(matched, arm, req.Header)
+	if reqErr != nil {
+		return front.Destination{}, reqErr
 	}
-	dest.Timeout = answerTimeout(timeout)
+	dest.Timeout = responseTimeout(timeout)
 	dest.Pool, dest.Class, dest.Memory, dest.MaxBody = arm.pool, arm.class, arm.memory, arm.maxBody
 	if name := firstValue(req.Header, "Tenant"); name != "" {
 		if tenant, ok := arm.tenants[name]; ok {
@@ -57,8 +57,7 @@
 	return dest, nil
 }
 
-// match returns the route of a request, and sets the ID and the target with which the request is
-// forwarded.
+// match returns the route of a request, and sets the ID and the target of the forwarded request.
 func (l *listenerRoutes) match(req *http.Request, dest *front.Destination) (*activeRoute, *front.RequestError) {
 	rawPath, query, hasQuery := strings.Cut(req.RequestURI, "?")
 	number, err := l.table.Match(route.Request{Method: req.Method, Host: req.Host, Path: rawPath, Header: req.Header})
@@ -68,8 +67,8 @@
 	if number < 0 {
 		return nil, &front.RequestError{Status: http.StatusNotFound, Reason: "no route"}
 	}
-	if fault := setRequestID(dest, req.Header); fault != nil {
-		return nil, fault
+	if reqErr := setRequestID(dest, req.Header); reqErr != nil {
+		return nil, reqErr
 	}
 	matched := l.routes[number]
 	dest.Target = req.RequestURI
@@ -87,7 +86,8 @@
 	return matched, nil
 }
 
-// setRequestID sets the client's Request-Id, or a random one that is forwarded in its place.
+// setRequestID sets the ID of the destination to the client's Request-Id. If there is none, it sets
+// a random ID and adds the Request-Id field.
 func setRequestID(dest *front.Destination, header http.Header) *front.RequestError {
 	dest.ID = firstValue(header, "Request-Id")
 	if len(dest.ID) > maxRequestIDBytes {
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// clientTimeout returns how long the client of a request waits: the least of the class's deadline,
-// the route's timeout and the request's own.
+// clientTimeout returns how long the client of a request waits: the minimum of the class's
+// deadline, the route's timeout and the Request-Timeout-Ms of the request.
 func clientTimeout(matched *activeRoute, arm splitArm, header http.Header) (time.Duration, *front.RequestError) {
 	timeout := time.Duration(arm.settings.Deadline) * time.Microsecond
 	if matched.Timeout > 0 {
@@ -111,11 +111,11 @@
 	if text == "" {
 		return timeout, nil
 	}
-	requested, fault := parseTimeout(text)
-	return min(timeout, requested), fault
+	requested, reqErr := parseTimeout(text)
+	return min(timeout, requested), reqErr
 }
 
-// checkPolicy rejects a request that the policy of its class forbids.
+// checkPolicy rejects a request that violates the policy of its class.
 func (a *splitArm) checkPolicy(header http.Header) *front.RequestError {
 	name := a.policy.Key
 	hasOneKey := len(header[name]) == 1 && header[name][0] != ""
@@ -123,9 +123,9 @@
 		return badRequest("a keyed class needs one " + name)
 	}
 	if !a.policy.EarlyData && len(header["Early-Data"]) > 0 {
-		// It may be a replay (RFC 8470, section 5.2): nothing of it is forwarded, and the client
-		// retries after its handshake. A field of another value than 1 is one that no proxy has
-		// sent; it counts the same.
+		// Early data may be a replay (RFC 8470, section 5.2): the request is not forwarded, and the
+		// client retries it after the handshake. No proxy sends the field with a value other than
+		// 1; other values are treated as 1.
 		return &front.RequestError{Status: http.StatusTooEarly, Reason: "taken after the handshake alone"}
 	}
 	return nil
--- a/internal/sidecar/resolve_test.go
+++ b/internal/sidecar/resolve_test.go
@@ -7,10 +7,10 @@
 	"fernlanding/internal/standin"
 )
 
-// The first route that matches a request selects its service, and the client's bytes are forwarded
-// unchanged.
+// The first matching route selects the service of a request. The request target is forwarded byte
+// for byte, except for a configured rewrite.
 func TestRoutesSelectServices(t *testing.T) {
-	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
+	a, b := startBackend(t, standin.Echo), startBackend(t, standin.Echo)
 	const routes = `
 [[routes]]
 name = "rewritten"
@@ -30,8 +30,8 @@
 `
 	p := startVersion1(
 		t, 200, routes,
-		serviceText{name: "a", classes: safeClass, source: endpointsAt(a.Addr())},
-		serviceText{name: "b", classes: safeClass, source: endpointsAt(b.Addr())},
+		serviceTOML{name: "a", classes: safeClass, source: endpointsAt(a.Addr())},
+		serviceTOML{name: "b", classes: safeClass, source: endpointsAt(b.Addr())},
 	)
 	for _, c := range []struct {
 		method, target, header string
@@ -55,30 +55,31 @@
 	} {
 		resp, body := sendRequest(t, p, c.method, c.target, c.header)
 		if resp.StatusCode != c.status || c.method != "HEAD" && body != c.body {
-			t.Errorf("%s %s: got %s %q", c.method, c.target, resp.Status, body)
+			t.Errorf("%s %s: got %s %q, want %d %q", c.method, c.target, resp.Status, body, c.status, c.body)
 		}
 	}
 	if a.Requests() != 4 || b.Requests() != 2 {
-		t.Errorf("%d and %d requests", a.Requests(), b.Requests())
+		t.Errorf("%d and %d requests, want 4 and 2", a.Requests(), b.Requests())
 	}
 }
 
-// Responses of all kinds are forwarded with their header, but for what concerns the backend's
-// connection. An error of a backend is never forwarded as one that says that nothing has run.
+// Responses of all kinds are forwarded with their header, except for fields that concern the
+// backend's connection. An error of a backend is never forwarded with a status that means that the
+// request has not run.
 func TestResponsesAreForwardedUnchanged(t *testing.T) {
 	reply := make(chan string, 1)
-	b := backend(t, func(c *standin.Call) bool {
+	b := startBackend(t, func(c *standin.Call) bool {
 		_, err := io.WriteString(c.Conn, <-reply)
 		return err == nil
 	})
 	p := startVersion1(
 		t, 200, routeTo("s"),
-		serviceText{name: "s", classes: unsafeClass, source: endpointsAt(b.Addr())},
+		serviceTOML{name: "s", classes: unsafeClass, source: endpointsAt(b.Addr())},
 	)
 	for _, c := range []struct {
 		reply  string
 		status int
-		want   string // the Location field
+		want   string // Location field
 		body   string
 	}{
 		{
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// SIGKILL comes after the longest deadline, or after this if it is less, and the leeway.
+	// The drain window is the minimum of the longest deadline and maxDrainWindow, plus drainLeeway.
+	// SIGKILL comes after the drain window.
 	maxDrainWindow = 3 * time.Second
 	drainLeeway    = 500 * time.Millisecond
 
-	acceptFraction  = 0.7         // of the drain window in which requests are accepted; the rest is for their answers
-	answerWriteTime = time.Second // beyond the cutoff, for answers to be written by a process that is stalled or slow
+	acceptFraction    = 0.7         // part of the drain window with new requests; the rest is for their responses
+	responseWriteTime = time.Second // after the cutoff, for a stalled or slow process to write responses
 )
 
-// Run serves until the context ends, then drains: it finishes the requests that it has accepted. It
-// is called once.
+// Run serves until the context ends and then drains: it finishes the accepted requests. Run must be
+// called only once.
 //
-// Services outlive the context, since they serve during the drain; Run stops them before it
-// returns.
+// Services run beyond the end of the context, since they serve during the drain. Run stops them
+// before it returns.
 func (s *Sidecar) Run(ctx context.Context) error {
 	s.startServices(context.WithoutCancel(ctx))
 	defer s.stop()
@@ -40,7 +41,7 @@
 	case <-ctx.Done():
 	}
 	window := s.limitDeadlines()
-	if err != nil { // one listener has failed: the rest end at once
+	if err != nil { // one listener has failed, so all fronts close at once
 		s.closeFronts()
 		return err
 	}
@@ -59,17 +60,18 @@
 	s.started = true
 }
 
-// drainWindow is the time of a drain.
+// drainWindow is the schedule of a drain.
 type drainWindow struct {
-	lastCall time.Time // from which on fronts close connections with their next answer
-	cutoff   time.Time // the deadline of all requests
+	closingStart time.Time // when fronts start to close each connection with its next response
+	cutoff       time.Time // deadline of all requests
 }
 
-// limitDeadlines ends reloads and gives all requests a deadline before SIGKILL comes.
+// limitDeadlines disables reloads and limits the deadlines of all requests to the drain window, so
+// that the requests end before SIGKILL.
 func (s *Sidecar) limitDeadlines() drainWindow {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.stopping) // no configuration is applied from here on
+	close(s.stopping) // prevents further reloads
 	longest := time.Duration(0)
 	for _, svc := range s.services {
 		longest = max(longest, svc.cfg.LongestDeadline())
@@ -82,19 +84,19 @@
 	for svc := range s.drainingServices {
 		svc.pool.LimitDeadlines(cutoff)
 	}
-	return drainWindow{lastCall: now.Add(time.Duration(acceptFraction * float64(window))), cutoff: cutoff}
+	return drainWindow{closingStart: now.Add(time.Duration(acceptFraction * float64(window))), cutoff: cutoff}
 }
 
-// drainFronts drains all fronts and waits for their end.
+// drainFronts drains all fronts and waits until they have ended.
 func (s *Sidecar) drainFronts(window drainWindow) {
 	var fronts sync.WaitGroup
 	for _, f := range s.fronts {
-		fronts.Go(func() { f.Drain(window.lastCall, window.cutoff, window.cutoff.Add(answerWriteTime)) })
+		fronts.Go(func() { f.Drain(window.closingStart, window.cutoff, window.cutoff.Add(responseWriteTime)) })
 	}
 	fronts.Wait()
 }
 
-// closeFronts closes all fronts at once.
+// closeFronts closes all fronts without a drain.
 func (s *Sidecar) closeFronts() {
 	var fronts sync.WaitGroup
 	for _, f := range s.fronts {
@@ -103,7 +105,8 @@
 	fronts.Wait()
 }
 
-// stop stops all services, those included that drain, and waits until nothing of them is left.
+// stop stops all services, including draining ones, and the relay follower, and waits for their
+// end.
 func (s *Sidecar) stop() {
 	s.cancelDrains()
 	s.drains.Wait()
--- a/internal/sidecar/service.go
+++ b/internal/sidecar/service.go
@@ -19,48 +19,49 @@
 )
 
 const (
-	minLargeBodies        = 2        // large answers that the platform's proxy reads at a time, at least
-	mbPerLargeBody        = 16       // of memory
-	platformUncountedBody = 64 << 10 // bytes of an answer that count against no quota on the platform
-	uncountedBody         = 4 << 10  // and elsewhere
+	minLargeResponses          = 2        // minimum of large responses that the platform's proxy reads concurrently
+	memoryMBPerLargeResponse   = 16       // memory limit per large response, in MB
+	platformUncountedBodyBytes = 64 << 10 // largest response body that no quota counts, on the platform, in bytes
+	uncountedBodyBytes         = 4 << 10  // largest response body that no quota counts, elsewhere, in bytes
 
 	drainPollInterval = 20 * time.Millisecond
 
-	pollRandStream  = 31 // of the seed: spreads polls of a list service
-	watchRandStream = 37 // of the seed: how long watches wait where the module requests them
+	pollRandStream  = 31 // random stream that spreads the polls of a list service
+	watchRandStream = 37 // random stream of holds and backoffs of watches
 )
 
-// service is one pool with its upstream and the source of its endpoint list. It lives from the
-// configuration that names it until its last request has ended: newService, start, drain or stop.
+// service is one pool with its upstream and its endpoint source. It exists from the configuration
+// that adds it until its last request has ended. Its life cycle is newService, start, then drain or
+// stop.
 type service struct {
-	cfg        *config.Service // does not change, but that Source is the first source alone
+	cfg        *config.Service // immutable; its Source is the first source only
 	pool       *core.Pool
 	upstream   *upstream.Upstream
 	endpoints  *endpointList
 	relayLists *relayed.Lists
-	hollow     *HollowOptions // nil: not in a hollow sidecar
-	cacheDir   string         // where its list is cached; empty: nowhere
+	hollow     *HollowOptions // nil if the sidecar is not hollow
+	cacheDir   string         // directory of the cached list; empty if the list is not cached
 
-	pollRand  *rand.Rand // nil: polls need no spreading; used by setSource and the one source that runs
-	watchRand *rand.Rand // used by the one source that runs
+	pollRand  *rand.Rand // nil if polls need no spreading; used by setSource and the running source only
+	watchRand *rand.Rand // used by the running source only
 
-	restored    *membership.List // the cached list that it began with; nil: none
-	restoredAge time.Duration    // of that at the start
+	restored    *membership.List // initial list from the cache; nil if there was none
+	restoredAge time.Duration    // age of restored when it was loaded
 
 	stopPool context.CancelFunc // nil before start
 	poolRun  sync.WaitGroup
 
-	mu           sync.Mutex // guards what follows; held while the source changes
-	recentStarts int        // of the sidecar, for the first source; 0 from then on
+	mu           sync.Mutex // guards the fields below; held while the source is replaced
+	recentStarts int        // of the sidecar, for the first source; 0 afterwards
 	source       config.Source
 	stopSource   context.CancelFunc // nil before the first source
 	sourceRun    sync.WaitGroup
-	recorder     *cache.Recorder // caches the present source's list; nil: it is not cached
+	recorder     *cache.Recorder // caches the current source's list; nil if the list is not cached
 	stopped      bool
 }
 
-// newService returns a service that does nothing before start. It begins with the configuration's
-// known list or with a cached one, if there is any.
+// newService returns a service that is inactive until start. Its initial list is the known list of
+// the configuration, or otherwise a cached list, if there is any.
 func newService(cfg *config.Service, seed uint64, shared *sharedResources) (*service, error) {
 	s := &service{
 		cfg:          cfg,
@@ -106,7 +107,7 @@
 		DialTimeout:        cfg.DialTimeout,
 		BackendIdleTimeout: cfg.IdleTimeout,
 		ReuseDelay:         upstream.UntrustedReuseDelay,
-		Quota:              descriptorQuota{allocator: shared.descriptors, party: cfg.Name},
+		Quota:              descriptorQuota{allocator: shared.descriptors, consumer: cfg.Name},
 		MaxResponse:        cfg.MaxResponse,
 		PassAllStatuses:    cfg.PassAllStatuses,
 		LimitDials:         shared.sharedListService,
@@ -118,17 +119,17 @@
 		upstreamCfg.ReuseDelay = 0
 	}
 	if shared.memory != nil {
-		upstreamCfg.Memory = memoryQuota{allocator: shared.memory, party: cfg.Name}
-		upstreamCfg.MaxUncountedBody = uncountedBody
+		upstreamCfg.Memory = memoryQuota{allocator: shared.memory, consumer: cfg.Name}
+		upstreamCfg.MaxUncountedBody = uncountedBodyBytes
 		upstreamCfg.HoldUntilRelease = true
 	} else {
-		upstreamCfg.Memory = make(bodySlots, max(minLargeBodies, int(shared.memoryMB)/mbPerLargeBody))
-		upstreamCfg.MaxUncountedBody = platformUncountedBody
+		upstreamCfg.Memory = make(bodySlots, max(minLargeResponses, int(shared.memoryMB)/memoryMBPerLargeResponse))
+		upstreamCfg.MaxUncountedBody = platformUncountedBodyBytes
 	}
 	return upstreamCfg
 }
 
-// start runs the pool and follows the endpoint list, until stop. The context is without an end.
+// start runs the pool and the endpoint source until stop. The context must not end before stop.
 func (s *service) start(ctx context.Context, log *slog.Logger) {
 	poolCtx, stopPool := context.WithCancel(ctx)
 	s.stopPool = stopPool
@@ -136,7 +137,7 @@
 	s.setSource(ctx, s.cfg.Source, log)
 }
 
-// stop stops the service and waits until nothing of it is left. Open requests are canceled.
+// stop stops the service and waits for the end of its goroutines. Open requests are canceled.
 func (s *service) stop() {
 	s.stopFollowing()
 	if s.stopPool != nil {
@@ -146,8 +147,8 @@
 	s.upstream.UpdateEndpoints(true, nil) // closes idle connections
 }
 
-// drain closes the pool and stops the service when its last request has ended, at the latest after
-// the longest deadline or when canceled is closed.
+// drain closes the pool and stops the service after its last request has ended. It stops the
+// service earlier if canceled is closed, or one second after the longest deadline.
 func (s *service) drain(canceled <-chan struct{}) {
 	s.pool.Close()
 	s.stopRecording()
@@ -159,7 +160,8 @@
 	s.stop()
 }
 
-// awaitRequests waits until the pool has no request, or for the end of either of two times.
+// awaitRequests waits until the pool has no requests, timeout fires or canceled is closed. Each
+// poll triggers a check.
 func (s *service) awaitRequests(poll, timeout <-chan time.Time, canceled <-chan struct{}) {
 	for s.pool.Stats().Requests > 0 {
 		select {
@@ -182,9 +184,9 @@
 	}
 }
 
-// sameButSource reports whether two configurations of a service differ in nothing but the source of
-// the list: the pool can stay.
-func sameButSource(a, b *config.Service) bool {
+// equalExceptSource reports whether two configurations of a service differ at most in the endpoint
+// source and the known list. If so, the service keeps its pool.
+func equalExceptSource(a, b *config.Service) bool {
 	x, y := *a, *b
 	x.Source, y.Source = config.Source{}, config.Source{}
 	x.KnownList, y.KnownList = nil, nil
--- a/internal/sidecar/shared_resources.go
+++ b/internal/sidecar/shared_resources.go
@@ -8,27 +8,27 @@
 	"fernlanding/internal/core"
 )
 
-// duplicateIDWait is within how long a client that has left is noticed, also after a stall; see
-// core.Config.DuplicateIDWait.
+// duplicateIDWait is the time within which the disconnect of a client is detected, even after a
+// stall; see core.Config.DuplicateIDWait.
 const duplicateIDWait = 300 * time.Millisecond
 
-// sharedResources is what services share.
+// sharedResources is the state that services share.
 type sharedResources struct {
 	clock             core.Clock
 	log               *slog.Logger
 	descriptors       *allocator
 	memory            *allocator // nil on the platform
-	memoryMB          float64    // of the process
-	recentStarts      int        // of this sidecar, this one not included, as far as is known
+	memoryMB          float64    // memory limit of the process
+	recentStarts      int        // recorded recent starts of this sidecar, without the current one
 	duplicateIDWait   time.Duration
-	sharedListService bool           // lists come from a service of all replicas, not from an agent on this machine
-	stateDir          string         // where lists are cached; empty: nowhere
-	maxListAge        time.Duration  // from which on a cached list is not used; 0: none is cached
-	relays            *relayFollower // where lists come from that a service follows by relays
-	hollow            *HollowOptions // nil: a sidecar with listeners and connections
+	sharedListService bool           // lists come from a service that all replicas share, not from a local agent
+	stateDir          string         // directory of cached lists; empty if lists are not cached
+	maxListAge        time.Duration  // maximum age of a cached list; 0 means that lists are not cached
+	relays            *relayFollower // follower of the relays, for lists that come from relays
+	hollow            *HollowOptions // nil if the sidecar is not hollow
 }
 
-// newSharedResources returns what services share, without allocators.
+// newSharedResources returns shared resources without allocators.
 func newSharedResources(
 	app *config.App, log *slog.Logger, hollow *HollowOptions, relays *relayFollower,
 ) sharedResources {
@@ -44,7 +44,7 @@
 	}
 }
 
-// allocate makes the allocators, for the totals of a configuration.
+// allocate creates the allocators with the totals of a configuration.
 func (r *sharedResources) allocate(app *config.App) error {
 	parts, err := app.Descriptors()
 	if err != nil {
@@ -66,8 +66,8 @@
 	return err
 }
 
-// setFloors divides descriptors and memory as a configuration says. The configuration has been
-// checked, so that there is no error to return.
+// setFloors sets the floors of descriptors and memory to those of a configuration. The
+// configuration has been validated, so there are no errors to return.
 func (r *sharedResources) setFloors(app *config.App) {
 	if parts, err := app.Descriptors(); err == nil {
 		_ = r.descriptors.setFloors(parts)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,12 +1,12 @@
-// Package sidecar joins the parts of a running proxy: fronts, pools, upstreams and the sources of
-// their endpoint lists. It starts them, applies new configurations, drains them and stops them.
+// Package sidecar assembles a running proxy from fronts, pools, upstreams and endpoint sources. It
+// starts, drains and stops them, and applies new configurations.
 //
-// The parts: a Sidecar owns the fronts, the services and what services share (sharedResources). An
-// activeConfig is an immutable snapshot of the configuration in force, by which fronts resolve
+// A Sidecar owns the fronts, the services and the resources that services share (sharedResources).
+// An activeConfig is an immutable snapshot of the active configuration, with which fronts resolve
 // requests; a reload replaces it. A service is one pool with its upstream and its endpoint source.
 //
-// A configuration is applied in steps (see Sidecar.Reload): it is validated, everything that it
-// needs is built, one pointer is swapped, and services that it replaces drain. See
+// A configuration is applied in steps (see Sidecar.Reload): the configuration is validated,
+// everything that it needs is built, one pointer is swapped, and replaced services drain. See
 // docs/design/routing.md.
 package sidecar
 
@@ -23,36 +23,36 @@
 	"fernlanding/internal/start/record"
 )
 
-// Sidecar is a proxy with its listeners open. Its methods may be called from any goroutine.
+// Sidecar is a proxy with open listeners. It is safe for concurrent use.
 type Sidecar struct {
 	log                 *slog.Logger
 	shared              sharedResources
 	fronts              []*http1.Front
 	active              atomic.Pointer[activeConfig]
-	startRecord         *record.Record // nil: no record of starts is kept
+	startRecord         *record.Record // nil if there is no record of starts
 	notReadyLogInterval time.Duration
 	remote              *remoteConfiguration
 
 	stopping       chan struct{} // closed, with mu held, when Run begins to drain
 	drains         sync.WaitGroup
 	drainsCanceled chan struct{} // closed by cancelDrains
-	cancelDrains   func()        // ends the wait of drains for their services' last requests
+	cancelDrains   func()        // makes drains stop their services without waiting for open requests
 
-	// reloadSlot holds one while a configuration is applied. It is taken before mu, since a wait
-	// for it can be given up.
+	// reloadSlot is a semaphore that is held while a configuration is applied. It is acquired
+	// before mu, since a wait for a channel can be abandoned.
 	reloadSlot chan struct{}
 
-	mu               sync.Mutex // guards what follows; one configuration is applied at a time
+	mu               sync.Mutex // guards the fields below
 	app              *config.App
-	services         map[string]*service
+	services         map[string]*service // of the active configuration, by name
 	started          bool
-	drainingServices map[*service]bool // that the configuration no longer names
+	drainingServices map[*service]bool // replaced and removed services
 }
 
-// New opens the listeners; clients are served from Run on.
+// New returns a sidecar with open listeners. Run serves the clients.
 func New(app *config.App, log *slog.Logger) (*Sidecar, error) { return open(app, log, nil) }
 
-// open returns a sidecar; hollow is nil for one with listeners and connections.
+// open returns a sidecar, which is hollow if the options are not nil.
 func open(app *config.App, log *slog.Logger, hollow *HollowOptions) (*Sidecar, error) {
 	remote := &remoteConfiguration{log: log}
 	app = remote.restore(app)
@@ -87,8 +87,8 @@
 	return s, nil
 }
 
-// recordStart records this start, where there is a state directory, and reads how many there were
-// lately.
+// recordStart records this start and reads the number of recent starts. It does nothing if there is
+// no state directory.
 func (s *Sidecar) recordStart(app *config.App) {
 	if app.StateDir == "" {
 		return
@@ -101,7 +101,7 @@
 	}
 }
 
-// Close closes the listeners of a sidecar that is not to run.
+// Close closes the listeners and stops the services of a sidecar whose Run is never called.
 func (s *Sidecar) Close() {
 	for _, f := range s.fronts {
 		f.Close()
@@ -121,7 +121,7 @@
 	return addresses
 }
 
-// Trace has every service log its module's stats for some time; see core.Pool.Trace.
+// Trace makes every service log the stats of its module for a time span; see core.Pool.Trace.
 func (s *Sidecar) Trace(span time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,10 +130,10 @@
 	}
 }
 
-// oneLine returns an error's text as one line, for the log.
+// oneLine returns the text of an error as one line for the log.
 func oneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
 
-// serviceError is an error of one service.
+// serviceError is an error in the configuration of one service.
 type serviceError struct {
 	service string
 	err     error
@@ -142,5 +142,5 @@
 // Error implements error.
 func (e *serviceError) Error() string { return fmt.Sprintf("service %s: %v", e.service, e.err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *serviceError) Unwrap() error { return e.err }
--- a/internal/sidecar/sidecartest/start.go
+++ b/internal/sidecar/sidecartest/start.go
@@ -11,9 +11,10 @@
 	"fernlanding/internal/sidecar"
 )
 
-const readyWithin = 20 * time.Second
+const readyTimeout = 20 * time.Second
 
-// Start runs a sidecar by an application's file until the test ends, and returns once it is ready.
+// Start runs a sidecar with the configuration in an application's file until the test ends. It
+// returns when the sidecar is ready.
 func Start(tb testing.TB, file string) *sidecar.Sidecar {
 	tb.Helper()
 	app, err := config.Decode("test.toml", []byte(file))
@@ -33,7 +34,7 @@
 			tb.Error(err)
 		}
 	})
-	if err := s.WaitReady(ctx, readyWithin); err != nil {
+	if err := s.WaitReady(ctx, readyTimeout); err != nil {
 		tb.Fatal(err)
 	}
 	return s
--- a/internal/sidecar/split.go
+++ b/internal/sidecar/split.go
@@ -13,37 +13,36 @@
 )
 
 const (
-	maxStickyKeys     = 1 << 16 // requests that are idempotent by key whose arm is remembered: some 5 MB
-	maxPreviousSplits = 16      // of a route
+	maxStickyKeys     = 1 << 16 // idempotency keys with a cached arm; they use about 5 MB
+	maxPreviousSplits = 16      // per route
 )
 
-// splitArm is one service and class that a route leads to.
+// splitArm is one destination of a route: a service and a class.
 type splitArm struct {
 	service  string
 	pool     front.Pool
-	class    int
+	class    int // index
 	settings logic.Class
-	policy   config.ClassPolicy // what the class's owner states about retries
+	policy   config.ClassPolicy // declared rules of the class for retries and early data
 	maxBody  int64              // in bytes
-	tenants  map[string]int
+	tenants  map[string]int     // indexes by name
 	memory   front.Memory
 }
 
-// keyLifetime returns how long after its arrival a request's key may be in a dedup window, in
-// microseconds. The window begins with the attempt that has run, at the latest at the deadline.
+// keyLifetime returns how long after a request's arrival its key may be in a dedup window, in
+// microseconds. The window starts with the attempt that has run, at the latest at the deadline.
 func (a *splitArm) keyLifetime() int64 {
 	return a.settings.Deadline + a.policy.DedupWindow.Microseconds()
 }
 
-// previousSplit is a split that a route had before, while keys that it assigned may still be in a
-// dedup window.
+// previousSplit is an earlier split of a route, whose assigned keys may still be in a dedup window.
 type previousSplit struct {
 	route *activeRoute
-	until int64 // in microseconds of the clock
+	until int64 // end of the dedup windows, in microseconds of the clock
 }
 
-// inheritSplits takes over the split of the route of the same name in the previous configuration,
-// and the splits before that; nil: there is none.
+// inheritSplits adds the split of the route of the same name in the previous configuration, and the
+// earlier splits of that route. previous is nil if there was no such route.
 func (r *activeRoute) inheritSplits(previous *activeRoute, now int64) {
 	if previous == nil {
 		return
@@ -61,13 +60,12 @@
 		route: &activeRoute{Route: previous.Route, split: previous.split, arms: previous.arms},
 		until: now + lifetime,
 	})
-	// More than this many in one window are too many to look at for each request: the oldest are
-	// dropped.
+	// A request may check every previous split, so the oldest beyond the limit are dropped.
 	r.previousSplits = r.previousSplits[max(0, len(r.previousSplits)-maxPreviousSplits):]
 }
 
-// assignArm returns the index of the arm of a request: by the route's sticky field, else by the
-// key, else at random.
+// assignArm returns the index of a request's arm. The split selects it by the value of the route's
+// sticky field, or else by the idempotency key, or else at random.
 func (r *activeRoute) assignArm(req *http.Request, key string) int {
 	if r.split == nil {
 		return 0
@@ -83,8 +81,8 @@
 	return r.split.Pick(rand.Uint64())
 }
 
-// wasAssignedElsewhere reports whether a previous split would have sent a request to another
-// service.
+// wasAssignedElsewhere reports whether a previous split would have assigned a request to a service
+// other than the given one.
 func (r *activeRoute) wasAssignedElsewhere(req *http.Request, key, service string, now int64) bool {
 	for _, earlier := range r.previousSplits {
 		if earlier.until <= now {
@@ -98,10 +96,11 @@
 	return false
 }
 
-// chooseArm returns the arm of a request. A retry of a request that is idempotent by key goes where
-// its key went before, as long as the key may be in the dedup window there.
+// chooseArm returns the arm of a request. A retry of a request that is idempotent by key is
+// assigned to the arm of the earlier request, as long as the key may be in the dedup window of that
+// service.
 func (c *activeConfig) chooseArm(r *activeRoute, req *http.Request) (splitArm, *front.RequestError) {
-	// All arms agree on this, and on the key's field from version 2 of the format on.
+	// All arms have the same idempotency and, since version 2 of the format, the same key field.
 	policy := &r.arms[0].policy
 	keyField := policy.Key
 	if keyField == "" {
@@ -117,21 +116,21 @@
 	return c.sticky.choose(r, assigned, route.Hash(r.Name, key), now, wasElsewhere)
 }
 
-// stickyAssignments remembers the arms of requests that are idempotent by key; it outlives
+// stickyAssignments caches the arms of requests that are idempotent by key. It persists across
 // configurations.
 type stickyAssignments struct {
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards assignments
 	assignments *route.Assignments
 }
 
-// newStickyAssignments returns an empty memory.
+// newStickyAssignments returns an empty cache.
 func newStickyAssignments() *stickyAssignments {
 	return &stickyAssignments{assignments: route.NewAssignments(maxStickyKeys)}
 }
 
-// choose returns the arm that a key is assigned to, and assigns it to the arm of index assigned if
-// it is to none. wasElsewhere reports whether a previous split would have sent it to another
-// service than the one named.
+// choose returns the arm that a key is assigned to. A key without an assignment is assigned to the
+// arm with the index assigned. wasElsewhere reports whether a previous split would have assigned
+// the key to a service other than the given one.
 func (s *stickyAssignments) choose(
 	r *activeRoute, assigned int, keyHash uint64, now int64, wasElsewhere func(service string) bool,
 ) (splitArm, *front.RequestError) {
@@ -142,10 +141,10 @@
 		assigned = slices.IndexFunc(r.arms, func(arm splitArm) bool { return arm.service == service })
 	}
 	if assigned < 0 || !known && !s.assignments.Complete(now) && wasElsewhere(r.arms[assigned].service) {
-		// Another service has its record in its dedup window, or may have it, and is not on this
-		// route any more. Elsewhere the request's effect might happen twice.
+		// Another service has, or may have, the record of the key in its dedup window. If this
+		// route forwarded the request to a different service, its effect could happen twice.
 		return splitArm{}, &front.RequestError{
-			Status: http.StatusServiceUnavailable, RetryAfter: retryLater,
+			Status: http.StatusServiceUnavailable, RetryAfter: defaultRetryAfter,
 			Reason: "another service may hold the record of this key; it is forgotten after its window",
 		}
 	}
--- a/internal/sidecar/split_test.go
+++ b/internal/sidecar/split_test.go
@@ -17,14 +17,14 @@
 	)
 }
 
-// The weights of a split change between a request that is idempotent by key and the client's retry
-// of it: the retry goes to the service that has the key in its dedup window, whatever the weights
-// are now. If the route does not lead to that service any more, it is rejected.
-func TestRetryByKeyStaysWithItsArm(t *testing.T) {
+// The weights of a split change between a request that is idempotent by key and the client's retry.
+// Whatever the new weights, the retry is forwarded to the service that has the key in its dedup
+// window. If the route no longer includes that service, the retry is rejected.
+func TestRetryByKeyStaysWithItsSplitArm(t *testing.T) {
 	t.Parallel()
-	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
-	sa := serviceText{name: "a", classes: keyedClass, source: endpointsAt(a.Addr())}
-	sb := serviceText{name: "b", classes: keyedClass, source: endpointsAt(b.Addr())}
+	a, b := startBackend(t, standin.Echo), startBackend(t, standin.Echo)
+	sa := serviceTOML{name: "a", classes: keyedClass, source: endpointsAt(a.Addr())}
+	sb := serviceTOML{name: "b", classes: keyedClass, source: endpointsAt(b.Addr())}
 	p := startVersion1(t, 200, splitRoute(90, 10), sa, sb)
 	send := func(key int) int {
 		resp, _ := sendRequest(t, p, "POST", "/rate", fmt.Sprintf("Idempotency-Key: k%d", key))
@@ -33,7 +33,7 @@
 	const keys = 60
 	for k := range keys {
 		if got := send(k); got != 200 {
-			t.Fatalf("key %d: %d", k, got)
+			t.Fatalf("key %d: got %d, want 200", k, got)
 		}
 	}
 	first := []map[string]int{a.Keys(), b.Keys()}
@@ -41,17 +41,17 @@
 		mustReload(t, p, decodeVersion1(t, 200, splitRoute(w[0], w[1]), sa, sb))
 		for k := range keys {
 			if got := send(k); got != 200 {
-				t.Fatalf("key %d: %d", k, got)
+				t.Fatalf("key %d: got %d, want 200", k, got)
 			}
 		}
 	}
 	for i, now := range []map[string]int{a.Keys(), b.Keys()} {
 		if len(now) != len(first[i]) {
-			t.Errorf("service %d has seen %d keys, %d before the weights changed", i, len(now), len(first[i]))
+			t.Errorf("service %d has received %d keys, want %d as before the change", i, len(now), len(first[i]))
 		}
 	}
 	if got := send(keys + 1); got != 200 || a.Keys()[fmt.Sprint("k", keys+1)] != 1 {
-		t.Errorf("a new key: %d, and not by the new weights", got)
+		t.Errorf("new key: got %d, want 200 from service a by the new weights", got)
 	}
 	mustReload(
 		t, p,
@@ -63,27 +63,28 @@
 			want = 200
 		}
 		if got := send(k); got != want {
-			t.Errorf("key %d, whose service has left the route: %d, %d expected", k, got, want)
+			t.Errorf("key %d after the removal of service a from the route: got %d, want %d", k, got, want)
 		}
 	}
 }
 
-// Beyond the bound on sticky keys some are forgotten. Then a request is rejected if a previous
-// split assigned its key to another service, and forwarded if all splits agree.
+// Beyond the limit of sticky keys some assignments are discarded. A request without an assignment
+// is then rejected if a previous split assigned its key to another service, and forwarded if all
+// splits agree.
 func TestUnknownKeysAreRejectedWhereSplitsDisagree(t *testing.T) {
 	t.Parallel()
-	a, b := backend(t, standin.Echo), backend(t, standin.Echo)
-	sa := serviceText{name: "a", classes: keyedClass, source: endpointsAt(a.Addr())}
-	sb := serviceText{name: "b", classes: keyedClass, source: endpointsAt(b.Addr())}
+	a, b := startBackend(t, standin.Echo), startBackend(t, standin.Echo)
+	sa := serviceTOML{name: "a", classes: keyedClass, source: endpointsAt(a.Addr())}
+	sb := serviceTOML{name: "b", classes: keyedClass, source: endpointsAt(b.Addr())}
 	p := startVersion1(t, 200, splitRoute(50, 50), sa, sb)
-	for i := range maxStickyKeys + 10 { // other requests, which are not sent
+	for i := range maxStickyKeys + 10 { // requests with other keys, which are only resolved
 		active := p.active.Load()
 		r := &http.Request{
 			Method: "POST", RequestURI: "/rate", Host: "h",
 			Header: http.Header{"Idempotency-Key": {fmt.Sprint("x", i)}},
 		}
-		if _, fault := active.resolve("main", r); fault != nil {
-			t.Fatalf("before the weights change: %+v", fault)
+		if _, reqErr := active.resolve("main", r); reqErr != nil {
+			t.Fatalf("before the weights change: %+v", reqErr)
 		}
 	}
 	before := p.active.Load().routes["rate"].split
@@ -99,10 +100,10 @@
 			moved++
 		}
 		if resp.StatusCode != want {
-			t.Errorf("key %s: %s, %d expected", key, resp.Status, want)
+			t.Errorf("key %s: got %s, want %d", key, resp.Status, want)
 		}
 	}
 	if moved == 0 {
-		t.Error("no key moved: nothing was tested")
+		t.Error("no key moved, so the rejection was not tested")
 	}
 }
--- a/internal/sidecar/startup_test.go
+++ b/internal/sidecar/startup_test.go
@@ -15,7 +15,7 @@
 	"fernlanding/internal/standin"
 )
 
-// logBuffer is a log that can be read while it is written.
+// logBuffer is a buffer for a log that can be read while it is written.
 type logBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -28,10 +28,10 @@
 	return l.buffer.Write(p)
 }
 
-// waitForLine waits for a line that contains all words.
+// waitForLine waits for a line that contains all words, and fails the test after testTimeout.
 func (l *logBuffer) waitForLine(t *testing.T, words ...string) {
 	t.Helper()
-	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) { // a log has no channel
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) { // the log does not signal new lines
 		l.mu.Lock()
 		text := l.buffer.String()
 		l.mu.Unlock()
@@ -47,11 +47,11 @@
 	}
 }
 
-// A sidecar that is not ready logs why, again and again, and logs when it is. With a state
-// directory it knows how often it has started lately, and a reload can't change the directory.
+// A sidecar that is not ready logs the reason periodically, and logs when it is ready. A sidecar
+// with a state directory counts its recent starts. A reload can't change the state directory.
 func TestStartupIsLogged(t *testing.T) {
 	t.Parallel()
-	b := backend(t, standin.Echo)
+	b := startBackend(t, standin.Echo)
 	d, err := standin.NewDiscovery()
 	if err != nil {
 		t.Fatal(err)
@@ -61,7 +61,7 @@
 	dir := filepath.Join(t.TempDir(), "state")
 	app := decodeVersion2(
 		t, routeTo("a"),
-		serviceText{
+		serviceTOML{
 			name: "a", classes: safeClass,
 			source: catalogAt(d.Addr()),
 		},
@@ -85,41 +85,41 @@
 	other := *app
 	other.StateDir = "elsewhere"
 	if err := s.Reload(&other); err == nil {
-		t.Error("the state directory was changed")
+		t.Error("reload with another state directory: got no error")
 	}
 	stop()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	for life := 1; life < 4; life++ { // each waits longer before its first poll: see package start
+	for start := 1; start < 4; start++ { // each start delays the first poll more; see package start
 		s, err := New(app, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.Close()
-		if starts := s.services["a"].recentStarts; starts != life {
-			t.Errorf("life %d: %d recent starts", life, starts)
+		if recent := s.services["a"].recentStarts; recent != start {
+			t.Errorf("got %d recent starts, want %d", recent, start)
 		}
 	}
 }
 
-// A sidecar that starts while its list service is down serves by the list that an earlier one has
-// cached, and sends no non-idempotent request to an address that is another service's by now; once
-// the list service is up it serves as before.
+// A sidecar that starts while its list service is down serves with the list that an earlier process
+// has cached. It sends no non-idempotent request to an address that another service uses meanwhile.
+// When the list service is up again, the sidecar serves with the new list.
 func TestSidecarStartsWithCachedList(t *testing.T) {
 	t.Parallel()
 	const routes = "[[routes]]\nname = \"look\"\nprefix = \"/look\"\nservice = \"a\"\nclass = \"look\"\n" +
 		"[[routes]]\nname = \"post\"\nprefix = \"/post\"\nservice = \"a\"\nclass = \"post\"\n"
-	stays, moved := backend(t, standin.Echo), backend(t, standin.Echo)
+	stable, moved := startBackend(t, standin.Echo), startBackend(t, standin.Echo)
 	d, err := standin.NewDiscovery()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Close)
-	d.Put(standin.Member{Name: "stays", Address: stays.Addr()}, standin.Member{Name: "moved", Address: moved.Addr()})
+	d.Put(standin.Member{Name: "stays", Address: stable.Addr()}, standin.Member{Name: "moved", Address: moved.Addr()})
 	app := decodeVersion2(
 		t, routes,
-		serviceText{
+		serviceTOML{
 			name:    "a",
 			classes: safeClass + "\n" + unsafeClass,
 			source:  catalogAt(d.Addr()),
@@ -127,13 +127,13 @@
 		},
 	)
 	app.StateDir, app.ListAge = t.TempDir(), time.Minute
-	app.Seed = 1 // by which the first request goes to the backend that has moved
+	app.Seed = 1 // with this seed the first request is sent to the moved backend
 	first := startSidecar(t, app)
 	if err := first.WaitReady(context.Background(), testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	first.stop()
-	_ = receive(t, "end of the first", first.done)
+	_ = receive(t, "end of the first sidecar", first.done)
 
 	d.Down(true)
 	misdirected := make(chan string, 100)
@@ -143,36 +143,36 @@
 	})
 	second := startSidecar(t, app)
 	if !second.isHealthy() {
-		t.Error("the second is not ready at once")
+		t.Error("the second sidecar is not healthy right after the start")
 	}
 	for i := range 40 {
 		resp, _ := sendRequest(t, second, "POST", "/post/early")
 		if i == 0 && resp.StatusCode != http.StatusServiceUnavailable {
-			t.Errorf("a non-idempotent request is answered %d before any backend has served", resp.StatusCode)
+			t.Errorf("non-idempotent request before any backend has served: got %d, want 503", resp.StatusCode)
 		}
 		if resp, _ := sendRequest(t, second, "GET", "/look"); resp.StatusCode != http.StatusOK {
-			t.Errorf("an idempotent request is answered %d", resp.StatusCode)
+			t.Errorf("idempotent request: got %d, want 200", resp.StatusCode)
 		}
 	}
 	if resp, _ := sendRequest(t, second, "POST", "/post"); resp.StatusCode != http.StatusOK {
-		t.Errorf("the backend that has served gets no non-idempotent request: %d", resp.StatusCode)
+		t.Errorf("non-idempotent request after a backend has served: got %d, want 200", resp.StatusCode)
 	}
 	if len(misdirected) == 0 {
-		t.Error("the moved backend got nothing: nothing was tested")
+		t.Error("the moved address got no request, so misdirected requests were not tested")
 	}
 	for len(misdirected) > 0 {
 		if m := <-misdirected; m == "POST" {
-			t.Error("another service got a non-idempotent request")
+			t.Error("the service at the moved address got a non-idempotent request")
 		}
 	}
 	d.Delete("moved")
-	d.Put(standin.Member{Name: "new", Address: backend(t, standin.Echo).Addr()})
+	d.Put(standin.Member{Name: "new", Address: startBackend(t, standin.Echo).Addr()})
 	d.Down(false)
 	waitUntil(t, func() bool {
 		l := second.services["a"].endpoints.snapshot()
 		return l != nil && len(l.Endpoints) == 2 && l.Endpoints[0].Name == "new"
 	})
-	waitUntil(t, func() bool { // and that list is cached
+	waitUntil(t, func() bool { // the new list is cached
 		list, _, err := second.services["a"].cacheStore(app.Services[0].Source).Load(time.Now(), time.Minute)
 		return err == nil && list != nil && list.Endpoints[0].Name == "new"
 	})
--- a/internal/sidecar/status_codes.go
+++ b/internal/sidecar/status_codes.go
@@ -6,10 +6,11 @@
 	"fernlanding/internal/front"
 )
 
-// statusCodePool is a pool whose own answers have the status codes that its service configures.
+// statusCodePool is a pool that responds with the status codes that its service configures, unless
+// a backend has responded.
 type statusCodePool struct {
 	front.Pool
-	codes config.Codes // complete: none is 0
+	codes config.Codes // no code is 0
 }
 
 // Do implements front.Pool.
@@ -24,7 +25,7 @@
 	case core.Expired:
 		answer.Response = &core.Response{StatusCode: p.codes.Expired}
 	case core.Rejected, core.Canceled, core.NotAdmitted:
-		// The client's fault, an answer that nobody waits for, or another pool's to give.
+		// The request is invalid, its client has disconnected, or another pool responds.
 	default:
 		answer.Response = &core.Response{StatusCode: p.codes.Failed}
 	}
