--- a/cmd/fernctl/catalogue.go
+++ b/cmd/fernctl/catalogue.go
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	deployed, err := dir.Deployed(out)
+	deployed, err := dir.ReadDeployed(out)
 	if err != nil {
 		return err
 	}
@@ -134,7 +134,7 @@
 	if environment == "" && len(source.catalogue.Environments()) > 0 {
 		return fmt.Errorf("generate: -env expected, one of %v", source.catalogue.Environments())
 	}
-	options := check.Options{Deployed: deployed, Each: inParallel}
+	options := check.Options{Deployed: deployed, ForEach: inParallel}
 	plan, docs, diagnostics := check.Catalogue(source.catalogue, environment, options)
 	diagnostics = append(source.diagnostics, diagnostics...)
 	if err := printDiagnostics(c.Root().ErrWriter, source.withPaths(diagnostics)); err != nil || plan == nil {
--- a/cmd/fernctl/check.go
+++ b/cmd/fernctl/check.go
@@ -58,7 +58,7 @@
 	if factor != 0 && !(factor >= 1 && factor <= 100) { // negated, so that NaN is rejected
 		return check.Options{}, fmt.Errorf("check: -retry-factor %g; 1 to 100 expected", factor)
 	}
-	options := check.Options{RetryFactor: factor, Each: inParallel}
+	options := check.Options{MaxAmplification: factor, ForEach: inParallel}
 	directory := c.String("deployed")
 	if directory == "" {
 		return options, nil
@@ -67,7 +67,7 @@
 	if _, err := os.Stat(directory); err != nil {
 		return check.Options{}, fmt.Errorf("check: %w", err)
 	}
-	deployed, err := dir.Deployed(directory)
+	deployed, err := dir.ReadDeployed(directory)
 	options.Deployed = deployed
 	return options, err
 }
--- a/cmd/fernctl/explain.go
+++ b/cmd/fernctl/explain.go
@@ -57,7 +57,7 @@
 	}
 	w := tabwriter.NewWriter(c.Root().Writer, 0, 0, 2, ' ', 0)
 	for _, line := range explanation.Lines {
-		where := line.Where
+		where := line.Location
 		if line.IsDefault {
 			where = "default (" + where + ")"
 		}
--- a/cmd/fernctl/main.go
+++ b/cmd/fernctl/main.go
@@ -66,7 +66,7 @@
 // rootCommand returns the command line's root.
 func rootCommand(out, log io.Writer) *cli.Command {
 	root := &cli.Command{
-		Name: "fernctl", Usage: "write and check the configurations of sidecars", Version: config.Program,
+		Name: "fernctl", Usage: "write and check the configurations of sidecars", Version: config.ProgramVersion,
 		Writer: out, ErrWriter: log,
 		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // run returns the exit code
 		OnUsageError:   usage,
--- a/cmd/fernctl/migrate.go
+++ b/cmd/fernctl/migrate.go
@@ -37,7 +37,7 @@
 	var diagnostics tomldoc.Diagnostics
 	if errors.As(err, &diagnostics) {
 		printf(log, "%s: version %d refuses what it says; nothing that means the same can be written:\n",
-			name, config.Version)
+			name, config.FormatVersion)
 		return printDiagnostics(log, diagnostics)
 	}
 	if err != nil {
@@ -47,7 +47,7 @@
 		printf(log, "%v\n", step)
 	}
 	if len(steps) == 0 {
-		printf(log, "%s: is of version %d\n", name, config.Version)
+		printf(log, "%s: is of version %d\n", name, config.FormatVersion)
 	}
 	if !c.Bool("write") {
 		_, err := c.Root().Writer.Write(migrated)
@@ -56,5 +56,5 @@
 	if len(steps) == 0 {
 		return nil
 	}
-	return dir.Replace(name, migrated)
+	return dir.ReplaceFile(name, migrated)
 }
--- a/cmd/fernctl/rigrollout.go
+++ b/cmd/fernctl/rigrollout.go
@@ -205,7 +205,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s, seed %d, %.1f s, %d faults: %d puts (%d unanswered, %d within 1 ms of another), "+
 		"%d updates in force (%d whole), %d refused, %d resumed, %d reports\n",
-		m.Scenario, m.Seed, m.Seconds, m.Faults, m.Puts, m.Unanswered, m.Twins,
+		m.Scenario, m.Seed, m.Seconds, m.Faults, m.Puts, m.Unanswered, m.ConcurrentPuts,
 		m.InForce, m.Snapshots, m.Rejected, m.Resumed, m.Reports)
 	fmt.Fprintf(&b, "in force, ways without faults: %.0f ms median, %.0f p99, %.0f last; "+
 		"urgent (%d judged): %.0f, %.0f, %.0f; with faults: %.2f s p99, %.2f last\n",
@@ -220,7 +220,7 @@
 	}
 	fmt.Fprintf(&b, "at rest, each follower: %.0f bytes and %.2f messages a second; "+
 		"a source or relay at most: %.1f MB, %.0f sessions, %.0f bytes of resources, %.0f encoded\n",
-		m.RestBytesPerSecond, m.RestReadsPerSecond, m.ResidentMB, m.MaxSessions, m.MaxStoreBytes, m.MaxCacheBytes)
+		m.IdleBytesPerSecond, m.IdleReadsPerSecond, m.ResidentMB, m.MaxSessions, m.MaxStoreBytes, m.MaxCacheBytes)
 	for _, v := range run.Verdicts {
 		fmt.Fprintln(&b, v)
 	}
--- a/cmd/fernctl/rollout_config.go
+++ b/cmd/fernctl/rollout_config.go
@@ -63,8 +63,8 @@
 	}
 	fragments := config.Fragments(data)
 	joined, err := config.Decode(name, config.Join(fragments))
-	if err != nil || !config.SameMeaning(joined, app) {
-		fragments = config.Undivided(data)
+	if err != nil || !config.Equivalent(joined, app) {
+		fragments = config.SingleFragment(data)
 	}
 	resource := sidecar.ConfigurationResource(app.Distribution.Configuration)
 	put := &distribution.PutRequest{Resource: resource, Replace: true}
--- a/cmd/fernctl/scale.go
+++ b/cmd/fernctl/scale.go
@@ -136,7 +136,7 @@
 	}
 	options := sweep.Options{
 		Worker:      []string{self, "scale", scaleWorkerCommand},
-		HeldOut:     selection,
+		Selection:   selection,
 		MemoryBytes: int64(gigabytes * (1 << 30)),
 		Log:         c.Root().ErrWriter,
 	}
--- a/cmd/fernctl/scale_fit.go
+++ b/cmd/fernctl/scale_fit.go
@@ -50,7 +50,7 @@
 	var files []predict.File
 	var latencies []predict.Latency
 	for _, name := range names {
-		data, err := readFileBounded(name, result.MaxFile)
+		data, err := readFileBounded(name, result.MaxFileBytes)
 		if errors.Is(err, fs.ErrNotExist) {
 			_, err := fmt.Fprintf(warnings,
 				"%s: there is no such file; what it would measure counts as not measured\n", name)
@@ -111,10 +111,10 @@
 		title string
 		table predict.Table
 	}{
-		{"Lines", e.Lines(fit.Figures())},
-		{"Models", e.Models(fit.Figures())},
-		{"Prediction against fact", e.HeldOut(fit.Figures())},
-		{"Hollow against real", e.Hollow(fit.Figures())},
+		{"Lines", e.Lines(fit.Metrics())},
+		{"Models", e.Models(fit.Metrics())},
+		{"Prediction against fact", e.HeldOut(fit.Metrics())},
+		{"Hollow against real", e.Hollow(fit.Metrics())},
 	} {
 		part.table.Title = part.title
 		if err := printTable(out, &part.table); err != nil {
@@ -205,7 +205,7 @@
 
 // fillPage generates the tables of a page anew, in place.
 func fillPage(calculator *predict.Calculator, name string) error {
-	page, err := readFileBounded(name, result.MaxFile)
+	page, err := readFileBounded(name, result.MaxFileBytes)
 	if err != nil {
 		return fmt.Errorf("scale predict: %w", err)
 	}
--- a/cmd/fernctl/scale_fit_test.go
+++ b/cmd/fernctl/scale_fit_test.go
@@ -66,7 +66,7 @@
 	for k := range 6 {
 		n := 100 << k
 		r.Points = append(r.Points, result.Point{
-			Size:    result.Size{Proxies: n, Services: 1, ServicesInAll: 1, Backends: 2},
+			Size:    result.Size{Proxies: n, Services: 1, TotalServices: 1, Backends: 2},
 			HeldOut: k == 5,
 			Rounds:  []result.Round{{Seconds: 10, Proxies: result.Cost{Processes: 1, BytesIn: int64(1000 * n)}}},
 		})
--- a/cmd/fernctl/scale_results.go
+++ b/cmd/fernctl/scale_results.go
@@ -16,16 +16,16 @@
 	var all []predict.Latency
 	for _, c := range r.Cases {
 		all = append(all, predict.Latency{
-			File:             filepath.Base(name),
-			Case:             c.Name,
-			RatePerSecond:    c.RatePerSecond,
-			Hops:             c.Hops,
-			AddedP99:         predict.Spread(c.AddedP99),
-			SameP99:          predict.Spread(c.SameP99),
-			Noise:            c.Noise(),
-			CPUPerCallMicros: c.SidecarCPUPerCallUS,
-			DirectP99:        c.All.Direct.P99,
-			Through:          c.All.Through.P99,
+			File:                filepath.Base(name),
+			Case:                c.Name,
+			RatePerSecond:       c.RatePerSecond,
+			Hops:                c.Hops,
+			AddedP99:            predict.Spread(c.AddedP99),
+			DirectDifferenceP99: predict.Spread(c.DirectDifferenceP99),
+			Noise:               c.Noise(),
+			CPUPerCallMicros:    c.SidecarCPUPerCallUS,
+			DirectP99:           c.All.Direct.P99,
+			ThroughP99:          c.All.Through.P99,
 		})
 	}
 	return all, nil
--- a/cmd/fernlanding/herd_test.go
+++ b/cmd/fernlanding/herd_test.go
@@ -80,12 +80,12 @@
 	if n := h.replicasAt(1); n < herdReplicas {
 		b.Fatalf("%d of %d replicas have a list before the outage", n, herdReplicas)
 	}
-	h.service.Down(true)
+	h.service.SetDown(true)
 	began := time.Now()
 	time.Sleep(herdOutage)
 	h.service.Put(standin.Member{Name: "late", Address: "127.0.0.1:1", Zone: "a"})
 	calls, _ := h.callsSince(began)
-	h.service.Down(false)
+	h.service.SetDown(false)
 	ended := time.Now()
 	allUpdated := waitForAll(func() int { return h.replicasAt(2) }, ended.Add(herdTimeout))
 	_, snapshots := h.callsSince(ended)
@@ -128,7 +128,7 @@
 	h := &herd{replicas: map[string]int{}, versions: make([]int64, herdReplicas)}
 	var err error
 	h.service, err = standin.NewDiscoveryWith(standin.DiscoveryConfig{
-		Rate: herdRate, Queue: herdQueue, RetryAfter: retryAfter, Report: h.report,
+		Rate: herdRate, QueueSize: herdQueue, RetryAfter: retryAfter, OnCallEnd: h.report,
 	})
 	if err != nil {
 		b.Fatal(err)
@@ -165,7 +165,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.calls = append(h.calls, call)
-	if call.Status == http.StatusOK && !call.CallerLeft {
+	if call.Status == http.StatusOK && !call.CallerDisconnected {
 		replica := h.replicas[call.Caller]
 		h.versions[replica] = max(h.versions[replica], call.Index)
 	}
@@ -246,7 +246,7 @@
 	defer h.mu.Unlock()
 	count := 0
 	for _, c := range h.calls {
-		if c.CallerLeft {
+		if c.CallerDisconnected {
 			count++
 		}
 	}
@@ -270,12 +270,12 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range h.calls {
-		if c.Began.Before(since) {
+		if c.StartTime.Before(since) {
 			continue
 		}
-		all = append(all, c.Began)
+		all = append(all, c.StartTime)
 		if c.From < 0 {
-			snapshots = append(snapshots, c.Began)
+			snapshots = append(snapshots, c.StartTime)
 		}
 	}
 	return all, snapshots
--- a/cmd/fernlanding/main_test.go
+++ b/cmd/fernlanding/main_test.go
@@ -110,7 +110,7 @@
 	}
 	var out bytes.Buffer
 	code := run([]string{"version"}, noEnv, &out, io.Discard)
-	if code != 0 || !strings.Contains(out.String(), config.Program) {
+	if code != 0 || !strings.Contains(out.String(), config.ProgramVersion) {
 		t.Errorf("version: %d, %s", code, out.String())
 	}
 }
--- a/cmd/fernlanding/try.go
+++ b/cmd/fernlanding/try.go
@@ -130,12 +130,12 @@
 // playLoad plays a load with its faults, and returns the results.
 func playLoad(ctx context.Context, options *tryOptions, address string, fleet *standin.Fleet) *tryReport {
 	load := standin.Load{
-		Addr:    address,
-		Classes: fleet.Classes(),
-		Rate:    options.load,
-		For:     options.duration,
-		Seed:    options.seed,
-		Tag:     "try",
+		Addr:     address,
+		Classes:  fleet.Classes(),
+		Rate:     options.load,
+		Duration: options.duration,
+		Seed:     options.seed,
+		IDPrefix: "try",
 	}
 	faults := time.AfterFunc(options.duration/faultDelayFraction, func() {
 		fleet.InjectFaults(options.slow, options.hung)
@@ -153,7 +153,7 @@
 		DuplicateEffects: len(fleet.Effects.Duplicates()),
 	}
 	for _, result := range results {
-		result.Count(load.Tag, fleet.Workers)
+		result.CountAttempts(load.IDPrefix, fleet.Workers)
 		report.Classes = append(report.Classes, result)
 		report.Total.Add(result)
 	}
--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -18,14 +18,14 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// Version is the version of the catalogue's format.
-const Version = 1
+// FormatVersion is the version of the catalogue's format.
+const FormatVersion = 1
 
 // Bounds of a catalogue.
 const (
 	MaxFiles        = 4096
 	MaxBytes        = 64 << 20 // of all files together
-	MaxInclude      = 16       // depth of nested includes
+	MaxIncludeDepth = 16       // depth of nested includes
 	MaxApplications = 20_000
 	MaxServices     = 10_000
 	MaxEnvironments = 64
@@ -51,7 +51,7 @@
 // could be read.
 func Read(files []File) (*Catalogue, tomldoc.Diagnostics) {
 	files = sortedByName(files)
-	reader := &tomldoc.Reader{}
+	reader := &tomldoc.Collector{}
 	if len(files) == 0 {
 		expect := "one file of a catalogue at least expected"
 		return nil, tomldoc.Diagnostics{{Rule: rules.Missing, Expect: expect}}
--- a/internal/catalogue/catalogue_test.go
+++ b/internal/catalogue/catalogue_test.go
@@ -149,7 +149,7 @@
 	}
 	after, _ := relayed.Generate("local")
 	doc := config.Read("f", after.Outputs[0].Data)
-	if doc.App == nil || doc.App.Head.Requires != minProgramRelay ||
+	if doc.App == nil || doc.App.Provenance.Requires != minProgramRelay ||
 		!slices.Equal(doc.App.Distribution.Relays, []string{"127.0.0.1:7401"}) {
 		t.Errorf("with relays:\n%s\n%v", after.Outputs[0].Data, doc.Diagnostics)
 	}
--- a/internal/catalogue/dir/deployed.go
+++ b/internal/catalogue/dir/deployed.go
@@ -14,9 +14,9 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// Deployed decodes the files of a directory that Write has written; none if there is no such
+// ReadDeployed decodes the files of a directory that Write has written; none if there is no such
 // directory.
-func Deployed(directory string) ([]*config.Document, error) {
+func ReadDeployed(directory string) ([]*config.Document, error) {
 	entries, err := os.ReadDir(directory)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -52,9 +52,9 @@
 	return io.ReadAll(io.LimitReader(f, tomldoc.MaxFile+1))
 }
 
-// Replace replaces the content of a file atomically and keeps its mode. Of a link it replaces the
+// ReplaceFile replaces the content of a file atomically and keeps its mode. Of a link it replaces the
 // target.
-func Replace(name string, data []byte) error {
+func ReplaceFile(name string, data []byte) error {
 	info, err := os.Stat(name)
 	if err != nil {
 		return fmt.Errorf("write: %w", err)
--- a/internal/catalogue/dir/load.go
+++ b/internal/catalogue/dir/load.go
@@ -129,7 +129,7 @@
 // reportInclude adds a diagnostic of an include.
 func (l *loader) reportInclude(rule rules.ID, at tomldoc.Place, name, expect string) {
 	l.faults = append(l.faults, tomldoc.Diagnostic{
-		Place: at, Rule: rule, Field: "include", Found: fmt.Sprintf("%q", tomldoc.Clip(name)), Expect: expect,
+		Place: at, Rule: rule, Field: "include", Found: fmt.Sprintf("%q", tomldoc.Truncate(name)), Expect: expect,
 	})
 }
 
@@ -143,9 +143,9 @@
 	if _, isRead := l.versions[name]; isRead {
 		return nil
 	}
-	if len(l.including) > catalogue.MaxInclude {
+	if len(l.including) > catalogue.MaxIncludeDepth {
 		l.reportInclude(rules.IncludeLoop, at, name,
-			fmt.Sprintf("%d files below each other at most", catalogue.MaxInclude))
+			fmt.Sprintf("%d files below each other at most", catalogue.MaxIncludeDepth))
 		return nil
 	}
 	if len(l.files) >= catalogue.MaxFiles {
--- a/internal/catalogue/dir/load_test.go
+++ b/internal/catalogue/dir/load_test.go
@@ -93,7 +93,7 @@
 // Nested includes have a bound.
 func TestLoadBoundsIncludeDepth(t *testing.T) {
 	d := t.TempDir()
-	for i := range 2 * catalogue.MaxInclude {
+	for i := range 2 * catalogue.MaxIncludeDepth {
 		writeTestFile(t, fmt.Sprintf("%s/%d.toml", d, i), fmt.Sprintf("catalogue = 1\ninclude = [\"%d.toml\"]\n", i+1))
 	}
 	_, faults, err := Load(d + "/0.toml")
--- a/internal/catalogue/dir/write_test.go
+++ b/internal/catalogue/dir/write_test.go
@@ -180,14 +180,14 @@
 	if err := os.Chmod(d+"/a.toml", 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := Replace(d+"/a.toml", []byte("new")); err != nil {
+	if err := ReplaceFile(d+"/a.toml", []byte("new")); err != nil {
 		t.Fatal(err)
 	}
 	info, err := os.Stat(d + "/a.toml")
 	if all, _ := os.ReadDir(d); err != nil || info.Mode().Perm() != 0o600 || len(all) != 1 {
 		t.Errorf("got %v, %v, %v", info.Mode(), err, all)
 	}
-	if err := Replace(d+"/none.toml", nil); err == nil {
+	if err := ReplaceFile(d+"/none.toml", nil); err == nil {
 		t.Error("a file that is not there was replaced")
 	}
 }
--- a/internal/catalogue/emitter.go
+++ b/internal/catalogue/emitter.go
@@ -59,7 +59,7 @@
 	if mirror == nil || mirror.Kind != tomldoc.Table {
 		return
 	}
-	scope := tomldoc.Scope{Reader: e.reader, Value: mirror, Path: "mirror"}
+	scope := tomldoc.Scope{Collector: e.reader, Value: mirror, Path: "mirror"}
 	s := e.services[scope.Text("service", "")]
 	if s == nil {
 		return
@@ -126,12 +126,12 @@
 	a := e.app
 	at := a.table.Place
 	e.line(at, "# Written by fernctl for application %s. Change the catalogue, not this file.", a.name)
-	e.line(at, "version = %d", config.Version)
+	e.line(at, "version = %d", config.FormatVersion)
 	e.line(at, "name = %s", quote(a.name))
 	e.fields(a.table, "team", "host", "serves")
 	e.line(at, "")
 	e.line(at, "[generated]")
-	e.line(at, "by = %s", quote(generatorName+" "+config.Program))
+	e.line(at, "by = %s", quote(generatorName+" "+config.ProgramVersion))
 	e.line(at, "requires = %s", quote(e.requiredProgram()))
 	e.line(at, "sources = %s", quote(digest))
 	if environment != "" {
--- a/internal/catalogue/join.go
+++ b/internal/catalogue/join.go
@@ -11,13 +11,13 @@
 
 // joiner merges the trees of a catalogue's files into one.
 type joiner struct {
-	*tomldoc.Reader
+	*tomldoc.Collector
 	root *tomldoc.Value
 }
 
 // newJoiner returns a joiner of an empty catalogue that begins at a place.
-func newJoiner(reader *tomldoc.Reader, at tomldoc.Place) *joiner {
-	j := &joiner{Reader: reader, root: tomldoc.NewTable(at)}
+func newJoiner(reader *tomldoc.Collector, at tomldoc.Place) *joiner {
+	j := &joiner{Collector: reader, root: tomldoc.NewTable(at)}
 	for _, section := range sections {
 		j.root.Set(section, tomldoc.NewTable(tomldoc.Place{}))
 	}
@@ -26,13 +26,13 @@
 
 // join adds the tree of a file.
 func (j *joiner) join(root *tomldoc.Value) {
-	scope := tomldoc.NewScope(j.Reader, root)
+	scope := tomldoc.NewScope(j.Collector, root)
 	version := scope.Value.Fields["catalogue"]
 	if version == nil {
-		scope.ReportField(rules.Version, "catalogue", "catalogue = %d expected", Version)
-	} else if version.Kind != tomldoc.Integer || version.Text != strconv.Itoa(Version) {
+		scope.ReportField(rules.Version, "catalogue", "catalogue = %d expected", FormatVersion)
+	} else if version.Kind != tomldoc.Integer || version.Text != strconv.Itoa(FormatVersion) {
 		scope.ReportField(rules.Version, "catalogue", "this program (%s) reads catalogues of version %d",
-			config.Program, Version)
+			config.ProgramVersion, FormatVersion)
 		return // the other fields may mean something else in that version
 	}
 	scope.MarkKnown("catalogue")
--- a/internal/catalogue/model.go
+++ b/internal/catalogue/model.go
@@ -8,9 +8,9 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// DefaultRetryFactor is the bound of the product of all tiers' retry budgets where the catalogue
+// DefaultMaxAmplification is the bound of the product of all tiers' retry budgets where the catalogue
 // does not state one.
-const DefaultRetryFactor = 1.2
+const DefaultMaxAmplification = 1.2
 
 // The fields that are copied to the applications' files. Their values are checked there, once, by
 // the sidecar's own decoder.
@@ -40,7 +40,7 @@
 
 // model is a catalogue with one environment's overlay.
 type model struct {
-	reader       *tomldoc.Reader
+	reader       *tomldoc.Collector
 	services     map[string]*service
 	serviceNames []string // sorted
 	applications []*application
@@ -131,11 +131,11 @@
 }
 
 // readModel decodes a catalogue's tree.
-func readModel(reader *tomldoc.Reader, root *tomldoc.Value) *model {
+func readModel(reader *tomldoc.Collector, root *tomldoc.Value) *model {
 	m := &model{reader: reader, services: map[string]*service{}}
 	scope := tomldoc.NewScope(reader, root)
 	fleet := scope.Table("fleet")
-	m.retryFactor = fleet.Float("retry_factor", DefaultRetryFactor, 1, 100)
+	m.retryFactor = fleet.Float("retry_factor", DefaultMaxAmplification, 1, 100)
 	fleet.ReportUnknown()
 	names, scopes := scope.Tables("services")
 	for i, table := range scopes {
--- a/internal/catalogue/overlay.go
+++ b/internal/catalogue/overlay.go
@@ -20,7 +20,7 @@
 
 // overlay returns the catalogue's tree with the values of an environment; the empty name stands for
 // none. It reports false if there is no such environment.
-func (c *Catalogue) overlay(name string, reader *tomldoc.Reader) (*tomldoc.Value, bool) {
+func (c *Catalogue) overlay(name string, reader *tomldoc.Collector) (*tomldoc.Value, bool) {
 	root := c.root.Clone()
 	if name == "" {
 		return root, true
@@ -30,7 +30,7 @@
 		reader.Diagnostics = append(reader.Diagnostics, c.unknownEnvironment(name))
 		return nil, false
 	}
-	o := overlayer{Reader: reader, environment: name}
+	o := overlayer{Collector: reader, environment: name}
 	for _, section := range environment.Keys {
 		table := environment.Fields[section]
 		switch {
@@ -57,13 +57,13 @@
 	}
 	return tomldoc.Diagnostic{
 		Place: tomldoc.Place{File: c.root.Place.File}, Rule: rules.UnknownEnv, Field: "environments",
-		Found: fmt.Sprintf("%q", tomldoc.Clip(name)), Expect: expect,
+		Found: fmt.Sprintf("%q", tomldoc.Truncate(name)), Expect: expect,
 	}
 }
 
 // overlayer merges an environment's tables into the catalogue's.
 type overlayer struct {
-	*tomldoc.Reader
+	*tomldoc.Collector
 	environment string
 }
 
--- a/internal/catalogue/plan.go
+++ b/internal/catalogue/plan.go
@@ -19,8 +19,8 @@
 	Outputs     []Output // by name
 	// Uncalled has a file for each service that no application calls: it is checked, and never
 	// written to the disk.
-	Uncalled    []Output
-	RetryFactor float64 // bound of the product of all tiers' retry budgets
+	Uncalled         []Output
+	MaxAmplification float64 // bound of the product of all tiers' retry budgets
 }
 
 // Generate generates each application's file with the overlay of an environment; the empty name
@@ -28,13 +28,13 @@
 // The diagnostics are those of the catalogue; what an application's file must not say is found by
 // decoding the generated file.
 func (c *Catalogue) Generate(environment string) (*Plan, tomldoc.Diagnostics) {
-	reader := &tomldoc.Reader{}
+	reader := &tomldoc.Collector{}
 	root, ok := c.overlay(environment, reader)
 	if !ok {
 		return nil, reader.Diagnostics
 	}
 	m := readModel(reader, root)
-	plan := &Plan{Environment: environment, RetryFactor: m.retryFactor}
+	plan := &Plan{Environment: environment, MaxAmplification: m.retryFactor}
 	usedServices := map[string]bool{}
 	for _, a := range m.applications {
 		if len(a.calls) == 0 {
--- a/internal/catalogue/read_application.go
+++ b/internal/catalogue/read_application.go
@@ -40,8 +40,8 @@
 func (m *model) findService(scope tomldoc.Scope, field, name string) *service {
 	s := m.services[name]
 	if s == nil {
-		expect := tomldoc.WithNearest("one of the services of the catalogue expected", name, m.serviceNames)
-		scope.ReportField(rules.UnknownService, field, "%s, found %q", expect, tomldoc.Clip(name))
+		expect := tomldoc.WithSuggestion("one of the services of the catalogue expected", name, m.serviceNames)
+		scope.ReportField(rules.UnknownService, field, "%s, found %q", expect, tomldoc.Truncate(name))
 	}
 	return s
 }
@@ -72,8 +72,8 @@
 	slices.SortFunc(c.classes, func(a, b *calledClass) int { return strings.Compare(a.name, b.name) })
 	for _, tenant := range c.tenants {
 		if s.tenants[tenant] == nil {
-			expect := tomldoc.WithNearest("no tenant of "+name+" is named so", tenant, sortedKeys(s.tenants))
-			scope.ReportField(rules.UnknownTenant, "tenants", "%s, found %q", expect, tomldoc.Clip(tenant))
+			expect := tomldoc.WithSuggestion("no tenant of "+name+" is named so", tenant, sortedKeys(s.tenants))
+			scope.ReportField(rules.UnknownTenant, "tenants", "%s, found %q", expect, tomldoc.Truncate(tenant))
 		}
 	}
 	checkBounds(scope, s)
@@ -113,6 +113,6 @@
 			return
 		}
 	}
-	expect := tomldoc.WithNearest("one of the classes of "+s.name+" expected", name, s.classNames)
+	expect := tomldoc.WithSuggestion("one of the classes of "+s.name+" expected", name, s.classNames)
 	scope.ReportAt(scope.Value, rules.UnknownClass, scope.Path, "", expect)
 }
--- a/internal/catalogue/read_service.go
+++ b/internal/catalogue/read_service.go
@@ -23,7 +23,7 @@
 	scope.MarkKnown(serviceFields...)
 	// The diagnostics of these two are dropped: they are reported where the generated file is
 	// decoded.
-	bounds := tomldoc.Scope{Reader: &tomldoc.Reader{}, Value: scope.Value}
+	bounds := tomldoc.Scope{Collector: &tomldoc.Collector{}, Value: scope.Value}
 	s.maxAttempts = bounds.Int("attempts", 3, 1, 16)
 	s.maxSlowStartMultiple = bounds.Float("cold_multiple", 3, 0, 100)
 	for _, table := range serviceTables {
--- a/internal/check/bench_test.go
+++ b/internal/check/bench_test.go
@@ -118,7 +118,7 @@
 				if len(faults) > 0 {
 					b.Fatal(faults[0])
 				}
-				plan, docs, faults := check.Catalogue(c, "", check.Options{Each: inParallel})
+				plan, docs, faults := check.Catalogue(c, "", check.Options{ForEach: inParallel})
 				if len(faults) > 0 || len(plan.Outputs) != n {
 					b.Fatalf("%d files, %d faults, first %v", len(plan.Outputs), len(faults),
 						faults[:min(1, len(faults))])
@@ -140,7 +140,7 @@
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	plan, _, faults := check.Catalogue(c, "", check.Options{Each: inParallel})
+	plan, _, faults := check.Catalogue(c, "", check.Options{ForEach: inParallel})
 	if len(faults) > 0 || len(plan.Outputs) != 120 {
 		t.Fatalf("%d files\n%.2000v", len(plan.Outputs), faults)
 	}
--- a/internal/check/call_paths_test.go
+++ b/internal/check/call_paths_test.go
@@ -28,7 +28,7 @@
 		if err != nil || matched < 0 || numbers[matched] != i {
 			continue // an earlier route matches the path, and its request is of that one's class
 		}
-		r.causes = app.Routes[i].For
+		r.causes = app.Routes[i].CausedBy
 		if len(r.causes) == 0 {
 			for _, service := range app.Serves {
 				r.causes = append(r.causes, service+"/*")
@@ -42,7 +42,7 @@
 // requestFor returns a request that the route at an index matches.
 func requestFor(app *config.App, index int) classRequest {
 	r := &app.Routes[index]
-	request := classRequest{class: r.To[0].Class, method: "POST", path: r.Match.Path}
+	request := classRequest{class: r.Targets[0].Class, method: "POST", path: r.Match.Path}
 	if request.path == "" {
 		request.path = "/"
 	}
@@ -61,7 +61,7 @@
 	if len(r.Match.Hosts) > 0 {
 		request.host = strings.Replace(r.Match.Hosts[0], "*", "x", 1)
 	}
-	s := app.Service(r.To[0].Service)
+	s := app.Service(r.Targets[0].Service)
 	request.keyHeader = s.ClassPolicies[s.Class(request.class)].Key
 	return request
 }
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -16,20 +16,20 @@
 
 // Options are what a check compares the files with.
 type Options struct {
-	// RetryFactor is the bound of the product of all tiers' retry budgets;
+	// MaxAmplification is the bound of the product of all tiers' retry budgets;
 	// 0: catalogue.DefaultRetryFactor.
-	RetryFactor float64
+	MaxAmplification float64
 	// Deployed has the files that run now: what must not change in one step is compared with them.
 	Deployed []*config.Document
-	// Each calls f with 0 to n-1, in any order or concurrently, and returns when all calls have
+	// ForEach calls f with 0 to n-1, in any order or concurrently, and returns when all calls have
 	// returned; nil: one call after the other.
-	Each func(n int, f func(i int))
+	ForEach func(n int, f func(i int))
 }
 
 // each calls Each or, where it is nil, calls f in order.
 func (o *Options) each(n int, f func(i int)) {
-	if o.Each != nil {
-		o.Each(n, f)
+	if o.ForEach != nil {
+		o.ForEach(n, f)
 		return
 	}
 	for i := range n {
@@ -65,8 +65,8 @@
 	if plan == nil {
 		return nil, nil, diagnostics.Sorted()
 	}
-	if o.RetryFactor == 0 {
-		o.RetryFactor = plan.RetryFactor
+	if o.MaxAmplification == 0 {
+		o.MaxAmplification = plan.MaxAmplification
 	}
 	outputs := append(plan.Outputs[:len(plan.Outputs):len(plan.Outputs)], plan.Uncalled...)
 	docs := make([]*config.Document, len(outputs))
@@ -90,9 +90,9 @@
 
 // atSource returns a diagnostic of a generated file with its place in the catalogue.
 func atSource(doc *config.Document, d tomldoc.Diagnostic, application string) tomldoc.Diagnostic {
-	d.Place = doc.From(d.Place)
+	d.Place = doc.SourcePlace(d.Place)
 	if d.See.File != "" {
-		d.See = doc.From(d.See)
+		d.See = doc.SourcePlace(d.See)
 	}
 	if strings.HasPrefix(d.Field, "services.") {
 		return d
--- a/internal/check/fleet.go
+++ b/internal/check/fleet.go
@@ -15,14 +15,14 @@
 // Fleet checks what files say of each other. Files that a sidecar would reject are left out.
 func Fleet(docs []*config.Document, o Options) tomldoc.Diagnostics {
 	f := fleet{
-		retryFactor:    o.RetryFactor,
+		retryFactor:    o.MaxAmplification,
 		statements:     map[string]*serviceStatement{},
 		endpoints:      map[string]*endpoint{},
 		capacity:       map[string]float64{},
 		reportedCycles: map[string]bool{},
 	}
 	if f.retryFactor == 0 {
-		f.retryFactor = catalogue.DefaultRetryFactor
+		f.retryFactor = catalogue.DefaultMaxAmplification
 	}
 	for _, doc := range docs {
 		if doc != nil && doc.App != nil && doc.App.Kind == config.Application {
@@ -140,7 +140,7 @@
 // checkPort reports a listener whose address another application has too.
 func (f *fleet) checkPort(l listener, others []listener) {
 	for _, other := range others {
-		if other.doc == l.doc || !config.AddressesClash(other.address, l.address) {
+		if other.doc == l.doc || !config.AddressesConflict(other.address, l.address) {
 			continue
 		}
 		see, _ := other.doc.Place(other.addressPath()...)
--- a/internal/check/graph.go
+++ b/internal/check/graph.go
@@ -89,10 +89,10 @@
 func (g *graph) addRoute(doc *config.Document, route int, served []node) {
 	r := &doc.App.Routes[route]
 	causes := served
-	if len(r.For) > 0 {
-		causes = parseNodes(r.For)
+	if len(r.CausedBy) > 0 {
+		causes = parseNodes(r.CausedBy)
 	}
-	for _, target := range r.To {
+	for _, target := range r.Targets {
 		g.add(newEdge(doc, route, target, causes))
 	}
 	if r.Mirror != nil {
@@ -116,7 +116,7 @@
 func newEdge(doc *config.Document, route int, target config.Target, causes []node) *edge {
 	s := doc.App.Service(target.Service)
 	policy := s.ClassPolicies[s.Class(target.Class)]
-	mayRetry := policy.Resend != config.Never
+	mayRetry := policy.RetryScope != config.RetryNever
 	e := &edge{
 		doc:          doc,
 		route:        route,
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -20,9 +20,9 @@
 	for i := range dec.app.Routes {
 		r := &dec.app.Routes[i]
 		scope := tomldoc.Scope{
-			Reader: root.Reader, Value: root.Value.Fields["routes"].Items[i], Path: fmt.Sprintf("routes[%d]", i+1),
+			Collector: root.Collector, Value: root.Value.Fields["routes"].Items[i], Path: fmt.Sprintf("routes[%d]", i+1),
 		}
-		for _, target := range r.To {
+		for _, target := range r.Targets {
 			dec.checkWindow(scope, r, target)
 		}
 	}
@@ -32,7 +32,7 @@
 // checkWindow reports a route whose requests may be retried after the dedup window of their class.
 func (dec *decoder) checkWindow(scope tomldoc.Scope, r *Route, target Target) {
 	_, policy, ok := dec.app.class(target)
-	if !ok || policy.Idempotency != logic.IdempotentByKey || policy.Resend == Never {
+	if !ok || policy.Idempotency != logic.IdempotentByKey || policy.RetryScope == RetryNever {
 		return
 	}
 	if deadline := dec.app.Deadline(r, target); deadline > policy.DedupWindow {
@@ -49,7 +49,7 @@
 		usedClasses[[2]string{target.Service, target.Class}] = true
 	}
 	for _, r := range dec.app.Routes {
-		for _, target := range r.To {
+		for _, target := range r.Targets {
 			use(target)
 		}
 		if r.Mirror != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -20,13 +20,13 @@
 	"fernlanding/logic"
 )
 
-// Version is the newest version of the application's format that this program reads. It reads all
+// FormatVersion is the newest version of the application's format that this program reads. It reads all
 // earlier ones as well.
-const Version = 2
+const FormatVersion = 2
 
-// Program is the version of this program, major.minor. It is raised when a file may ask for what an
+// ProgramVersion is the version of this program, major.minor. It is raised when a file may ask for what an
 // earlier one lacks.
-const Program = "0.4"
+const ProgramVersion = "0.4"
 
 // Bounds of a file.
 const (
@@ -48,27 +48,27 @@
 
 // App is the configuration of one sidecar.
 type App struct {
-	Version  int // of the format that it was written in
-	Name     string
-	Team     string   // that runs the application; may be empty
-	Host     string   // that it runs on; empty: not known
-	Serves   []string // services that the application itself is a backend of
-	Head     Head
-	Kind     Kind
-	Seed     uint64 // of all random draws; 0: the sidecar draws one
-	Process  Process
-	StateDir string // a directory for what outlives the process; empty: none
-	// ListAge is the age from which on a cached list is not used, with StateDir; 0: none is cached.
-	ListAge   time.Duration
-	Listeners []Listener
-	Services  []*Service
-	Routes    []Route
+	Version    int // of the format that it was written in
+	Name       string
+	Team       string   // that runs the application; may be empty
+	Host       string   // that it runs on; empty: not known
+	Serves     []string // services that the application itself is a backend of
+	Provenance Provenance
+	Kind       Kind
+	Seed       uint64 // of all random draws; 0: the sidecar draws one
+	Process    Process
+	StateDir   string // a directory for what outlives the process; empty: none
+	// MaxListAge is the age from which on a cached list is not used, with StateDir; 0: none is cached.
+	MaxListAge time.Duration
+	Listeners  []Listener
+	Services   []*Service
+	Routes     []Route
 	// Distribution is off without relays; the platform has none.
 	Distribution Distribution
 }
 
-// Head says where a generated file comes from. It changes nothing in a sidecar.
-type Head struct {
+// Provenance says where a generated file comes from. It changes nothing in a sidecar.
+type Provenance struct {
 	GeneratedBy string // what wrote it
 	Requires    string // the oldest program that can read it
 	Sources     string // digest of the catalogue
@@ -105,7 +105,7 @@
 	Source Source
 	settings.Deployment
 	ClassPolicies     []ClassPolicy // of its classes, in their order; none on the platform
-	Codes             Codes         // of the sidecar's own responses
+	StatusCodes       StatusCodes   // of the sidecar's own responses
 	SlowStartMultiple float64       // of its present capacity that a warming backend can take
 	CapacityFraction  float64       // of the service that this application may use; 0: not known
 	Trusted           bool          // backends send nothing after their responses: connections are reused at once
@@ -126,35 +126,35 @@
 	DedupScope  logic.DedupScope // of IdempotentByKey: which backends drop each other's duplicates
 	DedupWindow time.Duration    // of IdempotentByKey: for how long
 	Key         string           // of IdempotentByKey: the field that carries the key, in canonical form
-	Resend      Resend
+	RetryScope  RetryScope
 	EarlyData   bool     // accepted in early data (RFC 8470)
 	FormerNames []string // names that the class had
 }
 
-// Resend says where a request that may have run may be retried. One that has certainly not run
+// RetryScope says where a request that may have run may be retried. One that has certainly not run
 // always may.
-type Resend int
+type RetryScope int
 
 // The values of Resend.
 const (
-	Never   Resend = iota
-	InScope        // at backends that drop its duplicates, within their window
-	Any
+	RetryNever        RetryScope = iota
+	RetryInDedupScope            // at backends that drop its duplicates, within their window
+	RetryAnywhere
 )
 
 // String returns the word for it in a file.
-func (r Resend) String() string { return [...]string{"never", "scope", "any"}[r] }
+func (r RetryScope) String() string { return [...]string{"never", "scope", "any"}[r] }
 
-// Codes are the status codes of the sidecar's own responses; 0 is the default.
-type Codes struct {
+// StatusCodes are the status codes of the sidecar's own responses; 0 is the default.
+type StatusCodes struct {
 	Shed    int // nothing has run, or it is idempotent: 503 or 429
 	Failed  int // it may have run: 502 or 500
 	Expired int // its deadline is over, and it may have run: 504, 502 or 500
 }
 
 // WithDefaults returns the codes with the defaults for those that are 0.
-func (c Codes) WithDefaults() Codes {
-	return Codes{
+func (c StatusCodes) WithDefaults() StatusCodes {
+	return StatusCodes{
 		Shed:    cmp.Or(c.Shed, http.StatusServiceUnavailable),
 		Failed:  cmp.Or(c.Failed, http.StatusBadGateway),
 		Expired: cmp.Or(c.Expired, http.StatusGatewayTimeout),
@@ -185,15 +185,15 @@
 
 // Route is one rule and its targets.
 type Route struct {
-	Name      string
-	Listeners []string // empty: all
-	For       []string // classes of services that the application serves, as service/class, that cause it; empty: any
-	Match     route.Match
-	To        []Target
-	Sticky    string        // the field by which the arm of a split is chosen, in canonical form; empty: none
-	Rewrite   string        // the prefix that replaces the matched one; empty: none
-	Timeout   time.Duration // 0: the class's deadline
-	Mirror    *Target       // gets a copy of each request; may be nil
+	Name          string
+	Listeners     []string // empty: all
+	CausedBy      []string // classes of services that the application serves, as service/class, that cause it; empty: any
+	Match         route.Match
+	Targets       []Target
+	StickyHeader  string        // the field by which the arm of a split is chosen, in canonical form; empty: none
+	RewritePrefix string        // the prefix that replaces the matched one; empty: none
+	Timeout       time.Duration // 0: the class's deadline
+	Mirror        *Target       // gets a copy of each request; may be nil
 }
 
 // Target is the service and class of a route, or of one arm of its split.
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -18,14 +18,14 @@
 // decoder decodes one file. Each table of the format has a method of its own, in a file named after
 // the table.
 type decoder struct {
-	*tomldoc.Reader
+	*tomldoc.Collector
 	app     *App
 	version int // of the format; the newest where the file does not say
 }
 
 // decode decodes the document's tree.
 func (d *Document) decode() {
-	reader := &tomldoc.Reader{}
+	reader := &tomldoc.Collector{}
 	root := tomldoc.NewScope(reader, d.root)
 	defer func() { d.Diagnostics = append(d.Diagnostics, reader.Diagnostics...) }()
 	if isNewer := d.decodeVersion(root); isNewer {
@@ -37,11 +37,11 @@
 		for _, field := range version2Fields {
 			reader.LaterFields[field] = 2
 		}
-		root.ReportField(rules.OldVersion, "version", "version %d is the newest", Version)
+		root.ReportField(rules.OldVersion, "version", "version %d is the newest", FormatVersion)
 	}
-	dec := decoder{Reader: reader, app: &App{Version: max(1, d.Version)}, version: d.Version}
+	dec := decoder{Collector: reader, app: &App{Version: max(1, d.Version)}, version: d.Version}
 	if d.Version == 0 {
-		dec.version = Version
+		dec.version = FormatVersion
 	}
 	dec.decode(root)
 	d.App = dec.app
@@ -55,20 +55,20 @@
 func (d *Document) decodeVersion(root tomldoc.Scope) (isNewer bool) {
 	v := d.root.Fields["version"]
 	if v == nil {
-		root.ReportField(rules.Version, "version", "version = %d expected", Version)
+		root.ReportField(rules.Version, "version", "version = %d expected", FormatVersion)
 		return false
 	}
 	if v.Kind != tomldoc.Integer {
-		root.Int("version", 0, 1, Version) // which reports the kind
+		root.Int("version", 0, 1, FormatVersion) // which reports the kind
 		return false
 	}
 	n, err := parseInteger(v)
 	if err != nil || n < 1 {
-		root.ReportField(rules.Version, "version", "1 to %d expected", Version)
-	} else if n > Version {
+		root.ReportField(rules.Version, "version", "1 to %d expected", FormatVersion)
+	} else if n > FormatVersion {
 		root.ReportField(rules.Version, "version",
 			"this program (%s) reads versions 1 to %d; the file is of version %d",
-			Program, Version, n)
+			ProgramVersion, FormatVersion, n)
 		return true
 	}
 	d.Version = int(n)
--- a/internal/config/decode_class.go
+++ b/internal/config/decode_class.go
@@ -32,7 +32,7 @@
 		for _, former := range policy.FormerNames {
 			if formerNames[former] || slices.Contains(names, former) {
 				classScope.ReportField(rules.DoubleName, "formerly",
-					"%q is a name of another class too", tomldoc.Clip(former))
+					"%q is a name of another class too", tomldoc.Truncate(former))
 			}
 			formerNames[former] = true
 		}
@@ -61,7 +61,7 @@
 	policy := dec.policy(scope)
 	class.Idempotency, class.DedupScope = policy.Idempotency, policy.DedupScope
 	class.DedupWindow = policy.DedupWindow.Microseconds()
-	if policy.Resend == Never { // the module retries what has certainly not run, and nothing else
+	if policy.RetryScope == RetryNever { // the module retries what has certainly not run, and nothing else
 		class.Idempotency, class.DedupScope, class.DedupWindow = logic.NonIdempotent, logic.DedupTier, 0
 	}
 	return class, policy
@@ -98,11 +98,11 @@
 			scope.ReportField(rules.Missing, "dedup_window",
 				"how long its servers recall a key is expected of a keyed class")
 		}
-		return ClassPolicy{Idempotency: logic.IdempotentByKey, Resend: InScope}
+		return ClassPolicy{Idempotency: logic.IdempotentByKey, RetryScope: RetryInDedupScope}
 	case "unsafe":
 		return ClassPolicy{Idempotency: logic.NonIdempotent}
 	default:
-		return ClassPolicy{Idempotency: logic.Idempotent, Resend: Any, EarlyData: true}
+		return ClassPolicy{Idempotency: logic.Idempotent, RetryScope: RetryAnywhere, EarlyData: true}
 	}
 }
 
@@ -146,17 +146,17 @@
 
 // allowances decodes what a class is allowed or denied beside what follows from its idempotency.
 func (dec *decoder) allowances(scope tomldoc.Scope, policy *ClassPolicy) {
-	word := scope.OneOf("resend", policy.Resend.String(), "never", "scope", "any")
-	resend := map[string]Resend{"never": Never, "scope": InScope, "any": Any}[word]
+	word := scope.OneOf("resend", policy.RetryScope.String(), "never", "scope", "any")
+	resend := map[string]RetryScope{"never": RetryNever, "scope": RetryInDedupScope, "any": RetryAnywhere}[word]
 	switch {
-	case policy.Idempotency == logic.NonIdempotent && resend != Never:
+	case policy.Idempotency == logic.NonIdempotent && resend != RetryNever:
 		scope.ReportField(rules.UnsafeResend, "resend", `"never" expected of an unsafe class`)
-	case policy.Idempotency == logic.IdempotentByKey && resend == Any:
+	case policy.Idempotency == logic.IdempotentByKey && resend == RetryAnywhere:
 		scope.ReportField(rules.KeyedScope, "resend", `"scope" or "never" expected of a keyed class`)
-	case policy.Idempotency == logic.Idempotent && resend == InScope:
+	case policy.Idempotency == logic.Idempotent && resend == RetryInDedupScope:
 		scope.ReportField(rules.KeyedFields, "resend", `"any" or "never" expected of a safe class: it has no scope`)
 	default:
-		policy.Resend = resend
+		policy.RetryScope = resend
 	}
 	if scope.Bool("hedge") {
 		scope.ReportField(rules.Hedge, "hedge", "one attempt at a time expected")
--- a/internal/config/decode_identity.go
+++ b/internal/config/decode_identity.go
@@ -42,7 +42,7 @@
 // head decodes what a generator has written about the file.
 func (dec *decoder) head(root tomldoc.Scope) {
 	scope := root.Table("generated")
-	dec.app.Head = Head{
+	dec.app.Provenance = Provenance{
 		GeneratedBy: scope.Text("by", ""), Requires: scope.Text("requires", ""),
 		Sources: scope.Text("sources", ""), Environment: scope.Text("environment", ""),
 	}
@@ -54,13 +54,13 @@
 
 // checkRequires reports a file that asks for a newer program.
 func (dec *decoder) checkRequires(scope tomldoc.Scope) {
-	want := dec.app.Head.Requires
-	isNewer, err := IsNewer(want, Program)
+	want := dec.app.Provenance.Requires
+	isNewer, err := IsNewer(want, ProgramVersion)
 	if err != nil {
-		scope.ReportField(rules.Version, "requires", "a version such as %q expected", Program)
+		scope.ReportField(rules.Version, "requires", "a version such as %q expected", ProgramVersion)
 	} else if isNewer {
 		scope.ReportField(rules.Version, "requires", "this program is of version %s; the file asks for %s",
-			Program, tomldoc.Clip(want))
+			ProgramVersion, tomldoc.Truncate(want))
 	}
 }
 
@@ -79,7 +79,7 @@
 			at = v
 		}
 	}
-	scope.ReportAt(at, rules.Name, path, strconv.Quote(tomldoc.Clip(name)),
+	scope.ReportAt(at, rules.Name, path, strconv.Quote(tomldoc.Truncate(name)),
 		fmt.Sprintf("a name of 1 to %d letters, digits and signs expected", maxNameBytes))
 }
 
--- a/internal/config/decode_listener.go
+++ b/internal/config/decode_listener.go
@@ -21,7 +21,7 @@
 		}
 		seen[l.Name] = true
 		for i, other := range dec.app.Listeners {
-			if AddressesClash(other.Address, l.Address) {
+			if AddressesConflict(other.Address, l.Address) {
 				scope.ReportField(rules.ListenerClash, "address",
 					"listener %s of number %d has this address", other.Name, i+1)
 			}
@@ -33,9 +33,9 @@
 	}
 }
 
-// AddressesClash reports whether two listeners of one host could not both open: they have the same
+// AddressesConflict reports whether two listeners of one host could not both open: they have the same
 // port other than 0, and the same address, or one of them all addresses.
-func AddressesClash(a, b string) bool {
+func AddressesConflict(a, b string) bool {
 	hostA, portA, errA := net.SplitHostPort(a)
 	hostB, portB, errB := net.SplitHostPort(b)
 	if errA != nil || errB != nil || portA != portB || portA == "0" {
--- a/internal/config/decode_listener_test.go
+++ b/internal/config/decode_listener_test.go
@@ -17,7 +17,7 @@
 		{"[::1]:80", "[0:0::1]:80", true},
 		{"x", "x", false},
 	} {
-		if got := AddressesClash(test.a, test.b); got != test.clash || AddressesClash(test.b, test.a) != test.clash {
+		if got := AddressesConflict(test.a, test.b); got != test.clash || AddressesConflict(test.b, test.a) != test.clash {
 			t.Errorf("%s, %s: got %v", test.a, test.b, got)
 		}
 	}
--- a/internal/config/decode_process.go
+++ b/internal/config/decode_process.go
@@ -25,7 +25,7 @@
 	if scope.Has("state_dir") && app.StateDir == "" {
 		scope.ReportField(rules.Missing, "state_dir", "a folder expected")
 	}
-	app.ListAge = scope.Duration("list_age", defaultListAge, 0, maxListAge)
+	app.MaxListAge = scope.Duration("list_age", defaultListAge, 0, maxListAge)
 	if scope.Has("list_age") && app.StateDir == "" {
 		scope.ReportField(rules.Missing, "list_age", "state_dir, the folder that lists are kept in, expected beside it")
 	}
--- a/internal/config/decode_route.go
+++ b/internal/config/decode_route.go
@@ -40,19 +40,19 @@
 // route decodes one route.
 func (dec *decoder) route(scope tomldoc.Scope) Route {
 	r := Route{
-		Name: scope.Text("name", ""), Listeners: scope.Strings("listeners"), Rewrite: scope.Text("rewrite_prefix", ""),
+		Name: scope.Text("name", ""), Listeners: scope.Strings("listeners"), RewritePrefix: scope.Text("rewrite_prefix", ""),
 		Timeout: scope.Duration("timeout", 0, minTime, maxRouteTimeout),
 	}
 	CheckName(scope, "name", r.Name)
 	for _, name := range r.Listeners {
 		if !slices.ContainsFunc(dec.app.Listeners, func(l Listener) bool { return l.Name == name }) {
-			scope.ReportField(rules.UnknownListener, "listeners", "no listener is named %q", tomldoc.Clip(name))
+			scope.ReportField(rules.UnknownListener, "listeners", "no listener is named %q", tomldoc.Truncate(name))
 		}
 	}
-	r.For = dec.causes(scope)
+	r.CausedBy = dec.causes(scope)
 	r.Match = dec.match(scope)
 	dec.checkRewrite(scope, r)
-	r.Sticky = dec.stickyField(scope)
+	r.StickyHeader = dec.stickyField(scope)
 	dec.targets(scope, &r)
 	scope.ReportUnknown()
 	return r
@@ -68,7 +68,7 @@
 		service, class, ok := strings.Cut(cause, "/")
 		if !ok || !IsName(class) || !slices.Contains(dec.app.Serves, service) {
 			scope.ReportField(rules.UnknownService, "for",
-				"service/class of what the application serves expected, found %q", tomldoc.Clip(cause))
+				"service/class of what the application serves expected, found %q", tomldoc.Truncate(cause))
 		}
 	}
 	return causes
@@ -112,7 +112,7 @@
 	if !scope.Has("rewrite_prefix") {
 		return
 	}
-	if canonical, err := route.CanonicalPath(r.Rewrite); err != nil || canonical != r.Rewrite {
+	if canonical, err := route.CanonicalPath(r.RewritePrefix); err != nil || canonical != r.RewritePrefix {
 		scope.ReportField(rules.Rewrite, "rewrite_prefix", "a path in canonical form expected")
 	}
 	if r.Match.Kind != route.Prefix {
--- a/internal/config/decode_service.go
+++ b/internal/config/decode_service.go
@@ -107,7 +107,7 @@
 			"1 at least expected: sidecars may send a cold backend all that it can do")
 	}
 	codes := scope.Table("answers")
-	s.Codes = Codes{
+	s.StatusCodes = StatusCodes{
 		Shed:    statusCode(codes, "refused", 503, 429),
 		Failed:  statusCode(codes, "failed", 502, 500),
 		Expired: statusCode(codes, "expired", 504, 502, 500),
--- a/internal/config/decode_target.go
+++ b/internal/config/decode_target.go
@@ -25,14 +25,14 @@
 		if scope.Has("sticky_header") {
 			scope.ReportField(rules.Exclusive, "sticky_header", "goes with a split")
 		}
-		r.To = []Target{dec.target(scope, 1)}
+		r.Targets = []Target{dec.target(scope, 1)}
 		scope.MarkKnown("split")
 	} else {
 		scope.MarkKnown("service", "class")
-		r.To = dec.split(scope, arms)
+		r.Targets = dec.split(scope, arms)
 	}
 	dec.checkTargets(scope, r)
-	r.Mirror = dec.mirror(scope, r.To)
+	r.Mirror = dec.mirror(scope, r.Targets)
 }
 
 // split decodes the arms of a split and their weights.
@@ -93,7 +93,7 @@
 // expectOneOf returns a text that is followed by the nearest of some names or, if there is none, by
 // the first of them.
 func expectOneOf(text, word string, names []string) string {
-	if guess := tomldoc.WithNearest(text, word, names); guess != text && word != "" {
+	if guess := tomldoc.WithSuggestion(text, word, names); guess != text && word != "" {
 		return guess
 	}
 	if len(names) > maxNamesListed {
@@ -107,7 +107,7 @@
 // fit their classes.
 func (dec *decoder) checkTargets(scope tomldoc.Scope, r *Route) {
 	first := -1 // index of the first target whose class is known; the others are reported already
-	for i, target := range r.To {
+	for i, target := range r.Targets {
 		class, policy, ok := dec.app.class(target)
 		if !ok {
 			continue
@@ -116,7 +116,7 @@
 			first = i
 			dec.checkSticky(scope, r, target, policy)
 		} else {
-			dec.checkAgreement(scope, r.To[first], target)
+			dec.checkAgreement(scope, r.Targets[first], target)
 		}
 		checkTimeout(scope, r, target, class)
 	}
@@ -124,12 +124,12 @@
 
 // checkSticky reports a split of a keyed class whose arm is chosen by another field than the key.
 func (dec *decoder) checkSticky(scope tomldoc.Scope, r *Route, target Target, policy ClassPolicy) {
-	if policy.Idempotency != logic.IdempotentByKey || len(r.To) == 1 || r.Sticky == "" || r.Sticky == policy.Key {
+	if policy.Idempotency != logic.IdempotentByKey || len(r.Targets) == 1 || r.StickyHeader == "" || r.StickyHeader == policy.Key {
 		return
 	}
 	scope.ReportField(rules.SplitScope, "sticky_header",
 		"class %s of %s is keyed: one key may come with two values of %s",
-		target.Class, target.Service, r.Sticky)
+		target.Class, target.Service, r.StickyHeader)
 }
 
 // checkAgreement reports two arms of a split whose classes have different policies for running a
--- a/internal/config/decode_test.go
+++ b/internal/config/decode_test.go
@@ -126,8 +126,8 @@
 func testRoutesOfValidFile(t *testing.T, a *App) {
 	t.Helper()
 	r := a.Routes[0]
-	if r.Timeout != 900*time.Millisecond || r.To[0] != (Target{Service: "tariff", Class: "lookup", Weight: 1}) ||
-		r.Rewrite != "/tariffs" || *r.Mirror != (Target{Service: "tariff", Class: "lookup"}) {
+	if r.Timeout != 900*time.Millisecond || r.Targets[0] != (Target{Service: "tariff", Class: "lookup", Weight: 1}) ||
+		r.RewritePrefix != "/tariffs" || *r.Mirror != (Target{Service: "tariff", Class: "lookup"}) {
 		t.Errorf("got %+v", r)
 	}
 	if r.Match.Kind != route.Prefix || len(r.Match.Headers) != 2 || !r.Match.Headers[0].Any ||
@@ -135,7 +135,7 @@
 		t.Errorf("got %+v", r.Match)
 	}
 	r = a.Routes[2]
-	if len(r.To) != 2 || r.To[1].Weight != 5 || r.Sticky != "X-Account" || r.Match.Kind != route.Exact {
+	if len(r.Targets) != 2 || r.Targets[1].Weight != 5 || r.StickyHeader != "X-Account" || r.Match.Kind != route.Exact {
 		t.Errorf("got %+v", r)
 	}
 	if _, indexes, err := a.Table("main"); err != nil || len(indexes) != 3 {
--- a/internal/config/diagnostics_test.go
+++ b/internal/config/diagnostics_test.go
@@ -20,7 +20,7 @@
 		{"version = 1\n", "", `f:1:1: version: version = 2 expected`},
 		{
 			"version = 1", "version = 9",
-			`f:1:11: version: found 9: this program (` + Program + `) reads versions 1 to 2; the file is of version 9`,
+			`f:1:11: version: found 9: this program (` + ProgramVersion + `) reads versions 1 to 2; the file is of version 9`,
 		},
 		{"version = 1", `version = "1"`, `f:1:11: version: found "1": an integer expected`},
 		{"cores = 2", "cors = 2", `f:5:8: process.cors: unknown field; cores meant?`},
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -77,12 +77,12 @@
 		return tomldoc.Place{File: d.File}, false
 	}
 	v, isSet := d.root.Lookup(path...)
-	return d.From(v.Place), isSet
+	return d.SourcePlace(v.Place), isSet
 }
 
-// From returns where a place of the file comes from: the place itself, unless the file was
+// SourcePlace returns where a place of the file comes from: the place itself, unless the file was
 // generated.
-func (d *Document) From(place tomldoc.Place) tomldoc.Place {
+func (d *Document) SourcePlace(place tomldoc.Place) tomldoc.Place {
 	if place.Line < 1 || place.Line > len(d.Origin) {
 		return place
 	}
--- a/internal/config/fragments.go
+++ b/internal/config/fragments.go
@@ -46,8 +46,8 @@
 	return append(slices.Clone(text), '\n')
 }
 
-// Undivided returns a file as one fragment.
-func Undivided(data []byte) map[string][]byte { return map[string][]byte{headFragment: data} }
+// SingleFragment returns a file as one fragment.
+func SingleFragment(data []byte) map[string][]byte { return map[string][]byte{headFragment: data} }
 
 // Join returns the file of some fragments. It does not check them.
 func Join(fragments map[string][]byte) []byte {
@@ -60,8 +60,8 @@
 	return file
 }
 
-// SameMeaning reports whether two configurations are the same but for the order of their services.
-func SameMeaning(a, b *App) bool {
+// Equivalent reports whether two configurations are the same but for the order of their services.
+func Equivalent(a, b *App) bool {
 	x, y := *a, *b
 	x.Services, y.Services = sortedByName(a.Services), sortedByName(b.Services)
 	return reflect.DeepEqual(x, y)
--- a/internal/config/fragments_test.go
+++ b/internal/config/fragments_test.go
@@ -26,7 +26,7 @@
 		}
 		checked++
 		got, err := config.Decode(name, config.Join(config.Fragments(data)))
-		if err != nil || !config.SameMeaning(got, want) {
+		if err != nil || !config.Equivalent(got, want) {
 			t.Errorf("%s: %v, or another configuration", name, err)
 		}
 	}
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -12,26 +12,26 @@
 	"fernlanding/logic"
 )
 
-// Step is one change of a migration.
-type Step struct {
+// MigrationStep is one change of a migration.
+type MigrationStep struct {
 	Place tomldoc.Place // in the file as it was
 	What  string
 	Why   string
 }
 
 // String returns the step as one line.
-func (s Step) String() string { return fmt.Sprintf("%s: %s; %s", s.Place, s.What, s.Why) }
+func (s MigrationStep) String() string { return fmt.Sprintf("%s: %s; %s", s.Place, s.What, s.Why) }
 
 // Migrate returns a file of an older version in the newest one, and the steps that were taken.
 // Comments, order and all values stay; what the older version left unsaid and the newest requires
 // is said as the older one meant it. The error is tomldoc.Diagnostics with what the newest version
 // rejects: then nothing that means the same can be written, and an operator has to decide.
-func Migrate(file string, data []byte) (migrated []byte, steps []Step, err error) {
+func Migrate(file string, data []byte) (migrated []byte, steps []MigrationStep, err error) {
 	d := Read(file, data)
 	if d.App == nil {
 		return nil, nil, d.rejecting(d.Diagnostics)
 	}
-	if d.Version == Version {
+	if d.Version == FormatVersion {
 		return data, nil, nil
 	}
 	m := migration{doc: d, data: data}
@@ -68,11 +68,11 @@
 	doc   *Document
 	data  []byte
 	edits []edit
-	steps []Step
+	steps []MigrationStep
 }
 
 func (m *migration) addStep(at tomldoc.Place, what, why string) {
-	m.steps = append(m.steps, Step{Place: at, What: what, Why: why})
+	m.steps = append(m.steps, MigrationStep{Place: at, What: what, Why: why})
 }
 
 func (m *migration) replace(at tomldoc.Range, text string) {
@@ -82,8 +82,8 @@
 // setVersion replaces the version.
 func (m *migration) setVersion() {
 	version := m.doc.root.Fields["version"]
-	m.replace(version.Raw, fmt.Sprint(Version))
-	m.addStep(version.Place, fmt.Sprintf("version = %d", Version), "the format that the file is in from here on")
+	m.replace(version.Raw, fmt.Sprint(FormatVersion))
+	m.addStep(version.Place, fmt.Sprintf("version = %d", FormatVersion), "the format that the file is in from here on")
 }
 
 // setName adds or replaces the application's name where it has none that is valid.
--- a/internal/config/migrate_test.go
+++ b/internal/config/migrate_test.go
@@ -37,7 +37,7 @@
 			t.Fatal("migrated, and rejected before")
 		}
 		after := Read("f", migrated)
-		if after.App == nil || after.Version != Version {
+		if after.App == nil || after.Version != FormatVersion {
 			t.Fatalf("%v\n%s", after.Diagnostics, migrated)
 		}
 		if before.Version == 1 && len(steps) == 0 {
@@ -61,7 +61,7 @@
 		for n, want := range s.ClassPolicies {
 			got := after.Services[i].ClassPolicies[n]
 			if got.Idempotency != want.Idempotency || got.DedupWindow != want.DedupWindow ||
-				got.DedupScope != want.DedupScope || got.Key != want.Key || got.Resend != want.Resend {
+				got.DedupScope != want.DedupScope || got.Key != want.Key || got.RetryScope != want.RetryScope {
 				t.Fatalf("%s.%s: %+v, before %+v", s.Name, s.Classes[n], got, want)
 			}
 		}
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -56,9 +56,9 @@
 func (dec *decoder) reportShadowed(listener string, scopes []tomldoc.Scope, index, earlier int) {
 	dec.Diagnostics = append(dec.Diagnostics, tomldoc.Diagnostic{
 		Place: scopes[index].Value.Place, Rule: rules.RouteDead, Field: scopes[index].Path,
-		Found: strconv.Quote(tomldoc.Clip(dec.app.Routes[index].Name)), See: scopes[earlier].Value.Place,
+		Found: strconv.Quote(tomldoc.Truncate(dec.app.Routes[index].Name)), See: scopes[earlier].Value.Place,
 		Expect: fmt.Sprintf("it can't be reached at listener %s: %q takes all its requests before",
-			listener, tomldoc.Clip(dec.app.Routes[earlier].Name)),
+			listener, tomldoc.Truncate(dec.app.Routes[earlier].Name)),
 	})
 }
 
--- a/internal/config/testdata_test.go
+++ b/internal/config/testdata_test.go
@@ -39,7 +39,7 @@
 // checkCase checks the case in a directory, and returns its applications' files.
 func checkCase(t *testing.T, path string) ([]check.File, tomldoc.Diagnostics) {
 	t.Helper()
-	deployed, err := dir.Deployed(filepath.Join(path, "deployed"))
+	deployed, err := dir.ReadDeployed(filepath.Join(path, "deployed"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/version1_test.go
+++ b/internal/config/version1_test.go
@@ -54,7 +54,7 @@
 
 // compareWithFrozen compares the result of a migration with a file that has it: the migrated file
 // and the steps, or the error.
-func compareWithFrozen(t *testing.T, frozen string, migrated []byte, steps []config.Step, err error) {
+func compareWithFrozen(t *testing.T, frozen string, migrated []byte, steps []config.MigrationStep, err error) {
 	t.Helper()
 	got := string(migrated)
 	for _, step := range steps {
--- a/internal/conformance/http1_test.go
+++ b/internal/conformance/http1_test.go
@@ -40,7 +40,7 @@
 	case serve, created, informational, trailingBytes, overloaded, serverError, unavailable, invalidRequest:
 		return true
 	case stall, hang:
-		return standin.Hangs(c)
+		return standin.Hang(c)
 	default:
 		return false
 	}
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -25,7 +25,7 @@
 	Text      string        `json:"says"`
 	Place     tomldoc.Place `json:"-"`
 	IsDefault bool          `json:"default,omitempty"` // the file does not state the value
-	Where     string        `json:"where,omitempty"`   // Place as file:line
+	Location  string        `json:"where,omitempty"`   // Place as file:line
 }
 
 // Explanation is what a sidecar would do with a request.
@@ -89,7 +89,7 @@
 		place, isStated := e.doc.Place(path...)
 		line.Place = place
 		line.IsDefault = !isStated
-		line.Where = place.Short()
+		line.Location = place.Short()
 	}
 	e.explanation.Lines = append(e.explanation.Lines, line)
 }
@@ -138,11 +138,11 @@
 
 // rewrite explains the path that a request is forwarded with.
 func (e *explainer) rewrite(table *route.Table, matched int, r matchedRoute) {
-	if r.Rewrite == "" {
+	if r.RewritePrefix == "" {
 		return
 	}
 	field := subpath(r.path, "rewrite_prefix")
-	if rewritten, ok := table.Rewrite(matched, e.request.Path, r.Rewrite); ok {
+	if rewritten, ok := table.Rewrite(matched, e.request.Path, r.RewritePrefix); ok {
 		e.explain("path", field, "goes on as %s", rewritten)
 	} else {
 		e.explain("path", field, "answered 400: a path that is not in canonical form can't be rewritten")
@@ -152,32 +152,32 @@
 // target returns the target of a route; of a split it is that of the arm which the request's key is
 // assigned to, or the first where the arm is drawn at random.
 func (e *explainer) target(r matchedRoute) config.Target {
-	if len(r.To) == 1 {
-		e.explain("service", subpath(r.path, "service"), "%s", r.To[0].Service)
-		return r.To[0]
+	if len(r.Targets) == 1 {
+		e.explain("service", subpath(r.path, "service"), "%s", r.Targets[0].Service)
+		return r.Targets[0]
 	}
 	field := subpath(r.path, "split")
-	weights := splitWeights(r.To)
+	weights := splitWeights(r.Targets)
 	keyHeader := e.splitKeyHeader(r)
-	split, err := route.NewSplit(r.Name, splitArms(r.To))
+	split, err := route.NewSplit(r.Name, splitArms(r.Targets))
 	if key := e.headerValue(keyHeader); err == nil && key != "" {
-		target := r.To[split.ForKey(key)]
+		target := r.Targets[split.ForKey(key)]
 		e.explain("service", field,
 			"%s, by the hash of %s: %s (of %s); a key that went elsewhere before goes there while it is recalled",
 			target.Service, keyHeader, key, weights)
 		return target
 	}
-	e.explain("service", field, "drawn: %s; what follows is for %s", weights, r.To[0].Service)
-	return r.To[0]
+	e.explain("service", field, "drawn: %s; what follows is for %s", weights, r.Targets[0].Service)
+	return r.Targets[0]
 }
 
 // splitKeyHeader returns the header field by which the arm of a split is assigned: the route's
 // sticky header if the request has one, else that of the idempotency key.
 func (e *explainer) splitKeyHeader(r matchedRoute) string {
-	if r.Sticky != "" && e.headerValue(r.Sticky) != "" {
-		return r.Sticky
+	if r.StickyHeader != "" && e.headerValue(r.StickyHeader) != "" {
+		return r.StickyHeader
 	}
-	if key := e.policy(r.To[0]).Key; key != "" {
+	if key := e.policy(r.Targets[0]).Key; key != "" {
 		return key
 	}
 	return config.DefaultKey
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -80,7 +80,7 @@
 func partText(explanation Explanation, part string) string {
 	for _, l := range explanation.Lines {
 		if l.Part == part {
-			where := l.Where
+			where := l.Location
 			if l.IsDefault {
 				where = "default of " + where
 			}
--- a/internal/explain/service.go
+++ b/internal/explain/service.go
@@ -149,10 +149,10 @@
 	}
 	notRun := "after an attempt that is proven not to have run (" + noCapacity +
 		"no connection): to any backend that is not draining"
-	switch c.policy.Resend {
-	case config.Never:
+	switch c.policy.RetryScope {
+	case config.RetryNever:
 		e.explain("sent again", c.classField("resend"), "%s; never once it may have run", notRun)
-	case config.InScope:
+	case config.RetryInDedupScope:
 		e.explain("sent again", c.classField("dedup_scope"),
 			"%s; once it may have run: to %s, which drops its repeats by %s",
 			notRun, scopeText(c.policy.DedupScope), c.policy.Key)
@@ -180,7 +180,7 @@
 
 // failures explains the status codes of the sidecar's own responses.
 func (e *explainer) failures(c *serviceClass) {
-	codes := c.service.Codes.WithDefaults()
+	codes := c.service.StatusCodes.WithDefaults()
 	hint := "without a time to come back"
 	if longest := c.service.Balancer.MaxRetryAfter; longest > 0 {
 		hint = fmt.Sprintf("with a Retry-After of %v at most", microseconds(longest))
--- a/internal/fleetsim/sockets_test.go
+++ b/internal/fleetsim/sockets_test.go
@@ -85,7 +85,7 @@
 	t.Cleanup(d.Close)
 	var workers []*standin.Worker
 	for i, s := range day.speeds {
-		w, err := standin.NewWorker(standin.WorkerConfig{Cores: 2, Waiting: 16, Work: day.work, Speed: s})
+		w, err := standin.NewWorker(standin.WorkerConfig{Cores: 2, QueueSize: 16, ServiceTime: day.work, Speed: s})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -113,11 +113,11 @@
 class = "lookup"
 `, d.Addr(), day.class.Objective, day.class.Deadline))
 	if day.slow {
-		fault := time.AfterFunc(day.length/5, func() { workers[0].Slow(8) })
+		fault := time.AfterFunc(day.length/5, func() { workers[0].SetSlowdown(8) })
 		defer fault.Stop()
 	}
 	load := standin.Load{
-		Addr: s.Addr(), Classes: []standin.Class{day.class}, Rate: day.rate, For: day.length, Seed: 1, Tag: "day",
+		Addr: s.Addr(), Classes: []standin.Class{day.class}, Rate: day.rate, Duration: day.length, Seed: 1, IDPrefix: "day",
 	}
 	r := load.Run(context.Background())[0]
 	return float64(r.Served-r.Late) / float64(r.Sent)
--- a/internal/harness/check/check.go
+++ b/internal/harness/check/check.go
@@ -12,30 +12,30 @@
 
 // Verdict is one violation of a check.
 type Verdict struct {
-	Check string `json:"check"`
-	At    int64  `json:"at"` // microseconds from the run's start
-	What  string `json:"what"`
+	Check   string `json:"check"`
+	At      int64  `json:"at"` // microseconds from the run's start
+	Message string `json:"what"`
 }
 
 // String returns the verdict in one line.
 func (v Verdict) String() string {
-	return fmt.Sprintf("%s at %.3fs: %s", v.Check, float64(v.At)/second, v.What)
+	return fmt.Sprintf("%s at %.3fs: %s", v.Check, float64(v.At)/second, v.Message)
 }
 
 // The names of the checks. They are stored with verdicts.
 const (
-	OneAnswer = "one-answer" // an accepted request gets one complete response of its own before its deadline
-	Effects   = "effects"    // no request has its effect twice
-	Drains    = "drains"     // no request is sent to a backend more than 250 ms after its draining could be read
-	Warmup    = "cold"       // no cold backend is overloaded
-	Misrouted = "strays"     // no non-idempotent request goes to an address that another service has taken
-	Processes = "processes"  // no process exits by itself, and none is left
-	Bounds    = "bounds"     // the bounds of the scenario are kept
+	OneResponse = "one-answer" // an accepted request gets one complete response of its own before its deadline
+	Effects     = "effects"    // no request has its effect twice
+	Drains      = "drains"     // no request is sent to a backend more than 250 ms after its draining could be read
+	Warmup      = "cold"       // no cold backend is overloaded
+	Misrouted   = "strays"     // no non-idempotent request goes to an address that another service has taken
+	Processes   = "processes"  // no process exits by itself, and none is left
+	Bounds      = "bounds"     // the bounds of the scenario are kept
 )
 
 // Names returns the names of all checks.
 func Names() []string {
-	return []string{OneAnswer, Effects, Drains, Warmup, Misrouted, Processes, Bounds}
+	return []string{OneResponse, Effects, Drains, Warmup, Misrouted, Processes, Bounds}
 }
 
 // Times are in microseconds.
@@ -97,11 +97,11 @@
 	if more <= 0 {
 		return found
 	}
-	rest := Verdict{Check: found[0].Check, At: found[maxVerdicts].At, What: fmt.Sprintf("and %d more", more)}
+	rest := Verdict{Check: found[0].Check, At: found[maxVerdicts].At, Message: fmt.Sprintf("and %d more", more)}
 	return append(found[:maxVerdicts:maxVerdicts], rest)
 }
 
 // verdictf returns a verdict with a formatted text.
 func verdictf(check string, at int64, format string, args ...any) Verdict {
-	return Verdict{Check: check, At: at, What: fmt.Sprintf(format, args...)}
+	return Verdict{Check: check, At: at, Message: fmt.Sprintf(format, args...)}
 }
--- a/internal/harness/check/check_test.go
+++ b/internal/harness/check/check_test.go
@@ -29,19 +29,19 @@
 func requested(at, took int64, status int, why string) history.Event {
 	return history.Event{
 		At: at * ms, Kind: history.Requested, To: "sidecar-1", ID: "r", Class: "charge-post",
-		Took: took * ms, Until: (at + 2000) * ms, Status: status, Why: why,
+		Took: took * ms, Until: (at + 2000) * ms, Status: status, Reason: why,
 	}
 }
 
 func executed(at int64, id, key, who string, pod int) history.Event {
 	return history.Event{
-		At: at * ms, Kind: history.Executed, Class: "POST", ID: id, Key: key, Who: who, Pod: pod,
+		At: at * ms, Kind: history.Executed, Class: "POST", ID: id, Key: key, Who: who, Cell: pod,
 	}
 }
 
 func polled(at int64, why string, names ...string) history.Event {
 	return history.Event{
-		At: at * ms, Kind: history.ListPolled, To: "sidecar-1", Conn: "c", Bytes: at, Names: names, Why: why,
+		At: at * ms, Kind: history.ListPolled, To: "sidecar-1", Conn: "c", Bytes: at, Names: names, Reason: why,
 	}
 }
 
@@ -59,7 +59,7 @@
 
 // deleted is a backend that leaves the endpoint list.
 func deleted(at int64) history.Event {
-	return history.Event{At: at * ms, Kind: history.MemberStatus, Who: "backend-1", Why: "DELETED"}
+	return history.Event{At: at * ms, Kind: history.MemberStatus, Who: "backend-1", Reason: "DELETED"}
 }
 
 // misrouted is a request at the service that has taken the backend's address.
@@ -81,8 +81,8 @@
 	}{
 		{"served", "", []history.Event{requested(0, 10, 200, "")}},
 		{"served late, which earns nothing", "", []history.Event{requested(0, 2400, 200, "")}},
-		{"answered after its client has gone", check.OneAnswer, []history.Event{requested(0, 2600, 200, "")}},
-		{"no answer", check.OneAnswer, []history.Event{requested(0, 2500, 0, worker.TimedOut)}},
+		{"answered after its client has gone", check.OneResponse, []history.Event{requested(0, 2600, 200, "")}},
+		{"no answer", check.OneResponse, []history.Event{requested(0, 2500, 0, worker.TimedOut)}},
 		{
 			"no answer of one that is killed", "",
 			[]history.Event{
@@ -91,14 +91,14 @@
 			},
 		},
 		{
-			"no answer long after another was killed", check.OneAnswer,
+			"no answer long after another was killed", check.OneResponse,
 			[]history.Event{
 				requested(0, 100, 0, worker.ClosedEarly),
 				processEvent(90, history.Terminating, "sidecar-2"),
 			},
 		},
 		{
-			"no answer of one that is back since long", check.OneAnswer,
+			"no answer of one that is back since long", check.OneResponse,
 			[]history.Event{
 				processEvent(0, history.Terminating, "sidecar-1"),
 				processEvent(500, history.Ready, "sidecar-1"),
@@ -114,11 +114,11 @@
 			[]history.Event{cut(0, 1), requested(10, 2500, 0, worker.TimedOut), cut(3000, 0)},
 		},
 		{
-			"no answer long after a cut", check.OneAnswer,
+			"no answer long after a cut", check.OneResponse,
 			[]history.Event{cut(0, 1), cut(100, 0), requested(1000, 2500, 0, worker.TimedOut)},
 		},
 		{
-			"another's answer, whatever the link", check.OneAnswer,
+			"another's answer, whatever the link", check.OneResponse,
 			[]history.Event{cut(0, 1), requested(10, 10, 200, worker.WrongResponse)},
 		},
 
@@ -222,18 +222,18 @@
 		},
 		{
 			"a process that ends by itself", check.Processes,
-			[]history.Event{{At: 1, Kind: history.Exited, Who: "sidecar-1", Why: "by itself: ended"}},
+			[]history.Event{{At: 1, Kind: history.Exited, Who: "sidecar-1", Reason: "by itself: ended"}},
 		},
 		{
 			"a process that fails at its end", check.Processes,
-			[]history.Event{{At: 1, Kind: history.Exited, Who: "sidecar-1", Why: "exit status 1"}},
+			[]history.Event{{At: 1, Kind: history.Exited, Who: "sidecar-1", Reason: "exit status 1"}},
 		},
 		{
 			"one that was killed", "",
-			[]history.Event{{At: 1, Kind: history.Exited, Who: "sidecar-1", Why: "signal: killed"}},
+			[]history.Event{{At: 1, Kind: history.Exited, Who: "sidecar-1", Reason: "signal: killed"}},
 		},
 	} {
-		all := append(slices.Clone(c.events), history.Event{At: 99_000_000, Kind: history.Ended})
+		all := append(slices.Clone(c.events), history.Event{At: 99_000_000, Kind: history.RunEnded})
 		history.Sort(all)
 		var names []string
 		for _, v := range check.Run(newScenario(t, ""), all) {
@@ -243,7 +243,7 @@
 			t.Errorf("%s: %q, want %q", c.name, names, c.check)
 		}
 	}
-	for name, last := range map[string][]history.Event{"left": {{Kind: history.Ended, N: 1}}, "broken off": nil} {
+	for name, last := range map[string][]history.Event{"left": {{Kind: history.RunEnded, N: 1}}, "broken off": nil} {
 		if v := check.Run(newScenario(t, ""), last); len(v) != 1 || v[0].Check != check.Processes {
 			t.Errorf("%s: %v", name, v)
 		}
--- a/internal/harness/check/drains.go
+++ b/internal/harness/check/drains.go
@@ -58,7 +58,7 @@
 		}
 	}
 	for _, e := range events {
-		if e.Kind != history.ListPolled || len(e.Names) == 0 && e.Why != history.Snapshot {
+		if e.Kind != history.ListPolled || len(e.Names) == 0 && e.Reason != history.Snapshot {
 			continue
 		}
 		response := listResponse{Event: e, readAt: openEnd}
@@ -114,7 +114,7 @@
 			changes = append(changes, listChange{at: r.readAt, name: name, isOut: true})
 		}
 	}
-	if r.Why != history.Snapshot || r.readAt == openEnd {
+	if r.Reason != history.Snapshot || r.readAt == openEnd {
 		return changes
 	}
 	for _, name := range backends {
--- a/internal/harness/check/figures_test.go
+++ b/internal/harness/check/figures_test.go
@@ -57,7 +57,7 @@
 	return append(all,
 		requested(4000, 10, 200, ""),
 		requested(4001, 10, 503, ""),
-		history.Event{At: 8_000_000, Kind: history.Ended})
+		history.Event{At: 8_000_000, Kind: history.RunEnded})
 }
 
 // lossScenario has two sites, of which the first is killed for eight seconds.
@@ -108,7 +108,7 @@
 		}
 		all = append(all, e, attempt)
 	}
-	all = append(all, history.Event{At: 20_000_000, Kind: history.Ended})
+	all = append(all, history.Event{At: 20_000_000, Kind: history.RunEnded})
 	history.Sort(all)
 	f := check.Measure(spec, all)
 	if len(f.Losses) != 1 {
--- a/internal/harness/check/measurement.go
+++ b/internal/harness/check/measurement.go
@@ -152,7 +152,7 @@
 	at := (e.At - e.Took) / second
 	if e.N < 0 {
 		m.snapshots[at]++
-		if e.Why == history.CallerLeft {
+		if e.Reason == history.CallerLeft {
 			m.SnapshotsAbandoned++
 		}
 	} else {
--- a/internal/harness/check/processes.go
+++ b/internal/harness/check/processes.go
@@ -13,9 +13,9 @@
 	isComplete := false
 	for _, e := range events {
 		switch {
-		case e.Kind == history.Exited && isFailure(e.Why):
-			verdicts = append(verdicts, verdictf(Processes, e.At, "%s has ended: %s", e.Who, e.Why))
-		case e.Kind == history.Ended:
+		case e.Kind == history.Exited && isFailure(e.Reason):
+			verdicts = append(verdicts, verdictf(Processes, e.At, "%s has ended: %s", e.Who, e.Reason))
+		case e.Kind == history.RunEnded:
 			isComplete = true
 			if e.N > 0 {
 				verdicts = append(verdicts, verdictf(Processes, e.At, "%d processes are left", e.N))
--- a/internal/harness/check/requests.go
+++ b/internal/harness/check/requests.go
@@ -16,7 +16,7 @@
 			continue
 		}
 		if reason := responseFailure(h, e); reason != "" {
-			verdicts = append(verdicts, verdictf(OneAnswer, e.At, "%s %s at %s, %d ms: %s",
+			verdicts = append(verdicts, verdictf(OneResponse, e.At, "%s %s at %s, %d ms: %s",
 				e.Class, e.ID, e.To, e.Took/1000, reason))
 		}
 	}
@@ -28,10 +28,10 @@
 func responseFailure(h *indexedHistory, e history.Event) string {
 	end := e.At + e.Took
 	switch {
-	case e.Why == worker.WrongResponse || e.Why == worker.TrailingBytes:
-		return e.Why // no fault causes this
+	case e.Reason == worker.WrongResponse || e.Reason == worker.TrailingBytes:
+		return e.Reason // no fault causes this
 	case e.Status == 0 && !h.isExcused(e.To, e.At, end):
-		return e.Why
+		return e.Reason
 	case e.Status != 0 && end > e.Until+lateLeeway && !h.isExcused(e.To, e.At, end):
 		return "its answer came after its client had gone"
 	}
@@ -67,7 +67,7 @@
 
 // isDeduplicated reports whether the pod that executed a key first drops its repetition.
 func isDeduplicated(first, repetition history.Event) bool {
-	return repetition.Key != "" && first.Pod == repetition.Pod &&
+	return repetition.Key != "" && first.Cell == repetition.Cell &&
 		repetition.At-first.At < worker.DedupWindow.Microseconds()
 }
 
@@ -94,7 +94,7 @@
 		switch e.Kind {
 		case history.MemberStatus:
 			delete(deletedAt, e.Who)
-			if e.Why == "DELETED" {
+			if e.Reason == "DELETED" {
 				deletedAt[e.Who] = e.At
 			}
 		case history.Started:
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -36,7 +36,7 @@
 // beginFault begins a fault and returns what ends it.
 func (r *run) beginFault(ctx context.Context, fault scenario.Fault) (end func() error, err error) {
 	switch fault.Kind {
-	case scenario.Cut, scenario.OneWay, scenario.Delay, scenario.Hold, scenario.Reset, scenario.Half, scenario.Slow:
+	case scenario.Cut, scenario.OneWay, scenario.Delay, scenario.Hold, scenario.Reset, scenario.HalfClose, scenario.Slow:
 		remove := r.Links.Begin(fault)
 		return func() error {
 			remove()
@@ -46,7 +46,7 @@
 		return r.beginPause(fault), nil
 	case scenario.Kill, scenario.Term:
 		return r.beginOutage(ctx, fault)
-	case scenario.ListDown, scenario.ListSilent, scenario.ListHalf, scenario.ListEmpty, scenario.ListOlder:
+	case scenario.ListDown, scenario.ListSilent, scenario.ListTruncated, scenario.ListEmpty, scenario.ListOlder:
 		return r.beginListFault(fault)
 	case scenario.Choke:
 		return r.beginBackendFault(worker.DoChoke, fault)
@@ -54,7 +54,7 @@
 		return r.beginBackendFault(worker.DoFail, fault)
 	case scenario.Replace:
 		return r.beginReplacement(ctx, fault)
-	case scenario.Moved:
+	case scenario.AddressReused:
 		return r.beginAddressReuse(ctx, fault)
 	}
 	return nil, fmt.Errorf("no such fault: %s", fault.Kind)
@@ -85,7 +85,7 @@
 		}
 		return errors.Join(all...)
 	}
-	return func() error { return setMode(standin.ListWell.String()) }, setMode(string(fault.Kind))
+	return func() error { return setMode(standin.DiscoveryOK.String()) }, setMode(string(fault.Kind))
 }
 
 // beginBackendFault switches a fault of backends on with a command. The same command switches it
@@ -147,7 +147,7 @@
 		defer close(stopped)
 		if sleep.For(ctx, min(drainDuration, fault.Duration)) {
 			// A process that has exited has stopped its backends already.
-			_ = r.commandBackends(worker.Command{Do: worker.DoEnd, Names: fault.Names})
+			_ = r.commandBackends(worker.Command{Do: worker.DoStop, Names: fault.Names})
 			r.setBackendStatus(statusDeleted, fault.Names...)
 		}
 	})
@@ -166,13 +166,13 @@
 func (r *run) beginAddressReuse(ctx context.Context, fault scenario.Fault) (end func() error, err error) {
 	r.runAfter(ctx, deregisterDelay, func() { r.setBackendStatus(statusDeleted, fault.Names...) })
 	end = func() error {
-		if err := r.commandBackends(worker.Command{Do: worker.DoMove, Names: fault.Names}); err != nil {
+		if err := r.commandBackends(worker.Command{Do: worker.DoReuseAddresses, Names: fault.Names}); err != nil {
 			return err
 		}
 		r.setBackendStatus(statusServing, fault.Names...)
 		return nil
 	}
-	return end, r.commandBackends(worker.Command{Do: worker.DoMove, Names: fault.Names, On: true})
+	return end, r.commandBackends(worker.Command{Do: worker.DoReuseAddresses, Names: fault.Names, On: true})
 }
 
 // targetProcesses returns the processes that a fault acts on.
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -180,8 +180,8 @@
 	for _, c := range []struct{ bug, extra, check string }{
 		{"", "", ""},
 		{"", drain, ""},
-		{"forget", "", check.OneAnswer},
-		{"swap", "", check.OneAnswer},
+		{"forget", "", check.OneResponse},
+		{"swap", "", check.OneResponse},
 		{"twice", "", check.Effects},
 		{"drains", drain, check.Drains},
 		{"cold", replaceOne, check.Warmup},
--- a/internal/harness/history/event.go
+++ b/internal/harness/history/event.go
@@ -16,9 +16,9 @@
 	// Of the run and its faults.
 
 	// Began: the run starts: ID is its scenario's name, N its seed.
-	Began Kind = "began"
+	RunStarted Kind = "began"
 	// Ended: the run ends: N is how many of its processes still exist.
-	Ended Kind = "ended"
+	RunEnded Kind = "ended"
 	// Fault: the fault ID begins (N 1) or ends (N 0): Why describes it.
 	Fault Kind = "fault"
 
@@ -98,7 +98,7 @@
 	// StatusReported: the source Who reported which versions are in force: Report.
 	StatusReported Kind = "reported"
 	// Source: the source holds Version of Resource with Digest, and was polled Took before.
-	Source Kind = "source"
+	SourceRead Kind = "source"
 )
 
 // What ListPolled events say.
@@ -110,13 +110,13 @@
 
 // Keys of Figures in Usage events. A source or relay uses the same keys in its statistics.
 const (
-	UsedBytes     = "bytes"       // transferred by the followers of a process until now
-	UsedReads     = "reads"       // messages that they have sent until now
-	UsedFollowers = "followers"   // in a process
-	UsedResident  = "resident"    // resident memory of a process, in bytes
-	UsedSessions  = "sessions"    // that a source or relay holds
-	UsedCache     = "cache_bytes" // of updates that it has encoded for followers
-	UsedStore     = "store_bytes" // of its resources
+	UsageBytes     = "bytes"       // transferred by the followers of a process until now
+	UsageReads     = "reads"       // messages that they have sent until now
+	UsageFollowers = "followers"   // in a process
+	UsageResident  = "resident"    // resident memory of a process, in bytes
+	UsageSessions  = "sessions"    // that a source or relay holds
+	UsageCache     = "cache_bytes" // of updates that it has encoded for followers
+	UsageStore     = "store_bytes" // of its resources
 )
 
 // Event is one event of a history. Which fields it has depends on its kind.
@@ -134,11 +134,11 @@
 	Status int    `json:"status,omitempty"` // of HTTP
 	Took   int64  `json:"took,omitempty"`   // microseconds
 	Until  int64  `json:"until,omitempty"`  // of Requested: the client's deadline
-	Pod    int    `json:"pod,omitempty"`
+	Cell   int    `json:"pod,omitempty"`
 	// Names are, of ListPolled, the backends in the response; those that serve have the prefix
 	// ServingMark.
-	Names []string `json:"names,omitempty"`
-	Why   string   `json:"why,omitempty"`
+	Names  []string `json:"names,omitempty"`
+	Reason string   `json:"why,omitempty"`
 
 	Resource string                       `json:"resource,omitempty"`
 	Version  distribution.Version         `json:"version,omitzero"`
--- a/internal/harness/history/file.go
+++ b/internal/harness/history/file.go
@@ -53,14 +53,14 @@
 
 // FormatError says that a line of a history is wrong.
 type FormatError struct {
-	Line   int    // from 1
-	Expect string // what was expected there
-	Err    error  // of the decoder; may be nil
+	Line    int    // from 1
+	Problem string // what was expected there
+	Err     error  // of the decoder; may be nil
 }
 
 // Error implements error.
 func (e *FormatError) Error() string {
-	text := fmt.Sprintf("history: line %d: %s expected", e.Line, e.Expect)
+	text := fmt.Sprintf("history: line %d: %s expected", e.Line, e.Problem)
 	if e.Err != nil {
 		text += ": " + e.Err.Error()
 	}
@@ -77,20 +77,20 @@
 	lines.Buffer(make([]byte, bufferBytes), maxLineBytes)
 	for number := 1; lines.Scan(); number++ {
 		if len(all) == maxEvents {
-			return nil, &FormatError{Line: number, Expect: fmt.Sprintf("at most %d events", maxEvents)}
+			return nil, &FormatError{Line: number, Problem: fmt.Sprintf("at most %d events", maxEvents)}
 		}
 		var e Event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
-			return nil, &FormatError{Line: number, Expect: "an event", Err: err}
+			return nil, &FormatError{Line: number, Problem: "an event", Err: err}
 		}
 		if e.Kind == "" || e.At < 0 {
-			return nil, &FormatError{Line: number, Expect: "an event with kind and at"}
+			return nil, &FormatError{Line: number, Problem: "an event with kind and at"}
 		}
 		all = append(all, e)
 	}
 	err := lines.Err()
 	if errors.Is(err, bufio.ErrTooLong) {
-		return nil, &FormatError{Line: len(all) + 1, Expect: fmt.Sprintf("at most %d bytes", maxLineBytes)}
+		return nil, &FormatError{Line: len(all) + 1, Problem: fmt.Sprintf("at most %d bytes", maxLineBytes)}
 	}
 	if err != nil {
 		return nil, fmt.Errorf("history: %w", err)
--- a/internal/harness/launch/run.go
+++ b/internal/harness/launch/run.go
@@ -40,7 +40,7 @@
 		r.Dir = tempDir
 		r.isTempDir = true
 	}
-	r.Record(history.Event{Kind: history.Began, ID: name, N: int64(seed)})
+	r.Record(history.Event{Kind: history.RunStarted, ID: name, N: int64(seed)})
 	r.Processes = process.New(r.Record)
 	return r, nil
 }
@@ -76,7 +76,7 @@
 		r.Links.Close()
 	}
 	r.Faults.Wait()
-	r.Record(history.Event{Kind: history.Ended, N: int64(left)})
+	r.Record(history.Event{Kind: history.RunEnded, N: int64(left)})
 	err := errors.Join(runErr, r.history.Flush())
 	if r.isTempDir {
 		err = errors.Join(err, os.RemoveAll(r.Dir))
--- a/internal/harness/launch/schedule.go
+++ b/internal/harness/launch/schedule.go
@@ -39,11 +39,11 @@
 		}
 		fault := schedule.Faults[s.fault]
 		e := history.Event{
-			Kind:  history.Fault,
-			ID:    fault.Name(s.fault),
-			Names: fault.Names,
-			Why:   fault.String(),
-			To:    fault.Link,
+			Kind:   history.Fault,
+			ID:     fault.Name(s.fault),
+			Names:  fault.Names,
+			Reason: fault.String(),
+			To:     fault.Link,
 		}
 		if !s.isEnd {
 			e.N = 1
--- a/internal/harness/lifetime_test.go
+++ b/internal/harness/lifetime_test.go
@@ -109,7 +109,7 @@
 			t.Errorf("%s, process %d, is still there", e.Who, e.N)
 		}
 	}
-	if last := events[len(events)-1]; last.Kind != history.Ended || last.N != 0 {
+	if last := events[len(events)-1]; last.Kind != history.RunEnded || last.N != 0 {
 		t.Errorf("last event %+v", last)
 	}
 }
--- a/internal/harness/link/link_test.go
+++ b/internal/harness/link/link_test.go
@@ -210,7 +210,7 @@
 		c := l.dial(t)
 		sendRequest(t, c)
 		readResponse(t, c)
-		l.Begin(scenario.Fault{Kind: scenario.Half, Link: group, Direction: scenario.ToClient})
+		l.Begin(scenario.Fault{Kind: scenario.HalfClose, Link: group, Direction: scenario.ToClient})
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 			t.Errorf("after the far side's end: %v", err)
 		}
--- a/internal/harness/link/network.go
+++ b/internal/harness/link/network.go
@@ -101,7 +101,7 @@
 		switch fault.Kind {
 		case scenario.Reset:
 			c.reset()
-		case scenario.Half:
+		case scenario.HalfClose:
 			c.halfClose(fault.Direction)
 		default: // the others act on bytes as they pass
 		}
--- a/internal/harness/members.go
+++ b/internal/harness/members.go
@@ -24,7 +24,7 @@
 		Name:    name,
 		Address: ":" + strconv.Itoa(r.backendRelayPorts[index]),
 		Zone:    r.spec.Site(index),
-		Group:   index % podCount,
+		Cell:    index % podCount,
 		Weight:  1,
 	}
 }
@@ -40,7 +40,7 @@
 			member = r.newMember(name, r.backendIndex[name])
 		}
 		if status == statusServing {
-			member.SinceMs = time.Now().UnixMilli()
+			member.StartedMs = time.Now().UnixMilli()
 		}
 		member.Status = status
 		all = append(all, member)
@@ -62,7 +62,7 @@
 	}
 	r.mu.Unlock()
 	for _, member := range changed {
-		r.Record(history.Event{Kind: history.MemberStatus, Who: member.Name, Why: member.Status})
+		r.Record(history.Event{Kind: history.MemberStatus, Who: member.Name, Reason: member.Status})
 	}
 	for _, name := range r.listNames {
 		// A list service that is down gets the complete list when it starts.
--- a/internal/harness/naive_proxy_test.go
+++ b/internal/harness/naive_proxy_test.go
@@ -124,7 +124,7 @@
 	defer p.mu.Unlock()
 	var warm []standin.Member
 	for _, candidate := range p.members {
-		isCold := candidate.SinceMs > 0
+		isCold := candidate.StartedMs > 0
 		if p.bug == "cold" && isCold {
 			return candidate, true
 		}
--- a/internal/harness/process/process.go
+++ b/internal/harness/process/process.go
@@ -145,7 +145,7 @@
 func (s *Set) limitFiles(name string, pid int, bound uint64) {
 	limit := unix.Rlimit{Cur: bound, Max: bound}
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
-		s.record(history.Event{Kind: history.Log, Who: name, Why: "no bound on descriptors: " + err.Error()})
+		s.record(history.Event{Kind: history.Log, Who: name, Reason: "no bound on descriptors: " + err.Error()})
 	}
 }
 
@@ -166,7 +166,7 @@
 	}
 	delete(s.running, name)
 	s.mu.Unlock()
-	s.record(history.Event{Kind: history.Exited, Who: name, Why: reason})
+	s.record(history.Event{Kind: history.Exited, Who: name, Reason: reason})
 	close(p.exited)
 }
 
@@ -226,7 +226,7 @@
 func (s *Set) Kill(name string) {
 	if s.lookup(name) != nil {
 		// Recorded first, so that the event precedes all effects.
-		s.record(history.Event{Kind: history.Terminating, Who: name, Why: "killed"})
+		s.record(history.Event{Kind: history.Terminating, Who: name, Reason: "killed"})
 	}
 	if p := s.signal(name, syscall.SIGKILL, true); p != nil {
 		<-p.exited
--- a/internal/harness/rollout/check/breaches_test.go
+++ b/internal/harness/rollout/check/breaches_test.go
@@ -115,13 +115,13 @@
 			put(1*second, 1, false), inForce(1*second, 0, 1), put(2*second, 2, false),
 			inForce(2*second, 1, 2),
 			{
-				At: 3*second + 10*ms, Kind: history.Source, Resource: resource, Version: version(1),
+				At: 3*second + 10*ms, Kind: history.SourceRead, Resource: resource, Version: version(1),
 				Digest: "d1.1", Took: 10 * ms,
 			},
 		}},
 		{"a version that the source has with other items", check.Durable, 2, []history.Event{
 			inForce(1*second, 0, 1), inForce(4*second, 1, 2),
-			{At: 3 * second, Kind: history.Source, Resource: resource, Version: version(1), Digest: "x"},
+			{At: 3 * second, Kind: history.SourceRead, Resource: resource, Version: version(1), Digest: "x"},
 		}},
 		{
 			"a version reported that nobody has", check.Status, 2,
@@ -158,7 +158,7 @@
 				inForce(1*second, 0, 1),
 				{
 					At: 2 * second, Kind: history.Usage, Who: relay,
-					Figures: map[string]float64{history.UsedResident: 65 << 20},
+					Figures: map[string]float64{history.UsageResident: 65 << 20},
 				},
 			},
 		},
@@ -170,7 +170,7 @@
 			"a process that ends by itself", check.Processes, 1,
 			[]history.Event{
 				inForce(1*second, 0, 1),
-				{At: 2 * second, Kind: history.Exited, Who: relay, Why: "by itself: exit status 2"},
+				{At: 2 * second, Kind: history.Exited, Who: relay, Reason: "by itself: exit status 2"},
 			},
 		},
 	} {
--- a/internal/harness/rollout/check/check.go
+++ b/internal/harness/rollout/check/check.go
@@ -76,16 +76,16 @@
 		return verdicts
 	}
 	rest := Verdict{
-		Check: verdicts[0].Check,
-		At:    verdicts[maxVerdicts].At,
-		What:  fmt.Sprintf("and %d more", more),
+		Check:   verdicts[0].Check,
+		At:      verdicts[maxVerdicts].At,
+		Message: fmt.Sprintf("and %d more", more),
 	}
 	return append(verdicts[:maxVerdicts:maxVerdicts], rest)
 }
 
 // verdict returns a verdict of a check at a time, in microseconds.
 func verdict(check string, at int64, format string, args ...any) Verdict {
-	return Verdict{Check: check, At: at, What: fmt.Sprintf(format, args...)}
+	return Verdict{Check: check, At: at, Message: fmt.Sprintf(format, args...)}
 }
 
 // seconds returns microseconds as seconds.
--- a/internal/harness/rollout/check/check_test.go
+++ b/internal/harness/rollout/check/check_test.go
@@ -26,7 +26,7 @@
 		events = append(events, inForce(int64(n+1)*ms, 300, 200-n))
 	}
 	verdicts := run(t, 101, events...)
-	if len(verdicts) > 30 || !strings.Contains(verdicts[20].What, "more") {
+	if len(verdicts) > 30 || !strings.Contains(verdicts[20].Message, "more") {
 		t.Errorf("%d verdicts: %v", len(verdicts), verdicts)
 	}
 }
@@ -40,7 +40,7 @@
 	}, ending(3))
 	history.Sort(all)
 	m := check.Measure(scenario(t), all)
-	if m.Puts != 3 || m.Twins != 1 || m.InForce != 3 || m.Snapshots != 1 {
+	if m.Puts != 3 || m.ConcurrentPuts != 1 || m.InForce != 3 || m.Snapshots != 1 {
 		t.Errorf("%+v", m)
 	}
 	if m.UrgentEvaluated != 1 || m.UrgentMaxMs != 7 || m.FaultFreeMaxMs != 100 {
--- a/internal/harness/rollout/check/content.go
+++ b/internal/harness/rollout/check/content.go
@@ -78,7 +78,7 @@
 		verdicts = append(verdicts, verdict(Converged, at,
 			"%s of %s has different items with %s", key.version, key.resource, strings.Join(who, " and ")))
 	}
-	slices.SortFunc(verdicts, func(a, b Verdict) int { return strings.Compare(a.What, b.What) })
+	slices.SortFunc(verdicts, func(a, b Verdict) int { return strings.Compare(a.Message, b.Message) })
 	return verdicts
 }
 
--- a/internal/harness/rollout/check/delivery.go
+++ b/internal/harness/rollout/check/delivery.go
@@ -70,7 +70,7 @@
 	for _, key := range followings(sc) {
 		for _, x := range r.expectations(key) {
 			metAt := r.metAt(x)
-			path, from, found := r.reachable(key.follower, span{from: x.since, to: metAt}, sc.Bounds.Late)
+			path, from, found := r.reachable(key.follower, span{from: x.since, to: metAt}, sc.Bounds.Latency)
 			if !found {
 				continue
 			}
@@ -90,7 +90,7 @@
 			if !x.urgent {
 				continue
 			}
-			limit := sc.Bounds.Urgent.Microseconds() + r.cpuDelay(sc, key.follower, x.since)
+			limit := sc.Bounds.UrgentLatency.Microseconds() + r.cpuDelay(sc, key.follower, x.since)
 			took := r.metAt(x) - x.since
 			if took <= limit || !r.isFaultFree(key.follower, span{from: x.since, to: x.since + limit}) {
 				continue
@@ -115,7 +115,7 @@
 // because processes on a follower's path waited for a core: as long as they did within the bound,
 // which that time extends, up to maxCPUWait.
 func (r *record) cpuDelay(sc *plan.Scenario, follower string, from int64) (delay int64) {
-	bound := sc.Bounds.Urgent.Microseconds()
+	bound := sc.Bounds.UrgentLatency.Microseconds()
 	for {
 		waited := r.cpuWait(sc, follower, span{from: from, to: from + bound + delay})
 		longer := min(waited, maxCPUWait.Microseconds())
--- a/internal/harness/rollout/check/fixture_test.go
+++ b/internal/harness/rollout/check/fixture_test.go
@@ -130,11 +130,11 @@
 func ending(n uint64) []history.Event {
 	return []history.Event{
 		{
-			At: 100 * second, Kind: history.Source, Resource: resource, Version: version(n),
+			At: 100 * second, Kind: history.SourceRead, Resource: resource, Version: version(n),
 			Digest: "d" + version(n).String(),
 		},
 		report(100*second, n, 1),
-		{At: 101 * second, Kind: history.Ended},
+		{At: 101 * second, Kind: history.RunEnded},
 	}
 }
 
@@ -158,6 +158,6 @@
 		At:      at,
 		Kind:    history.Usage,
 		Who:     "followers-1",
-		Figures: map[string]float64{history.UsedBytes: bytes, history.UsedFollowers: 1},
+		Figures: map[string]float64{history.UsageBytes: bytes, history.UsageFollowers: 1},
 	}
 }
--- a/internal/harness/rollout/check/metrics.go
+++ b/internal/harness/rollout/check/metrics.go
@@ -16,14 +16,14 @@
 	Seconds  float64 `json:"seconds"`
 	Faults   int     `json:"faults"`
 
-	Puts       int `json:"puts"`
-	Unanswered int `json:"puts_unanswered"`
-	Twins      int `json:"puts_within_1ms"` // begun so soon after another one to the same resource
-	InForce    int `json:"in_force"`        // updates that followers put in force
-	Snapshots  int `json:"whole_updates"`   // of these
-	Rejected   int `json:"refused"`
-	Resumed    int `json:"resumed"` // subscriptions that began with a version
-	Reports    int `json:"reports"`
+	Puts           int `json:"puts"`
+	Unanswered     int `json:"puts_unanswered"`
+	ConcurrentPuts int `json:"puts_within_1ms"` // begun so soon after another one to the same resource
+	InForce        int `json:"in_force"`        // updates that followers put in force
+	Snapshots      int `json:"whole_updates"`   // of these
+	Rejected       int `json:"refused"`
+	Resumed        int `json:"resumed"` // subscriptions that began with a version
+	Reports        int `json:"reports"`
 
 	// UrgentEvaluated is how many latencies of urgent versions there are, where no fault affects a
 	// path of the follower.
@@ -45,8 +45,8 @@
 	AllP99Seconds float64 `json:"all_p99_s"`
 	AllMaxSeconds float64 `json:"all_max_s"`
 
-	RestBytesPerSecond float64 `json:"rest_bytes_per_s"` // of a follower, the most of any process of followers
-	RestReadsPerSecond float64 `json:"rest_reads_per_s"`
+	IdleBytesPerSecond float64 `json:"rest_bytes_per_s"` // of a follower, the most of any process of followers
+	IdleReadsPerSecond float64 `json:"rest_reads_per_s"`
 	ResidentMB         float64 `json:"resident_mb"` // of the source or a relay, the most
 	MaxSessions        float64 `json:"sessions"`    // of the source or a relay, the most
 	MaxCacheBytes      float64 `json:"cache_bytes"`
@@ -72,10 +72,10 @@
 	}
 	for _, events := range r.usage {
 		for _, e := range events {
-			m.MaxSessions = max(m.MaxSessions, e.Figures[history.UsedSessions])
-			m.MaxCacheBytes = max(m.MaxCacheBytes, e.Figures[history.UsedCache])
-			m.MaxStoreBytes = max(m.MaxStoreBytes, e.Figures[history.UsedStore])
-			m.ResidentMB = max(m.ResidentMB, e.Figures[history.UsedResident]/(1<<20))
+			m.MaxSessions = max(m.MaxSessions, e.Figures[history.UsageSessions])
+			m.MaxCacheBytes = max(m.MaxCacheBytes, e.Figures[history.UsageCache])
+			m.MaxStoreBytes = max(m.MaxStoreBytes, e.Figures[history.UsageStore])
+			m.ResidentMB = max(m.ResidentMB, e.Figures[history.UsageResident]/(1<<20))
 		}
 	}
 	return m
@@ -114,7 +114,7 @@
 		for i := 1; i < len(writes); i++ {
 			gap := (writes[i].At - writes[i].Took) - (writes[i-1].At - writes[i-1].Took)
 			if -twinMicroseconds < gap && gap < twinMicroseconds {
-				m.Twins++
+				m.ConcurrentPuts++
 			}
 		}
 	}
@@ -122,7 +122,7 @@
 
 // measureLatencies measures how long versions take.
 func (m *Metrics) measureLatencies(sc *plan.Scenario, r *record) {
-	bound := sc.Bounds.Urgent.Microseconds()
+	bound := sc.Bounds.UrgentLatency.Microseconds()
 	var urgent, faultFree, all []float64 // milliseconds
 	for _, key := range followings(sc) {
 		for _, x := range r.expectations(key) {
@@ -156,7 +156,7 @@
 // fault came before the waits for a core were over, and whether such waits explain why it is beyond
 // the bound.
 func (r *record) evaluateUrgent(sc *plan.Scenario, x expectation, tookUs int64) (evaluated, delayedByCPU bool) {
-	bound := sc.Bounds.Urgent.Microseconds()
+	bound := sc.Bounds.UrgentLatency.Microseconds()
 	if tookUs <= bound {
 		return true, false
 	}
@@ -196,11 +196,11 @@
 		if took <= 0 {
 			continue
 		}
-		followers := max(last.Figures[history.UsedFollowers], 1)
-		bytes := last.Figures[history.UsedBytes] - first.Figures[history.UsedBytes]
-		reads := last.Figures[history.UsedReads] - first.Figures[history.UsedReads]
-		m.RestBytesPerSecond = max(m.RestBytesPerSecond, bytes/took/followers)
-		m.RestReadsPerSecond = max(m.RestReadsPerSecond, reads/took/followers)
+		followers := max(last.Figures[history.UsageFollowers], 1)
+		bytes := last.Figures[history.UsageBytes] - first.Figures[history.UsageBytes]
+		reads := last.Figures[history.UsageReads] - first.Figures[history.UsageReads]
+		m.IdleBytesPerSecond = max(m.IdleBytesPerSecond, bytes/took/followers)
+		m.IdleReadsPerSecond = max(m.IdleReadsPerSecond, reads/took/followers)
 	}
 }
 
@@ -212,8 +212,8 @@
 		what         string
 		found, limit float64
 	}{
-		{"bytes a second of a follower at rest", m.RestBytesPerSecond, bounds.RestBytes},
-		{"messages a second of a follower at rest", m.RestReadsPerSecond, bounds.RestReads},
+		{"bytes a second of a follower at rest", m.IdleBytesPerSecond, bounds.IdleBytes},
+		{"messages a second of a follower at rest", m.IdleReadsPerSecond, bounds.IdleReads},
 		{"MB of a source or relay", m.ResidentMB, bounds.RelayMB},
 		{"sessions of a source or relay", m.MaxSessions, bounds.Sessions},
 		{"bytes of encoded updates of a source or relay", m.MaxCacheBytes, bounds.CacheBytes},
--- a/internal/harness/rollout/check/near_misses_test.go
+++ b/internal/harness/rollout/check/near_misses_test.go
@@ -47,7 +47,7 @@
 		{
 			"a put without an answer", 1,
 			[]history.Event{
-				{At: 1 * second, Kind: history.Put, Resource: resource, Why: "timeout"},
+				{At: 1 * second, Kind: history.Put, Resource: resource, Reason: "timeout"},
 				inForce(50*second, 0, 1),
 			},
 		},
@@ -131,20 +131,20 @@
 		},
 		{"a put that was answered while the source was asked", 1, []history.Event{
 			put(3*second, 1, false), inForce(3*second, 0, 1),
-			{At: 3*second + 5*ms, Kind: history.Source, Resource: resource, Took: 10 * ms},
+			{At: 3*second + 5*ms, Kind: history.SourceRead, Resource: resource, Took: 10 * ms},
 		}},
 		{"memory and bytes at their bounds", 1, []history.Event{
 			inForce(1*second, 0, 1), used(90*second, 0), used(95*second, 500),
 			{
 				At: 2 * second, Kind: history.Usage, Who: relay,
-				Figures: map[string]float64{history.UsedResident: 64 << 20},
+				Figures: map[string]float64{history.UsageResident: 64 << 20},
 			},
 		}},
 		{
 			"a process that was killed", 1,
 			[]history.Event{
 				inForce(1*second, 0, 1),
-				{At: 2 * second, Kind: history.Exited, Who: relay, Why: "signal: killed"},
+				{At: 2 * second, Kind: history.Exited, Who: relay, Reason: "signal: killed"},
 			},
 		},
 	} {
--- a/internal/harness/rollout/check/record.go
+++ b/internal/harness/rollout/check/record.go
@@ -108,7 +108,7 @@
 		}
 	case history.StatusReported:
 		r.reports[e.Resource] = append(r.reports[e.Resource], e)
-	case history.Source:
+	case history.SourceRead:
 		r.atSource[e.Resource] = e
 		r.sourceReads = append(r.sourceReads, e)
 	case history.Usage:
--- a/internal/harness/rollout/execute.go
+++ b/internal/harness/rollout/execute.go
@@ -22,7 +22,7 @@
 	waits := r.recordCPUWaits(nil) // the first sample: the next ones are compared with it, so that no wait is missed
 	began := time.Now()
 	r.startedAt = r.Clock.Now()
-	err := r.Processes.SendCommand(plan.PublisherName, worker.Command{Do: worker.DoBegin, At: r.startedAt})
+	err := r.Processes.SendCommand(plan.PublisherName, worker.Command{Do: worker.DoStartPuts, At: r.startedAt})
 	if err != nil {
 		return fmt.Errorf("rollout: %w", err)
 	}
@@ -35,7 +35,7 @@
 	if err := r.RunSchedule(ctx, began, schedule); err != nil {
 		return fmt.Errorf("rollout: %w", err)
 	}
-	if !sleep.Until(ctx, began.Add(r.sc.For+r.sc.Settle)) {
+	if !sleep.Until(ctx, began.Add(r.sc.Duration+r.sc.Settle)) {
 		return ctx.Err()
 	}
 	for _, resource := range r.sc.Resources() {
--- a/internal/harness/rollout/observe.go
+++ b/internal/harness/rollout/observe.go
@@ -56,7 +56,7 @@
 	if r.get(ctx, name, "/v1/stats", &stats) != nil {
 		return // it is down, or stopped
 	}
-	figures := map[string]float64{history.UsedResident: float64(process.ResidentBytes(r.Processes.PID(name)))}
+	figures := map[string]float64{history.UsageResident: float64(process.ResidentBytes(r.Processes.PID(name)))}
 	for field, value := range stats {
 		if number, ok := value.(float64); ok {
 			figures[field] = number
@@ -79,13 +79,13 @@
 	began := r.Clock.Now()
 	var u distribution.Update
 	if err := r.get(ctx, plan.Source, "/v1/resource?name="+url.QueryEscape(resource), &u); err != nil {
-		r.Record(history.Event{Kind: history.Log, Who: plan.Source, Resource: resource, Why: err.Error()})
+		r.Record(history.Event{Kind: history.Log, Who: plan.Source, Resource: resource, Reason: err.Error()})
 		return
 	}
 	now := r.Clock.Now()
 	r.Record(history.Event{
 		At:       now,
-		Kind:     history.Source,
+		Kind:     history.SourceRead,
 		Who:      plan.Source,
 		Resource: resource,
 		Version:  u.Version,
--- a/internal/harness/rollout/plan/decode.go
+++ b/internal/harness/rollout/plan/decode.go
@@ -14,7 +14,7 @@
 // Limits of a scenario.
 const (
 	MaxFile      = tomldoc.MaxFile // bytes
-	MaxFor       = 10 * time.Minute
+	MaxDuration  = 10 * time.Minute
 	maxRelays    = 16 // of a level
 	maxProcesses = 32
 	maxFollowers = 2_000
@@ -33,10 +33,10 @@
 // decodeScenario decodes the top level of a file.
 func decodeScenario(s tomldoc.Scope) *Scenario {
 	sc := &Scenario{
-		Name:   s.Text("name", ""),
-		Seed:   uint64(s.Int("seed", 1, 0, 1<<62)),
-		For:    s.Duration("for", 10*time.Second, 100*time.Millisecond, MaxFor),
-		Settle: s.Duration("settle", 10*time.Second, time.Second, MaxFor),
+		Name:     s.Text("name", ""),
+		Seed:     uint64(s.Int("seed", 1, 0, 1<<62)),
+		Duration: s.Duration("for", 10*time.Second, 100*time.Millisecond, MaxDuration),
+		Settle:   s.Duration("settle", 10*time.Second, time.Second, MaxDuration),
 	}
 	if sc.Name == "" {
 		s.ReportField(rules.Missing, "name", "the scenario's name expected")
@@ -93,13 +93,13 @@
 func decodePublisher(s tomldoc.Scope) Publisher {
 	defer s.ReportUnknown()
 	return Publisher{
-		Rate:      s.Float("rate", 5, 0, maxRate),
-		Resources: int(s.Int("resources", 4, 1, maxResources)),
-		Items:     int(s.Int("items", 40, 1, maxItems)),
-		Changes:   int(s.Int("changes", 3, 1, maxItems)),
-		Urgent:    s.Float("urgent", 0.2, 0, 1),
-		Twins:     s.Float("twins", 0.1, 0, 1),
-		Rejected:  s.Float("refused", 0, 0, 1),
+		Rate:           s.Float("rate", 5, 0, maxRate),
+		Resources:      int(s.Int("resources", 4, 1, maxResources)),
+		Items:          int(s.Int("items", 40, 1, maxItems)),
+		Changes:        int(s.Int("changes", 3, 1, maxItems)),
+		Urgent:         s.Float("urgent", 0.2, 0, 1),
+		ConcurrentPuts: s.Float("twins", 0.1, 0, 1),
+		Rejected:       s.Float("refused", 0, 0, 1),
 	}
 }
 
@@ -107,14 +107,14 @@
 func decodeBounds(s tomldoc.Scope) Bounds {
 	defer s.ReportUnknown()
 	return Bounds{
-		Late:       s.Duration("late", 10*time.Second, time.Millisecond, MaxFor),
-		Urgent:     s.Duration("urgent", 250*time.Millisecond, time.Millisecond, MaxFor),
-		RestBytes:  s.Float("rest_bytes_per_s", 0, 0, 1e9),
-		RelayMB:    s.Float("relay_mb", 0, 0, 1e6),
-		Sessions:   s.Float("sessions", 0, 0, 1e6),
-		RestReads:  s.Float("rest_reads_per_s", 0, 0, 1e6),
-		CacheBytes: s.Float("cache_bytes", 0, 0, 1e12),
-		StoreBytes: s.Float("store_bytes", 0, 0, 1e12),
+		Latency:       s.Duration("late", 10*time.Second, time.Millisecond, MaxDuration),
+		UrgentLatency: s.Duration("urgent", 250*time.Millisecond, time.Millisecond, MaxDuration),
+		IdleBytes:     s.Float("rest_bytes_per_s", 0, 0, 1e9),
+		RelayMB:       s.Float("relay_mb", 0, 0, 1e6),
+		Sessions:      s.Float("sessions", 0, 0, 1e6),
+		IdleReads:     s.Float("rest_reads_per_s", 0, 0, 1e6),
+		CacheBytes:    s.Float("cache_bytes", 0, 0, 1e12),
+		StoreBytes:    s.Float("store_bytes", 0, 0, 1e12),
 	}
 }
 
@@ -123,14 +123,14 @@
 	defer s.ReportUnknown()
 	r := Random{
 		Count:       int(s.Int("count", 0, 0, maxFaults)),
-		From:        s.Duration("from", 0, 0, MaxFor),
-		Until:       s.Duration("until", sc.For, 0, MaxFor),
-		MaxDuration: s.Duration("long", 5*time.Second, 100*time.Millisecond, MaxFor),
+		From:        s.Duration("from", 0, 0, MaxDuration),
+		Until:       s.Duration("until", sc.Duration, 0, MaxDuration),
+		MaxDuration: s.Duration("long", 5*time.Second, 100*time.Millisecond, MaxDuration),
 	}
 	for _, word := range s.Strings("kinds") {
 		if !slices.Contains(kindNames, word) {
 			problem := fmt.Sprintf("%q is no kind of fault; one of %s expected", word, strings.Join(kindNames, ", "))
-			s.ReportField(rules.Word, "kinds", "%s", tomldoc.WithNearest(problem, word, kindNames))
+			s.ReportField(rules.Word, "kinds", "%s", tomldoc.WithSuggestion(problem, word, kindNames))
 			continue
 		}
 		r.Kinds = append(r.Kinds, scenario.Kind(word))
@@ -138,8 +138,8 @@
 	if r.Count > 0 && len(r.Kinds) == 0 {
 		s.ReportField(rules.Missing, "kinds", "the kinds of faults that are drawn expected")
 	}
-	if r.Until > sc.For || r.From >= r.Until {
-		s.ReportField(rules.Range, "until", "after from, and at most the run's %v expected", sc.For)
+	if r.Until > sc.Duration || r.From >= r.Until {
+		s.ReportField(rules.Range, "until", "after from, and at most the run's %v expected", sc.Duration)
 	}
 	return r
 }
@@ -147,8 +147,8 @@
 // decodeFault decodes one fault, and validates it against the processes of the run.
 func (sc *Scenario) decodeFault(s tomldoc.Scope) Fault {
 	f := Fault{
-		At:       s.Duration("at", 0, 0, MaxFor),
-		Duration: s.Duration("for", time.Second, time.Millisecond, MaxFor),
+		At:       s.Duration("at", 0, 0, MaxDuration),
+		Duration: s.Duration("for", time.Second, time.Millisecond, MaxDuration),
 		Kind:     scenario.Kind(s.OneOf("kind", "", kindNames...)),
 		Direction: s.OneOf(
 			"way", scenario.BothDirections, scenario.BothDirections, scenario.ToServer, scenario.ToClient,
@@ -161,10 +161,10 @@
 		Rate:   int(s.Int("rate", 0, 0, 1<<30)),
 	}
 	s.MarkKnown("link", "on")
-	if end := f.At + f.Duration; end > sc.For {
+	if end := f.At + f.Duration; end > sc.Duration {
 		s.ReportField(rules.Range, "for",
 			"the fault to end by the end of the run's faults, %v, expected; it ends at %v",
-			sc.For, end)
+			sc.Duration, end)
 	}
 	switch {
 	case ActsOnLinks(f.Kind):
--- a/internal/harness/rollout/plan/plan_test.go
+++ b/internal/harness/rollout/plan/plan_test.go
@@ -81,7 +81,7 @@
 		sc.Seed = seed
 		busyUntil := map[string]time.Duration{}
 		for _, f := range sc.Schedule() {
-			if f.At+f.Duration > sc.For || len(f.Names) == 0 {
+			if f.At+f.Duration > sc.Duration || len(f.Names) == 0 {
 				t.Fatalf("seed %d: %v", seed, f)
 			}
 			if ActsOnLinks(f.Kind) {
@@ -136,7 +136,7 @@
 				t.Errorf("%s: an urgent item that is not deleted", p.ID)
 			}
 		}
-		if p.At >= sc.For {
+		if p.At >= sc.Duration {
 			last++
 			if !p.Retry || !request.Replace || len(request.Items) != sc.Publisher.Items {
 				t.Errorf("%s does not replace the resource", p.ID)
--- a/internal/harness/rollout/plan/puts.go
+++ b/internal/harness/rollout/plan/puts.go
@@ -54,11 +54,11 @@
 	g := sc.newPutGenerator()
 	if sc.Publisher.Rate > 0 {
 		interval := time.Duration(float64(time.Second) / sc.Publisher.Rate)
-		for at := interval; at < sc.For; at += interval {
+		for at := interval; at < sc.Duration; at += interval {
 			g.addWrites(at)
 		}
 	}
-	g.addSnapshots(sc.For+finalPutDelay, "last")
+	g.addSnapshots(sc.Duration+finalPutDelay, "last")
 	return g.encoded()
 }
 
@@ -79,7 +79,7 @@
 func (g *putGenerator) addWrites(at time.Duration) {
 	resource := g.random.IntN(g.sc.Publisher.Resources)
 	g.addWrite(at, resource)
-	if g.random.Float64() < g.sc.Publisher.Twins {
+	if g.random.Float64() < g.sc.Publisher.ConcurrentPuts {
 		g.addWrite(at, resource)
 	}
 }
--- a/internal/harness/rollout/plan/scenario.go
+++ b/internal/harness/rollout/plan/scenario.go
@@ -15,9 +15,9 @@
 type Scenario struct {
 	Name string
 	Seed uint64
-	// For is how long faults and puts go on, from the moment when every follower has every resource
+	// Duration is how long faults and puts go on, from the moment when every follower has every resource
 	// that it follows.
-	For time.Duration
+	Duration time.Duration
 	// Settle follows For, without faults and puts.
 	Settle    time.Duration
 	Relays    Relays
@@ -47,28 +47,28 @@
 
 // Publisher is the only writer. Its fractions are from 0 to 1.
 type Publisher struct {
-	Rate      float64 // puts a second
-	Resources int
-	Items     int     // of each resource
-	Changes   int     // items that a put changes
-	Urgent    float64 // fraction of the puts that delete an item, which is urgent
-	Twins     float64 // fraction of the puts with another one to the same resource at the same time
-	Rejected  float64 // fraction of the puts that one follower rejects
+	Rate           float64 // puts a second
+	Resources      int
+	Items          int     // of each resource
+	Changes        int     // items that a put changes
+	Urgent         float64 // fraction of the puts that delete an item, which is urgent
+	ConcurrentPuts float64 // fraction of the puts with another one to the same resource at the same time
+	Rejected       float64 // fraction of the puts that one follower rejects
 }
 
 // Bounds are what a run is checked against.
 type Bounds struct {
-	// Late is the longest time until a version is in force at every follower that can reach the
+	// Latency is the longest time until a version is in force at every follower that can reach the
 	// source.
-	Late time.Duration
-	// Urgent is the same for an urgent version, while no fault affects a path of the follower.
-	Urgent     time.Duration
-	RestBytes  float64 // bytes a second of a follower, both directions, while nothing is published; 0: any
-	RestReads  float64 // messages a second that a follower sends meanwhile; 0: any
-	RelayMB    float64 // resident memory of the source and of each relay; 0: any
-	Sessions   float64 // of one of them; 0: any
-	CacheBytes float64 // encoded updates of one of them; 0: any
-	StoreBytes float64 // resources of one of them; 0: any
+	Latency time.Duration
+	// UrgentLatency is the same for an urgent version, while no fault affects a path of the follower.
+	UrgentLatency time.Duration
+	IdleBytes     float64 // bytes a second of a follower, both directions, while nothing is published; 0: any
+	IdleReads     float64 // messages a second that a follower sends meanwhile; 0: any
+	RelayMB       float64 // resident memory of the source and of each relay; 0: any
+	Sessions      float64 // of one of them; 0: any
+	CacheBytes    float64 // encoded updates of one of them; 0: any
+	StoreBytes    float64 // resources of one of them; 0: any
 }
 
 // Random are faults that are drawn from the seed.
@@ -138,5 +138,5 @@
 	return fmt.Sprintf("%s, seed %d: 1 source, %d region relays, %d zone relays in %d zones, "+
 		"%d followers in %d processes, 1 publisher; %v and %v without faults",
 		sc.Name, sc.Seed, sc.Relays.Regions, len(sc.Names(OnZones)), sc.Relays.Zones,
-		len(sc.FollowerNames()), sc.Followers.Processes, sc.For, sc.Settle)
+		len(sc.FollowerNames()), sc.Followers.Processes, sc.Duration, sc.Settle)
 }
--- a/internal/harness/rollout/rollout_test.go
+++ b/internal/harness/rollout/rollout_test.go
@@ -208,9 +208,9 @@
 			sc := decode(t, string(data))
 			sc.Seed += seed
 			m := runProgram(t, sc)
-			if m.InForce < 500 || m.UrgentEvaluated < 50 || m.Twins == 0 {
+			if m.InForce < 500 || m.UrgentEvaluated < 50 || m.ConcurrentPuts == 0 {
 				t.Errorf("seed %d: %d updates in force, %d urgent ones evaluated, %d twins: the run shows nothing",
-					sc.Seed, m.InForce, m.UrgentEvaluated, m.Twins)
+					sc.Seed, m.InForce, m.UrgentEvaluated, m.ConcurrentPuts)
 			}
 		})
 	}
--- a/internal/harness/rollout/start.go
+++ b/internal/harness/rollout/start.go
@@ -46,7 +46,7 @@
 			return err
 		}
 	}
-	if err := r.Processes.SendCommand(plan.PublisherName, worker.Command{Do: worker.DoFirst}); err != nil {
+	if err := r.Processes.SendCommand(plan.PublisherName, worker.Command{Do: worker.DoInitialPuts}); err != nil {
 		return err
 	}
 	select {
--- a/internal/harness/scenario/decode.go
+++ b/internal/harness/scenario/decode.go
@@ -21,7 +21,7 @@
 	s := &Scenario{
 		Name:     scope.Text("name", ""),
 		Seed:     uint64(scope.Int("seed", 1, 0, 1<<62)),
-		Duration: scope.Duration("for", 10*time.Second, 100*time.Millisecond, MaxFor),
+		Duration: scope.Duration("for", 10*time.Second, 100*time.Millisecond, MaxDuration),
 	}
 	if s.Name == "" {
 		scope.ReportField(rules.Missing, "name", "the scenario's name expected")
@@ -52,11 +52,11 @@
 		Count:            int(table.Int("count", 1, 1, MaxSidecars)),
 		Sites:            table.Strings("sites"),
 		KnowReplicaCount: table.Bool("told"),
-		StartSpread:      table.Duration("start", 0, 0, MaxFor),
+		StartSpread:      table.Duration("start", 0, 0, MaxDuration),
 		MemoryMB:         table.Float("memory_mb", 64, 16, 1<<16),
 		Sockets:          int(table.Int("sockets", 512, 64, 1<<16)),
 		PersistState:     table.Bool("state"),
-		ClockSkew:        table.Duration("skew", 0, 0, MaxFor),
+		ClockSkew:        table.Duration("skew", 0, 0, MaxDuration),
 	}
 	if len(s.Sites) == 0 {
 		s.Sites = []string{"a"}
@@ -76,7 +76,7 @@
 		Count:        int(table.Int("count", 1, 1, MaxLists)),
 		SnapshotRate: table.Float("rate", 0, 0, 1e6),
 		QueueLength:  int(table.Int("queue", 100, 0, 1e6)),
-		RetryAfter:   table.Duration("retry_after", 0, 0, MaxFor),
+		RetryAfter:   table.Duration("retry_after", 0, 0, MaxDuration),
 	}
 	table.ReportUnknown()
 	return l
@@ -90,7 +90,7 @@
 		Cores:         int(table.Int("cores", 4, 1, 1024)),
 		QueueLength:   int(table.Int("waiting", 32, 0, 1e6)),
 		ServiceTime:   table.Duration("work", 5*time.Millisecond, 0, time.Minute),
-		Warmup:        table.Duration("cold", 0, 0, MaxFor),
+		Warmup:        table.Duration("cold", 0, 0, MaxDuration),
 		StartCapacity: table.Float("start_capacity", 1, 0.01, 1),
 		ColdMultiple:  table.Float("cold_multiple", 3, 1, 100),
 		MaxConns:      int(table.Int("connections", 0, 0, 1e6)),
@@ -129,9 +129,9 @@
 		MaxSnapshotRate:    table.Float("reads_per_s", 0, 0, 1e9),
 		MaxConnectRate:     table.Float("connects_per_s", 0, 0, 1e9),
 		MinReady:           table.Float("ready_part", 0, 0, 1),
-		ReadyWithin:        table.Duration("ready_within", 0, 0, MaxFor),
+		ReadyWithin:        table.Duration("ready_within", 0, 0, MaxDuration),
 		MinServed:          table.Float("served_part", 0, 0, 1),
-		LossRecoveryWithin: table.Duration("loss_within", 0, 0, MaxFor),
+		LossRecoveryWithin: table.Duration("loss_within", 0, 0, MaxDuration),
 		MinServedAfterLoss: table.Float("back_part", 0, 0, 1),
 	}
 	table.ReportUnknown()
@@ -142,15 +142,15 @@
 func decodeRandom(table tomldoc.Scope, duration time.Duration) Random {
 	r := Random{
 		Count:       int(table.Int("count", 0, 0, 200)),
-		From:        table.Duration("from", 0, 0, MaxFor),
-		Until:       table.Duration("until", duration, 0, MaxFor),
-		MaxDuration: table.Duration("long", 2*time.Second, 10*time.Millisecond, MaxFor),
+		From:        table.Duration("from", 0, 0, MaxDuration),
+		Until:       table.Duration("until", duration, 0, MaxDuration),
+		MaxDuration: table.Duration("long", 2*time.Second, 10*time.Millisecond, MaxDuration),
 	}
 	for _, name := range table.Strings("kinds") {
 		if _, ok := kindTargets[Kind(name)]; !ok {
 			known := KindNames()
 			message := fmt.Sprintf("%q is no kind of fault; one of %s expected", name, strings.Join(known, ", "))
-			table.ReportField(rules.Word, "kinds", "%s", tomldoc.WithNearest(message, name, known))
+			table.ReportField(rules.Word, "kinds", "%s", tomldoc.WithSuggestion(message, name, known))
 			continue
 		}
 		r.Kinds = append(r.Kinds, Kind(name))
@@ -168,8 +168,8 @@
 // decodeFault decodes one of the tables "faults", and checks it against the processes of the run.
 func (s *Scenario) decodeFault(table tomldoc.Scope) Fault {
 	f := Fault{
-		At:         table.Duration("at", 0, 0, MaxFor),
-		Duration:   table.Duration("for", 0, 0, MaxFor),
+		At:         table.Duration("at", 0, 0, MaxDuration),
+		Duration:   table.Duration("for", 0, 0, MaxDuration),
 		Kind:       Kind(table.OneOf("kind", "", KindNames()...)),
 		Site:       table.Text("site", ""),
 		Share:      table.Float("share", 0, 0, 1),
--- a/internal/harness/scenario/fault.go
+++ b/internal/harness/scenario/fault.go
@@ -12,13 +12,13 @@
 
 // The kinds of fault on links. Each acts on the links between two groups of processes.
 const (
-	Cut    Kind = "cut"    // bytes of both directions are held back until it ends
-	OneWay Kind = "oneway" // the same of one direction
-	Delay  Kind = "delay"  // bytes are delayed by Delay and up to Jitter more; in one direction, if one is given
-	Hold   Kind = "hold"   // of each connection's next bytes only the first Bytes pass until it ends
-	Reset  Kind = "reset"  // open connections are reset, and so are new ones until it ends
-	Half   Kind = "half"   // one direction of open connections is closed
-	Slow   Kind = "slow"   // bytes pass at Rate
+	Cut       Kind = "cut"    // bytes of both directions are held back until it ends
+	OneWay    Kind = "oneway" // the same of one direction
+	Delay     Kind = "delay"  // bytes are delayed by Delay and up to Jitter more; in one direction, if one is given
+	Hold      Kind = "hold"   // of each connection's next bytes only the first Bytes pass until it ends
+	Reset     Kind = "reset"  // open connections are reset, and so are new ones until it ends
+	HalfClose Kind = "half"   // one direction of open connections is closed
+	Slow      Kind = "slow"   // bytes pass at Rate
 )
 
 // The kinds of fault on processes.
@@ -30,19 +30,19 @@
 
 // The kinds of fault on list services.
 const (
-	ListDown   Kind = "down"      // they answer 503
-	ListSilent Kind = "silent"    // they accept requests and answer none
-	ListHalf   Kind = "half-body" // their responses break off
-	ListEmpty  Kind = "empty"     // their list is empty
-	ListOlder  Kind = "older"     // they go back to older versions, and stay there
+	ListDown      Kind = "down"      // they answer 503
+	ListSilent    Kind = "silent"    // they accept requests and answer none
+	ListTruncated Kind = "half-body" // their responses break off
+	ListEmpty     Kind = "empty"     // their list is empty
+	ListOlder     Kind = "older"     // they go back to older versions, and stay there
 )
 
 // The kinds of fault on backends.
 const (
-	Replace Kind = "replace" // they drain, stop, and start again, cold, when it ends
-	Moved   Kind = "moved"   // they stop, and another service has their addresses until it ends
-	Choke   Kind = "choke"   // they are many times slower
-	Fail    Kind = "fail"    // they answer 500 at once
+	Replace       Kind = "replace" // they drain, stop, and start again, cold, when it ends
+	AddressReused Kind = "moved"   // they stop, and another service has their addresses until it ends
+	Choke         Kind = "choke"   // they are many times slower
+	Fail          Kind = "fail"    // they answer 500 at once
 )
 
 // Groups of processes, as scenarios name them.
@@ -80,10 +80,10 @@
 
 // kindTargets has every kind, with what it acts on.
 var kindTargets = map[Kind]target{
-	Cut: onLinks, OneWay: onLinks, Delay: onLinks, Hold: onLinks, Reset: onLinks, Half: onLinks, Slow: onLinks,
+	Cut: onLinks, OneWay: onLinks, Delay: onLinks, Hold: onLinks, Reset: onLinks, HalfClose: onLinks, Slow: onLinks,
 	Kill: onProcesses, Stop: onProcesses, Term: onProcesses,
-	ListDown: onLists, ListSilent: onLists, ListHalf: onLists, ListEmpty: onLists, ListOlder: onLists,
-	Replace: onBackends, Moved: onBackends, Choke: onBackends, Fail: onBackends,
+	ListDown: onLists, ListSilent: onLists, ListTruncated: onLists, ListEmpty: onLists, ListOlder: onLists,
+	Replace: onBackends, AddressReused: onBackends, Choke: onBackends, Fail: onBackends,
 }
 
 // KindNames returns the texts of all kinds of fault, sorted.
--- a/internal/harness/scenario/scenario.go
+++ b/internal/harness/scenario/scenario.go
@@ -14,7 +14,7 @@
 	MaxSidecars = 1000
 	MaxBackends = 1000
 	MaxLists    = 16
-	MaxFor      = 10 * time.Minute
+	MaxDuration = 10 * time.Minute
 	MaxRate     = 20_000 // requests a second
 	maxFaults   = 1000
 	maxWorkers  = 64
--- a/internal/harness/scenario/scenario_test.go
+++ b/internal/harness/scenario/scenario_test.go
@@ -197,7 +197,7 @@
 		if err != nil {
 			return
 		}
-		if spec.Sidecars.Count < 1 || spec.Sidecars.Count > scenario.MaxSidecars || spec.Duration > scenario.MaxFor {
+		if spec.Sidecars.Count < 1 || spec.Sidecars.Count > scenario.MaxSidecars || spec.Duration > scenario.MaxDuration {
 			t.Errorf("out of bounds: %+v", spec)
 		}
 		spec.Schedule()
--- a/internal/harness/scenario/schedule.go
+++ b/internal/harness/scenario/schedule.go
@@ -89,7 +89,7 @@
 	case onLinks:
 		f.Link = links[rnd.IntN(len(links))]
 		f.Group = OnSidecars
-		if f.Kind == OneWay || f.Kind == Delay || f.Kind == Hold || f.Kind == Half {
+		if f.Kind == OneWay || f.Kind == Delay || f.Kind == Hold || f.Kind == HalfClose {
 			f.Direction = []string{ToServer, ToClient}[rnd.IntN(2)]
 		}
 		if f.Kind == Delay {
--- a/internal/harness/sidecars.go
+++ b/internal/harness/sidecars.go
@@ -103,7 +103,7 @@
 			lines := bufio.NewScanner(stderr)
 			for lines.Scan() {
 				if r.opts.Logs {
-					r.Record(history.Event{Kind: history.Log, Who: name, Why: lines.Text()})
+					r.Record(history.Event{Kind: history.Log, Who: name, Reason: lines.Text()})
 				}
 			}
 			// The scanner stops at a line beyond its bound. What follows is not needed.
--- a/internal/harness/standins.go
+++ b/internal/harness/standins.go
@@ -37,7 +37,7 @@
 	var all []standin.Member
 	for i, name := range r.backendNames {
 		member := r.newMember(name, i)
-		member.SinceMs = since
+		member.StartedMs = since
 		member.Status = statusServing
 		all = append(all, member)
 	}
@@ -69,7 +69,7 @@
 	for i, name := range r.backendNames {
 		if i%len(r.backendProcesses) == index {
 			spec.Backends = append(spec.Backends, name)
-			spec.Pods = append(spec.Pods, i%podCount)
+			spec.Cells = append(spec.Cells, i%podCount)
 		}
 	}
 	hello, err := r.startWorker(ctx, spec)
--- a/internal/harness/worker/backend.go
+++ b/internal/harness/worker/backend.go
@@ -43,12 +43,12 @@
 // execute carries out a command. The group's lock is held.
 func (b *backend) execute(command Command) error {
 	switch command.Do {
-	case DoEnd:
+	case DoStop:
 		b.stop()
 	case DoStart:
 		b.startedAt = time.Now()
 		return b.start()
-	case DoMove:
+	case DoReuseAddresses:
 		b.stop()
 		b.update(func() { b.moved = command.On })
 		b.startedAt = time.Now()
@@ -175,7 +175,7 @@
 		Class: call.Method,
 		Conn:  call.Conn.RemoteAddr().String(),
 		N:     int64(call.NumberOnConn),
-		Pod:   b.pod,
+		Cell:  b.pod,
 	}
 	b.mu.Lock()
 	failing, moved := b.failing, b.moved
--- a/internal/harness/worker/backends.go
+++ b/internal/harness/worker/backends.go
@@ -21,7 +21,7 @@
 			spec:      spec,
 			recorder:  r,
 			name:      name,
-			pod:       spec.Pods[i],
+			pod:       spec.Cells[i],
 			startedAt: time.Now().Add(-spec.Warmup),
 			address:   "127.0.0.1:0",
 		}
--- a/internal/harness/worker/clients.go
+++ b/internal/harness/worker/clients.go
@@ -239,7 +239,7 @@
 	}
 	e.Until = e.At + class.Deadline.Microseconds()
 	start := time.Now()
-	e.Status, e.Why = g.roundTrip(name, req, start.Add(class.Deadline+clientLeeway))
+	e.Status, e.Reason = g.roundTrip(name, req, start.Add(class.Deadline+clientLeeway))
 	e.Took = time.Since(start).Microseconds()
 	g.recorder.record(e)
 }
--- a/internal/harness/worker/followers.go
+++ b/internal/harness/worker/followers.go
@@ -92,9 +92,9 @@
 		select {
 		case <-ticker.C:
 			f.record(history.Event{Kind: history.Usage, Who: f.spec.Name, Figures: map[string]float64{
-				history.UsedBytes:     float64(f.bytesTransferred.Load()),
-				history.UsedReads:     float64(f.messagesSent.Load()),
-				history.UsedFollowers: float64(len(f.followers)),
+				history.UsageBytes:     float64(f.bytesTransferred.Load()),
+				history.UsageReads:     float64(f.messagesSent.Load()),
+				history.UsageFollowers: float64(len(f.followers)),
 			}})
 		case <-ctx.Done():
 			return
@@ -217,7 +217,7 @@
 	if name, ok := items[plan.RejectKey]; ok && name == `"`+s.follower+`"` {
 		s.record(history.Event{
 			Kind: history.UpdateRejected, Who: s.follower, Resource: s.resource, Version: u.Version,
-			Why: errNamedInUpdate.Error(),
+			Reason: errNamedInUpdate.Error(),
 		})
 		return errNamedInUpdate
 	}
@@ -238,7 +238,7 @@
 
 // UpdateFailed implements follow.Subscriber.
 func (s *subscription) UpdateFailed() {
-	s.record(history.Event{Kind: history.Log, Who: s.follower, Resource: s.resource, Why: "no relay answers"})
+	s.record(history.Event{Kind: history.Log, Who: s.follower, Resource: s.resource, Reason: "no relay answers"})
 }
 
 // Digest returns a hash of items by key, in hexadecimal.
--- a/internal/harness/worker/list_service.go
+++ b/internal/harness/worker/list_service.go
@@ -19,7 +19,7 @@
 func newListService(spec Spec, r recorder) (runner, Hello, error) {
 	discovery, err := standin.NewDiscoveryWith(standin.DiscoveryConfig{
 		Rate:       spec.SnapshotRate,
-		Queue:      spec.SnapshotQueue,
+		QueueSize:  spec.SnapshotQueue,
 		RetryAfter: spec.RetryAfter,
 		// Members are listed by the port of their relay, which each caller reaches at the caller's
 		// own address.
@@ -27,13 +27,13 @@
 			_, port, _ := strings.Cut(member.Address, ":")
 			return net.JoinHostPort(caller, port)
 		},
-		Since: func(caller string, member standin.Member) int64 {
-			if member.SinceMs == 0 {
+		StartedMs: func(caller string, member standin.Member) int64 {
+			if member.StartedMs == 0 {
 				return 0
 			}
-			return member.SinceMs + spec.ClockSkews[caller]
+			return member.StartedMs + spec.ClockSkews[caller]
 		},
-		Report: func(call standin.DiscoveryCall) { r.record(pollEvent(spec, r.clock, call)) },
+		OnCallEnd: func(call standin.DiscoveryCall) { r.record(pollEvent(spec, r.clock, call)) },
 	})
 	if err != nil {
 		return nil, Hello{}, err
@@ -52,7 +52,7 @@
 		Conn:   call.Caller,
 		N:      call.From,
 		Status: call.Status,
-		Took:   clock.Now() - clock.At(call.Began),
+		Took:   clock.Now() - clock.At(call.StartTime),
 		Bytes:  call.BytesWritten,
 	}
 	for _, member := range call.Members {
@@ -63,10 +63,10 @@
 		e.Names = append(e.Names, mark+member.Name)
 	}
 	switch {
-	case call.CallerLeft:
-		e.Why = history.CallerLeft
-	case call.Full:
-		e.Why = history.Snapshot
+	case call.CallerDisconnected:
+		e.Reason = history.CallerLeft
+	case call.IsSnapshot:
+		e.Reason = history.Snapshot
 	}
 	return e
 }
@@ -75,11 +75,11 @@
 func (l listService) execute(_ context.Context, command Command) error {
 	switch command.Do {
 	case DoMode:
-		mode, ok := standin.ModeOf(command.Mode)
+		mode, ok := standin.DiscoveryFaultByName(command.Mode)
 		if !ok {
 			return fmt.Errorf("unknown mode %q", command.Mode)
 		}
-		l.SetMode(mode)
+		l.SetFault(mode)
 	case DoMembers:
 		l.update(command.Members)
 	default:
--- a/internal/harness/worker/publisher.go
+++ b/internal/harness/worker/publisher.go
@@ -47,13 +47,13 @@
 // execute implements runner.
 func (p *publisher) execute(ctx context.Context, command Command) error {
 	switch command.Do {
-	case DoFirst:
+	case DoInitialPuts:
 		p.running.Go(func() {
 			for _, put := range p.spec.InitialPuts {
 				p.publish(ctx, put)
 			}
 		})
-	case DoBegin:
+	case DoStartPuts:
 		p.startPuts(ctx, command.At)
 	default:
 		return errUnknownCommand
@@ -117,7 +117,7 @@
 		Version:  version,
 	}
 	if err != nil {
-		e.Why = err.Error()
+		e.Reason = err.Error()
 	}
 	e.Took = e.At - start
 	p.record(e)
--- a/internal/harness/worker/spec.go
+++ b/internal/harness/worker/spec.go
@@ -23,7 +23,7 @@
 
 	// Of backends.
 	Backends      []string      `json:"backends,omitempty"`
-	Pods          []int         `json:"pods,omitempty"`
+	Cells         []int         `json:"pods,omitempty"`
 	Cores         int           `json:"cores,omitempty"`
 	QueueLength   int           `json:"waiting,omitempty"`
 	ServiceTime   time.Duration `json:"work,omitempty"`
@@ -71,17 +71,17 @@
 
 // The commands, with the group that each is for.
 const (
-	DoMode    = "mode"    // list service: answers in Mode
-	DoMembers = "members" // list service: Members have changed; those that are DELETED leave
-	DoEnd     = "end"     // backends: Names stop, as with the end of their processes
-	DoStart   = "start"   // backends: Names start, cold
-	DoChoke   = "choke"   // backends: Names are slowed down many times (On), or no longer
-	DoFail    = "fail"    // backends: Names answer 500 at once (On), or no longer
-	DoMove    = "move"    // backends: another service takes the addresses of Names (On), or they take them back
-	DoLoad    = "load"    // clients: the load starts (On), or ends
-	DoFirst   = "first"   // publisher: writes InitialPuts
-	DoBegin   = "begin"   // publisher: the run starts at At
-	DoRestart = "restart" // followers: all start again with the versions that they hold
+	DoMode           = "mode"    // list service: answers in Mode
+	DoMembers        = "members" // list service: Members have changed; those that are DELETED leave
+	DoStop           = "end"     // backends: Names stop, as with the end of their processes
+	DoStart          = "start"   // backends: Names start, cold
+	DoChoke          = "choke"   // backends: Names are slowed down many times (On), or no longer
+	DoFail           = "fail"    // backends: Names answer 500 at once (On), or no longer
+	DoReuseAddresses = "move"    // backends: another service takes the addresses of Names (On), or they take them back
+	DoLoad           = "load"    // clients: the load starts (On), or ends
+	DoInitialPuts    = "first"   // publisher: writes InitialPuts
+	DoStartPuts      = "begin"   // publisher: the run starts at At
+	DoRestart        = "restart" // followers: all start again with the versions that they hold
 )
 
 // Hello is the first line of a worker's output: where it listens.
--- a/internal/membership/catalog/contract_test.go
+++ b/internal/membership/catalog/contract_test.go
@@ -24,13 +24,13 @@
 func (r registry) InjectFault(n int) (string, bool) {
 	switch n {
 	case 0:
-		r.discovery.Down(true)
+		r.discovery.SetDown(true)
 		return "discovery is down", true
 	case 1:
-		r.discovery.Silent(true)
+		r.discovery.SetUnresponsive(true)
 		return "discovery is silent", true
 	case 2:
-		r.discovery.SetMode(standin.ListHalf)
+		r.discovery.SetFault(standin.DiscoveryTruncated)
 		r.discovery.Put(standin.Member{Name: "change", Address: "127.0.0.1:1"}) // causes a response to truncate
 		r.discovery.Delete("change")
 		return "its responses are truncated", true
@@ -39,8 +39,8 @@
 }
 
 func (r registry) ClearFault() {
-	r.discovery.Down(false)
-	r.discovery.Silent(false)
+	r.discovery.SetDown(false)
+	r.discovery.SetUnresponsive(false)
 }
 
 func TestContract(t *testing.T) {
--- a/internal/membership/catalog/scheduled_test.go
+++ b/internal/membership/catalog/scheduled_test.go
@@ -54,7 +54,7 @@
 func TestScheduledCallsToFailingDiscovery(t *testing.T) {
 	const retryAfter = 400 * time.Millisecond
 	var log callLog
-	discovery, err := standin.NewDiscoveryWith(standin.DiscoveryConfig{RetryAfter: retryAfter, Report: log.add})
+	discovery, err := standin.NewDiscoveryWith(standin.DiscoveryConfig{RetryAfter: retryAfter, OnCallEnd: log.add})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 		discovery.Put(
 			standin.Member{Name: "a", Address: "127.0.0.1:1"}, standin.Member{Name: "b", Address: "127.0.0.1:2"})
 	}
-	discovery.SetMode(standin.ListEmpty)
+	discovery.SetFault(standin.DiscoveryEmpty)
 	lists := make(listSink, 100)
 	run(t, New(Config{
 		Address: discovery.Addr(), Log: slog.New(slog.DiscardHandler), KnownVersion: -1,
@@ -74,21 +74,21 @@
 	if len(lists) > 0 {
 		t.Fatalf("an empty list was delivered as the first list: %+v", <-lists)
 	}
-	discovery.SetMode(standin.ListWell)
+	discovery.SetFault(standin.DiscoveryOK)
 	discovery.Put(standin.Member{Name: "c", Address: "127.0.0.1:3"})
 	if list := <-lists; len(list.Endpoints) == 0 {
 		t.Fatalf("first list is %+v", list)
 	}
 	isFullRead := func(call standin.DiscoveryCall) bool { return call.From < 0 && call.Status == 200 }
 	fullReads := len(log.matching(isFullRead))
-	discovery.SetMode(standin.ListOlder)
-	discovery.SetMode(standin.ListWell)
+	discovery.SetFault(standin.DiscoveryRolledBack)
+	discovery.SetFault(standin.DiscoveryOK)
 	log.waitFor(t, "a full read of the older state", fullReads, isFullRead)
-	discovery.Down(true)
+	discovery.SetDown(true)
 	isRejected := func(call standin.DiscoveryCall) bool { return call.Status == 503 }
 	log.waitFor(t, "two calls that are rejected", 1, isRejected)
 	rejected := log.matching(isRejected)
-	if delay := rejected[1].Began.Sub(rejected[0].Began); delay < retryAfter {
+	if delay := rejected[1].StartTime.Sub(rejected[0].StartTime); delay < retryAfter {
 		t.Errorf("call came %v after a rejection with Retry-After %v", delay, retryAfter)
 	}
 }
--- a/internal/membership/consul/consul_test.go
+++ b/internal/membership/consul/consul_test.go
@@ -21,7 +21,7 @@
 
 func (r registry) Delete(names ...string) { r.health.Delete(names...) }
 
-func (r registry) ClearFault() { r.health.Fail(standin.HealthOK) }
+func (r registry) ClearFault() { r.health.SetFault(standin.HealthOK) }
 
 func (r registry) InjectFault(n int) (string, bool) {
 	faults := []struct {
@@ -29,7 +29,7 @@
 		fault standin.HealthFault
 	}{
 		{"down", standin.HealthDown},
-		{"silent", standin.HealthSilent},
+		{"silent", standin.HealthUnresponsive},
 		{"no leader", standin.HealthNoLeader},
 		{"truncated", standin.HealthTruncated},
 		{"no index", standin.HealthNoIndex},
@@ -37,7 +37,7 @@
 	if n >= len(faults) {
 		return "", false
 	}
-	r.health.Fail(faults[n].fault)
+	r.health.SetFault(faults[n].fault)
 	return faults[n].what, true
 }
 
@@ -95,7 +95,7 @@
 	lists := make(listSink, 100)
 	run(t, newSource(health), lists)
 	<-lists
-	health.Restart()
+	health.ResetIndex()
 	health.Put(standin.Member{Name: "b", Address: "127.0.0.1:2"})
 	for list := range lists {
 		if len(list.Endpoints) == 2 {
@@ -111,7 +111,7 @@
 	lists := make(listSink, 100)
 	stop := run(t, newSource(health), lists)
 	<-lists
-	health.Fail(standin.HealthSpurious)
+	health.SetFault(standin.HealthSpurious)
 	began, before := time.Now(), health.Reads()
 	for health.Reads() < before+5 {
 		time.Sleep(time.Millisecond) // polling, since there is no notification of reads
--- a/internal/scale/churn/churn.go
+++ b/internal/scale/churn/churn.go
@@ -39,9 +39,9 @@
 	return Change{Kind: kind, Backend: turn}
 }
 
-// Range returns the numbers of the backends that a list has at a version, from first up to but not
+// BackendRange returns the numbers of the backends that a list has at a version, from first up to but not
 // including last, and whether the first one drains.
-func Range(version int64, backends int) (first, last int, isDraining bool) {
+func BackendRange(version int64, backends int) (first, last int, isDraining bool) {
 	turns, rest := int(version)/kinds, int(version)%kinds
 	first, last = turns, backends+turns
 	if rest == 2 {
@@ -55,7 +55,7 @@
 func Version(list *membership.List, backends int) int64 {
 	version, first := int64(0), -1
 	for _, e := range list.Endpoints {
-		number := Number(e.Name)
+		number := BackendNumber(e.Name)
 		if number < 0 {
 			continue
 		}
@@ -87,11 +87,11 @@
 // versionOf returns the version that a turn's change of a kind makes.
 func versionOf(kind Kind, turn int) int64 { return int64(turn)*kinds + int64(kind) + 1 }
 
-// Name returns the name of a backend of a service.
-func Name(service string, number int) string { return service + "-" + strconv.Itoa(number) }
+// BackendName returns the name of a backend of a service.
+func BackendName(service string, number int) string { return service + "-" + strconv.Itoa(number) }
 
-// Number returns the number of a backend by its name; -1 where the name has none.
-func Number(name string) int {
+// BackendNumber returns the number of a backend by its name; -1 where the name has none.
+func BackendNumber(name string) int {
 	n, err := strconv.Atoi(name[strings.LastIndexByte(name, '-')+1:])
 	if err != nil || n < 0 {
 		return -1
--- a/internal/scale/churn/churn_test.go
+++ b/internal/scale/churn/churn_test.go
@@ -17,7 +17,7 @@
 	}
 	for version := int64(1); version < 100; version++ {
 		change := churn.At(version, backends)
-		delta := membership.Endpoint{Name: churn.Name("a-b", change.Backend)}
+		delta := membership.Endpoint{Name: churn.BackendName("a-b", change.Backend)}
 		switch change.Kind {
 		case churn.Drain:
 			delta.Status = membership.Draining
@@ -33,13 +33,13 @@
 		}
 		snapshot := &membership.List{Full: true}
 		for n, status := range all {
-			endpoint := membership.Endpoint{Name: churn.Name("a-b", n), Status: status}
+			endpoint := membership.Endpoint{Name: churn.BackendName("a-b", n), Status: status}
 			snapshot.Endpoints = append(snapshot.Endpoints, endpoint)
 		}
 		if got := churn.Version(snapshot, backends); got != version {
 			t.Errorf("list of version %d read as %d", version, got)
 		}
-		first, last, isDraining := churn.Range(version, backends)
+		first, last, isDraining := churn.BackendRange(version, backends)
 		if last-first != len(all) || isDraining != (all[first] == membership.Draining) {
 			t.Errorf("version %d: %d to %d, draining %v; the list is %v", version, first, last, isDraining, all)
 		}
@@ -48,7 +48,7 @@
 
 func TestNumberOfNamesWithoutOne(t *testing.T) {
 	for _, name := range []string{"", "x", "x-", "x-1y"} {
-		if n := churn.Number(name); n != -1 {
+		if n := churn.BackendNumber(name); n != -1 {
 			t.Errorf("%q has number %d", name, n)
 		}
 	}
--- a/internal/scale/fit/drivers.go
+++ b/internal/scale/fit/drivers.go
@@ -30,7 +30,7 @@
 // of relays.
 func DriversOf(size result.Size, processes, relays int) Drivers {
 	proxies, services, backends := float64(size.Proxies), float64(size.Services), float64(size.Backends)
-	servicesInAll := float64(size.ServicesInAll)
+	servicesInAll := float64(size.TotalServices)
 	d := Drivers{
 		Processes:     float64(processes),
 		Relays:        float64(relays),
@@ -43,9 +43,9 @@
 		Services:      servicesInAll,
 		Endpoints:     servicesInAll * backends,
 	}
-	if size.ServicesInAll > 0 {
+	if size.TotalServices > 0 {
 		d.Delivered = size.ChangesPerSecond * proxies * services / servicesInAll
-		d.ListsRead = d.Followed * ReadRate(size.ChangesPerSecond/servicesInAll)
+		d.ListsRead = d.Followed * LongPollRate(size.ChangesPerSecond/servicesInAll)
 	}
 	d.EndpointsChanged = d.Delivered * backends
 	d.EndpointsRead = d.ListsRead * backends
@@ -55,9 +55,9 @@
 // pollTimeout is how long a long poll of package consul waits for a change, in seconds.
 const pollTimeout = 2.0
 
-// ReadRate returns the number of long polls per second for one list that has so many changes per
+// LongPollRate returns the number of long polls per second for one list that has so many changes per
 // second. A poll ends with the first change or with its timeout.
-func ReadRate(changes float64) float64 {
+func LongPollRate(changes float64) float64 {
 	if changes < 1e-9 {
 		return 1 / pollTimeout
 	}
@@ -72,7 +72,7 @@
 
 // candidateDrivers returns the drivers that a figure may grow with. Over consul, work and traffic
 // depend on the services followed only through the complete lists that are read.
-func candidateDrivers(source result.Source, role Role, figure Figure) []driver {
+func candidateDrivers(source result.Source, role Role, figure Metric) []driver {
 	if figure.IsTime() {
 		constant := driver{"in all", func(*Drivers) float64 { return 1 }}
 		return append([]driver{constant, proxyDriver()}, updateDrivers(source)...)
--- a/internal/scale/fit/figure.go
+++ b/internal/scale/fit/figure.go
@@ -13,27 +13,27 @@
 // Roles returns all roles.
 func Roles() []Role { return []Role{Proxies, Lists, Relays} }
 
-// Figure is a quantity that is measured for a role.
-type Figure string
+// Metric is a quantity that is measured for a role.
+type Metric string
 
 // The figures. Times are measured for proxies only.
 const (
-	CPU           Figure = "cpu" // cores: CPU seconds per second
-	RSS           Figure = "rss" // bytes
-	Heap          Figure = "heap"
-	Allocated     Figure = "allocated" // bytes per second
-	Allocations   Figure = "allocations"
-	Goroutines    Figure = "goroutines"
-	Connections   Figure = "connections"
-	BytesIn       Figure = "bytes_in" // per second
-	BytesOut      Figure = "bytes_out"
-	MessagesIn    Figure = "messages_in"
-	MessagesOut   Figure = "messages_out"
-	InForceMedian Figure = "in_force_p50" // seconds
-	InForceP99    Figure = "in_force_p99"
-	InForceLast   Figure = "in_force_last"
-	CallMedian    Figure = "call_p50"
-	CallP99       Figure = "call_p99"
+	CPU               Metric = "cpu" // cores: CPU seconds per second
+	RSS               Metric = "rss" // bytes
+	Heap              Metric = "heap"
+	Allocated         Metric = "allocated" // bytes per second
+	Allocations       Metric = "allocations"
+	Goroutines        Metric = "goroutines"
+	Connections       Metric = "connections"
+	BytesIn           Metric = "bytes_in" // per second
+	BytesOut          Metric = "bytes_out"
+	MessagesIn        Metric = "messages_in"
+	MessagesOut       Metric = "messages_out"
+	PropagationMedian Metric = "in_force_p50" // seconds
+	PropagationP99    Metric = "in_force_p99"
+	PropagationMax    Metric = "in_force_last"
+	CallMedian        Metric = "call_p50"
+	CallP99           Metric = "call_p99"
 )
 
 const (
@@ -41,18 +41,18 @@
 	microPerSecond = 1e6
 )
 
-// Figures returns all figures.
-func Figures() []Figure {
-	return []Figure{
+// Metrics returns all figures.
+func Metrics() []Metric {
+	return []Metric{
 		CPU, RSS, Heap, Allocated, Allocations, Goroutines, Connections, BytesIn, BytesOut, MessagesIn, MessagesOut,
-		InForceMedian, InForceP99, InForceLast, CallMedian, CallP99,
+		PropagationMedian, PropagationP99, PropagationMax, CallMedian, CallP99,
 	}
 }
 
 // IsTime reports whether the figure is a quantile of a time. Times are not summed over proxies.
-func (f Figure) IsTime() bool {
+func (f Metric) IsTime() bool {
 	switch f {
-	case InForceMedian, InForceP99, InForceLast, CallMedian, CallP99:
+	case PropagationMedian, PropagationP99, PropagationMax, CallMedian, CallP99:
 		return true
 	default:
 		return false
@@ -60,12 +60,12 @@
 }
 
 // isState reports whether the figure is a level at a moment, not a rate.
-func (f Figure) isState() bool {
+func (f Metric) isState() bool {
 	return f == RSS || f == Heap || f == Goroutines || f == Connections
 }
 
 // Unit returns the unit in which tables print the figure, and the number of base units in it.
-func (f Figure) Unit() (name string, base float64) {
+func (f Metric) Unit() (name string, base float64) {
 	switch f {
 	case CPU:
 		return "millicores", 1e-3
@@ -77,7 +77,7 @@
 		return "", 1
 	case CallMedian, CallP99:
 		return "µs", 1 / microPerSecond
-	case InForceMedian, InForceP99, InForceLast:
+	case PropagationMedian, PropagationP99, PropagationMax:
 		return "ms", 1e-3
 	default:
 		return "/s", 1
--- a/internal/scale/fit/fit_test.go
+++ b/internal/scale/fit/fit_test.go
@@ -30,7 +30,7 @@
 		Hollow:    true,
 	}
 	for k := range 6 {
-		size := result.Size{Proxies: 200, Services: 10, ServicesInAll: 100, Backends: 23, ChangesPerSecond: changes}
+		size := result.Size{Proxies: 200, Services: 10, TotalServices: 100, Backends: 23, ChangesPerSecond: changes}
 		factor := 1 << k
 		switch d {
 		case result.Proxies:
@@ -87,9 +87,9 @@
 			t.Errorf("trial %d: %.4g predicted at the target, %.4g true; terms %+v", trial, got, want, m.Terms)
 		}
 		term := m.Term("endpoint followed")
-		if math.Abs(term.Value-truth.endpoint) > 5*term.Error || term.Error > 0.05*truth.endpoint {
+		if math.Abs(term.Value-truth.endpoint) > 5*term.StandardError || term.StandardError > 0.05*truth.endpoint {
 			t.Errorf("trial %d: an endpoint costs %.4g +- %.2g, %.4g true",
-				trial, term.Value, term.Error, truth.endpoint)
+				trial, term.Value, term.StandardError, truth.endpoint)
 		}
 	}
 }
@@ -123,14 +123,14 @@
 	}
 	m := NewModels(results, result.SourceConsul, true).Model(Proxies, BytesIn)
 	for name, want := range map[string]float64{TermListRead: 300, TermEndpointRead: 110} {
-		if got := m.Term(name); math.Abs(got.Value-want) > 5*got.Error || got.Error > 0.1*want {
-			t.Errorf("%s: %.4g +- %.2g, %.4g expected", name, got.Value, got.Error, want)
+		if got := m.Term(name); math.Abs(got.Value-want) > 5*got.StandardError || got.StandardError > 0.1*want {
+			t.Errorf("%s: %.4g +- %.2g, %.4g expected", name, got.Value, got.StandardError, want)
 		}
 	}
-	if at := ReadRate(0); at != 0.5 {
+	if at := LongPollRate(0); at != 0.5 {
 		t.Errorf("%g reads a second at rest, 0.5 expected", at)
 	}
-	if busy := ReadRate(100); math.Abs(busy-100) > 1e-6 {
+	if busy := LongPollRate(100); math.Abs(busy-100) > 1e-6 {
 		t.Errorf("%g reads a second at 100 changes, 100 expected", busy)
 	}
 }
@@ -155,21 +155,21 @@
 	}{
 		{"flat", func(Drivers) float64 { return 300 }, Flat, 0, 0},
 		{"linear", func(d Drivers) float64 { return 300 + 0.5*d.Proxies }, Linear, 0, 0.5},
-		{"square", func(d Drivers) float64 { return 300 + 0.001*d.Proxies*d.Proxies }, Faster, 400, math.NaN()},
-		{"saturates", func(d Drivers) float64 { return 300 + min(d.Proxies, 800) }, Slower, 1600, math.NaN()},
+		{"square", func(d Drivers) float64 { return 300 + 0.001*d.Proxies*d.Proxies }, Superlinear, 400, math.NaN()},
+		{"saturates", func(d Drivers) float64 { return 300 + min(d.Proxies, 800) }, Sublinear, 1600, math.NaN()},
 		{
 			"knee", func(d Drivers) float64 { return 300 + 0.1*d.Proxies + 3*max(0, d.Proxies-1600) },
-			Faster, 3200, math.NaN(),
+			Superlinear, 3200, math.NaN(),
 		},
 	} {
 		r := sweepOfTruth(result.Proxies, 0, test.truth, 0.005, rand.New(rand.NewPCG(3, 4)))
 		var line *Line
 		for _, s := range Sweeps(r) {
-			if s.Figure == BytesIn {
+			if s.Metric == BytesIn {
 				line = &s.Line
 			}
 		}
-		if line == nil || line.Shape != (Shape{Kind: test.kind, From: test.from}) {
+		if line == nil || line.Shape != (Shape{Kind: test.kind, DepartureSize: test.from}) {
 			t.Errorf("%s: %+v; %s from %g expected", test.name, line, test.kind, test.from)
 			continue
 		}
@@ -186,7 +186,7 @@
 		result.Backends: 7 * 10,
 	} {
 		for _, s := range Sweeps(sweepOfTruth(dimension, 0, truth.at, 0, rand.New(rand.NewPCG(1, 2)))) {
-			if s.Figure == BytesIn && math.Abs(s.Line.Slope/want-1) > 0.01 {
+			if s.Metric == BytesIn && math.Abs(s.Line.Slope/want-1) > 0.01 {
 				t.Errorf("along %s: slope %.4g, %.4g expected", dimension, s.Line.Slope, want)
 			}
 		}
@@ -199,7 +199,7 @@
 	for range 200 {
 		r := sweepOfTruth(result.Proxies, 0, func(d Drivers) float64 { return 100 + 0.3*d.Proxies }, 0.03, rng)
 		for _, s := range Sweeps(r) {
-			if s.Figure == BytesIn && s.Line.Shape.Kind != Linear {
+			if s.Metric == BytesIn && s.Line.Shape.Kind != Linear {
 				bent++
 			}
 		}
@@ -216,7 +216,7 @@
 		t.Errorf("%+v; a model without terms expected", m)
 	}
 	for _, s := range Sweeps(r) {
-		if s.Figure == BytesOut && s.Line != (Line{R2: 1, Shape: Shape{Kind: Flat}}) {
+		if s.Metric == BytesOut && s.Line != (Line{R2: 1, Shape: Shape{Kind: Flat}}) {
 			t.Errorf("%+v; a flat line at nothing expected", s.Line)
 		}
 	}
@@ -245,10 +245,10 @@
 	}
 	found := false
 	for _, c := range m.HeldOut(results) {
-		if c.Figure == BytesIn {
+		if c.Metric == BytesIn {
 			found = true
-			if math.Abs(c.Ratio()-0.5) > 0.01 || Within(c.Ratio()) {
-				t.Errorf("ratio %.3f, within %v; 0.5 and false expected", c.Ratio(), Within(c.Ratio()))
+			if math.Abs(c.Ratio()-0.5) > 0.01 || WithinTolerance(c.Ratio()) {
+				t.Errorf("ratio %.3f, within %v; 0.5 and false expected", c.Ratio(), WithinTolerance(c.Ratio()))
 			}
 			if math.Abs(c.LineRatio()-0.5) > 0.01 {
 				t.Errorf("ratio by the line %.3f, 0.5 expected", c.LineRatio())
@@ -271,7 +271,7 @@
 		t.Fatalf("%+v; pairs of 100 proxies expected", pairs)
 	}
 	for _, p := range pairs {
-		if p.Figure == BytesIn && math.Abs(p.Real/p.Hollow-1.5) > 0.01 {
+		if p.Metric == BytesIn && math.Abs(p.Real/p.Hollow-1.5) > 0.01 {
 			t.Errorf("%+v; a ratio of 1.5 expected", p)
 		}
 	}
--- a/internal/scale/fit/heldout.go
+++ b/internal/scale/fit/heldout.go
@@ -11,21 +11,21 @@
 
 // Comparison is a model's prediction for a point that was held out beside what was measured there.
 type Comparison struct {
-	Scenario  string
-	Source    result.Source
-	Size      result.Size
-	Role      Role
-	Figure    Figure
-	Predicted float64 // by the model over all sweeps
-	ByLine    float64 // by the line of the point's sweep; NaN where that has none
-	Measured  float64 // mean over the rounds
+	Scenario        string
+	Source          result.Source
+	Size            result.Size
+	Role            Role
+	Metric          Metric
+	Predicted       float64 // by the model over all sweeps
+	PredictedByLine float64 // by the line of the point's sweep; NaN where that has none
+	Measured        float64 // mean over the rounds
 }
 
 // Ratio returns the ratio of the model's prediction to the measurement.
 func (c Comparison) Ratio() float64 { return ratio(c.Predicted, c.Measured) }
 
 // LineRatio returns the ratio of the line's prediction to the measurement.
-func (c Comparison) LineRatio() float64 { return ratio(c.ByLine, c.Measured) }
+func (c Comparison) LineRatio() float64 { return ratio(c.PredictedByLine, c.Measured) }
 
 func ratio(predicted, measured float64) float64 {
 	if measured == 0 && predicted == 0 {
@@ -34,8 +34,8 @@
 	return predicted / measured
 }
 
-// Within reports whether a ratio is within the Tolerance.
-func Within(ratio float64) bool { return math.Abs(ratio-1) <= Tolerance }
+// WithinTolerance reports whether a ratio is within the Tolerance.
+func WithinTolerance(ratio float64) bool { return math.Abs(ratio-1) <= Tolerance }
 
 // HeldOut compares all held-out points of the models' source with their predictions.
 func (m *Models) HeldOut(results []*result.Result) []Comparison {
@@ -99,12 +99,12 @@
 			Source:   res.Source,
 			Size:     p.Size,
 			Role:     model.Role,
-			Figure:   model.Figure,
+			Metric:   model.Metric,
 		}
 		n := 0
 		for k := range p.Rounds {
 			r := &p.Rounds[k]
-			value, ok := measured(r, model.Role, model.Figure)
+			value, ok := measured(r, model.Role, model.Metric)
 			if !ok {
 				continue
 			}
@@ -115,7 +115,7 @@
 		if n > 0 {
 			c.Measured /= float64(n)
 			c.Predicted /= float64(n)
-			c.ByLine = predictByLine(lines, model, p.Size)
+			c.PredictedByLine = predictByLine(lines, model, p.Size)
 			all = append(all, c)
 		}
 	}
@@ -126,10 +126,10 @@
 // none.
 func predictByLine(lines []Sweep, m *Model, size result.Size) float64 {
 	for _, s := range lines {
-		if s.Role != m.Role || s.Figure != m.Figure {
+		if s.Role != m.Role || s.Metric != m.Metric {
 			continue
 		}
-		value := s.Line.at(Along(s.Dimension, size))
+		value := s.Line.at(DimensionValue(s.Dimension, size))
 		if s.PerProxy {
 			value *= float64(size.Proxies)
 		}
--- a/internal/scale/fit/model.go
+++ b/internal/scale/fit/model.go
@@ -6,25 +6,25 @@
 
 // Term is the cost of one unit of a driver.
 type Term struct {
-	Name   string
-	Value  float64 // of the figure, per unit
-	Error  float64 // standard error of Value
-	Share  float64 // of the figure, at the measured size at which the term contributes most
-	driver func(*Drivers) float64
+	Name          string
+	Value         float64 // of the figure, per unit
+	StandardError float64 // standard error of Value
+	Share         float64 // of the figure, at the measured size at which the term contributes most
+	driver        func(*Drivers) float64
 }
 
 // Model is how a figure of a role grows with every dimension that was swept: a sum of terms.
 type Model struct {
-	Source  result.Source
-	Hollow  bool
-	Role    Role
-	Figure  Figure
-	Terms   []Term   // by Share, descending; empty where the figure was zero at every size
-	R2      float64  // coefficient of determination
-	Typical float64  // median of the relative errors at the measured sizes
-	Worst   float64  // largest of the relative errors
-	Rounds  int      // number of rounds that the model is fitted to
-	Aliased []string // terms left out that the measured sizes cannot tell apart from those that stay
+	Source      result.Source
+	Hollow      bool
+	Role        Role
+	Metric      Metric
+	Terms       []Term   // by Share, descending; empty where the figure was zero at every size
+	R2          float64  // coefficient of determination
+	MedianError float64  // median of the relative errors at the measured sizes
+	MaxError    float64  // largest of the relative errors
+	Rounds      int      // number of rounds that the model is fitted to
+	Aliased     []string // terms left out that the measured sizes cannot tell apart from those that stay
 }
 
 // Predict returns the figure at a size, over all processes of the role.
@@ -55,12 +55,12 @@
 
 // Model returns the model of a figure of a role, nil where it was not measured. It may be called on
 // nil.
-func (m *Models) Model(role Role, figure Figure) *Model {
+func (m *Models) Model(role Role, figure Metric) *Model {
 	if m == nil {
 		return nil
 	}
 	for i := range m.All {
-		if m.All[i].Role == role && m.All[i].Figure == figure {
+		if m.All[i].Role == role && m.All[i].Metric == figure {
 			return &m.All[i]
 		}
 	}
@@ -72,7 +72,7 @@
 func NewModels(results []*result.Result, source result.Source, hollow bool) *Models {
 	models := &Models{Source: source, Hollow: hollow}
 	for _, role := range Roles() {
-		for _, figure := range Figures() {
+		for _, figure := range Metrics() {
 			var all []observation
 			for _, r := range results {
 				if r.Source == source && r.Hollow == hollow {
@@ -82,7 +82,7 @@
 			if len(all) == 0 {
 				continue
 			}
-			m := Model{Source: source, Hollow: hollow, Role: role, Figure: figure, Rounds: len(all)}
+			m := Model{Source: source, Hollow: hollow, Role: role, Metric: figure, Rounds: len(all)}
 			m.fit(all, candidateDrivers(source, role, figure))
 			models.All = append(models.All, m)
 		}
--- a/internal/scale/fit/observe.go
+++ b/internal/scale/fit/observe.go
@@ -18,7 +18,7 @@
 
 // measured returns a figure of a role in a round, over all processes of the role. It is not ok if
 // the figure was not measured.
-func measured(r *result.Round, role Role, figure Figure) (value float64, ok bool) {
+func measured(r *result.Round, role Role, figure Metric) (value float64, ok bool) {
 	if figure.IsTime() {
 		return quantile(r, role, figure)
 	}
@@ -53,17 +53,17 @@
 }
 
 // quantile returns a figure that is a time, in seconds. It is not ok if nothing was timed.
-func quantile(r *result.Round, role Role, figure Figure) (value float64, ok bool) {
+func quantile(r *result.Round, role Role, figure Metric) (value float64, ok bool) {
 	if role != Proxies {
 		return 0, false
 	}
 	switch figure {
-	case InForceMedian:
-		return r.InForce.P50, r.InForce.Count > 0
-	case InForceP99:
-		return r.InForce.P99, r.InForce.Count > 0
-	case InForceLast:
-		return r.InForce.Max, r.InForce.Count > 0
+	case PropagationMedian:
+		return r.Propagation.P50, r.Propagation.Count > 0
+	case PropagationP99:
+		return r.Propagation.P99, r.Propagation.Count > 0
+	case PropagationMax:
+		return r.Propagation.Max, r.Propagation.Count > 0
 	case CallMedian:
 		return r.Call.P50, r.Call.Count > 0
 	default:
@@ -79,7 +79,7 @@
 }
 
 // observe returns a figure of a role at all points of a result that are not held out.
-func observe(res *result.Result, role Role, figure Figure) []observation {
+func observe(res *result.Result, role Role, figure Metric) []observation {
 	var all []observation
 	for i := range res.Points {
 		p := &res.Points[i]
@@ -91,7 +91,7 @@
 			if value, ok := measured(r, role, figure); ok {
 				all = append(all, observation{
 					at:    DriversOf(p.Size, costOf(r, role).Processes, r.Relays.Processes),
-					x:     Along(res.Dimension, p.Size),
+					x:     DimensionValue(res.Dimension, p.Size),
 					value: value,
 				})
 			}
@@ -100,8 +100,8 @@
 	return all
 }
 
-// Along returns the value of a size in one dimension.
-func Along(d result.Dimension, s result.Size) float64 {
+// DimensionValue returns the value of a size in one dimension.
+func DimensionValue(d result.Dimension, s result.Size) float64 {
 	switch d {
 	case result.Services:
 		return float64(s.Services)
@@ -118,7 +118,7 @@
 
 // MeanOf returns the mean over a point's rounds of a figure of a role. It is not ok if the figure
 // was not measured.
-func MeanOf(p *result.Point, role Role, figure Figure) (mean float64, ok bool) {
+func MeanOf(p *result.Point, role Role, figure Metric) (mean float64, ok bool) {
 	n := 0
 	for k := range p.Rounds {
 		if v, ok := measured(&p.Rounds[k], role, figure); ok {
--- a/internal/scale/fit/pairs.go
+++ b/internal/scale/fit/pairs.go
@@ -9,7 +9,7 @@
 	Source result.Source
 	Size   result.Size
 	Role   Role
-	Figure Figure
+	Metric Metric
 	Hollow float64 // mean over the rounds, over all processes
 	Real   float64 // mean over the rounds, over all processes
 }
@@ -44,7 +44,7 @@
 func pairsOfPoints(source result.Source, hollow, actual *result.Point) []Pair {
 	var all []Pair
 	for _, role := range Roles() {
-		for _, figure := range Figures() {
+		for _, figure := range Metrics() {
 			hollowMean, hollowOK := MeanOf(hollow, role, figure)
 			actualMean, actualOK := MeanOf(actual, role, figure)
 			if !hollowOK || !actualOK {
@@ -54,7 +54,7 @@
 				Source: source,
 				Size:   hollow.Size,
 				Role:   role,
-				Figure: figure,
+				Metric: figure,
 				Hollow: hollowMean,
 				Real:   actualMean,
 			})
--- a/internal/scale/fit/shape.go
+++ b/internal/scale/fit/shape.go
@@ -7,8 +7,8 @@
 
 // Shape is how a figure grows along a sweep.
 type Shape struct {
-	Kind ShapeKind
-	From float64 // the first size that departs from the line through the smaller sizes; 0 for Flat and Linear
+	Kind          ShapeKind
+	DepartureSize float64 // the first size that departs from the line through the smaller sizes; 0 for Flat and Linear
 }
 
 // ShapeKind is the kind of a Shape.
@@ -19,15 +19,15 @@
 	// Flat means that the slope is within its error, or moves the figure by under a twentieth over the sweep.
 	Flat ShapeKind = "flat"
 	// Linear means that the slopes of the lower and the upper half agree.
-	Linear ShapeKind = "linear"
-	Faster ShapeKind = "grows faster than linear"
-	Slower ShapeKind = "grows slower than linear"
+	Linear      ShapeKind = "linear"
+	Superlinear ShapeKind = "grows faster than linear"
+	Sublinear   ShapeKind = "grows slower than linear"
 )
 
 // String returns the shape in words, as tables print it.
 func (s Shape) String() string {
-	if s.Kind == Faster || s.Kind == Slower {
-		return fmt.Sprintf("%s from %.4g", s.Kind, s.From)
+	if s.Kind == Superlinear || s.Kind == Sublinear {
+		return fmt.Sprintf("%s from %.4g", s.Kind, s.DepartureSize)
 	}
 	return string(s.Kind)
 }
@@ -56,9 +56,9 @@
 		return straightShape(line, sizes)
 	}
 	if difference > 0 {
-		return Shape{Kind: Faster, From: departure(all, sizes)}
+		return Shape{Kind: Superlinear, DepartureSize: departure(all, sizes)}
 	}
-	return Shape{Kind: Slower, From: departure(all, sizes)}
+	return Shape{Kind: Sublinear, DepartureSize: departure(all, sizes)}
 }
 
 // halves splits observations at a size. Those at the size itself are in both halves.
--- a/internal/scale/fit/sweep.go
+++ b/internal/scale/fit/sweep.go
@@ -11,7 +11,7 @@
 	Dimension result.Dimension
 	Hollow    bool
 	Role      Role
-	Figure    Figure
+	Metric    Metric
 	Line      Line
 	// PerProxy is set where the figure is divided by the number of proxies. Where the sweep varies
 	// that number, the figure is not divided, and the slope is the cost of one proxy.
@@ -22,14 +22,14 @@
 func Sweeps(res *result.Result) []Sweep {
 	var all []Sweep
 	for _, role := range Roles() {
-		for _, figure := range Figures() {
+		for _, figure := range Metrics() {
 			s := Sweep{
 				Scenario:  res.Scenario,
 				Source:    res.Source,
 				Dimension: res.Dimension,
 				Hollow:    res.Hollow,
 				Role:      role,
-				Figure:    figure,
+				Metric:    figure,
 				PerProxy:  role == Proxies && res.Dimension != result.Proxies && !figure.IsTime(),
 			}
 			observations := observe(res, role, figure)
--- a/internal/scale/fit/terms.go
+++ b/internal/scale/fit/terms.go
@@ -49,7 +49,7 @@
 		if t.Value == 0 || t.Share < minShare {
 			return i
 		}
-		significance := t.Value / max(t.Error, tiny)
+		significance := t.Value / max(t.StandardError, tiny)
 		if significance < minErrors && significance < least {
 			weakest, least = i, significance
 		}
@@ -64,10 +64,10 @@
 	terms := make([]Term, len(drivers))
 	for j, d := range drivers {
 		terms[j] = Term{
-			Name:   d.name,
-			Value:  s.coefficients[j] / scales[j],
-			Error:  s.errors[j] / scales[j],
-			driver: d.value,
+			Name:          d.name,
+			Value:         s.coefficients[j] / scales[j],
+			StandardError: s.errors[j] / scales[j],
+			driver:        d.value,
 		}
 		terms[j].Share = largestShare(all, terms[j])
 	}
@@ -178,7 +178,7 @@
 	}
 	if len(relativeErrors) > 0 {
 		slices.Sort(relativeErrors)
-		m.Typical = relativeErrors[len(relativeErrors)/2]
-		m.Worst = relativeErrors[len(relativeErrors)-1]
+		m.MedianError = relativeErrors[len(relativeErrors)/2]
+		m.MaxError = relativeErrors[len(relativeErrors)-1]
 	}
 }
--- a/internal/scale/hollow/conn.go
+++ b/internal/scale/hollow/conn.go
@@ -21,7 +21,7 @@
 	BytesOut    int64 `json:"bytes_out"`
 	MessagesIn  int64 `json:"messages_in"`
 	MessagesOut int64 `json:"messages_out"`
-	Open        int   `json:"open"` // open connections
+	OpenConns   int   `json:"open"` // open connections
 }
 
 // meter counts the traffic of many connections. It is safe for concurrent use.
@@ -39,7 +39,7 @@
 		BytesOut:    m.bytesOut.Load(),
 		MessagesIn:  m.messagesIn.Load(),
 		MessagesOut: m.messagesOut.Load(),
-		Open:        int(m.open.Load()),
+		OpenConns:   int(m.open.Load()),
 	}
 }
 
--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/hollow/hollow.go
@@ -30,8 +30,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// MaxArrivals bounds the number of arrivals that a fleet keeps until they are collected.
-const MaxArrivals = 4 << 20
+// MaxAppliedVersions bounds the number of arrivals that a fleet keeps until they are collected.
+const MaxAppliedVersions = 4 << 20
 
 // ProxySpec describes a proxy to start.
 type ProxySpec struct {
@@ -52,13 +52,13 @@
 	cancels  []context.CancelFunc // of what Close ends
 	proxies  []*proxy
 	failures map[string]string // reasons for which proxies ended, by name
-	arrivals []Arrival
+	arrivals []AppliedVersion
 	lost     int64 // arrivals beyond MaxArrivals
 }
 
 // Config configures a fleet.
 type Config struct {
-	Backends int // of each service's first list
+	BackendsPerService int // of each service's first list
 	// OnList, if not nil, is called after a list of a proxy's service is in force. A panic in it
 	// ends that proxy only.
 	OnList func(proxy, service string, list *membership.List)
@@ -76,8 +76,8 @@
 	versions map[string]int64 // in force, by service
 }
 
-// Arrival is a version of a service's list that a proxy has put in force.
-type Arrival struct {
+// AppliedVersion is a version of a service's list that a proxy has put in force.
+type AppliedVersion struct {
 	Service string
 	Version int64
 	At      int64 // of MonotonicNow
@@ -85,7 +85,7 @@
 
 // New returns a fleet without proxies. Close ends it.
 func New(cfg Config) *Fleet {
-	return &Fleet{backends: cfg.Backends, onList: cfg.OnList, failures: map[string]string{}}
+	return &Fleet{backends: cfg.BackendsPerService, onList: cfg.OnList, failures: map[string]string{}}
 }
 
 // newContext returns a context that Close cancels. Proxies and calls outlive the commands that
@@ -198,11 +198,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for v := before + 1; v <= version; v++ {
-		if len(f.arrivals) == MaxArrivals {
+		if len(f.arrivals) == MaxAppliedVersions {
 			f.lost++
 			continue
 		}
-		f.arrivals = append(f.arrivals, Arrival{Service: service, Version: v, At: now})
+		f.arrivals = append(f.arrivals, AppliedVersion{Service: service, Version: v, At: now})
 	}
 }
 
@@ -255,9 +255,9 @@
 // Traffic returns the traffic between all proxies and list services so far.
 func (f *Fleet) Traffic() Traffic { return f.meter.traffic() }
 
-// Arrivals returns the versions put in force since the last call, and the number of those that were
+// TakeAppliedVersions returns the versions put in force since the last call, and the number of those that were
 // lost because there were more than MaxArrivals.
-func (f *Fleet) Arrivals() (all []Arrival, lost int64) {
+func (f *Fleet) TakeAppliedVersions() (all []AppliedVersion, lost int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all, lost = f.arrivals, f.lost
--- a/internal/scale/hollow/hollow_test.go
+++ b/internal/scale/hollow/hollow_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	var names []string
 	for n := range services {
-		names = append(names, topology.Service(n))
+		names = append(names, topology.ServiceName(n))
 	}
 	r, err := standin.NewRegistry(names)
 	if err != nil {
@@ -39,7 +39,7 @@
 	t.Cleanup(r.Close)
 	for n := range services {
 		for b := range backends {
-			r.Service(topology.Service(n)).Put(member(n, b, "SERVING"))
+			r.Service(topology.ServiceName(n)).Put(member(n, b, "SERVING"))
 		}
 	}
 	return r
@@ -48,7 +48,7 @@
 // member returns a backend as the registry lists it.
 func member(service, backend int, status string) standin.Member {
 	return standin.Member{
-		Name:    churn.Name(topology.Service(service), backend),
+		Name:    churn.BackendName(topology.ServiceName(service), backend),
 		Address: topology.BackendAddr(service, backend),
 		Weight:  1,
 		Status:  status,
@@ -58,17 +58,17 @@
 // newLayout returns the layout of a fleet whose proxies follow all services of one list service.
 func newLayout(services int, lists string) *topology.Layout {
 	return &topology.Layout{
-		Source: result.SourceConsul,
-		Seed:   1,
-		Lists:  []string{lists},
-		Size:   result.Size{Services: services, ServicesInAll: services, Backends: backends},
+		Source:       result.SourceConsul,
+		Seed:         1,
+		ListServices: []string{lists},
+		Size:         result.Size{Services: services, TotalServices: services, Backends: backends},
 	}
 }
 
 func start(t *testing.T, f *hollow.Fleet, l *topology.Layout, proxy int) {
 	t.Helper()
 	spec := hollow.ProxySpec{
-		Name:      topology.Proxy(proxy),
+		Name:      topology.ProxyName(proxy),
 		Config:    l.Config(proxy),
 		LocalAddr: topology.ClientAddr(proxy),
 	}
@@ -103,11 +103,11 @@
 }
 
 // waitArrivals waits until so many versions are in force.
-func waitArrivals(t *testing.T, f *hollow.Fleet, want int) []hollow.Arrival {
+func waitArrivals(t *testing.T, f *hollow.Fleet, want int) []hollow.AppliedVersion {
 	t.Helper()
-	var all []hollow.Arrival
+	var all []hollow.AppliedVersion
 	waitUntil(t, fmt.Sprintf("%d versions in force", want), func() bool {
-		more, lost := f.Arrivals()
+		more, lost := f.TakeAppliedVersions()
 		all = append(all, more...)
 		if lost > 0 {
 			t.Fatalf("%d arrivals lost", lost)
@@ -123,7 +123,7 @@
 	const proxies, services = 6, 3
 	r := newRegistry(t, services)
 	l := newLayout(services, r.Addr())
-	f := hollow.New(hollow.Config{Backends: backends})
+	f := hollow.New(hollow.Config{BackendsPerService: backends})
 	defer f.Close()
 	for n := range proxies {
 		start(t, f, l, n)
@@ -132,8 +132,8 @@
 	load := hollow.NewLoad(f, 200)
 	defer load.Close()
 	began := hollow.MonotonicNow()
-	r.Service(topology.Service(1)).Put(member(1, 0, "DRAINING"))
-	seen := map[hollow.Arrival]int{}
+	r.Service(topology.ServiceName(1)).Put(member(1, 0, "DRAINING"))
+	seen := map[hollow.AppliedVersion]int{}
 	for _, a := range waitArrivals(t, f, proxies) {
 		if a.At < began || a.At > hollow.MonotonicNow() {
 			t.Errorf("arrived at %d, made at %d", a.At, began)
@@ -141,11 +141,11 @@
 		a.At = 0
 		seen[a]++
 	}
-	if want := (hollow.Arrival{Service: topology.Service(1), Version: 1}); len(seen) != 1 || seen[want] != proxies {
+	if want := (hollow.AppliedVersion{Service: topology.ServiceName(1), Version: 1}); len(seen) != 1 || seen[want] != proxies {
 		t.Errorf("arrivals %v", seen)
 	}
-	r.Service(topology.Service(1)).Delete(churn.Name(topology.Service(1), 0))
-	r.Service(topology.Service(1)).Put(member(1, backends, "SERVING"))
+	r.Service(topology.ServiceName(1)).Delete(churn.BackendName(topology.ServiceName(1), 0))
+	r.Service(topology.ServiceName(1)).Put(member(1, backends, "SERVING"))
 	for _, a := range waitArrivals(t, f, 2*proxies) {
 		if a.Version != 2 && a.Version != 3 {
 			t.Errorf("version %d", a.Version)
@@ -173,7 +173,7 @@
 	}
 	traffic := f.Traffic()
 	if traffic.BytesIn == 0 || traffic.BytesOut == 0 ||
-		traffic.MessagesOut < proxies*services || traffic.Open < proxies*services {
+		traffic.MessagesOut < proxies*services || traffic.OpenConns < proxies*services {
 		t.Errorf("traffic %+v", traffic)
 	}
 	if failures := f.Failures(); len(failures) > 0 {
@@ -192,8 +192,8 @@
 	}))
 	defer garbage.Close()
 	const healthy, panics, garbled, malformed = 0, 1, 2, 3
-	f := hollow.New(hollow.Config{Backends: backends, OnList: func(proxy, _ string, l *membership.List) {
-		if proxy == topology.Proxy(panics) && churn.Version(l, backends) > 0 {
+	f := hollow.New(hollow.Config{BackendsPerService: backends, OnList: func(proxy, _ string, l *membership.List) {
+		if proxy == topology.ProxyName(panics) && churn.Version(l, backends) > 0 {
 			panic("for the test")
 		}
 	}})
@@ -204,7 +204,7 @@
 	waitReady(t, f)
 	start(t, f, newLayout(1, strings.TrimPrefix(garbage.URL, "http://")), garbled)
 	text := append(l.Config(malformed), "nonsense = 1\n"...)
-	err := f.Start(hollow.ProxySpec{Name: topology.Proxy(malformed), Config: text})
+	err := f.Start(hollow.ProxySpec{Name: topology.ProxyName(malformed), Config: text})
 	if err == nil || !strings.Contains(err.Error(), "nonsense: unknown field") {
 		t.Errorf("bad configuration: %v", err)
 	}
@@ -212,10 +212,10 @@
 		t.Error("an empty configuration was accepted")
 	}
 	waitUntil(t, "a second read of garbage", func() bool { return answers.Load() >= 2 })
-	r.Service(topology.Service(0)).Put(member(0, 0, "DRAINING"))
-	waitUntil(t, "the panic among the failures", func() bool { return f.Failures()[topology.Proxy(panics)] != "" })
+	r.Service(topology.ServiceName(0)).Put(member(0, 0, "DRAINING"))
+	waitUntil(t, "the panic among the failures", func() bool { return f.Failures()[topology.ProxyName(panics)] != "" })
 	waitArrivals(t, f, 1)
-	r.Service(topology.Service(0)).Delete(churn.Name(topology.Service(0), 0))
+	r.Service(topology.ServiceName(0)).Delete(churn.BackendName(topology.ServiceName(0), 0))
 	for _, a := range waitArrivals(t, f, 1) {
 		if a.Version != 1 && a.Version != 2 {
 			t.Errorf("%+v", a)
@@ -223,11 +223,11 @@
 	}
 	failures := f.Failures()
 	for _, n := range []int{panics, malformed} {
-		if failures[topology.Proxy(n)] == "" {
-			t.Errorf("%s: no failure", topology.Proxy(n))
+		if failures[topology.ProxyName(n)] == "" {
+			t.Errorf("%s: no failure", topology.ProxyName(n))
 		}
 	}
-	reason := failures[topology.Proxy(panics)]
+	reason := failures[topology.ProxyName(panics)]
 	if !strings.Contains(reason, "for the test") || !strings.Contains(reason, "hollow_test.go") {
 		t.Errorf("the panic is reported as %q", reason)
 	}
--- a/internal/scale/latency/plan.go
+++ b/internal/scale/latency/plan.go
@@ -24,8 +24,8 @@
 	MaxCycles      = 100
 	MaxConnections = 1024
 	MaxSegment     = time.Minute
-	MaxWarm        = time.Minute
-	MaxFor         = 15 * time.Minute // of all cases, without the starts of processes
+	MaxWarmUp      = time.Minute
+	MaxDuration    = 15 * time.Minute // of all cases, without the starts of processes
 	maxCases       = 32
 	maxBackends    = 64
 	minRounds      = 3
@@ -47,7 +47,7 @@
 	Seed     uint64        // of all schedules
 	TargetMS float64       // that the sidecars may add to 99 in 100 calls; for the report
 	Spacing  Spacing       // of the intended moments
-	Warm     time.Duration // of load on each path before the first round of a case
+	WarmUp   time.Duration // of load on each path before the first round of a case
 	Segment  time.Duration // of load on one path at a time
 	Sidecar  Sidecar
 	Cases    []Case
@@ -75,7 +75,7 @@
 
 // length is how long the load of a case lasts.
 func (c *Case) length(p *Plan) time.Duration {
-	return 2*p.Warm + time.Duration(c.Rounds*c.Cycles*segmentsPerCycle)*p.Segment
+	return 2*p.WarmUp + time.Duration(c.Rounds*c.Cycles*segmentsPerCycle)*p.Segment
 }
 
 // ReadPlan reads a plan from a TOML file's bytes. Its faults name file, line, column and field.
@@ -93,7 +93,7 @@
 		Seed:     uint64(s.Int("seed", 1, 0, 1<<62)),
 		TargetMS: s.Float("target_added_p99_ms", 0.34, 0.001, 1e4),
 		Spacing:  Spacing(s.OneOf("spacing", string(Poisson), string(Even), string(Poisson))),
-		Warm:     s.Duration("warm", 2*time.Second, 0, MaxWarm),
+		WarmUp:   s.Duration("warm", 2*time.Second, 0, MaxWarmUp),
 		Segment:  s.Duration("segment", time.Second, 10*time.Millisecond, MaxSegment),
 	}
 	v := s.Table("sidecar")
@@ -109,8 +109,8 @@
 		all += c.length(p)
 		p.Cases = append(p.Cases, c)
 	}
-	if all > MaxFor {
-		s.ReportField(rules.Range, "cases", "load for %v, %v at most expected", all, MaxFor)
+	if all > MaxDuration {
+		s.ReportField(rules.Range, "cases", "load for %v, %v at most expected", all, MaxDuration)
 	}
 	s.ReportUnknown()
 	return p
--- a/internal/scale/latency/plan_test.go
+++ b/internal/scale/latency/plan_test.go
@@ -65,7 +65,7 @@
 	f.Add([]byte(smallPlan))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		p, err := ReadPlan("p.toml", data)
-		if err == nil && (len(p.Cases) == 0 || p.Cases[0].length(p) > MaxFor) {
+		if err == nil && (len(p.Cases) == 0 || p.Cases[0].length(p) > MaxDuration) {
 			t.Errorf("taken: %+v", p)
 		}
 	})
--- a/internal/scale/latency/print.go
+++ b/internal/scale/latency/print.go
@@ -61,11 +61,11 @@
 	p.flush()
 	p.printf("added p50 %s, p99 %s (goal %s); paired by rank p99 %s; direct against direct p99 %s; "+
 		"a call has the sidecars' threads %.0f us on a core and %.0f us waiting for one\n",
-		cr.AddedP50, cr.AddedP99, cr.Verdict(target), cr.CoupledP99, cr.SameP99,
+		cr.AddedP50, cr.AddedP99, cr.Verdict(target), cr.CoupledP99, cr.DirectDifferenceP99,
 		cr.SidecarCPUPerCallUS, cr.SidecarWaitPerCallUS)
 }
 
-func (f *Figures) print(p *printer, name string) {
+func (f *Stats) print(p *printer, name string) {
 	p.printf("%s direct\t%d\t%s\t%.4f\t%.4f\t%.4f\t%d\t%d\t%d\t%.1f\t\n",
 		name, f.DirectCalls, f.Direct, f.SendLatenessP50, f.SendLatenessP99, f.ReceiveLatenessP99,
 		f.Rejected, f.Failed, f.Waited, f.LoadAverage[0])
--- a/internal/scale/latency/readresult.go
+++ b/internal/scale/latency/readresult.go
@@ -12,10 +12,10 @@
 
 // ResultError is a fault of a result file.
 type ResultError struct {
-	File  string
-	Line  int    // from 1; 0: unknown
-	Field string // path of the field; empty: unknown
-	Text  string // what was found and what is expected
+	File    string
+	Line    int    // from 1; 0: unknown
+	Field   string // path of the field; empty: unknown
+	Problem string // what was found and what is expected
 }
 
 // Error returns file, line, field and fault on one line.
@@ -27,15 +27,15 @@
 	if e.Field != "" {
 		position += ": " + e.Field
 	}
-	return position + ": " + e.Text
+	return position + ": " + e.Problem
 }
 
 // ReadResult reads a result from a file's bytes. Its error is a *ResultError, of the first fault.
 func ReadResult(name string, data []byte) (*Result, error) {
-	if len(data) > MaxResult {
+	if len(data) > MaxResultBytes {
 		return nil, &ResultError{
-			File: name,
-			Text: fmt.Sprintf("%d bytes found, %d at most expected", len(data), MaxResult),
+			File:    name,
+			Problem: fmt.Sprintf("%d bytes found, %d at most expected", len(data), MaxResultBytes),
 		}
 	}
 	decoder := json.NewDecoder(bytes.NewReader(data))
@@ -46,9 +46,9 @@
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return nil, &ResultError{
-			File: name,
-			Line: lineAt(data, decoder.InputOffset()),
-			Text: "more than one value found, the end of the file expected",
+			File:    name,
+			Line:    lineAt(data, decoder.InputOffset()),
+			Problem: "more than one value found, the end of the file expected",
 		}
 	}
 	if e := r.validate(); e != nil {
@@ -67,24 +67,24 @@
 	var kind *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &syntax):
-		return &ResultError{File: name, Line: lineAt(data, syntax.Offset), Text: err.Error()}
+		return &ResultError{File: name, Line: lineAt(data, syntax.Offset), Problem: err.Error()}
 	case errors.As(err, &kind):
 		return &ResultError{
-			File:  name,
-			Line:  lineAt(data, kind.Offset),
-			Field: kind.Field,
-			Text:  fmt.Sprintf("%s found, %s expected", kind.Value, kind.Type),
+			File:    name,
+			Line:    lineAt(data, kind.Offset),
+			Field:   kind.Field,
+			Problem: fmt.Sprintf("%s found, %s expected", kind.Value, kind.Type),
 		}
 	}
 	if m := unknownField.FindStringSubmatch(err.Error()); m != nil {
 		return &ResultError{
-			File:  name,
-			Line:  lineOfName(data, m[1]),
-			Field: m[1],
-			Text:  fmt.Sprintf("unknown field, one of format %d expected", Format),
+			File:    name,
+			Line:    lineOfName(data, m[1]),
+			Field:   m[1],
+			Problem: fmt.Sprintf("unknown field, one of format %d expected", Format),
 		}
 	}
-	return &ResultError{File: name, Text: strings.ReplaceAll(err.Error(), "\n", " ")}
+	return &ResultError{File: name, Problem: strings.ReplaceAll(err.Error(), "\n", " ")}
 }
 
 // lineAt returns the line of an offset, from 1.
--- a/internal/scale/latency/readresult_test.go
+++ b/internal/scale/latency/readresult_test.go
@@ -12,19 +12,19 @@
 
 // goodResult is a result as a run writes it.
 func goodResult() *Result {
-	round := func(added float64) Figures {
-		return Figures{
+	round := func(added float64) Stats {
+		return Stats{
 			DirectCalls: 100, ThroughCalls: 100,
 			Direct:   Quantiles{0.1, 0.2, 0.25, 0.5},
 			Through:  Quantiles{0.25, 0.3, 0.25 + added, 2},
-			AddedP50: 0.15, AddedP90: 0.1, AddedP99: added, CoupledP99: added, SameP50: -0.01, SameP99: 0.02,
+			AddedP50: 0.15, AddedP90: 0.1, AddedP99: added, CoupledP99: added, DirectDifferenceP50: -0.01, DirectDifferenceP99: 0.02,
 			SendLatenessP50: 0.001, SendLatenessP99: 0.002, ReceiveLatenessP99: 0.003, LoadAverage: [3]float64{1, 2, 3},
 		}
 	}
 	c := CaseResult{
 		Name: "one hop", RatePerSecond: 271, Hops: 1, Connections: 32, Backends: 1,
 		SegmentSeconds: 1, SidecarCPUPerCallUS: 150,
-		Rounds: []Figures{round(0.25), round(0.375), round(0.5)}, All: round(0.375),
+		Rounds: []Stats{round(0.25), round(0.375), round(0.5)}, All: round(0.375),
 	}
 	c.All.DirectCalls, c.All.ThroughCalls = 300, 300
 	c.fillSpreads()
@@ -132,7 +132,7 @@
 	good := string(encode(t, goodResult()))
 	for name, x := range map[string]struct{ text, want string }{
 		"two values": {good + "\n{}", "r.json:"},
-		"too large":  {good + strings.Repeat(" ", MaxResult), "1048576 at most expected"},
+		"too large":  {good + strings.Repeat(" ", MaxResultBytes), "1048576 at most expected"},
 		"nothing":    {"", "r.json: "},
 		"deep":       {strings.Repeat(`{"format":`, 20_000), "r.json"},
 	} {
@@ -158,7 +158,7 @@
 			t.Errorf("goal %g ms: %s, want %s", target, got, want)
 		}
 	}
-	c.Rounds[0].SameP99, c.Rounds[1].SameP99 = -3, 2
+	c.Rounds[0].DirectDifferenceP99, c.Rounds[1].DirectDifferenceP99 = -3, 2
 	if got := c.Verdict(0.34); got != Undecided {
 		t.Errorf("with noise of either sign: %s, want %s", got, Undecided)
 	}
--- a/internal/scale/latency/result.go
+++ b/internal/scale/latency/result.go
@@ -7,8 +7,8 @@
 // Format is the version of plans and results.
 const Format = 1
 
-// MaxResult is the size of a result's file in bytes.
-const MaxResult = 1 << 20
+// MaxResultBytes is the size of a result's file in bytes.
+const MaxResultBytes = 1 << 20
 
 const (
 	leastPositive = 1e-6     // of figures that can't be zero
@@ -44,18 +44,18 @@
 	// Of all threads of all sidecars of the chain, per call that goes through them: their time on a
 	// core, and their time runnable without a core. The second is due to the machine, not the
 	// sidecar.
-	SidecarCPUPerCallUS  float64   `json:"sidecar_cpu_per_call_us"`
-	SidecarWaitPerCallUS float64   `json:"sidecar_wait_per_call_us"`
-	AddedP50             Spread    `json:"added_p50_ms"` // of the rounds' figures
-	AddedP99             Spread    `json:"added_p99_ms"`
-	CoupledP99           Spread    `json:"coupled_p99_ms"`
-	SameP99              Spread    `json:"same_p99_ms"`
-	All                  Figures   `json:"all"` // of the calls of all rounds together
-	Rounds               []Figures `json:"rounds"`
+	SidecarCPUPerCallUS  float64 `json:"sidecar_cpu_per_call_us"`
+	SidecarWaitPerCallUS float64 `json:"sidecar_wait_per_call_us"`
+	AddedP50             Spread  `json:"added_p50_ms"` // of the rounds' figures
+	AddedP99             Spread  `json:"added_p99_ms"`
+	CoupledP99           Spread  `json:"coupled_p99_ms"`
+	DirectDifferenceP99  Spread  `json:"same_p99_ms"`
+	All                  Stats   `json:"all"` // of the calls of all rounds together
+	Rounds               []Stats `json:"rounds"`
 }
 
-// Figures are what the calls of one round, or of all rounds, measured.
-type Figures struct {
+// Stats are what the calls of one round, or of all rounds, measured.
+type Stats struct {
 	DirectCalls  int       `json:"direct_calls"`
 	ThroughCalls int       `json:"through_calls"`
 	Rejected     int       `json:"refused_calls"` // on both paths, answered with 503; part of no distribution
@@ -71,8 +71,8 @@
 	// The 99th percentile of the differences of calls that are paired by rank.
 	CoupledP99 float64 `json:"coupled_p99_ms"`
 	// The second direct segments less the first: the error of the method and the machine.
-	SameP50 float64 `json:"same_p50_ms"`
-	SameP99 float64 `json:"same_p99_ms"`
+	DirectDifferenceP50 float64 `json:"same_p50_ms"`
+	DirectDifferenceP99 float64 `json:"same_p99_ms"`
 	// From the intended moments to the sending, and the upper bound of how late responses were
 	// noticed, on both paths.
 	SendLatenessP50    float64    `json:"send_lateness_p50_ms"`
@@ -85,10 +85,10 @@
 type roundSpread struct {
 	field  string
 	spread *Spread
-	figure func(*Figures) float64
+	figure func(*Stats) float64
 }
 
-func (s roundSpread) values(rounds []Figures) []float64 {
+func (s roundSpread) values(rounds []Stats) []float64 {
 	out := make([]float64, len(rounds))
 	for i := range rounds {
 		out[i] = s.figure(&rounds[i])
@@ -99,10 +99,10 @@
 // spreads returns the figures whose spread over the rounds is part of a case's result.
 func (cr *CaseResult) spreads() []roundSpread {
 	return []roundSpread{
-		{"added_p50_ms", &cr.AddedP50, func(f *Figures) float64 { return f.AddedP50 }},
-		{"added_p99_ms", &cr.AddedP99, func(f *Figures) float64 { return f.AddedP99 }},
-		{"coupled_p99_ms", &cr.CoupledP99, func(f *Figures) float64 { return f.CoupledP99 }},
-		{"same_p99_ms", &cr.SameP99, func(f *Figures) float64 { return f.SameP99 }},
+		{"added_p50_ms", &cr.AddedP50, func(f *Stats) float64 { return f.AddedP50 }},
+		{"added_p99_ms", &cr.AddedP99, func(f *Stats) float64 { return f.AddedP99 }},
+		{"coupled_p99_ms", &cr.CoupledP99, func(f *Stats) float64 { return f.CoupledP99 }},
+		{"same_p99_ms", &cr.DirectDifferenceP99, func(f *Stats) float64 { return f.DirectDifferenceP99 }},
 	}
 }
 
--- a/internal/scale/latency/run.go
+++ b/internal/scale/latency/run.go
@@ -110,7 +110,7 @@
 		// A run goes on where its progress cannot be shown.
 		_, _ = fmt.Fprintf(o.Progress,
 			"%s, round %d of %d: added p50 %.3f ms, p99 %.3f ms; direct against direct p99 %+.3f ms\n",
-			c.Name, i+1, c.Rounds, f.AddedP50, f.AddedP99, f.SameP99)
+			c.Name, i+1, c.Rounds, f.AddedP50, f.AddedP99, f.DirectDifferenceP99)
 	}
 	all, err := figuresOf(&round{first: m.first, second: m.second, through: m.sidecars})
 	if err != nil {
@@ -130,10 +130,10 @@
 
 // warm puts load on each path for the plan's warm-up and discards the outcome.
 func (m *measurement) warm(ctx context.Context) error {
-	if m.plan.Warm == 0 {
+	if m.plan.WarmUp == 0 {
 		return nil
 	}
-	schedule := Schedule(m.plan.Spacing, m.testCase.Rate, callCount(m.testCase.Rate, m.plan.Warm), m.plan.Seed)
+	schedule := Schedule(m.plan.Spacing, m.testCase.Rate, callCount(m.testCase.Rate, m.plan.WarmUp), m.plan.Seed)
 	for _, p := range []*pool{m.direct, m.through} {
 		if err := playSchedule(ctx, p, schedule, newTally()); err != nil {
 			return err
@@ -143,7 +143,7 @@
 }
 
 // round measures one round and adds its outcomes to the case's.
-func (m *measurement) round(ctx context.Context, number int) (*Figures, error) {
+func (m *measurement) round(ctx context.Context, number int) (*Stats, error) {
 	r := newRound()
 	for cycle := range m.testCase.Cycles {
 		seed := m.plan.Seed + uint64(1+number*m.testCase.Cycles+cycle)
@@ -179,7 +179,7 @@
 }
 
 // figuresOf returns the figures of a round's segments.
-func figuresOf(r *round) (*Figures, error) {
+func figuresOf(r *round) (*Stats, error) {
 	load, err := loadAverage()
 	if err != nil {
 		return nil, err
@@ -197,21 +197,21 @@
 	all.add(direct)
 	all.add(r.through)
 	first, second := quantilesOf(r.first.latency), quantilesOf(r.second.latency)
-	f := &Figures{
-		DirectCalls:        direct.sent,
-		ThroughCalls:       r.through.sent,
-		Rejected:           all.rejected,
-		Failed:             all.sent - all.served - all.rejected,
-		Waited:             all.waited,
-		Direct:             quantilesOf(direct.latency),
-		Through:            quantilesOf(r.through.latency),
-		CoupledP99:         coupledP99(direct.latency, r.through.latency),
-		SameP50:            second.P50 - first.P50,
-		SameP99:            second.P99 - first.P99,
-		SendLatenessP50:    quantileOf(all.sendLateness, 50),
-		SendLatenessP99:    quantileOf(all.sendLateness, 99),
-		ReceiveLatenessP99: quantileOf(all.receiveLateness, 99),
-		LoadAverage:        load,
+	f := &Stats{
+		DirectCalls:         direct.sent,
+		ThroughCalls:        r.through.sent,
+		Rejected:            all.rejected,
+		Failed:              all.sent - all.served - all.rejected,
+		Waited:              all.waited,
+		Direct:              quantilesOf(direct.latency),
+		Through:             quantilesOf(r.through.latency),
+		CoupledP99:          coupledP99(direct.latency, r.through.latency),
+		DirectDifferenceP50: second.P50 - first.P50,
+		DirectDifferenceP99: second.P99 - first.P99,
+		SendLatenessP50:     quantileOf(all.sendLateness, 50),
+		SendLatenessP99:     quantileOf(all.sendLateness, 99),
+		ReceiveLatenessP99:  quantileOf(all.receiveLateness, 99),
+		LoadAverage:         load,
 	}
 	f.AddedP50 = f.Through.P50 - f.Direct.P50
 	f.AddedP90 = f.Through.P90 - f.Direct.P90
--- a/internal/scale/latency/run_test.go
+++ b/internal/scale/latency/run_test.go
@@ -131,10 +131,10 @@
 // opened anew for the next segment.
 func TestPlayCountsFailures(t *testing.T) {
 	for name, h := range map[string]standin.Handler{
-		"status":  standin.Says("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true),
+		"status":  standin.RespondWith("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true),
 		"close":   func(*standin.Call) bool { return false },
-		"two":     standin.Says(goodAnswer+goodAnswer, true),
-		"endless": standin.Says(strings.Repeat("x", maxAnswer), true),
+		"two":     standin.RespondWith(goodAnswer+goodAnswer, true),
+		"endless": standin.RespondWith(strings.Repeat("x", maxAnswer), true),
 	} {
 		b, p := backendFor(t, 4, func(c *standin.Call) bool {
 			if c.Number%2 == 0 {
@@ -177,7 +177,7 @@
 // Nothing is left open when a segment is called off, and one whose connections have all ended says
 // so.
 func TestPlayEnds(t *testing.T) {
-	_, p := backendFor(t, 2, standin.Hangs)
+	_, p := backendFor(t, 2, standin.Hang)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := playSchedule(ctx, p, Schedule(Even, 1000, 2, 1), newTally()); !errors.Is(err, context.Canceled) {
--- a/internal/scale/latency/validate.go
+++ b/internal/scale/latency/validate.go
@@ -57,7 +57,7 @@
 
 // validateSums compares the figures of all rounds with the rounds.
 func (cr *CaseResult) validateSums(c *validator) {
-	var sum Figures
+	var sum Stats
 	for i := range cr.Rounds {
 		sum.DirectCalls += cr.Rounds[i].DirectCalls
 		sum.ThroughCalls += cr.Rounds[i].ThroughCalls
@@ -83,7 +83,7 @@
 	}
 }
 
-func (f *Figures) validate(c *validator) {
+func (f *Stats) validate(c *validator) {
 	c.require(f.DirectCalls >= 1, "direct_calls", "%d found, 1 at least expected", f.DirectCalls)
 	c.require(f.ThroughCalls >= 1, "through_calls", "%d found, 1 at least expected", f.ThroughCalls)
 	calls := f.DirectCalls + f.ThroughCalls
@@ -97,8 +97,8 @@
 	c.requireNear(f.AddedP90, f.Through.P90-f.Direct.P90, "added_p90_ms")
 	c.requireNear(f.AddedP99, f.Through.P99-f.Direct.P99, "added_p99_ms")
 	c.requireWithin(f.CoupledP99, -maxMS, maxMS, "coupled_p99_ms")
-	c.requireWithin(f.SameP50, -maxMS, maxMS, "same_p50_ms")
-	c.requireWithin(f.SameP99, -maxMS, maxMS, "same_p99_ms")
+	c.requireWithin(f.DirectDifferenceP50, -maxMS, maxMS, "same_p50_ms")
+	c.requireWithin(f.DirectDifferenceP99, -maxMS, maxMS, "same_p99_ms")
 	c.requireWithin(f.SendLatenessP50, 0, maxMS, "send_lateness_p50_ms")
 	c.requireWithin(f.SendLatenessP99, f.SendLatenessP50, maxMS, "send_lateness_p99_ms")
 	c.requireWithin(f.ReceiveLatenessP99, 0, maxMS, "receive_lateness_p99_ms")
@@ -126,7 +126,7 @@
 
 func (c *validator) require(holds bool, field, format string, args ...any) {
 	if !holds && c.first == nil {
-		c.first = &ResultError{Field: c.path + field, Text: fmt.Sprintf(format, args...)}
+		c.first = &ResultError{Field: c.path + field, Problem: fmt.Sprintf(format, args...)}
 	}
 }
 
--- a/internal/scale/latency/verdict.go
+++ b/internal/scale/latency/verdict.go
@@ -37,7 +37,7 @@
 func (cr *CaseResult) Noise() float64 {
 	noise := make([]float64, len(cr.Rounds))
 	for i := range cr.Rounds {
-		noise[i] = math.Abs(cr.Rounds[i].SameP99)
+		noise[i] = math.Abs(cr.Rounds[i].DirectDifferenceP99)
 	}
 	return spreadOf(noise).Median
 }
--- a/internal/scale/predict/before.go
+++ b/internal/scale/predict/before.go
@@ -26,7 +26,7 @@
 		for _, relay := range c.evidence.hollowSweeps(result.SourceRelay, d) {
 			for i := range consul.Points {
 				size := consul.Points[i].Size
-				if before != nil && fit.Along(d, size) < fit.Along(d, before.Size) {
+				if before != nil && fit.DimensionValue(d, size) < fit.DimensionValue(d, before.Size) {
 					continue
 				}
 				if same := pointOfSize(relay, size); same != nil {
@@ -65,7 +65,7 @@
 	for _, line := range []struct {
 		name    string
 		role    fit.Role
-		figure  fit.Figure
+		figure  fit.Metric
 		divisor float64
 	}{
 		{"bytes to a proxy", fit.Proxies, fit.BytesIn, proxies},
@@ -76,9 +76,9 @@
 		{"messages from the list service or source", fit.Lists, fit.MessagesOut, 1},
 		{"processor of the relays", fit.Relays, fit.CPU, 1},
 		{"memory of the relays", fit.Relays, fit.RSS, 1},
-		{"in force, median", fit.Proxies, fit.InForceMedian, 1},
-		{"in force, p99", fit.Proxies, fit.InForceP99, 1},
-		{"in force, last", fit.Proxies, fit.InForceLast, 1},
+		{"in force, median", fit.Proxies, fit.PropagationMedian, 1},
+		{"in force, p99", fit.Proxies, fit.PropagationP99, 1},
+		{"in force, last", fit.Proxies, fit.PropagationMax, 1},
 	} {
 		valueBefore, okBefore := fit.MeanOf(before, line.role, line.figure)
 		valueAfter, okAfter := fit.MeanOf(after, line.role, line.figure)
--- a/internal/scale/predict/calculator.go
+++ b/internal/scale/predict/calculator.go
@@ -27,7 +27,7 @@
 }
 
 func (c *Calculator) proxyNeeds(source result.Source, drivers fit.Drivers) proxyNeeds {
-	predict := func(figure fit.Figure) amount {
+	predict := func(figure fit.Metric) amount {
 		return c.evidence.predictProxy(source, figure, drivers, c.target.Assumed(ProcessBytes))
 	}
 	n := proxyNeeds{
@@ -56,12 +56,12 @@
 
 // minReadInterval returns the least time between two reads of a complete list by a proxy, in
 // seconds.
-func (c *Calculator) minReadInterval() float64 { return c.target.Assumed(ReadPaceMs) / 1000 }
+func (c *Calculator) minReadInterval() float64 { return c.target.Assumed(ReadIntervalMs) / 1000 }
 
 // machines returns how many machines a tier needs for its CPU time, in cores, and its network
 // traffic.
 func (c *Calculator) machines(cores, bytesPerSecond amount) amount {
-	use := c.target.Assumed(MachineUse)
+	use := c.target.Assumed(MachineUtilization)
 	byCPU := cores.dividedBy(c.target.Assumed(MachineCores) * use)
 	byNetwork := bytesPerSecond.dividedBy(c.target.Assumed(MachineNetwork) * 1e9 / 8 * use)
 	return maxAmount(byCPU, byNetwork)
--- a/internal/scale/predict/curve.go
+++ b/internal/scale/predict/curve.go
@@ -93,7 +93,7 @@
 		)
 		b.record(budgetKey{source, ofLargest, "bytes"}, n, needs.bytes.value > limits.ProxyBytesPerSecond)
 		b.record(budgetKey{source, ofLargest, "processor"}, n, needs.cores.value > limits.ProxyCores)
-		b.record(budgetKey{source, ofLargest, "memory"}, n, needs.memory.value > limits.ProxyBytes)
+		b.record(budgetKey{source, ofLargest, "memory"}, n, needs.memory.value > limits.ProxyMemoryBytes)
 	}
 	return row
 }
--- a/internal/scale/predict/events.go
+++ b/internal/scale/predict/events.go
@@ -29,11 +29,11 @@
 func (c *Calculator) events(model *fleetModel) []event {
 	fleet := model.fleet
 	ordinary := model.ordinaryDay(c.target)
-	zone := float64(fleet.ZoneProxies)
+	zone := float64(fleet.ProxiesPerZone)
 	region := float64(fleet.Proxies) / float64(fleet.Regions)
 	largest := model.sizes[0]
 	rack := min(c.target.Assumed(RackBackends), float64(fleet.Proxies))
-	duringCut := ordinary.scaled(c.target.Assumed(CutSeconds)/day, 1)
+	duringCut := ordinary.scaled(c.target.Assumed(PartitionSeconds)/day, 1)
 	return []event{
 		{
 			name:      "an ordinary day",
@@ -149,7 +149,7 @@
 // eventVerdict compares the time until the event's changes are in force with its limit, and the
 // rate of a proxy's bytes too if the event lasts.
 func (c *Calculator) eventVerdict(e event, out outcome) string {
-	text := verdict(out.inForce, c.target.Limits.InForceSeconds)
+	text := verdict(out.inForce, c.target.Limits.PropagationSeconds)
 	rate := out.bytes.dividedBy(e.load.seconds)
 	if e.load.seconds >= minRateSeconds && rate.known && rate.value > c.target.Limits.ProxyBytesPerSecond {
 		text += "; bytes: " + verdict(rate, c.target.Limits.ProxyBytesPerSecond)
