--- a/internal/scale/predict/evidence.go
+++ b/internal/scale/predict/evidence.go
@@ -17,16 +17,16 @@
 // Latency is the result of one case of a latency run: what the sidecars on the path add to a call.
 // Times are in milliseconds.
 type Latency struct {
-	File             string
-	Case             string
-	RatePerSecond    float64
-	Hops             int
-	AddedP99         Spread
-	SameP99          Spread  // of the same path against itself: the error of the method and the machine
-	Noise            float64 // median over the rounds of a round's difference from itself
-	CPUPerCallMicros float64
-	DirectP99        float64
-	Through          float64 // 99th percentile through the sidecars
+	File                string
+	Case                string
+	RatePerSecond       float64
+	Hops                int
+	AddedP99            Spread
+	DirectDifferenceP99 Spread  // of the same path against itself: the error of the method and the machine
+	Noise               float64 // median over the rounds of a round's difference from itself
+	CPUPerCallMicros    float64
+	DirectP99           float64
+	ThroughP99          float64 // 99th percentile through the sidecars
 }
 
 // Spread is the median and the range of the rounds' figures.
@@ -101,7 +101,7 @@
 }
 
 // predict returns a figure of a role over all its processes.
-func (e *Evidence) predict(source result.Source, role fit.Role, figure fit.Figure, drivers fit.Drivers) amount {
+func (e *Evidence) predict(source result.Source, role fit.Role, figure fit.Metric, drivers fit.Drivers) amount {
 	m := e.models[source].Model(role, figure)
 	if m == nil {
 		return amount{}
@@ -113,7 +113,7 @@
 // proxies do not show. Where no real proxy was measured, the latter is processBytes for memory and
 // 0 for other figures.
 func (e *Evidence) predictProxy(
-	source result.Source, figure fit.Figure, drivers fit.Drivers, processBytes float64,
+	source result.Source, figure fit.Metric, drivers fit.Drivers, processBytes float64,
 ) amount {
 	drivers.Processes = 0
 	a := e.predict(source, fit.Proxies, figure, drivers).dividedBy(max(drivers.Proxies, 1))
@@ -127,14 +127,14 @@
 
 // hiddenCost returns how much more of a figure a real proxy uses than a hollow one under the same
 // load, by the mean of the pairs measured of a source; 0 where no pair was measured.
-func (e *Evidence) hiddenCost(source result.Source, figure fit.Figure) (cost float64, isMeasured bool) {
+func (e *Evidence) hiddenCost(source result.Source, figure fit.Metric) (cost float64, isMeasured bool) {
 	m := e.models[source].Model(fit.Proxies, figure)
 	if m == nil || !m.Hollow {
 		return 0, m != nil
 	}
 	sum, n := 0.0, 0
 	for _, p := range e.pairs {
-		if p.Source == source && p.Role == fit.Proxies && p.Figure == figure {
+		if p.Source == source && p.Role == fit.Proxies && p.Metric == figure {
 			drivers := fit.DriversOf(p.Size, 0, 0)
 			sum += (p.Real - m.Predict(drivers)) / drivers.Proxies
 			n++
@@ -165,8 +165,8 @@
 func inForceTimes(rounds []result.Round) []float64 {
 	var times []float64
 	for _, r := range rounds {
-		if r.InForce.Count > 0 {
-			times = append(times, r.InForce.P99)
+		if r.Propagation.Count > 0 {
+			times = append(times, r.Propagation.P99)
 		}
 	}
 	return times
--- a/internal/scale/predict/fittables.go
+++ b/internal/scale/predict/fittables.go
@@ -11,22 +11,22 @@
 )
 
 // mainFigures returns the figures that the page shows; fernctl scale fit prints all.
-func mainFigures() []fit.Figure {
-	return []fit.Figure{
+func mainFigures() []fit.Metric {
+	return []fit.Metric{
 		fit.CPU, fit.RSS, fit.Heap, fit.BytesIn, fit.BytesOut, fit.MessagesIn, fit.MessagesOut, fit.Allocations,
-		fit.Connections, fit.InForceMedian, fit.InForceP99,
+		fit.Connections, fit.PropagationMedian, fit.PropagationP99,
 	}
 }
 
 // figureText returns a figure with its unit, if it has one.
-func figureText(figure fit.Figure) string {
+func figureText(figure fit.Metric) string {
 	unit, _ := figure.Unit()
 	return strings.TrimSuffix(fmt.Sprintf("%s, %s", figure, unit), ", ")
 }
 
 func sizeText(s result.Size) string {
 	return fmt.Sprintf("%d proxies, %d of %d services of %d, %s changes/s",
-		s.Proxies, s.Services, s.ServicesInAll, s.Backends, formatNumber(s.ChangesPerSecond))
+		s.Proxies, s.Services, s.TotalServices, s.Backends, formatNumber(s.ChangesPerSecond))
 }
 
 // plusMinus returns a value with its standard error, in a base unit.
@@ -35,11 +35,11 @@
 }
 
 // Lines returns the table of how each figure grows along each sweep.
-func (e *Evidence) Lines(figures []fit.Figure) Table {
+func (e *Evidence) Lines(figures []fit.Metric) Table {
 	table := Table{Head: []string{"run", "role", "figure", "along", "slope", "intercept", "R²", "growth"}}
 	for _, f := range e.Files {
 		for _, sweep := range fit.Sweeps(f.Result) {
-			if slices.Contains(figures, sweep.Figure) {
+			if slices.Contains(figures, sweep.Metric) {
 				table.Rows = append(table.Rows, lineRow(f.Name, sweep))
 			}
 		}
@@ -48,7 +48,7 @@
 }
 
 func lineRow(file string, sweep fit.Sweep) []string {
-	_, base := sweep.Figure.Unit()
+	_, base := sweep.Metric.Unit()
 	role := string(sweep.Role) + ", all"
 	if sweep.PerProxy {
 		role = "a proxy"
@@ -57,7 +57,7 @@
 	return []string{
 		"`" + file + "`",
 		role,
-		figureText(sweep.Figure),
+		figureText(sweep.Metric),
 		string(sweep.Dimension),
 		plusMinus(l.Slope, l.SlopeError, base),
 		plusMinus(l.Intercept, l.InterceptError, base),
@@ -67,7 +67,7 @@
 }
 
 // Models returns the table of the models' formulas.
-func (e *Evidence) Models(figures []fit.Figure) Table {
+func (e *Evidence) Models(figures []fit.Metric) Table {
 	table := Table{Head: []string{
 		"way", "role", "figure", "formula: the sum of", "R²", "off by, median and most", "rounds",
 	}}
@@ -77,7 +77,7 @@
 			continue
 		}
 		for i := range models.All {
-			if slices.Contains(figures, models.All[i].Figure) {
+			if slices.Contains(figures, models.All[i].Metric) {
 				table.Rows = append(table.Rows, modelRow(&models.All[i]))
 			}
 		}
@@ -91,10 +91,10 @@
 }
 
 func modelRow(m *fit.Model) []string {
-	_, base := m.Figure.Unit()
+	_, base := m.Metric.Unit()
 	var terms []string
 	for _, t := range m.Terms {
-		terms = append(terms, plusMinus(t.Value, t.Error, base)+" a "+t.Name)
+		terms = append(terms, plusMinus(t.Value, t.StandardError, base)+" a "+t.Name)
 	}
 	if len(terms) == 0 {
 		terms = []string{"0"}
@@ -106,17 +106,17 @@
 	return []string{
 		string(m.Source),
 		string(m.Role),
-		figureText(m.Figure),
+		figureText(m.Metric),
 		formula,
 		fmt.Sprintf("%.3f", m.R2),
-		formatPercent(m.Typical) + ", " + formatPercent(m.Worst),
+		formatPercent(m.MedianError) + ", " + formatPercent(m.MaxError),
 		strconv.Itoa(m.Rounds),
 	}
 }
 
 // HeldOut returns the table of predictions for the points that were held out, and of what was
 // measured there.
-func (e *Evidence) HeldOut(figures []fit.Figure) Table {
+func (e *Evidence) HeldOut(figures []fit.Metric) Table {
 	table := Table{Head: []string{
 		"run", "size", "role", "figure", "by the formula", "by the sweep's line", "measured", "formula to measured",
 		"line to measured", "within 15%",
@@ -128,14 +128,14 @@
 			continue
 		}
 		for _, c := range e.models[source].HeldOut(results) {
-			if !slices.Contains(figures, c.Figure) {
+			if !slices.Contains(figures, c.Metric) {
 				continue
 			}
 			table.Rows = append(table.Rows, heldOutRow(c))
-			if fit.Within(c.Ratio()) {
+			if fit.WithinTolerance(c.Ratio()) {
 				withinByFormula++
 			}
-			if fit.Within(c.LineRatio()) {
+			if fit.WithinTolerance(c.LineRatio()) {
 				withinByLine++
 			}
 		}
@@ -149,9 +149,9 @@
 }
 
 func heldOutRow(c fit.Comparison) []string {
-	_, base := c.Figure.Unit()
+	_, base := c.Metric.Unit()
 	within := "both"
-	switch byFormula, byLine := fit.Within(c.Ratio()), fit.Within(c.LineRatio()); {
+	switch byFormula, byLine := fit.WithinTolerance(c.Ratio()), fit.WithinTolerance(c.LineRatio()); {
 	case !byFormula && !byLine:
 		within = "**no**"
 	case !byFormula:
@@ -163,9 +163,9 @@
 		c.Scenario,
 		sizeText(c.Size),
 		string(c.Role),
-		figureText(c.Figure),
+		figureText(c.Metric),
 		formatNumber(c.Predicted / base),
-		formatNumber(c.ByLine / base),
+		formatNumber(c.PredictedByLine / base),
 		formatNumber(c.Measured / base),
 		formatNumber(c.Ratio()),
 		formatNumber(c.LineRatio()),
@@ -174,12 +174,12 @@
 }
 
 // Hollow returns the table of hollow beside real proxies under the same load.
-func (e *Evidence) Hollow(figures []fit.Figure) Table {
+func (e *Evidence) Hollow(figures []fit.Metric) Table {
 	table := Table{Head: []string{
 		"source", "size", "figure", "hollow, a proxy", "real, a proxy", "real to hollow",
 	}}
 	for _, p := range e.pairs {
-		if p.Role == fit.Proxies && slices.Contains(figures, p.Figure) {
+		if p.Role == fit.Proxies && slices.Contains(figures, p.Metric) {
 			table.Rows = append(table.Rows, pairRow(p))
 		}
 	}
@@ -187,9 +187,9 @@
 }
 
 func pairRow(p fit.Pair) []string {
-	_, base := p.Figure.Unit()
+	_, base := p.Metric.Unit()
 	divisor := float64(p.Size.Proxies)
-	if p.Figure.IsTime() {
+	if p.Metric.IsTime() {
 		divisor = 1
 	}
 	ratio := "-"
@@ -199,7 +199,7 @@
 	return []string{
 		string(p.Source),
 		sizeText(p.Size),
-		figureText(p.Figure),
+		figureText(p.Metric),
 		formatNumber(p.Hollow / divisor / base),
 		formatNumber(p.Real / divisor / base),
 		ratio,
--- a/internal/scale/predict/fleetmodel.go
+++ b/internal/scale/predict/fleetmodel.go
@@ -14,10 +14,10 @@
 }
 
 func newFleetModel(f Fleet, t *Target) *fleetModel {
-	largestPart := min(t.Assumed(FollowedPart), f.ServicesFollowed)
+	largestPart := min(t.Assumed(LargestFollowedFraction), f.ServicesFollowed)
 	return &fleetModel{
 		fleet:    f,
-		sizes:    powerLaw(f.Services, float64(f.LargestService), t.Assumed(LeastService), float64(f.Proxies)),
+		sizes:    powerLaw(f.Services, float64(f.LargestService), t.Assumed(MinServiceBackends), float64(f.Proxies)),
 		followed: powerLaw(f.Services, largestPart, 0, f.ServicesFollowed),
 	}
 }
--- a/internal/scale/predict/inputs.go
+++ b/internal/scale/predict/inputs.go
@@ -30,9 +30,9 @@
 			return m.fleet.CallsPerSecond / float64(m.fleet.Proxies)
 		}},
 		{"changes to lists a day", Computed, func(m *fleetModel) float64 {
-			return m.ordinaryDay(c.target).total() - m.fleet.ChangesPerDay
+			return m.ordinaryDay(c.target).total() - m.fleet.ConfigChangesPerDay
 		}},
-		{"changes of configuration a day", Stated, func(m *fleetModel) float64 { return m.fleet.ChangesPerDay }},
+		{"changes of configuration a day", Stated, func(m *fleetModel) float64 { return m.fleet.ConfigChangesPerDay }},
 		{"of both delivered to proxies, a second", Computed, func(m *fleetModel) float64 {
 			changes, _ := m.delivered(m.ordinaryDay(c.target))
 			return changes / day
@@ -84,10 +84,10 @@
 		kind = "hollow"
 	}
 	first, last := r.Points[0].Size, r.Points[len(r.Points)-1].Size
-	sizes := formatRange(fit.Along(r.Dimension, first), fit.Along(r.Dimension, last))
+	sizes := formatRange(fit.DimensionValue(r.Dimension, first), fit.DimensionValue(r.Dimension, last))
 	heldOut := "-"
 	if i := slices.IndexFunc(r.Points, func(p result.Point) bool { return p.HeldOut }); i >= 0 {
-		heldOut = formatNumber(fit.Along(r.Dimension, r.Points[i].Size))
+		heldOut = formatNumber(fit.DimensionValue(r.Dimension, r.Points[i].Size))
 	}
 	return []string{
 		"`" + f.Name + "`",
--- a/internal/scale/predict/latencytable.go
+++ b/internal/scale/predict/latencytable.go
@@ -18,9 +18,9 @@
 			formatNumber(l.RatePerSecond),
 			strconv.Itoa(l.Hops),
 			formatNumber(l.DirectP99) + " m",
-			formatNumber(l.Through) + " m",
+			formatNumber(l.ThroughP99) + " m",
 			l.AddedP99.format(),
-			l.SameP99.format(),
+			l.DirectDifferenceP99.format(),
 			formatNumber(l.CPUPerCallMicros) + " m",
 			c.latencyVerdict(&l),
 		})
--- a/internal/scale/predict/load.go
+++ b/internal/scale/predict/load.go
@@ -43,7 +43,7 @@
 func (m *fleetModel) ordinaryDay(t *Target) load {
 	restarts := m.fleet.RestartsPerDay * t.Assumed(RestartChanges)
 	failures := m.fleet.MachineFailuresPerDay * t.Assumed(FailureChanges)
-	return m.changesPerBackend(restarts+failures, day).plus(m.changesPerService(m.fleet.ChangesPerDay, day))
+	return m.changesPerBackend(restarts+failures, day).plus(m.changesPerService(m.fleet.ConfigChangesPerDay, day))
 }
 
 // scaled returns the load times a factor, within other seconds.
@@ -80,7 +80,7 @@
 // of their endpoints. A proxy reads a list at most once per interval, in seconds.
 func (m *fleetModel) listReads(l load, interval float64) (lists, endpoints float64) {
 	for i, n := range l.changes {
-		rate := min(fit.ReadRate(n/l.seconds), 1/interval)
+		rate := min(fit.LongPollRate(n/l.seconds), 1/interval)
 		lists += m.callers(i) * rate
 		endpoints += m.callers(i) * rate * m.sizes[i]
 	}
--- a/internal/scale/predict/order.go
+++ b/internal/scale/predict/order.go
@@ -29,7 +29,7 @@
 		c.subsets(model),
 		c.replicaIndexes(model),
 		c.addedLatency(1),
-		c.addedLatency(c.target.Target.Depth),
+		c.addedLatency(c.target.Target.Hops),
 	}
 	slices.SortStableFunc(all, func(a, b mechanism) int {
 		if a.without.known != b.without.known {
@@ -109,15 +109,15 @@
 	return mechanism{
 		name:    "distribution of configuration",
 		without: known(math.Inf(1)),
-		with:    minute.inForce.dividedBy(c.target.Limits.InForceSeconds),
+		with:    minute.inForce.dividedBy(c.target.Limits.PropagationSeconds),
 		figures: fmt.Sprintf("%s changes a day; today nothing carries one to a proxy and nobody can say where it is "+
-			"in force; with it: the busiest minute", formatNumber(model.fleet.ChangesPerDay)),
+			"in force; with it: the busiest minute", formatNumber(model.fleet.ConfigChangesPerDay)),
 	}
 }
 
 func (c *Calculator) subsets(model *fleetModel) mechanism {
 	_, most := model.connectionsIn(0)
-	all, dialled := model.connectionsWithoutSubsets(0, c.target.Assumed(IdleSeconds))
+	all, dialled := model.connectionsWithoutSubsets(0, c.target.Assumed(IdleTimeoutSeconds))
 	limit := c.target.Assumed(Descriptors)
 	return mechanism{
 		name:    "subsets of backends (there already: `logic`)",
--- a/internal/scale/predict/outcome.go
+++ b/internal/scale/predict/outcome.go
@@ -56,7 +56,7 @@
 // queueDelay returns how many seconds a tier's machines are behind after a span, in seconds, in
 // which they need so many cores.
 func (c *Calculator) queueDelay(cores, span, machines float64) float64 {
-	capacity := machines * c.target.Assumed(MachineCores) * c.target.Assumed(MachineUse)
+	capacity := machines * c.target.Assumed(MachineCores) * c.target.Assumed(MachineUtilization)
 	return span * max(0, cores/capacity-1)
 }
 
--- a/internal/scale/predict/predict_test.go
+++ b/internal/scale/predict/predict_test.go
@@ -39,14 +39,14 @@
 func syntheticSweep(source result.Source, d result.Dimension, changes float64) *result.Result {
 	r := &result.Result{Format: result.Format, Scenario: string(d), Source: source, Dimension: d, Hollow: true}
 	for k := range 5 {
-		size := result.Size{Proxies: 200, Services: 10, ServicesInAll: 100, Backends: 23, ChangesPerSecond: changes}
+		size := result.Size{Proxies: 200, Services: 10, TotalServices: 100, Backends: 23, ChangesPerSecond: changes}
 		factor := 1 << k
 		switch d {
 		case result.Proxies:
 			size.Proxies *= factor
 		case result.Services:
 			size.Services = 2 * factor
-			size.ServicesInAll = 50 * factor
+			size.TotalServices = 50 * factor
 		case result.Backends:
 			size.Backends = 10 * factor
 		case result.Changes:
@@ -81,7 +81,7 @@
 		Lists: result.Cost{Processes: 1, Connections: size.Proxies, RSSBytes: 1e7},
 	}
 	if d.Changes > 0 {
-		r.InForce = result.Spread{Count: 10, P50: 0.02, P99: 0.1, Max: 0.1}
+		r.Propagation = result.TimeSummary{Count: 10, P50: 0.02, P99: 0.1, Max: 0.1}
 	}
 	served := result.Cost{
 		Processes:   1,
@@ -200,9 +200,9 @@
 func TestLatencyVerdictNeedsLittleNoise(t *testing.T) {
 	added := Spread{Median: 0.68, Lowest: 0.6, Highest: 0.7}
 	quiet := Latency{Hops: 1, RatePerSecond: 271, AddedP99: added, Noise: 0.1}
-	quiet.SameP99 = Spread{Lowest: -0.1, Highest: 0.1}
+	quiet.DirectDifferenceP99 = Spread{Lowest: -0.1, Highest: 0.1}
 	noisy := Latency{Hops: 7, RatePerSecond: 271, AddedP99: added, Noise: 0.5}
-	noisy.SameP99 = Spread{Lowest: -4, Highest: 0.1}
+	noisy.DirectDifferenceP99 = Spread{Lowest: -4, Highest: 0.1}
 	c := NewCalculator(readTestTarget(t), NewEvidence(nil, []Latency{quiet, noisy}))
 	if got := c.addedLatency(1).without; !got.known || !near(got.value, 2, 1e-9) {
 		t.Errorf("one hop: %+v, 2 expected", got)
--- a/internal/scale/predict/readtarget.go
+++ b/internal/scale/predict/readtarget.go
@@ -65,13 +65,13 @@
 		LargestService:        requiredCount(s, "largest_service", maxProxies),
 		ServicesFollowed:      requiredNumber(s, "services_followed", 0.1, maxServices),
 		CallsPerSecond:        requiredNumber(s, "calls_per_second", 0, 1e12),
-		Depth:                 requiredCount(s, "depth", 100),
+		Hops:                  requiredCount(s, "depth", 100),
 		Regions:               requiredCount(s, "regions", 1000),
 		Zones:                 requiredCount(s, "zones", 1000),
-		ChangesPerDay:         requiredNumber(s, "changes_per_day", 0, 1e9),
+		ConfigChangesPerDay:   requiredNumber(s, "changes_per_day", 0, 1e9),
 		MachineFailuresPerDay: requiredNumber(s, "machine_failures_per_day", 0, 1e9),
 		RestartsPerDay:        requiredNumber(s, "restarts_per_day", 0, 1e9),
-		ZoneProxies:           requiredCount(s, "zone_proxies", maxProxies),
+		ProxiesPerZone:        requiredCount(s, "zone_proxies", maxProxies),
 	}
 	if f.Proxies < f.Services {
 		s.ReportField(rules.Range, "services", "no more than there are proxies, %d, expected", f.Proxies)
@@ -90,9 +90,9 @@
 func readLimits(s tomldoc.Scope) Limits {
 	l := Limits{
 		AddedP99Ms:          requiredNumber(s, "added_p99_ms", 1e-3, 1e5),
-		InForceSeconds:      requiredNumber(s, "in_force_seconds", 1e-3, 1e5),
+		PropagationSeconds:  requiredNumber(s, "in_force_seconds", 1e-3, 1e5),
 		ProxyCores:          requiredNumber(s, "proxy_cores", 1e-6, 1e3),
-		ProxyBytes:          requiredNumber(s, "proxy_bytes", 1, 1e12),
+		ProxyMemoryBytes:    requiredNumber(s, "proxy_bytes", 1, 1e12),
 		ProxyBytesPerSecond: requiredNumber(s, "proxy_bytes_per_second", 1, 1e12),
 		ControlMachines:     requiredCount(s, "control_machines", 1e6),
 	}
--- a/internal/scale/predict/roles.go
+++ b/internal/scale/predict/roles.go
@@ -88,7 +88,7 @@
 	}{
 		{needs.bytes, limits.ProxyBytesPerSecond, "bytes"},
 		{needs.cores, limits.ProxyCores, "processor"},
-		{needs.memory, limits.ProxyBytes, "memory"},
+		{needs.memory, limits.ProxyMemoryBytes, "memory"},
 	} {
 		if b.need.known && b.need.value/b.limit >= tightest.value {
 			tightest, name = known(b.need.value/b.limit), b.name
@@ -127,7 +127,7 @@
 func (c *Calculator) backendRow(model *fleetModel, i int, name string) []string {
 	callers := model.callers(i)
 	mean, most := model.connectionsIn(i)
-	all, dialled := model.connectionsWithoutSubsets(i, c.target.Assumed(IdleSeconds))
+	all, dialled := model.connectionsWithoutSubsets(i, c.target.Assumed(IdleTimeoutSeconds))
 	return []string{
 		"a backend as seen by its callers",
 		"logic's subset",
--- a/internal/scale/predict/tiers.go
+++ b/internal/scale/predict/tiers.go
@@ -89,7 +89,7 @@
 }
 
 func (c *Calculator) tierRow(source result.Source, t tier) []string {
-	predict := func(figure fit.Figure) amount {
+	predict := func(figure fit.Metric) amount {
 		return c.evidence.predict(source, t.role, figure, t.drivers)
 	}
 	cores, in, out := predict(fit.CPU), predict(fit.BytesIn), predict(fit.BytesOut)
--- a/internal/scale/result/decode.go
+++ b/internal/scale/result/decode.go
@@ -27,8 +27,8 @@
 // that the struct lacks, repeated fields, and anything that follows the document: encoding/json
 // alone accepts the latter two.
 func decode(name string, data []byte, v any) (fieldLines, error) {
-	if len(data) > MaxFile {
-		return nil, &FileError{File: name, Err: fmt.Errorf("%d bytes, at most %d expected", len(data), MaxFile)}
+	if len(data) > MaxFileBytes {
+		return nil, &FileError{File: name, Err: fmt.Errorf("%d bytes, at most %d expected", len(data), MaxFileBytes)}
 	}
 	w := walker{data: data, decoder: json.NewDecoder(bytes.NewReader(data)), lines: fieldLines{}}
 	if err := w.walk("", reflect.TypeOf(v).Elem()); err != nil {
--- a/internal/scale/result/read.go
+++ b/internal/scale/result/read.go
@@ -9,12 +9,12 @@
 
 // Bounds of a result file.
 const (
-	MaxFile    = 4 << 20 // bytes
-	MaxPoints  = 64
-	MaxRounds  = 32 // of a point
-	MaxProxies = 1_000_000
-	MaxFigure  = 1e15 // of any number in a file
-	maxDepth   = 16   // of a document's nesting
+	MaxFileBytes = 4 << 20 // bytes
+	MaxPoints    = 64
+	MaxRounds    = 32 // of a point
+	MaxProxies   = 1_000_000
+	MaxValue     = 1e15 // of any number in a file
+	maxDepth     = 16   // of a document's nesting
 )
 
 // FileError is a fault of a result file. Its text is one line.
--- a/internal/scale/result/read_test.go
+++ b/internal/scale/result/read_test.go
@@ -17,7 +17,7 @@
 		Hollow:    true,
 		Cores:     8,
 		Points: []Point{{
-			Size:   Size{Proxies: 10, Services: 2, ServicesInAll: 4, Backends: 23},
+			Size:   Size{Proxies: 10, Services: 2, TotalServices: 4, Backends: 23},
 			Rounds: []Round{{Seconds: 10, Proxies: Cost{Processes: 1, CPUSeconds: 0.5}}},
 		}},
 	}
--- a/internal/scale/result/result.go
+++ b/internal/scale/result/result.go
@@ -58,7 +58,7 @@
 type Size struct {
 	Proxies          int     `json:"proxies"`
 	Services         int     `json:"services"`           // that each proxy follows
-	ServicesInAll    int     `json:"services_in_all"`    // that the proxies choose from
+	TotalServices    int     `json:"services_in_all"`    // that the proxies choose from
 	Backends         int     `json:"backends"`           // of each service
 	ChangesPerSecond float64 `json:"changes_per_second"` // over all services; each affects one backend
 	CallsPerSecond   float64 `json:"calls_per_second"`   // of each proxy
@@ -66,15 +66,15 @@
 
 // Round is one measured span at a size, after a warm-up.
 type Round struct {
-	Seconds float64 `json:"seconds"`
-	Proxies Cost    `json:"proxies"` // of all proxies together
-	Lists   Cost    `json:"lists"`   // of the list service, or of distribution's source
-	Relays  Cost    `json:"relays"`  // zero where there are none
-	InForce Spread  `json:"in_force"`
+	Seconds     float64     `json:"seconds"`
+	Proxies     Cost        `json:"proxies"` // of all proxies together
+	Lists       Cost        `json:"lists"`   // of the list service, or of distribution's source
+	Relays      Cost        `json:"relays"`  // zero where there are none
+	Propagation TimeSummary `json:"in_force"`
 	// Late counts the changes that were not in force once the scenario's settle time (2.5 s by
 	// default) after the span had passed, each change once for each proxy that follows its service.
-	Late int64  `json:"late,omitempty"`
-	Call Spread `json:"call"` // of one call's decision and bookkeeping; zero where no calls are made
+	Late int64       `json:"late,omitempty"`
+	Call TimeSummary `json:"call"` // of one call's decision and bookkeeping; zero where no calls are made
 }
 
 // Cost is what the processes of one role use in a round. Bytes and messages are those of control
@@ -94,9 +94,9 @@
 	MessagesOut    int64   `json:"messages_out"`
 }
 
-// Spread summarizes a distribution of times, in seconds. That of Round.InForce is of the times from
+// TimeSummary summarizes a distribution of times, in seconds. That of Round.InForce is of the times from
 // the write of a change at its origin until a proxy has put it in force.
-type Spread struct {
+type TimeSummary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
 	P99   float64 `json:"p99"`
--- a/internal/scale/result/validate.go
+++ b/internal/scale/result/validate.go
@@ -22,7 +22,7 @@
 		return fieldErrorf("dimension", "%.40q found, "+want, r.Dimension)
 	case r.Cores < 0 || r.Cores > 4096:
 		return fieldErrorf("cores", "%d found, 0 to 4096 expected", r.Cores)
-	case !isWithin(r.LoadBefore, 0, MaxFigure):
+	case !isWithin(r.LoadBefore, 0, MaxValue):
 		return fieldErrorf("load_before", "%g found, 0 or more expected", r.LoadBefore)
 	case len(r.Points) == 0 || len(r.Points) > MaxPoints:
 		return fieldErrorf("points", "%d found, 1 to %d expected", len(r.Points), MaxPoints)
@@ -55,10 +55,10 @@
 	return firstOutside([]boundedField{
 		{name: "proxies", value: float64(s.Proxies), least: 1, most: MaxProxies},
 		{name: "services", value: float64(s.Services), most: MaxProxies},
-		{name: "services_in_all", value: float64(s.ServicesInAll), least: leastInAll, most: MaxProxies},
+		{name: "services_in_all", value: float64(s.TotalServices), least: leastInAll, most: MaxProxies},
 		{name: "backends", value: float64(s.Backends), most: MaxProxies},
-		{name: "changes_per_second", value: s.ChangesPerSecond, most: MaxFigure},
-		{name: "calls_per_second", value: s.CallsPerSecond, most: MaxFigure},
+		{name: "changes_per_second", value: s.ChangesPerSecond, most: MaxValue},
+		{name: "calls_per_second", value: s.CallsPerSecond, most: MaxValue},
 	})
 }
 
@@ -73,7 +73,7 @@
 		{"proxies", &r.Proxies},
 		{"lists", &r.Lists},
 		{"relays", &r.Relays},
-		{"in_force", &r.InForce},
+		{"in_force", &r.Propagation},
 		{"call", &r.Call},
 	} {
 		if err := part.value.validate(); err != nil {
@@ -86,26 +86,26 @@
 func (c *Cost) validate() error {
 	return firstOutside([]boundedField{
 		{name: "processes", value: float64(c.Processes), most: MaxProxies},
-		{name: "cpu_seconds", value: c.CPUSeconds, most: MaxFigure},
-		{name: "rss_bytes", value: float64(c.RSSBytes), most: MaxFigure},
-		{name: "heap_bytes", value: float64(c.HeapBytes), most: MaxFigure},
-		{name: "allocated_bytes", value: float64(c.AllocatedBytes), most: MaxFigure},
-		{name: "allocations", value: float64(c.Allocations), most: MaxFigure},
-		{name: "goroutines", value: float64(c.Goroutines), most: MaxFigure},
-		{name: "connections", value: float64(c.Connections), most: MaxFigure},
-		{name: "bytes_in", value: float64(c.BytesIn), most: MaxFigure},
-		{name: "bytes_out", value: float64(c.BytesOut), most: MaxFigure},
-		{name: "messages_in", value: float64(c.MessagesIn), most: MaxFigure},
-		{name: "messages_out", value: float64(c.MessagesOut), most: MaxFigure},
+		{name: "cpu_seconds", value: c.CPUSeconds, most: MaxValue},
+		{name: "rss_bytes", value: float64(c.RSSBytes), most: MaxValue},
+		{name: "heap_bytes", value: float64(c.HeapBytes), most: MaxValue},
+		{name: "allocated_bytes", value: float64(c.AllocatedBytes), most: MaxValue},
+		{name: "allocations", value: float64(c.Allocations), most: MaxValue},
+		{name: "goroutines", value: float64(c.Goroutines), most: MaxValue},
+		{name: "connections", value: float64(c.Connections), most: MaxValue},
+		{name: "bytes_in", value: float64(c.BytesIn), most: MaxValue},
+		{name: "bytes_out", value: float64(c.BytesOut), most: MaxValue},
+		{name: "messages_in", value: float64(c.MessagesIn), most: MaxValue},
+		{name: "messages_out", value: float64(c.MessagesOut), most: MaxValue},
 	})
 }
 
-func (s *Spread) validate() error {
+func (s *TimeSummary) validate() error {
 	return firstOutside([]boundedField{
-		{name: "count", value: float64(s.Count), most: MaxFigure},
-		{name: "p50", value: s.P50, most: MaxFigure},
-		{name: "p99", value: s.P99, least: s.P50, most: MaxFigure},
-		{name: "max", value: s.Max, least: s.P99, most: MaxFigure},
+		{name: "count", value: float64(s.Count), most: MaxValue},
+		{name: "p50", value: s.P50, most: MaxValue},
+		{name: "p99", value: s.P99, least: s.P50, most: MaxValue},
+		{name: "max", value: s.Max, least: s.P99, most: MaxValue},
 	})
 }
 
--- a/internal/scale/scenario/scenario.go
+++ b/internal/scale/scenario/scenario.go
@@ -18,12 +18,12 @@
 	MaxProxies       = 100_000
 	MaxRealProxies   = 200 // each a process of the program itself
 	MaxServices      = 256 // that a proxy follows: the bound of its configuration
-	MaxServicesInAll = 8192
+	MaxTotalServices = 8192
 	MaxBackends      = 2000 // of a service
 	MaxChanges       = 10_000
 	MaxCalls         = 100_000
 	MaxProcesses     = 64 // with hollow proxies; also of relays
-	MaxSpan          = 10 * time.Minute
+	MaxDuration      = 10 * time.Minute
 	MaxRounds        = 20
 	MinSizes         = 5 // of a sweep
 	MaxSizes         = 20
@@ -33,19 +33,19 @@
 
 // Scenario describes a sweep.
 type Scenario struct {
-	Name      string
-	Source    result.Source
-	Hollow    bool // false: each proxy is a process of the program itself
-	Seed      uint64
-	WarmUp    time.Duration // at each size, before its first round
-	Span      time.Duration // of a round
-	Settle    time.Duration // after a span, within which its last changes have to be in force
-	Rounds    int
-	Size      result.Size // what the sweep does not vary
-	Dimension result.Dimension
-	Sizes     []float64 // ascending
-	HeldOut   float64   // a further size, larger than all others, that no fit uses; 0: none
-	Processes Processes
+	Name          string
+	Source        result.Source
+	Hollow        bool // false: each proxy is a process of the program itself
+	Seed          uint64
+	WarmUp        time.Duration // at each size, before its first round
+	RoundDuration time.Duration // of a round
+	SettleTime    time.Duration // after a span, within which its last changes have to be in force
+	Rounds        int
+	Size          result.Size // what the sweep does not vary
+	Dimension     result.Dimension
+	Sizes         []float64 // ascending
+	HeldOut       float64   // a further size, larger than all others, that no fit uses; 0: none
+	Processes     Processes
 }
 
 // Processes are the numbers and settings of a sweep's processes.
@@ -84,7 +84,7 @@
 	case result.Calls:
 		s.CallsPerSecond = value
 	}
-	s.ServicesInAll = max(s.ServicesInAll, s.Services)
+	s.TotalServices = max(s.TotalServices, s.Services)
 	return s
 }
 
@@ -99,14 +99,14 @@
 	}
 	s.Int("format", Format, Format, Format)
 	sc := &Scenario{
-		Name:   s.Text("name", ""),
-		Seed:   uint64(s.Int("seed", 1, 0, 1<<62)),
-		Hollow: true,
-		Source: readSource(s),
-		WarmUp: s.Duration("warm_up", 3*time.Second, 0, MaxSpan),
-		Span:   s.Duration("span", 5*time.Second, 10*time.Millisecond, MaxSpan),
-		Settle: s.Duration("settle", 2500*time.Millisecond, 0, MaxSpan),
-		Rounds: int(s.Int("rounds", 3, 1, MaxRounds)),
+		Name:          s.Text("name", ""),
+		Seed:          uint64(s.Int("seed", 1, 0, 1<<62)),
+		Hollow:        true,
+		Source:        readSource(s),
+		WarmUp:        s.Duration("warm_up", 3*time.Second, 0, MaxDuration),
+		RoundDuration: s.Duration("span", 5*time.Second, 10*time.Millisecond, MaxDuration),
+		SettleTime:    s.Duration("settle", 2500*time.Millisecond, 0, MaxDuration),
+		Rounds:        int(s.Int("rounds", 3, 1, MaxRounds)),
 	}
 	if sc.Name == "" {
 		s.ReportField(rules.Missing, "name", "the scenario's name expected")
@@ -159,7 +159,7 @@
 	size := result.Size{
 		Proxies:          int(s.Int("proxies", 100, 1, MaxProxies)),
 		Services:         int(s.Int("services", 1, 1, MaxServices)),
-		ServicesInAll:    int(s.Int("services_in_all", 1, 1, MaxServicesInAll)),
+		TotalServices:    int(s.Int("services_in_all", 1, 1, MaxTotalServices)),
 		Backends:         int(s.Int("backends", 23, 2, MaxBackends)),
 		ChangesPerSecond: s.Float("changes_per_second", 0, 0, MaxChanges),
 		CallsPerSecond:   s.Float("calls_per_second", 0, 0, MaxCalls),
--- a/internal/scale/scenario/scenario_test.go
+++ b/internal/scale/scenario/scenario_test.go
@@ -82,7 +82,7 @@
 		t.Fatal(points)
 	}
 	for i, p := range points {
-		want := result.Size{Proxies: 7, Services: 1 << i, ServicesInAll: 1 << i, Backends: 23}
+		want := result.Size{Proxies: 7, Services: 1 << i, TotalServices: 1 << i, Backends: 23}
 		if p.Size != want || p.HeldOut != (i == 5) {
 			t.Errorf("%+v, want %+v", p, want)
 		}
@@ -123,7 +123,7 @@
 		for _, p := range points {
 			s := p.Size
 			isInBounds := s.Proxies >= 1 && s.Proxies <= scenario.MaxProxies &&
-				s.Services >= 1 && s.Services <= s.ServicesInAll &&
+				s.Services >= 1 && s.Services <= s.TotalServices &&
 				s.Backends >= 2 && s.Backends <= scenario.MaxBackends
 			if !isInBounds {
 				t.Errorf("out of bounds: %+v", p)
--- a/internal/scale/sweep/plan.go
+++ b/internal/scale/sweep/plan.go
@@ -30,7 +30,7 @@
 	switch sc.Source {
 	case result.SourceConsul:
 		conns := size.Proxies * size.Services
-		p.lists = min(max(1, (conns+listConnections-1)/listConnections), maxLists, size.ServicesInAll)
+		p.lists = min(max(1, (conns+listConnections-1)/listConnections), maxLists, size.TotalServices)
 	case result.SourceRelay:
 		p.lists = 1
 		p.relays = sc.Processes.Relays
@@ -62,7 +62,7 @@
 	fit := room / conns * p.workers
 	servers := p.relays
 	if source == result.SourceConsul {
-		servers = min(maxLists, p.size.ServicesInAll)
+		servers = min(maxLists, p.size.TotalServices)
 	}
 	return min(fit, room*servers/conns)
 }
--- a/internal/scale/sweep/processes.go
+++ b/internal/scale/sweep/processes.go
@@ -83,13 +83,13 @@
 func (ps *processes) startListServices(ctx context.Context) error {
 	for i := range ps.plan.lists {
 		name := fmt.Sprintf("lists-%d", i+1)
-		spec := worker.Spec{Role: worker.Lists, Layout: ps.layout, Index: i, ListServices: ps.plan.lists}
+		spec := worker.Spec{Role: worker.ListService, Layout: ps.layout, Index: i, ListServices: ps.plan.lists}
 		hello, err := ps.group.startWorker(ctx, name, spec)
 		if err != nil {
 			return err
 		}
 		ps.lists = append(ps.lists, name)
-		ps.layout.Lists = append(ps.layout.Lists, hello.Address)
+		ps.layout.ListServices = append(ps.layout.ListServices, hello.Address)
 	}
 	return nil
 }
@@ -113,7 +113,7 @@
 // startRealProxies starts a process for each proxy and waits until all listen.
 func (ps *processes) startRealProxies(ctx context.Context) error {
 	for n := range ps.layout.Size.Proxies {
-		name := topology.Proxy(n)
+		name := topology.ProxyName(n)
 		file, err := ps.runner.writeConfig(name, ps.layout.Config(n))
 		if err != nil {
 			return err
@@ -149,7 +149,7 @@
 			return exit
 		}
 		if !sleep.For(ctx, listenPollInterval) {
-			return fmt.Errorf("%s does not listen: %w", topology.Proxy(proxy), err)
+			return fmt.Errorf("%s does not listen: %w", topology.ProxyName(proxy), err)
 		}
 	}
 }
--- a/internal/scale/sweep/processgroup.go
+++ b/internal/scale/sweep/processgroup.go
@@ -52,7 +52,7 @@
 		delete(g.exited, e.Who)
 	}
 	if !g.closing && g.firstExit == nil {
-		g.firstExit = fmt.Errorf("process %s ended %s; what it had is lost, and so is this size", e.Who, e.Why)
+		g.firstExit = fmt.Errorf("process %s ended %s; what it had is lost, and so is this size", e.Who, e.Reason)
 	}
 }
 
--- a/internal/scale/sweep/relays.go
+++ b/internal/scale/sweep/relays.go
@@ -100,7 +100,7 @@
 			BytesOut:    stats.BytesOut,
 			MessagesIn:  stats.MessagesIn,
 			MessagesOut: stats.MessagesOut,
-			Open:        stats.Sessions,
+			OpenConns:   stats.Sessions,
 		}
 		followers = append(followers, worker.Usage{Traffic: traffic})
 		traffic.BytesIn += stats.UpstreamBytesIn
--- a/internal/scale/sweep/round.go
+++ b/internal/scale/sweep/round.go
@@ -39,7 +39,7 @@
 		return r, err
 	}
 	r = ps.roundOf(before, after, memory)
-	if len(changes) > 0 && !sleep.For(ctx, ps.runner.scenario.Settle) {
+	if len(changes) > 0 && !sleep.For(ctx, ps.runner.scenario.SettleTime) {
 		return r, ctx.Err()
 	}
 	return r, ps.collect(ctx, changes, &r)
@@ -89,13 +89,13 @@
 	if err != nil {
 		return err
 	}
-	inForce, calls := worker.NewInForceHistogram(), hdrhistogram.New(1, int64(time.Minute), 3)
+	inForce, calls := worker.NewPropagationHistogram(), hdrhistogram.New(1, int64(time.Minute), 3)
 	for i, reply := range replies {
 		addState(&r.Proxies, reply.State)
 		if err := ps.checkState(ps.workers[i], reply.State); err != nil {
 			return err
 		}
-		if err := mergeHistogram(inForce, reply.State.InForce); err != nil {
+		if err := mergeHistogram(inForce, reply.State.Propagation); err != nil {
 			return err
 		}
 		if err := mergeHistogram(calls, reply.State.Calls); err != nil {
@@ -103,7 +103,7 @@
 		}
 	}
 	r.Late = ps.expectedArrivals(changes) - inForce.TotalCount()
-	r.InForce = spreadOf(inForce, time.Microsecond)
+	r.Propagation = spreadOf(inForce, time.Microsecond)
 	r.Call = spreadOf(calls, time.Nanosecond)
 	if ps.runner.scenario.Source == result.SourceRelay {
 		return nil // sources and relays do not report their heap
@@ -140,8 +140,8 @@
 	if ps.followers == nil {
 		ps.followers = map[string]int64{}
 		for n := range ps.layout.Size.Proxies {
-			for _, service := range ps.layout.Followed(n) {
-				ps.followers[topology.Service(service)]++
+			for _, service := range ps.layout.FollowedServices(n) {
+				ps.followers[topology.ServiceName(service)]++
 			}
 		}
 	}
@@ -173,12 +173,12 @@
 }
 
 // spreadOf returns the spread of a histogram of a unit, in seconds.
-func spreadOf(h *hdrhistogram.Histogram, unit time.Duration) result.Spread {
+func spreadOf(h *hdrhistogram.Histogram, unit time.Duration) result.TimeSummary {
 	if h.TotalCount() == 0 {
-		return result.Spread{}
+		return result.TimeSummary{}
 	}
 	seconds := func(n int64) float64 { return float64(n) * unit.Seconds() }
-	return result.Spread{
+	return result.TimeSummary{
 		Count: h.TotalCount(),
 		P50:   seconds(h.ValueAtQuantile(50)),
 		P99:   seconds(h.ValueAtQuantile(99)),
--- a/internal/scale/sweep/run.go
+++ b/internal/scale/sweep/run.go
@@ -24,7 +24,7 @@
 	Sidecar     []string  // the program that real proxies run, with its first arguments
 	Relay       []string  // the program that is a source or a relay of distribution
 	MemoryBytes int64     // that all processes may use; 0: half of the machine's
-	HeldOut     Selection // the sizes that are measured
+	Selection   Selection // the sizes that are measured
 	Log         io.Writer // receives a line for each round; nil: none
 }
 
@@ -52,7 +52,7 @@
 // Run measures a sweep. If a size does not fit on the machine, it returns an error before any is
 // measured.
 func Run(ctx context.Context, sc *scenario.Scenario, opts Options) (*result.Result, error) {
-	points := opts.HeldOut.points(sc.Points())
+	points := opts.Selection.points(sc.Points())
 	if len(points) == 0 {
 		return nil, fmt.Errorf("scale: %s has no held-out size", sc.Name)
 	}
@@ -107,7 +107,7 @@
 
 func describe(s result.Size) string {
 	return fmt.Sprintf("%d proxies, %d of %d services of %d, %g changes and %g calls a second",
-		s.Proxies, s.Services, s.ServicesInAll, s.Backends, s.ChangesPerSecond, s.CallsPerSecond)
+		s.Proxies, s.Services, s.TotalServices, s.Backends, s.ChangesPerSecond, s.CallsPerSecond)
 }
 
 // runner runs one sweep.
@@ -132,7 +132,7 @@
 	}
 	var rounds []result.Round
 	for i := range r.scenario.Rounds {
-		round, err := ps.measureRound(ctx, r.scenario.Span)
+		round, err := ps.measureRound(ctx, r.scenario.RoundDuration)
 		if err := errors.Join(err, ps.group.failure()); err != nil {
 			return nil, fmt.Errorf("round %d: %w", i+1, err)
 		}
@@ -152,7 +152,7 @@
 		proxies.CPUSeconds, megabytes(proxies.RSSBytes), megabytes(proxies.HeapBytes),
 		proxies.BytesIn, proxies.BytesOut,
 		lists.CPUSeconds, megabytes(lists.RSSBytes), relays.CPUSeconds, megabytes(relays.RSSBytes),
-		round.InForce.Count, round.InForce.P50, round.InForce.P99, round.InForce.Max,
+		round.Propagation.Count, round.Propagation.P50, round.Propagation.P99, round.Propagation.Max,
 		round.Call.Count, round.Call.P99*1e6)
 }
 
--- a/internal/scale/sweep/sweep_test.go
+++ b/internal/scale/sweep/sweep_test.go
@@ -112,7 +112,7 @@
 			t.Fatalf("%+v", p)
 		}
 		r := p.Rounds[0]
-		inForce += r.InForce.Count
+		inForce += r.Propagation.Count
 		calls += r.Call.Count
 		if r.Proxies.Processes != min(2, p.Size.Proxies) || r.Proxies.Connections < 2*p.Size.Proxies ||
 			r.Lists.Processes != 1 || r.Relays.Processes != 0 {
@@ -146,7 +146,7 @@
 	}
 	opts := workerOptions(t)
 	opts.Relay = []string{program}
-	opts.HeldOut = sweep.HeldOutOnly
+	opts.Selection = sweep.HeldOutOnly
 	text := strings.NewReplacer(
 		"name = \"small\"", "name = \"small\"\nsource = \"relay\"",
 		"rounds = 1", fmt.Sprintf("rounds = %d", relayRounds),
@@ -170,7 +170,7 @@
 		if r.Proxies.RSSBytes <= 0 || r.Lists.RSSBytes <= 0 || r.Relays.RSSBytes <= 0 {
 			t.Errorf("%+v", r)
 		}
-		inForce += r.InForce.Count
+		inForce += r.Propagation.Count
 		calls += r.Call.Count
 		proxies = sumOfCounters(proxies, r.Proxies)
 		lists = sumOfCounters(lists, r.Lists)
--- a/internal/scale/sweep/usage.go
+++ b/internal/scale/sweep/usage.go
@@ -95,7 +95,7 @@
 		sum.BytesOut += a.BytesOut - b.BytesOut
 		sum.MessagesIn += a.MessagesIn - b.MessagesIn
 		sum.MessagesOut += a.MessagesOut - b.MessagesOut
-		sum.Connections += a.Open
+		sum.Connections += a.OpenConns
 	}
 	return sum
 }
--- a/internal/scale/topology/layout.go
+++ b/internal/scale/topology/layout.go
@@ -41,33 +41,33 @@
 
 // Layout determines all members of a fleet.
 type Layout struct {
-	Source result.Source `json:"source"`
-	Size   result.Size   `json:"size"`
-	Seed   uint64        `json:"seed"`
-	Lists  []string      `json:"lists,omitempty"`  // addresses of the list services; services are assigned in turn
-	Relays []string      `json:"relays,omitempty"` // addresses of the relays
+	Source       result.Source `json:"source"`
+	Size         result.Size   `json:"size"`
+	Seed         uint64        `json:"seed"`
+	ListServices []string      `json:"lists,omitempty"`  // addresses of the list services; services are assigned in turn
+	Relays       []string      `json:"relays,omitempty"` // addresses of the relays
 }
 
-// Service returns the name of a service by its number.
-func Service(number int) string { return fmt.Sprintf("service-%04d", number) }
+// ServiceName returns the name of a service by its number.
+func ServiceName(number int) string { return fmt.Sprintf("service-%04d", number) }
 
-// Services returns the numbers of the services whose lists the list service of an index serves, of
+// ServicesOfListService returns the numbers of the services whose lists the list service of an index serves, of
 // so many list services.
-func Services(size result.Size, index, listServices int) []int {
+func ServicesOfListService(size result.Size, index, listServices int) []int {
 	var numbers []int
-	for n := index; n < size.ServicesInAll; n += listServices {
+	for n := index; n < size.TotalServices; n += listServices {
 		numbers = append(numbers, n)
 	}
 	return numbers
 }
 
-// Proxy returns the name of a proxy by its number.
-func Proxy(number int) string { return fmt.Sprintf("proxy-%05d", number) }
+// ProxyName returns the name of a proxy by its number.
+func ProxyName(number int) string { return fmt.Sprintf("proxy-%05d", number) }
 
-// Followed returns the numbers of the services that a proxy follows, ascending.
-func (l *Layout) Followed(proxy int) []int {
+// FollowedServices returns the numbers of the services that a proxy follows, ascending.
+func (l *Layout) FollowedServices(proxy int) []int {
 	rng := rand.New(rand.NewPCG(l.Seed+uint64(proxy), followStream))
-	numbers := rng.Perm(l.Size.ServicesInAll)[:l.Size.Services]
+	numbers := rng.Perm(l.Size.TotalServices)[:l.Size.Services]
 	slices.Sort(numbers)
 	return numbers
 }
@@ -93,21 +93,21 @@
 // Config returns the configuration file of a proxy.
 func (l *Layout) Config(proxy int) []byte {
 	var text strings.Builder
-	fmt.Fprintf(&text, "version = 2\nname = %q\n\n", Proxy(proxy))
+	fmt.Fprintf(&text, "version = 2\nname = %q\n\n", ProxyName(proxy))
 	fmt.Fprintf(&text, "[process]\nmemory_mb = %d\nsockets = %d\n\n", memoryMB, sockets)
 	fmt.Fprintf(&text, "[[listeners]]\naddress = %q\n\n", ListenAddr(proxy))
 	if l.Source == result.SourceRelay {
-		fmt.Fprintf(&text, "[distribution]\nname = %q\nrelays = [%s]\n\n", Proxy(proxy), quoteAll(l.Relays))
+		fmt.Fprintf(&text, "[distribution]\nname = %q\nrelays = [%s]\n\n", ProxyName(proxy), quoteAll(l.Relays))
 	}
-	followed := l.Followed(proxy)
+	followed := l.FollowedServices(proxy)
 	for _, n := range followed {
-		fmt.Fprintf(&text, "[services.%s]\ntrusted = true\n", Service(n))
+		fmt.Fprintf(&text, "[services.%s]\ntrusted = true\n", ServiceName(n))
 		l.writeMembership(&text, n)
-		fmt.Fprintf(&text, "[services.%s.classes.%s]\n", Service(n), Class)
+		fmt.Fprintf(&text, "[services.%s.classes.%s]\n", ServiceName(n), Class)
 		fmt.Fprintf(&text, "repeat = \"safe\"\nobjective = \"300ms\"\ndeadline = %q\n\n", deadline)
 	}
 	for _, n := range followed {
-		name := Service(n)
+		name := ServiceName(n)
 		fmt.Fprintf(&text, "[[routes]]\nname = %q\nprefix = \"/%s\"\n", name, name)
 		fmt.Fprintf(&text, "service = %q\nclass = %q\n\n", name, Class)
 	}
@@ -118,13 +118,13 @@
 func (l *Layout) writeMembership(text *strings.Builder, service int) {
 	switch l.Source {
 	case result.SourceConsul:
-		fmt.Fprintf(text, "membership = \"consul\"\ndiscovery = %q\n", l.Lists[service%len(l.Lists)])
+		fmt.Fprintf(text, "membership = \"consul\"\ndiscovery = %q\n", l.ListServices[service%len(l.ListServices)])
 	case result.SourceRelay:
 		text.WriteString("membership = \"relay\"\n")
 	default:
 		text.WriteString("membership = \"static\"\nendpoints = [\n")
 		for n := range l.Size.Backends {
-			name := churn.Name(Service(service), n)
+			name := churn.BackendName(ServiceName(service), n)
 			fmt.Fprintf(text, "  { name = %q, address = %q },\n", name, BackendAddr(service, n))
 		}
 		text.WriteString("]\n")
--- a/internal/scale/worker/changer.go
+++ b/internal/scale/worker/changer.go
@@ -73,7 +73,7 @@
 	if err != nil && c.err == nil {
 		c.err = err
 	}
-	c.made = append(c.made, Change{Service: topology.Service(service), Version: version, At: at})
+	c.made = append(c.made, Change{Service: topology.ServiceName(service), Version: version, At: at})
 }
 
 // take returns the changes made since the last take.
--- a/internal/scale/worker/listservice.go
+++ b/internal/scale/worker/listservice.go
@@ -17,10 +17,10 @@
 
 func newListService(spec Spec) (*listService, error) {
 	size := spec.Layout.Size
-	services := topology.Services(size, spec.Index, spec.ListServices)
+	services := topology.ServicesOfListService(size, spec.Index, spec.ListServices)
 	var names []string
 	for _, n := range services {
-		names = append(names, topology.Service(n))
+		names = append(names, topology.ServiceName(n))
 	}
 	registry, err := standin.NewRegistry(names)
 	if err != nil {
@@ -31,19 +31,19 @@
 		for b := range size.Backends {
 			all = append(all, backendMember(n, b))
 		}
-		registry.Service(topology.Service(n)).Put(all...)
+		registry.Service(topology.ServiceName(n)).Put(all...)
 	}
 	write := func(service int, c churn.Change) error {
-		return applyChange(registry.Service(topology.Service(service)), service, c)
+		return applyChange(registry.Service(topology.ServiceName(service)), service, c)
 	}
-	rate := size.ChangesPerSecond * float64(len(services)) / float64(size.ServicesInAll)
+	rate := size.ChangesPerSecond * float64(len(services)) / float64(size.TotalServices)
 	return &listService{registry: registry, changer: newChanger(services, size.Backends, rate, write)}, nil
 }
 
 // backendMember returns a backend as the registry lists it.
 func backendMember(service, number int) standin.Member {
 	return standin.Member{
-		Name:    churn.Name(topology.Service(service), number),
+		Name:    churn.BackendName(topology.ServiceName(service), number),
 		Address: topology.BackendAddr(service, number),
 		Weight:  1,
 		Status:  "SERVING",
@@ -82,13 +82,13 @@
 
 func (l *listService) traffic() hollow.Traffic {
 	t := l.registry.Traffic()
-	requests, responses := l.registry.Messages()
+	requests, responses := l.registry.RequestCounts()
 	return hollow.Traffic{
 		BytesIn:     t.BytesIn,
 		BytesOut:    t.BytesOut,
 		MessagesIn:  requests,
 		MessagesOut: responses,
-		Open:        int(t.Open),
+		OpenConns:   int(t.OpenConns),
 	}
 }
 
--- a/internal/scale/worker/protocol.go
+++ b/internal/scale/worker/protocol.go
@@ -10,9 +10,9 @@
 
 // The roles.
 const (
-	Proxies   Role = "proxies" // runs hollow proxies
-	Lists     Role = "lists"   // is a list service and changes its lists
-	Publisher Role = "publish" // writes lists to a source of distribution and changes them
+	Proxies     Role = "proxies" // runs hollow proxies
+	ListService Role = "lists"   // is a list service and changes its lists
+	Publisher   Role = "publish" // writes lists to a source of distribution and changes them
 )
 
 // Spec is the first line that a worker reads: what it is to be.
@@ -79,13 +79,13 @@
 
 // State is what a worker holds at a moment, and what it has measured since the last CommandCollect.
 type State struct {
-	HeapBytes  int64             `json:"heap_bytes"` // live, after a garbage collection
-	Goroutines int               `json:"goroutines"`
-	InForce    []byte            `json:"in_force,omitempty"` // a histogram of microseconds, encoded
-	Lost       int64             `json:"lost,omitempty"`     // arrivals beyond hollow.MaxArrivals
-	Calls      []byte            `json:"calls,omitempty"`    // a histogram of nanoseconds, encoded
-	Served     int64             `json:"served,omitempty"`
-	NotServed  int64             `json:"others,omitempty"`
-	Skipped    int64             `json:"skipped,omitempty"`
-	Failures   map[string]string `json:"failures,omitempty"` // why proxies ended, by name
+	HeapBytes   int64             `json:"heap_bytes"` // live, after a garbage collection
+	Goroutines  int               `json:"goroutines"`
+	Propagation []byte            `json:"in_force,omitempty"` // a histogram of microseconds, encoded
+	Lost        int64             `json:"lost,omitempty"`     // arrivals beyond hollow.MaxArrivals
+	Calls       []byte            `json:"calls,omitempty"`    // a histogram of nanoseconds, encoded
+	Served      int64             `json:"served,omitempty"`
+	NotServed   int64             `json:"others,omitempty"`
+	Skipped     int64             `json:"skipped,omitempty"`
+	Failures    map[string]string `json:"failures,omitempty"` // why proxies ended, by name
 }
--- a/internal/scale/worker/proxyhost.go
+++ b/internal/scale/worker/proxyhost.go
@@ -23,9 +23,9 @@
 	precision        = 3 // significant digits of a histogram
 )
 
-// NewInForceHistogram returns an empty histogram of the times until changes were in force, in
+// NewPropagationHistogram returns an empty histogram of the times until changes were in force, in
 // microseconds.
-func NewInForceHistogram() *hdrhistogram.Histogram {
+func NewPropagationHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, maxInForceMicros, precision)
 }
 
@@ -37,7 +37,7 @@
 }
 
 func newProxyHost(spec Spec) *proxyHost {
-	return &proxyHost{spec: spec, fleet: hollow.New(hollow.Config{Backends: spec.Layout.Size.Backends})}
+	return &proxyHost{spec: spec, fleet: hollow.New(hollow.Config{BackendsPerService: spec.Layout.Size.Backends})}
 }
 
 func (p *proxyHost) traffic() hollow.Traffic { return p.fleet.Traffic() }
@@ -65,7 +65,7 @@
 	defer pace.Stop()
 	for n := p.spec.First; n < p.spec.First+p.spec.Count; n++ {
 		spec := hollow.ProxySpec{
-			Name:      topology.Proxy(n),
+			Name:      topology.ProxyName(n),
 			Config:    p.spec.Layout.Config(n),
 			LocalAddr: topology.ClientAddr(n),
 		}
@@ -85,13 +85,13 @@
 // are those of the given changes.
 func (p *proxyHost) collect(changes []Change, s *State) error {
 	s.Failures = p.fleet.Failures()
-	arrivals, lost := p.fleet.Arrivals()
+	arrivals, lost := p.fleet.TakeAppliedVersions()
 	s.Lost = lost
 	inForce, err := encodeHistogram(inForceTimes(changes, arrivals))
 	if err != nil {
 		return err
 	}
-	s.InForce = inForce
+	s.Propagation = inForce
 	if p.load == nil {
 		return nil
 	}
@@ -104,7 +104,7 @@
 }
 
 // inForceTimes returns the times until changes were in force, over all proxies.
-func inForceTimes(changes []Change, arrivals []hollow.Arrival) *hdrhistogram.Histogram {
+func inForceTimes(changes []Change, arrivals []hollow.AppliedVersion) *hdrhistogram.Histogram {
 	type version struct {
 		service string
 		number  int64
@@ -113,7 +113,7 @@
 	for _, c := range changes {
 		made[version{service: c.Service, number: c.Version}] = c.At
 	}
-	h := NewInForceHistogram()
+	h := NewPropagationHistogram()
 	for _, a := range arrivals {
 		if at, known := made[version{service: a.Service, number: a.Version}]; known {
 			took := (a.At - at) / int64(time.Microsecond)
--- a/internal/scale/worker/publisher.go
+++ b/internal/scale/worker/publisher.go
@@ -27,7 +27,7 @@
 func newPublisher(spec Spec) *publisher {
 	p := &publisher{spec: spec, client: httpapi.NewClient(nil)}
 	size := spec.Layout.Size
-	p.changer = newChanger(topology.Services(size, 0, 1), size.Backends, size.ChangesPerSecond, p.change)
+	p.changer = newChanger(topology.ServicesOfListService(size, 0, 1), size.Backends, size.ChangesPerSecond, p.change)
 	return p
 }
 
@@ -44,7 +44,7 @@
 	if err != nil {
 		return distribution.Item{}, fmt.Errorf("item: %w", err)
 	}
-	return distribution.Item{Key: churn.Name(topology.Service(service), number), Value: value}, nil
+	return distribution.Item{Key: churn.BackendName(topology.ServiceName(service), number), Value: value}, nil
 }
 
 func (p *publisher) do(ctx context.Context, c Command, r *Reply) error {
@@ -65,8 +65,8 @@
 // writeAll writes the first list of each service.
 func (p *publisher) writeAll(ctx context.Context) error {
 	size := p.spec.Layout.Size
-	for _, service := range topology.Services(size, 0, 1) {
-		put := distribution.PutRequest{Resource: relayed.Resource(topology.Service(service)), Replace: true}
+	for _, service := range topology.ServicesOfListService(size, 0, 1) {
+		put := distribution.PutRequest{Resource: relayed.Resource(topology.ServiceName(service)), Replace: true}
 		for number := range size.Backends {
 			one, err := listItem(service, number, "serving")
 			if err != nil {
@@ -97,7 +97,7 @@
 	}
 	one.Urgent = c.Kind != churn.Join
 	return p.put(context.Background(), &distribution.PutRequest{
-		Resource: relayed.Resource(topology.Service(service)),
+		Resource: relayed.Resource(topology.ServiceName(service)),
 		Items:    []distribution.Item{one},
 	})
 }
--- a/internal/scale/worker/worker.go
+++ b/internal/scale/worker/worker.go
@@ -81,7 +81,7 @@
 			debug.SetGCPercent(spec.GCPercent)
 		}
 		return newProxyHost(spec), Reply{}, nil
-	case Lists:
+	case ListService:
 		l, err := newListService(spec)
 		if err != nil {
 			return nil, Reply{}, err
@@ -90,7 +90,7 @@
 	case Publisher:
 		return newPublisher(spec), Reply{}, nil
 	default:
-		return nil, Reply{}, fmt.Errorf("role %q: %s, %s or %s expected", spec.Role, Proxies, Lists, Publisher)
+		return nil, Reply{}, fmt.Errorf("role %q: %s, %s or %s expected", spec.Role, Proxies, ListService, Publisher)
 	}
 }
 
--- a/internal/sidecar/active_config.go
+++ b/internal/sidecar/active_config.go
@@ -84,11 +84,11 @@
 	for i, configured := range app.Routes {
 		built := &activeRoute{Route: configured}
 		var weights []route.Arm
-		for _, target := range configured.To {
+		for _, target := range configured.Targets {
 			built.arms = append(built.arms, builder.build(target))
 			weights = append(weights, route.Arm{Name: target.Service, Weight: target.Weight})
 		}
-		if len(configured.To) > 1 {
+		if len(configured.Targets) > 1 {
 			split, err := route.NewSplit(configured.Name, weights)
 			if err != nil {
 				return nil, err
@@ -125,8 +125,8 @@
 	svc := b.services[target.Service]
 	class := svc.cfg.Class(target.Class)
 	var pool front.Pool = svc.pool
-	if svc.cfg.Codes != (config.Codes{}) {
-		pool = statusCodePool{Pool: svc.pool, codes: svc.cfg.Codes.WithDefaults()}
+	if svc.cfg.StatusCodes != (config.StatusCodes{}) {
+		pool = statusCodePool{Pool: svc.pool, codes: svc.cfg.StatusCodes.WithDefaults()}
 	}
 	return splitArm{
 		service:  target.Service,
--- a/internal/sidecar/allocator.go
+++ b/internal/sidecar/allocator.go
@@ -34,7 +34,7 @@
 }
 
 // setFloors sets the guaranteed quota of each consumer. The total can't change.
-func (a *allocator) setFloors(parts config.Parts) error {
+func (a *allocator) setFloors(parts config.Allocation) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if parts.Total != a.quotas.Total() {
@@ -85,7 +85,7 @@
 		// The close of a client's idle connection may race with the client's next request, so
 		// clients give up connections only beyond their fair share, or if the acquiring consumer
 		// lacks its floor.
-		if reclaim := a.reclaimers[b.Name]; reclaim != nil && (b.OverFairShare || b.Name != config.Clients) {
+		if reclaim := a.reclaimers[b.Name]; reclaim != nil && (b.OverFairShare || b.Name != config.ClientsConsumer) {
 			reclaimers = append(reclaimers, reclaim)
 		}
 	}
--- a/internal/sidecar/allocator_test.go
+++ b/internal/sidecar/allocator_test.go
@@ -109,7 +109,7 @@
 func TestResponseBodiesWaitForMemory(t *testing.T) {
 	big := strings.Repeat("x", 500_000)
 	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(big), big)
-	b := startBackend(t, standin.Says(response, true))
+	b := startBackend(t, standin.RespondWith(response, true))
 	p := startVersion1(t, 200, routeTo("s"), serviceTOML{name: "s", classes: safeClass, source: endpointsAt(b.Addr())})
 	total := p.shared.memory.quotas.Total()
 	p.shared.memory.acquire("s", total-600_000)
--- a/internal/sidecar/class_policy_test.go
+++ b/internal/sidecar/class_policy_test.go
@@ -141,7 +141,7 @@
 	if resp, _ := sendRequest(t, p, "POST", "/a"); resp.StatusCode != 500 {
 		t.Errorf("failed: got %d, want 500", resp.StatusCode)
 	}
-	b := startBackend(t, standin.Hangs)
+	b := startBackend(t, standin.Hang)
 	p = startVersion2(t, routeTo("b"), serviceTOML{
 		name:    "b",
 		classes: `post = { repeat = "unsafe", objective = "50ms", deadline = "100ms" }`,
--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -222,7 +222,7 @@
 
 // A request whose client disconnects before the end of the body is not forwarded.
 func TestClientDisconnectDuringBodyForwardsNothing(t *testing.T) {
-	p, b := startProxyWithBackend(t, backendtest.Says(servedResponse, true))
+	p, b := startProxyWithBackend(t, backendtest.RespondWith(servedResponse, true))
 	c := connect(t, p)
 	c.send(t, postHead("3", "Content-Length: 9")+"abc")
 	waitUntil(t, func() bool { return p.stats().Open == 1 })
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -11,8 +11,8 @@
 // Each response of discovery is applied. After an invalid or broken response the active list stays,
 // and the next query is for a snapshot.
 func TestWatchRecoversFromInvalidAndBrokenResponses(t *testing.T) {
-	a := backendtest.Start(t, backendtest.Says(servedResponse, true))
-	b := backendtest.Start(t, backendtest.Says(servedResponse, true))
+	a := backendtest.Start(t, backendtest.RespondWith(servedResponse, true))
+	b := backendtest.Start(t, backendtest.RespondWith(servedResponse, true))
 	d := startDiscovery(t)
 	p := startProxy(t, d.address, 200, "")
 	health := func() int {
@@ -79,7 +79,7 @@
 // meanwhile.
 func TestUnresponsiveDiscoveryIsPolledAgain(t *testing.T) {
 	t.Parallel()
-	a := backendtest.Start(t, backendtest.Says(servedResponse, true))
+	a := backendtest.Start(t, backendtest.RespondWith(servedResponse, true))
 	d := startDiscovery(t)
 	p := startProxy(t, d.address, 200, "")
 	previous, reply := "none", ""
@@ -113,8 +113,8 @@
 // replaces it, whatever the versions of the two lists.
 func TestReloadReplacesDiscovery(t *testing.T) {
 	t.Parallel()
-	a := backendtest.Start(t, backendtest.Says(servedResponse, true))
-	b := backendtest.Start(t, backendtest.Says(servedResponse, true))
+	a := backendtest.Start(t, backendtest.RespondWith(servedResponse, true))
+	b := backendtest.Start(t, backendtest.RespondWith(servedResponse, true))
 	discoveries := []*fakeDiscovery{startDiscovery(t), startDiscovery(t)}
 	p := startProxy(t, discoveries[0].address, 200, "")
 	send := func(id string, want *backendtest.Backend) {
@@ -177,7 +177,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Close)
-	d.Silent(true)
+	d.SetUnresponsive(true)
 	b := startBackend(t, standin.Echo)
 	p := startVersion1(
 		t, 200,
@@ -198,7 +198,7 @@
 		}
 	}
 	d.Put(standin.Member{Name: "x", Address: b.Addr()})
-	d.Silent(false)
+	d.SetUnresponsive(false)
 	waitUntil(t, func() bool {
 		resp, _ := sendRequest(t, p, "GET", "/dead")
 		return resp.StatusCode == 200
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -34,7 +34,7 @@
 }
 
 // servedResponse is a backend's response with the body ok.
-const servedResponse = backendtest.Served
+const servedResponse = backendtest.OKResponse
 
 // waitUntil waits until a condition holds, and fails the test after testTimeout.
 func waitUntil(tb testing.TB, ok func() bool) {
--- a/internal/sidecar/listeners.go
+++ b/internal/sidecar/listeners.go
@@ -26,11 +26,11 @@
 			Resolver:   &resolver{sidecar: s, listener: l.Name},
 			IsHealthy:  s.isHealthy,
 			MaxTimeout: maxTimeout,
-			Quota:      descriptorQuota{allocator: s.shared.descriptors, consumer: config.Clients},
+			Quota:      descriptorQuota{allocator: s.shared.descriptors, consumer: config.ClientsConsumer},
 			Log:        s.log,
 		}))
 	}
-	s.shared.descriptors.setReclaimer(config.Clients, s.closeIdleClient)
+	s.shared.descriptors.setReclaimer(config.ClientsConsumer, s.closeIdleClient)
 	return nil
 }
 
--- a/internal/sidecar/listeners_test.go
+++ b/internal/sidecar/listeners_test.go
@@ -12,7 +12,7 @@
 // Idle connections, of clients that have or have not sent a request, are closed for new clients.
 // Otherwise idle connections fill the proxy permanently and new clients wait in the kernel.
 func TestIdleConnectionsAreEvictedForNewClients(t *testing.T) {
-	p, maxConns := startProxyWithFewConnections(t, backendtest.Says(servedResponse, true))
+	p, maxConns := startProxyWithFewConnections(t, backendtest.RespondWith(servedResponse, true))
 	for i := range maxConns {
 		c := connect(t, p)
 		if i%2 == 0 {
--- a/internal/sidecar/mirror_test.go
+++ b/internal/sidecar/mirror_test.go
@@ -10,7 +10,7 @@
 // One copy of each request is sent to the mirror, with its own ID. The outcome of the copy does not
 // affect the request.
 func TestMirroredRequestsAreSentOnce(t *testing.T) {
-	a, b := startBackend(t, standin.Echo), startBackend(t, standin.Hangs)
+	a, b := startBackend(t, standin.Echo), startBackend(t, standin.Hang)
 	routes := "[[routes]]\nname = \"m\"\nservice = \"a\"\nmirror = { service = \"b\" }\n"
 	p := startVersion1(
 		t, 200, routes,
@@ -23,10 +23,10 @@
 		}
 	}
 	waitUntil(t, func() bool { return b.Requests() >= 10 })
-	if a.Requests() != 10 || b.Runs()["r3-mirror"] != 1 || b.Runs()["r3"] != 0 {
+	if a.Requests() != 10 || b.RequestIDCounts()["r3-mirror"] != 1 || b.RequestIDCounts()["r3"] != 0 {
 		t.Errorf(
 			"%d requests at the service, want 10; runs by ID at the mirror: %v, want r3-mirror once and no r3",
-			a.Requests(), b.Runs(),
+			a.Requests(), b.RequestIDCounts(),
 		)
 	}
 }
--- a/internal/sidecar/platform_test.go
+++ b/internal/sidecar/platform_test.go
@@ -16,7 +16,7 @@
 
 // Requests of all classes are served on one connection to the backend.
 func TestPlatformServesAllClasses(t *testing.T) {
-	b := backendtest.Start(t, backendtest.Says(servedResponse, true))
+	b := backendtest.Start(t, backendtest.RespondWith(servedResponse, true))
 	p := startProxyTrusting(
 		t, startDiscovery(t).address, 200,
 		listJSON(1, true, endpointJSON("a", b.Addr, "SERVING")),
@@ -44,7 +44,7 @@
 // that never arrive.
 func TestInvalidRequestsAreNotForwarded(t *testing.T) {
 	t.Parallel()
-	p, b := startProxyWithBackend(t, backendtest.Says(servedResponse, true))
+	p, b := startProxyWithBackend(t, backendtest.RespondWith(servedResponse, true))
 	for name, c := range map[string]struct {
 		text string
 		want int
@@ -114,7 +114,7 @@
 // A connection without a request, or with an incomplete request, is closed after a timeout.
 func TestUnfinishedRequestsTimeOut(t *testing.T) {
 	t.Parallel()
-	p, b := startProxyWithBackend(t, backendtest.Says(servedResponse, true))
+	p, b := startProxyWithBackend(t, backendtest.RespondWith(servedResponse, true))
 	var all sync.WaitGroup
 	for name, text := range map[string]string{
 		"silent": "", "half a head": "GET /look/k HTTP/1.1\r\nHos",
@@ -185,7 +185,7 @@
 func TestShedRequestGetsRetryAfter(t *testing.T) {
 	p, b := startProxyWithBackend(
 		t,
-		backendtest.Says("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true),
+		backendtest.RespondWith("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true),
 	)
 	c := connect(t, p)
 	c.send(t, lookRequest("1", 8000))
@@ -231,7 +231,7 @@
 // A proxy sees new IDs, keys, backends and zones all the time. Ended requests and removed endpoints
 // must not leave any state, or memory use grows without bound.
 func TestEndedRequestsAndRemovedEndpointsReleaseState(t *testing.T) {
-	p, _ := startProxyWithBackend(t, backendtest.Says(servedResponse, true))
+	p, _ := startProxyWithBackend(t, backendtest.RespondWith(servedResponse, true))
 	const clients, each = 8, 250
 	var all sync.WaitGroup
 	for i := range clients {
--- a/internal/sidecar/relay_follower_test.go
+++ b/internal/sidecar/relay_follower_test.go
@@ -143,7 +143,7 @@
 	a, b := startBackend(t, standin.Echo), startBackend(t, standin.Echo)
 	version := source.Write(t, "lists/one", listItem("a", a.Addr(), "serving"))
 	app := decodeRelayed(t, []string{relay.Address}, serviceTOML{name: "one", classes: safeClass})
-	app.StateDir, app.ListAge = t.TempDir(), time.Minute
+	app.StateDir, app.MaxListAge = t.TempDir(), time.Minute
 	earlier := startSidecar(t, app)
 	waitForListVersion(t, relay, "one", version)
 	earlier.stop()
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -78,7 +78,7 @@
 		return immutableError("wording")
 	case !reflect.DeepEqual(to.Listeners, from.Listeners):
 		return immutableError("listeners")
-	case to.Process != from.Process || to.StateDir != from.StateDir || to.ListAge != from.ListAge:
+	case to.Process != from.Process || to.StateDir != from.StateDir || to.MaxListAge != from.MaxListAge:
 		return immutableError("process")
 	}
 	return nil
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -94,7 +94,7 @@
 	for i := range 8 {
 		w, err := standin.NewWorker(
 			standin.WorkerConfig{
-				Cores: 8, Waiting: 100, Work: 2 * time.Millisecond, Speed: 1, Pod: i / 2,
+				Cores: 8, QueueSize: 100, ServiceTime: 2 * time.Millisecond, Speed: 1, Cell: i / 2,
 				Effects: effects,
 			},
 		)
--- a/internal/sidecar/resolve.go
+++ b/internal/sidecar/resolve.go
@@ -72,10 +72,10 @@
 	}
 	matched := l.routes[number]
 	dest.Target = req.RequestURI
-	if matched.Rewrite == "" {
+	if matched.RewritePrefix == "" {
 		return matched, nil
 	}
-	target, ok := l.table.Rewrite(number, rawPath, matched.Rewrite)
+	target, ok := l.table.Rewrite(number, rawPath, matched.RewritePrefix)
 	if !ok {
 		return nil, badRequest("a path that is not in canonical form can't be rewritten")
 	}
--- a/internal/sidecar/shared_resources.go
+++ b/internal/sidecar/shared_resources.go
@@ -38,7 +38,7 @@
 		memoryMB:          app.Process.MemoryMB,
 		sharedListService: app.Kind == config.Application,
 		stateDir:          app.StateDir,
-		maxListAge:        app.ListAge,
+		maxListAge:        app.MaxListAge,
 		relays:            relays,
 		hollow:            hollow,
 	}
--- a/internal/sidecar/split.go
+++ b/internal/sidecar/split.go
@@ -70,8 +70,8 @@
 	if r.split == nil {
 		return 0
 	}
-	if r.Sticky != "" {
-		if value := firstValue(req.Header, r.Sticky); value != "" {
+	if r.StickyHeader != "" {
+		if value := firstValue(req.Header, r.StickyHeader); value != "" {
 			return r.split.ForKey(value)
 		}
 	}
--- a/internal/sidecar/split_test.go
+++ b/internal/sidecar/split_test.go
@@ -36,7 +36,7 @@
 			t.Fatalf("key %d: got %d, want 200", k, got)
 		}
 	}
-	first := []map[string]int{a.Keys(), b.Keys()}
+	first := []map[string]int{a.IdempotencyKeyCounts(), b.IdempotencyKeyCounts()}
 	for _, w := range [][2]int{{10, 90}, {0, 1}, {50, 50}, {1, 0}} {
 		mustReload(t, p, decodeVersion1(t, 200, splitRoute(w[0], w[1]), sa, sb))
 		for k := range keys {
@@ -45,12 +45,12 @@
 			}
 		}
 	}
-	for i, now := range []map[string]int{a.Keys(), b.Keys()} {
+	for i, now := range []map[string]int{a.IdempotencyKeyCounts(), b.IdempotencyKeyCounts()} {
 		if len(now) != len(first[i]) {
 			t.Errorf("service %d has received %d keys, want %d as before the change", i, len(now), len(first[i]))
 		}
 	}
-	if got := send(keys + 1); got != 200 || a.Keys()[fmt.Sprint("k", keys+1)] != 1 {
+	if got := send(keys + 1); got != 200 || a.IdempotencyKeyCounts()[fmt.Sprint("k", keys+1)] != 1 {
 		t.Errorf("new key: got %d, want 200 from service a by the new weights", got)
 	}
 	mustReload(
--- a/internal/sidecar/startup_test.go
+++ b/internal/sidecar/startup_test.go
@@ -67,7 +67,7 @@
 		},
 	)
 	app.StateDir = dir
-	d.Down(true)
+	d.SetDown(true)
 	var log logBuffer
 	s, err := New(app, slog.New(slog.NewTextHandler(&log, nil)))
 	if err != nil {
@@ -79,7 +79,7 @@
 	go func() { ended <- s.Run(ctx) }()
 	log.waitForLine(t, "msg=\"not ready\"", "services_without_list=[a]", "recent_starts=0")
 	log.waitForLine(t, "msg=\"discovery call failed\"", "has_list=false", "reason=rejected", "next=")
-	d.Down(false)
+	d.SetDown(false)
 	log.waitForLine(t, "msg=\"first endpoint list\"", "endpoints=1")
 	log.waitForLine(t, "msg=ready", "recent_starts=0")
 	other := *app
@@ -126,7 +126,7 @@
 			extra:   "retry_budget = { free = 100 }",
 		},
 	)
-	app.StateDir, app.ListAge = t.TempDir(), time.Minute
+	app.StateDir, app.MaxListAge = t.TempDir(), time.Minute
 	app.Seed = 1 // with this seed the first request is sent to the moved backend
 	first := startSidecar(t, app)
 	if err := first.WaitReady(context.Background(), testTimeout); err != nil {
@@ -135,7 +135,7 @@
 	first.stop()
 	_ = receive(t, "end of the first sidecar", first.done)
 
-	d.Down(true)
+	d.SetDown(true)
 	misdirected := make(chan string, 100)
 	moved.SetHandler(func(c *standin.Call) bool {
 		misdirected <- c.Method
@@ -167,7 +167,7 @@
 	}
 	d.Delete("moved")
 	d.Put(standin.Member{Name: "new", Address: startBackend(t, standin.Echo).Addr()})
-	d.Down(false)
+	d.SetDown(false)
 	waitUntil(t, func() bool {
 		l := second.services["a"].endpoints.snapshot()
 		return l != nil && len(l.Endpoints) == 2 && l.Endpoints[0].Name == "new"
--- a/internal/sidecar/status_codes.go
+++ b/internal/sidecar/status_codes.go
@@ -10,7 +10,7 @@
 // a backend has responded.
 type statusCodePool struct {
 	front.Pool
-	codes config.Codes // no code is 0
+	codes config.StatusCodes // no code is 0
 }
 
 // Do implements front.Pool.
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -122,11 +122,11 @@
 	return int(b.opened.Load()), int(b.open.Load()), int(b.mostOpen.Load())
 }
 
-// Runs returns how often each Request-Id has been received.
-func (b *Backend) Runs() map[string]int { return b.copyCounts(b.runs) }
+// RequestIDCounts returns how often each Request-Id has been received.
+func (b *Backend) RequestIDCounts() map[string]int { return b.copyCounts(b.runs) }
 
-// Keys returns how often each Idempotency-Key has been received.
-func (b *Backend) Keys() map[string]int { return b.copyCounts(b.keys) }
+// IdempotencyKeyCounts returns how often each Idempotency-Key has been received.
+func (b *Backend) IdempotencyKeyCounts() map[string]int { return b.copyCounts(b.keys) }
 
 // copyCounts returns a copy of one of the backend's maps.
 func (b *Backend) copyCounts(counts map[string]int) map[string]int {
@@ -207,8 +207,8 @@
 	return int(b.requests.Add(1))
 }
 
-// Says returns a handler that writes the same bytes each time.
-func Says(text string, keep bool) Handler {
+// RespondWith returns a handler that writes the same bytes each time.
+func RespondWith(text string, keep bool) Handler {
 	return func(c *Call) bool {
 		_, err := io.WriteString(c.Conn, text)
 		return keep && err == nil
@@ -221,8 +221,8 @@
 	return c.Reply(http.StatusOK, "Content-Type: text/plain\r\n", body) == nil
 }
 
-// Hangs is a Handler that answers nothing until the backend ends or the caller leaves.
-func Hangs(c *Call) bool {
+// Hang is a Handler that answers nothing until the backend ends or the caller leaves.
+func Hang(c *Call) bool {
 	_, _ = c.Conn.Read(make([]byte, 1))
 	return false
 }
--- a/internal/standin/backendtest/backendtest.go
+++ b/internal/standin/backendtest/backendtest.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// Served is a response that serves a request, with the body "ok".
-const Served = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+// OKResponse is a response that serves a request, with the body "ok".
+const OKResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 const maxClosed = 1000 // ends of connections that nobody has received from Closed yet
 
@@ -75,8 +75,8 @@
 	}
 }
 
-// Says returns a Reply that writes the same bytes each time.
-func Says(text string, keep bool) Reply {
+// RespondWith returns a Reply that writes the same bytes each time.
+func RespondWith(text string, keep bool) Reply {
 	return func(connection io.Writer, _ *http.Request, _ int) bool {
 		_, _ = io.WriteString(connection, text)
 		return keep
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -8,14 +8,14 @@
 
 // Member is an entry of a discovery's list.
 type Member struct {
-	Name    string  `json:"name"`
-	Address string  `json:"address"`
-	Zone    string  `json:"zone"`
-	Type    string  `json:"type"`
-	Group   int     `json:"group"`
-	Status  string  `json:"status"` // SERVING, DRAINING; DELETED among changes
-	Weight  float64 `json:"weight"`
-	SinceMs int64   `json:"since_ms"`
+	Name      string  `json:"name"`
+	Address   string  `json:"address"`
+	Zone      string  `json:"zone"`
+	Type      string  `json:"type"`
+	Cell      int     `json:"group"`
+	Status    string  `json:"status"` // SERVING, DRAINING; DELETED among changes
+	Weight    float64 `json:"weight"`
+	StartedMs int64   `json:"since_ms"`
 }
 
 // The statuses of a member.
@@ -37,59 +37,59 @@
 	members  map[string]Member
 	changed  map[string]int64 // the version of each member's last change, the deleted included
 	change   chan struct{}    // closed at the next change
-	mode     Mode
+	mode     DiscoveryFault
 	queueEnd time.Time // when the snapshots that wait will have been served
 }
 
 // DiscoveryConfig is how a discovery works. The zero value answers at once and without a limit.
 type DiscoveryConfig struct {
 	Rate       float64       // snapshots a second that it serves, in turn; 0: at once
-	Queue      int           // snapshots that may wait; further ones are answered 503
+	QueueSize  int           // snapshots that may wait; further ones are answered 503
 	RetryAfter time.Duration // sent with a 503; 0: none
 	// Address, where given, returns the address of a member for a caller; caller is the IP address
 	// that it calls from.
 	Address func(caller string, m Member) string
 	// Since, where given, returns when a member started for a caller, in Unix milliseconds.
-	Since func(caller string, m Member) int64
+	StartedMs func(caller string, m Member) int64
 	// Report, where given, takes each call at its end.
-	Report func(DiscoveryCall)
+	OnCallEnd func(DiscoveryCall)
 }
 
 // DiscoveryCall is a call that has ended.
 type DiscoveryCall struct {
-	Caller       string // host:port
-	From         int64  // the version that the call goes from; negative: for a snapshot
-	Began        time.Time
-	Status       int   // of the response; 0: none was written
-	CallerLeft   bool  // its caller had left before the response
-	Index        int64 // of the response
-	Full         bool  // the response is a snapshot, which removes what it lacks
-	Members      []Member
-	BytesWritten int64 // bytes written on its connection up to the response's end
+	Caller             string // host:port
+	From               int64  // the version that the call goes from; negative: for a snapshot
+	StartTime          time.Time
+	Status             int   // of the response; 0: none was written
+	CallerDisconnected bool  // its caller had left before the response
+	Index              int64 // of the response
+	IsSnapshot         bool  // the response is a snapshot, which removes what it lacks
+	Members            []Member
+	BytesWritten       int64 // bytes written on its connection up to the response's end
 }
 
-// Mode is what is wrong with a discovery.
-type Mode int
+// DiscoveryFault is what is wrong with a discovery.
+type DiscoveryFault int
 
 // The modes.
 const (
-	ListWell   Mode = iota
-	ListDown        // answers 503
-	ListSilent      // takes calls and answers none
-	ListHalf        // breaks responses off in their middle
-	ListEmpty       // has lost all members
-	ListOlder       // has lost its last versions: it counts anew from a lower one
+	DiscoveryOK           DiscoveryFault = iota
+	DiscoveryDown                        // answers 503
+	DiscoveryUnresponsive                // takes calls and answers none
+	DiscoveryTruncated                   // breaks responses off in their middle
+	DiscoveryEmpty                       // has lost all members
+	DiscoveryRolledBack                  // has lost its last versions: it counts anew from a lower one
 )
 
 var modeNames = [...]string{"well", "down", "silent", "half-body", "empty", "older"}
 
 // String returns the mode's name.
-func (m Mode) String() string { return modeNames[m] }
+func (m DiscoveryFault) String() string { return modeNames[m] }
 
-// ModeOf returns the mode of a name and reports whether there is one.
-func ModeOf(name string) (Mode, bool) {
+// DiscoveryFaultByName returns the mode of a name and reports whether there is one.
+func DiscoveryFaultByName(name string) (DiscoveryFault, bool) {
 	i := slices.Index(modeNames[:], name)
-	return Mode(max(i, 0)), i >= 0
+	return DiscoveryFault(max(i, 0)), i >= 0
 }
 
 const (
@@ -138,25 +138,25 @@
 	d.notifyWatches()
 }
 
-// Silent has the discovery take calls and answer none, or ends that.
-func (d *Discovery) Silent(on bool) { d.setModeIf(on, ListSilent) }
+// SetUnresponsive has the discovery take calls and answer none, or ends that.
+func (d *Discovery) SetUnresponsive(on bool) { d.setModeIf(on, DiscoveryUnresponsive) }
 
-// Down has the discovery answer 503 to all calls, or ends that.
-func (d *Discovery) Down(on bool) { d.setModeIf(on, ListDown) }
+// SetDown has the discovery answer 503 to all calls, or ends that.
+func (d *Discovery) SetDown(on bool) { d.setModeIf(on, DiscoveryDown) }
 
 // setModeIf sets a mode, or ListWell.
-func (d *Discovery) setModeIf(on bool, m Mode) {
+func (d *Discovery) setModeIf(on bool, m DiscoveryFault) {
 	if !on {
-		m = ListWell
+		m = DiscoveryOK
 	}
-	d.SetMode(m)
+	d.SetFault(m)
 }
 
-// SetMode has the discovery fail in a way, or work again.
-func (d *Discovery) SetMode(m Mode) {
+// SetFault has the discovery fail in a way, or work again.
+func (d *Discovery) SetFault(m DiscoveryFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if m == ListOlder && d.mode != ListOlder {
+	if m == DiscoveryRolledBack && d.mode != DiscoveryRolledBack {
 		d.index = max(firstVersion, d.index-maxVersionLoss)
 		for name := range d.changed {
 			d.changed[name] = min(d.changed[name], d.index)
--- a/internal/standin/discovery_http.go
+++ b/internal/standin/discovery_http.go
@@ -25,13 +25,13 @@
 	if err != nil {
 		from = -1
 	}
-	call := DiscoveryCall{Caller: r.RemoteAddr, From: from, Began: time.Now()}
+	call := DiscoveryCall{Caller: r.RemoteAddr, From: from, StartTime: time.Now()}
 	defer func() { // also where a response is broken off, by a panic
-		if d.cfg.Report != nil {
+		if d.cfg.OnCallEnd != nil {
 			if c, ok := r.Context().Value(connKey{}).(*countingConn); ok {
 				call.BytesWritten = c.wrote.Load()
 			}
-			d.cfg.Report(call)
+			d.cfg.OnCallEnd(call)
 		}
 	}()
 	d.answerCall(w, r, &call)
@@ -51,7 +51,7 @@
 		change, mode := d.change, d.mode
 		d.mu.Unlock()
 		switch {
-		case mode == ListDown:
+		case mode == DiscoveryDown:
 			d.reject(w, call)
 			return
 		case ok:
@@ -63,7 +63,7 @@
 		case <-holdEnd.C:
 			held = true
 		case <-r.Context().Done():
-			call.CallerLeft = true
+			call.CallerDisconnected = true
 			return
 		case <-d.done:
 			return
@@ -93,7 +93,7 @@
 		return false
 	}
 	if r.Context().Err() != nil {
-		call.CallerLeft = true
+		call.CallerDisconnected = true
 		return false
 	}
 	return true
@@ -105,14 +105,14 @@
 	perCall := time.Duration(float64(time.Second) / d.cfg.Rate)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.mode == ListDown || d.mode == ListSilent {
+	if d.mode == DiscoveryDown || d.mode == DiscoveryUnresponsive {
 		return 0, true
 	}
 	now := time.Now()
 	if d.queueEnd.Before(now) {
 		d.queueEnd = now
 	}
-	if d.queueEnd.Sub(now) > time.Duration(d.cfg.Queue)*perCall {
+	if d.queueEnd.Sub(now) > time.Duration(d.cfg.QueueSize)*perCall {
 		return 0, false
 	}
 	d.queueEnd = d.queueEnd.Add(perCall)
@@ -132,11 +132,11 @@
 // response returns the response to a call and reports whether there is one yet. The caller holds
 // mu.
 func (d *Discovery) response(from int64, held bool) (*listResponse, bool) {
-	if d.mode == ListSilent || from == d.index && !held {
+	if d.mode == DiscoveryUnresponsive || from == d.index && !held {
 		return nil, false
 	}
 	list := &listResponse{Index: d.index, Snapshot: from < 0, Endpoints: []Member{}}
-	if d.mode == ListEmpty {
+	if d.mode == DiscoveryEmpty {
 		list.Snapshot = true
 		return list, true
 	}
@@ -155,7 +155,7 @@
 
 // writeResponse writes a response, or half of it with ListHalf.
 func (d *Discovery) writeResponse(
-	w http.ResponseWriter, r *http.Request, call *DiscoveryCall, list *listResponse, mode Mode,
+	w http.ResponseWriter, r *http.Request, call *DiscoveryCall, list *listResponse, mode DiscoveryFault,
 ) {
 	d.adaptToCaller(r.RemoteAddr, list.Endpoints)
 	text, err := json.Marshal(list)
@@ -165,12 +165,12 @@
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	call.Status, call.Index = http.StatusOK, list.Index
-	if mode == ListHalf {
+	if mode == DiscoveryTruncated {
 		_, _ = w.Write(text[:len(text)/2])
 		flush(w)
 		panic(http.ErrAbortHandler)
 	}
-	call.Full, call.Members = list.Snapshot, list.Endpoints
+	call.IsSnapshot, call.Members = list.Snapshot, list.Endpoints
 	_, _ = w.Write(text) // a caller that has left is no error
 	flush(w)
 }
@@ -185,8 +185,8 @@
 		if d.cfg.Address != nil {
 			members[i].Address = d.cfg.Address(caller, m)
 		}
-		if d.cfg.Since != nil {
-			members[i].SinceMs = d.cfg.Since(caller, m)
+		if d.cfg.StartedMs != nil {
+			members[i].StartedMs = d.cfg.StartedMs(caller, m)
 		}
 	}
 }
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -48,15 +48,15 @@
 			service, d = "billing", f.billing
 		}
 		w, err := NewWorker(WorkerConfig{
-			Cores: 2, Waiting: 16, Work: 5 * time.Millisecond, Speed: speeds[i%workersPerService],
-			Pod: i % 2, Effects: f.Effects,
+			Cores: 2, QueueSize: 16, ServiceTime: 5 * time.Millisecond, Speed: speeds[i%workersPerService],
+			Cell: i % 2, Effects: f.Effects,
 		})
 		if err != nil {
 			return err
 		}
 		f.Workers = append(f.Workers, w)
 		name := fmt.Sprintf("%s-%d", service, i%workersPerService+1)
-		d.Put(Member{Name: name, Address: w.Addr(), Zone: "a", Group: i % 2})
+		d.Put(Member{Name: name, Address: w.Addr(), Zone: "a", Cell: i % 2})
 	}
 	return nil
 }
@@ -82,11 +82,11 @@
 		if i >= workersPerService {
 			n++
 		}
-		w.Slow(1)
+		w.SetSlowdown(1)
 		if n < slow {
-			w.Slow(8)
+			w.SetSlowdown(8)
 		}
-		w.Hang(n >= slow && n < slow+hung)
+		w.SetHung(n >= slow && n < slow+hung)
 	}
 }
 
--- a/internal/standin/health.go
+++ b/internal/standin/health.go
@@ -33,13 +33,13 @@
 
 // The faults.
 const (
-	HealthOK        HealthFault = iota
-	HealthDown                  // 500 to all
-	HealthSilent                // takes queries and answers none
-	HealthNoLeader              // answers what was true when the leader was lost, and says that there is none
-	HealthTruncated             // cuts its responses short
-	HealthNoIndex               // sends no index
-	HealthSpurious              // answers all queries at once, with no change
+	HealthOK           HealthFault = iota
+	HealthDown                     // 500 to all
+	HealthUnresponsive             // takes queries and answers none
+	HealthNoLeader                 // answers what was true when the leader was lost, and says that there is none
+	HealthTruncated                // cuts its responses short
+	HealthNoIndex                  // sends no index
+	HealthSpurious                 // answers all queries at once, with no change
 )
 
 // NewHealth starts an API with no members. Close ends it.
@@ -76,8 +76,8 @@
 	h.advance()
 }
 
-// Fail has the API fail in a way; Fine ends that.
-func (h *Health) Fail(fault HealthFault) {
+// SetFault has the API fail in a way; Fine ends that.
+func (h *Health) SetFault(fault HealthFault) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.stale = h.encodedList()
@@ -85,8 +85,8 @@
 	h.advance()
 }
 
-// Restart has the index begin anew, as after a restore.
-func (h *Health) Restart() {
+// ResetIndex has the index begin anew, as after a restore.
+func (h *Health) ResetIndex() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.index = 0
@@ -134,7 +134,7 @@
 func consulEntry(m Member) jsonObject {
 	host, port, _ := net.SplitHostPort(m.Address) // an invalid address is listed empty
 	portNumber, _ := strconv.Atoi(port)
-	meta := map[string]string{"cell": strconv.Itoa(m.Group), "since": strconv.FormatInt(m.SinceMs, 10)}
+	meta := map[string]string{"cell": strconv.Itoa(m.Cell), "since": strconv.FormatInt(m.StartedMs, 10)}
 	if m.Status == statusDraining {
 		meta["status"] = "draining"
 	}
@@ -173,7 +173,7 @@
 			data = h.stale
 		}
 		h.mu.Unlock()
-		if fault != HealthSilent && (from == 0 || index != from || waited || fault != HealthOK) {
+		if fault != HealthUnresponsive && (from == 0 || index != from || waited || fault != HealthOK) {
 			writeHealthResponse(w, index, fault, data)
 			return
 		}
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -29,12 +29,12 @@
 // Load is requests at a rate, at random times spread evenly over its duration. It is an open loop:
 // clients do not wait for each other, and none retries.
 type Load struct {
-	Addr    string
-	Classes []Class
-	Rate    float64 // requests a second
-	For     time.Duration
-	Seed    uint64
-	Tag     string // prefix of all request IDs and keys
+	Addr     string
+	Classes  []Class
+	Rate     float64 // requests a second
+	Duration time.Duration
+	Seed     uint64
+	IDPrefix string // prefix of all request IDs and keys
 }
 
 // Result is what became of the requests of one class. Sent = Served + Shed + Failed.
@@ -83,7 +83,7 @@
 		}
 		inFlight.Go(func() {
 			began := time.Now()
-			id := fmt.Sprintf("%s-%s-%d", l.Tag, l.Classes[class].Name, i)
+			id := fmt.Sprintf("%s-%s-%d", l.IDPrefix, l.Classes[class].Name, i)
 			status := l.send(context.WithoutCancel(ctx), client, class, id, subject)
 			took := time.Since(began)
 			mu.Lock()
@@ -100,9 +100,9 @@
 
 // sendTimes draws when requests are sent, from the beginning of the load, in order.
 func (l *Load) sendTimes(random *rand.Rand) []time.Duration {
-	times := make([]time.Duration, int(l.Rate*l.For.Seconds()))
+	times := make([]time.Duration, int(l.Rate*l.Duration.Seconds()))
 	for i := range times {
-		times[i] = time.Duration(random.Int64N(int64(l.For)))
+		times[i] = time.Duration(random.Int64N(int64(l.Duration)))
 	}
 	slices.Sort(times)
 	return times
@@ -201,11 +201,11 @@
 	r.P50, r.P99 = r.latencies[len(r.latencies)/2], r.latencies[len(r.latencies)*99/100]
 }
 
-// Count adds the attempts that workers received of a load with this tag.
-func (r *Result) Count(tag string, workers []*Worker) {
+// CountAttempts adds the attempts that workers received of a load with this tag.
+func (r *Result) CountAttempts(tag string, workers []*Worker) {
 	prefix := tag + "-" + r.Class + "-"
 	for _, w := range workers {
-		for id, n := range w.Runs() {
+		for id, n := range w.RequestIDCounts() {
 			if strings.HasPrefix(id, prefix) {
 				r.Attempts += n
 			}
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -30,8 +30,10 @@
 // Service returns the service of a name, or nil.
 func (r *Registry) Service(name string) *Health { return r.services[name] }
 
-// Messages returns how many requests have come and how many have been answered.
-func (r *Registry) Messages() (requests, answers int64) { return r.requests.Load(), r.responses.Load() }
+// RequestCounts returns how many requests have come and how many have been answered.
+func (r *Registry) RequestCounts() (requests, answers int64) {
+	return r.requests.Load(), r.responses.Load()
+}
 
 // ServeHTTP answers as the Health of the path's last part does.
 func (r *Registry) ServeHTTP(w http.ResponseWriter, req *http.Request) {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -25,11 +25,11 @@
 
 // Traffic counts the bytes read and written on all connections of a server, and the connections
 // that are open.
-type Traffic struct{ BytesIn, BytesOut, Open int64 }
+type Traffic struct{ BytesIn, BytesOut, OpenConns int64 }
 
 // Traffic returns the counts so far.
 func (s *server) Traffic() Traffic {
-	return Traffic{BytesIn: s.traffic.in.Load(), BytesOut: s.traffic.out.Load(), Open: s.traffic.open.Load()}
+	return Traffic{BytesIn: s.traffic.in.Load(), BytesOut: s.traffic.out.Load(), OpenConns: s.traffic.open.Load()}
 }
 
 // serve starts the server.
@@ -120,7 +120,7 @@
 			status = statusDraining
 		}
 		members = append(members, Member{
-			Name: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Cell, Weight: e.Weight, SinceMs: e.StartedMs,
+			Name: e.Name, Address: e.Address, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, StartedMs: e.StartedMs,
 			Status: status,
 		})
 	}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -24,33 +24,33 @@
 
 // WorkerConfig is what a worker is made of.
 type WorkerConfig struct {
-	Cores   int           // requests at once
-	Waiting int           // requests that wait
-	Work    time.Duration // for one request at speed 1
-	Speed   float64
-	Pod     int      // whose workers drop each other's duplicates
-	Effects *Effects // may be nil
+	Cores       int           // requests at once
+	QueueSize   int           // requests that wait
+	ServiceTime time.Duration // for one request at speed 1
+	Speed       float64
+	Cell        int      // whose workers drop each other's duplicates
+	Effects     *Effects // may be nil
 }
 
 // NewWorker starts a worker. Close ends it.
 func NewWorker(cfg WorkerConfig) (*Worker, error) {
 	w := &Worker{
-		running: make(chan struct{}, cfg.Cores), admitted: make(chan struct{}, cfg.Cores+cfg.Waiting),
-		work: time.Duration(float64(cfg.Work) / cfg.Speed), pod: cfg.Pod, effects: cfg.Effects,
+		running: make(chan struct{}, cfg.Cores), admitted: make(chan struct{}, cfg.Cores+cfg.QueueSize),
+		work: time.Duration(float64(cfg.ServiceTime) / cfg.Speed), pod: cfg.Cell, effects: cfg.Effects,
 	}
 	var err error
 	w.Backend, err = NewBackend(w.handle)
 	return w, err
 }
 
-// Slow has each request take so many times as long; 1 is the usual speed.
-func (w *Worker) Slow(times int64) { w.slowdown.Store(times) }
+// SetSlowdown has each request take so many times as long; 1 is the usual speed.
+func (w *Worker) SetSlowdown(times int64) { w.slowdown.Store(times) }
 
-// Hang has the worker take requests and answer none, or ends that.
-func (w *Worker) Hang(on bool) { w.isHung.Store(on) }
+// SetHung has the worker take requests and answer none, or ends that.
+func (w *Worker) SetHung(on bool) { w.isHung.Store(on) }
 
-// Fail has the worker answer 500 at once, or ends that.
-func (w *Worker) Fail(on bool) { w.isFailing.Store(on) }
+// SetFailing has the worker answer 500 at once, or ends that.
+func (w *Worker) SetFailing(on bool) { w.isFailing.Store(on) }
 
 // Rejected returns how many requests found the queue full.
 func (w *Worker) Rejected() int { return int(w.rejected.Load()) }
@@ -59,7 +59,7 @@
 func (w *Worker) handle(c *Call) bool {
 	switch {
 	case w.isHung.Load():
-		return Hangs(c)
+		return Hang(c)
 	case w.isFailing.Load():
 		return c.Reply(http.StatusInternalServerError, "", nil) == nil
 	}
--- a/internal/tomldoc/nearest.go
+++ b/internal/tomldoc/nearest.go
@@ -17,8 +17,8 @@
 	return nearest
 }
 
-// WithNearest returns a text that is followed by the nearest known word, if there is one.
-func WithNearest(text, word string, known []string) string {
+// WithSuggestion returns a text that is followed by the nearest known word, if there is one.
+func WithSuggestion(text, word string, known []string) string {
 	if nearest := Nearest(word, known); nearest != "" {
 		return text + ": " + nearest + " meant?"
 	}
--- a/internal/tomldoc/number.go
+++ b/internal/tomldoc/number.go
@@ -14,12 +14,12 @@
 	if len(digits) > 1 && digits[0] == '0' {
 		base = baseOf(digits[1])
 		if base == 0 {
-			return "an integer begins with no zero: " + Clip(s)
+			return "an integer begins with no zero: " + Truncate(s)
 		}
 		digits, prefixed = digits[2:], true
 	}
 	if !prefixed && len(s)-len(digits) > 1 || signed && prefixed || !isGrouped(digits) {
-		return "not an integer: " + Clip(s)
+		return "not an integer: " + Truncate(s)
 	}
 	text := strings.ReplaceAll(digits, "_", "")
 	if strings.HasPrefix(s, "-") {
@@ -28,9 +28,9 @@
 	_, err := strconv.ParseInt(text, base, 64)
 	switch {
 	case errors.Is(err, strconv.ErrRange):
-		return "an integer beyond 64 bits: " + Clip(s)
+		return "an integer beyond 64 bits: " + Truncate(s)
 	case err != nil:
-		return "not an integer: " + Clip(s)
+		return "not an integer: " + Truncate(s)
 	}
 	return ""
 }
--- a/internal/tomldoc/parse.go
+++ b/internal/tomldoc/parse.go
@@ -249,7 +249,7 @@
 	case unstable.Float:
 		v.Kind = Float
 		if !isFloat(v.Text) {
-			b.report(v.Place, rules.Syntax, "", "not a float: "+Clip(v.Text))
+			b.report(v.Place, rules.Syntax, "", "not a float: "+Truncate(v.Text))
 		}
 	case unstable.Bool:
 		v.Kind = Bool
@@ -265,7 +265,7 @@
 			b.keyValue(v, fields.Node(), false)
 		}
 	default:
-		v.Kind = Other
+		v.Kind = DateTime
 	}
 	return v
 }
--- a/internal/tomldoc/parse_test.go
+++ b/internal/tomldoc/parse_test.go
@@ -126,7 +126,7 @@
 			return true
 		}
 	}
-	return v.Kind == Other || slices.ContainsFunc(v.Items, hasDate)
+	return v.Kind == DateTime || slices.ContainsFunc(v.Items, hasDate)
 }
 
 // compare compares a value with that of go-toml's decoder. size is that of the document.
--- a/internal/tomldoc/scope.go
+++ b/internal/tomldoc/scope.go
@@ -8,8 +8,8 @@
 	"fernlanding/internal/rules"
 )
 
-// Reader collects the diagnostics of a document that is being decoded.
-type Reader struct {
+// Collector collects the diagnostics of a document that is being decoded.
+type Collector struct {
 	Diagnostics Diagnostics
 	// LaterFields has the fields that a later version of the format has, with that version: they are
 	// reported as such.
@@ -22,13 +22,13 @@
 // a field is missing they return the default that is passed; where its value is invalid they report
 // that, and return a valid value so that decoding can go on.
 type Scope struct {
-	*Reader
+	*Collector
 	Value *Value
 	Path  string
 }
 
 // NewScope returns the scope of a whole document.
-func NewScope(r *Reader, root *Value) Scope { return Scope{Reader: r, Value: root} }
+func NewScope(r *Collector, root *Value) Scope { return Scope{Collector: r, Value: root} }
 
 // Decode parses a file and decodes it by a function that reads its root table. The error is
 // Diagnostics.
@@ -37,7 +37,7 @@
 	if root == nil {
 		return nil, faults.Err()
 	}
-	r := &Reader{Diagnostics: faults}
+	r := &Collector{Diagnostics: faults}
 	decoded := read(NewScope(r, root))
 	if err := r.Diagnostics.Err(); err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 }
 
 // ReportAt reports a violation at a value.
-func (r *Reader) ReportAt(at *Value, rule rules.ID, field, found, expect string) {
+func (r *Collector) ReportAt(at *Value, rule rules.ID, field, found, expect string) {
 	r.Diagnostics = append(r.Diagnostics, Diagnostic{
 		Place: at.Place, Rule: rule, Field: field, Found: found, Expect: expect,
 	})
@@ -100,7 +100,7 @@
 	if v == nil {
 		v = NewTable(s.Value.Place)
 	}
-	return Scope{Reader: s.Reader, Value: v, Path: s.FieldPath(field)}
+	return Scope{Collector: s.Collector, Value: v, Path: s.FieldPath(field)}
 }
 
 // Tables returns the scopes of the tables in a table, in order, with their names.
@@ -109,7 +109,7 @@
 	for _, name := range table.Value.Keys {
 		if v := table.Get(name, Table); v != nil {
 			names = append(names, name)
-			scopes = append(scopes, Scope{Reader: s.Reader, Value: v, Path: table.FieldPath(name)})
+			scopes = append(scopes, Scope{Collector: s.Collector, Value: v, Path: table.FieldPath(name)})
 		}
 	}
 	return names, scopes
@@ -128,7 +128,7 @@
 			s.ReportAt(item, rules.WrongType, path, item.Describe(), "a table expected")
 			continue
 		}
-		scopes = append(scopes, Scope{Reader: s.Reader, Value: item, Path: path})
+		scopes = append(scopes, Scope{Collector: s.Collector, Value: item, Path: path})
 	}
 	return scopes
 }
--- a/internal/tomldoc/value.go
+++ b/internal/tomldoc/value.go
@@ -16,7 +16,7 @@
 	Integer
 	Float
 	Bool
-	Other // dates and times, which no format here has
+	DateTime // dates and times, which no format here has
 )
 
 var kindNames = [...]string{
@@ -114,9 +114,9 @@
 func (v *Value) Describe() string {
 	switch v.Kind {
 	case String:
-		return strconv.Quote(Clip(v.Text))
+		return strconv.Quote(Truncate(v.Text))
 	case Integer, Float, Bool:
-		return Clip(v.Text)
+		return Truncate(v.Text)
 	default:
 		return v.Kind.String()
 	}
@@ -125,8 +125,8 @@
 // maxClipped is the length in bytes of a clipped text.
 const maxClipped = 60
 
-// Clip shortens a text for a diagnostic.
-func Clip(s string) string {
+// Truncate shortens a text for a diagnostic.
+func Truncate(s string) string {
 	if len(s) > maxClipped {
 		return s[:maxClipped] + "..."
 	}
--- a/internal/upstream/http1/connpool_test.go
+++ b/internal/upstream/http1/connpool_test.go
@@ -15,7 +15,7 @@
 // A backend may close an idle connection. http.Transport would send a request that runs into the
 // close a second time.
 func TestConnectionClosedByPeerIsNotReused(t *testing.T) {
-	b := backendtest.Start(t, backendtest.Says(served, false)) // closes without a Connection: close
+	b := backendtest.Start(t, backendtest.RespondWith(served, false)) // closes without a Connection: close
 	u := newUpstream(4, b.Addr)
 	for n := range 3 {
 		if res := newAttempt(u, "a", waitLimit).run(); res.Status != logic.OK {
@@ -83,7 +83,7 @@
 }
 
 func TestMostRecentlyUsedConnectionIsReusedFirst(t *testing.T) {
-	b := backendtest.Start(t, backendtest.Says(served, true))
+	b := backendtest.Start(t, backendtest.RespondWith(served, true))
 	u := newUpstream(4, b.Addr)
 	e := u.endpoints["a"]
 	var conns []*conn
@@ -109,7 +109,7 @@
 }
 
 func TestDescriptorLimitClosesIdleConnection(t *testing.T) {
-	quick := backendtest.Start(t, backendtest.Says(served, true))
+	quick := backendtest.Start(t, backendtest.RespondWith(served, true))
 	slow := backendtest.Start(t, backendtest.Hang(t))
 	u := newUpstream(1, quick.Addr, slow.Addr)
 	if res := newAttempt(u, "a", waitLimit).run(); res.Status != logic.OK {
--- a/internal/upstream/http1/dial_limit_test.go
+++ b/internal/upstream/http1/dial_limit_test.go
@@ -51,7 +51,7 @@
 // when dials end.
 func newLimitedUpstream(t *testing.T) (*Upstream, *gatedDialer, *backendtest.Backend) {
 	t.Helper()
-	b := backendtest.Start(t, backendtest.Says(served, true))
+	b := backendtest.Start(t, backendtest.RespondWith(served, true))
 	u := New(Config{
 		DialTimeout: waitLimit, BackendIdleTimeout: 40 * time.Second,
 		Quota: &fixedQuota{max: 100}, Memory: make(slotMemory, 1),
--- a/internal/upstream/http1/dial_test.go
+++ b/internal/upstream/http1/dial_test.go
@@ -54,7 +54,7 @@
 		"past deadline": func(_ *Upstream, _ string, a testAttempt) { a.Deadline = time.Now() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := backendtest.Start(t, backendtest.Says(served, true))
+			b := backendtest.Start(t, backendtest.RespondWith(served, true))
 			u := newUpstream(4, b.Addr)
 			a := newAttempt(u, "a", waitLimit)
 			hookDial(u, func(c net.Conn, err error) (net.Conn, error) {
--- a/internal/upstream/http1/helpers_test.go
+++ b/internal/upstream/http1/helpers_test.go
@@ -49,7 +49,7 @@
 	t.Cleanup(func() { _ = c.Close() })
 }
 
-const served = backendtest.Served
+const served = backendtest.OKResponse
 
 // newEndpoint returns an entry of the endpoint list.
 func newEndpoint(name, addr string, status membership.Status) membership.Endpoint {
--- a/internal/upstream/http1/request_test.go
+++ b/internal/upstream/http1/request_test.go
@@ -59,7 +59,7 @@
 		"restarted": restarted,
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := backendtest.Start(t, backendtest.Says(served, true))
+			b := backendtest.Start(t, backendtest.RespondWith(served, true))
 			u := newUpstream(4, b.Addr)
 			gated := gatedConn{reached: make(chan struct{}, 1), gate: make(chan struct{})}
 			hookDial(u, func(c net.Conn, err error) (net.Conn, error) {
@@ -91,7 +91,7 @@
 // A retry whose connection is established after SendBy is not sent, because the dedup window of its
 // backend may be over.
 func TestRequestIsNotSentAfterSendBy(t *testing.T) {
-	b := backendtest.Start(t, backendtest.Says(served, true))
+	b := backendtest.Start(t, backendtest.RespondWith(served, true))
 	u := newUpstream(4, b.Addr)
 	a := newAttempt(u, "a", waitLimit)
 	hookDial(u, func(c net.Conn, err error) (net.Conn, error) {
--- a/internal/upstream/http1/roundtrip_test.go
+++ b/internal/upstream/http1/roundtrip_test.go
@@ -79,7 +79,7 @@
 		{"noise behind the body", served + "\xfai\x19\xce", logic.OK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := backendtest.Start(t, backendtest.Says(c.text, false))
+			b := backendtest.Start(t, backendtest.RespondWith(c.text, false))
 			u := newUpstream(4, b.Addr)
 			res := newAttempt(u, "a", waitLimit).run()
 			if res.Status != c.want || c.want == logic.OK && string(res.Response.Body) != "ok" {
@@ -97,7 +97,7 @@
 func TestLargeResponsesAreServed(t *testing.T) {
 	for _, size := range []int{uncountedBody + 1, 400_000, maxResponse} {
 		head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
-		b := backendtest.Start(t, backendtest.Says(head+strings.Repeat("x", size), true))
+		b := backendtest.Start(t, backendtest.RespondWith(head+strings.Repeat("x", size), true))
 		u := newUpstream(8, b.Addr)
 		memory := make(slotMemory, 1)
 		u.cfg.Memory = memory
@@ -126,7 +126,7 @@
 		"informational alone":    "HTTP/1.1 100 Continue\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := backendtest.Start(t, backendtest.Says(text, true))
+			b := backendtest.Start(t, backendtest.RespondWith(text, true))
 			u := newUpstream(4, b.Addr)
 			if res := newAttempt(u, "a", time.Hour).run(); res.Status != logic.Reset {
 				t.Errorf("got %v, want %v", res.Status, logic.Reset)
