--- a/internal/harness/check/check.go
+++ b/internal/harness/check/check.go
@@ -1,6 +1,7 @@
-// Package check judges the history of a run, and measures it. It is pure: every verdict follows
-// from the events alone, and names those that it rests on. A fault excuses a failure only while
-// events say that it disturbed the process concerned, so that no fault excuses more than it causes.
+// Package check checks and measures the history of a run. The package is pure: every verdict
+// follows from the events alone and names the objects concerned. A fault excuses a failure only
+// while events show that the fault affected the process concerned, so that no fault excuses more
+// than it causes.
 package check
 
 import (
@@ -13,23 +14,23 @@
 // Verdict is one violation of a check.
 type Verdict struct {
 	Check   string `json:"check"`
-	At      int64  `json:"at"` // microseconds from the run's start
+	At      int64  `json:"at"` // microseconds since the run's start
 	Message string `json:"what"`
 }
 
-// String returns the verdict in one line.
+// String returns the verdict as one line of text.
 func (v Verdict) String() string {
 	return fmt.Sprintf("%s at %.3fs: %s", v.Check, float64(v.At)/second, v.Message)
 }
 
-// The names of the checks. They are stored with verdicts.
+// Names of the checks. They are stored with verdicts.
 const (
 	OneResponse = "one-answer" // an accepted request gets one complete response of its own before its deadline
-	Effects     = "effects"    // no request has its effect twice
-	Drains      = "drains"     // no request is sent to a backend more than 250 ms after its draining could be read
+	Effects     = "effects"    // no request takes effect twice
+	Drains      = "drains"     // no request is sent to a backend more than 250 ms after the sidecar could read its end
 	Warmup      = "cold"       // no cold backend is overloaded
-	Misrouted   = "strays"     // no non-idempotent request goes to an address that another service has taken
-	Processes   = "processes"  // no process exits by itself, and none is left
+	Misrouted   = "strays"     // no non-idempotent request is sent to an address that another service has taken
+	Processes   = "processes"  // no process exits by itself, and no process is left
 	Bounds      = "bounds"     // the bounds of the scenario are kept
 )
 
@@ -42,29 +43,29 @@
 const (
 	second = 1_000_000
 
-	lateLeeway     = 500_000 // beyond the deadline, in which a response is late and not missing yet
-	drainGrace     = 250_000
-	drainSlack     = 100_000 // that a relay may read a byte late on a busy machine
-	faultAftermath = 500_000 // beyond a fault, in which bytes that were held back arrive
-	maxVerdicts    = 20      // of one check that are listed
+	lateLeeway     = 500_000 // time after the deadline in which a response is late but not missing
+	drainGrace     = 250_000 // time in which requests may still be sent to a draining backend
+	drainSlack     = 100_000 // largest delay with which a relay reads a byte on a busy machine
+	faultAftermath = 500_000 // time after a fault in which bytes that were held back arrive
+	maxVerdicts    = 20      // number of verdicts that are listed per check
 
-	unsafeMethod = "POST" // Class of a backend's events that have an effect
+	unsafeMethod = "POST" // Class of backend events for requests that have an effect
 )
 
-// Result is the verdicts and the figures of a run.
+// Result is the verdicts and figures of a run.
 type Result struct {
 	Figures
 	Verdicts []Verdict `json:"verdicts"`
 }
 
-// Judge judges and measures a history that is sorted by time.
+// Judge checks and measures a history that is sorted by time.
 func Judge(spec *scenario.Scenario, events []history.Event) Result {
 	h := indexEvents(events)
 	f := measure(spec, h)
 	return Result{Figures: f, Verdicts: runChecks(spec, h, f)}
 }
 
-// Run judges a history that is sorted by time.
+// Run checks a history that is sorted by time.
 func Run(spec *scenario.Scenario, events []history.Event) []Verdict {
 	return Judge(spec, events).Verdicts
 }
@@ -91,7 +92,8 @@
 	return verdicts
 }
 
-// truncate returns the first verdicts of a check, and one that says how many more there are.
+// truncate returns at most maxVerdicts verdicts of one check. If there are more, it appends a
+// verdict with the number of the remaining ones.
 func truncate(found []Verdict) []Verdict {
 	more := len(found) - maxVerdicts
 	if more <= 0 {
@@ -101,7 +103,7 @@
 	return append(found[:maxVerdicts:maxVerdicts], rest)
 }
 
-// verdictf returns a verdict with a formatted text.
+// verdictf returns a verdict with a formatted message.
 func verdictf(check string, at int64, format string, args ...any) Verdict {
 	return Verdict{Check: check, At: at, Message: fmt.Sprintf(format, args...)}
 }
--- a/internal/harness/check/check_test.go
+++ b/internal/harness/check/check_test.go
@@ -11,9 +11,9 @@
 	"fernlanding/internal/harness/worker"
 )
 
-const ms = 1000 // a millisecond on the history's clock
+const ms = 1000 // one millisecond in microseconds, the unit of a history
 
-// newScenario returns a small scenario with further lines.
+// newScenario returns a small scenario with additional lines.
 func newScenario(t *testing.T, extra string) *scenario.Scenario {
 	t.Helper()
 	text := "name = \"x\"\n[sidecars]\ncount = 2\n[backends]\ncount = 3\n" + extra
@@ -24,7 +24,7 @@
 	return spec
 }
 
-// The functions below return events at a time in milliseconds.
+// The functions below return events. Their times and durations are in milliseconds.
 
 func requested(at, took int64, status int, why string) history.Event {
 	return history.Event{
@@ -33,9 +33,9 @@
 	}
 }
 
-func executed(at int64, id, key, who string, pod int) history.Event {
+func executed(at int64, id, key, who string, cell int) history.Event {
 	return history.Event{
-		At: at * ms, Kind: history.Executed, Class: "POST", ID: id, Key: key, Who: who, Cell: pod,
+		At: at * ms, Kind: history.Executed, Class: "POST", ID: id, Key: key, Who: who, Cell: cell,
 	}
 }
 
@@ -57,17 +57,17 @@
 	return history.Event{At: at * ms, Kind: kind, Who: who, To: who}
 }
 
-// deleted is a backend that leaves the endpoint list.
+// deleted returns the deletion of a backend from the endpoint list.
 func deleted(at int64) history.Event {
 	return history.Event{At: at * ms, Kind: history.MemberStatus, Who: "backend-1", Reason: "DELETED"}
 }
 
-// misrouted is a request at the service that has taken the backend's address.
+// misrouted returns a request to the service that has taken a backend's address.
 func misrouted(key string) history.Event {
 	return history.Event{At: 21 * ms, Kind: history.Misrouted, Class: "POST", Who: "backend-1", ID: "r", Key: key}
 }
 
-// Each check finds what it is for, and lets the near miss beside it pass.
+// Each check finds the violations that it is for and accepts similar histories without a violation.
 func TestChecks(t *testing.T) {
 	window := worker.DedupWindow.Milliseconds()
 	cut := func(at, n int64) history.Event {
@@ -80,25 +80,25 @@
 		events      []history.Event
 	}{
 		{"served", "", []history.Event{requested(0, 10, 200, "")}},
-		{"served late, which earns nothing", "", []history.Event{requested(0, 2400, 200, "")}},
-		{"answered after its client has gone", check.OneResponse, []history.Event{requested(0, 2600, 200, "")}},
-		{"no answer", check.OneResponse, []history.Event{requested(0, 2500, 0, worker.TimedOut)}},
+		{"served after the deadline", "", []history.Event{requested(0, 2400, 200, "")}},
+		{"response after the client has left", check.OneResponse, []history.Event{requested(0, 2600, 200, "")}},
+		{"no response", check.OneResponse, []history.Event{requested(0, 2500, 0, worker.TimedOut)}},
 		{
-			"no answer of one that is killed", "",
+			"no response from a killed sidecar", "",
 			[]history.Event{
 				requested(0, 100, 0, worker.ClosedEarly),
 				processEvent(90, history.Terminating, "sidecar-1"),
 			},
 		},
 		{
-			"no answer long after another was killed", check.OneResponse,
+			"no response after another sidecar was killed", check.OneResponse,
 			[]history.Event{
 				requested(0, 100, 0, worker.ClosedEarly),
 				processEvent(90, history.Terminating, "sidecar-2"),
 			},
 		},
 		{
-			"no answer of one that is back since long", check.OneResponse,
+			"no response long after a sidecar has recovered", check.OneResponse,
 			[]history.Event{
 				processEvent(0, history.Terminating, "sidecar-1"),
 				processEvent(500, history.Ready, "sidecar-1"),
@@ -106,68 +106,68 @@
 			},
 		},
 		{
-			"no answer of one that is stopped", "",
+			"no response from a stopped sidecar", "",
 			[]history.Event{requested(0, 2500, 0, worker.TimedOut), processEvent(2000, history.Stopped, "sidecar-1")},
 		},
 		{
-			"no answer over a cut link", "",
+			"no response over a cut link", "",
 			[]history.Event{cut(0, 1), requested(10, 2500, 0, worker.TimedOut), cut(3000, 0)},
 		},
 		{
-			"no answer long after a cut", check.OneResponse,
+			"no response long after a cut", check.OneResponse,
 			[]history.Event{cut(0, 1), cut(100, 0), requested(1000, 2500, 0, worker.TimedOut)},
 		},
 		{
-			"another's answer, whatever the link", check.OneResponse,
+			"response to another request over a cut link", check.OneResponse,
 			[]history.Event{cut(0, 1), requested(10, 10, 200, worker.WrongResponse)},
 		},
 
 		{
-			"a charge twice", check.Effects,
+			"non-idempotent request executed twice", check.Effects,
 			[]history.Event{executed(0, "r", "", "backend-1", 0), executed(50, "r", "", "backend-2", 0)},
 		},
 		{
-			"two charges", "",
+			"two non-idempotent requests", "",
 			[]history.Event{executed(0, "r", "", "backend-1", 0), executed(50, "s", "", "backend-2", 0)},
 		},
 		{
-			"a key that its pod drops", "",
+			"key deduplicated by its cell", "",
 			[]history.Event{executed(0, "r", "k", "backend-1", 1), executed(window-1, "r", "k", "backend-2", 1)},
 		},
 		{
-			"a key in another pod", check.Effects,
+			"key executed in another cell", check.Effects,
 			[]history.Event{executed(0, "r", "k", "backend-1", 1), executed(50, "r", "k", "backend-2", 2)},
 		},
 		{
-			"a key after its window", check.Effects,
+			"key executed after the dedup window", check.Effects,
 			[]history.Event{executed(0, "r", "k", "backend-1", 1), executed(window, "r", "k", "backend-2", 1)},
 		},
 
-		{"sent within the grace", "", []history.Event{polled(0, "", "backend-1"), delivered(10, 0), sent(300)}},
+		{"sent within the drain grace", "", []history.Event{polled(0, "", "backend-1"), delivered(10, 0), sent(300)}},
 		{
-			"sent after the grace", check.Drains,
+			"sent after the drain grace", check.Drains,
 			[]history.Event{polled(0, "", "backend-1"), delivered(10, 0), sent(400)},
 		},
-		{"not handed on", "", []history.Event{polled(5, "", "backend-1"), delivered(10, 4), sent(400)}},
-		{"handed on late", "", []history.Event{polled(0, "", "backend-1"), delivered(200, 0), sent(500)}},
+		{"response not delivered", "", []history.Event{polled(5, "", "backend-1"), delivered(10, 4), sent(400)}},
+		{"response delivered late", "", []history.Event{polled(0, "", "backend-1"), delivered(200, 0), sent(500)}},
 		{
-			"a whole list that lacks it", check.Drains,
+			"snapshot without the backend", check.Drains,
 			[]history.Event{polled(0, history.Snapshot, "+backend-2"), delivered(10, 0), sent(400)},
 		},
 		{
-			"a change that does not name it", "",
+			"update without the backend", "",
 			[]history.Event{polled(0, "", "backend-2"), delivered(10, 0), sent(400)},
 		},
 		{
-			"back in the list", "",
+			"backend serving again", "",
 			[]history.Event{polled(0, "", "backend-1"), delivered(10, 0), polled(300, "", "+backend-1"), sent(400)},
 		},
 		{
-			"its end noted after the next call", "",
+			"end of the response recorded after the next poll", "",
 			[]history.Event{polled(0, "", "backend-1"), polled(20, "", "+backend-1"), delivered(30, 0), sent(400)},
 		},
 		{
-			"by a process that has started since", "",
+			"sent by a sidecar that has restarted", "",
 			[]history.Event{
 				polled(0, "", "backend-1"),
 				delivered(10, 0),
@@ -176,7 +176,7 @@
 			},
 		},
 		{
-			"by one that was stopped", "",
+			"sent within the drain grace after a stop", "",
 			[]history.Event{
 				polled(0, "", "backend-1"),
 				delivered(10, 0),
@@ -186,7 +186,7 @@
 			},
 		},
 		{
-			"by one that was stopped, later", check.Drains,
+			"sent after the drain grace after a stop", check.Drains,
 			[]history.Event{
 				polled(0, "", "backend-1"),
 				delivered(10, 0),
@@ -197,39 +197,39 @@
 		},
 
 		{
-			"a stray by a life that began after the list had lost the address", check.Misrouted,
+			"misrouted by a sidecar that started after the deletion", check.Misrouted,
 			[]history.Event{deleted(0), processEvent(10, history.Started, "sidecar-1"), sent(20), misrouted("")},
 		},
 		{
-			"a stray that may be repeated", "",
+			"misrouted request with an idempotency key", "",
 			[]history.Event{deleted(0), processEvent(10, history.Started, "sidecar-1"), sent(20), misrouted("k")},
 		},
 		{
-			"a stray by a life that was there before", "",
+			"misrouted by a sidecar that started before the deletion", "",
 			[]history.Event{processEvent(0, history.Started, "sidecar-1"), deleted(10), sent(20), misrouted("")},
 		},
 		{
-			"a stray while the list has the address", "",
+			"misrouted before the deletion", "",
 			[]history.Event{processEvent(0, history.Started, "sidecar-1"), sent(20), misrouted(""), deleted(30)},
 		},
 
 		{
-			"a cold backend pushed over", check.Warmup,
+			"overloaded cold backend", check.Warmup,
 			[]history.Event{
 				{At: 1, Kind: history.WarmupOverload, Who: "backend-1", N: 1},
 				{At: 2, Kind: history.WarmupOverload, Who: "backend-1"},
 			},
 		},
 		{
-			"a process that ends by itself", check.Processes,
+			"process that exits by itself", check.Processes,
 			[]history.Event{{At: 1, Kind: history.Exited, Who: "sidecar-1", Reason: "by itself: ended"}},
 		},
 		{
-			"a process that fails at its end", check.Processes,
+			"process that exits with an error", check.Processes,
 			[]history.Event{{At: 1, Kind: history.Exited, Who: "sidecar-1", Reason: "exit status 1"}},
 		},
 		{
-			"one that was killed", "",
+			"killed process", "",
 			[]history.Event{{At: 1, Kind: history.Exited, Who: "sidecar-1", Reason: "signal: killed"}},
 		},
 	} {
@@ -240,12 +240,15 @@
 			names = append(names, v.Check)
 		}
 		if strings.Join(names, " ") != c.check {
-			t.Errorf("%s: %q, want %q", c.name, names, c.check)
+			t.Errorf("%s: got verdicts of %q, want %q", c.name, names, c.check)
 		}
 	}
-	for name, last := range map[string][]history.Event{"left": {{Kind: history.RunEnded, N: 1}}, "broken off": nil} {
+	for name, last := range map[string][]history.Event{
+		"process left":      {{Kind: history.RunEnded, N: 1}},
+		"truncated history": nil,
+	} {
 		if v := check.Run(newScenario(t, ""), last); len(v) != 1 || v[0].Check != check.Processes {
-			t.Errorf("%s: %v", name, v)
+			t.Errorf("%s: got verdicts %v, want one of %s", name, v, check.Processes)
 		}
 	}
 }
--- a/internal/harness/check/drains.go
+++ b/internal/harness/check/drains.go
@@ -9,8 +9,8 @@
 	"fernlanding/internal/harness/scenario"
 )
 
-// checkDrains checks what was sent to a backend after its sidecar could read that the backend is
-// draining or deleted.
+// checkDrains checks that no sidecar sends requests to a backend later than drainGrace after the
+// sidecar could read that the backend is draining or deleted.
 func checkDrains(spec *scenario.Scenario, h *indexedHistory) []Verdict {
 	var verdicts []Verdict
 	traffic := collectTraffic(h.events)
@@ -22,16 +22,16 @@
 	return verdicts
 }
 
-// listResponse is a list service's response as a sidecar could read it.
+// listResponse is a response of a list service to a sidecar.
 type listResponse struct {
 	history.Event
-	readAt int64 // when its last byte had been delivered; openEnd: never
+	readAt int64 // time at which the last byte had been delivered; openEnd means never
 }
 
-// polledAt returns when the request was made.
+// polledAt returns the time at which the request was sent.
 func (r listResponse) polledAt() int64 { return r.At - r.Took }
 
-// sidecarTraffic is what sidecars received and sent, by sidecar.
+// sidecarTraffic is the traffic of the sidecars, by sidecar name.
 type sidecarTraffic struct {
 	responses map[string][]listResponse
 	sends     map[string][]history.Event
@@ -54,7 +54,7 @@
 			traffic.sends[e.Who] = append(traffic.sends[e.Who], e)
 		case history.Started:
 			traffic.starts[e.Who] = append(traffic.starts[e.Who], e.At)
-		default: // the others are no traffic of sidecars
+		default: // other kinds are not part of the traffic of sidecars
 		}
 	}
 	for _, e := range events {
@@ -72,23 +72,23 @@
 	return traffic
 }
 
-// listChange is a change of a backend as a sidecar could read it.
+// listChange is a change of a backend's state as known to a sidecar.
 type listChange struct {
 	at    int64
-	name  string // of the backend; empty: the process has started, and knows no backend
-	isOut bool   // no request may be sent to it
+	name  string // name of the backend; empty means that the sidecar has started and knows no backends
+	isOut bool   // no request may be sent to the backend
 }
 
-// listChanges returns what a sidecar could read of backends, sorted by time: that a backend is out,
-// at the latest time at which that was read; that a backend is in again, at the earliest time at
-// which that could be known.
+// listChanges returns the changes of backends that a sidecar could read, sorted by time. A change
+// to out has the latest time at which the sidecar can have read it. A change to in has the earliest
+// time at which the sidecar can have learned of it.
 func listChanges(responses []listResponse, starts []int64, backends []string) []listChange {
 	slices.SortStableFunc(responses, func(a, b listResponse) int { return cmp.Compare(a.polledAt(), b.polledAt()) })
 	var changes []listChange
 	for i, response := range responses {
 		if i+1 < len(responses) && response.readAt < openEnd {
-			// A sidecar that polls again has read the response before. The relay may have recorded
-			// that a moment later.
+			// A sidecar that polls again has read the previous response. The relay may have
+			// recorded the delivery slightly later.
 			response.readAt = min(response.readAt, responses[i+1].polledAt())
 		}
 		changes = append(changes, response.changes(backends)...)
@@ -100,8 +100,8 @@
 	return changes
 }
 
-// changes returns what one response says of backends. A snapshot takes out those that it does not
-// name.
+// changes returns the changes of backends in one response. A snapshot changes all backends that it
+// does not name to out.
 func (r listResponse) changes(backends []string) []listChange {
 	var changes []listChange
 	isNamed := map[string]bool{}
@@ -125,11 +125,11 @@
 	return changes
 }
 
-// checkSentAfterDrain checks the requests that one sidecar sent against what it could read of the
-// backends. Both are sorted by time.
+// checkSentAfterDrain checks the requests that one sidecar sent against the changes of backends
+// that the sidecar could read. sends and changes are sorted by time.
 func (h *indexedHistory) checkSentAfterDrain(sidecar string, sends []history.Event, changes []listChange) []Verdict {
 	var verdicts []Verdict
-	outSince := map[string]int64{} // backends that are out, with when that could be read first
+	outSince := map[string]int64{} // by backend that is out, the first time at which the sidecar could read it
 	for _, send := range sends {
 		for len(changes) > 0 && changes[0].at <= send.At {
 			changes[0].apply(outSince)
@@ -148,7 +148,7 @@
 	return verdicts
 }
 
-// apply enters a change into the backends that are out.
+// apply updates the set of backends that are out.
 func (c listChange) apply(outSince map[string]int64) {
 	switch {
 	case c.name == "":
--- a/internal/harness/check/figures_test.go
+++ b/internal/harness/check/figures_test.go
@@ -9,17 +9,17 @@
 	"fernlanding/internal/harness/scenario"
 )
 
-// The figures follow from the events, and each bound is violated just beyond its value.
+// Measure computes the figures from the events, and each bound is violated just beyond its value.
 func TestBoundsAndFigures(t *testing.T) {
 	all := boundsHistory()
 	figures := check.Measure(newScenario(t, ""), all)
 	if figures.Starts != 2 || figures.ReadyP50 != 1.5 || figures.FirstAll != 1.5 || figures.NeverReady != 0 ||
 		figures.Snapshots.Peak != 30 || figures.PeakConnects != 30 ||
 		figures.Requests != 2 || figures.Served != 1 || figures.Rejected != 1 {
-		t.Errorf("%+v", figures)
+		t.Errorf("wrong figures: %+v", figures)
 	}
 	if got := figures.ReadyWithin(time.Second); got != 0.5 {
-		t.Errorf("%v ready within a second", got)
+		t.Errorf("share of starts ready within a second: got %v, want 0.5", got)
 	}
 	for bounds, want := range map[string]int{
 		"":                    0,
@@ -33,12 +33,12 @@
 	} {
 		verdicts := check.Run(newScenario(t, "[bounds]\n"+bounds+"\n"), all)
 		if len(verdicts) != want {
-			t.Errorf("%s: %v", bounds, verdicts)
+			t.Errorf("bounds %q: got verdicts %v, want %d", bounds, verdicts, want)
 		}
 	}
 }
 
-// boundsHistory is a history of two sidecars, with one start before that only measures memory.
+// boundsHistory returns a history of two sidecars. The first start only measures memory.
 func boundsHistory() []history.Event {
 	all := []history.Event{
 		processEvent(0, history.Started, "sidecar-1"),
@@ -60,7 +60,7 @@
 		history.Event{At: 8_000_000, Kind: history.RunEnded})
 }
 
-// lossScenario has two sites, of which the first is killed for eight seconds.
+// lossScenario is a scenario with two sites. The first site is killed for eight seconds.
 const lossScenario = `name = "x"
 for = "20s"
 [sidecars]
@@ -84,8 +84,8 @@
 back_part = 0.9
 `
 
-// A site that is away for four seconds: what is served of what can be, when, of which class, and
-// over whose border.
+// Measure computes the figures of a site loss of eight seconds: recovery times, the shares of
+// served and rejected requests, the overload, and the cross-site traffic.
 func TestLossesOfSites(t *testing.T) {
 	spec, err := scenario.Read("s.toml", []byte(lossScenario))
 	if err != nil {
@@ -95,7 +95,7 @@
 		return history.Event{At: at * ms, Kind: history.Fault, ID: "1-kill", N: n}
 	}
 	all := []history.Event{processEvent(0, history.Started, "sidecar-1"), fault(4000, 1), fault(12000, 0)}
-	for at := int64(0); at < 20000; at += 50 { // twenty a second, as both sites can serve; one site can serve ten
+	for at := int64(0); at < 20000; at += 50 { // 20 per second, the capacity of both sites; one site can serve 10
 		e := requested(at, 10, 200, "")
 		isDown := at >= 4000 && at < 12000
 		if isDown && (at < 5000 || at%100 != 0) {
@@ -112,10 +112,10 @@
 	history.Sort(all)
 	f := check.Measure(spec, all)
 	if len(f.Losses) != 1 {
-		t.Fatalf("%+v", f.Losses)
+		t.Fatalf("got losses %+v, want 1", f.Losses)
 	}
 	if f := check.Measure(spec, nil); len(f.Losses) != 0 {
-		t.Errorf("losses in an empty history: %+v", f.Losses)
+		t.Errorf("got losses in an empty history: %+v", f.Losses)
 	}
 	l := f.Losses[0]
 	if l.Site != "a" || l.RecoveryTime != 1 || l.RecoveryTimeAfter != 0 || l.ServedAfter != 1 ||
@@ -123,14 +123,14 @@
 		l.ServedRequests > 0.51 || l.RejectedShares["charge-post"] != 0 ||
 		l.RejectedShares["tariff-lookup"] != 1 || l.CrossSiteBefore != 1 ||
 		l.CrossSiteShare > 0.5 || l.ServedFirst < 0.8 || l.ServedFirst > 0.92 {
-		t.Errorf("%+v", l)
+		t.Errorf("wrong figures of the loss: %+v", l)
 	}
 	if v := check.Run(spec, all); len(v) != 0 {
-		t.Errorf("%v", v)
+		t.Errorf("got verdicts %v, want none", v)
 	}
 	spec.Bounds.LossRecoveryWithin = 500 * time.Millisecond
 	spec.Bounds.MinServedAfterLoss = 1.1
 	if v := check.Run(spec, all); len(v) != 2 {
-		t.Errorf("%v", v)
+		t.Errorf("got verdicts %v with tighter bounds, want 2", v)
 	}
 }
--- a/internal/harness/check/history_index.go
+++ b/internal/harness/check/history_index.go
@@ -5,22 +5,22 @@
 	"fernlanding/internal/harness/scenario"
 )
 
-// indexedHistory is a history with an index.
+// indexedHistory is a history with indexes for the checks.
 type indexedHistory struct {
 	events      []history.Event
-	unavailable intervals // of processes: from their exit, or the signal to exit, until they are ready again
-	paused      intervals // of processes: while they were stopped by SIGSTOP
-	linkFaults  intervals // of processes: while a fault acted on their link to clients
+	unavailable intervals // by process, from its exit or the signal to exit until it is ready again
+	paused      intervals // by process, while it was stopped by SIGSTOP
+	linkFaults  intervals // by process, while a fault acted on its link to clients
 	sent        map[requestKey]history.Event
 }
 
-// requestKey identifies a request by its connection and its number there.
+// requestKey identifies a request by its connection and its number on the connection.
 type requestKey struct {
 	conn string
 	n    int64
 }
 
-// clientLink is the link between clients and sidecars, as events of faults name it.
+// clientLink is the name of the link between clients and sidecars in Fault events.
 const clientLink = scenario.OnClients + "-" + scenario.OnSidecars
 
 // indexEvents indexes a history that is sorted by time.
@@ -48,14 +48,14 @@
 			if e.To == clientLink {
 				h.addLinkFault(e)
 			}
-		default: // the others are not indexed
+		default: // other kinds are not indexed
 		}
 	}
 	return h
 }
 
 // addLinkFault indexes the beginning or the end of a fault on links to clients. Faults on one link
-// may overlap: the first that is open ends.
+// may overlap; an end closes the first open interval.
 func (h *indexedHistory) addLinkFault(e history.Event) {
 	for _, process := range e.Names {
 		if e.N == 1 {
@@ -66,15 +66,15 @@
 	}
 }
 
-// isExcused reports whether a sidecar, or its link to clients, was disturbed while a request was in
-// flight.
+// isExcused reports whether a fault affected a sidecar or its link to clients while a request was
+// in flight.
 func (h *indexedHistory) isExcused(sidecar string, from, to int64) bool {
 	inFlight := interval{from: from - faultAftermath, to: to}
 	return h.unavailable.overlap(sidecar, inFlight) || h.paused.overlap(sidecar, inFlight) ||
 		h.linkFaults.overlap(sidecar, inFlight)
 }
 
-// pausedDuration returns for how many microseconds a process was stopped within a period.
+// pausedDuration returns the time in microseconds for which a process was stopped within a period.
 func (h *indexedHistory) pausedDuration(process string, from, to int64) int64 {
 	total := int64(0)
 	for _, pause := range h.paused[process] {
@@ -83,7 +83,7 @@
 	return total
 }
 
-// end returns when the history ends, 0 if it is empty.
+// end returns the time of the last event, or 0 if the history is empty.
 func (h *indexedHistory) end() int64 {
 	if len(h.events) == 0 {
 		return 0
--- a/internal/harness/check/losses.go
+++ b/internal/harness/check/losses.go
@@ -10,44 +10,53 @@
 	"fernlanding/internal/harness/worker"
 )
 
-// Loss is the measurements of a fault of a complete site, or of all links between it and the
-// others. Its JSON keys are stored.
+// Loss is the measurements of a fault that affects a complete site or all links between the site
+// and the other sites. The JSON keys are part of the stored format.
 type Loss struct {
 	Fault string `json:"fault"`
 	Site  string `json:"site"`
-	// ServedFirst: share of the weighted requests of the first 10 s that was served.
+	// ServedFirst is the share of the weighted requests in the first 10 s of the fault that were
+	// served.
 	ServedFirst float64 `json:"first_served"`
-	// ServedAfter: the same of the 30 s after its end, or to the end of the run.
+	// ServedAfter is the share of the weighted requests that were served in the 30 s after the end
+	// of the fault, or until the end of the run.
 	ServedAfter float64 `json:"back_served"`
-	// RecoveryTime: seconds until 95% of what can be served was; -1: never while it lasted.
+	// RecoveryTime is the time in seconds from the beginning of the fault until 95% of the servable
+	// requests were served; -1 means that this did not happen during the fault.
 	RecoveryTime float64 `json:"within_s"`
-	// RecoveryTimeAfter: the same from its end.
+	// RecoveryTimeAfter is the time in seconds from the end of the fault until 95% of the servable
+	// requests were served; -1 means never.
 	RecoveryTimeAfter float64 `json:"again_within_s"`
-	// Overload: requests that come to the worst remaining site from 3 s on, as a multiple of what it can serve.
+	// Overload is the request rate at the most loaded remaining site as a multiple of its capacity,
+	// from 3 s after the beginning of the fault to its end.
 	Overload float64 `json:"overload"`
-	// RejectedShares: by class, from 3 s after the beginning to the end.
+	// RejectedShares is, by class, the share of the requests that were rejected, from 3 s after the
+	// beginning of the fault to its end.
 	RejectedShares map[string]float64 `json:"refused_part"`
-	// CheapestShare: share of the rejected requests that is of the class with the least weight.
+	// CheapestShare is the share of the class with the least priority weight in all rejected
+	// requests, in the same period as RejectedShares.
 	CheapestShare float64 `json:"refused_cheap"`
-	// CrossSiteShare: share of the attempts that went to another site while it lasted.
+	// CrossSiteShare is the share of the attempts that went to another site during the fault.
 	CrossSiteShare float64 `json:"across_part"`
-	// CrossSiteBefore: the same of the 5 s before.
+	// CrossSiteBefore is the share of the attempts that went to another site in the 5 s before the
+	// fault.
 	CrossSiteBefore float64 `json:"across_before"`
-	// ServedRequests: share of the requests from 3 s on to its end that was served.
+	// ServedRequests is the share of the requests that were served, from 3 s after the beginning of
+	// the fault to its end.
 	ServedRequests float64 `json:"served_requests"`
 }
 
 const (
-	firstPeriod    = 10 * second
-	recoveryPeriod = 30 * second
-	settlePeriod   = 3 * second
-	beforePeriod   = 5 * second
-	recoveryStep   = second / 2
-	recoveryGoal   = 0.95
-	overloadStep   = 2 * second
+	firstPeriod    = 10 * second // period of ServedFirst
+	recoveryPeriod = 30 * second // period of ServedAfter
+	settlePeriod   = 3 * second  // time after the beginning of a fault that is left out
+	beforePeriod   = 5 * second  // period of CrossSiteBefore
+	recoveryStep   = second / 2  // resolution of recovery times
+	recoveryGoal   = 0.95        // served share of the servable requests that counts as recovery
+	overloadStep   = 2 * second  // period over which request rates are averaged
 )
 
-// losses returns the measurements of all such faults that began.
+// losses returns the measurements of all site losses that began.
 func losses(spec *scenario.Scenario, h *indexedHistory) []Loss {
 	var all []Loss
 	for i, f := range spec.Schedule() {
@@ -61,8 +70,8 @@
 	return all
 }
 
-// faultSpan returns when a fault began and ended, at the latest with the history. from is -1 if it
-// never began.
+// faultSpan returns the times at which a fault began and ended. from is -1 if the fault never
+// began; to is the end of the history if the fault did not end.
 func (h *indexedHistory) faultSpan(name string) (from, to int64) {
 	from = -1
 	to = h.end()
@@ -78,7 +87,7 @@
 	return from, to
 }
 
-// loss measures one fault, from its beginning to the end of the history.
+// loss measures the site loss that the fault f caused between from and to.
 func loss(spec *scenario.Scenario, h *indexedHistory, f scenario.Fault, name string, from, to int64) Loss {
 	capacity := spec.Capacity()
 	remaining := maps.Clone(capacity)
@@ -101,8 +110,7 @@
 	return l
 }
 
-// priorityWeights returns the priority weight of each class, and the first class that has the
-// least.
+// priorityWeights returns the priority weights by class and the first class with the least weight.
 func priorityWeights() (weights map[string]float64, cheapest string) {
 	weights = map[string]float64{}
 	for _, class := range worker.Classes() {
@@ -114,18 +122,18 @@
 	return weights, cheapest
 }
 
-// totalCapacity returns how many requests a second all sites can serve.
+// totalCapacity returns the requests per second that all sites in capacity can serve together.
 func totalCapacity(capacity map[string]float64) float64 {
 	sum := 0.0
-	// In a fixed order, so that the sum is rounded alike each time.
+	// A fixed order of summation makes the rounding reproducible.
 	for _, site := range slices.Sorted(maps.Keys(capacity)) {
 		sum += capacity[site]
 	}
 	return sum
 }
 
-// rejectedShares returns the share of each class's requests in a period that was rejected, and the
-// cheapest class's share of all that were.
+// rejectedShares returns, by class, the share of the requests in a period that were rejected, and
+// the share of the cheapest class in all rejected requests.
 func (h *indexedHistory) rejectedShares(
 	from, to int64, cheapest string,
 ) (shares map[string]float64, cheapestShare float64) {
@@ -152,8 +160,8 @@
 	return shares, cheapestShare
 }
 
-// servedShare returns the share of the requests in a period that was served, by weights; without
-// weights all requests count alike.
+// servedShare returns the share of the requests in a period that were served. Requests are weighted
+// by class; if weights is nil, all requests have the same weight.
 func (h *indexedHistory) servedShare(from, to int64, weights map[string]float64) float64 {
 	requests, served := 0.0, 0.0
 	for _, e := range h.events {
@@ -175,8 +183,9 @@
 	return served / requests
 }
 
-// recoveryTime returns after how many seconds, for the first time, a second's requests were served
-// as far as the capacity allows; -1 if never.
+// recoveryTime returns the time in seconds from the beginning of a period until the first second in
+// which recoveryGoal of the requests that the capacity allows were served, or -1 if there is no
+// such second.
 func (h *indexedHistory) recoveryTime(from, to int64, capacity float64) float64 {
 	steps := int((to - from) / recoveryStep)
 	if steps < 2 {
@@ -203,8 +212,8 @@
 	return -1
 }
 
-// crossSiteShare returns the share of the requests to backends in a period that went to another
-// site.
+// crossSiteShare returns the share of the requests from sidecars to backends in a period that went
+// to another site.
 func (h *indexedHistory) crossSiteShare(spec *scenario.Scenario, from, to int64) float64 {
 	all, crossSite := 0.0, 0.0
 	for _, e := range h.events {
@@ -221,8 +230,8 @@
 	return crossSite / all
 }
 
-// peakRate returns how many requests a second came to a site's backends in the worst two seconds of
-// a period.
+// peakRate returns the highest rate, in requests per second over two seconds, at which requests
+// arrived at a site's backends in a period.
 func (h *indexedHistory) peakRate(spec *scenario.Scenario, site string, from, to int64) float64 {
 	if to-from < overloadStep {
 		return 0
--- a/internal/harness/check/measurement.go
+++ b/internal/harness/check/measurement.go
@@ -11,13 +11,13 @@
 	"fernlanding/internal/harness/worker"
 )
 
-// earlyPeriod is what EarlyServed covers, from the first start.
+// earlyPeriod is the period of EarlyServed, counted from the first start.
 const earlyPeriod = 30 * second
 
 // series counts events by the second of the run.
 type series map[int64]int
 
-// rate returns the rate over a run that ended at a time.
+// rate returns the rate over a run that ended at end.
 func (s series) rate(end int64) Rate {
 	var r Rate
 	last := end / second
@@ -34,21 +34,21 @@
 	return r
 }
 
-// measurement is the state of measuring a history, event by event.
+// measurement accumulates the figures of a history, event by event.
 type measurement struct {
 	Figures
 
 	isSidecar       map[string]bool
 	snapshots       series
 	updates         series
-	connections     map[string]series // by backend
-	starting        map[string]int64  // sidecars that are not ready yet, since when
-	firstReady      map[string]int64  // sidecars, when they were ready for the first time
-	overloadedSince map[string]int64  // cold backends
-	objectives      map[string]int64  // of classes, in microseconds
-	// hasMeasuredStart is set by the first start of a sidecar, which only measures its memory.
+	connections     map[string]series // connections by backend
+	starting        map[string]int64  // start times of sidecars that are not ready yet
+	firstReady      map[string]int64  // times at which sidecars were ready for the first time
+	overloadedSince map[string]int64  // beginnings of overloads, by cold backend
+	objectives      map[string]int64  // latency objectives of classes in microseconds
+	// hasMeasuredStart is set at the first start of a sidecar, which only measures its memory.
 	hasMeasuredStart bool
-	firstStart       int64 // of those that count; -1: none yet
+	firstStart       int64 // time of the first start after the measuring one; -1 means none yet
 	lastEvent        int64
 	earlyRequests    int
 	earlyServed      int
@@ -109,7 +109,7 @@
 		m.Attempts++
 	case history.Requested:
 		m.addRequest(e)
-	default: // the others are not measured
+	default: // other kinds are not measured
 	}
 }
 
@@ -132,7 +132,7 @@
 	m.Starts++
 }
 
-// addReady adds that a sidecar is ready.
+// addReady adds a sidecar's change to ready.
 func (m *measurement) addReady(e history.Event) {
 	if at, ok := m.starting[e.To]; ok {
 		m.Ready = append(m.Ready, float64(e.At-at)/second)
@@ -147,7 +147,7 @@
 	}
 }
 
-// addPoll adds a poll of a list service, by when it was made.
+// addPoll adds a poll of a list service at the time at which the poll was sent.
 func (m *measurement) addPoll(e history.Event) {
 	at := (e.At - e.Took) / second
 	if e.N < 0 {
@@ -203,15 +203,15 @@
 	}
 }
 
-// addWarmupOverload adds that a cold backend was overloaded for a duration, in microseconds.
+// addWarmupOverload adds an overload of a cold backend. The duration is in microseconds.
 func (m *measurement) addWarmupOverload(duration int64) {
 	m.OverloadSeconds += float64(duration) / second
 	m.LongestOverload = max(m.LongestOverload, float64(duration)/second)
 }
 
-// finish computes what follows from the complete history.
+// finish computes the figures that need the complete history.
 func (m *measurement) finish() {
-	// In a fixed order, so that the sum is rounded alike each time.
+	// A fixed order of summation makes the rounding reproducible.
 	for _, name := range slices.Sorted(maps.Keys(m.overloadedSince)) {
 		m.addWarmupOverload(m.lastEvent - m.overloadedSince[name])
 	}
@@ -233,19 +233,19 @@
 	}
 }
 
-// quantile returns a quantile of sorted values, of which there is at least one.
+// quantile returns the q-quantile of sorted, which must not be empty.
 func quantile(sorted []float64, q float64) float64 {
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// isBackend reports whether a name is a backend's.
+// isBackend reports whether name is the name of a backend.
 func isBackend(name string) bool { return strings.HasPrefix(name, "backend-") }
 
-// isSidecar reports whether a name is a sidecar's.
+// isSidecar reports whether name is the name of a sidecar.
 func isSidecar(name string) bool { return strings.HasPrefix(name, "sidecar-") }
 
-// objectiveOf returns a class's latency objective in microseconds, openEnd if there is no such
-// class.
+// objectiveOf returns the latency objective of a class in microseconds, or openEnd if there is no
+// such class.
 func objectiveOf(class string) int64 {
 	for _, c := range worker.Classes() {
 		if c.Name == class {
@@ -255,8 +255,9 @@
 	return openEnd
 }
 
-// listRecoveries returns, for each fault of the list services that ended, the seconds from its end
-// until all sidecars had been ready once; 0 if they were before, -1 if one never was.
+// listRecoveries returns, for each fault of list services that ended, the time in seconds from its
+// end until every sidecar has been ready once. The value is 0 if all sidecars were ready before the
+// end, and -1 if a sidecar never became ready.
 func listRecoveries(spec *scenario.Scenario, h *indexedHistory, firstReady map[string]int64) []float64 {
 	var recoveries []float64
 	for i, fault := range spec.Schedule() {
--- a/internal/harness/check/processes.go
+++ b/internal/harness/check/processes.go
@@ -6,8 +6,8 @@
 	"fernlanding/internal/harness/history"
 )
 
-// ProcessVerdicts checks that no process exited by itself, that none is left, and that the history
-// is complete. Runs of distribution are judged by it as well.
+// ProcessVerdicts checks that no process exited by itself, that no process is left, and that the
+// history is complete. Package rollout/check uses it as well.
 func ProcessVerdicts(events []history.Event) []Verdict {
 	var verdicts []Verdict
 	isComplete := false
--- a/internal/harness/check/requests.go
+++ b/internal/harness/check/requests.go
@@ -8,7 +8,7 @@
 )
 
 // checkResponses checks that each request got one complete response of its own in time, unless a
-// fault excuses that it did not.
+// fault excuses the failure.
 func checkResponses(h *indexedHistory) []Verdict {
 	var verdicts []Verdict
 	for _, e := range h.events {
@@ -23,13 +23,13 @@
 	return verdicts
 }
 
-// responseFailure returns what is wrong with the response to a request, "" if nothing is or a fault
-// excuses it.
+// responseFailure returns the reason why the response to a request is missing, late or invalid. It
+// returns "" if the response is correct or a fault excuses the failure.
 func responseFailure(h *indexedHistory, e history.Event) string {
 	end := e.At + e.Took
 	switch {
 	case e.Reason == worker.WrongResponse || e.Reason == worker.TrailingBytes:
-		return e.Reason // no fault causes this
+		return e.Reason // no fault can cause an invalid response
 	case e.Status == 0 && !h.isExcused(e.To, e.At, end):
 		return e.Reason
 	case e.Status != 0 && end > e.Until+lateLeeway && !h.isExcused(e.To, e.At, end):
@@ -38,11 +38,11 @@
 	return ""
 }
 
-// checkEffects checks that no request, and no idempotency key, was executed twice where no pod
-// deduplicates it.
+// checkEffects checks that no request and no idempotency key was executed twice, except for
+// repetitions that a cell deduplicates.
 func checkEffects(h *indexedHistory) []Verdict {
 	var verdicts []Verdict
-	executed := map[string][]history.Event{} // by key or request
+	executed := map[string][]history.Event{} // by idempotency key, or by request if it has no key
 	for _, e := range h.events {
 		if e.Kind != history.Executed || e.Class != unsafeMethod {
 			continue
@@ -65,13 +65,13 @@
 	return verdicts
 }
 
-// isDeduplicated reports whether the pod that executed a key first drops its repetition.
+// isDeduplicated reports whether the cell that executed first drops the repetition.
 func isDeduplicated(first, repetition history.Event) bool {
 	return repetition.Key != "" && first.Cell == repetition.Cell &&
 		repetition.At-first.At < worker.DedupWindow.Microseconds()
 }
 
-// checkWarmup checks that no cold backend had more requests than its warm-up allows.
+// checkWarmup checks that no cold backend held more requests than its warm-up allows.
 func checkWarmup(h *indexedHistory) []Verdict {
 	var verdicts []Verdict
 	for _, e := range h.events {
@@ -84,12 +84,13 @@
 }
 
 // checkMisrouted checks that no sidecar sends a non-idempotent request to another service at a
-// backend's address. It judges only sidecars that started after the endpoint list had lost the
-// backend: one that was there before may have sent at the same moment.
+// backend's address. It checks only sidecars that started after the backend had been deleted from
+// the endpoint list. A sidecar that started earlier may have sent the request before it could learn
+// of the deletion.
 func checkMisrouted(h *indexedHistory) []Verdict {
 	var verdicts []Verdict
-	deletedAt := map[string]int64{} // backends that are not in the list
-	startedAt := map[string]int64{} // processes
+	deletedAt := map[string]int64{} // times of deletion, by backend that is not in the list
+	startedAt := map[string]int64{} // last start times, by process
 	for _, e := range h.events {
 		switch e.Kind {
 		case history.MemberStatus:
@@ -110,7 +111,7 @@
 					"%s, started %d ms after the list lost %s, sent it request %s, which may not be repeated",
 					sent.Who, (started-deleted)/1000, e.Who, e.ID))
 			}
-		default: // the others do not matter here
+		default: // other kinds are irrelevant to this check
 		}
 	}
 	return verdicts
--- a/internal/harness/check/run.go
+++ b/internal/harness/check/run.go
@@ -2,7 +2,7 @@
 
 import "fernlanding/internal/harness/scenario"
 
-// checkBounds checks the figures against the bounds of the scenario.
+// checkBounds checks the figures against the scenario's bounds.
 func checkBounds(spec *scenario.Scenario, f Figures) []Verdict {
 	var verdicts []Verdict
 	expect := func(isKept bool, format string, args ...any) {
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	deregisterDelay = 500 * time.Millisecond // from a process's death until its backends leave the endpoint list
-	drainDuration   = time.Second            // from when a backend starts draining until it stops
+	deregisterDelay = 500 * time.Millisecond // time from a process's end until its backends leave the endpoint list
+	drainDuration   = time.Second            // time from the start of a backend's draining until the backend stops
 )
 
 // runSchedule carries out the fault schedule and waits until the scenario's duration has passed.
@@ -33,10 +33,11 @@
 	return nil
 }
 
-// beginFault begins a fault and returns what ends it.
+// beginFault begins a fault and returns the function that ends it.
 func (r *run) beginFault(ctx context.Context, fault scenario.Fault) (end func() error, err error) {
 	switch fault.Kind {
-	case scenario.Cut, scenario.OneWay, scenario.Delay, scenario.Hold, scenario.Reset, scenario.HalfClose, scenario.Slow:
+	case scenario.Cut, scenario.OneWay, scenario.Delay, scenario.Hold, scenario.Reset, scenario.HalfClose,
+		scenario.Slow:
 		remove := r.Links.Begin(fault)
 		return func() error {
 			remove()
@@ -57,10 +58,10 @@
 	case scenario.AddressReused:
 		return r.beginAddressReuse(ctx, fault)
 	}
-	return nil, fmt.Errorf("no such fault: %s", fault.Kind)
+	return nil, fmt.Errorf("unknown kind of fault %q", fault.Kind)
 }
 
-// beginPause stops processes (SIGSTOP). They continue when the fault ends.
+// beginPause stops processes (SIGSTOP). The processes are continued (SIGCONT) when the fault ends.
 func (r *run) beginPause(fault scenario.Fault) (end func() error) {
 	names := r.targetProcesses(fault)
 	for _, name := range names {
@@ -74,8 +75,8 @@
 	}
 }
 
-// beginListFault makes list services answer wrongly. They answer correctly again when the fault
-// ends.
+// beginListFault switches list services to a faulty mode. The services return to the normal mode
+// when the fault ends.
 func (r *run) beginListFault(fault scenario.Fault) (end func() error, err error) {
 	setMode := func(mode string) error {
 		var all []error
@@ -88,8 +89,8 @@
 	return func() error { return setMode(standin.DiscoveryOK.String()) }, setMode(string(fault.Kind))
 }
 
-// beginBackendFault switches a fault of backends on with a command. The same command switches it
-// off when the fault ends.
+// beginBackendFault switches a fault of backends on by a command. The same command with On unset
+// switches the fault off when it ends.
 func (r *run) beginBackendFault(do string, fault scenario.Fault) (end func() error, err error) {
 	end = func() error {
 		return r.commandBackends(worker.Command{Do: do, Names: fault.Names})
@@ -97,7 +98,8 @@
 	return end, r.commandBackends(worker.Command{Do: do, Names: fault.Names, On: true})
 }
 
-// beginOutage ends processes by SIGKILL or SIGTERM. They are started again when the fault ends.
+// beginOutage ends processes by SIGKILL or SIGTERM. The processes are started again when the fault
+// ends.
 func (r *run) beginOutage(ctx context.Context, fault scenario.Fault) (end func() error, err error) {
 	names := r.targetProcesses(fault)
 	lost := r.backendsOf(names)
@@ -124,9 +126,9 @@
 	}, nil
 }
 
-// restart starts a process again. Backends in it start cold.
+// restart starts a process again. Backends in the process start cold.
 func (r *run) restart(ctx context.Context, name string) error {
-	r.Processes.Kill(name) // it may not have exited yet after SIGTERM
+	r.Processes.Kill(name) // the process may not have exited yet after SIGTERM
 	index := scenario.Index(name)
 	switch {
 	case strings.HasPrefix(name, "sidecar-"):
@@ -138,15 +140,15 @@
 	}
 }
 
-// beginReplacement drains backends and stops them a while later. They start again, cold, when the
-// fault ends.
+// beginReplacement drains backends and stops them after drainDuration, or at the end of the fault
+// if that is earlier. The backends start again, cold, when the fault ends.
 func (r *run) beginReplacement(ctx context.Context, fault scenario.Fault) (end func() error, err error) {
 	r.setBackendStatus(statusDraining, fault.Names...)
 	stopped := make(chan struct{})
 	r.Faults.Go(func() {
 		defer close(stopped)
 		if sleep.For(ctx, min(drainDuration, fault.Duration)) {
-			// A process that has exited has stopped its backends already.
+			// An error means that the process has exited, so that its backends have stopped.
 			_ = r.commandBackends(worker.Command{Do: worker.DoStop, Names: fault.Names})
 			r.setBackendStatus(statusDeleted, fault.Names...)
 		}
@@ -183,7 +185,7 @@
 	return fault.Names
 }
 
-// backendsOf returns the backends that run in the named processes.
+// backendsOf returns the names of the backends that run in the named processes.
 func (r *run) backendsOf(processes []string) []string {
 	var backends []string
 	for i, name := range r.backendNames {
@@ -194,8 +196,8 @@
 	return backends
 }
 
-// runAfter calls f after a delay, on a goroutine that the run's end waits for, unless ctx is done
-// before.
+// runAfter calls f after a delay unless ctx is done first. The end of the run waits for the call's
+// goroutine.
 func (r *run) runAfter(ctx context.Context, delay time.Duration, f func()) {
 	r.Faults.Go(func() {
 		if sleep.For(ctx, delay) {
--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -1,6 +1,6 @@
-// Package harness runs many sidecar processes between stand-ins of everything that they talk to.
-// Every connection between the processes goes through a relay that can inject faults, and
-// everything that happens is written to one history, which package check judges afterwards.
+// Package harness runs many sidecar processes together with stand-ins for clients, backends and
+// list services. Every connection between the processes goes through a relay that can inject
+// faults. All events are written to one history, which package check evaluates after the run.
 package harness
 
 import (
@@ -17,24 +17,24 @@
 	"fernlanding/internal/standin"
 )
 
-// Options say how a run is carried out.
+// Options are the options of a run.
 type Options struct {
 	// Sidecar is the command line of the program under test; "-config FILE" is appended.
 	Sidecar []string
 	// Worker is the command line of a stand-in process, which runs worker.Main.
 	Worker []string
-	// Env is added to the environment of both.
+	// Env is added to the environment of sidecars and stand-in processes.
 	Env []string
 	// Out receives the history.
 	Out io.Writer
 	// Logs adds the log lines of the sidecars to the history.
 	Logs bool
-	// Dir is where the sidecars' configuration files are written. If it is empty, a temporary
+	// Dir is the directory for the sidecars' configuration files. If Dir is empty, a temporary
 	// directory is used and removed at the end.
 	Dir string
 }
 
-// stopTimeout bounds how long the sidecars may take to exit after SIGTERM.
+// stopTimeout is the time within which the sidecars must exit after SIGTERM.
 const stopTimeout = 10 * time.Second
 
 // run is the state of one run of a scenario.
@@ -47,12 +47,12 @@
 	listNames        []string
 	clientNames      []string
 	backendNames     []string
-	backendIndex     map[string]int // by backend name
-	backendProcesses []string       // names of the processes that the backends are spread over
+	backendIndex     map[string]int // index in backendNames by backend name
+	backendProcesses []string       // names of the processes that the backends are distributed over
 
-	addrs             []link.Addr // of the sidecars, in the order of their names
-	sidecarPort       int         // where sidecars listen
-	sidecarRelayPort  int         // where clients reach them
+	addrs             []link.Addr // addresses of the sidecars, in the order of sidecarNames
+	sidecarPort       int         // port on which sidecars listen
+	sidecarRelayPort  int         // port of the relay from clients to sidecars
 	listRelayPorts    []int
 	backendRelayPorts []int
 
@@ -65,8 +65,8 @@
 }
 
 // Run runs a scenario and writes its history to opts.Out. It returns after all processes of the run
-// have exited. When ctx is done, it ends the run early and returns an error that wraps the
-// context's.
+// have exited. If ctx is done, Run ends the run early and returns an error that wraps the context's
+// error.
 func Run(ctx context.Context, spec *scenario.Scenario, opts Options) error {
 	common, err := launch.Begin(opts.Out, opts.Dir, spec.Name, spec.Seed)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return common.End(r.execute(ctx))
 }
 
-// newRun returns a run of which nothing has been started.
+// newRun returns a run that has not been started.
 func newRun(common *launch.Run, spec *scenario.Scenario, opts Options) *run {
 	clients := spec.Names(scenario.OnClients)
 	r := &run{
@@ -122,7 +122,7 @@
 // stop ends the load, waits for the last responses, and terminates the sidecars.
 func (r *run) stop() error {
 	for _, name := range r.clientNames {
-		// A client process that has exited has no load to end.
+		// An error means that the client process has exited and has no load to end.
 		_ = r.Processes.SendCommand(name, worker.Command{Do: worker.DoLoad})
 	}
 	longest := time.Duration(0)
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -16,15 +16,15 @@
 	"fernlanding/internal/harness/worker"
 )
 
-// The test's own program also runs as the harness's workers, as faulty sidecars, and as the harness
-// that is killed.
+// Environment variables that run the test's own executable as a worker of the harness, as a naive
+// proxy, or as the harness that a test kills.
 const (
 	roleVar    = "RIG_TEST_ROLE"
 	bugVar     = "RIG_TEST_BUG"
 	programVar = "RIG_TEST_PROGRAM"
 )
 
-var program string // the sidecar, built from this tree
+var program string // path of the sidecar, built from this source tree
 
 func TestMain(m *testing.M) {
 	switch os.Getenv(roleVar) {
@@ -38,8 +38,8 @@
 	harnesstest.Main(m, "fernlanding", func(path string) { program = path })
 }
 
-// options returns the options of a run with a program under test. The test's own program stands for
-// the naive proxy.
+// options returns the options of a run with a program under test. The path of the test's own
+// executable selects the naive proxy.
 func options(sidecar string, env ...string) harness.Options {
 	opts := harness.Options{Sidecar: []string{sidecar}, Worker: harnesstest.InRole(roleVar, "worker"), Env: env}
 	if sidecar == harnesstest.Self() {
@@ -48,7 +48,7 @@
 	return opts
 }
 
-// runScenario runs a scenario and judges its history.
+// runScenario runs a scenario and returns the verdicts and figures of its history.
 func runScenario(t *testing.T, spec *scenario.Scenario, opts harness.Options) ([]check.Verdict, check.Figures) {
 	t.Helper()
 	var log bytes.Buffer
@@ -64,7 +64,7 @@
 	return result.Verdicts, result.Figures
 }
 
-// decode returns the scenario that a text describes.
+// decode decodes a scenario.
 func decode(t *testing.T, text string) *scenario.Scenario {
 	t.Helper()
 	spec, err := scenario.Read("test.toml", []byte(text))
@@ -74,7 +74,7 @@
 	return spec
 }
 
-// smallScenario is a short run with four faults that are drawn from the seed.
+// smallScenario is a short run with four faults drawn from the seed.
 const smallScenario = `
 name = "small"
 for = "1500ms"
@@ -100,10 +100,10 @@
 long = "700ms"
 `
 
-// Twenty-four sidecars pass all checks under thirty schedules of kills, stops, cuts, delays,
-// one-way cuts, messages held in their middle, resets, half-closed connections, drains and an
-// absent list service.
-func TestRulesHoldUnderFaults(t *testing.T) {
+// Twenty-four sidecars pass all checks under thirty random fault schedules. The faults are kills,
+// stops, cuts, delays, one-way cuts, partially delivered messages, resets, half-closed connections,
+// replaced backends and list services that are down.
+func TestChecksPassUnderFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts a thousand processes")
 	}
@@ -120,19 +120,19 @@
 				t.Errorf("seed %d: %s", seed, verdict)
 			}
 			if figures.Requests < 100 || figures.Served < 0.3*float64(figures.Requests) {
-				t.Errorf("seed %d: %.0f of %d requests served: the run shows nothing",
+				t.Errorf("seed %d: %.0f of %d requests served, too few for a meaningful run",
 					seed, figures.Served, figures.Requests)
 			}
 			if t.Failed() {
-				t.Logf("seed %d's faults:\n%s", seed, scenario.Text(spec.Schedule()))
+				t.Logf("faults of seed %d:\n%s", seed, scenario.Text(spec.Schedule()))
 			}
 		})
 	}
 	all.Wait()
 }
 
-// Each check finds the proxy with the bug that it is there for, and a proxy without a bug passes
-// all.
+// Each check finds the naive proxy with the bug that the check is for. A naive proxy without a bug
+// passes all checks.
 func TestCheckersFindSeededBugs(t *testing.T) {
 	const base = `
 name = "bugs"
@@ -200,7 +200,7 @@
 				}
 			}
 			if !found && c.check != "" {
-				t.Errorf("%s is not found", c.bug)
+				t.Errorf("bug %q: no verdict of check %s", c.bug, c.check)
 			}
 		})
 	}
--- a/internal/harness/harnesstest/harnesstest.go
+++ b/internal/harness/harnesstest/harnesstest.go
@@ -1,5 +1,5 @@
-// Package harnesstest holds what tests of the harness share: a program that is built from this
-// tree, and the test's own program in other roles.
+// Package harnesstest has helpers for tests of the harness. The helpers build a program from this
+// source tree and run the test's own executable in other roles.
 package harnesstest
 
 import (
@@ -10,13 +10,13 @@
 	"testing"
 )
 
-// Main builds the program in a directory of cmd, with further flags of "go build", calls setPath
-// with the program's path, and runs the tests. It does not return.
+// Main builds the program cmd/NAME, where NAME is name, with additional flags for "go build". It
+// calls setPath with the path of the executable and runs the tests. Main does not return.
 func Main(m *testing.M, name string, setPath func(path string), flags ...string) {
 	os.Exit(run(m, name, setPath, flags))
 }
 
-// run is Main without the exit. It returns the exit code.
+// run does the work of Main and returns the exit code.
 func run(m *testing.M, name string, setPath func(path string), flags []string) int {
 	dir, err := os.MkdirTemp("", "rigtest")
 	if err != nil {
@@ -40,8 +40,8 @@
 	return m.Run()
 }
 
-// Exit ends the test's program in another role: with code 0 if err is nil, otherwise with the
-// error's text and code 1.
+// Exit exits the test's executable after it has run in another role. The exit code is 0 if err is
+// nil; otherwise Exit prints err to standard error and the exit code is 1.
 func Exit(err error) {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -50,7 +50,7 @@
 	os.Exit(0)
 }
 
-// Self returns the path of the test's own program.
+// Self returns the path of the test's own executable.
 func Self() string {
 	path, err := os.Executable()
 	if err != nil {
@@ -59,8 +59,8 @@
 	return path
 }
 
-// InRole returns the command line of the test's own program with an environment variable that names
-// its role.
+// InRole returns a command line that runs the test's own executable with the environment variable
+// named variable set to role.
 func InRole(variable, role string) []string {
 	return []string{"/usr/bin/env", variable + "=" + role, Self()}
 }
--- a/internal/harness/history/event.go
+++ b/internal/harness/history/event.go
@@ -1,125 +1,131 @@
-// Package history records what happens in a run of the harness, and reads it back. A history is a
-// file of JSON lines, one event a line. All times are from one clock, in microseconds from the
-// run's start.
+// Package history writes and reads the events of a run of the harness. A history is a file of JSON
+// lines, one event per line. All times come from one clock, in microseconds since the run's start.
 package history
 
 import (
 	"fernlanding/internal/distribution"
 )
 
-// Kind is a kind of event. Its text is stored in histories.
+// Kind is a kind of event. Its value is stored in histories.
 type Kind string
 
-// The kinds of event. Who is the process, backend or follower that an event is about, To is its
+// The kinds of event. Who is the process, backend or follower that an event is about; To is its
 // peer.
 const (
-	// Of the run and its faults.
+	// Events of the run and its faults.
 
-	// Began: the run starts: ID is its scenario's name, N its seed.
+	// RunStarted events mark the start of the run. ID is the scenario's name; N is the seed.
 	RunStarted Kind = "began"
-	// Ended: the run ends: N is how many of its processes still exist.
+	// RunEnded events mark the end of the run. N is the number of its processes that still exist.
 	RunEnded Kind = "ended"
-	// Fault: the fault ID begins (N 1) or ends (N 0): Why describes it.
+	// Fault events mark the beginning (N is 1) or the end (N is 0) of the fault ID. Reason
+	// describes the fault, Names has the processes that it acts on, and To is its link.
 	Fault Kind = "fault"
 
-	// Of processes.
+	// Events of processes.
 
-	// Started: a process has started: N is its process id.
+	// Started events mark the start of a process. N is its process ID.
 	Started Kind = "started"
-	// Exited: a process has exited: Why says how.
+	// Exited events mark the exit of a process. Reason says how it exited.
 	Exited Kind = "gone"
-	// Stopped: a process was stopped (SIGSTOP).
+	// Stopped events mark that a process was stopped (SIGSTOP).
 	Stopped Kind = "stopped"
-	// Continued: a stopped process was continued (SIGCONT).
+	// Continued events mark that a stopped process was continued (SIGCONT).
 	Continued Kind = "continued"
-	// Terminating: a process is about to be sent SIGTERM, or to be killed.
+	// Terminating events precede SIGTERM or SIGKILL to a process.
 	Terminating Kind = "told"
-	// Ready: the sidecar To has passed a health check for the first time since it failed one.
+	// Ready events mark that the sidecar To passed a health check for the first time since it
+	// failed one.
 	Ready Kind = "ready"
-	// Log: Why is a log line of a process.
+	// Log events hold a log line of a process in Reason.
 	Log Kind = "log"
-	// Usage: Figures is what a process has used until now, or holds.
+	// Usage events hold in Figures the resources that a process has used so far or holds.
 	Usage Kind = "used"
-	// CPUWaited: a process's threads have waited for a core for Took in all since they were
-	// measured before, at N.
+	// CPUWaited events hold in Took how long a process's threads have waited for a core in total
+	// since the previous sample, which was taken at N.
 	CPUWaited Kind = "waited"
-	// Lag: the machine scheduled a process Took too late.
+	// Lag events mark that the machine scheduled a process late, by Took.
 	Lag Kind = "lag"
 
-	// Of links and endpoint lists.
+	// Events of links and endpoint lists.
 
-	// ListPolled: a list service answered a poll of To: N is the version it has, negative for a
-	// snapshot.
+	// ListPolled events mark that a list service answered a poll of To. N is the version that To
+	// has; it is negative if To requests a snapshot.
 	ListPolled Kind = "call"
-	// Delivered: a relay has delivered the first Bytes of a response on Conn.
+	// Delivered events mark that a relay has delivered the first Bytes bytes of the responses on
+	// Conn.
 	Delivered Kind = "delivered"
-	// MemberStatus: the backend Who has a new status in the endpoint list: Why is SERVING,
-	// DRAINING or DELETED.
+	// MemberStatus events mark a new status of the backend Who in the endpoint list. Reason is
+	// SERVING, DRAINING or DELETED.
 	MemberStatus Kind = "member"
-	// Opened: a relay accepted a connection from Who to To.
+	// Opened events mark that a relay accepted a connection from Who to To.
 	Opened Kind = "opened"
-	// Sent: a relay received the first byte of the Nth request on Conn, from Who to To.
+	// Sent events mark that a relay received the first byte of the Nth request on Conn, from Who to
+	// To.
 	Sent Kind = "sent"
 
-	// Of backends.
+	// Events of backends.
 
-	// Executed: a backend began to execute the request ID, the Nth on Conn; Pod deduplicates by
-	// key.
+	// Executed events mark that a backend began to execute the request ID, the Nth on Conn. Cell is
+	// the backend's cell, which deduplicates by key.
 	Executed Kind = "ran"
-	// Overloaded: a backend rejected a request because its queue is full.
+	// Overloaded events mark that a backend rejected a request because its queue is full.
 	Overloaded Kind = "full"
-	// Misrouted: another service at the backend's address received the request ID, the Nth on
-	// Conn.
+	// Misrouted events mark that another service at the backend's address received the request ID,
+	// the Nth on Conn.
 	Misrouted Kind = "strayed"
-	// WarmupOverload: a cold backend holds more requests than its warm-up allows (N 1), or no
-	// longer (N 0).
+	// WarmupOverload events mark the beginning (N is 1) or the end (N is 0) of a time in which a
+	// cold backend holds more requests than its warm-up allows.
 	WarmupOverload Kind = "pushed"
 
-	// Of clients.
+	// Events of clients.
 
-	// LoadEnded: a client process's load has ended, and all its requests with it.
+	// LoadEnded events mark that a client process has ended its load and all its requests.
 	LoadEnded Kind = "quiet"
-	// Requested: a client sent the request ID to To and had Status after Took; 0 is no response,
-	// for the reason Why.
+	// Requested events mark that a client sent the request ID to To and received Status after Took.
+	// Status 0 means no response, for the reason in Reason.
 	Requested Kind = "asked"
 
-	// Of the distribution of resources.
+	// Events of the distribution of resources.
 
-	// Put: a publisher wrote ID to Resource and had Status and Version after Took; Urgent: it
-	// withdraws something.
+	// Put events mark that a publisher wrote ID to Resource and received Status and Version after
+	// Took. Urgent is set if the write deletes an item.
 	Put Kind = "put"
-	// Subscribed: a follower subscribes to Resource and holds Version; zero is none.
+	// Subscribed events mark that a follower subscribes to Resource and holds Version. The zero
+	// Version means none.
 	Subscribed Kind = "subscribed"
-	// InForce: a follower applied Version of Resource, from the relay To, as a delta from From
-	// (zero: a snapshot); Digest is of all items.
+	// InForce events mark that a follower applied Version of Resource, received from the relay To as
+	// a delta from From. The zero From means a snapshot. Digest covers all items.
 	InForce Kind = "in-force"
-	// UpdateRejected: a follower rejected Version of Resource, for the reason Why.
+	// UpdateRejected events mark that a follower rejected Version of Resource for the reason in
+	// Reason.
 	UpdateRejected Kind = "refused"
-	// StatusReported: the source Who reported which versions are in force: Report.
+	// StatusReported events hold in Report which versions are in force according to the source Who.
 	StatusReported Kind = "reported"
-	// Source: the source holds Version of Resource with Digest, and was polled Took before.
+	// SourceRead events mark that the source holds Version of Resource with Digest. The request to
+	// the source was sent Took earlier.
 	SourceRead Kind = "source"
 )
 
-// What ListPolled events say.
+// Values in ListPolled events.
 const (
-	ServingMark = "+"        // prefix of the name of a backend that serves
-	Snapshot    = "whole"    // Why: the response is complete, so that it removes all backends that it does not name
-	CallerLeft  = "given up" // Why: the caller closed its connection before the response
+	ServingMark = "+"        // prefix in Names of a backend that serves
+	Snapshot    = "whole"    // Reason for a complete response, which removes all backends that it does not name
+	CallerLeft  = "given up" // Reason if the caller closed its connection before the response
 )
 
 // Keys of Figures in Usage events. A source or relay uses the same keys in its statistics.
 const (
-	UsageBytes     = "bytes"       // transferred by the followers of a process until now
-	UsageReads     = "reads"       // messages that they have sent until now
-	UsageFollowers = "followers"   // in a process
-	UsageResident  = "resident"    // resident memory of a process, in bytes
-	UsageSessions  = "sessions"    // that a source or relay holds
-	UsageCache     = "cache_bytes" // of updates that it has encoded for followers
-	UsageStore     = "store_bytes" // of its resources
+	UsageBytes     = "bytes"       // bytes transferred so far by all followers of a process
+	UsageReads     = "reads"       // messages sent so far by all followers of a process
+	UsageFollowers = "followers"   // number of followers in a process
+	UsageResident  = "resident"    // resident memory of a process in bytes
+	UsageSessions  = "sessions"    // number of sessions of a source or relay
+	UsageCache     = "cache_bytes" // bytes of the updates that a source or relay has encoded for followers
+	UsageStore     = "store_bytes" // bytes of the resources of a source or relay
 )
 
-// Event is one event of a history. Which fields it has depends on its kind.
+// Event is one event of a history. The fields in use depend on its kind.
 type Event struct {
 	At     int64  `json:"at"` // microseconds since the run's start
 	Kind   Kind   `json:"kind"`
@@ -127,16 +133,16 @@
 	To     string `json:"to,omitempty"`
 	ID     string `json:"id,omitempty"`
 	Class  string `json:"class,omitempty"`
-	Key    string `json:"key,omitempty"` // an idempotency key
+	Key    string `json:"key,omitempty"` // idempotency key
 	Conn   string `json:"conn,omitempty"`
 	N      int64  `json:"n,omitempty"`
 	Bytes  int64  `json:"bytes,omitempty"`
-	Status int    `json:"status,omitempty"` // of HTTP
+	Status int    `json:"status,omitempty"` // HTTP status
 	Took   int64  `json:"took,omitempty"`   // microseconds
-	Until  int64  `json:"until,omitempty"`  // of Requested: the client's deadline
+	Until  int64  `json:"until,omitempty"`  // client's deadline in Requested events, microseconds since the run's start
 	Cell   int    `json:"pod,omitempty"`
-	// Names are, of ListPolled, the backends in the response; those that serve have the prefix
-	// ServingMark.
+	// Names are the backends in the response in ListPolled events. The names of backends that serve
+	// have the prefix ServingMark.
 	Names  []string `json:"names,omitempty"`
 	Reason string   `json:"why,omitempty"`
 
--- a/internal/harness/launch/run.go
+++ b/internal/harness/launch/run.go
@@ -1,6 +1,6 @@
-// Package launch holds what the runs of the harness and of its rollout tests share: the search for
-// free addresses and ports, the start of worker processes, the fault schedule, and the history that
-// is written meanwhile.
+// Package launch has the parts that runs of the harness and of its rollout tests share: the search
+// for free addresses and ports, the start of worker processes, the execution of the fault schedule,
+// and the writing of the history.
 package launch
 
 import (
@@ -14,22 +14,22 @@
 	"fernlanding/internal/harness/process"
 )
 
-// Run is the state that every run has: a clock, a history, processes, the links between them, and a
+// Run is the state of a run: a clock, a history, processes, the links between them, and a
 // directory.
 type Run struct {
 	Clock     history.Clock
 	Processes *process.Set
 	Links     *link.Network // nil until OpenLinks
-	Dir       string        // for files of the processes
-	// Faults counts the goroutines that carry out faults. End waits for them.
+	Dir       string        // directory for files of the processes
+	// Faults counts the goroutines that carry out faults. End waits for these goroutines.
 	Faults sync.WaitGroup
 
 	history   *history.Writer
-	isTempDir bool // Dir is removed at the end
+	isTempDir bool // End removes Dir
 }
 
-// Begin begins a run whose history goes to out. If dir is empty, a temporary directory is used,
-// which End removes.
+// Begin begins a run and writes its history to out. If dir is empty, Begin creates a temporary
+// directory, which End removes.
 func Begin(out io.Writer, dir, name string, seed uint64) (*Run, error) {
 	r := &Run{Clock: history.NewClock(), Dir: dir, history: history.NewWriter(out)}
 	if dir == "" {
@@ -45,8 +45,8 @@
 	return r, nil
 }
 
-// Record writes an event to the history. An event without a time gets the current one. It may be
-// called from any goroutine.
+// Record writes an event to the history. If the event has no time, Record sets the current time.
+// Record may be called from any goroutine.
 func (r *Run) Record(e history.Event) {
 	if e.At == 0 {
 		e.At = r.Clock.Now()
@@ -54,8 +54,8 @@
 	r.history.Write(e)
 }
 
-// OpenLinks finds a network and a range of count ports that are free, and calls open to listen
-// there on the run's links.
+// OpenLinks creates the run's links. It finds a network and a range of count ports that are free,
+// and calls open to listen there.
 func (r *Run) OpenLinks(count int, watcher link.Watcher, open func(network, port int) error) error {
 	return FindNetwork(count, func(network, port int) error {
 		r.Links = link.New(watcher)
@@ -69,7 +69,7 @@
 }
 
 // End ends all processes, links and faults, and then the history. It returns runErr, the result of
-// the run, joined with the errors of its own.
+// the run, joined with the errors of the cleanup.
 func (r *Run) End(runErr error) error {
 	left := r.Processes.Close()
 	if r.Links != nil {
--- a/internal/harness/launch/schedule.go
+++ b/internal/harness/launch/schedule.go
@@ -12,25 +12,25 @@
 	"fernlanding/internal/sleep"
 )
 
-// Schedule is the faults of a run, and how they are carried out.
+// Schedule is the faults of a run and the function that carries them out.
 type Schedule struct {
 	Faults []scenario.Fault
-	// BeginFault begins a fault and returns what ends it.
+	// BeginFault begins a fault and returns the function that ends it.
 	BeginFault func(context.Context, scenario.Fault) (end func() error, err error)
-	// RecordEndAfterRecovery records the end of a fault when what it disturbed is running again,
-	// instead of when its recovery begins.
+	// RecordEndAfterRecovery records the end of a fault when the affected processes are running
+	// again, instead of when their recovery begins.
 	RecordEndAfterRecovery bool
 }
 
 // step is the beginning or the end of a fault.
 type step struct {
-	at    time.Duration // from the schedule's start
+	at    time.Duration // time since the schedule's start
 	fault int           // index into the schedule's faults
 	isEnd bool
 }
 
 // RunSchedule begins and ends all faults of a schedule at their times, counted from start. It
-// returns after the last of them, or at the first error.
+// returns after the last end of a fault or at the first error.
 func (r *Run) RunSchedule(ctx context.Context, start time.Time, schedule Schedule) error {
 	ends := make([]func() error, len(schedule.Faults))
 	for _, s := range steps(schedule.Faults) {
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// steps returns the beginnings and ends of faults in the order of their times. The sort is stable,
-// so that a fault without duration begins before it ends.
+// steps returns the beginnings and ends of faults, sorted by time. The sort is stable, so that a
+// fault without duration begins before it ends.
 func steps(faults []scenario.Fault) []step {
 	var all []step
 	for i, fault := range faults {
--- a/internal/harness/launch/worker.go
+++ b/internal/harness/launch/worker.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	initialLineBytes = 1 << 16 // of the buffer for a worker's line
-	maxLineBytes     = 4 << 20 // of a worker's line
+	initialLineBytes = 1 << 16 // initial size of the buffer for a line of a worker's output
+	maxLineBytes     = 4 << 20 // largest line of a worker's output
 )
 
 // WorkerStarter starts worker processes.
 type WorkerStarter struct {
 	Processes *process.Set
 	Program   []string // command line of a worker
-	Env       []string // added to its environment
+	Env       []string // additional environment of a worker
 	Clock     history.Clock
-	// OnEvent receives each event that a worker reports. It is called on one goroutine for each
-	// worker.
+	// OnEvent receives each event that a worker reports. The events of one worker arrive on one
+	// goroutine; events of different workers may arrive concurrently.
 	OnEvent func(history.Event)
 }
 
-// Start starts a worker and returns its first line of output. It waits for the line until ctx is
+// Start starts a worker and returns its first line of output. It waits for that line until ctx is
 // done.
 func (s WorkerStarter) Start(ctx context.Context, spec worker.Spec) (worker.Hello, error) {
 	spec.ClockZero = s.Clock.Zero()
@@ -54,20 +54,20 @@
 	select {
 	case line, ok := <-helloLine:
 		if !ok {
-			return worker.Hello{}, fmt.Errorf("%s has ended at its start", spec.Name)
+			return worker.Hello{}, fmt.Errorf("%s: exited before its first line of output", spec.Name)
 		}
 		var hello worker.Hello
 		if err := json.Unmarshal(line, &hello); err != nil {
-			return worker.Hello{}, fmt.Errorf("%s: its first line: %w", spec.Name, err)
+			return worker.Hello{}, fmt.Errorf("%s: invalid first line of output: %w", spec.Name, err)
 		}
 		return hello, nil
 	case <-ctx.Done():
-		return worker.Hello{}, fmt.Errorf("%s does not start: %w", spec.Name, ctx.Err())
+		return worker.Hello{}, fmt.Errorf("%s: no output after the start: %w", spec.Name, ctx.Err())
 	}
 }
 
-// readOutput reads a worker's output to its end. The first line goes to helloLine, which is closed
-// after it; the others are events.
+// readOutput reads a worker's output to its end. It sends the first line to helloLine, closes
+// helloLine, and passes the events in the other lines to OnEvent.
 func (s WorkerStarter) readOutput(stdout io.Reader, helloLine chan<- []byte) {
 	lines := bufio.NewScanner(stdout)
 	lines.Buffer(make([]byte, initialLineBytes), maxLineBytes)
@@ -77,12 +77,12 @@
 	close(helloLine)
 	for lines.Scan() {
 		var e history.Event
-		// A worker that is killed leaves part of a line behind.
+		// The last line of a worker that was killed may be incomplete.
 		if json.Unmarshal(lines.Bytes(), &e) == nil && e.Kind != "" {
 			s.OnEvent(e)
 		}
 	}
-	// The scanner stops at a line beyond its bound. The rest is read so that the worker does not
-	// block.
+	// The scanner stops at a line that exceeds maxLineBytes. The rest of the output is discarded so
+	// that the worker does not block on a full pipe.
 	_, _ = io.Copy(io.Discard, stdout)
 }
--- a/internal/harness/lifetime_test.go
+++ b/internal/harness/lifetime_test.go
@@ -19,7 +19,8 @@
 	"fernlanding/internal/harness/scenario"
 )
 
-// runHarness runs the scenario in a file as a process of its own.
+// runHarness runs the scenario in a file. It is the main function of the test's executable in the
+// role of the harness.
 func runHarness(program, file string) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -35,7 +36,7 @@
 	return harness.Run(context.Background(), spec, opts)
 }
 
-// No process that the harness has started outlives it, whenever it is killed.
+// No process started by the harness outlives it, whenever the harness is killed.
 func TestNoProcessOutlivesKilledHarness(t *testing.T) {
 	const ms = time.Millisecond
 	for i, delay := range []time.Duration{30 * ms, 150 * ms, 400 * ms, 900 * ms} {
@@ -55,7 +56,7 @@
 			t.Fatal(err)
 		}
 		killed := time.AfterFunc(delay, func() { _ = cmd.Process.Kill() })
-		_, _ = io.Copy(io.Discard, out) // ends when no process holds the pipe: workers write to pipes of their own
+		_, _ = io.Copy(io.Discard, out) // returns when no process holds the pipe; workers write to other pipes
 		_ = cmd.Wait()
 		killed.Stop()
 		deadline := time.Now().Add(20 * time.Second)
@@ -65,14 +66,14 @@
 				break
 			}
 			if time.Now().After(deadline) {
-				t.Fatalf("kill %d: left behind: %v", i, left)
+				t.Fatalf("kill %d after %v: processes %v still running", i, delay, left)
 			}
-			time.Sleep(5 * ms) // nothing announces the exit of another process's children
+			time.Sleep(5 * ms) // no event signals the exit of another process's children
 		}
 	}
 }
 
-// processesMentioning returns the ids of the processes whose arguments contain a text.
+// processesMentioning returns the IDs of the processes whose arguments contain text.
 func processesMentioning(t *testing.T, text string) []string {
 	t.Helper()
 	files, err := filepath.Glob("/proc/[0-9]*/cmdline")
@@ -81,7 +82,7 @@
 	}
 	var ids []string
 	for _, file := range files {
-		data, err := os.ReadFile(file) // fails where the process has exited since
+		data, err := os.ReadFile(file) // fails if the process has exited in the meantime
 		if err == nil && bytes.Contains(data, []byte(text)) {
 			ids = append(ids, filepath.Base(filepath.Dir(file)))
 		}
@@ -89,7 +90,7 @@
 	return ids
 }
 
-// A run whose context is done ends its processes, and records that.
+// A run ends its processes and records its end when its context is done.
 func TestContextEndsRun(t *testing.T) {
 	ctx, stop := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer stop()
@@ -98,7 +99,7 @@
 	opts.Out = &log
 	spec := decode(t, strings.Replace(smallScenario, `for = "1500ms"`, `for = "30s"`, 1))
 	if err := harness.Run(ctx, spec, opts); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want %v", err, context.DeadlineExceeded)
 	}
 	events, err := history.Read(&log)
 	if err != nil {
@@ -106,10 +107,10 @@
 	}
 	for _, e := range events {
 		if e.Kind == history.Started && syscall.Kill(int(e.N), 0) == nil {
-			t.Errorf("%s, process %d, is still there", e.Who, e.N)
+			t.Errorf("process %d of %s is still running", e.N, e.Who)
 		}
 	}
 	if last := events[len(events)-1]; last.Kind != history.RunEnded || last.N != 0 {
-		t.Errorf("last event %+v", last)
+		t.Errorf("got last event %+v, want %s with no processes left", last, history.RunEnded)
 	}
 }
--- a/internal/harness/link/addr.go
+++ b/internal/harness/link/addr.go
@@ -5,7 +5,8 @@
 // Addr is the loopback address of a process: 127.x.y.z.
 type Addr [4]byte
 
-// AddrOf returns the nth address, from 0, of a network. There are 200 networks of 64,000 addresses.
+// AddrOf returns address n, counted from 0, of a network. There are 200 networks of 64,000
+// addresses each.
 func AddrOf(network, n int) Addr {
 	return Addr{127, byte(20 + network%200), byte(1 + n/250), byte(1 + n%250)}
 }
--- a/internal/harness/link/conn.go
+++ b/internal/harness/link/conn.go
@@ -14,34 +14,35 @@
 
 const dialTimeout = 2 * time.Second
 
-// relayedConn is one connection through a relay: the client's, and the relay's own to the server.
+// relayedConn is one connection through a relay. It consists of the connection that the client
+// opened and the connection from the relay to the server.
 type relayedConn struct {
 	network    *Network
 	peers      Peers
 	group      string
 	deliveries bool
 	client     *net.TCPConn
-	// serverSideAddr is the connection's address as the server sees it. It is set before bytes are
-	// passed on.
+	// serverSideAddr is the address of the relay's end of the connection to the server. It is set
+	// before any bytes are forwarded.
 	serverSideAddr string
-	requests       atomic.Int64 // so far
-	responseBegun  atomic.Bool  // since the last request began
-	// firstByteAt is when the first byte came on a connection that was made while its link was cut;
-	// nil if it came when it was read.
+	requests       atomic.Int64 // number of requests so far
+	responseBegun  atomic.Bool  // whether a response has begun since the last request began
+	// firstByteAt is the arrival time of the first byte on a connection that was made while its
+	// link was cut; nil means that the first byte was read as soon as it arrived.
 	firstByteAt atomic.Pointer[time.Time]
 
 	mu     sync.Mutex
-	server *net.TCPConn // nil until it is connected; written under mu
-	closed bool         // guarded by mu
-	done   chan struct{}
+	server *net.TCPConn  // nil until connected; written with mu held
+	closed bool          // guarded by mu
+	done   chan struct{} // closed by close
 }
 
-// serve relays one connection until it ends.
+// serve relays one connection until it is closed.
 func (n *Network) serve(client *net.TCPConn, relay Relay) {
 	dialled := addrOf(client.LocalAddr())
 	peers, server, ok := relay.Route(dialled)
 	if !ok {
-		_ = client.Close() // nothing has been written to it
+		_ = client.Close() // nothing has been written to the connection
 		return
 	}
 	c := &relayedConn{
@@ -53,7 +54,7 @@
 		done:       make(chan struct{}),
 	}
 	if !n.add(c) {
-		_ = client.Close() // nothing has been written to it
+		_ = client.Close() // nothing has been written to the connection
 		return
 	}
 	var watching sync.WaitGroup
@@ -69,12 +70,12 @@
 	directions.Wait()
 }
 
-// waitConnectable waits until no fault keeps the relay from connecting to the server. It reports
-// false if the connection was reset or the network closed meanwhile. watching counts the goroutine
-// that it may start.
+// waitConnectable waits until no fault prevents the relay from connecting to the server. It reports
+// false if the connection was reset or the network was closed. watching counts the goroutine that
+// waitConnectable may start.
 //
-// A connection that is made while its link is cut is established for the client, since the kernel
-// has accepted it; it stays silent. While the link is reset, it is reset too.
+// A connection that is made while its link is cut is established for the client because the kernel
+// has accepted it, but no bytes pass. A connection that is made during a Reset fault is reset.
 func (c *relayedConn) waitConnectable(watching *sync.WaitGroup) bool {
 	isWatching := false
 	for {
@@ -87,7 +88,7 @@
 		if !slices.ContainsFunc(faults, isCut) {
 			return true
 		}
-		if !isWatching { // what comes now is read later: when it came is what counts
+		if !isWatching { // bytes are read only after the cut, so the arrival time is recorded now
 			isWatching = true
 			watching.Go(c.awaitFirstByte)
 		}
@@ -99,8 +100,9 @@
 	}
 }
 
-// connect connects to the server, from the address that the client dialled. It reports whether that
-// succeeded; otherwise the client's connection is reset, as the kernel refuses one at the far end.
+// connect connects to the server from the address that the client dialled. It reports whether the
+// connection was established. On failure, it resets the client's connection, which corresponds to
+// the kernel refusing a connection without a relay.
 func (c *relayedConn) connect(from Addr, server string) bool {
 	dialer := net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: net.IP(from[:])}, KeepAlive: -1}
 	conn, err := dialer.Dial("tcp4", server)
@@ -109,7 +111,7 @@
 		return false
 	}
 	tcp, ok := conn.(*net.TCPConn)
-	if !ok { // never: tcp4 was dialled
+	if !ok { // unreachable: a dial of tcp4 returns a *net.TCPConn
 		c.reset()
 		return false
 	}
@@ -120,14 +122,14 @@
 	return true
 }
 
-// awaitFirstByte notes when the first byte comes from the client, without reading it. It returns
-// when the connection is closed, at the latest.
+// awaitFirstByte records in firstByteAt when the first byte arrives from the client, without
+// consuming the byte. It returns when the byte has arrived or the connection is closed.
 func (c *relayedConn) awaitFirstByte() {
 	raw, err := c.client.SyscallConn()
 	if err != nil {
 		return
 	}
-	// It fails when the connection is closed, which is how the wait ends.
+	// Read fails when the connection is closed, which ends the wait.
 	_ = raw.Read(func(fd uintptr) bool {
 		var first [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), first[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -139,8 +141,8 @@
 	})
 }
 
-// close closes both connections. Their errors do not matter any more: what was written has been
-// passed on or is lost.
+// close closes both connections. It ignores errors because written bytes have either been forwarded
+// or are lost.
 func (c *relayedConn) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -154,10 +156,10 @@
 	}
 }
 
-// reset resets both connections, as the kernel does for a process that dies.
+// reset resets both connections, as the kernel does for a process that is killed.
 func (c *relayedConn) reset() {
 	c.mu.Lock()
-	_ = c.client.SetLinger(0) // fails only if it is closed
+	_ = c.client.SetLinger(0) // fails only if the connection is closed
 	if c.server != nil {
 		_ = c.server.SetLinger(0)
 	}
@@ -165,12 +167,12 @@
 	c.close()
 }
 
-// halfClose closes one direction.
+// halfClose closes one direction of the connection.
 func (c *relayedConn) halfClose(direction string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if direction == scenario.ToClient {
-		_ = c.client.CloseWrite() // fails only if it is closed
+		_ = c.client.CloseWrite() // fails only if the connection is closed
 	} else if c.server != nil {
 		_ = c.server.CloseWrite()
 	}
--- a/internal/harness/link/link_test.go
+++ b/internal/harness/link/link_test.go
@@ -16,12 +16,12 @@
 	"fernlanding/internal/standin"
 )
 
-// countingWatcher counts what a network reports.
+// countingWatcher counts the events of a network.
 type countingWatcher struct {
 	mu          sync.Mutex
 	opened      int
 	requests    int64
-	requestedAt time.Time // arrival of the last request
+	requestedAt time.Time // arrival time of the last request
 	delivered   int64
 }
 
@@ -50,7 +50,7 @@
 type testLink struct {
 	*link.Network
 	*countingWatcher
-	addr string // where a client reaches the relay
+	addr string // address that clients dial
 }
 
 // newTestLink opens a relay on a free port.
@@ -85,7 +85,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // a test may have closed it
+	t.Cleanup(func() { _ = conn.Close() }) // fails if the test has closed the connection
 	_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
 	return conn
 }
@@ -109,23 +109,23 @@
 		n, err := c.Read(buffer)
 		got.Write(buffer[:n])
 		if err != nil {
-			t.Fatalf("%v after %q", err, got.String())
+			t.Fatalf("read failed after %q: %v", got.String(), err)
 		}
 	}
 }
 
-// expectSilence checks that no bytes come for a while. The wait is what is measured.
+// expectSilence checks that no bytes arrive within 50 ms.
 func expectSilence(t *testing.T, c net.Conn) {
 	t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if n, err := c.Read(make([]byte, 1)); n > 0 || !os.IsTimeout(err) {
-		t.Fatalf("%d bytes, %v while nothing was to come", n, err)
+		t.Fatalf("got %d bytes and error %v, want a timeout without bytes", n, err)
 	}
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 }
 
-// Each kind of fault does to a connection what it is for and no more, and the watcher receives what
-// passes.
+// Each kind of fault has its effect on the connections that it applies to and no other effect. The
+// watcher receives the events of the relay.
 func TestRelaysAndFaults(t *testing.T) {
 	blocks := func(f scenario.Fault) func(*testing.T) {
 		return func(t *testing.T) {
@@ -179,7 +179,7 @@
 		l := newTestLink(t)
 		c := l.dial(t)
 		end := l.Begin(scenario.Fault{Kind: scenario.Slow, Link: group, Direction: scenario.ToServer, Rate: 100})
-		sendRequest(t, c) // 28 bytes at 100 a second
+		sendRequest(t, c) // 28 bytes at 100 bytes per second
 		expectSilence(t, c)
 		end()
 		readResponse(t, c)
@@ -191,12 +191,12 @@
 		readResponse(t, c)
 		end := l.Begin(scenario.Fault{Kind: scenario.Reset, Link: group})
 		if _, err := c.Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
-			t.Errorf("an open connection: %v", err)
+			t.Errorf("read from an open connection: got error %v, want a reset", err)
 		}
-		if c, err := net.Dial("tcp4", l.addr); err == nil { // it may be reset while it is made
+		if c, err := net.Dial("tcp4", l.addr); err == nil { // the reset may also fail the dial
 			_ = c.SetDeadline(time.Now().Add(20 * time.Second))
 			if _, err := c.Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
-				t.Errorf("a new connection: %v", err)
+				t.Errorf("read from a new connection: got error %v, want a reset", err)
 			}
 			_ = c.Close()
 		}
@@ -212,10 +212,10 @@
 		readResponse(t, c)
 		l.Begin(scenario.Fault{Kind: scenario.HalfClose, Link: group, Direction: scenario.ToClient})
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-			t.Errorf("after the far side's end: %v", err)
+			t.Errorf("read after the half-close: got error %v, want EOF", err)
 		}
 	})
-	t.Run("a fault of others", func(t *testing.T) {
+	t.Run("faults of other processes and links", func(t *testing.T) {
 		l := newTestLink(t)
 		l.Begin(scenario.Fault{Kind: scenario.Cut, Link: group, Names: []string{"sidecar-1"}})
 		l.Begin(scenario.Fault{Kind: scenario.Cut, Link: "sidecars-lists"})
@@ -223,22 +223,22 @@
 		sendRequest(t, c)
 		readResponse(t, c)
 	})
-	t.Run("a request on a connection made while its link is cut came when it came", func(t *testing.T) {
+	t.Run("arrival time of a request on a connection made during a cut", func(t *testing.T) {
 		l := newTestLink(t)
 		end := l.Begin(scenario.Fault{Kind: scenario.Cut, Link: group, Direction: scenario.BothDirections})
 		c := l.dial(t)
 		sendRequest(t, c)
 		expectSilence(t, c)
-		mended := time.Now()
+		cutEnd := time.Now()
 		end()
 		readResponse(t, c)
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if l.requests != 1 || !l.requestedAt.Before(mended) {
-			t.Errorf("request %d came %v after its link was mended", l.requests, l.requestedAt.Sub(mended))
+		if l.requests != 1 || !l.requestedAt.Before(cutEnd) {
+			t.Errorf("got %d requests, the last %v after the end of the cut", l.requests, l.requestedAt.Sub(cutEnd))
 		}
 	})
-	t.Run("what the watcher receives", func(t *testing.T) {
+	t.Run("watcher", func(t *testing.T) {
 		l := newTestLink(t)
 		c := l.dial(t)
 		for range 3 {
@@ -248,10 +248,11 @@
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		if l.opened != 1 || l.requests != 3 || l.delivered == 0 {
-			t.Errorf("%d connections, %d requests, %d bytes back", l.opened, l.requests, l.delivered)
+			t.Errorf("got %d connections, %d requests, %d bytes delivered; want 1, 3, more than 0",
+				l.opened, l.requests, l.delivered)
 		}
 	})
-	t.Run("an unknown address", func(t *testing.T) {
+	t.Run("unknown address", func(t *testing.T) {
 		l := newTestLink(t)
 		_, port, _ := net.SplitHostPort(l.addr)
 		c, err := net.Dial("tcp4", "127.0.0.1:"+port)
@@ -261,7 +262,7 @@
 		defer func() { _ = c.Close() }()
 		_ = c.SetDeadline(time.Now().Add(20 * time.Second))
 		if n, err := c.Read(make([]byte, 1)); n > 0 || os.IsTimeout(err) {
-			t.Errorf("%d bytes, %v", n, err)
+			t.Errorf("got %d bytes and error %v, want a closed connection", n, err)
 		}
 	})
 }
--- a/internal/harness/link/listen.go
+++ b/internal/harness/link/listen.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listen opens a relay.
+// Listen opens a relay, which runs until the network is closed.
 func (n *Network) Listen(relay Relay) error {
 	listener, err := listenLoopback(relay.Port)
 	if err != nil {
@@ -19,7 +19,7 @@
 	}
 	if relay.Backlog > 0 {
 		if err := setBacklog(listener, relay.Backlog); err != nil {
-			_ = listener.Close() // the first error says more
+			_ = listener.Close() // the error of setBacklog is more useful
 			return err
 		}
 	}
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// accept accepts the connections of a relay until its listener is closed.
+// accept accepts and serves the connections of a relay until its listener is closed.
 func (n *Network) accept(listener *net.TCPListener, relay Relay) {
 	for {
 		conn, err := listener.AcceptTCP()
@@ -47,22 +47,22 @@
 	}
 }
 
-// setBacklog sets the length of a listener's queue: connections beyond it get no answer until there
-// is room. listen(2) may be called again on a socket that listens.
+// setBacklog sets the length of a listener's accept queue. The kernel does not answer connection
+// attempts while the queue is full. listen(2) may be called again on a listening socket.
 func setBacklog(listener *net.TCPListener, backlog int) error {
 	raw, err := listener.SyscallConn()
 	if err != nil {
-		return fmt.Errorf("relay: %w", err)
+		return fmt.Errorf("relay: set backlog: %w", err)
 	}
 	var listenErr error
 	if err := raw.Control(func(fd uintptr) { listenErr = unix.Listen(int(fd), backlog) }); err != nil {
-		return fmt.Errorf("relay: %w", err)
+		return fmt.Errorf("relay: set backlog: %w", err)
 	}
 	return listenErr
 }
 
-// listenLoopback listens on one port of all loopback addresses, and of no others. It needs no
-// privilege (Linux from 5.7 on).
+// listenLoopback listens on one port of all loopback addresses and of no other addresses. It needs
+// no privileges since Linux 5.7.
 func listenLoopback(port int) (*net.TCPListener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var bindErr error
@@ -75,7 +75,7 @@
 	}
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
-		return nil, fmt.Errorf("relay: a listener of TCP expected, not %T", listener)
+		return nil, fmt.Errorf("relay: unexpected listener type %T", listener)
 	}
 	return tcp, nil
 }
--- a/internal/harness/link/network.go
+++ b/internal/harness/link/network.go
@@ -1,10 +1,10 @@
-// Package link is the network of the harness: relays through which every connection between its
-// processes goes, with faults that begin and end while connections are open. All of it is on
-// loopback addresses.
+// Package link implements the network of the harness. Every connection between the processes of a
+// run goes through a relay, and faults can begin and end while connections are open. All addresses
+// are loopback addresses.
 //
-// A process is known by an address of its own in 127.0.0.0/8. A relay listens on one port of all
-// these addresses, so that the address that was dialled says which link a connection belongs to.
-// The relay connects onwards from that address too.
+// Each process has its own address in 127.0.0.0/8. A relay listens on one port of all these
+// addresses, so that the dialled address identifies the process at one end of a connection. The
+// relay connects to the server from the dialled address as well.
 package link
 
 import (
@@ -16,39 +16,42 @@
 	"fernlanding/internal/harness/scenario"
 )
 
-// Peers are the two processes of a connection, by name.
+// Peers are the names of the two processes of a connection.
 type Peers struct {
-	From string // opened the connection
-	To   string
+	From string // process that opened the connection
+	To   string // process that accepted the connection
 }
 
-// Watcher receives what happens on the relays. Its methods are called from many goroutines, and
-// have to return at once.
+// Watcher receives the events of the relays. Its methods are called concurrently from many
+// goroutines and must not block.
 type Watcher interface {
-	// Opened is called when a connection was accepted.
+	// Opened is called when a relay has accepted a connection.
 	Opened(peers Peers)
-	// Sent is called for the first byte of the nth request (from 1) of a connection, which arrived
-	// at a time. conn is the connection's address as the server sees it.
+	// Sent is called when the first byte of a request has arrived. n is the number of the request
+	// on the connection, from 1; at is the arrival time; conn is the client's address as the server
+	// sees it.
 	Sent(peers Peers, conn string, n int64, at time.Time)
-	// Delivered is called when the first n bytes of a connection's responses have been passed on.
+	// Delivered is called when the first n bytes of a connection's responses have been forwarded.
+	// conn is the client's address as the server sees it.
 	Delivered(peers Peers, conn string, n int64)
 }
 
 // Relay is the configuration of one relay.
 type Relay struct {
-	// Group is the link that the relay belongs to, as faults name it.
+	// Group is the name of the link that the relay belongs to, as in Fault.Link.
 	Group string
-	// Port is where the relay listens, on all addresses.
+	// Port is the port on which the relay listens, on all loopback addresses.
 	Port int
-	// Route returns where a connection that was made to an address is forwarded, and between whom
-	// it is. ok is false if the address is unknown. It may be called from many goroutines.
+	// Route returns the peers of a connection to the dialled address and the address of the server
+	// that the connection is forwarded to. ok is false if the dialled address is unknown. Route may
+	// be called concurrently.
 	Route func(dialled Addr) (peers Peers, server string, ok bool)
-	// Deliveries has the watcher's Delivered called.
+	// Deliveries enables calls of the watcher's Delivered method.
 	Deliveries bool
-	// AcceptRate is how many connections a second are accepted; 0 is no limit.
+	// AcceptRate is the number of connections accepted per second; 0 means no limit.
 	AcceptRate float64
-	// Backlog is the length of the queue of connections to accept, beyond which none is
-	// established; 0 is the system's.
+	// Backlog is the length of the accept queue. While the queue is full, no further connection is
+	// established. 0 means the system's default.
 	Backlog int
 }
 
@@ -58,13 +61,13 @@
 	id int
 }
 
-// Network is all relays of a run. Its methods may be called from any goroutine.
+// Network is the set of all relays of a run. Its methods may be called from any goroutine.
 type Network struct {
 	watcher  Watcher
 	handlers sync.WaitGroup // goroutines of listeners and connections
 	done     chan struct{}  // closed by Close
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	faults    []activeFault
 	changed   chan struct{} // closed and replaced when faults change
 	nextID    int
@@ -83,7 +86,7 @@
 	}
 }
 
-// Begin begins a fault and returns what ends it.
+// Begin begins a fault and returns the function that ends it.
 func (n *Network) Begin(fault scenario.Fault) (end func()) {
 	n.mu.Lock()
 	n.nextID++
@@ -103,7 +106,7 @@
 			c.reset()
 		case scenario.HalfClose:
 			c.halfClose(fault.Direction)
-		default: // the others act on bytes as they pass
+		default: // the other kinds act on bytes while they are forwarded
 		}
 	}
 	return func() {
@@ -146,7 +149,7 @@
 	return active, n.changed
 }
 
-// add registers a connection. It reports false if the network is closed.
+// add adds a connection to the network. It reports false if the network is closed.
 func (n *Network) add(c *relayedConn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -157,7 +160,7 @@
 	return true
 }
 
-// remove forgets a connection and closes it.
+// remove removes a connection from the network and closes it.
 func (n *Network) remove(c *relayedConn) {
 	n.mu.Lock()
 	delete(n.conns, c)
@@ -165,7 +168,7 @@
 	c.close()
 }
 
-// Close closes all relays and connections, and waits for their goroutines.
+// Close closes all relays and connections and waits for their goroutines.
 func (n *Network) Close() {
 	n.mu.Lock()
 	if !n.closed {
@@ -173,7 +176,7 @@
 		close(n.done)
 	}
 	for _, listener := range n.listeners {
-		_ = listener.Close() // fails only if it is closed
+		_ = listener.Close() // fails only if the listener is closed
 	}
 	for c := range n.conns {
 		c.close()
--- a/internal/harness/link/transfer.go
+++ b/internal/harness/link/transfer.go
@@ -13,17 +13,18 @@
 
 const (
 	chunkBytes      = 16 << 10
-	maxQueuedChunks = 16 // in one direction
-	slowTicks       = 20 // pieces a second that a slowed link passes
+	maxQueuedChunks = 16 // chunks queued in one direction of a connection
+	slowTicks       = 20 // writes per second into which a Slow fault divides its rate
 )
 
-// chunk is bytes that are passed on at a time.
+// chunk is a sequence of bytes that is forwarded as a unit.
 type chunk struct {
-	data []byte // nil: the end of a direction
-	due  time.Time
+	data []byte    // nil means the end of the direction
+	due  time.Time // time at which the chunk may be written
 }
 
-// copyDirection passes on the bytes of one direction, delayed or not at all where faults say so.
+// copyDirection forwards the bytes of one direction. It delays them and holds them back as the
+// active faults demand.
 func (c *relayedConn) copyDirection(direction string, from, to *net.TCPConn) {
 	queue := make(chan chunk, maxQueuedChunks)
 	var writer sync.WaitGroup
@@ -37,7 +38,7 @@
 		if n > 0 {
 			c.countRequest(direction)
 			due := time.Now().Add(c.delay(direction))
-			if due.Before(lastDue) { // bytes keep their order
+			if due.Before(lastDue) { // keeps the bytes in order
 				due = lastDue
 			}
 			lastDue = due
@@ -49,14 +50,14 @@
 			c.enqueue(queue, chunk{due: lastDue})
 			return
 		}
-		if err != nil { // reset, or closed by the harness: the other side sees that too
+		if err != nil { // a reset, or a close by the harness, is propagated to the other side
 			c.reset()
 			return
 		}
 	}
 }
 
-// delay returns by how much the faults delay bytes of a direction now.
+// delay returns the delay that the active faults impose on bytes of a direction.
 func (c *relayedConn) delay(direction string) time.Duration {
 	faults, _ := c.network.activeFaults(c, direction)
 	total := time.Duration(0)
@@ -68,7 +69,7 @@
 	return total
 }
 
-// enqueue queues a chunk. It reports false if the connection was closed instead.
+// enqueue queues a chunk. It reports false if the connection is closed before there is room.
 func (c *relayedConn) enqueue(queue chan<- chunk, next chunk) bool {
 	select {
 	case queue <- next:
@@ -78,8 +79,9 @@
 	}
 }
 
-// countRequest counts requests by the bytes that come: bytes from the client after a response has
-// begun are the next request's.
+// countRequest is called for the bytes that arrive in a direction and counts requests. The first
+// bytes from the client, and the first bytes from the client after a response has begun, start a
+// new request.
 func (c *relayedConn) countRequest(direction string) {
 	if direction == scenario.ToClient {
 		c.responseBegun.Store(true)
@@ -97,10 +99,11 @@
 	c.network.watcher.Sent(c.peers, c.serverSideAddr, c.requests.Add(1), at)
 }
 
-// writeDue writes the chunks of one direction when they are due, until the queue is closed.
+// writeDue writes each chunk of one direction when it is due. It returns when the queue or the
+// connection is closed.
 func (c *relayedConn) writeDue(direction string, queue <-chan chunk, to *net.TCPConn) {
 	written := int64(0)
-	heldBytes := map[int]int{} // that each Hold fault has let pass, by the fault's id
+	passedBytes := map[int]int{} // bytes that each Hold fault has let pass, by the fault's ID
 	for next := range queue {
 		if !c.sleep(time.Until(next.due)) {
 			return
@@ -109,10 +112,10 @@
 			if !c.waitUnblocked(direction) {
 				return
 			}
-			_ = to.CloseWrite() // fails only if it is closed
+			_ = to.CloseWrite() // fails only if the connection is closed
 			continue
 		}
-		if !c.writeChunk(direction, heldBytes, next.data, to) {
+		if !c.writeChunk(direction, passedBytes, next.data, to) {
 			return
 		}
 		written += int64(len(next.data))
@@ -122,11 +125,11 @@
 	}
 }
 
-// writeChunk writes bytes in the pieces that faults allow. It reports false if the connection was
-// closed.
-func (c *relayedConn) writeChunk(direction string, heldBytes map[int]int, data []byte, to *net.TCPConn) bool {
+// writeChunk writes data in pieces of the sizes that the active faults allow. It reports false if
+// the connection was closed.
+func (c *relayedConn) writeChunk(direction string, passedBytes map[int]int, data []byte, to *net.TCPConn) bool {
 	for len(data) > 0 {
-		n, pause, ok := c.waitForAllowance(direction, heldBytes, len(data))
+		n, pause, ok := c.waitForAllowance(direction, passedBytes, len(data))
 		if !ok {
 			return false
 		}
@@ -142,18 +145,18 @@
 	return true
 }
 
-// waitForAllowance waits until bytes may pass. It returns how many of wanted may pass at once, and
-// how long to pause after them. ok is false if the connection was closed.
+// waitForAllowance waits until the active faults let bytes pass. It returns how many of wanted
+// bytes may pass at once and the pause after them. ok is false if the connection was closed.
 func (c *relayedConn) waitForAllowance(
-	direction string, heldBytes map[int]int, wanted int,
+	direction string, passedBytes map[int]int, wanted int,
 ) (n int, pause time.Duration, ok bool) {
 	for {
 		faults, changed := c.network.activeFaults(c, direction)
-		n, pause := allowance(faults, heldBytes, wanted)
+		n, pause := allowance(faults, passedBytes, wanted)
 		if n > 0 {
 			for _, fault := range faults {
 				if fault.Kind == scenario.Hold {
-					heldBytes[fault.id] += n
+					passedBytes[fault.id] += n
 				}
 			}
 			return n, pause, true
@@ -166,33 +169,33 @@
 	}
 }
 
-// allowance returns how many of wanted bytes may pass under faults, and how long to pause after
-// them.
-func allowance(faults []activeFault, heldBytes map[int]int, wanted int) (n int, pause time.Duration) {
+// allowance returns how many of wanted bytes may pass at once under the given faults, and the pause
+// after them.
+func allowance(faults []activeFault, passedBytes map[int]int, wanted int) (n int, pause time.Duration) {
 	n = wanted
 	for _, fault := range faults {
 		switch fault.Kind {
 		case scenario.Cut, scenario.OneWay:
 			n = 0
 		case scenario.Hold:
-			n = min(n, max(fault.Bytes-heldBytes[fault.id], 0))
+			n = min(n, max(fault.Bytes-passedBytes[fault.id], 0))
 		case scenario.Slow:
 			n = min(n, max(fault.Rate/slowTicks, 1))
 			pause = max(pause, time.Duration(n)*time.Second/time.Duration(fault.Rate))
-		default: // the others do not hold bytes back here
+		default: // the other kinds do not restrict writes
 		}
 	}
 	return n, pause
 }
 
-// waitUnblocked waits until no fault blocks a direction. It reports false if the connection was
-// closed.
+// waitUnblocked waits until the active faults let at least one byte of a direction pass. It reports
+// false if the connection was closed.
 func (c *relayedConn) waitUnblocked(direction string) bool {
 	_, _, ok := c.waitForAllowance(direction, map[int]int{}, 1)
 	return ok
 }
 
-// sleep waits for a duration. It reports false if the connection was closed meanwhile.
+// sleep waits for d. It reports false if the connection was closed in the meantime.
 func (c *relayedConn) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return true
--- a/internal/harness/members.go
+++ b/internal/harness/members.go
@@ -10,27 +10,28 @@
 	"fernlanding/internal/standin"
 )
 
-// The states of a backend in the endpoint list, as the catalog's protocol spells them.
+// States of a backend in the endpoint list, as spelled in the catalog protocol.
 const (
 	statusServing  = "SERVING"
 	statusDraining = "DRAINING"
 	statusDeleted  = "DELETED"
 )
 
-// newMember returns the endpoint list's entry for a backend, without a status. Its address is the
-// port of the backend's relay; each sidecar reaches the relay at the sidecar's own address.
+// newMember returns the entry for a backend in the endpoint list, without a status. Its address is
+// only the port of the backend's relay because each sidecar reaches the relay on the sidecar's own
+// address.
 func (r *run) newMember(name string, index int) standin.Member {
 	return standin.Member{
 		Name:    name,
 		Address: ":" + strconv.Itoa(r.backendRelayPorts[index]),
 		Zone:    r.spec.Site(index),
-		Cell:    index % podCount,
+		Cell:    index % cellCount,
 		Weight:  1,
 	}
 }
 
-// setBackendStatus changes the status of backends in the endpoint list. A backend that becomes
-// SERVING has just started.
+// setBackendStatus changes the status of backends in the endpoint list. A backend whose status
+// becomes SERVING counts as just started.
 func (r *run) setBackendStatus(status string, names ...string) {
 	var all []standin.Member
 	r.mu.Lock()
@@ -49,8 +50,8 @@
 	r.updateMembers(all...)
 }
 
-// updateMembers enters changed members into the endpoint list, records them, and sends them to the
-// list services.
+// updateMembers puts changed members into the endpoint list, records the changes, and sends them to
+// the list services.
 func (r *run) updateMembers(changed ...standin.Member) {
 	r.mu.Lock()
 	for _, member := range changed {
@@ -65,13 +66,14 @@
 		r.Record(history.Event{Kind: history.MemberStatus, Who: member.Name, Reason: member.Status})
 	}
 	for _, name := range r.listNames {
-		// A list service that is down gets the complete list when it starts.
+		// The error is ignored because a list service that is down gets the complete list at its
+		// start.
 		_ = r.Processes.SendCommand(name, worker.Command{Do: worker.DoMembers, Members: changed})
 	}
 }
 
-// commandBackends sends a command to all processes of backends. Each carries it out for those of
-// the named backends that are its own.
+// commandBackends sends a command to all processes of backends. Each process carries out the
+// command for its own backends and ignores the names of others.
 func (r *run) commandBackends(command worker.Command) error {
 	var all []error
 	for _, name := range r.backendProcesses {
--- a/internal/harness/naive_proxy_test.go
+++ b/internal/harness/naive_proxy_test.go
@@ -21,21 +21,21 @@
 )
 
 // naiveProxy is a stand-in sidecar with at most one bug. It forwards each request once, to a
-// backend chosen at random.
+// random backend.
 type naiveProxy struct {
 	bug          string
 	listAddr     string
-	snapshotFile string // the last endpoint list, which the bug "strays" starts from
+	snapshotFile string // file with the last endpoint list; the bug "strays" uses it after a restart
 	client       *http.Client
 
 	mu           sync.Mutex
 	members      map[string]standin.Member
-	lastResponse []byte // body of the last response that was passed on
+	lastResponse []byte // body of the last successful response
 	requests     int
 	posts        int
 }
 
-// runNaiveProxy serves by a sidecar's configuration file until SIGTERM.
+// runNaiveProxy runs a naive proxy with a sidecar's configuration file until SIGTERM.
 func runNaiveProxy(file, bug string) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return server.Shutdown(shutdown)
 }
 
-// pollList reads the complete endpoint list at an interval, until ctx is done.
+// pollList requests the complete endpoint list at a fixed interval until ctx is done.
 func (p *naiveProxy) pollList(ctx context.Context) {
 	interval := 100 * time.Millisecond
 	if p.bug == "reads" {
@@ -85,7 +85,7 @@
 		if err == nil {
 			var list struct{ Endpoints []standin.Member }
 			err = json.NewDecoder(resp.Body).Decode(&list)
-			_ = resp.Body.Close() // of a body that has been read
+			_ = resp.Body.Close() // the body has been read
 			if err == nil {
 				p.setMembers(list.Endpoints)
 			}
@@ -101,7 +101,7 @@
 func (p *naiveProxy) setMembers(all []standin.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.bug == "drains" && p.members != nil { // the bug: the first list is used for ever
+	if p.bug == "drains" && p.members != nil { // the bug: the first list is never replaced
 		return
 	}
 	p.members = map[string]standin.Member{}
@@ -117,8 +117,7 @@
 	}
 }
 
-// pick chooses a backend at random. It avoids cold backends, except for the bug "cold", which
-// prefers them.
+// pick picks a random warm backend. With the bug "cold", it prefers cold backends.
 func (p *naiveProxy) pick() (member standin.Member, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -159,8 +158,8 @@
 	p.mu.Lock()
 	p.requests++
 	isTwentieth := p.requests%20 == 0
-	// The bug "twice" takes every fifth POST, not the POSTs among every twentieth request: of those
-	// a run has some four, and none at times.
+	// The bug "twice" acts on every fifth POST and not on the POSTs among every twentieth request:
+	// a run has only about four of the latter, and sometimes none.
 	if r.Method == http.MethodPost {
 		p.posts++
 	}
@@ -199,7 +198,7 @@
 			req.Header.Set(field, value)
 		}
 	}
-	req.GetBody = nil // the transport must not retry by itself
+	req.GetBody = nil // prevents retries by the transport
 	resp, err := p.client.Do(req)
 	if err != nil {
 		if strings.Contains(err.Error(), "refused") {
@@ -207,7 +206,7 @@
 		}
 		return http.StatusBadGateway, nil
 	}
-	defer func() { _ = resp.Body.Close() }() // only reading can fail
+	defer func() { _ = resp.Body.Close() }() // read errors are handled below
 	data, err = io.ReadAll(resp.Body)
 	if err != nil {
 		return http.StatusBadGateway, nil
--- a/internal/harness/network.go
+++ b/internal/harness/network.go
@@ -11,7 +11,7 @@
 	"fernlanding/internal/harness/scenario"
 )
 
-// openNetwork finds loopback addresses and ports that are free, and opens the relays there.
+// openNetwork finds free loopback addresses and ports and opens the relays there.
 func (r *run) openNetwork() error {
 	portCount := 1 + len(r.listNames) + len(r.backendNames)
 	return r.OpenLinks(portCount, (*relayWatcher)(r), func(network, port int) error {
@@ -27,8 +27,8 @@
 	})
 }
 
-// openRelays opens a relay to the sidecars, then one to each list service and to each backend, on
-// consecutive ports. The names of the sidecars are given by address.
+// openRelays opens a relay to the sidecars, one to each list service and one to each backend, in
+// this order and on consecutive ports. The map sidecars has the names of the sidecars by address.
 func (r *run) openRelays(sidecars map[link.Addr]string, firstPort int) error {
 	r.listAddrs = make([]string, len(r.listNames))
 	r.listRelayPorts, r.backendRelayPorts = nil, nil
@@ -92,7 +92,7 @@
 	}
 }
 
-// relayWatcher records the traffic on the relays in the run's history. It implements link.Watcher.
+// relayWatcher is a link.Watcher that records the traffic on the relays in the run's history.
 type relayWatcher run
 
 // Opened records a new connection.
@@ -100,7 +100,7 @@
 	w.Record(history.Event{Kind: history.Opened, Who: peers.From, To: peers.To})
 }
 
-// Sent records a request from a sidecar to a backend.
+// Sent records a request from a sidecar to a backend. It ignores all other requests.
 func (w *relayWatcher) Sent(peers link.Peers, conn string, n int64, at time.Time) {
 	if peers.From == scenario.OnClients || strings.HasPrefix(peers.To, "list-") {
 		return
@@ -115,7 +115,7 @@
 	})
 }
 
-// Delivered records how much of a response has reached its reader.
+// Delivered records how many bytes of the responses have been delivered to the reader.
 func (w *relayWatcher) Delivered(peers link.Peers, conn string, n int64) {
 	w.Record(history.Event{Kind: history.Delivered, Who: peers.To, To: peers.From, Conn: conn, Bytes: n})
 }
--- a/internal/harness/process/process.go
+++ b/internal/harness/process/process.go
@@ -18,54 +18,54 @@
 	"golang.org/x/sys/unix"
 )
 
-// Spec is what a process is started from.
+// Spec describes a process to start.
 type Spec struct {
 	Name string
-	Args []string // the program and its arguments
-	Env  []string // added to the harness's environment
+	Args []string // program and its arguments
+	Env  []string // variables added to the harness's environment
 	// Stdin keeps the process's standard input open for WriteLine.
 	Stdin bool
-	// ReadStdout reads the standard output until its end. If it is nil, the output is discarded.
+	// ReadStdout reads the standard output until its end; nil means that the output is discarded.
 	ReadStdout func(io.Reader)
-	// ReadStderr reads the standard error until its end. If it is nil, it goes to the harness's
-	// own.
+	// ReadStderr reads the standard error until its end. If ReadStderr is nil, the process inherits
+	// the harness's standard error.
 	ReadStderr func(io.Reader)
-	// MaxFiles bounds the file descriptors of the process; 0 is no bound.
+	// MaxFiles is the largest number of file descriptors of the process; 0 means no limit.
 	MaxFiles int
 }
 
-// Errors of Set. They come wrapped, with the process's name.
+// Errors of Set. They are returned wrapped, with the process's name.
 var (
-	ErrNoProgram      = errors.New("no program")
-	ErrNotRunning     = errors.New("no such process")
-	ErrAlreadyRunning = errors.New("runs already")
-	ErrClosed         = errors.New("the run is over")
+	ErrNoProgram      = errors.New("missing program")
+	ErrNotRunning     = errors.New("process is not running")
+	ErrAlreadyRunning = errors.New("process is already running")
+	ErrClosed         = errors.New("run has ended")
 )
 
-// TimeoutError says that processes have not exited in time after SIGTERM.
+// TimeoutError is the error for processes that have not exited in time after SIGTERM.
 type TimeoutError struct {
-	Left  int // still running
-	Total int // that were sent SIGTERM
+	Left  int // processes that are still running
+	Total int // processes that were sent SIGTERM
 	After time.Duration
 }
 
 // Error implements error.
 func (e *TimeoutError) Error() string {
-	return fmt.Sprintf("%d of %d processes have not ended %v after SIGTERM", e.Left, e.Total, e.After)
+	return fmt.Sprintf("%d of %d processes still running %v after SIGTERM", e.Left, e.Total, e.After)
 }
 
-// runningProcess is a process that has been started and not been reaped.
+// runningProcess is a process that has been started and not yet been reaped.
 type runningProcess struct {
 	cmd     *exec.Cmd
 	stdin   io.WriteCloser
-	readers []func()      // of its pipes, each until the pipe's end
-	exited  chan struct{} // closed when it has been reaped and its output read
+	readers []func()      // functions that read the process's pipes, each until the pipe's end
+	exited  chan struct{} // closed when the process has been reaped and its output has been read
 
-	exitRequested bool // it was killed or terminated by the harness; guarded by Set.mu
+	exitRequested bool // the harness killed or terminated the process; guarded by Set.mu
 }
 
-// Set starts and ends the processes of a run. Each of them is killed when the harness's own process
-// ends. Methods may be called from any goroutine.
+// Set starts and ends the processes of a run. The kernel kills every process of the set when the
+// harness's own process exits. The methods may be called from any goroutine.
 type Set struct {
 	record  func(history.Event)
 	starter *spawn.Starter
@@ -75,12 +75,12 @@
 	closed  bool                       // guarded by mu
 }
 
-// New returns a set without processes. record receives the events of their lifecycles.
+// New returns a set without processes. record receives the lifecycle events of the processes.
 func New(record func(history.Event)) *Set {
 	return &Set{record: record, starter: spawn.New(), running: map[string]*runningProcess{}}
 }
 
-// Start starts a process. No process of its name may be running.
+// Start starts a process. It returns ErrAlreadyRunning if a process with the same name is running.
 func (s *Set) Start(spec Spec) error {
 	p, err := prepare(spec)
 	if err != nil {
@@ -92,7 +92,7 @@
 		return fmt.Errorf("%s: %w", spec.Name, ErrClosed)
 	}
 	if s.running[spec.Name] != nil {
-		return fmt.Errorf("%s %w", spec.Name, ErrAlreadyRunning)
+		return fmt.Errorf("%s: %w", spec.Name, ErrAlreadyRunning)
 	}
 	if err := s.starter.Start(p.cmd); err != nil {
 		return fmt.Errorf("%s: %w", spec.Name, err)
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// prepare returns a process that is ready to start, with its pipes open.
+// prepare returns a process that is ready to start. Its pipes are open.
 func prepare(spec Spec) (*runningProcess, error) {
 	if len(spec.Args) == 0 {
 		return nil, ErrNoProgram
@@ -141,9 +141,9 @@
 	return p, nil
 }
 
-// limitFiles bounds the file descriptors of a process that has just been started.
-func (s *Set) limitFiles(name string, pid int, bound uint64) {
-	limit := unix.Rlimit{Cur: bound, Max: bound}
+// limitFiles limits the number of file descriptors of a process that has just been started.
+func (s *Set) limitFiles(name string, pid int, maxFiles uint64) {
+	limit := unix.Rlimit{Cur: maxFiles, Max: maxFiles}
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
 		s.record(history.Event{Kind: history.Log, Who: name, Reason: "no bound on descriptors: " + err.Error()})
 	}
@@ -155,14 +155,14 @@
 	for _, read := range p.readers {
 		reading.Go(read)
 	}
-	reading.Wait() // the pipes are read to their ends before Wait closes them
+	reading.Wait() // cmd.Wait closes the pipes, so they are read to their ends first
 	reason := "ended"
 	if err := p.cmd.Wait(); err != nil {
 		reason = err.Error()
 	}
 	s.mu.Lock()
 	if !p.exitRequested {
-		reason = "by itself: " + reason // package check looks for this prefix
+		reason = "by itself: " + reason // package check tests for this prefix
 	}
 	delete(s.running, name)
 	s.mu.Unlock()
@@ -170,14 +170,14 @@
 	close(p.exited)
 }
 
-// lookup returns a running process by its name, nil if there is none.
+// lookup returns the running process with a name, or nil if there is none.
 func (s *Set) lookup(name string) *runningProcess {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.running[name]
 }
 
-// PID returns a process's id, 0 if it is not running.
+// PID returns the ID of the named process, or 0 if the process is not running.
 func (s *Set) PID(name string) int {
 	if p := s.lookup(name); p != nil {
 		return p.cmd.Process.Pid
@@ -205,8 +205,8 @@
 	return s.WriteLine(name, line)
 }
 
-// signal sends a signal and returns the process, nil if it is not running. endsProcess marks the
-// exit that follows as requested.
+// signal sends a signal to the named process and returns the process, or nil if it is not running.
+// If endsProcess is set, the exit that follows counts as requested.
 func (s *Set) signal(name string, signal syscall.Signal, endsProcess bool) *runningProcess {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -217,7 +217,7 @@
 	if endsProcess {
 		p.exitRequested = true
 	}
-	// The process may have exited just now. os.Process never signals another process with its id.
+	// The process may just have exited. os.Process never signals another process with the same ID.
 	_ = p.cmd.Process.Signal(signal)
 	return p
 }
@@ -225,7 +225,7 @@
 // Kill kills a process (SIGKILL) and waits until it has been reaped.
 func (s *Set) Kill(name string) {
 	if s.lookup(name) != nil {
-		// Recorded first, so that the event precedes all effects.
+		// The event is recorded before the signal is sent, so that it precedes all effects.
 		s.record(history.Event{Kind: history.Terminating, Who: name, Reason: "killed"})
 	}
 	if p := s.signal(name, syscall.SIGKILL, true); p != nil {
@@ -247,14 +247,14 @@
 	}
 }
 
-// Terminate sends SIGTERM to processes and waits until they have exited, for at most timeout. It
-// returns a TimeoutError if some have not. With a timeout of 0 it does not wait.
+// Terminate sends SIGTERM to the named processes and waits up to timeout until all of them have
+// exited. It returns a *TimeoutError if some have not exited. If timeout is 0, it does not wait.
 func (s *Set) Terminate(names []string, timeout time.Duration) error {
 	var terminating []*runningProcess
 	for _, name := range names {
 		s.record(history.Event{Kind: history.Terminating, Who: name})
 		if p := s.signal(name, syscall.SIGTERM, true); p != nil {
-			s.signal(name, syscall.SIGCONT, true) // a stopped process does not handle SIGTERM
+			s.signal(name, syscall.SIGCONT, true) // a stopped process does not handle SIGTERM before SIGCONT
 			terminating = append(terminating, p)
 		}
 	}
@@ -278,15 +278,15 @@
 	return nil
 }
 
-// Close kills all processes that are left. It returns how many of the processes that were ever
-// started still exist after that. No process can be started any more.
+// Close kills all processes that are still running. It returns the number of processes of the set
+// that still exist after that. After Close, Start returns ErrClosed.
 func (s *Set) Close() int {
 	s.mu.Lock()
 	s.closed = true
 	var killed []*runningProcess
 	for _, p := range s.running {
 		p.exitRequested = true
-		_ = p.cmd.Process.Kill() // fails only if it has exited
+		_ = p.cmd.Process.Kill() // fails only if the process has exited
 		killed = append(killed, p)
 	}
 	s.mu.Unlock()
--- a/internal/harness/rollout/check/check_test.go
+++ b/internal/harness/rollout/check/check_test.go
@@ -9,17 +9,17 @@
 	"fernlanding/internal/harness/rollout/check"
 )
 
-// An incomplete history does not pass.
+// An incomplete history fails the checks that need its end.
 func TestIncompleteHistoryFails(t *testing.T) {
 	verdicts := check.Run(scenario(t), []history.Event{subscribed(0, 0), inForce(second, 0, 1)})
 	for _, name := range []string{check.Processes, check.Converged, check.Status} {
 		if !slices.ContainsFunc(verdicts, func(v check.Verdict) bool { return v.Check == name }) {
-			t.Errorf("no verdict of %s: %v", name, verdicts)
+			t.Errorf("no verdict of check %s in %v", name, verdicts)
 		}
 	}
 }
 
-// The verdicts of one check are bounded.
+// The number of verdicts of one check is limited.
 func TestVerdictsAreBounded(t *testing.T) {
 	var events []history.Event
 	for n := range uint64(100) {
@@ -27,11 +27,11 @@
 	}
 	verdicts := run(t, 101, events...)
 	if len(verdicts) > 30 || !strings.Contains(verdicts[20].Message, "more") {
-		t.Errorf("%d verdicts: %v", len(verdicts), verdicts)
+		t.Errorf("got %d verdicts, want at most 30 with the number of the remaining ones: %v", len(verdicts), verdicts)
 	}
 }
 
-// The metrics are those of the history.
+// Measure computes the metrics from the events of a history.
 func TestMeasure(t *testing.T) {
 	all := slices.Concat([]history.Event{subscribed(0, 0)}, []history.Event{
 		put(1*second, 1, false), inForce(1*second+100*ms, 0, 1),
@@ -41,9 +41,9 @@
 	history.Sort(all)
 	m := check.Measure(scenario(t), all)
 	if m.Puts != 3 || m.ConcurrentPuts != 1 || m.InForce != 3 || m.Snapshots != 1 {
-		t.Errorf("%+v", m)
+		t.Errorf("wrong counts: %+v", m)
 	}
 	if m.UrgentEvaluated != 1 || m.UrgentMaxMs != 7 || m.FaultFreeMaxMs != 100 {
-		t.Errorf("%+v", m)
+		t.Errorf("wrong latencies: %+v", m)
 	}
 }
--- a/internal/harness/rollout/check/content.go
+++ b/internal/harness/rollout/check/content.go
@@ -9,10 +9,11 @@
 	"fernlanding/internal/harness/rollout/plan"
 )
 
-// checkSnapshots checks followers that were sent a snapshot though they had a version that the same
-// relay had brought a follower to since its start: the relay knows what has changed since.
+// checkSnapshots checks that no follower was sent a snapshot while it had a version that the relay
+// knows. A relay knows a version if it has brought a follower to that version since the relay's
+// start, so that it can send a delta from that version.
 func checkSnapshots(_ *plan.Scenario, r *record) (verdicts []Verdict) {
-	known := make(map[string]map[resourceVersion]bool) // by relay
+	known := make(map[string]map[resourceVersion]bool) // versions that a relay knows, by relay
 	has := make(map[following]distribution.Version)
 	for _, e := range r.all {
 		key := following{follower: e.Who, resource: e.Resource}
@@ -33,14 +34,14 @@
 				known[e.To] = make(map[resourceVersion]bool)
 			}
 			known[e.To][resourceVersion{resource: e.Resource, version: e.Version}] = true
-		default: // says nothing of versions at followers
+		default: // other kinds do not change versions at followers
 		}
 	}
 	return verdicts
 }
 
-// checkConverged checks items: each version has one digest, and at the end all followers have the
-// source's.
+// checkConverged checks that each version has only one digest and that at the end all followers
+// have the source's versions and digests.
 func checkConverged(sc *plan.Scenario, r *record) (verdicts []Verdict) {
 	verdicts = r.differentItems()
 	for _, resource := range sc.Resources() {
@@ -61,8 +62,7 @@
 	return verdicts
 }
 
-// differentItems returns a verdict for each version that had different items at different
-// followers.
+// differentItems returns a verdict for each version whose items differed between followers.
 func (r *record) differentItems() (verdicts []Verdict) {
 	for key, digests := range r.digests {
 		if len(digests) <= 1 {
@@ -82,8 +82,9 @@
 	return verdicts
 }
 
-// checkDurable checks the source whenever it was asked: it has all that it had answered before,
-// even after a restart, with the same items that followers have got of that version.
+// checkDurable checks each read of the source, including those after a restart. The source must
+// have all writes that it had answered before the read, with the same items that followers have
+// received for that version.
 func checkDurable(_ *plan.Scenario, r *record) (verdicts []Verdict) {
 	for _, e := range r.sourceReads {
 		for _, w := range r.writes[e.Resource] {
--- a/internal/harness/rollout/check/delivery.go
+++ b/internal/harness/rollout/check/delivery.go
@@ -8,7 +8,8 @@
 	"fernlanding/internal/harness/rollout/plan"
 )
 
-// checkOrder checks the order of versions. A follower that starts with nothing may go back.
+// checkOrder checks that no follower puts an older version in force after a newer one. A follower
+// that restarts without a version may go back to an older one.
 func checkOrder(sc *plan.Scenario, r *record) (verdicts []Verdict) {
 	for _, key := range followings(sc) {
 		var latest distribution.Version
@@ -28,18 +29,17 @@
 	return verdicts
 }
 
-// expectation is a version that a follower is to have in force from a time on. Times are in
-// microseconds.
+// expectation is a version that a follower is expected to have in force. Times are in microseconds.
 type expectation struct {
 	following
 	version distribution.Version
-	since   int64 // when the version became due
-	from    int64 // since when what the follower had in force counts
+	since   int64 // time from which the version is expected
+	from    int64 // earliest time of a state of the follower that meets the expectation
 	urgent  bool
 }
 
-// expectations returns all expectations of a follower: each put from its answer on, and the latest
-// put from each start with nothing on.
+// expectations returns all expectations of a follower. Each put is expected from the time of its
+// answer. In addition, the latest put is expected from each start without a version.
 func (r *record) expectations(key following) (out []expectation) {
 	writes := r.writes[key.resource]
 	for _, w := range writes {
@@ -59,13 +59,13 @@
 	return out
 }
 
-// metAt returns when an expectation was met, or the end of the run if it was not.
+// metAt returns the time at which an expectation was met, or the end of the run if it was not met.
 func (r *record) metAt(x expectation) int64 {
 	return min(r.firstHad(x.following, x.version, x.from), r.end)
 }
 
-// checkLateness checks how long versions take. A follower must have one once a path to the source
-// has been free of faults for the scenario's bound.
+// checkLateness checks the latencies of versions. A follower must have a version in force once a
+// path to the source has been free of faults for longer than the scenario's bound.
 func checkLateness(sc *plan.Scenario, r *record) (verdicts []Verdict) {
 	for _, key := range followings(sc) {
 		for _, x := range r.expectations(key) {
@@ -82,8 +82,9 @@
 	return verdicts
 }
 
-// checkUrgent checks how long urgent versions take from their put's answer on, where no fault
-// affects a path of the follower then, or did shortly before.
+// checkUrgent checks the latencies of urgent versions, counted from the answer to the put. It
+// leaves out versions for which a fault affects a path of the follower at that time or shortly
+// before.
 func checkUrgent(sc *plan.Scenario, r *record) (verdicts []Verdict) {
 	for _, key := range followings(sc) {
 		for _, x := range r.expectations(key) {
@@ -103,17 +104,17 @@
 	return verdicts
 }
 
-// isFaultFree reports whether no fault affects a follower's paths in a time span, or did shortly
-// before.
+// isFaultFree reports whether no fault affects a follower's paths within a time span or in the
+// period faultAftermath before it.
 func (r *record) isFaultFree(follower string, within span) bool {
 	return !slices.ContainsFunc(r.affected[follower], func(s span) bool {
 		return s.from <= within.to && within.from <= s.to+faultAftermath.Microseconds()
 	})
 }
 
-// cpuDelay returns by how much later, in microseconds, an urgent version may come from a time on,
-// because processes on a follower's path waited for a core: as long as they did within the bound,
-// which that time extends, up to maxCPUWait.
+// cpuDelay returns the extension, in microseconds, of the bound for an urgent version that is due
+// at from. The extension is the time for which processes on the follower's path waited for a core
+// within the extended bound, up to maxCPUWait.
 func (r *record) cpuDelay(sc *plan.Scenario, follower string, from int64) (delay int64) {
 	bound := sc.Bounds.UrgentLatency.Microseconds()
 	for {
@@ -126,8 +127,9 @@
 	}
 }
 
-// cpuWait returns how long, in microseconds, the processes on a follower's path waited for a core
-// in a time span, in all. Of the relays of a level the one counts that waited longest.
+// cpuWait returns the total time, in microseconds, for which the processes on a follower's path
+// waited for a core within a time span. Of the relays of each level, it counts the one that waited
+// longest.
 func (r *record) cpuWait(sc *plan.Scenario, follower string, within span) int64 {
 	return r.longestWait([]string{plan.Source}, within) +
 		r.longestWait(sc.Names(plan.OnRegions), within) +
@@ -135,8 +137,8 @@
 		r.longestWait([]string{sc.ProcessOf(follower)}, within)
 }
 
-// longestWait returns how long, in microseconds, the process that waited longest for a core did so
-// in a time span.
+// longestWait returns the longest time, in microseconds, for which one of the processes waited for
+// a core within a time span.
 func (r *record) longestWait(processes []string, within span) (longest int64) {
 	for _, name := range processes {
 		sum := int64(0)
--- a/internal/harness/rollout/check/fixture_test.go
+++ b/internal/harness/rollout/check/fixture_test.go
@@ -10,8 +10,8 @@
 	"fernlanding/internal/harness/rollout/plan"
 )
 
-// scenarioText has one follower of one resource, one region's relay, and two relays in the
-// follower's zone.
+// scenarioText is a scenario with one follower of one resource, one region relay, and two relays in
+// the follower's zone.
 const scenarioText = `
 name = "judged"
 for = "60s"
@@ -46,8 +46,8 @@
 names = ["zone-1"]
 `
 
-// The histories of the tests have times in microseconds, and one follower that reads from one
-// relay.
+// Units of time in microseconds, and the names of the follower, the resource and the relay in all
+// histories of the tests.
 const (
 	ms       = int64(1000)
 	second   = 1000 * ms
@@ -56,7 +56,7 @@
 	relay    = "zone-1"
 )
 
-// scenario returns the scenario of all tests.
+// scenario decodes scenarioText.
 func scenario(tb testing.TB) *plan.Scenario {
 	tb.Helper()
 	sc, err := plan.Decode("test.toml", []byte(scenarioText))
@@ -66,7 +66,7 @@
 	return sc
 }
 
-// version returns a version of the first epoch.
+// version returns version n of the first epoch.
 func version(n uint64) distribution.Version { return distribution.Version{Epoch: 1, Revision: n} }
 
 // put returns an answered put of version n.
@@ -83,8 +83,8 @@
 	}
 }
 
-// inForce returns that the follower puts version n in force, by a delta from a version or by a
-// snapshot (0).
+// inForce returns the event that the follower puts version n in force, by a delta from version
+// from. If from is 0, the update is a snapshot.
 func inForce(at int64, from, n uint64) history.Event {
 	e := history.Event{
 		At:       at,
@@ -101,7 +101,8 @@
 	return e
 }
 
-// subscribed returns that the follower starts with version n, or with nothing (0).
+// subscribed returns the event that the follower starts with version n. If n is 0, the follower
+// starts without a version.
 func subscribed(at int64, n uint64) history.Event {
 	e := history.Event{At: at, Kind: history.Subscribed, Who: follower, Resource: resource}
 	if n > 0 {
@@ -110,12 +111,12 @@
 	return e
 }
 
-// fault returns the beginning and the end of a fault of the schedule.
+// fault returns the events of the beginning and the end of a scheduled fault.
 func fault(id string, from, to int64) []history.Event {
 	return []history.Event{{At: from, Kind: history.Fault, ID: id, N: 1}, {At: to, Kind: history.Fault, ID: id}}
 }
 
-// report returns an in-force report with a number of proxies at version n.
+// report returns an in-force report that counts a number of proxies at version n.
 func report(at int64, n uint64, proxies int) history.Event {
 	counts := []distribution.VersionCount{{Version: version(n), Proxies: proxies}}
 	return history.Event{
@@ -126,7 +127,7 @@
 	}
 }
 
-// ending returns the end of a run whose last version is n.
+// ending returns the last events of a run that ends at version n.
 func ending(n uint64) []history.Event {
 	return []history.Event{
 		{
@@ -138,8 +139,8 @@
 	}
 }
 
-// run returns the verdicts on a history of events, in any order, that begins with nothing and ends
-// at version n.
+// run returns the verdicts on a history in which the follower starts without a version and the run
+// ends at version n. The given events may be in any order.
 func run(tb testing.TB, n uint64, events ...history.Event) []check.Verdict {
 	tb.Helper()
 	all := slices.Concat([]history.Event{subscribed(0, 0)}, events, ending(n))
@@ -147,12 +148,12 @@
 	return check.Run(scenario(tb), all)
 }
 
-// waited returns that a process's threads waited for a core.
+// waited returns the event that a process's threads waited for a core.
 func waited(who string, at, took int64) history.Event {
 	return history.Event{At: at, Kind: history.CPUWaited, Who: who, N: at - 50*ms, Took: took}
 }
 
-// used returns how many bytes the follower has sent and received.
+// used returns the event that the follower has sent and received a number of bytes so far.
 func used(at int64, bytes float64) history.Event {
 	return history.Event{
 		At:      at,
--- a/internal/harness/rollout/check/metrics.go
+++ b/internal/harness/rollout/check/metrics.go
@@ -8,8 +8,8 @@
 	"fernlanding/internal/harness/rollout/plan"
 )
 
-// Metrics are what a run measured. Latencies are from a put's answer until the version is in force
-// at a follower.
+// Metrics are the measurements of a run. A latency is the time from the answer to a put until the
+// version is in force at a follower.
 type Metrics struct {
 	Scenario string  `json:"scenario"`
 	Seed     uint64  `json:"seed"`
@@ -18,55 +18,59 @@
 
 	Puts           int `json:"puts"`
 	Unanswered     int `json:"puts_unanswered"`
-	ConcurrentPuts int `json:"puts_within_1ms"` // begun so soon after another one to the same resource
+	ConcurrentPuts int `json:"puts_within_1ms"` // puts begun within 1 ms of another put to the same resource
 	InForce        int `json:"in_force"`        // updates that followers put in force
-	Snapshots      int `json:"whole_updates"`   // of these
+	Snapshots      int `json:"whole_updates"`   // those of InForce that were snapshots
 	Rejected       int `json:"refused"`
-	Resumed        int `json:"resumed"` // subscriptions that began with a version
+	Resumed        int `json:"resumed"` // subscriptions that started with a version
 	Reports        int `json:"reports"`
 
-	// UrgentEvaluated is how many latencies of urgent versions there are, where no fault affects a
-	// path of the follower.
+	// UrgentEvaluated is the number of latencies of urgent versions that were measured while no
+	// fault affected a path of the follower.
 	UrgentEvaluated int `json:"urgent_judged"`
-	// UrgentDelayedByCPU is how many of these were late, by no more than the processes on the path
-	// waited for a core.
+	// UrgentDelayedByCPU is the number of those latencies that exceeded the bound by no more than
+	// the time for which the processes on the path waited for a core.
 	UrgentDelayedByCPU int `json:"urgent_late_by_waits_for_a_core"`
-	// Unsettled says that the last reports are not checked: followers may be counted at two relays.
+	// Unsettled is set if the last reports are not checked because followers may be counted at two
+	// relays.
 	Unsettled   bool    `json:"last_report_while_machine_lagged"`
 	MaxLagMs    float64 `json:"lag_max_ms"`
 	UrgentP50Ms float64 `json:"urgent_p50_ms"`
 	UrgentP99Ms float64 `json:"urgent_p99_ms"`
 	UrgentMaxMs float64 `json:"urgent_max_ms"`
-	// FaultFree are the latencies of all versions where no fault affects a path of the follower.
+	// FaultFreeP50Ms, FaultFreeP99Ms and FaultFreeMaxMs are of the latencies of all versions that
+	// were measured while no fault affected a path of the follower.
 	FaultFreeP50Ms float64 `json:"quiet_p50_ms"`
 	FaultFreeP99Ms float64 `json:"quiet_p99_ms"`
 	FaultFreeMaxMs float64 `json:"quiet_max_ms"`
-	// All are the latencies of all versions, with faults or without.
+	// AllP99Seconds and AllMaxSeconds are of the latencies of all versions, with and without
+	// faults.
 	AllP99Seconds float64 `json:"all_p99_s"`
 	AllMaxSeconds float64 `json:"all_max_s"`
 
-	IdleBytesPerSecond float64 `json:"rest_bytes_per_s"` // of a follower, the most of any process of followers
+	IdleBytesPerSecond float64 `json:"rest_bytes_per_s"` // per follower; the largest value of all processes
 	IdleReadsPerSecond float64 `json:"rest_reads_per_s"`
-	ResidentMB         float64 `json:"resident_mb"` // of the source or a relay, the most
-	MaxSessions        float64 `json:"sessions"`    // of the source or a relay, the most
+	ResidentMB         float64 `json:"resident_mb"` // largest resident memory of the source or a relay
+	MaxSessions        float64 `json:"sessions"`    // most sessions of the source or a relay
 	MaxCacheBytes      float64 `json:"cache_bytes"`
 	MaxStoreBytes      float64 `json:"store_bytes"`
 }
 
-// twinMicroseconds is how close two puts to one resource begin that count as twins.
-const twinMicroseconds = 1000
+// concurrentPutMicroseconds is the largest distance between the beginnings of two puts to one
+// resource that count as concurrent, exclusive.
+const concurrentPutMicroseconds = 1000
 
-// Measure returns the metrics of a history, which is sorted by time.
+// Measure returns the metrics of a history, which must be sorted by time.
 func Measure(sc *plan.Scenario, all []history.Event) Metrics { return measure(sc, newRecord(sc, all)) }
 
 // measure returns the metrics of a record.
 func measure(sc *plan.Scenario, r *record) Metrics {
 	m := Metrics{Scenario: sc.Name, Seed: sc.Seed, Seconds: seconds(r.end), Faults: len(r.faults)}
 	m.countEvents(r)
-	m.countTwins(r)
+	m.countConcurrentPuts(r)
 	m.measureLatencies(sc, r)
 	m.Unsettled = r.mayHaveSwitched(sc, r.end)
-	m.measureRest(sc, r)
+	m.measureIdle(sc, r)
 	for _, s := range r.lags {
 		m.MaxLagMs = max(m.MaxLagMs, float64(s.to-s.from)/1000)
 	}
@@ -81,7 +85,7 @@
 	return m
 }
 
-// countEvents counts what happened.
+// countEvents counts the events of a record by kind.
 func (m *Metrics) countEvents(r *record) {
 	for _, e := range r.all {
 		switch e.Kind {
@@ -103,24 +107,24 @@
 			}
 		case history.StatusReported:
 			m.Reports++
-		default: // not counted
+		default: // other kinds are not counted
 		}
 	}
 }
 
-// countTwins counts puts that began at the same time as another one to the same resource.
-func (m *Metrics) countTwins(r *record) {
+// countConcurrentPuts counts puts that began within 1 ms of another put to the same resource.
+func (m *Metrics) countConcurrentPuts(r *record) {
 	for _, writes := range r.writes {
 		for i := 1; i < len(writes); i++ {
 			gap := (writes[i].At - writes[i].Took) - (writes[i-1].At - writes[i-1].Took)
-			if -twinMicroseconds < gap && gap < twinMicroseconds {
+			if -concurrentPutMicroseconds < gap && gap < concurrentPutMicroseconds {
 				m.ConcurrentPuts++
 			}
 		}
 	}
 }
 
-// measureLatencies measures how long versions take.
+// measureLatencies measures the latencies of versions.
 func (m *Metrics) measureLatencies(sc *plan.Scenario, r *record) {
 	bound := sc.Bounds.UrgentLatency.Microseconds()
 	var urgent, faultFree, all []float64 // milliseconds
@@ -152,9 +156,9 @@
 	m.AllMaxSeconds = longest / 1000
 }
 
-// evaluateUrgent reports whether the latency of an urgent version counts, which it does not if a
-// fault came before the waits for a core were over, and whether such waits explain why it is beyond
-// the bound.
+// evaluateUrgent evaluates the latency of an urgent version. evaluated is false if the latency does
+// not count because a fault affected a path before the end of the bound, which waits for a core
+// extend. delayedByCPU reports whether such waits explain that the latency exceeds the bound.
 func (r *record) evaluateUrgent(sc *plan.Scenario, x expectation, tookUs int64) (evaluated, delayedByCPU bool) {
 	bound := sc.Bounds.UrgentLatency.Microseconds()
 	if tookUs <= bound {
@@ -167,8 +171,8 @@
 	return true, tookUs <= extended
 }
 
-// quantiles returns the median, the 99th percentile and the maximum; 0 if there are no values. It
-// sorts the values.
+// quantiles returns the median, the 99th percentile and the maximum of values, or zeros if there
+// are no values. It sorts values.
 func quantiles(values []float64) (p50, p99, longest float64) {
 	if len(values) == 0 {
 		return 0, 0, 0
@@ -178,8 +182,9 @@
 	return at(0.5), at(0.99), values[len(values)-1]
 }
 
-// measureRest measures what followers use in the second half of the time without puts and faults.
-func (m *Metrics) measureRest(sc *plan.Scenario, r *record) {
+// measureIdle measures the traffic of followers in the second half of the period without puts and
+// faults.
+func (m *Metrics) measureIdle(sc *plan.Scenario, r *record) {
 	from := r.end - sc.Settle.Microseconds()/2
 	for _, process := range sc.Names(plan.OnFollowers) {
 		var first, last history.Event
--- a/internal/harness/rollout/check/near_misses_test.go
+++ b/internal/harness/rollout/check/near_misses_test.go
@@ -6,7 +6,7 @@
 	"fernlanding/internal/harness/history"
 )
 
-// What only looks like a breach gets no verdict.
+// Histories that come close to a violation get no verdict.
 func TestNearMissesPass(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -24,14 +24,14 @@
 		},
 		{"a version after 10 s", 1, []history.Event{put(1*second, 1, false), inForce(11*second, 0, 1)}},
 		{
-			"a version that a later one supersedes", 2,
+			"a version superseded by a later one", 2,
 			[]history.Event{put(1*second, 1, false), put(9*second, 2, false), inForce(11*second, 0, 2)},
 		},
 		{
 			"a version before its put was answered", 1,
 			[]history.Event{inForce(1*second, 0, 1), put(1*second+50*ms, 1, true)},
 		},
-		{"a version that is refused in time", 2, []history.Event{
+		{"a version that is rejected in time", 2, []history.Event{
 			put(1*second, 1, false),
 			{At: 2 * second, Kind: history.UpdateRejected, Who: follower, Resource: resource, Version: version(1)},
 			put(20*second, 2, false), inForce(21*second, 0, 2),
@@ -41,7 +41,7 @@
 			append(fault("1-kill", 20*second, 24*second), put(21*second, 1, false), inForce(34*second, 0, 1)),
 		},
 		{
-			"a fault that begins when 9.9 s are over", 1,
+			"a fault that begins 9.9 s after the put", 1,
 			append(fault("1-kill", 20*second, 24*second), put(10*second+100*ms, 1, false), inForce(34*second, 0, 1)),
 		},
 		{
@@ -53,15 +53,15 @@
 		},
 		{"an urgent version after 250 ms", 1, []history.Event{put(2*second, 1, true), inForce(2*second+250*ms, 0, 1)}},
 		{
-			"an urgent version after 251 ms, the fault 9 s ago", 1,
+			"an urgent version after 251 ms, 9 s after a fault", 1,
 			append(fault("1-kill", 20*second, 24*second), put(33*second, 1, true), inForce(33*second+251*ms, 0, 1)),
 		},
 		{
-			"an urgent version after 251 ms, 10 s after the follower's start", 1,
+			"an urgent version after 251 ms, less than 10 s after the follower's restart", 1,
 			append(fault("2-restart", 30*second, 31*second), put(39*second, 1, true), inForce(39*second+251*ms, 0, 1)),
 		},
 		{
-			"an urgent version as late as the waits for a core explain", 1,
+			"an urgent version within the bound extended by waits for a core", 1,
 			[]history.Event{
 				put(1*second, 1, true),
 				inForce(1*second+300*ms, 0, 1),
@@ -70,7 +70,7 @@
 			},
 		},
 		{
-			"an urgent version as late as any waits may make it", 1,
+			"an urgent version within the largest extended bound", 1,
 			[]history.Event{
 				put(1*second, 1, true),
 				inForce(2*second+250*ms, 0, 1),
@@ -78,7 +78,7 @@
 			},
 		},
 		{
-			"an urgent version that waited until a fault began", 1,
+			"an urgent version with a fault within the extended bound", 1,
 			append(
 				fault("1-kill", 20*second, 24*second),
 				put(19*second+500*ms, 1, true),
@@ -87,7 +87,7 @@
 			),
 		},
 		{
-			"a whole resource from a relay that has started anew", 2,
+			"a snapshot from a relay that has restarted", 2,
 			[]history.Event{
 				inForce(1*second, 0, 1),
 				{At: 2 * second, Kind: history.Started, Who: relay},
@@ -95,7 +95,7 @@
 			},
 		},
 		{
-			"a whole resource from a relay that has never told the version", 2,
+			"a snapshot from a relay that has never sent the version", 2,
 			[]history.Event{
 				inForce(1*second, 0, 1),
 				{
@@ -105,19 +105,19 @@
 			},
 		},
 		{
-			"a whole resource for a follower that has nothing", 2,
+			"a snapshot for a follower without a version", 2,
 			[]history.Event{inForce(1*second, 0, 1), subscribed(2*second, 0), inForce(3*second, 0, 2)},
 		},
 		{
-			"a version reported that everybody had and has no more", 2,
+			"a report of a version that was in force until then", 2,
 			[]history.Event{inForce(1*second, 0, 1), inForce(2*second, 1, 2), report(2*second, 1, 1)},
 		},
 		{
-			"a follower that counts at two relays after a fault", 1,
+			"a follower counted at two relays after a fault", 1,
 			append(fault("1-kill", 20*second, 24*second), inForce(1*second, 0, 1), report(30*second, 1, 2)),
 		},
 		{
-			"a follower that counts at two relays while the machine lags", 1,
+			"a follower counted at two relays after a lag of the machine", 1,
 			[]history.Event{
 				inForce(1*second, 0, 1),
 				{At: 29 * second, Kind: history.Lag, Who: "rig", Took: 500 * ms},
@@ -129,11 +129,11 @@
 			"a follower that is not counted after a fault", 1,
 			append(fault("1-kill", 20*second, 24*second), inForce(1*second, 0, 1), report(30*second, 1, 0)),
 		},
-		{"a put that was answered while the source was asked", 1, []history.Event{
+		{"a put answered during a read of the source", 1, []history.Event{
 			put(3*second, 1, false), inForce(3*second, 0, 1),
 			{At: 3*second + 5*ms, Kind: history.SourceRead, Resource: resource, Took: 10 * ms},
 		}},
-		{"memory and bytes at their bounds", 1, []history.Event{
+		{"memory and idle bytes at their bounds", 1, []history.Event{
 			inForce(1*second, 0, 1), used(90*second, 0), used(95*second, 500),
 			{
 				At: 2 * second, Kind: history.Usage, Who: relay,
--- a/internal/harness/rollout/check/paths.go
+++ b/internal/harness/rollout/check/paths.go
@@ -9,8 +9,8 @@
 	"fernlanding/internal/harness/rollout/plan"
 )
 
-// findClearPaths computes when faults affect the paths of each follower, and when each path is
-// clear of them.
+// findClearPaths computes the time spans in which faults affect the paths of each follower and the
+// time spans in which each path is free of faults.
 func (r *record) findClearPaths(sc *plan.Scenario) {
 	r.affected = make(map[string][]span)
 	r.clear = make(map[string]map[string][]span)
@@ -22,8 +22,8 @@
 	}
 }
 
-// faultsOf returns when faults affect a path of a follower. It adds these, and the follower's
-// restarts, to r.affected.
+// faultsOf returns the time spans in which faults affect a path of a follower. It adds these spans
+// and the spans of the follower's restarts to r.affected.
 func (r *record) faultsOf(follower string, path []plan.Hop) (affected []span) {
 	for _, f := range r.faults {
 		if !slices.ContainsFunc(path, func(hop plan.Hop) bool { return plan.Affects(f.Fault, hop) }) {
@@ -37,7 +37,7 @@
 	return affected
 }
 
-// pathName names a path by its relays and the source.
+// pathName returns the name of a path, which consists of the names of its relays and the source.
 func pathName(path []plan.Hop) string {
 	var names []string
 	for _, hop := range path[1:] {
@@ -48,7 +48,7 @@
 	return strings.Join(names, " ")
 }
 
-// gaps returns the time spans outside of others, which it sorts.
+// gaps returns the time spans between the spans in taken, up to forever. It sorts taken.
 func gaps(taken []span) (out []span) {
 	slices.SortFunc(taken, func(a, b span) int { return cmp.Compare(a.from, b.from) })
 	at := int64(0)
@@ -64,8 +64,8 @@
 	return out
 }
 
-// reachable returns the path of a follower that is clear for longer than a duration within a time
-// span, and from when on: the earliest such path.
+// reachable returns the first path of a follower that is free of faults for longer than duration
+// within a time span, and the time from which the path is free.
 func (r *record) reachable(follower string, within span, duration time.Duration) (path string, from int64, found bool) {
 	from = forever
 	for name, spans := range r.clear[follower] {
--- a/internal/harness/rollout/check/record.go
+++ b/internal/harness/rollout/check/record.go
@@ -10,13 +10,13 @@
 	"fernlanding/internal/harness/rollout/plan"
 )
 
-// Times of a history are in microseconds.
+// Times in microseconds, the unit of a history.
 const (
 	second  = int64(1_000_000)
 	forever = int64(1) << 62
 )
 
-// span is a time span, in microseconds.
+// span is a time span in microseconds.
 type span struct{ from, to int64 }
 
 // following is a follower and a resource that it follows.
@@ -28,40 +28,43 @@
 	version  distribution.Version
 }
 
-// firstSeen is the follower that first had some items, and when.
+// firstSeen is the follower that first had a set of items, and the time at which it had them.
 type firstSeen struct {
 	follower string
 	at       int64
 }
 
-// timedFault is a fault of the schedule and when it was there.
+// timedFault is a fault of the schedule and the time span in which it was active.
 type timedFault struct {
 	plan.Fault
 	span
 }
 
-// record is a history, indexed for the checks. All events are in the order of time.
+// record is a history with indexes for the checks. All lists of events are sorted by time except
+// where noted.
 type record struct {
 	all []history.Event
-	end int64 // of the run
-
-	states      map[following][]history.Event // Subscribed, InForce and Refused
-	writes      map[string][]history.Event    // answered puts of each resource, by version
-	reports     map[string][]history.Event    // in-force reports of each resource
-	sourceReads []history.Event               // what the source had whenever it was asked
-	atSource    map[string]history.Event      // the last of these for each resource
-	usage       map[string][]history.Event    // of each process
-	cpuWaits    map[string][]history.Event    // of each process
-	lags        []span                        // while the machine kept a process of the rig waiting
-	digests     map[resourceVersion]map[string]firstSeen
+	end int64 // time of the last event
+
+	states      map[following][]history.Event // Subscribed, InForce and UpdateRejected events
+	writes      map[string][]history.Event    // answered puts by resource, sorted by version
+	reports     map[string][]history.Event    // in-force reports by resource
+	sourceReads []history.Event               // all reads of the source
+	atSource    map[string]history.Event      // last read of the source by resource
+	usage       map[string][]history.Event    // Usage events by process
+	cpuWaits    map[string][]history.Event    // CPUWaited events by process
+	lags        []span                        // lags that no fault caused
+	// digests has, for each version, the digests of its items with the first follower that had
+	// them.
+	digests map[resourceVersion]map[string]firstSeen
 
 	faults     []timedFault
-	openFaults map[string]int               // indices into faults, of those that go on, by the ID of their events
-	affected   map[string][]span            // when faults, restarts included, affect a path of each follower
-	clear      map[string]map[string][]span // when no fault affects a path, by follower and path
+	openFaults map[string]int               // indices into faults of active faults, by the ID of their events
+	affected   map[string][]span            // spans of faults and restarts that affect a path, by follower
+	clear      map[string]map[string][]span // spans in which no fault affects a path, by follower and path
 }
 
-// newRecord indexes a history, which is sorted by time.
+// newRecord indexes a history, which must be sorted by time.
 func newRecord(sc *plan.Scenario, all []history.Event) *record {
 	r := &record{
 		all:        all,
@@ -113,17 +116,17 @@
 		r.sourceReads = append(r.sourceReads, e)
 	case history.Usage:
 		r.usage[e.Who] = append(r.usage[e.Who], e)
-	default: // no check needs an index of it
+	default: // no check needs an index of other kinds
 	}
 }
 
-// addState adds what a follower has in force, or rejects.
+// addState adds an event that changes the state of a follower.
 func (r *record) addState(e history.Event) {
 	key := following{follower: e.Who, resource: e.Resource}
 	r.states[key] = append(r.states[key], e)
 }
 
-// addDigest adds the items that a follower has of a version, by their digest.
+// addDigest adds the digest of a version at a follower.
 func (r *record) addDigest(e history.Event) {
 	key := resourceVersion{resource: e.Resource, version: e.Version}
 	if r.digests[key] == nil {
@@ -134,8 +137,8 @@
 	}
 }
 
-// addFault adds the beginning or the end of a fault, whose ID begins with its number in the
-// schedule.
+// addFault adds the beginning or the end of a fault. The ID of the event begins with the number of
+// the fault in the schedule.
 func (r *record) addFault(schedule []plan.Fault, e history.Event) {
 	number, _, _ := strings.Cut(e.ID, "-")
 	n, err := strconv.Atoi(number)
@@ -153,15 +156,16 @@
 	}
 }
 
-// wasStopped reports whether a process ran late because a fault had stopped it.
+// wasStopped reports whether a Lag event is of a process that a fault affected at that time, for
+// example by stopping it.
 func (r *record) wasStopped(e history.Event) bool {
 	return slices.ContainsFunc(r.faults, func(f timedFault) bool {
 		return slices.Contains(f.Names, e.Who) && f.from <= e.At && e.At-e.Took <= f.to
 	})
 }
 
-// firstHad returns when a follower first had a version or a later one, or rejected it, since a
-// time; forever: never.
+// firstHad returns the first time since a given time at which a follower had a version or a later
+// one, or rejected it. It returns forever if there is no such time.
 func (r *record) firstHad(key following, v distribution.Version, since int64) int64 {
 	for _, e := range r.states[key] {
 		if e.At >= since && !v.After(e.Version) {
@@ -171,8 +175,8 @@
 	return forever
 }
 
-// last returns what a follower has in force at the end. One that has restarted with a version has
-// no digest until the next update.
+// last returns the event of the version that a follower has in force at the end. After a restart
+// with a version, the event has no digest until the next update.
 func (r *record) last(key following) (last history.Event) {
 	for _, e := range r.states[key] {
 		if e.Kind != history.UpdateRejected {
--- a/internal/harness/rollout/check/status.go
+++ b/internal/harness/rollout/check/status.go
@@ -9,9 +9,9 @@
 	"fernlanding/internal/harness/rollout/plan"
 )
 
-// checkStatus checks the source's in-force reports: none counts more followers for a version than
-// ever had it; while no follower has switched relays each counts all followers; and the last one is
-// exact.
+// checkStatus checks the source's in-force reports. No report counts more followers at a version
+// than ever had that version. While no follower has switched relays, each report counts all
+// followers. The last report is exact.
 func checkStatus(sc *plan.Scenario, r *record) (verdicts []Verdict) {
 	for _, resource := range sc.Resources() {
 		verdicts = append(verdicts, r.checkReports(sc, resource)...)
@@ -42,7 +42,8 @@
 	return verdicts
 }
 
-// checkCounts checks that a report counts no more followers for a version than have had it.
+// checkCounts checks that a report counts no more followers at a version than have had that
+// version.
 func (r *record) checkCounts(sc *plan.Scenario, keys []following, e history.Event) (verdicts []Verdict) {
 	for _, count := range e.Report.Counts {
 		had := r.hadBy(keys, count.Version, e.At)
@@ -56,7 +57,7 @@
 	return verdicts
 }
 
-// checkLastReport checks that the last report of a resource is what is in force.
+// checkLastReport checks that the last report of a resource agrees with the versions in force.
 func (r *record) checkLastReport(keys []following, e history.Event) []Verdict {
 	want := make(map[distribution.Version]int)
 	for _, key := range keys {
@@ -77,7 +78,7 @@
 		e.Resource, got, rejections, laggards, want)}
 }
 
-// proxyCount returns how many proxies a report counts.
+// proxyCount returns the number of proxies that a report counts.
 func proxyCount(report *distribution.ResourceStatus) (proxies int) {
 	for _, count := range report.Counts {
 		proxies += count.Proxies
@@ -85,7 +86,7 @@
 	return proxies
 }
 
-// lastFirstStart returns when the last of some followers began to follow for the first time.
+// lastFirstStart returns the latest time at which one of the followers started for the first time.
 func (r *record) lastFirstStart(keys []following) (last int64) {
 	for _, key := range keys {
 		if states := r.states[key]; len(states) > 0 {
@@ -95,7 +96,7 @@
 	return last
 }
 
-// hadBy returns how many followers have had a version in force by a time.
+// hadBy returns the number of followers that had a version in force at a time or before.
 func (r *record) hadBy(keys []following, v distribution.Version, at int64) (followers int) {
 	for _, key := range keys {
 		had := slices.ContainsFunc(r.states[key], func(e history.Event) bool {
@@ -108,9 +109,10 @@
 	return followers
 }
 
-// maxCounted returns how many proxies a report may count where so many had a version: a follower
-// that has switched relays is counted at both until its session at the first expires, and so are
-// those behind a relay that has switched.
+// maxCounted returns the largest number of proxies that a report may count at a version that had
+// followers have had. A follower that has switched relays is counted at both relays until its
+// session at the first relay expires. The same holds for the followers of a relay that has
+// switched.
 func (r *record) maxCounted(sc *plan.Scenario, had int, at int64) int {
 	if r.mayHaveSwitched(sc, at) {
 		return had * sc.Relays.PerZone * sc.Relays.Regions
@@ -118,8 +120,8 @@
 	return had
 }
 
-// mayHaveSwitched reports whether followers may have switched relays shortly before a time: a fault
-// was there, or the machine kept processes waiting for so long that reads failed.
+// mayHaveSwitched reports whether followers may have switched relays shortly before a time. The
+// reason is a fault, or a lag of the machine that is long enough for reads to fail.
 func (r *record) mayHaveSwitched(sc *plan.Scenario, at int64) bool {
 	settled := (sessionHolds*max(sc.Followers.Hold, sc.Relays.Hold) + failbackTime).Microseconds()
 	isRecent := func(s span) bool { return s.from <= at && at <= s.to+settled }
--- a/internal/harness/rollout/check/breaches_test.go
+++ b/internal/harness/rollout/check/violations_test.go
@@ -8,8 +8,8 @@
 	"fernlanding/internal/harness/rollout/check"
 )
 
-// Each check finds what it is there for, and no other check finds anything.
-func TestBreachesAreFound(t *testing.T) {
+// Each check finds the violation that it is for, and no other check finds any.
+func TestViolationsAreFound(t *testing.T) {
 	for _, test := range []struct {
 		name, check string
 		last        uint64
@@ -20,7 +20,7 @@
 			[]history.Event{inForce(1*second, 0, 2), inForce(2*second, 2, 1), inForce(3*second, 1, 3)},
 		},
 		{
-			"an older version after a start with a newer one", check.Backwards, 3,
+			"an older version after a restart with a newer one", check.Backwards, 3,
 			[]history.Event{
 				inForce(1*second, 0, 2),
 				subscribed(2*second, 2),
@@ -37,11 +37,11 @@
 			append(fault("1-kill", 20*second, 24*second), put(21*second, 1, false), inForce(34*second+100*ms, 0, 1)),
 		},
 		{
-			"a version 10.1 s after the beginning of a fault of one of two relays", check.Late, 1,
+			"a version 10.1 s after the beginning of a fault on one of two relays", check.Late, 1,
 			append(fault("3-kill", 40*second, 60*second), put(40*second, 1, false), inForce(50*second+100*ms, 0, 1)),
 		},
 		{
-			"the newest version not again after a start with nothing", check.Late, 1,
+			"the latest version 11 s after a restart without a version", check.Late, 1,
 			[]history.Event{
 				put(1*second, 1, false),
 				inForce(2*second, 0, 1),
@@ -59,11 +59,11 @@
 			},
 		},
 		{
-			"an urgent version after 251 ms, the fault 11 s ago", check.Urgent, 1,
+			"an urgent version after 251 ms, 11 s after a fault", check.Urgent, 1,
 			append(fault("1-kill", 20*second, 24*second), put(35*second, 1, true), inForce(35*second+251*ms, 0, 1)),
 		},
 		{
-			"an urgent version after 251 ms, another zone's relay waited", check.Urgent, 1,
+			"an urgent version after 251 ms, a process off the path waited for a core", check.Urgent, 1,
 			[]history.Event{
 				put(1*second, 1, true),
 				inForce(1*second+251*ms, 0, 1),
@@ -71,7 +71,7 @@
 			},
 		},
 		{
-			"an urgent version later than the waits for a core explain", check.Urgent, 1,
+			"an urgent version beyond the bound extended by waits for a core", check.Urgent, 1,
 			[]history.Event{
 				put(1*second, 1, true),
 				inForce(1*second+301*ms, 0, 1),
@@ -80,7 +80,7 @@
 			},
 		},
 		{
-			"an urgent version later than any waits may make it", check.Urgent, 1,
+			"an urgent version beyond the largest extended bound", check.Urgent, 1,
 			[]history.Event{
 				put(1*second, 1, true),
 				inForce(2*second+251*ms, 0, 1),
@@ -88,7 +88,7 @@
 			},
 		},
 		{
-			"an urgent version late before a wait for a core", check.Urgent, 1,
+			"an urgent version late before the wait for a core", check.Urgent, 1,
 			[]history.Event{
 				put(1*second, 1, true),
 				inForce(1*second+251*ms, 0, 1),
@@ -96,7 +96,7 @@
 			},
 		},
 		{
-			"a whole resource from the relay that had told the version", check.Snapshots, 2,
+			"a snapshot from the relay that had sent the version", check.Snapshots, 2,
 			[]history.Event{inForce(1*second, 0, 1), subscribed(2*second, 1), inForce(3*second, 0, 2)},
 		},
 		{
@@ -110,8 +110,8 @@
 				inForce(3*second, 1, 2),
 			},
 		},
-		{"an older version in the end", check.Converged, 2, []history.Event{inForce(1*second, 0, 1)}},
-		{"an answered put that the source has no more", check.Durable, 2, []history.Event{
+		{"an older version at the end", check.Converged, 2, []history.Event{inForce(1*second, 0, 1)}},
+		{"an answered put that the source has lost", check.Durable, 2, []history.Event{
 			put(1*second, 1, false), inForce(1*second, 0, 1), put(2*second, 2, false),
 			inForce(2*second, 1, 2),
 			{
@@ -119,17 +119,17 @@
 				Digest: "d1.1", Took: 10 * ms,
 			},
 		}},
-		{"a version that the source has with other items", check.Durable, 2, []history.Event{
+		{"a version with other items at the source", check.Durable, 2, []history.Event{
 			inForce(1*second, 0, 1), inForce(4*second, 1, 2),
 			{At: 3 * second, Kind: history.SourceRead, Resource: resource, Version: version(1), Digest: "x"},
 		}},
 		{
-			"a version reported that nobody has", check.Status, 2,
+			"a report of a version that no follower has", check.Status, 2,
 			[]history.Event{inForce(1*second, 0, 1), report(2*second, 2, 1), inForce(3*second, 1, 2)},
 		},
-		{"one proxy reported twice", check.Status, 1, []history.Event{inForce(1*second, 0, 1), report(2*second, 1, 2)}},
+		{"one proxy counted twice", check.Status, 1, []history.Event{inForce(1*second, 0, 1), report(2*second, 1, 2)}},
 		{
-			"one proxy reported twice, a lag too short to break reads", check.Status, 1,
+			"one proxy counted twice, after a lag too short to break reads", check.Status, 1,
 			[]history.Event{
 				inForce(1*second, 0, 1),
 				{At: 29 * second, Kind: history.Lag, Who: "rig", Took: 499 * ms},
@@ -137,11 +137,11 @@
 			},
 		},
 		{
-			"one proxy reported three times after a fault", check.Status, 1,
+			"one proxy counted three times after a fault", check.Status, 1,
 			append(fault("1-kill", 20*second, 24*second), inForce(1*second, 0, 1), report(30*second, 1, 3)),
 		},
 		{
-			"one proxy reported twice long after a fault", check.Status, 1,
+			"one proxy counted twice long after a fault", check.Status, 1,
 			append(fault("1-kill", 20*second, 24*second), inForce(1*second, 0, 1), report(47*second, 1, 2)),
 		},
 		{
@@ -163,11 +163,11 @@
 			},
 		},
 		{
-			"too many bytes at rest", check.Bounds, 1,
+			"too many idle bytes", check.Bounds, 1,
 			[]history.Event{inForce(1*second, 0, 1), used(90*second, 0), used(95*second, 505)},
 		},
 		{
-			"a process that ends by itself", check.Processes, 1,
+			"a process that exits by itself", check.Processes, 1,
 			[]history.Event{
 				inForce(1*second, 0, 1),
 				{At: 2 * second, Kind: history.Exited, Who: relay, Reason: "by itself: exit status 2"},
@@ -178,13 +178,13 @@
 			verdicts := run(t, test.last, test.events...)
 			found := slices.ContainsFunc(verdicts, func(v check.Verdict) bool { return v.Check == test.check })
 			if !found {
-				t.Errorf("not found by %s; verdicts: %v", test.check, verdicts)
+				t.Errorf("no verdict of check %s in %v", test.check, verdicts)
 			}
 			for _, v := range verdicts {
-				// What is wrong at the end shows in the last report too.
+				// A wrong state at the end also disagrees with the last report.
 				alsoStatus := test.check == check.Converged && v.Check == check.Status
 				if v.Check != test.check && !alsoStatus {
-					t.Errorf("also %v", v)
+					t.Errorf("got verdict of another check: %v", v)
 				}
 			}
 		})
--- a/internal/harness/rollout/execute.go
+++ b/internal/harness/rollout/execute.go
@@ -13,13 +13,13 @@
 	"fernlanding/internal/sleep"
 )
 
-// rigName names the rig itself in the history.
-const rigName = "rig"
+// harnessName is the name of the harness itself in the history.
+const harnessName = "rig"
 
-// execute lets the publisher write, carries out the schedule, waits until all has settled, and
-// records what the source has.
+// execute starts the puts, carries out the fault schedule, waits for the settling period, and
+// records the final resources and reports of the source.
 func (r *run) execute(ctx context.Context) error {
-	waits := r.recordCPUWaits(nil) // the first sample: the next ones are compared with it, so that no wait is missed
+	waits := r.recordCPUWaits(nil) // the first sample is taken before the puts, so that no wait is missed
 	began := time.Now()
 	r.startedAt = r.Clock.Now()
 	err := r.Processes.SendCommand(plan.PublisherName, worker.Command{Do: worker.DoStartPuts, At: r.startedAt})
@@ -29,7 +29,7 @@
 	observing, stop := context.WithCancel(ctx)
 	r.Faults.Go(func() { r.observeServers(observing) })
 	r.Faults.Go(func() { r.observeCPUWaits(observing, waits) })
-	r.Faults.Go(func() { history.WatchLag(observing, rigName, r.Clock, r.Record) })
+	r.Faults.Go(func() { history.WatchLag(observing, harnessName, r.Clock, r.Record) })
 	defer stop()
 	schedule := launch.Schedule{Faults: r.sc.Schedule(), BeginFault: r.beginFault, RecordEndAfterRecovery: true}
 	if err := r.RunSchedule(ctx, began, schedule); err != nil {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// beginFault begins a fault, and returns what ends it.
+// beginFault begins a fault and returns the function that ends it.
 func (r *run) beginFault(ctx context.Context, f plan.Fault) (end func() error, err error) {
 	switch f.Kind {
 	case scenario.Stop:
@@ -71,7 +71,7 @@
 		return func() error { return nil }, forEach(f.Names, func(name string) error {
 			return r.Processes.SendCommand(name, worker.Command{Do: worker.DoRestart})
 		})
-	default: // a fault of links
+	default: // a fault on links
 		endOnLinks := r.Links.Begin(f)
 		return func() error {
 			endOnLinks()
@@ -80,7 +80,7 @@
 	}
 }
 
-// forEach calls do for each name, up to the first error.
+// forEach calls do for each name until the first error, which it returns.
 func forEach(names []string, do func(name string) error) error {
 	for _, name := range names {
 		if err := do(name); err != nil {
@@ -90,13 +90,13 @@
 	return nil
 }
 
-// killBetweenPuts kills the publisher when its next put has been answered, and returns what starts
-// it again.
+// killBetweenPuts kills the publisher when its next put has been answered. It returns the function
+// that starts the publisher again.
 func (r *run) killBetweenPuts(ctx context.Context) (end func() error) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	select {
-	case <-r.putAnswered: // one before the fault
+	case <-r.putAnswered: // discards a signal from before the fault
 	default:
 	}
 	r.Faults.Go(func() {
@@ -111,7 +111,7 @@
 		cancel()
 		<-done
 		if r.Processes.PID(plan.PublisherName) != 0 {
-			return nil // no put was answered in that time
+			return nil // no put was answered during the fault, so that the publisher is still running
 		}
 		return r.restart(ctx, plan.PublisherName)
 	}
--- a/internal/harness/rollout/naive_follower_test.go
+++ b/internal/harness/rollout/naive_follower_test.go
@@ -15,13 +15,13 @@
 	"fernlanding/internal/distribution/follow"
 )
 
-// naiveFollower is a stand-in of a follower. It reads from one relay after the other, each time
-// with all positions, and applies every update.
+// naiveFollower is a stand-in for a follower. It sends all positions in every read, applies every
+// update, and uses the next relay after an error.
 type naiveFollower struct {
 	cfg    follow.Config
 	client *http.Client
-	node   *naiveNode    // the relay that it reads for; nil for a proxy
-	wakeUp chan struct{} // ends the current read
+	node   *naiveNode    // relay that the follower reads for; nil for a proxy
+	wakeUp chan struct{} // a value ends the current read
 
 	mu        sync.Mutex
 	relay     string
@@ -29,7 +29,7 @@
 	subs      map[string]follow.Subscriber
 }
 
-// newNaiveFollower returns a follower that does not run yet.
+// newNaiveFollower returns a follower that is not running yet.
 func newNaiveFollower(cfg follow.Config) *naiveFollower {
 	return &naiveFollower{
 		cfg: cfg,
@@ -50,7 +50,7 @@
 	return func() {}
 }
 
-// wake ends the current read, so that the next one reports what has changed.
+// wake ends the current read so that the next read reports the changes.
 func (f *naiveFollower) wake() {
 	select {
 	case f.wakeUp <- struct{}{}:
@@ -91,7 +91,7 @@
 // read reads once from a relay.
 func (f *naiveFollower) read(ctx context.Context, relay string) error {
 	request := distribution.FollowRequest{Follower: f.cfg.Name, Kind: f.cfg.Kind, HoldMs: f.cfg.Hold.Milliseconds()}
-	f.fillIn(&request)
+	f.addPositions(&request)
 	body, err := json.Marshal(request)
 	if err != nil {
 		return err
@@ -109,21 +109,21 @@
 	if err != nil {
 		return err
 	}
-	var answer distribution.FollowResponse
-	if err := json.Unmarshal(data, &answer); err != nil {
+	var decoded distribution.FollowResponse
+	if err := json.Unmarshal(data, &decoded); err != nil {
 		return err
 	}
 	f.mu.Lock()
 	f.relay = relay
 	f.mu.Unlock()
-	for _, u := range answer.Updates {
+	for _, u := range decoded.Updates {
 		f.apply(u)
 	}
 	return nil
 }
 
-// fillIn fills in the positions and statuses of a read.
-func (f *naiveFollower) fillIn(request *distribution.FollowRequest) {
+// addPositions adds the positions, and for a relay the statuses, to a read.
+func (f *naiveFollower) addPositions(request *distribution.FollowRequest) {
 	f.mu.Lock()
 	for _, resource := range slices.Sorted(maps.Keys(f.positions)) {
 		request.Positions = append(request.Positions, f.positions[resource])
@@ -141,7 +141,7 @@
 	}
 }
 
-// apply applies an update.
+// apply applies an update to the relay, or passes it to the subscriber and updates the position.
 func (f *naiveFollower) apply(u distribution.Update) {
 	if f.node != nil {
 		f.node.apply(u)
--- a/internal/harness/rollout/naive_node_test.go
+++ b/internal/harness/rollout/naive_node_test.go
@@ -19,23 +19,23 @@
 	"fernlanding/internal/distribution/follow"
 )
 
-// naiveNode is a stand-in of a source or a relay. Every read names all that is followed, and
-// nothing is bounded.
+// naiveNode is a stand-in for a source or a relay. Every read names all followed resources, and no
+// resource usage is limited.
 type naiveNode struct {
 	bug      bug
 	name     string
 	upstream *naiveFollower // nil at the source
 
 	mu        sync.Mutex
-	changed   chan struct{} // closed when a resource changes, and replaced
+	changed   chan struct{} // closed and replaced when a resource changes
 	epoch     uint64
 	revision  uint64
 	resources map[string]*naiveResource
-	sessions  map[string]*naiveSession // by follower
-	cached    int                      // bytes of bugUnboundedCache
+	sessions  map[string]*naiveSession // sessions by follower name
+	cached    int                      // bytes cached by bugUnboundedCache
 }
 
-// runNaiveNode runs a source or a relay, by its arguments, until SIGTERM.
+// runNaiveNode runs a source or a relay, depending on its arguments, until SIGTERM.
 func runNaiveNode(args []string, b bug) error {
 	flags := flag.NewFlagSet(args[0], flag.ContinueOnError)
 	listen := flags.String("listen", "", "")
@@ -78,22 +78,22 @@
 	return nil
 }
 
-// beginEpoch raises the source's epoch.
+// beginEpoch starts a new epoch of the source. The file "epoch" in dir has the last epoch.
 func (n *naiveNode) beginEpoch(dir string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
 	file := filepath.Join(dir, "epoch")
-	data, _ := os.ReadFile(file) // none at the first start
+	data, _ := os.ReadFile(file) // fails at the first start
 	last, _ := strconv.ParseUint(string(data), 10, 64)
 	n.epoch = last + 1
 	return os.WriteFile(file, []byte(strconv.FormatUint(n.epoch, 10)), 0o600)
 }
 
-// handler returns the handler of the paths that the rig and followers use.
+// handler returns the handler for the paths that the harness and the followers use.
 func (n *naiveNode) handler() http.Handler {
 	mux := http.NewServeMux()
-	answer := func(w http.ResponseWriter, value any) { _ = json.NewEncoder(w).Encode(value) }
+	reply := func(w http.ResponseWriter, value any) { _ = json.NewEncoder(w).Encode(value) }
 	mux.HandleFunc("/_health", func(http.ResponseWriter, *http.Request) {})
 	mux.HandleFunc("POST /v1/follow", func(w http.ResponseWriter, q *http.Request) {
 		var request distribution.FollowRequest
@@ -101,7 +101,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		answer(w, n.follow(q.Context(), request))
+		reply(w, n.follow(q.Context(), request))
 	})
 	mux.HandleFunc("POST /v1/put", func(w http.ResponseWriter, q *http.Request) {
 		var request distribution.PutRequest
@@ -109,28 +109,29 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		answer(w, n.put(request))
+		reply(w, n.put(request))
 	})
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, q *http.Request) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		answer(w, n.status(q.FormValue("resource")))
+		reply(w, n.status(q.FormValue("resource")))
 	})
 	mux.HandleFunc("GET /v1/resource", func(w http.ResponseWriter, q *http.Request) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		name := q.FormValue("name")
-		answer(w, n.resource(name).snapshot(name))
+		reply(w, n.resource(name).snapshot(name))
 	})
 	mux.HandleFunc("GET /v1/stats", func(w http.ResponseWriter, _ *http.Request) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		answer(w, distribution.Stats{Sessions: len(n.sessions), CacheBytes: int64(n.cached)})
+		reply(w, distribution.Stats{Sessions: len(n.sessions), CacheBytes: int64(n.cached)})
 	})
 	return mux
 }
 
-// resource returns a resource, which is empty if it is new. The lock is held.
+// resource returns a resource. It creates an empty one if the resource does not exist. The caller
+// holds n.mu.
 func (n *naiveNode) resource(name string) *naiveResource {
 	if n.resources[name] == nil {
 		n.resources[name] = &naiveResource{items: map[string]distribution.Item{}}
@@ -138,7 +139,7 @@
 	return n.resources[name]
 }
 
-// notify wakes all reads. The lock is held.
+// notify wakes all waiting reads. The caller holds n.mu.
 func (n *naiveNode) notify() {
 	close(n.changed)
 	n.changed = make(chan struct{})
@@ -172,7 +173,7 @@
 	return distribution.PutResponse{Version: u.Version}
 }
 
-// apply applies an update of the upstream.
+// apply applies an update from the upstream if the update is newer and fits the current version.
 func (n *naiveNode) apply(u distribution.Update) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/harness/rollout/naive_reads_test.go
+++ b/internal/harness/rollout/naive_reads_test.go
@@ -9,7 +9,7 @@
 	"fernlanding/internal/distribution"
 )
 
-// naiveSession is what a node knows of one of its followers.
+// naiveSession is the state of a follower at a node.
 type naiveSession struct {
 	kind      distribution.Kind
 	positions map[string]distribution.Position
@@ -30,23 +30,24 @@
 		}
 		changed := n.changed
 		n.mu.Unlock()
-		over := false
+		holdEnded := false
 		select {
 		case <-changed:
 		case <-n.recheck():
 		case <-hold.C:
-			over = true
+			holdEnded = true
 		case <-ctx.Done():
-			over = true
+			holdEnded = true
 		}
 		n.mu.Lock()
-		if over {
+		if holdEnded {
 			return distribution.FollowResponse{Session: naiveSessionID, Updates: n.heartbeat(q)}
 		}
 	}
 }
 
-// recheck returns when to check again for updates that a bug delays; nil: none does.
+// recheck returns a channel that receives a value when it is time to check again for updates that a
+// bug delays. It returns nil if no bug delays updates.
 func (n *naiveNode) recheck() <-chan time.Time {
 	if n.bug != bugDelayUrgent && n.bug != bugBackwards {
 		return nil
@@ -54,7 +55,8 @@
 	return time.After(naiveRetryDelay)
 }
 
-// recordRead records what a read says of its follower, and has it reported. The lock is held.
+// recordRead records the state of a follower from its read and wakes the upstream read, which
+// reports the state. The caller holds n.mu.
 func (n *naiveNode) recordRead(q distribution.FollowRequest) {
 	session := &naiveSession{
 		kind:      q.Kind,
@@ -75,7 +77,7 @@
 	}
 }
 
-// pending returns the updates that a read is answered with. The lock is held.
+// pending returns the updates that answer a read. The caller holds n.mu.
 func (n *naiveNode) pending(q distribution.FollowRequest) (out []distribution.Update) {
 	for _, p := range q.Positions {
 		r := n.resources[p.Resource]
@@ -107,7 +109,7 @@
 	return out
 }
 
-// goesBack reports whether bugBackwards sends the previous version of a resource.
+// goesBack reports whether bugBackwards causes the node to send the previous version of a resource.
 func (n *naiveNode) goesBack(r *naiveResource, kind distribution.Kind) bool {
 	if n.bug != bugBackwards || n.upstream == nil || kind != distribution.KindProxy {
 		return false
@@ -115,7 +117,7 @@
 	return r.previous != nil && time.Since(r.updatedAt) > naiveHold/2 && !r.previous.Version.IsZero()
 }
 
-// withholds reports whether a bug withholds an update.
+// withholds reports whether a bug causes the node to withhold an update.
 func (n *naiveNode) withholds(r *naiveResource, p distribution.Position) bool {
 	switch n.bug {
 	case bugDropUpdates:
@@ -127,7 +129,7 @@
 	}
 }
 
-// heartbeat returns the updates at the end of a hold. The lock is held.
+// heartbeat returns the updates to send at the end of a hold. The caller holds n.mu.
 func (n *naiveNode) heartbeat(q distribution.FollowRequest) (out []distribution.Update) {
 	if n.bug != bugHeavyHeartbeat {
 		return nil
@@ -140,8 +142,8 @@
 	return out
 }
 
-// status returns how far a resource is in force at the followers that have read of late. The lock
-// is held.
+// status returns the status of a resource at the followers that have read within the last three
+// holds. The caller holds n.mu.
 func (n *naiveNode) status(resource string) distribution.ResourceStatus {
 	counts := map[distribution.Version]int{}
 	out := distribution.ResourceStatus{Resource: resource}
@@ -158,7 +160,7 @@
 			continue
 		}
 		p, follows := session.positions[resource]
-		if !follows || n.bug == bugLeaveOut && name == "follower-2" {
+		if !follows || n.bug == bugOmitFollower && name == "follower-2" {
 			continue
 		}
 		if n.bug == bugReportEarly {
--- a/internal/harness/rollout/naive_resource_test.go
+++ b/internal/harness/rollout/naive_resource_test.go
@@ -8,17 +8,17 @@
 	"fernlanding/internal/distribution"
 )
 
-// naiveResource is a resource with its complete history since the last snapshot.
+// naiveResource is a resource with all deltas since its last snapshot.
 type naiveResource struct {
 	version   distribution.Version
 	items     map[string]distribution.Item
-	deltas    []distribution.Update // since the last snapshot
+	deltas    []distribution.Update // deltas since the last snapshot
 	updatedAt time.Time
 	urgent    bool                 // the last update had an urgent item
-	previous  *distribution.Update // a snapshot of the version before
+	previous  *distribution.Update // snapshot of the previous version
 }
 
-// snapshot returns the resource with all its items.
+// snapshot returns the resource as an update with all its items.
 func (r *naiveResource) snapshot(name string) distribution.Update {
 	u := distribution.Update{Resource: name, Version: r.version}
 	for _, key := range slices.Sorted(maps.Keys(r.items)) {
@@ -51,8 +51,8 @@
 	r.updatedAt = time.Now()
 }
 
-// since returns the update from a version to the current one: a snapshot if the history does not
-// have the version.
+// since returns the update from version v to the current version. The update is a snapshot if the
+// deltas do not go back to v.
 func (r *naiveResource) since(name string, v distribution.Version) distribution.Update {
 	i := slices.IndexFunc(r.deltas, func(u distribution.Update) bool { return u.From == v })
 	if i < 0 || v.IsZero() {
--- a/internal/harness/rollout/naive_test.go
+++ b/internal/harness/rollout/naive_test.go
@@ -6,28 +6,28 @@
 	"fernlanding/internal/harness/worker"
 )
 
-// bug is a bug that is seeded in a stand-in.
+// bug is a bug seeded into a stand-in.
 type bug string
 
 // The bugs.
 const (
 	noBug             bug = ""
-	bugBackwards      bug = "back"      // goes back to an older version now and then
-	bugDropUpdates    bug = "forget"    // drops all updates of one resource but the first
-	bugDropItem       bug = "drop-item" // leaves an item out of a delta
+	bugBackwards      bug = "back"      // returns to an older version from time to time
+	bugDropUpdates    bug = "forget"    // drops all updates of one resource except the first
+	bugDropItem       bug = "drop-item" // omits an item from deltas
 	bugDelayUrgent    bug = "hold-back" // delays urgent updates by naiveUrgentDelay
-	bugSnapshotsOnly  bug = "whole"     // sends snapshots in place of deltas
-	bugHeavyHeartbeat bug = "heartbeat" // sends snapshots when a hold is over
+	bugSnapshotsOnly  bug = "whole"     // sends snapshots instead of deltas
+	bugHeavyHeartbeat bug = "heartbeat" // sends snapshots at the end of a hold
 	bugUnboundedCache bug = "backlog"   // caches all updates that it has ever encoded
-	bugReportEarly    bug = "early"     // reports as in force what its followers do not have yet
-	bugLeaveOut       bug = "uncounted" // leaves a follower out of its reports
-	bugCrash          bug = "crash"     // ends by itself
+	bugReportEarly    bug = "early"     // reports versions as in force before its followers have them
+	bugOmitFollower   bug = "uncounted" // omits a follower from its reports
+	bugCrash          bug = "crash"     // exits by itself
 )
 
-// How the stand-ins behave.
+// Parameters of the stand-ins.
 const (
 	naiveHold            = 300 * time.Millisecond
-	naiveRetryDelay      = 20 * time.Millisecond // between two attempts at relays
+	naiveRetryDelay      = 20 * time.Millisecond // delay before a repeated read or check
 	naiveUrgentDelay     = 2 * time.Second
 	naiveCrashDelay      = 1500 * time.Millisecond
 	naiveDroppedResource = "service-1"
--- a/internal/harness/rollout/network.go
+++ b/internal/harness/rollout/network.go
@@ -10,23 +10,23 @@
 	"fernlanding/internal/harness/rollout/plan"
 )
 
-// extraPorts is how many ports the links need beyond one for each server: one, because the source
-// has two links, and spare ones.
+// extraPorts is the number of ports that the links need in addition to one port per server. One is
+// for the second link of the source; the others are spare.
 const extraPorts = 3
 
-// servers returns the source and all relays.
+// servers returns the names of the source and all relays.
 func (r *run) servers() []string {
 	return slices.Concat(r.sc.Names(plan.OnSource), r.sc.Names(plan.OnRegions), r.sc.Names(plan.OnZones))
 }
 
-// openLinks finds addresses and ports that are free, and opens the links.
+// openLinks finds free addresses and ports and opens the links.
 func (r *run) openLinks() error {
 	servers := r.servers()
 	return r.OpenLinks(len(servers)+extraPorts, noWatcher{}, func(network, port int) error {
 		r.serverPort = port
-		r.places = make(map[string]link.Addr)
+		r.addrs = make(map[string]link.Addr)
 		for i, name := range slices.Concat(servers, []string{plan.PublisherName}, r.sc.FollowerNames()) {
-			r.places[name] = link.AddrOf(network, i)
+			r.addrs[name] = link.AddrOf(network, i)
 		}
 		return r.listenOnLinks()
 	})
@@ -34,20 +34,20 @@
 
 // listenOnLinks opens the links to the source and to each relay.
 func (r *run) listenOnLinks() error {
-	names := make(map[link.Addr]string, len(r.places))
-	for name, place := range r.places {
-		names[place] = name
+	names := make(map[link.Addr]string, len(r.addrs))
+	for name, addr := range r.addrs {
+		names[addr] = name
 	}
 	port := r.serverPort
 	for _, server := range r.servers() {
-		to := func(at link.Addr) (link.Peers, string, bool) {
-			name, known := names[at]
+		route := func(dialled link.Addr) (link.Peers, string, bool) {
+			name, known := names[dialled]
 			return link.Peers{From: name, To: server}, r.address(server), known
 		}
 		for _, group := range r.sc.LinksTo(server) {
 			port++
 			r.linkPorts[linkEnd{link: group, server: server}] = port
-			if err := r.Links.Listen(link.Relay{Group: group, Port: port, Route: to}); err != nil {
+			if err := r.Links.Listen(link.Relay{Group: group, Port: port, Route: route}); err != nil {
 				return err
 			}
 		}
@@ -55,19 +55,19 @@
 	return nil
 }
 
-// address returns where the source or a relay itself listens.
+// address returns the listening address of the source or a relay.
 func (r *run) address(server string) string {
-	return net.JoinHostPort(r.places[server].String(), strconv.Itoa(r.serverPort))
+	return net.JoinHostPort(r.addrs[server].String(), strconv.Itoa(r.serverPort))
 }
 
-// linkAddress returns where a caller reaches a server over its link.
+// linkAddress returns the address at which a caller reaches a server through the link between them.
 func (r *run) linkAddress(caller, server string) string {
 	end := linkEnd{link: r.sc.LinkBetween(caller, server), server: server}
-	return net.JoinHostPort(r.places[caller].String(), strconv.Itoa(r.linkPorts[end]))
+	return net.JoinHostPort(r.addrs[caller].String(), strconv.Itoa(r.linkPorts[end]))
 }
 
-// noWatcher is a link.Watcher that records nothing: the workers at the ends of a link record what
-// passes.
+// noWatcher is a link.Watcher that records nothing. The workers at the ends of a link record the
+// traffic.
 type noWatcher struct{}
 
 // Opened implements link.Watcher.
--- a/internal/harness/rollout/norace_test.go
+++ b/internal/harness/rollout/norace_test.go
@@ -2,7 +2,7 @@
 
 package rollout_test
 
-// Without the race detector.
+// Constants for tests without the race detector.
 const (
 	raceEnabled = false
 	raceMemory  = 1
