--- a/internal/harness/rollout/observe.go
+++ b/internal/harness/rollout/observe.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	// requestTimeout bounds a request to the source or a relay.
+	// requestTimeout is the timeout of a request to the source or a relay.
 	requestTimeout = time.Second
-	// observeInterval is how often the source and relays are asked for their metrics and statuses.
+	// observeInterval is the interval at which the statistics and reports of servers are requested.
 	observeInterval = 300 * time.Millisecond
-	// maxResponseBytes bounds a response of the source or a relay.
+	// maxResponseBytes is the largest response of the source or a relay that is read.
 	maxResponseBytes = 64 << 20
-	// cpuWaitInterval is how often the waits of processes for a core are sampled.
+	// cpuWaitInterval is the interval at which the waits of processes for a core are sampled.
 	cpuWaitInterval = 50 * time.Millisecond
-	// minCPUWait is the least wait that is recorded.
+	// minCPUWait is the shortest wait that is recorded.
 	minCPUWait = time.Millisecond
 )
 
-// observeServers records the metrics of the source and the relays, and the source's in-force
-// reports, until the context ends.
+// observeServers records the statistics of the source and the relays and the source's in-force
+// reports until ctx is done.
 func (r *run) observeServers(ctx context.Context) {
 	ticker := time.NewTicker(observeInterval)
 	defer ticker.Stop()
@@ -50,11 +50,11 @@
 	}
 }
 
-// recordStats records the metrics of a server, and its resident memory.
+// recordStats records the statistics and the resident memory of a server.
 func (r *run) recordStats(ctx context.Context, name string) {
 	var stats map[string]any
 	if r.get(ctx, name, "/v1/stats", &stats) != nil {
-		return // it is down, or stopped
+		return // the server is down or stopped
 	}
 	figures := map[string]float64{history.UsageResident: float64(process.ResidentBytes(r.Processes.PID(name)))}
 	for field, value := range stats {
@@ -69,12 +69,12 @@
 func (r *run) recordStatus(ctx context.Context, resource string) {
 	var status distribution.ResourceStatus
 	if r.get(ctx, plan.Source, "/v1/status?resource="+url.QueryEscape(resource), &status) != nil {
-		return // it is down, or stopped
+		return // the source is down or stopped
 	}
 	r.Record(history.Event{Kind: history.StatusReported, Who: plan.Source, Resource: resource, Report: &status})
 }
 
-// recordResource records the version and the items of a resource that the source has.
+// recordResource records the version and the digest of the items of a resource at the source.
 func (r *run) recordResource(ctx context.Context, resource string) {
 	began := r.Clock.Now()
 	var u distribution.Update
@@ -94,7 +94,8 @@
 	})
 }
 
-// get decodes the response of a server, which is asked directly and not over a link.
+// get requests a path from a server and decodes the JSON response. The request goes directly to the
+// server, without a link.
 func (r *run) get(ctx context.Context, server, path string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.address(server)+path, nil)
 	if err != nil {
@@ -104,21 +105,21 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = resp.Body.Close() }() // what was needed of it has been read
+	defer func() { _ = resp.Body.Close() }() // read errors are returned by Decode
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("%s: status %d", path, resp.StatusCode)
 	}
 	return json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(into)
 }
 
-// cpuSample is how long a process had waited for a core, in all, at a time.
+// cpuSample is the total time for which a process had waited for a core at a point in time.
 type cpuSample struct {
-	at     int64 // on the run's clock
+	at     int64 // time of the sample on the run's clock
 	waited time.Duration
 }
 
 // observeCPUWaits records how long the processes on the paths from the source to followers wait for
-// a core, until the context ends. It goes on from samples by process ID.
+// a core, until ctx is done. previous has the first samples by process ID.
 func (r *run) observeCPUWaits(ctx context.Context, previous map[int]cpuSample) {
 	ticker := time.NewTicker(cpuWaitInterval)
 	defer ticker.Stop()
@@ -132,8 +133,8 @@
 	}
 }
 
-// recordCPUWaits samples all processes, and records how long they have waited since the previous
-// samples. It returns the samples by process ID.
+// recordCPUWaits samples all processes and records how long each process has waited since the
+// previous samples. It returns the new samples by process ID.
 func (r *run) recordCPUWaits(previous map[int]cpuSample) map[int]cpuSample {
 	samples := make(map[int]cpuSample)
 	for _, name := range slices.Concat(r.servers(), r.sc.Names(plan.OnFollowers)) {
--- a/internal/harness/rollout/plan/decode.go
+++ b/internal/harness/rollout/plan/decode.go
@@ -13,24 +13,24 @@
 
 // Limits of a scenario.
 const (
-	MaxFile      = tomldoc.MaxFile // bytes
+	MaxFile      = tomldoc.MaxFile // size of a scenario file in bytes
 	MaxDuration  = 10 * time.Minute
-	maxRelays    = 16 // of a level
+	maxRelays    = 16 // regions, zones, or relays per zone
 	maxProcesses = 32
 	maxFollowers = 2_000
 	maxResources = 256
 	maxItems     = 2_000
-	maxRate      = 1_000 // puts a second
+	maxRate      = 1_000 // puts per second
 	maxFaults    = 200
 )
 
-// Decode decodes and validates a scenario's file. The error lists all problems, one a line, with
+// Decode decodes and validates a scenario file. The error lists all problems, one per line, with
 // file, line and column.
 func Decode(file string, data []byte) (*Scenario, error) {
 	return tomldoc.Decode(file, data, decodeScenario)
 }
 
-// decodeScenario decodes the top level of a file.
+// decodeScenario decodes the top level of a scenario file.
 func decodeScenario(s tomldoc.Scope) *Scenario {
 	sc := &Scenario{
 		Name:     s.Text("name", ""),
@@ -118,7 +118,7 @@
 	}
 }
 
-// decodeRandom decodes [random], and validates it against the run.
+// decodeRandom decodes [random] and validates it against the run's duration.
 func (sc *Scenario) decodeRandom(s tomldoc.Scope) Random {
 	defer s.ReportUnknown()
 	r := Random{
@@ -144,7 +144,7 @@
 	return r
 }
 
-// decodeFault decodes one fault, and validates it against the processes of the run.
+// decodeFault decodes one fault and validates it against the processes of the run.
 func (sc *Scenario) decodeFault(s tomldoc.Scope) Fault {
 	f := Fault{
 		At:       s.Duration("at", 0, 0, MaxDuration),
@@ -183,7 +183,7 @@
 	return f
 }
 
-// validateTargets reports the names that a fault can't act on.
+// validateTargets reports the names in a fault that the fault cannot act on.
 func (sc *Scenario) validateTargets(s tomldoc.Scope, f Fault) {
 	possible := sc.possibleTargets(f)
 	for _, name := range f.Names {
@@ -194,7 +194,7 @@
 	}
 }
 
-// decodeLink decodes what only faults of links have.
+// decodeLink decodes the link of a fault on links and reports missing fields of its kind.
 func (sc *Scenario) decodeLink(s tomldoc.Scope, f *Fault) {
 	f.Link = s.OneOf("link", "", linkNames...)
 	f.Group, _, _ = strings.Cut(f.Link, "-")
@@ -209,10 +209,10 @@
 	}
 }
 
-// abbreviate returns a list of names without most of a long one.
+// abbreviate shortens a long list of names to the first two and the last, with "..." between them.
 func abbreviate(names []string) []string {
-	const longest = 6
-	if len(names) <= longest {
+	const maxLength = 6
+	if len(names) <= maxLength {
 		return names
 	}
 	return []string{names[0], names[1], "...", names[len(names)-1]}
--- a/internal/harness/rollout/plan/plan_test.go
+++ b/internal/harness/rollout/plan/plan_test.go
@@ -22,7 +22,7 @@
 each = 3
 `
 
-// An invalid scenario is rejected with the place of the problem.
+// Decode rejects an invalid scenario and reports the position of the problem.
 func TestDecodeRejectsInvalidScenarios(t *testing.T) {
 	for _, test := range []struct{ text, place, want string }{
 		{"for = \"1s\"\n", "f.toml", "name"},
@@ -44,16 +44,16 @@
 	} {
 		_, err := Decode("f.toml", []byte(test.text))
 		if err == nil {
-			t.Errorf("accepted:\n%s", test.text)
+			t.Errorf("Decode accepted:\n%s", test.text)
 			continue
 		}
 		if !strings.HasPrefix(err.Error(), test.place) || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%q: %s... with %q expected", err, test.place, test.want)
+			t.Errorf("got error %q, want prefix %q and text %q", err, test.place, test.want)
 		}
 	}
 }
 
-// The same seed gives the same schedule and the same puts, another seed others.
+// Equal seeds give equal schedules and puts; different seeds give different ones.
 func TestSeedDeterminesPlan(t *testing.T) {
 	const random = "[publisher]\nrefused = 0.1\n" +
 		"[random]\ncount = 8\nkinds = [\"cut\", \"kill\", \"stop\", \"restart\"]\n"
@@ -67,14 +67,14 @@
 	}
 	first, again, other := decode(1), decode(1), decode(2)
 	if !reflect.DeepEqual(first.Schedule(), again.Schedule()) || !reflect.DeepEqual(first.Puts(), again.Puts()) {
-		t.Error("one seed, two plans")
+		t.Error("equal seeds gave different plans")
 	}
 	if reflect.DeepEqual(first.Schedule(), other.Schedule()) || reflect.DeepEqual(first.Puts(), other.Puts()) {
-		t.Error("two seeds, one plan")
+		t.Error("different seeds gave the same schedule or the same puts")
 	}
 }
 
-// No two faults act on a process at a time, and all faults end in time.
+// No two faults act on a process at the same time, and all faults end within the run.
 func TestFaultsOfProcessesDoNotOverlap(t *testing.T) {
 	for seed := range uint64(200) {
 		sc := shipped(t, "full.toml")
@@ -82,14 +82,14 @@
 		busyUntil := map[string]time.Duration{}
 		for _, f := range sc.Schedule() {
 			if f.At+f.Duration > sc.Duration || len(f.Names) == 0 {
-				t.Fatalf("seed %d: %v", seed, f)
+				t.Fatalf("seed %d: fault beyond the end of the run or without targets: %v", seed, f)
 			}
 			if ActsOnLinks(f.Kind) {
 				continue
 			}
 			for _, name := range f.Names {
 				if f.At <= busyUntil[name] {
-					t.Fatalf("seed %d: another fault acts on %s until %v: %v", seed, name, busyUntil[name], f)
+					t.Fatalf("seed %d: another fault acts on %s until %v, fault %v", seed, name, busyUntil[name], f)
 				}
 				busyUntil[name] = f.At + f.Duration
 			}
@@ -97,7 +97,7 @@
 	}
 }
 
-// shipped returns one of the scenarios that are shipped with the program.
+// shipped decodes one of the scenarios that are shipped with the program.
 func shipped(tb testing.TB, name string) *Scenario {
 	tb.Helper()
 	data, err := os.ReadFile(filepath.Join("../../../../deploy/rig/rollout", name))
@@ -111,11 +111,11 @@
 	return sc
 }
 
-// The puts have what the scenario asks for: urgent deletions, two at a time, rejections and a final
-// snapshot.
+// The puts have the properties that the scenario requests: urgent deletions, concurrent puts,
+// rejections and a final replacement of all resources.
 func TestPutsFollowScenario(t *testing.T) {
 	sc := shipped(t, "full.toml")
-	urgent, twins, rejections, last := 0, 0, 0, 0
+	urgent, concurrent, rejections, last := 0, 0, 0, 0
 	puts := sc.Puts()
 	for i, p := range puts {
 		var request distribution.PutRequest
@@ -126,39 +126,40 @@
 			urgent++
 		}
 		if i > 0 && p.At == puts[i-1].At {
-			twins++
+			concurrent++
 		}
 		for _, item := range request.Items {
 			if item.Key == RejectKey && !item.Deleted {
 				rejections++
 			}
 			if item.Urgent && !item.Deleted {
-				t.Errorf("%s: an urgent item that is not deleted", p.ID)
+				t.Errorf("%s: urgent item is not deleted", p.ID)
 			}
 		}
 		if p.At >= sc.Duration {
 			last++
 			if !p.Retry || !request.Replace || len(request.Items) != sc.Publisher.Items {
-				t.Errorf("%s does not replace the resource", p.ID)
+				t.Errorf("%s does not replace the complete resource", p.ID)
 			}
 		}
 	}
-	if urgent < 20 || twins < 10 || rejections < 2 || last != sc.Publisher.Resources {
-		t.Errorf("%d urgent, %d at the time of another, %d rejected, %d last", urgent, twins, rejections, last)
+	if urgent < 20 || concurrent < 10 || rejections < 2 || last != sc.Publisher.Resources {
+		t.Errorf("got %d urgent, %d concurrent, %d rejected and %d final puts", urgent, concurrent, rejections, last)
 	}
 }
 
-// Followers have the relays of their zone, and a path for each of these and each region.
+// Followers use the relays of their zone and have one path for each pair of such a relay and a
+// region relay. Faults affect the hops of a path that they act on.
 func TestPaths(t *testing.T) {
 	sc := shipped(t, "full.toml")
 	for _, follower := range sc.FollowerNames() {
 		relays, paths := sc.RelaysOf(follower), sc.Paths(follower)
 		if len(relays) != sc.Relays.PerZone || len(paths) != sc.Relays.PerZone*sc.Relays.Regions {
-			t.Errorf("%s: relays %v, %d paths", follower, relays, len(paths))
+			t.Errorf("%s: got relays %v and %d paths", follower, relays, len(paths))
 		}
 		for _, relay := range relays {
 			if sc.ZoneOf(relay) != sc.ZoneOf(follower) {
-				t.Errorf("%s of zone %s has %s", follower, sc.ZoneOf(follower), relay)
+				t.Errorf("%s of zone %s has relay %s of another zone", follower, sc.ZoneOf(follower), relay)
 			}
 		}
 	}
@@ -183,12 +184,12 @@
 		{Fault{Kind: scenario.Cut, Link: PublisherToSource, Names: []string{PublisherName}}, 0},
 	} {
 		if n := affected(test.fault); n != test.want {
-			t.Errorf("%v affects %d hops, %d expected", test.fault, n, test.want)
+			t.Errorf("%v: got %d affected hops, want %d", test.fault, n, test.want)
 		}
 	}
 }
 
-// Any scenario that Decode accepts has a schedule.
+// FuzzDecode checks that every scenario that Decode accepts has a schedule.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(base))
 	f.Add([]byte(base + "[random]\ncount = 3\nkinds = [\"cut\", \"slow\"]\n"))
--- a/internal/harness/rollout/plan/puts.go
+++ b/internal/harness/rollout/plan/puts.go
@@ -12,44 +12,46 @@
 )
 
 const (
-	// putStream is the random stream of the puts; the first stream is that of the schedule.
+	// putStream is the stream of the random generator for puts. Stream 1 is used for the schedule.
 	putStream = 2
-	// finalPutDelay is the time from the end of the faults to the last puts, which come after those
-	// that a fault has delayed.
+	// finalPutDelay is the time from the end of the faults to the last puts. The delay ensures that
+	// the last puts come after puts that a fault has delayed.
 	finalPutDelay = time.Second
 )
 
 // Put is one write of the publisher.
 type Put struct {
-	At      time.Duration   `json:"at"` // from the beginning of the faults; negative: before it
+	At      time.Duration   `json:"at"` // time since the beginning of the faults; negative means before it
 	ID      string          `json:"id"`
 	Urgent  bool            `json:"urgent,omitempty"`
-	Retry   bool            `json:"insist,omitempty"` // it is sent again until it is answered
-	Request json.RawMessage `json:"request"`          // a distribution.PutRequest
+	Retry   bool            `json:"insist,omitempty"` // the put is retried until it is answered
+	Request json.RawMessage `json:"request"`          // encoded distribution.PutRequest
 	request distribution.PutRequest
 }
 
-// RejectKey is the key of an item whose value names a follower that rejects the version.
+// RejectKey is the key of an item whose value is the name of a follower. The named follower rejects
+// every version with that item.
 const RejectKey = "refused-by"
 
-// putGenerator draws the puts of a run. The order of the draws is part of what a seed means.
+// putGenerator draws the puts of a run. The order of the draws must not change: it determines which
+// puts a seed gives.
 type putGenerator struct {
 	sc        *Scenario
 	random    *rand.Rand
-	keys      []map[string]bool // of each resource
+	keys      []map[string]bool // keys of the items of each resource
 	puts      []Put
-	lastValue int // each value has a number of its own
+	lastValue int // number of the last value; each value has a different number
 }
 
-// InitialPuts returns the puts that fill all resources before the run begins.
+// InitialPuts returns the puts that create all resources before the run begins.
 func (sc *Scenario) InitialPuts() []Put {
 	g := sc.newPutGenerator()
 	g.addSnapshots(0, "first")
 	return g.encoded()
 }
 
-// Puts returns the puts of a run, by their times. The last ones, after all faults, replace each
-// resource.
+// Puts returns the puts of a run, sorted by time. The last puts, which come after all faults,
+// replace each resource.
 func (sc *Scenario) Puts() []Put {
 	g := sc.newPutGenerator()
 	if sc.Publisher.Rate > 0 {
@@ -62,7 +64,7 @@
 	return g.encoded()
 }
 
-// newPutGenerator returns a generator for resources that have all their items.
+// newPutGenerator returns a generator that assumes that every resource has all its items.
 func (sc *Scenario) newPutGenerator() *putGenerator {
 	g := &putGenerator{sc: sc, random: rand.New(rand.NewPCG(sc.Seed, putStream))}
 	for range sc.Publisher.Resources {
@@ -75,7 +77,7 @@
 	return g
 }
 
-// addWrites adds one put, or two to one resource at the same time.
+// addWrites adds one put, or two concurrent puts to one resource.
 func (g *putGenerator) addWrites(at time.Duration) {
 	resource := g.random.IntN(g.sc.Publisher.Resources)
 	g.addWrite(at, resource)
@@ -84,8 +86,8 @@
 	}
 }
 
-// addWrite adds a put that changes some items. An urgent one deletes an item; one that is to be
-// rejected names a follower.
+// addWrite adds a put that changes some items. An urgent put deletes an item. A put that is to be
+// rejected has the item RejectKey.
 func (g *putGenerator) addWrite(at time.Duration, resource int) {
 	publisher := &g.sc.Publisher
 	keys := g.keys[resource]
@@ -140,12 +142,12 @@
 // encoded returns the puts with their requests as JSON.
 func (g *putGenerator) encoded() []Put {
 	for i := range g.puts {
-		g.puts[i].Request, _ = json.Marshal(g.puts[i].request) // can't fail: it has strings and numbers only
+		g.puts[i].Request, _ = json.Marshal(g.puts[i].request) // never fails: the request has only strings and numbers
 	}
 	return g.puts
 }
 
-// newItem returns an item with a value that no put before has had.
+// newItem returns an item with a value that differs from all values before.
 func (g *putGenerator) newItem(key string) distribution.Item {
 	g.lastValue++
 	n := g.lastValue
@@ -153,7 +155,7 @@
 	return distribution.Item{Key: key, Value: json.RawMessage(value)}
 }
 
-// itemKey returns the key of the nth item, from 0.
+// itemKey returns the key of item n, counted from 0.
 func itemKey(n int) string { return fmt.Sprintf("backend-%03d", n+1) }
 
 // quote returns a string as JSON.
--- a/internal/harness/rollout/plan/scenario.go
+++ b/internal/harness/rollout/plan/scenario.go
@@ -1,6 +1,7 @@
-// Package plan describes a run of the rig that checks distribution: which source, relays, followers
-// and publisher there are, what is published when, and which faults happen when. It is pure: bytes
-// and a seed are arguments. The keys of a scenario's file are explained in docs/operate/rig.md.
+// Package plan describes a run of the harness that checks the distribution of resources: the
+// source, relays, followers and publisher, the puts with their times, and the fault schedule. The
+// package is pure: file contents and seeds are arguments. docs/operate/rig.md documents the keys of
+// a scenario file.
 package plan
 
 import (
@@ -11,14 +12,14 @@
 	"fernlanding/internal/harness/scenario"
 )
 
-// Scenario is a run.
+// Scenario describes a run.
 type Scenario struct {
 	Name string
 	Seed uint64
-	// Duration is how long faults and puts go on, from the moment when every follower has every resource
+	// Duration is the period of faults and puts. It begins when every follower has every resource
 	// that it follows.
 	Duration time.Duration
-	// Settle follows For, without faults and puts.
+	// Settle is the period without faults and puts that follows Duration.
 	Settle    time.Duration
 	Relays    Relays
 	Followers Followers
@@ -28,67 +29,68 @@
 	Faults    []Fault
 }
 
-// Relays stand in two levels: those of regions follow the source, those of zones follow those of
-// regions.
+// Relays describes the two levels of relays. Region relays follow the source; zone relays follow
+// the region relays.
 type Relays struct {
-	Regions int           // relays that follow the source
-	Zones   int           // zones, over which followers and zone relays are distributed in turn
-	PerZone int           // relays of each zone
-	Hold    time.Duration // of their reads
+	Regions int           // number of region relays
+	Zones   int           // number of zones, to which followers and zone relays are assigned in turn
+	PerZone int           // relays in each zone
+	Hold    time.Duration // hold of the relays' reads
 }
 
-// Followers are what resources are published for.
+// Followers describes the followers of resources.
 type Followers struct {
 	Processes     int
-	PerProcess    int           // followers of a process
-	Hold          time.Duration // of a read
-	ResourcesEach int           // that each follower follows
+	PerProcess    int           // followers in each process
+	Hold          time.Duration // hold of the followers' reads
+	ResourcesEach int           // resources that each follower follows
 }
 
-// Publisher is the only writer. Its fractions are from 0 to 1.
+// Publisher describes the publisher, which is the only writer. Its fractions are from 0 to 1.
 type Publisher struct {
-	Rate           float64 // puts a second
+	Rate           float64 // puts per second
 	Resources      int
-	Items          int     // of each resource
-	Changes        int     // items that a put changes
-	Urgent         float64 // fraction of the puts that delete an item, which is urgent
-	ConcurrentPuts float64 // fraction of the puts with another one to the same resource at the same time
+	Items          int     // items of each resource
+	Changes        int     // items that each put changes
+	Urgent         float64 // fraction of the puts that delete an item, which makes them urgent
+	ConcurrentPuts float64 // fraction of the puts with a concurrent put to the same resource
 	Rejected       float64 // fraction of the puts that one follower rejects
 }
 
-// Bounds are what a run is checked against.
+// Bounds are the limits that a run is checked against.
 type Bounds struct {
 	// Latency is the longest time until a version is in force at every follower that can reach the
 	// source.
 	Latency time.Duration
-	// UrgentLatency is the same for an urgent version, while no fault affects a path of the follower.
+	// UrgentLatency is the longest time until an urgent version is in force at a follower, while no
+	// fault affects a path of the follower.
 	UrgentLatency time.Duration
-	IdleBytes     float64 // bytes a second of a follower, both directions, while nothing is published; 0: any
-	IdleReads     float64 // messages a second that a follower sends meanwhile; 0: any
-	RelayMB       float64 // resident memory of the source and of each relay; 0: any
-	Sessions      float64 // of one of them; 0: any
-	CacheBytes    float64 // encoded updates of one of them; 0: any
-	StoreBytes    float64 // resources of one of them; 0: any
+	IdleBytes     float64 // bytes per second of a follower in both directions without puts; 0 means no limit
+	IdleReads     float64 // messages per second that a follower sends without puts; 0 means no limit
+	RelayMB       float64 // resident memory of the source and of each relay; 0 means no limit
+	Sessions      float64 // sessions of the source and of each relay; 0 means no limit
+	CacheBytes    float64 // size of the encoded updates of the source and of each relay; 0 means no limit
+	StoreBytes    float64 // size of the resources of the source and of each relay; 0 means no limit
 }
 
-// Random are faults that are drawn from the seed.
+// Random describes faults that are drawn from the seed.
 type Random struct {
 	Count       int
 	Kinds       []scenario.Kind
 	From        time.Duration
 	Until       time.Duration
-	MaxDuration time.Duration
+	MaxDuration time.Duration // longest duration of a drawn fault, without the minimum of 300 ms
 }
 
-// Fault is one fault. Those of a schedule name all that they act on.
+// Fault is one fault. In a schedule, Names has everything that the fault acts on.
 type Fault = scenario.Fault
 
-// The kinds of fault beside those of links, kill and stop.
+// Kinds of fault in addition to those of package scenario.
 const (
-	// KillBetweenPuts kills the publisher after its next answered put, and starts it again when the
+	// KillBetweenPuts kills the publisher after its next answered put and starts it again when the
 	// fault ends.
 	KillBetweenPuts scenario.Kind = "between"
-	// RestartFollowers restarts followers with the versions that they have.
+	// RestartFollowers restarts followers with the versions that they hold.
 	RestartFollowers scenario.Kind = "restart"
 )
 
@@ -97,11 +99,11 @@
 	OnSource    = "source"
 	OnRegions   = "regions"
 	OnZones     = "zones"
-	OnFollowers = "followers" // processes of followers
+	OnFollowers = "followers" // processes that run followers
 	OnPublisher = "publisher"
 )
 
-// Names of the single processes.
+// Names of processes, and prefixes of numbered names.
 const (
 	Source         = "source"
 	PublisherName  = "publisher"
@@ -111,7 +113,7 @@
 	processPrefix  = "followers-"
 )
 
-// The links, by the side that opens connections.
+// The links, named after the group that opens connections and the group that accepts them.
 const (
 	FollowersToZones  = OnFollowers + "-" + OnZones
 	ZonesToRegions    = OnZones + "-" + OnRegions
@@ -130,10 +132,10 @@
 	}
 )
 
-// ActsOnLinks reports whether a kind of fault acts on links.
+// ActsOnLinks reports whether faults of kind k act on links.
 func ActsOnLinks(k scenario.Kind) bool { return slices.Contains(linkKinds, k) }
 
-// Describe returns what a run starts, in one line.
+// Describe describes the processes and the duration of a run in one line.
 func (sc *Scenario) Describe() string {
 	return fmt.Sprintf("%s, seed %d: 1 source, %d region relays, %d zone relays in %d zones, "+
 		"%d followers in %d processes, 1 publisher; %v and %v without faults",
--- a/internal/harness/rollout/plan/schedule.go
+++ b/internal/harness/rollout/plan/schedule.go
@@ -8,13 +8,13 @@
 	"fernlanding/internal/harness/scenario"
 )
 
-// Bounds of faults that are drawn.
+// Limits of drawn faults.
 const (
 	minFaultDuration = 300 * time.Millisecond
-	minSlowRate      = 200 // bytes a second
+	minSlowRate      = 200 // bytes per second
 )
 
-// linkCallers are the groups that open the connections of a link.
+// linkCallers maps each link to the group that opens its connections.
 var linkCallers = map[string]string{
 	FollowersToZones:  OnFollowers,
 	ZonesToRegions:    OnZones,
@@ -22,14 +22,15 @@
 	PublisherToSource: OnPublisher,
 }
 
-// Schedule returns all faults by their times, those of the scenario and those that are drawn, each
-// with the names of all that it acts on. The same seed gives the same schedule.
+// Schedule returns all faults of the run, sorted by time: the faults of the scenario and the faults
+// drawn from the seed. Names of each fault has everything that the fault acts on. Equal seeds give
+// equal schedules.
 func (sc *Scenario) Schedule() (out []Fault) {
 	return sc.withoutOverlaps(scenario.DrawSchedule(sc.Seed, sc.Faults, sc.Random.Count, sc.drawFault, sc.targets))
 }
 
-// withoutOverlaps removes from faults the processes that another fault has killed or stopped at the
-// time, and faults that are left with none.
+// withoutOverlaps removes from each fault on processes the processes that another such fault
+// affects at that time. It drops faults that have no processes left.
 func (sc *Scenario) withoutOverlaps(faults []Fault) (out []Fault) {
 	busy := map[string]time.Duration{}
 	for _, f := range faults {
@@ -48,7 +49,8 @@
 	return out
 }
 
-// targets returns the names of those that a fault acts on, which are drawn if it names none.
+// targets returns the names of everything that a fault acts on. It draws them if the fault has no
+// names.
 func (sc *Scenario) targets(f Fault, random *rand.Rand) []string {
 	if len(f.Names) > 0 {
 		return f.Names
@@ -62,7 +64,8 @@
 	return scenario.DrawShare(names, f.Share, random)
 }
 
-// drawFault draws a fault. The order of the draws is part of what a seed means.
+// drawFault draws a fault. The order of the draws must not change: it determines which schedule a
+// seed gives.
 func (sc *Scenario) drawFault(random *rand.Rand) Fault {
 	r := sc.Random
 	f := Fault{
--- a/internal/harness/rollout/plan/topology.go
+++ b/internal/harness/rollout/plan/topology.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Names returns the processes of a group, in order.
+// Names returns the names of a group's processes, in order.
 func (sc *Scenario) Names(group string) []string {
 	switch group {
 	case OnSource:
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// numbered returns names with the numbers 1 to n.
+// numbered returns the names that consist of prefix and a number from 1 to n.
 func numbered(prefix string, n int) (out []string) {
 	for i := range n {
 		out = append(out, prefix+strconv.Itoa(i+1))
@@ -31,23 +31,23 @@
 	return out
 }
 
-// indexOf returns the index, from 0, of a process or follower within its group, by its name.
+// indexOf returns the zero-based index of the named process or follower within its group.
 func indexOf(name string) int {
-	n, _ := strconv.Atoi(name[strings.LastIndexByte(name, '-')+1:]) // numbered gave the name
+	n, _ := strconv.Atoi(name[strings.LastIndexByte(name, '-')+1:]) // numbered creates all names
 	return n - 1
 }
 
-// FollowerNames returns all followers, of all processes.
+// FollowerNames returns the names of the followers in all processes.
 func (sc *Scenario) FollowerNames() []string {
 	return numbered(followerPrefix, sc.Followers.Processes*sc.Followers.PerProcess)
 }
 
-// ProcessOf returns the process of a follower.
+// ProcessOf returns the name of the process that runs a follower.
 func (sc *Scenario) ProcessOf(follower string) string {
 	return sc.Names(OnFollowers)[indexOf(follower)%sc.Followers.Processes]
 }
 
-// ZoneNames returns the zones: a, b, and so on.
+// ZoneNames returns the names of the zones: a, b, and so on.
 func (sc *Scenario) ZoneNames() (out []string) {
 	for i := range sc.Relays.Zones {
 		out = append(out, string(rune('a'+i)))
@@ -55,8 +55,8 @@
 	return out
 }
 
-// ZoneOf returns the zone of a zone relay, of a process of followers, or of a follower; empty for
-// others.
+// ZoneOf returns the zone of a zone relay, of a process that runs followers, or of a follower. It
+// returns "" for other names.
 func (sc *Scenario) ZoneOf(name string) string {
 	zones := sc.ZoneNames()
 	switch {
@@ -68,7 +68,7 @@
 	return ""
 }
 
-// RelaysOf returns the relays that a follower may read from: those of its zone.
+// RelaysOf returns the relays that a follower may read from, which are the relays of its zone.
 func (sc *Scenario) RelaysOf(follower string) (out []string) {
 	for _, relay := range sc.Names(OnZones) {
 		if sc.ZoneOf(relay) == sc.ZoneOf(follower) {
@@ -78,10 +78,10 @@
 	return out
 }
 
-// ResourceName returns the name of the nth resource, from 0.
+// ResourceName returns the name of resource n, counted from 0.
 func ResourceName(n int) string { return "service-" + strconv.Itoa(n+1) }
 
-// ResourcesOf returns the resources that a follower follows.
+// ResourcesOf returns the names of the resources that a follower follows.
 func (sc *Scenario) ResourcesOf(follower string) (out []string) {
 	for i := range sc.Followers.ResourcesEach {
 		out = append(out, ResourceName((indexOf(follower)+i)%sc.Publisher.Resources))
@@ -97,7 +97,7 @@
 	return out
 }
 
-// LinksTo returns the links that lead to the source or a relay.
+// LinksTo returns the links on which connections to the source or a relay are opened.
 func (sc *Scenario) LinksTo(server string) []string {
 	switch {
 	case server == Source:
@@ -108,7 +108,7 @@
 	return []string{FollowersToZones}
 }
 
-// LinkBetween returns the link over which a caller reaches the source or a relay.
+// LinkBetween returns the link on which a caller connects to the source or a relay.
 func (sc *Scenario) LinkBetween(caller, server string) string {
 	if caller == PublisherName {
 		return PublisherToSource
@@ -116,15 +116,15 @@
 	return sc.LinksTo(server)[0]
 }
 
-// Hop is one element of a path from the source to a follower: a process, or the link from one to
-// another.
+// Hop is one element of a path from a follower to the source. It is a process or the link between
+// two processes.
 type Hop struct {
-	Process  string // empty for a link
-	Link     string
-	From, To string // the ends of a link; From opens its connections
+	Process  string // process of the hop; empty for a link
+	Link     string // link of the hop; empty for a process
+	From, To string // ends of the link; From opens its connections
 }
 
-// Paths returns all paths from a follower to the source, each as its hops.
+// Paths returns all paths from a follower to the source as lists of hops.
 func (sc *Scenario) Paths(follower string) (out [][]Hop) {
 	for _, zone := range sc.RelaysOf(follower) {
 		for _, region := range sc.Names(OnRegions) {
@@ -142,7 +142,7 @@
 	return out
 }
 
-// Affects reports whether a fault of a schedule acts on a hop.
+// Affects reports whether a fault of a schedule acts on hop h.
 func Affects(f Fault, h Hop) bool {
 	if !ActsOnLinks(f.Kind) {
 		return slices.Contains(f.Names, h.Process)
@@ -150,7 +150,7 @@
 	return f.Link == h.Link && (slices.Contains(f.Names, h.From) || slices.Contains(f.Names, h.To))
 }
 
-// possibleTargets returns the names that a fault may have.
+// possibleTargets returns all names that are valid in a fault like f.
 func (sc *Scenario) possibleTargets(f Fault) []string {
 	if !ActsOnLinks(f.Kind) {
 		return sc.Names(f.Group)
@@ -166,7 +166,7 @@
 	return []string{PublisherName, Source}
 }
 
-// defaultTargets returns the names that a fault without names is drawn from.
+// defaultTargets returns the names from which the targets of a fault without names are drawn.
 func (sc *Scenario) defaultTargets(f Fault) []string {
 	if f.Link == FollowersToZones {
 		return sc.FollowerNames()
--- a/internal/harness/rollout/race_test.go
+++ b/internal/harness/rollout/race_test.go
@@ -2,8 +2,8 @@
 
 package rollout_test
 
-// With the race detector the programs under test have it too. It takes five to ten times the
-// memory.
+// Constants for tests with the race detector. The programs under test are also built with the race
+// detector, which needs five to ten times the memory.
 const (
 	raceEnabled = true
 	raceMemory  = 10
--- a/internal/harness/rollout/rollout_test.go
+++ b/internal/harness/rollout/rollout_test.go
@@ -21,22 +21,22 @@
 	"fernlanding/internal/harness/worker"
 )
 
-// The test's own program is also the rig's workers and the stand-ins with seeded bugs, by its
-// environment.
+// Environment variables that run the test's own executable as a worker of the harness or as a
+// stand-in with a seeded bug, and the roles.
 const (
 	roleVar = "ROLLOUT_TEST_ROLE"
 	bugVar  = "ROLLOUT_TEST_BUG"
-	keepVar = "ROLLOUT_TEST_KEEP" // a directory for the histories that fail
+	keepVar = "ROLLOUT_TEST_KEEP" // directory in which histories with verdicts are kept
 
 	roleWorker      = "actor"
 	roleNaiveWorker = "naive-actor"
 	roleNaiveNode   = "naive-node"
 )
 
-// program is fernrelay, built from this tree.
+// program is the path of fernrelay, built from this source tree.
 var program string
 
-// TestMain runs the tests, or the role that the environment names.
+// TestMain runs the tests or the role that the environment selects.
 func TestMain(m *testing.M) {
 	switch os.Getenv(roleVar) {
 	case roleWorker:
@@ -60,7 +60,7 @@
 	return sc
 }
 
-// run runs a scenario, and returns the verdicts and metrics.
+// run runs a scenario and returns the verdicts and metrics of its history.
 func run(t *testing.T, sc *plan.Scenario, opts rollout.Options) ([]check.Verdict, check.Metrics) {
 	t.Helper()
 	var log bytes.Buffer
@@ -86,7 +86,7 @@
 	return verdicts, check.Measure(sc, all)
 }
 
-// naiveScenario is small enough for stand-ins, many at a time.
+// naiveScenario is a scenario for naive stand-ins, small enough for several runs at a time.
 const naiveScenario = `
 name = "bugs"
 for = "3s"
@@ -142,10 +142,10 @@
 `
 )
 
-// Each check finds the stand-in with the one bug that it is there for, and a stand-in without a bug
-// passes all of them.
+// Each check finds the stand-in with the bug that the check is for. A stand-in without a bug passes
+// all checks.
 func TestCheckersFindSeededBugs(t *testing.T) {
-	slots := make(chan struct{}, 5) // runs at a time
+	slots := make(chan struct{}, 5) // limits concurrent runs
 	for _, test := range []struct {
 		bug    bug
 		faults string
@@ -162,8 +162,8 @@
 		{bugSnapshotsOnly, "", check.Snapshots},
 		{bugDropItem, "", check.Converged},
 		{bugReportEarly, stopFaults, check.Status},
-		{noBug, sourceFaults, check.Durable}, // the stand-in loses everything at a restart
-		{bugLeaveOut, "", check.Status},
+		{noBug, sourceFaults, check.Durable}, // the stand-in loses all resources at a restart
+		{bugOmitFollower, "", check.Status},
 		{bugCrash, "", check.Processes},
 	} {
 		t.Run(fmt.Sprintf("%s/%s", test.bug, test.check), func(t *testing.T) {
@@ -177,7 +177,7 @@
 				Logs:    os.Stderr,
 			})
 			if test.faults == "" && metrics.UrgentEvaluated < 20 {
-				t.Errorf("%d urgent updates evaluated: the run shows nothing", metrics.UrgentEvaluated)
+				t.Errorf("%d urgent updates evaluated, too few for a meaningful run", metrics.UrgentEvaluated)
 			}
 			if test.check == "" {
 				for _, v := range verdicts {
@@ -186,17 +186,18 @@
 				return
 			}
 			if !slices.ContainsFunc(verdicts, func(v check.Verdict) bool { return v.Check == test.check }) {
-				t.Errorf("%s is not found by %s; verdicts: %v", test.bug, test.check, verdicts)
+				t.Errorf("bug %q: no verdict of check %s in %v", test.bug, test.check, verdicts)
 			}
-			t.Logf("%d verdicts, the first: %v", len(verdicts), verdicts[:min(len(verdicts), 1)])
+			t.Logf("%d verdicts, first: %v", len(verdicts), verdicts[:min(len(verdicts), 1)])
 		})
 	}
 }
 
-// The programs pass all checks under random faults.
-func TestRulesHoldUnderFaults(t *testing.T) {
+// The programs of this source tree pass all checks under random faults, and while one relay of a
+// zone is disconnected.
+func TestChecksPassUnderFaults(t *testing.T) {
 	if testing.Short() {
-		t.Skip("takes real time")
+		t.Skip("runs in real time")
 	}
 	data, err := os.ReadFile("../../../deploy/rig/rollout/small.toml")
 	if err != nil {
@@ -209,8 +210,8 @@
 			sc.Seed += seed
 			m := runProgram(t, sc)
 			if m.InForce < 500 || m.UrgentEvaluated < 50 || m.ConcurrentPuts == 0 {
-				t.Errorf("seed %d: %d updates in force, %d urgent ones evaluated, %d twins: the run shows nothing",
-					sc.Seed, m.InForce, m.UrgentEvaluated, m.ConcurrentPuts)
+				t.Errorf("seed %d: %d updates in force, %d urgent ones evaluated, %d concurrent puts, "+
+					"too few for a meaningful run", sc.Seed, m.InForce, m.UrgentEvaluated, m.ConcurrentPuts)
 			}
 		})
 	}
@@ -218,14 +219,14 @@
 		sc := decode(t, disconnectedScenario)
 		m := runProgram(t, sc)
 		if m.Faults != 1 || m.InForce < 200 {
-			t.Errorf("%s: %d faults, %d updates in force: the run shows nothing", sc.Name, m.Faults, m.InForce)
+			t.Errorf("%s: %d faults, %d updates in force, not a meaningful run", sc.Name, m.Faults, m.InForce)
 		}
 	})
 	runs.Wait()
 }
 
-// disconnectedScenario disconnects one relay of a zone from both regions for longer than a version
-// may take.
+// disconnectedScenario disconnects one relay of a zone from both region relays for longer than the
+// bound for the latency of versions.
 const disconnectedScenario = `
 name = "cut-off"
 for = "14s"
@@ -248,26 +249,27 @@
 names = ["zone-1"]
 `
 
-// runProgram runs a scenario with the programs of this tree, which must pass all checks.
+// runProgram runs a scenario with the programs of this source tree and reports all verdicts as test
+// errors.
 func runProgram(t *testing.T, sc *plan.Scenario) check.Metrics {
 	t.Helper()
 	sc.Bounds.RelayMB *= raceMemory
 	verdicts, metrics := run(t, sc, rollout.Options{
 		Program: []string{program},
 		Worker:  harnesstest.InRole(roleVar, roleWorker),
-		Env:     []string{"GORACE=halt_on_error=1"}, // a data race ends its process, which the checks see
+		Env:     []string{"GORACE=halt_on_error=1"}, // a data race ends the process, which the checks detect
 		Logs:    os.Stderr,
 	})
 	for _, v := range verdicts {
 		t.Errorf("%s, seed %d: %s", sc.Name, sc.Seed, v)
 	}
 	if len(verdicts) > 0 {
-		t.Logf("%s, seed %d's faults:\n%s", sc.Name, sc.Seed, strings.Join(describe(sc), "\n"))
+		t.Logf("%s, faults of seed %d:\n%s", sc.Name, sc.Seed, strings.Join(describe(sc), "\n"))
 	}
 	return metrics
 }
 
-// describe returns the schedule of a scenario, a line each fault.
+// describe returns the schedule of a scenario, one line per fault.
 func describe(sc *plan.Scenario) (out []string) {
 	for _, f := range sc.Schedule() {
 		out = append(out, f.String())
--- a/internal/harness/rollout/run.go
+++ b/internal/harness/rollout/run.go
@@ -1,6 +1,7 @@
-// Package rollout runs distribution on the rig: a source, two levels of relays, followers and a
-// publisher in processes of their own, with faults on the links between them. It records what
-// happens as a history, which package check evaluates. Package plan describes what is run.
+// Package rollout runs the distribution of resources on the harness: a source, two levels of
+// relays, followers and a publisher, in separate processes and with faults on the links between
+// them. It records a history, which package rollout/check evaluates. Package rollout/plan describes
+// a run.
 package rollout
 
 import (
@@ -15,44 +16,44 @@
 	"fernlanding/internal/harness/rollout/plan"
 )
 
-// Options say how a run is carried out.
+// Options are the options of a run.
 type Options struct {
-	Program []string // the program under test and its first arguments; "source ..." or "relay ..." is added
-	Worker  []string // the program of followers and the publisher
-	Env     []string // further environment of both
-	Out     io.Writer
-	Dir     string    // for the source's state; empty: a temporary one that is removed
-	Logs    io.Writer // of the programs under test; nil: discarded
+	Program []string  // command line of the program under test; "source ..." or "relay ..." is appended
+	Worker  []string  // command line of followers and of the publisher
+	Env     []string  // variables added to the environment of Program and Worker
+	Out     io.Writer // receives the history
+	Dir     string    // directory for the source's state; empty means a temporary directory
+	Logs    io.Writer // receives the logs of the programs under test; nil means that the logs are discarded
 }
 
-// run is one run.
+// run is the state of one run of a scenario.
 type run struct {
 	*launch.Run
 	sc     *plan.Scenario
 	opts   Options
-	client *http.Client // for direct requests to the source and relays
+	client *http.Client // client for direct requests to the source and relays
 
-	places     map[string]link.Addr // of all that open connections or listen, by name
-	serverPort int                  // where the source and relays listen
-	linkPorts  map[linkEnd]int      // where the links to them listen
+	addrs      map[string]link.Addr // addresses of servers, publisher and followers, by name
+	serverPort int                  // port on which the source and relays listen
+	linkPorts  map[linkEnd]int      // ports on which the links to the source and relays listen
 
-	startedAt    int64 // when the faults began, on the run's clock
+	startedAt    int64 // time at which the faults began, on the run's clock
 	firstUpdates *firstUpdates
-	putAnswered  chan struct{} // a put has been answered
+	putAnswered  chan struct{} // receives a value when a put has been answered
 }
 
-// linkEnd is where a link leads to a server.
+// linkEnd identifies the end of a link at a server.
 type linkEnd struct{ link, server string }
 
-// Run runs a scenario and writes its history to opts.Out. It returns when none of its processes is
-// left. When the context ends it stops early.
+// Run runs a scenario and writes its history to opts.Out. It returns after all processes of the run
+// have exited. If ctx is done, Run ends the run early.
 func Run(ctx context.Context, sc *plan.Scenario, opts Options) (err error) {
-	begun, err := launch.Begin(opts.Out, opts.Dir, sc.Name, sc.Seed)
+	common, err := launch.Begin(opts.Out, opts.Dir, sc.Name, sc.Seed)
 	if err != nil {
 		return fmt.Errorf("rollout: %w", err)
 	}
 	r := &run{
-		Run:          begun,
+		Run:          common,
 		sc:           sc,
 		opts:         opts,
 		client:       &http.Client{Timeout: requestTimeout, Transport: &http.Transport{}},
@@ -61,10 +62,10 @@
 		putAnswered:  make(chan struct{}, 1),
 	}
 	defer func() {
-		err = begun.End(err)
+		err = common.End(err)
 		r.client.CloseIdleConnections()
 	}()
-	if err := r.openLinks(); err != nil { //nolint:contextcheck // listening on loopback does not wait
+	if err := r.openLinks(); err != nil { //nolint:contextcheck // listening on loopback does not block
 		return fmt.Errorf("rollout: %w", err)
 	}
 	if err := r.start(ctx); err != nil {
@@ -73,7 +74,7 @@
 	return r.execute(ctx)
 }
 
-// recordEvent records an event of a worker.
+// recordEvent records an event that a worker reports.
 func (r *run) recordEvent(e history.Event) {
 	r.Record(e)
 	switch {
--- a/internal/harness/rollout/start.go
+++ b/internal/harness/rollout/start.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// startTimeout bounds the start of all processes, until every follower has every resource that
-	// it follows.
+	// startTimeout is the time within which all processes must have started and every follower must
+	// have every resource that it follows.
 	startTimeout = 30 * time.Second
-	// healthInterval is how often a server that starts is asked whether it answers.
+	// healthInterval is the interval between two health checks of a starting server.
 	healthInterval = 20 * time.Millisecond
 )
 
-// start starts all processes, writes all resources once, and waits until every follower has those
-// that it follows.
+// start starts all processes, writes all resources once, and waits until every follower has every
+// resource that it follows.
 func (r *run) start(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -53,7 +53,7 @@
 	case <-r.firstUpdates.complete:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("%d times a follower does not get a resource that it follows: %w",
+		return fmt.Errorf("followers lack %d first updates of resources: %w",
 			r.firstUpdates.missing(), ctx.Err())
 	}
 }
@@ -77,7 +77,7 @@
 	})
 }
 
-// relayArgs returns the arguments of a relay.
+// relayArgs returns the command-line arguments of a relay.
 func (r *run) relayArgs(name string, upstream []string) []string {
 	addresses := make([]string, 0, len(upstream))
 	for _, server := range upstream {
@@ -89,17 +89,17 @@
 	}
 }
 
-// copyLog copies what a program under test logs, until it ends.
+// copyLog copies the log of a program under test to its end.
 func (r *run) copyLog(from io.Reader) {
 	to := r.opts.Logs
 	if to == nil {
 		to = io.Discard
 	}
 	_, _ = io.Copy(to, from)
-	_, _ = io.Copy(io.Discard, from) // the program must not block, even if the log can't be written
+	_, _ = io.Copy(io.Discard, from) // the program must not block if the log cannot be written
 }
 
-// awaitHealthy waits until a server answers.
+// awaitHealthy waits until a server responds to a health check or ctx is done.
 func (r *run) awaitHealthy(ctx context.Context, name string) error {
 	ticker := time.NewTicker(healthInterval)
 	defer ticker.Stop()
@@ -111,12 +111,12 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return fmt.Errorf("%s does not answer: %w", name, err)
+			return fmt.Errorf("%s: no response to health checks: %w", name, err)
 		}
 	}
 }
 
-// checkHealth returns nil if a server answers, with whatever status.
+// checkHealth returns nil if a server responds to a health check, with any status.
 func (r *run) checkHealth(ctx context.Context, name string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.address(name)+"/_health", nil)
 	if err != nil {
@@ -129,7 +129,8 @@
 	return resp.Body.Close()
 }
 
-// startPublisher starts the publisher, which goes on with its puts if the faults have begun.
+// startPublisher starts the publisher. If the faults have begun, the publisher continues with the
+// puts that are due from now on.
 func (r *run) startPublisher(ctx context.Context) error {
 	return r.startWorker(ctx, worker.Spec{
 		Name:        plan.PublisherName,
@@ -158,7 +159,7 @@
 	return r.startWorker(ctx, spec)
 }
 
-// startWorker starts a worker, whose events are recorded.
+// startWorker starts a worker and records its events.
 func (r *run) startWorker(ctx context.Context, spec worker.Spec) error {
 	workers := launch.WorkerStarter{
 		Processes: r.Processes,
@@ -171,7 +172,8 @@
 	return err
 }
 
-// restart starts a process that was killed.
+// restart starts a process that was killed. After a restart of the source, it records the source's
+// resources.
 func (r *run) restart(ctx context.Context, name string) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), startTimeout)
 	defer cancel()
@@ -187,16 +189,16 @@
 	if err := r.awaitHealthy(ctx, name); err != nil || name != plan.Source {
 		return err
 	}
-	for _, resource := range r.sc.Resources() { // what the source has answered must still be there
+	for _, resource := range r.sc.Resources() { // the source must still have all answered puts
 		r.recordResource(ctx, resource)
 	}
 	return nil
 }
 
-// firstUpdates waits until every follower has got every resource that it follows. It is safe for
-// concurrent use.
+// firstUpdates tracks which followers still lack the first update of a resource that they follow.
+// It is safe for concurrent use.
 type firstUpdates struct {
-	complete chan struct{} // closed when they have
+	complete chan struct{} // closed when every follower has every resource that it follows
 
 	mu      sync.Mutex
 	pending map[followed]bool
@@ -205,7 +207,8 @@
 // followed is a follower and a resource that it follows.
 type followed struct{ follower, resource string }
 
-// newFirstUpdates returns one for the followers of a scenario.
+// newFirstUpdates returns the firstUpdates for the followers of a scenario, with all updates
+// pending.
 func newFirstUpdates(sc *plan.Scenario) *firstUpdates {
 	f := &firstUpdates{complete: make(chan struct{}), pending: make(map[followed]bool)}
 	for _, follower := range sc.FollowerNames() {
@@ -216,7 +219,7 @@
 	return f
 }
 
-// add notes that a follower has got a resource.
+// add records that a follower has received a resource.
 func (f *firstUpdates) add(follower, resource string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -230,7 +233,7 @@
 	}
 }
 
-// missing returns how many resources have not arrived at a follower.
+// missing returns the number of pending first updates of all followers.
 func (f *firstUpdates) missing() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/harness/scenario/decode.go
+++ b/internal/harness/scenario/decode.go
@@ -10,13 +10,13 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// Read decodes a scenario file. The error lists all faults of the file, one a line.
+// Read decodes a scenario file. The error lists all problems of the file, one per line.
 func Read(file string, data []byte) (*Scenario, error) {
 	return tomldoc.Decode(file, data, decode)
 }
 
-// decode decodes a scenario, and reports what is wrong to the scope. The tables are read in a fixed
-// order, because later ones are checked against earlier ones.
+// decode decodes a scenario and reports problems to the scope. The tables are read in a fixed order
+// because later tables are checked against earlier ones.
 func decode(scope tomldoc.Scope) *Scenario {
 	s := &Scenario{
 		Name:     scope.Text("name", ""),
@@ -105,7 +105,7 @@
 	return b
 }
 
-// decodeClients decodes the table "clients" of a run with a number of sites.
+// decodeClients decodes the table "clients" of a run with siteCount sites.
 func decodeClients(table tomldoc.Scope, siteCount int) Clients {
 	c := Clients{
 		Rate:            table.Float("rate", 0, 0, MaxRate),
@@ -138,7 +138,7 @@
 	return b
 }
 
-// decodeRandom decodes the table "random" of a run with a duration.
+// decodeRandom decodes the table "random" of a run that takes duration.
 func decodeRandom(table tomldoc.Scope, duration time.Duration) Random {
 	r := Random{
 		Count:       int(table.Int("count", 0, 0, 200)),
@@ -165,7 +165,8 @@
 	return r
 }
 
-// decodeFault decodes one of the tables "faults", and checks it against the processes of the run.
+// decodeFault decodes one of the tables "faults" and checks the fault against the processes of the
+// run.
 func (s *Scenario) decodeFault(table tomldoc.Scope) Fault {
 	f := Fault{
 		At:         table.Duration("at", 0, 0, MaxDuration),
@@ -201,7 +202,7 @@
 	return f
 }
 
-// checkTargets checks that the site and the processes that a fault names exist.
+// checkTargets reports a fault's site and process names that do not exist in the run.
 func (s *Scenario) checkTargets(table tomldoc.Scope, f Fault) {
 	if f.Site != "" && !slices.Contains(s.Sidecars.Sites, f.Site) {
 		table.ReportField(rules.UnknownZone, "site",
@@ -217,7 +218,7 @@
 	}
 }
 
-// decodeLinkFault decodes which links a fault acts on, and checks what its kind needs.
+// decodeLinkFault decodes the links that a fault acts on and reports missing fields of its kind.
 func (s *Scenario) decodeLinkFault(table tomldoc.Scope, f *Fault) {
 	f.Link = table.OneOf("link", "", links...)
 	f.Group = table.OneOf("on", OnSidecars, OnSidecars, OnBackends, OnLists)
@@ -238,7 +239,8 @@
 	}
 }
 
-// decodeProcessFault decodes which processes a fault acts on, and checks that they can be selected.
+// decodeProcessFault decodes the processes that a fault acts on and reports a selection that the
+// group does not support.
 func (s *Scenario) decodeProcessFault(table tomldoc.Scope, f *Fault) {
 	f.Group = table.OneOf("on", OnSidecars, OnSidecars, OnLists, OnBackends, OnSites)
 	siteCount := len(s.Sidecars.Sites)
--- a/internal/harness/scenario/fault.go
+++ b/internal/harness/scenario/fault.go
@@ -7,45 +7,45 @@
 	"time"
 )
 
-// Kind is a kind of fault. Its text is stored in scenarios and histories.
+// Kind is a kind of fault. Its value is stored in scenarios and histories.
 type Kind string
 
 // The kinds of fault on links. Each acts on the links between two groups of processes.
 const (
-	Cut       Kind = "cut"    // bytes of both directions are held back until it ends
-	OneWay    Kind = "oneway" // the same of one direction
-	Delay     Kind = "delay"  // bytes are delayed by Delay and up to Jitter more; in one direction, if one is given
-	Hold      Kind = "hold"   // of each connection's next bytes only the first Bytes pass until it ends
-	Reset     Kind = "reset"  // open connections are reset, and so are new ones until it ends
+	Cut       Kind = "cut"    // bytes of both directions are held back until the fault ends
+	OneWay    Kind = "oneway" // bytes of one direction are held back until the fault ends
+	Delay     Kind = "delay"  // bytes of one or both directions are delayed by Delay plus up to Jitter
+	Hold      Kind = "hold"   // only the next Bytes bytes of each connection pass until the fault ends
+	Reset     Kind = "reset"  // open connections and connections made during the fault are reset
 	HalfClose Kind = "half"   // one direction of open connections is closed
 	Slow      Kind = "slow"   // bytes pass at Rate
 )
 
 // The kinds of fault on processes.
 const (
-	Kill Kind = "kill" // they are killed, and started again when it ends
-	Stop Kind = "stop" // they are stopped (SIGSTOP), and continued when it ends
-	Term Kind = "term" // they are terminated (SIGTERM), and started again when it ends
+	Kill Kind = "kill" // the processes are killed, and started again when the fault ends
+	Stop Kind = "stop" // the processes are stopped (SIGSTOP), and continued when the fault ends
+	Term Kind = "term" // the processes are terminated (SIGTERM), and started again when the fault ends
 )
 
 // The kinds of fault on list services.
 const (
-	ListDown      Kind = "down"      // they answer 503
-	ListSilent    Kind = "silent"    // they accept requests and answer none
-	ListTruncated Kind = "half-body" // their responses break off
-	ListEmpty     Kind = "empty"     // their list is empty
-	ListOlder     Kind = "older"     // they go back to older versions, and stay there
+	ListDown      Kind = "down"      // list services respond with 503
+	ListSilent    Kind = "silent"    // list services accept requests and never respond
+	ListTruncated Kind = "half-body" // list services send truncated responses
+	ListEmpty     Kind = "empty"     // list services serve an empty list
+	ListOlder     Kind = "older"     // list services return to older versions and stay there
 )
 
 // The kinds of fault on backends.
 const (
-	Replace       Kind = "replace" // they drain, stop, and start again, cold, when it ends
-	AddressReused Kind = "moved"   // they stop, and another service has their addresses until it ends
-	Choke         Kind = "choke"   // they are many times slower
-	Fail          Kind = "fail"    // they answer 500 at once
+	Replace       Kind = "replace" // the backends drain and stop, and start again, cold, when the fault ends
+	AddressReused Kind = "moved"   // the backends stop, and another service has their addresses until the fault ends
+	Choke         Kind = "choke"   // the backends are slowed down many times
+	Fail          Kind = "fail"    // the backends respond with 500 at once
 )
 
-// Groups of processes, as scenarios name them.
+// Groups of processes, as scenario files name them.
 const (
 	OnSidecars = "sidecars"
 	OnLists    = "lists"
@@ -57,18 +57,19 @@
 // Directions of a link.
 const (
 	BothDirections = "both"
-	ToServer       = "there" // from the process that opens connections
+	ToServer       = "there" // from the process that opens connections to the one that accepts them
 	ToClient       = "back"
 )
 
-// links are all links, named for the group that opens connections and the group that accepts them.
+// links are all links, named after the group that opens connections and the group that accepts
+// them.
 var links = []string{
 	OnClients + "-" + OnSidecars,
 	OnSidecars + "-" + OnLists,
 	OnSidecars + "-" + OnBackends,
 }
 
-// target is what a kind of fault acts on.
+// target is the kind of object that a fault acts on.
 type target int
 
 const (
@@ -78,7 +79,7 @@
 	onBackends
 )
 
-// kindTargets has every kind, with what it acts on.
+// kindTargets maps every kind of fault to its target.
 var kindTargets = map[Kind]target{
 	Cut: onLinks, OneWay: onLinks, Delay: onLinks, Hold: onLinks, Reset: onLinks, HalfClose: onLinks, Slow: onLinks,
 	Kill: onProcesses, Stop: onProcesses, Term: onProcesses,
@@ -86,7 +87,7 @@
 	Replace: onBackends, AddressReused: onBackends, Choke: onBackends, Fail: onBackends,
 }
 
-// KindNames returns the texts of all kinds of fault, sorted.
+// KindNames returns the names of all kinds of fault, sorted.
 func KindNames() []string {
 	var names []string
 	for kind := range kindTargets {
@@ -96,29 +97,29 @@
 	return names
 }
 
-// Fault is one fault. In a schedule it names all processes that it acts on.
+// Fault is one fault. In a schedule, Names has all processes that the fault acts on.
 type Fault struct {
-	At         time.Duration // from the run's start
+	At         time.Duration // beginning, counted from the run's start
 	Duration   time.Duration
 	Kind       Kind
-	Link       string        // of a fault on links: one of the links
-	Direction  string        // of those that have one
-	Group      string        // of the processes in Names
-	Names      []string      // of the processes that it acts on; empty: all that Site and Share select
-	Site       string        // selects the processes of this site only
-	CrossSite  bool          // of a fault on links: selects those between Site and other sites
-	KeepListed bool          // of Kill: the endpoint list goes on saying that the backends serve
-	Share      float64       // selects this share of the processes, drawn from the seed; 0: all
-	Delay      time.Duration // of Delay
-	Jitter     time.Duration // of Delay
-	Bytes      int           // of Hold: that still pass
-	Rate       int           // of Slow: bytes a second
+	Link       string        // link of a fault on links
+	Direction  string        // direction of a fault on links
+	Group      string        // group of the processes in Names
+	Names      []string      // processes that the fault acts on; empty means those that Site and Share select
+	Site       string        // site whose processes are selected; empty means all sites
+	CrossSite  bool          // selects the links between Site and other sites
+	KeepListed bool          // backends killed by Kill or Term stay in the endpoint list as serving
+	Share      float64       // share of the processes that is selected, drawn from the seed; 0 means all
+	Delay      time.Duration // fixed delay of Delay
+	Jitter     time.Duration // largest additional delay of Delay, which is random
+	Bytes      int           // bytes of each connection that Hold lets pass
+	Rate       int           // bytes per second of Slow
 }
 
-// Name returns the fault's name in the history, by its index in the schedule.
+// Name returns the fault's name in the history. index is the fault's index in the schedule.
 func (f *Fault) Name(index int) string { return fmt.Sprintf("%d-%s", index+1, f.Kind) }
 
-// maxListedNames is how many names String lists.
+// maxListedNames is the number of names up to which String lists them.
 const maxListedNames = 3
 
 // String describes a fault in one line.
--- a/internal/harness/scenario/process.go
+++ b/internal/harness/scenario/process.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// singular returns the prefix of the names of a group's members.
+// singular returns the singular of a group's name, which is the prefix of its members' names.
 func singular(group string) string { return strings.TrimSuffix(group, "s") }
 
 // Names returns the names of a group's members, in order.
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// memberNames returns a prefix with the numbers from 1 to count.
+// memberNames returns the names prefix-1 to prefix-count.
 func memberNames(prefix string, count int) []string {
 	var names []string
 	for i := range count {
@@ -38,20 +38,20 @@
 	return names
 }
 
-// Index returns the index of a process or a backend in its group, from 0, by its name.
+// Index returns the zero-based index of the named process or backend within its group.
 func Index(name string) int {
-	number, _ := strconv.Atoi(name[strings.LastIndexByte(name, '-')+1:]) // all names end with one
+	number, _ := strconv.Atoi(name[strings.LastIndexByte(name, '-')+1:]) // all names end with a number
 	return number - 1
 }
 
-// SiteOf returns the site of a process or a backend by its name.
+// SiteOf returns the site of the named process or backend.
 func (s *Scenario) SiteOf(name string) string { return s.Site(Index(name)) }
 
-// Site returns the site of a group's member by its index.
+// Site returns the site of the group member with an index.
 func (s *Scenario) Site(index int) string { return s.Sidecars.Sites[index%len(s.Sidecars.Sites)] }
 
-// Capacity returns how many requests a second the backends of each site can serve when they are
-// warm. It is empty if they take no time.
+// Capacity returns, by site, the requests per second that the site's backends can serve when all of
+// them are warm. The map is empty if the service time is 0.
 func (s *Scenario) Capacity() map[string]float64 {
 	capacity := map[string]float64{}
 	if s.Backends.ServiceTime <= 0 {
--- a/internal/harness/scenario/scenario.go
+++ b/internal/harness/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario describes a run of the harness: how many processes of each kind, the load, and
-// which faults happen when. It is pure: bytes and a seed come in as arguments.
+// Package scenario describes a run of the harness: the number of processes of each kind, the load,
+// and the fault schedule. The package is pure: file contents and seeds are arguments.
 package scenario
 
 import (
@@ -8,14 +8,14 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// Bounds of a scenario.
+// Limits of a scenario.
 const (
-	MaxFile     = tomldoc.MaxFile // bytes
+	MaxFile     = tomldoc.MaxFile // size of a scenario file in bytes
 	MaxSidecars = 1000
 	MaxBackends = 1000
 	MaxLists    = 16
 	MaxDuration = 10 * time.Minute
-	MaxRate     = 20_000 // requests a second
+	MaxRate     = 20_000 // requests per second
 	maxFaults   = 1000
 	maxWorkers  = 64
 )
@@ -24,7 +24,7 @@
 type Scenario struct {
 	Name     string
 	Seed     uint64
-	Duration time.Duration // from when all processes have been started
+	Duration time.Duration // counted from the time at which all processes have been started
 	Sidecars Sidecars
 	Lists    Lists
 	Backends Backends
@@ -37,58 +37,60 @@
 // Sidecars are the processes under test.
 type Sidecars struct {
 	Count            int
-	Sites            []string      // assigned in turn
-	KnowReplicaCount bool          // they are configured with the number of replicas
-	StartSpread      time.Duration // over which they are started; 0: all at once
-	MemoryMB         float64
-	Sockets          int
-	PersistState     bool          // each has a state directory that outlives its process
-	ClockSkew        time.Duration // between their clocks and the list services', at most, either way
+	Sites            []string      // sites, to which sidecars are assigned in turn
+	KnowReplicaCount bool          // sidecars are configured with the number of replicas
+	StartSpread      time.Duration // period over which the sidecars are started; 0 means all at once
+	MemoryMB         float64       // configured memory limit of a sidecar
+	Sockets          int           // configured socket limit of a sidecar
+	PersistState     bool          // each sidecar has a state directory that outlives its process
+	ClockSkew        time.Duration // largest difference of a sidecar's clock to the list services', in both directions
 }
 
-// Lists are the stand-in list services, one process each. Sidecars are assigned to them in turn.
+// Lists are the stand-in list services, one process each. Sidecars are assigned to the services in
+// turn.
 type Lists struct {
 	Count        int
-	SnapshotRate float64       // snapshots a second that each serves, in turn; 0: at once
-	QueueLength  int           // requests for snapshots that wait; further ones get 503
-	RetryAfter   time.Duration // that is sent with 503
+	SnapshotRate float64       // snapshots per second that each service serves, one at a time; 0 means no limit
+	QueueLength  int           // queued requests for snapshots, beyond which requests get 503
+	RetryAfter   time.Duration // value of Retry-After in 503 responses
 }
 
-// Backends are the stand-in backends. Several share a process.
+// Backends are the stand-in backends. Several backends share a process.
 type Backends struct {
 	Count         int
-	Processes     int
-	Cores         int
-	QueueLength   int
-	ServiceTime   time.Duration
-	Warmup        time.Duration // until a cold one is warm; 0: at once
-	StartCapacity float64       // share of its capacity that a cold one starts with
-	ColdMultiple  float64       // requests that a cold one tolerates, in times of its present capacity
-	StartCold     bool          // all of them are cold when the run starts
-	MaxConns      int           // of each; further ones are closed; 0: no bound
-	AcceptRate    float64       // connections a second that each accepts; 0: no bound
-	Backlog       int           // of connections to accept, beyond which none is established; 0: the system's
+	Processes     int           // processes that the backends are distributed over
+	Cores         int           // requests that a backend executes at the same time
+	QueueLength   int           // requests that wait for a core of a backend, beyond which requests get 503
+	ServiceTime   time.Duration // execution time of a request
+	Warmup        time.Duration // time until a cold backend is warm; 0 means that all backends are warm
+	StartCapacity float64       // share of its capacity that a cold backend starts with
+	ColdMultiple  float64       // requests that a cold backend tolerates, as a multiple of its current capacity
+	StartCold     bool          // all backends are cold when the run starts
+	MaxConns      int           // connections of a backend, beyond which connections are closed; 0 means no limit
+	AcceptRate    float64       // connections per second that a backend accepts; 0 means no limit
+	Backlog       int           // length of a backend's accept queue; 0 means the system's default
 }
 
 // Clients are the stand-in clients, which send the load.
 type Clients struct {
-	Rate            float64 // requests a second, over all
+	Rate            float64 // requests per second of all clients together
 	Processes       int
-	Quota           float64       // requests a second of the one tenant, as sidecars are configured; 0: no tenant
-	HealthInterval  time.Duration // between two health checks of a sidecar
-	CrossSite       bool          // they use another site if none of their own sidecars is ready
-	PriorityWeights bool          // sidecars are configured with the classes' priority weights; otherwise all are alike
+	Quota           float64       // requests per second of the tenant in the sidecars' configuration; 0 means no tenant
+	HealthInterval  time.Duration // interval between two health checks of a sidecar
+	CrossSite       bool          // clients use another site if no sidecar of their own site is ready
+	PriorityWeights bool          // sidecars are configured with the classes' priority weights; else all weigh the same
 }
 
-// Bounds are what a run has to keep beyond the checks of every run; 0 is no bound.
+// Bounds are limits that a run has to keep in addition to the checks of every run. 0 means no
+// limit.
 type Bounds struct {
-	MaxSnapshotRate    float64       // snapshots a second over all list services, in any second
-	MaxConnectRate     float64       // connections a second to one backend, in any second
-	MinReady           float64       // share of the sidecars that are ready...
-	ReadyWithin        time.Duration // ...this soon after their start
-	MinServed          float64       // share of the requests that is served
-	LossRecoveryWithin time.Duration // after the loss of a site, until 95% of what can be served is
-	MinServedAfterLoss float64       // share of the weighted requests that is served in the 30 s after a loss
+	MaxSnapshotRate    float64       // snapshots of all list services in any second
+	MaxConnectRate     float64       // connections to one backend in any second
+	MinReady           float64       // share of the sidecar starts that become ready within ReadyWithin
+	ReadyWithin        time.Duration // time from a sidecar's start to readiness
+	MinServed          float64       // share of the requests that are served
+	LossRecoveryWithin time.Duration // time from the loss of a site until 95% of the servable requests are served
+	MinServedAfterLoss float64       // share of the weighted requests served in the 30 s after the end of a loss
 }
 
 // Random describes faults that are drawn from the seed.
@@ -97,5 +99,5 @@
 	Kinds       []Kind
 	From        time.Duration
 	Until       time.Duration
-	MaxDuration time.Duration // of each
+	MaxDuration time.Duration // longest duration of a drawn fault, without the minimum of 100 ms
 }
--- a/internal/harness/scenario/scenario_test.go
+++ b/internal/harness/scenario/scenario_test.go
@@ -23,7 +23,8 @@
 count = 5
 `
 
-// Every error in a scenario is one line with its position, its field and what was expected.
+// Read reports each problem of a scenario file in one line with the position, the field and the
+// expected value.
 func TestReadReportsErrors(t *testing.T) {
 	fault := func(lines string) string { return base + "[[faults]]\n" + lines }
 	for _, c := range []struct{ text, want string }{
@@ -95,7 +96,7 @@
 	}
 }
 
-// read returns the scenario that a text describes.
+// read decodes a scenario.
 func read(t *testing.T, text string) *scenario.Scenario {
 	t.Helper()
 	spec, err := scenario.Read("s.toml", []byte(text))
@@ -105,9 +106,9 @@
 	return spec
 }
 
-// The example files can be read. One seed always gives the same schedule, which is the same after
-// it was written and read.
-func TestSchedules(t *testing.T) {
+// Read accepts the example files. Equal seeds give equal schedules, and a schedule is unchanged
+// after Text has encoded and Read has decoded it.
+func TestScheduleDeterminismAndRoundTrip(t *testing.T) {
 	files, err := filepath.Glob("../../../deploy/rig/*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
@@ -129,36 +130,36 @@
 		spec.Seed = seed
 		drawn := spec.Schedule()
 		if !reflect.DeepEqual(drawn, spec.Schedule()) {
-			t.Fatalf("seed %d gives two schedules", seed)
+			t.Fatalf("seed %d: two calls of Schedule returned different schedules", seed)
 		}
 		for _, f := range drawn {
 			if f.At < 0 || f.At+f.Duration > spec.Duration || len(f.Names) == 0 {
-				t.Errorf("seed %d: %+v", seed, f)
+				t.Errorf("seed %d: fault outside the run or without names: %+v", seed, f)
 			}
 		}
 		schedules[scenario.Text(drawn)] = true
 		again := read(t, base+scenario.Text(drawn)).Schedule()
 		if len(again) != len(drawn) {
-			t.Fatalf("seed %d: %d faults written, %d read", seed, len(drawn), len(again))
+			t.Fatalf("seed %d: got %d faults after a round trip, want %d", seed, len(again), len(drawn))
 		}
 		for i, f := range again {
 			if !isSameFault(f, drawn[i]) {
-				t.Errorf("seed %d: written %+v, read %+v", seed, drawn[i], f)
+				t.Errorf("seed %d: got %+v after a round trip, want %+v", seed, f, drawn[i])
 			}
 		}
 	}
 	if len(schedules) < 50 {
-		t.Errorf("%d schedules of 50 seeds", len(schedules))
+		t.Errorf("got %d different schedules for 50 seeds", len(schedules))
 	}
 }
 
-// isSameFault reports whether two faults are the same in what a file has of each kind.
+// isSameFault reports whether two faults agree in the fields that a file stores for every kind.
 func isSameFault(a, b scenario.Fault) bool {
 	return a.At == b.At && a.Duration == b.Duration && a.Kind == b.Kind && a.Link == b.Link &&
 		a.Direction == b.Direction && slices.Equal(a.Names, b.Names) && a.Delay == b.Delay && a.Rate == b.Rate
 }
 
-// Shrinking leaves exactly the faults that are needed.
+// Shrink returns exactly the faults that are needed for the failure.
 func TestShrink(t *testing.T) {
 	var all []scenario.Fault
 	for i := range 20 {
@@ -180,15 +181,15 @@
 			return true
 		})
 		if !found || len(least) != len(need) || runs > 150 {
-			t.Errorf("needed %v: %d left after %d runs", need, len(least), runs)
+			t.Errorf("needed faults %v: got %d faults, found %t after %d runs", need, len(least), found, runs)
 		}
 	}
 	if _, found := scenario.Shrink(all, func([]scenario.Fault) bool { return false }); found {
-		t.Error("found in a schedule that does not fail")
+		t.Error("Shrink reported a failure for a schedule that does not fail")
 	}
 }
 
-// FuzzRead checks that whatever Read accepts is within its bounds and has a schedule.
+// FuzzRead checks that every scenario that Read accepts is within the limits and has a schedule.
 func FuzzRead(f *testing.F) {
 	const random = "[random]\ncount = 3\nkinds = [\"kill\", \"delay\"]\n"
 	f.Add([]byte(base + random + "[[faults]]\nkind = \"hold\"\nlink = \"clients-sidecars\"\nshare = 0.5\n"))
@@ -197,8 +198,9 @@
 		if err != nil {
 			return
 		}
-		if spec.Sidecars.Count < 1 || spec.Sidecars.Count > scenario.MaxSidecars || spec.Duration > scenario.MaxDuration {
-			t.Errorf("out of bounds: %+v", spec)
+		if spec.Sidecars.Count < 1 || spec.Sidecars.Count > scenario.MaxSidecars ||
+			spec.Duration > scenario.MaxDuration {
+			t.Errorf("accepted scenario exceeds the limits: %+v", spec)
 		}
 		spec.Schedule()
 	})
--- a/internal/harness/scenario/schedule.go
+++ b/internal/harness/scenario/schedule.go
@@ -8,28 +8,29 @@
 )
 
 const (
-	scheduleStream = 1                      // random stream of the schedule, under the run's seed
-	minDuration    = 100 * time.Millisecond // of a drawn fault
-	minShare       = 0.1                    // of a group that a drawn fault acts on
-	maxShare       = 0.6
+	scheduleStream = 1                      // stream of the schedule's random generator
+	minDuration    = 100 * time.Millisecond // least duration of a drawn fault
+	minShare       = 0.1                    // least share of a group that a drawn fault acts on
+	maxShare       = 0.6                    // largest share of a group that a drawn fault acts on
 )
 
-// Schedule returns all faults of the run, those of the file and the drawn ones, each with the names
-// of all that it acts on, sorted by time. The same seed gives the same schedule.
+// Schedule returns all faults of the run, sorted by time: the faults of the file and the faults
+// drawn from the seed. Names of each fault has everything that the fault acts on. Equal seeds give
+// equal schedules.
 func (s *Scenario) Schedule() []Fault {
 	return DrawSchedule(s.Seed, s.Faults, s.Random.Count, s.draw, s.selected)
 }
 
-// DrawSchedule returns the faults in stated and drawn further ones, which draw draws. selected
-// returns the names of all that a fault acts on. The schedule is sorted by time. The same seed
-// gives the same schedule.
+// DrawSchedule returns the given faults and drawn further faults, sorted by time. The function draw
+// draws one fault; selected returns the names of everything that a fault acts on. Equal seeds give
+// equal schedules.
 func DrawSchedule(
-	seed uint64, stated []Fault, drawn int,
+	seed uint64, given []Fault, drawn int,
 	draw func(*rand.Rand) Fault, selected func(Fault, *rand.Rand) []string,
 ) []Fault {
 	var schedule []Fault
 	rnd := rand.New(rand.NewPCG(seed, scheduleStream))
-	for _, f := range stated {
+	for _, f := range given {
 		f.Names = selected(f, rnd)
 		schedule = append(schedule, f)
 	}
@@ -60,8 +61,8 @@
 	return DrawShare(names, f.Share, rnd)
 }
 
-// DrawShare draws a share of the names, at least one, sorted by their numbers. A share that is not
-// between 0 and 1 selects all. The order of the given names is changed.
+// DrawShare draws a share of names, at least one, and returns them sorted by their numbers. A share
+// that is not between 0 and 1 selects all names. DrawShare reorders names.
 func DrawShare(names []string, share float64, rnd *rand.Rand) []string {
 	if share <= 0 || share >= 1 {
 		return names
@@ -72,7 +73,8 @@
 	return names
 }
 
-// draw draws one fault. The order of the random draws is part of what a seed means.
+// draw draws one fault. The order of the draws must not change: it determines which schedule a seed
+// gives.
 func (s *Scenario) draw(rnd *rand.Rand) Fault {
 	r := s.Random
 	f := Fault{
@@ -110,7 +112,7 @@
 	return f
 }
 
-// With returns a copy of the scenario with other faults, and none drawn.
+// With returns a copy of the scenario that has the given faults and no drawn ones.
 func (s *Scenario) With(faults []Fault) *Scenario {
 	other := *s
 	other.Faults = faults
--- a/internal/harness/scenario/shrink.go
+++ b/internal/harness/scenario/shrink.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Shrink leaves out faults for as long as what is left still fails: first large parts, then single
-// faults (delta debugging, by Zeller and Hildebrandt). found is false if the complete schedule does
-// not fail.
+// Shrink returns a minimal part of a schedule that still fails. It removes faults while the rest
+// fails: first large parts, then single faults (delta debugging by Zeller and Hildebrandt). found
+// is false if the complete schedule does not fail.
 func Shrink(faults []Fault, fails func([]Fault) bool) (least []Fault, found bool) {
 	if !fails(faults) {
 		return nil, false
@@ -15,7 +15,7 @@
 	least = faults
 	size := max(1, len(least)/2)
 	for len(least) > 1 {
-		shorter := leaveOutParts(least, size, fails)
+		shorter := removeParts(least, size, fails)
 		isShorter := len(shorter) < len(least)
 		least = shorter
 		if isShorter {
@@ -29,9 +29,9 @@
 	return least, true
 }
 
-// leaveOutParts leaves out each part of a size without which the rest still fails. At least one
-// fault is left.
-func leaveOutParts(faults []Fault, size int, fails func([]Fault) bool) []Fault {
+// removeParts removes each part of size faults without which the rest still fails. At least one
+// fault remains.
+func removeParts(faults []Fault, size int, fails func([]Fault) bool) []Fault {
 	from := 0
 	for from < len(faults) && len(faults) > 1 {
 		to := min(from+size, len(faults))
--- a/internal/harness/scenario/text.go
+++ b/internal/harness/scenario/text.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Text returns a schedule as a scenario file has it.
+// Text returns a schedule in the format of a scenario file.
 func Text(faults []Fault) string {
 	var text strings.Builder
 	for _, fault := range faults {
--- a/internal/harness/scenarios_test.go
+++ b/internal/harness/scenarios_test.go
@@ -8,18 +8,18 @@
 	"fernlanding/internal/harness/scenario"
 )
 
-// maxConcurrent is how many scenarios run at the same time.
+// maxConcurrent is the number of scenarios that run at the same time.
 const maxConcurrent = 3
 
-// The checks and each scenario's bounds hold at starts with something wrong, and while sites are
-// killed, stopped or cut off.
+// All checks pass and all bounds hold in the scenarios of faulty starts and of sites that are
+// killed, stopped or disconnected.
 func TestScenarios(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts some hundred processes")
 	}
 	files, err := filepath.Glob("../../deploy/rig/[hs]*/*.toml")
 	if err != nil || len(files) < 15 {
-		t.Fatalf("%d scenarios, %v", len(files), err)
+		t.Fatalf("got %d scenario files and error %v, want at least 15 files", len(files), err)
 	}
 	slots := make(chan struct{}, maxConcurrent)
 	for _, file := range files {
@@ -39,9 +39,10 @@
 			for _, verdict := range verdicts {
 				t.Error(verdict)
 			}
-			t.Logf("%d asked, %.0f served, losses %+v", figures.Requests, figures.Served, figures.Losses)
+			t.Logf("%d requests, %.0f served, losses %+v", figures.Requests, figures.Served, figures.Losses)
 			if figures.Requests < 200 {
-				t.Errorf("%d requests: the run shows nothing\n%s", figures.Requests, scenario.Text(spec.Schedule()))
+				t.Errorf("%d requests, too few for a meaningful run\n%s",
+					figures.Requests, scenario.Text(spec.Schedule()))
 			}
 		})
 	}
--- a/internal/harness/sidecar_config.go
+++ b/internal/harness/sidecar_config.go
@@ -26,8 +26,8 @@
 	return text.String()
 }
 
-// writeService writes the service that a sidecar forwards to, and where it learns the service's
-// endpoints.
+// writeService writes the service that a sidecar forwards to, with the address of the list service
+// that provides its endpoints.
 func (r *run) writeService(text *strings.Builder, index int) {
 	sidecars, backends := r.spec.Sidecars, r.spec.Backends
 	relayPort := r.listRelayPorts[index%len(r.listRelayPorts)]
@@ -70,7 +70,7 @@
 	}
 }
 
-// quoteList returns texts as the elements of a TOML array.
+// quoteList formats texts as the elements of a TOML array.
 func quoteList(texts []string) string {
 	var quoted []string
 	for _, text := range texts {
--- a/internal/harness/sidecars.go
+++ b/internal/harness/sidecars.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	maxMemoryShare = 0.8                    // of the machine's available memory that a run may take
-	measureDelay   = 100 * time.Millisecond // from a process's start until its runtime is set up
+	maxMemoryShare = 0.8                    // share of the machine's available memory that a run may use
+	measureDelay   = 100 * time.Millisecond // time from a process's start until its runtime is set up
 )
 
-// startSidecars starts the clients with their load, and then the processes under test.
+// startSidecars starts the clients and their load, and then the processes under test.
 func (r *run) startSidecars(ctx context.Context) error {
 	for i := range r.sidecarNames {
 		if err := os.WriteFile(r.configPath(i), []byte(r.configText(i)), 0o600); err != nil {
@@ -52,11 +52,11 @@
 	return nil
 }
 
-// MemoryError says that a run does not fit into the machine's memory.
+// MemoryError is the error for a run whose sidecars do not fit into the machine's memory.
 type MemoryError struct {
-	Count          int   // sidecars of the run
+	Count          int   // number of sidecars in the run
 	EachBytes      int64 // resident memory of one sidecar
-	AvailableBytes int64 // that the run may take on this machine
+	AvailableBytes int64 // memory that the run may use on this machine
 }
 
 // Error implements error. It begins with the scenario's key to change.
@@ -66,8 +66,8 @@
 		e.Count, e.EachBytes>>20, need>>20, e.AvailableBytes>>20)
 }
 
-// checkMemory starts one sidecar to measure its memory, kills it, and returns a MemoryError if all
-// sidecars together would not fit into the machine's memory.
+// checkMemory starts one sidecar, measures its memory and kills it. It returns a *MemoryError if
+// all sidecars together would not fit into the machine's memory.
 func (r *run) checkMemory(ctx context.Context) error {
 	if err := r.startSidecar(0); err != nil {
 		return err
@@ -77,7 +77,7 @@
 	}
 	each := process.ResidentBytes(r.Processes.PID(r.sidecarNames[0]))
 	r.Processes.Kill(r.sidecarNames[0])
-	// The run proper is to begin without the state of the process that was measured.
+	// The run must not begin with the state of the process that was measured.
 	if err := os.RemoveAll(r.stateDir(0)); err != nil {
 		return err
 	}
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// startSidecar starts a process under test. Its standard error is read to its end, so that it never
-// blocks on a full pipe.
+// startSidecar starts a process under test. It reads the standard error of the process to the end,
+// so that the process never blocks on a full pipe.
 func (r *run) startSidecar(index int) error {
 	name := r.sidecarNames[index]
 	return r.Processes.Start(process.Spec{
@@ -106,13 +106,14 @@
 					r.Record(history.Event{Kind: history.Log, Who: name, Reason: lines.Text()})
 				}
 			}
-			// The scanner stops at a line beyond its bound. What follows is not needed.
+			// The scanner stops at a line that exceeds its limit. The rest is discarded.
 			_, _ = io.Copy(io.Discard, stderr)
 		},
 	})
 }
 
-// stateDir returns the directory that outlives a sidecar's process, if the scenario gives it one.
+// stateDir returns the path of a sidecar's state directory, which outlives the sidecar's process.
+// It is used if the scenario's sidecars persist their state.
 func (r *run) stateDir(index int) string { return filepath.Join(r.Dir, r.sidecarNames[index]) }
 
 // configPath returns the path of a sidecar's configuration file.
--- a/internal/harness/spawn/spawn.go
+++ b/internal/harness/spawn/spawn.go
@@ -1,5 +1,5 @@
-// Package spawn starts processes that the kernel kills when their parent process ends, whatever
-// ends it.
+// Package spawn starts processes that the kernel kills when their parent process exits, for
+// whatever reason it exits.
 package spawn
 
 import (
@@ -8,22 +8,22 @@
 	"syscall"
 )
 
-// Starter starts processes. The kernel kills each process when the thread that started it exits
-// (PR_SET_PDEATHSIG), so one thread starts all of them and lives until Close. Start may be called
-// from any goroutine.
+// Starter starts processes. The kernel kills each process when the thread that started the process
+// exits (PR_SET_PDEATHSIG). Therefore, one thread starts all processes and runs until Close. Start
+// may be called from any goroutine.
 type Starter struct {
 	commands chan func()
-	done     chan struct{} // closed when the thread is about to exit
+	done     chan struct{} // closed when run returns
 }
 
-// New returns a Starter, whose thread Close ends.
+// New returns a Starter. The caller has to call Close to end the Starter's thread.
 func New() *Starter {
 	s := &Starter{commands: make(chan func()), done: make(chan struct{})}
 	go s.run()
 	return s
 }
 
-// run executes commands on one thread until Close.
+// run calls the functions in commands on one thread until Close.
 func (s *Starter) run() {
 	// The thread is never unlocked, so that it exits with this goroutine.
 	runtime.LockOSThread()
@@ -33,7 +33,7 @@
 	}
 }
 
-// Start starts a command. It must not be called after Close.
+// Start starts a process. It must not be called after Close.
 func (s *Starter) Start(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	started := make(chan error, 1)
@@ -41,7 +41,7 @@
 	return <-started
 }
 
-// Close ends the thread, and with it every process that it started and that still runs.
+// Close ends the thread, so that the kernel kills every process that is still running.
 func (s *Starter) Close() {
 	close(s.commands)
 	<-s.done
--- a/internal/harness/standins.go
+++ b/internal/harness/standins.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	startTimeout = 60 * time.Second // for all list services and backends together
-	podCount     = 4                // pods that the backends are spread over; a pod deduplicates by idempotency key
-	skewStream   = 9                // random stream of the clock skews, under the run's seed
+	startTimeout = 60 * time.Second // time for the start of all list services and backends together
+	cellCount    = 4                // cells that the backends are distributed over; a cell deduplicates by key
+	skewStream   = 9                // stream of the random generator for clock skews
 )
 
 // startStandIns starts the backends and the list services.
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// startBackendProcess starts one of the processes that backends share. Its backends are cold if
-// startCold is set, otherwise warm.
+// startBackendProcess starts one of the processes that backends share. The backends start cold if
+// startCold is set, else warm.
 func (r *run) startBackendProcess(ctx context.Context, index int, startCold bool) error {
 	b := r.spec.Backends
 	spec := worker.Spec{
@@ -69,7 +69,7 @@
 	for i, name := range r.backendNames {
 		if i%len(r.backendProcesses) == index {
 			spec.Backends = append(spec.Backends, name)
-			spec.Cells = append(spec.Cells, i%podCount)
+			spec.Cells = append(spec.Cells, i%cellCount)
 		}
 	}
 	hello, err := r.startWorker(ctx, spec)
@@ -111,7 +111,7 @@
 	return r.Processes.SendCommand(r.listNames[index], worker.Command{Do: worker.DoMembers, Members: all})
 }
 
-// sidecarsByAddr returns the names of the sidecars by their addresses.
+// sidecarsByAddr returns the names of the sidecars by address.
 func (r *run) sidecarsByAddr() map[string]string {
 	names := map[string]string{}
 	for i, name := range r.sidecarNames {
@@ -120,9 +120,9 @@
 	return names
 }
 
-// clockSkews draws by how many milliseconds each sidecar's clock is behind that of the list
-// services, by the sidecar's address. The skews follow from the seed alone, so that all list
-// services agree on them.
+// clockSkews draws the clock skew of each sidecar and returns the skews by the sidecar's address. A
+// skew is the delay, in milliseconds, of the sidecar's clock relative to the list services. The
+// skews depend only on the seed, so that all list services use the same values.
 func (r *run) clockSkews() map[string]int64 {
 	skews := map[string]int64{}
 	bound := r.spec.Sidecars.ClockSkew.Milliseconds()
@@ -136,7 +136,7 @@
 	return skews
 }
 
-// startClients starts the client processes; they send no load yet.
+// startClients starts the client processes without load.
 func (r *run) startClients(ctx context.Context) error {
 	clients := r.spec.Clients
 	for i, name := range r.clientNames {
--- a/internal/harness/timeline/draw.go
+++ b/internal/harness/timeline/draw.go
@@ -1,5 +1,5 @@
-// Package timeline draws the history of a run: load, rejections, polls of lists, connections and
-// ready sidecars over time, with the faults marked.
+// Package timeline draws the history of a run. A drawing shows requests, rejections, polls of list
+// services, connections and ready sidecars over time, and marks the faults.
 package timeline
 
 import (
@@ -33,20 +33,20 @@
 	shade  = color.RGBA{0xff, 0xe0, 0x99, 0x80}
 )
 
-// lineSeries is one line of a panel. It has a value for each second of the run.
+// lineSeries is one line of a panel. It has one value for each second of the run.
 type lineSeries struct {
 	name   string
 	color  color.RGBA
 	values []float64
 }
 
-// panel is one of the plots, which are drawn below each other.
+// panel is one plot. The panels of a drawing are stacked vertically.
 type panel struct {
 	title string
 	lines []*lineSeries
 }
 
-// SVG writes a drawing of a history that is sorted by time.
+// SVG writes a drawing of a history, which must be sorted by time, in SVG format.
 func SVG(w io.Writer, spec *scenario.Scenario, events []history.Event) error {
 	end := 0
 	for _, e := range events {
@@ -70,7 +70,7 @@
 	return writeSVG(w, plots)
 }
 
-// writeSVG writes plots below each other.
+// writeSVG writes plots in SVG format, stacked vertically.
 func writeSVG(w io.Writer, plots [][]*plot.Plot) error {
 	svg := vgsvg.New(panelWidth, panelHeight*vg.Length(len(plots)))
 	tiles := draw.Tiles{
@@ -90,7 +90,7 @@
 	return err
 }
 
-// chart gathers what is drawn, by seconds.
+// chart accumulates the values of a drawing by second of the run.
 type chart struct {
 	requests, served, rejected, failed *lineSeries
 	snapshots, updates, pollsRejected  *lineSeries
@@ -98,12 +98,12 @@
 	ready, overloaded                  *lineSeries
 
 	readySidecars      map[string]bool
-	overloadedBackends int          // cold backends, now
-	hasEvent           map[int]bool // by second; in others ready and overloaded stay as they were
+	overloadedBackends int          // current number of overloaded cold backends
+	hasEvent           map[int]bool // seconds that have events; in other seconds, ready and overloaded do not change
 }
 
-// newChart returns a chart of a run that ends in a second. The names of the lines are on the
-// drawing.
+// newChart returns an empty chart of a run that ends in second end. The drawing shows the names of
+// the lines.
 func newChart(end int) *chart {
 	series := func(name string, c color.RGBA) *lineSeries {
 		return &lineSeries{name: name, color: c, values: make([]float64, end+1)}
@@ -124,7 +124,7 @@
 	}
 }
 
-// panels returns the panels of the drawing, from the top.
+// panels returns the panels of the drawing from top to bottom.
 func (c *chart) panels() []panel {
 	return []panel{
 		{title: "requests a second", lines: []*lineSeries{c.requests, c.served, c.rejected, c.failed}},
@@ -153,14 +153,14 @@
 		delete(c.readySidecars, e.Who)
 	case history.WarmupOverload:
 		c.overloadedBackends += int(2*e.N - 1)
-	default: // the others are not drawn
+	default: // other kinds are not drawn
 	}
 	c.hasEvent[s] = true
 	c.ready.values[s] = float64(len(c.readySidecars))
 	c.overloaded.values[s] = max(c.overloaded.values[s], float64(c.overloadedBackends))
 }
 
-// outcome returns the line of the requests with a status.
+// outcome returns the line for requests that ended with status.
 func (c *chart) outcome(status int) *lineSeries {
 	switch status {
 	case http.StatusOK:
@@ -171,8 +171,8 @@
 	return c.failed
 }
 
-// addPoll adds a poll of a list service. A rejection is drawn when it was answered, the others when
-// they were made.
+// addPoll adds a poll of a list service. Polls are drawn at the time at which they were sent,
+// rejections at the time of the response.
 func (c *chart) addPoll(e history.Event) {
 	began := int((e.At - e.Took) / second)
 	if e.N < 0 {
@@ -185,7 +185,7 @@
 	}
 }
 
-// fillGaps carries ready and overloaded over seconds without events.
+// fillGaps copies the values of ready and overloaded into seconds without events.
 func (c *chart) fillGaps() {
 	for s := 1; s < len(c.ready.values); s++ {
 		if !c.hasEvent[s] {
@@ -195,14 +195,14 @@
 	}
 }
 
-// plot returns the plot of a panel, with the faults of a history that ends in a second.
+// plot returns the plot of a panel, with the faults of a history that ends in second end.
 func (p panel) plot(events []history.Event, end int) (*plot.Plot, error) {
 	drawing := plot.New()
 	drawing.Y.Label.Text = p.title
 	drawing.X.Min = 0
 	drawing.X.Max = float64(max(end, 1))
 	drawing.Y.Min = 0
-	drawing.Y.Max = p.top() * 1.15 // leaves room for the legend
+	drawing.Y.Max = p.top() * 1.15 // space for the legend
 	drawing.Legend.Top = true
 	if err := drawFaults(drawing, events); err != nil {
 		return nil, err
@@ -244,7 +244,8 @@
 	return nil
 }
 
-// drawFaults marks all faults that ended. A very short one is made wide enough to be seen.
+// drawFaults marks all faults that have ended. A fault is drawn at least 0.02 s wide so that it
+// remains visible.
 func drawFaults(drawing *plot.Plot, events []history.Event) error {
 	began := map[string]float64{}
 	for _, e := range events {
@@ -263,7 +264,7 @@
 	return nil
 }
 
-// drawFault shades the time of a fault and labels it with its name.
+// drawFault shades the period of a fault and labels it with the fault's name.
 func drawFault(p *plot.Plot, name string, from, to, top float64) error {
 	box, err := plotter.NewPolygon(plotter.XYs{{X: from}, {X: to}, {X: to, Y: top}, {X: from, Y: top}})
 	if err != nil {
--- a/internal/harness/worker/backend.go
+++ b/internal/harness/worker/backend.go
@@ -12,35 +12,37 @@
 )
 
 const (
-	chokeSlowdown    = 20          // service time of a choked backend, in normal ones
-	overloadSlowdown = 4           // the same of a cold backend that is overloaded, and for a while after
-	overloadRecovery = time.Second // how long after
+	chokeSlowdown    = 20          // service time of a choked backend, as a multiple of the normal one
+	overloadSlowdown = 4           // service time of a cold backend during and after an overload, as a multiple
+	overloadRecovery = time.Second // time after the end of an overload until requests have the normal service time
 )
 
-// backend is one backend: a queue before a number of cores, of which a cold backend has only a
-// part. A request whose caller has left while it waited for a core is not executed.
+// backend is one backend. It has a queue and a number of cores, of which a cold backend has only a
+// part. If a caller closes its connection while the request waits for a core, the backend does not
+// execute the request.
 type backend struct {
 	spec     Spec
 	recorder recorder
 	name     string
-	pod      int
+	cell     int
 	address  string
 
-	// The group's lock guards what follows; requests are served only between start and stop.
+	// The mutex of backendGroup guards these fields. Requests are served only between start and
+	// stop.
 	startedAt time.Time
-	server    *standin.Backend // nil while it is stopped
-	warming   []*time.Timer    // each adds a core
-
-	mu         sync.Mutex // guards what follows
-	inFlight   int        // requests, with those that wait for a core
-	overloaded bool       // it is cold and has more requests than its warm-up allows
-	slowUntil  time.Time  // after it was overloaded
-	choked     bool
-	failing    bool
-	moved      bool // another service has its address
+	server    *standin.Backend // nil while the backend is stopped
+	warming   []*time.Timer    // timers that each add a core
+
+	mu            sync.Mutex // guards the fields below
+	inFlight      int        // requests being executed or waiting for a core
+	overloaded    bool       // the backend is cold and has more requests than its warm-up allows
+	slowUntil     time.Time  // end of the recovery after an overload
+	choked        bool
+	failing       bool
+	addressReused bool // another service has the backend's address
 }
 
-// execute carries out a command. The group's lock is held.
+// execute carries out a command. The caller holds the mutex of the group.
 func (b *backend) execute(command Command) error {
 	switch command.Do {
 	case DoStop:
@@ -50,7 +52,7 @@
 		return b.start()
 	case DoReuseAddresses:
 		b.stop()
-		b.update(func() { b.moved = command.On })
+		b.update(func() { b.addressReused = command.On })
 		b.startedAt = time.Now()
 		return b.start()
 	case DoChoke:
@@ -63,19 +65,19 @@
 	return nil
 }
 
-// update changes the state that mu guards.
+// update calls change with mu held.
 func (b *backend) update(change func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	change()
 }
 
-// start begins to listen. It does nothing if the backend is running.
+// start starts the backend's listener. It does nothing if the backend is running.
 func (b *backend) start() error {
 	if b.server != nil {
 		return nil
 	}
-	cores := make(chan struct{}, b.spec.Cores) // holds a value for each core that is busy or not there yet
+	cores := make(chan struct{}, b.spec.Cores) // holds a value for each core that is busy or not yet available
 	server, err := standin.NewBackendAt(b.address, func(call *standin.Call) bool { return b.handle(call, cores) })
 	if err != nil {
 		return err
@@ -86,12 +88,13 @@
 	return nil
 }
 
-// warmUp takes away the cores that a cold backend lacks, and gives them back when they are due.
+// warmUp occupies the cores that a cold backend does not have yet and schedules the release of each
+// of them.
 func (b *backend) warmUp(cores chan struct{}) {
 	start := b.spec.StartCapacity
 	for n := 2; n <= b.spec.Cores && b.capacity(time.Now()) < 1; n++ {
-		// The nth core is added as soon as the capacity is more than n-1 cores; see admit for the
-		// fractional part.
+		// The nth core is added as soon as the capacity exceeds n-1 cores. The fractional part is
+		// handled in admit.
 		after := (float64(n-1)/float64(b.spec.Cores) - start) / (1 - start) * float64(b.spec.Warmup)
 		if after > 0 {
 			cores <- struct{}{}
@@ -101,7 +104,8 @@
 	}
 }
 
-// stop closes the listener and all connections. It does nothing if the backend is stopped.
+// stop closes the backend's listener and all its connections. It does nothing if the backend is
+// stopped.
 func (b *backend) stop() {
 	if b.server == nil {
 		return
@@ -114,7 +118,7 @@
 	b.warming = nil
 }
 
-// capacity returns the share of its full capacity that the backend has at a time.
+// capacity returns the share of its full capacity that the backend has at the time now.
 func (b *backend) capacity(now time.Time) float64 {
 	if b.spec.Warmup <= 0 {
 		return 1
@@ -123,8 +127,8 @@
 	return b.spec.StartCapacity + (1-b.spec.StartCapacity)*age
 }
 
-// admit admits a request, and returns how many times the normal service time it takes. It returns 0
-// if the queue is full.
+// admit admits a request and returns the request's service time as a multiple of the normal service
+// time. It returns 0 if the queue is full.
 func (b *backend) admit() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -141,7 +145,7 @@
 			Kind: history.WarmupOverload, Who: b.name, N: 1, Took: int64(b.inFlight),
 		})
 	}
-	// A backend has a whole number of cores. The fraction that is too much makes requests slower.
+	// The number of cores is rounded up to an integer. Slower requests compensate for the excess.
 	available := capacity * cores
 	slowdown := math.Ceil(available) / available
 	if b.overloaded || now.Before(b.slowUntil) {
@@ -153,7 +157,7 @@
 	return slowdown
 }
 
-// release ends a request that was admitted.
+// release ends an admitted request.
 func (b *backend) release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -175,12 +179,12 @@
 		Class: call.Method,
 		Conn:  call.Conn.RemoteAddr().String(),
 		N:     int64(call.NumberOnConn),
-		Cell:  b.pod,
+		Cell:  b.cell,
 	}
 	b.mu.Lock()
-	failing, moved := b.failing, b.moved
+	failing, addressReused := b.failing, b.addressReused
 	b.mu.Unlock()
-	if moved {
+	if addressReused {
 		e.Kind = history.Misrouted
 		b.recorder.record(e)
 		return call.Reply(http.StatusNotFound, "", nil) == nil
@@ -209,8 +213,8 @@
 	return b.work(call, slowdown)
 }
 
-// work takes the service time and then echoes the request. It reports whether the connection can be
-// used again.
+// work waits for the service time and then echoes the request. It reports whether the connection
+// can be used again.
 func (b *backend) work(call *standin.Call, slowdown float64) bool {
 	timer := time.NewTimer(time.Duration(slowdown * float64(b.spec.ServiceTime)))
 	defer timer.Stop()
--- a/internal/harness/worker/backends.go
+++ b/internal/harness/worker/backends.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// backendGroup is several backends in one process.
+// backendGroup is the backends of one process.
 type backendGroup struct {
-	mu     sync.Mutex
-	byName map[string]*backend // guarded by mu, as are the starts and stops of the backends
+	mu     sync.Mutex          // guards byName and serializes starts and stops of the backends
+	byName map[string]*backend // backends by name
 }
 
 // newBackendGroup starts the backends of a spec.
@@ -21,7 +21,7 @@
 			spec:      spec,
 			recorder:  r,
 			name:      name,
-			pod:       spec.Cells[i],
+			cell:      spec.Cells[i],
 			startedAt: time.Now().Add(-spec.Warmup),
 			address:   "127.0.0.1:0",
 		}
@@ -32,7 +32,7 @@
 			g.close()
 			return nil, Hello{}, err
 		}
-		b.address = b.server.Addr() // the same when it starts again
+		b.address = b.server.Addr() // a restarted backend keeps its address
 		g.byName[name] = b
 		hello.Addresses[name] = b.address
 	}
@@ -48,7 +48,7 @@
 	}
 }
 
-// execute implements runner. Names of backends in other processes are ignored.
+// execute implements runner. It ignores the names of backends in other processes.
 func (g *backendGroup) execute(_ context.Context, command Command) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/harness/worker/classes.go
+++ b/internal/harness/worker/classes.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Class is a class of requests, which clients send and for which sidecars are configured.
+// Class is a class of requests. Clients send its requests, and sidecars are configured with it.
 type Class struct {
 	Name           string
-	Idempotency    string // as the sidecar's key "repeat" has it: safe, keyed or unsafe
+	Idempotency    string // value of the key "repeat" in a sidecar's configuration: safe, keyed or unsafe
 	Method         string
 	Path           string
-	Share          float64 // of all requests
+	Share          float64 // share of all requests
 	Objective      time.Duration
 	Deadline       time.Duration
 	PriorityWeight float64
@@ -36,8 +36,8 @@
 // Classes returns the classes of every run.
 func Classes() []Class { return slices.Clone(classes) }
 
-// Tenant is the one tenant of all requests.
+// Tenant is the tenant of all requests.
 const Tenant = "roaming"
 
-// DedupWindow is for how long a pod of backends deduplicates by idempotency key.
+// DedupWindow is the time for which a cell of backends deduplicates requests by idempotency key.
 const DedupWindow = 7500 * time.Millisecond
--- a/internal/harness/worker/client_conn.go
+++ b/internal/harness/worker/client_conn.go
@@ -12,14 +12,16 @@
 )
 
 const (
-	// idleTimeout is less than a sidecar keeps an idle connection (10 s), lest its close cross a
-	// request.
+	// idleTimeout is the time for which a client keeps an idle connection. It is shorter than the
+	// sidecar's idle timeout (10 s), so that the sidecar does not close a connection while the
+	// client sends a request.
 	idleTimeout = 5 * time.Second
-	// maxResponseBytes bounds how much of a response's body is read.
+	// maxResponseBytes is the largest number of bytes of a response's body that is read.
 	maxResponseBytes = 1 << 20
 )
 
-// Why a request has no response, or a wrong one. The checks and stored histories know these words.
+// Reasons why a request has no response or an invalid one. The values are stored in histories, and
+// the checks compare them.
 const (
 	NoConnection  = "no connection"
 	ClosedEarly   = "closed with no answer"
@@ -33,12 +35,12 @@
 type clientConn struct {
 	net.Conn
 	reader    *bufio.Reader
-	reused    bool // a response has been read from it
+	reused    bool // a response has been read from the connection
 	idleSince time.Time
 }
 
-// discard closes a connection that is not used again. What is lost by an error of it does not
-// count.
+// discard closes a connection that is not used again. It ignores the error because no data depends
+// on the close.
 func (c *clientConn) discard() { _ = c.Close() }
 
 // exchange writes a request and reads the head of its response.
@@ -52,7 +54,7 @@
 	return http.ReadResponse(c.reader, &http.Request{Method: method})
 }
 
-// failure returns why there is no head of a response.
+// failure returns the reason why an exchange failed with err.
 func failure(err error) string {
 	var netErr net.Error
 	switch {
@@ -64,11 +66,11 @@
 	return ClosedEarly
 }
 
-// roundTrip sends a request and reads its response. It returns the response's status, 0 if there is
-// none, and why the response is missing or wrong.
+// roundTrip sends a request and reads its response. It returns the response's status, or 0 if there
+// is no response, and the reason why the response is missing or invalid, or "".
 //
-// A request that is idempotent is sent once more if a reused connection was closed without a
-// response: the sidecar may have closed it between two requests.
+// If a reused connection was closed without a response, an idempotent request is sent again, once.
+// The sidecar may have closed the connection between two requests.
 func (g *clientGroup) roundTrip(name string, req clientRequest, deadline time.Time) (status int, reason string) {
 	for isFirst := true; ; isFirst = false {
 		conn := g.takeIdle(name)
@@ -78,7 +80,7 @@
 		if conn == nil {
 			return 0, NoConnection
 		}
-		_ = conn.SetDeadline(deadline) // fails only if it is closed, which the exchange finds
+		_ = conn.SetDeadline(deadline) // fails only on a closed connection, on which the exchange fails too
 		resp, err := conn.exchange(req.text, req.class.Method)
 		if err == nil {
 			return g.readResponse(name, conn, resp, req.expected)
@@ -95,7 +97,7 @@
 	}
 }
 
-// dial connects to a sidecar. It returns nil if that fails.
+// dial connects to a sidecar. It returns nil if the sidecar cannot be reached.
 func (g *clientGroup) dial(name string, deadline time.Time) *clientConn {
 	conn, err := net.DialTimeout("tcp4", g.spec.Sidecars[name], time.Until(deadline))
 	if err != nil {
@@ -105,13 +107,13 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// readResponse reads the rest of a response and compares its body with what is expected. A
-// connection that can be used again is kept.
+// readResponse reads the body of a response and compares it with the expected body. It keeps the
+// connection for further requests if the connection can be used again.
 func (g *clientGroup) readResponse(
 	name string, conn *clientConn, resp *http.Response, expected string,
 ) (status int, reason string) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
-	_ = resp.Body.Close() // what it would read is not used
+	_ = resp.Body.Close() // the rest of the body is not used
 	switch {
 	case err != nil:
 		conn.discard()
@@ -131,8 +133,7 @@
 	return resp.StatusCode, ""
 }
 
-// takeIdle returns an idle connection that its other end has left open and quiet, nil if there is
-// none.
+// takeIdle returns an idle connection that is open and has no unread data, or nil if there is none.
 func (g *clientGroup) takeIdle(name string) *clientConn {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/harness/worker/clients.go
+++ b/internal/harness/worker/clients.go
@@ -18,32 +18,32 @@
 )
 
 const (
-	// clientLeeway is how long a client waits beyond its deadline, to see a late response for what
-	// it is.
+	// clientLeeway is the time for which a client waits beyond its deadline, so that it can tell a
+	// late response from a missing one.
 	clientLeeway = 500 * time.Millisecond
-	// loadStream is the random stream of the load, under the process's seed. Those of the health
-	// checks follow it.
+	// loadStream is the stream of the load's random generator, which is seeded with the process's
+	// seed. The streams after it are those of the health checks.
 	loadStream = 7
 
-	maxInFlight    = 2000 // requests of a client process
-	healthTimeout  = time.Second
-	readyIntervals = 5         // intervals between two health checks of a sidecar that is ready
-	subjectCount   = 1_000_000 // different subjects of requests
+	maxInFlight    = 2000        // concurrent requests of a client process
+	healthTimeout  = time.Second // timeout of connecting and timeout of the exchange in a health check
+	readyIntervals = 5           // number of health intervals between two checks of a ready sidecar
+	subjectCount   = 1_000_000   // number of different subjects of requests
 )
 
-// clientGroup is the clients of one process. They send requests to sidecars that are ready.
+// clientGroup is the clients of one process. The clients send requests to sidecars that are ready.
 type clientGroup struct {
 	spec     Spec
 	recorder recorder
 	running  sync.WaitGroup
-	stopLoad context.CancelFunc // nil while there is no load; used by execute alone
+	stopLoad context.CancelFunc // nil while there is no load; accessed by execute only
 
-	mu    sync.Mutex               // guards what follows
-	ready map[string]bool          // sidecars, by name
-	idle  map[string][]*clientConn // connections, by the sidecar's name; the last was used last
+	mu    sync.Mutex               // guards the fields below
+	ready map[string]bool          // readiness of the sidecars, by name
+	idle  map[string][]*clientConn // idle connections by sidecar name, most recently used last
 }
 
-// newClientGroup starts the health checks. The load starts with a command.
+// newClientGroup starts the health checks. A command starts the load.
 func newClientGroup(ctx context.Context, spec Spec, r recorder) *clientGroup {
 	g := &clientGroup{spec: spec, recorder: r, ready: map[string]bool{}, idle: map[string][]*clientConn{}}
 	for i, name := range slices.Sorted(maps.Keys(spec.Sidecars)) {
@@ -86,9 +86,9 @@
 	return nil
 }
 
-// pollHealth checks the health of a sidecar until ctx is done: at an interval until it is ready,
-// and less often after that. A load balancer in front of sidecars does so too, which notices only
-// after a while that one has died or restarted.
+// pollHealth checks the health of a sidecar until ctx is done: every HealthInterval until the
+// sidecar is ready, and every readyIntervals times as long after that. This models a load balancer
+// in front of the sidecars, which detects a dead or restarted sidecar only after some time.
 func (g *clientGroup) pollHealth(ctx context.Context, name string, rnd *rand.Rand) {
 	timer := time.NewTimer(time.Duration(rnd.Int64N(int64(g.spec.HealthInterval) + 1)))
 	defer timer.Stop()
@@ -119,13 +119,13 @@
 	return len(g.spec.LocalSidecars) == 0 || slices.Contains(g.spec.LocalSidecars, name)
 }
 
-// checkHealth reports whether a sidecar answers that it is healthy.
+// checkHealth reports whether a sidecar responds to a health check with status 200.
 func (g *clientGroup) checkHealth(name string) bool {
 	conn, err := net.DialTimeout("tcp4", g.spec.Sidecars[name], healthTimeout)
 	if err != nil {
 		return false
 	}
-	defer func() { _ = conn.Close() }() // the response has been read
+	defer func() { _ = conn.Close() }() // an error does not matter once the response has been read
 	_ = conn.SetDeadline(time.Now().Add(healthTimeout))
 	if _, err := io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"); err != nil {
 		return false
@@ -134,7 +134,7 @@
 	if err != nil {
 		return false
 	}
-	_ = resp.Body.Close() // only the status counts
+	_ = resp.Body.Close() // only the status matters
 	return resp.StatusCode == http.StatusOK
 }
 
@@ -164,7 +164,7 @@
 		select {
 		case slots <- struct{}{}:
 		default:
-			continue // the client process itself is at its bound
+			continue // the client process has reached maxInFlight
 		}
 		id := fmt.Sprintf("%s-%d", g.spec.Name, n)
 		requests.Go(func() {
@@ -174,7 +174,7 @@
 	}
 }
 
-// sleepUntil waits until a time. It reports false if ctx was done before.
+// sleepUntil waits until the time at. It reports false if ctx is done first.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
@@ -186,8 +186,8 @@
 	}
 }
 
-// sidecarsByLocality returns the names of the sidecars in the clients' site and of the others,
-// sorted.
+// sidecarsByLocality returns the sorted names of the sidecars in the site of the clients and of the
+// sidecars in other sites.
 func (g *clientGroup) sidecarsByLocality() (local, remote []string) {
 	for _, name := range slices.Sorted(maps.Keys(g.spec.Sidecars)) {
 		if g.isLocal(name) {
@@ -211,8 +211,8 @@
 	return classes[len(classes)-1]
 }
 
-// pickReady returns the first sidecar that is ready, from the nth name on. It returns "" if none
-// is.
+// pickReady returns the first ready sidecar in names, starting at index n and wrapping around. It
+// returns "" if no sidecar is ready.
 func (g *clientGroup) pickReady(names []string, n int) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -224,14 +224,15 @@
 	return ""
 }
 
-// markUnready has a sidecar pass a health check before it gets further requests.
+// markUnready marks a sidecar as not ready. It gets no further requests until it passes a health
+// check.
 func (g *clientGroup) markUnready(name string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.ready[name] = false
 }
 
-// sendRequest sends one request and records what came of it.
+// sendRequest sends one request and records its outcome.
 func (g *clientGroup) sendRequest(name string, class Class, id string, subject int) {
 	req := newClientRequest(class, id, subject)
 	e := history.Event{
@@ -247,8 +248,8 @@
 // clientRequest is one request of a client.
 type clientRequest struct {
 	class    Class
-	text     string // as it is written
-	expected string // body of the right response
+	text     string // request in wire format
+	expected string // body of the correct response
 }
 
 // newClientRequest returns a request for a subject.
--- a/internal/harness/worker/followers.go
+++ b/internal/harness/worker/followers.go
@@ -20,22 +20,22 @@
 	"fernlanding/internal/harness/rollout/plan"
 )
 
-// Follower follows resources: a follow.Follower, or a stand-in of it.
+// Follower follows resources. It is implemented by follow.Follower and by stand-ins for it.
 type Follower interface {
 	Subscribe(resource string, has distribution.Version, s follow.Subscriber) (cancel func())
 	Run(ctx context.Context)
 	Health() follow.Health
 }
 
-// NewFollower returns a Follower that does not run yet.
+// NewFollower is the type of functions that return a Follower that is not running yet.
 type NewFollower func(follow.Config) Follower
 
-// newFollower is the NewFollower of the program itself.
+// newFollower is the NewFollower for the real implementation.
 func newFollower(config follow.Config) Follower { return follow.New(config) }
 
-const usageInterval = 500 * time.Millisecond // between two Usage events
+const usageInterval = 500 * time.Millisecond // interval between two Usage events
 
-// followers is all followers of a process.
+// followers is the followers of one process.
 type followers struct {
 	recorder
 	spec             Spec
@@ -84,7 +84,7 @@
 	f.running.Wait()
 }
 
-// reportUsage records what the process uses, at an interval, until ctx is done.
+// reportUsage records the resource usage of the process every usageInterval until ctx is done.
 func (f *followers) reportUsage(ctx context.Context) {
 	ticker := time.NewTicker(usageInterval)
 	defer ticker.Stop()
@@ -102,8 +102,8 @@
 	}
 }
 
-// followerState is one follower with its subscriptions, which outlive it as files would its
-// process.
+// followerState is one follower with its subscriptions. The subscriptions outlive a restart of the
+// follower, as files outlive a process.
 type followerState struct {
 	followers     *followers
 	spec          FollowerSpec
@@ -113,8 +113,8 @@
 	done          chan struct{} // closed when the follower has stopped
 }
 
-// start starts a new follower with the versions that the one before it held. It runs until stop, or
-// until ctx is done.
+// start starts a new follower with the versions that the previous follower held. The follower runs
+// until stop is called or ctx is done.
 func (s *followerState) start(ctx context.Context) {
 	follower := s.followers.build(follow.Config{
 		Name:   s.spec.Name,
@@ -142,7 +142,7 @@
 	}()
 }
 
-// relayName returns the name of the relay with an address, "" if there is none.
+// relayName returns the name of the relay with an address, or "" if there is none.
 func (s *followerState) relayName(address string) string {
 	if i := slices.Index(s.spec.Relays, address); i >= 0 {
 		return s.spec.RelayNames[i]
@@ -150,13 +150,13 @@
 	return ""
 }
 
-// stop stops the follower and waits until it has.
+// stop stops the follower and waits until it has stopped.
 func (s *followerState) stop() {
 	s.cancel()
 	<-s.done
 }
 
-// dial opens a connection whose bytes are counted.
+// dial opens a connection that counts bytes and messages.
 func (s *followerState) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 	if err != nil {
@@ -165,7 +165,7 @@
 	return &countedConn{Conn: conn, bytes: &s.followers.bytesTransferred, messages: &s.followers.messagesSent}, nil
 }
 
-// countedConn counts the bytes of both directions and the messages that are sent.
+// countedConn is a connection that counts the bytes of both directions and the messages sent.
 type countedConn struct {
 	net.Conn
 	bytes, messages *atomic.Int64
@@ -186,22 +186,23 @@
 	return n, err
 }
 
-// errNamedInUpdate is why a follower rejects an update: a test has named it there.
+// errNamedInUpdate is the error with which a follower rejects an update in which the item
+// plan.RejectKey names the follower.
 var errNamedInUpdate = errors.New("an item names this follower")
 
-// subscription is one resource as a follower has applied it. It implements follow.Subscriber.
+// subscription is the state of one resource at a follower. It implements follow.Subscriber.
 type subscription struct {
 	recorder
 	follower     string
 	resource     string
-	currentRelay func() string // returns the name of the relay that the follower is connected to
+	currentRelay func() string // returns the name of the relay that the follower uses
 
 	items   map[string]string
 	version distribution.Version
 }
 
-// ApplyUpdate implements follow.Subscriber. It applies every update as it is, so that the history
-// shows what was received.
+// ApplyUpdate implements follow.Subscriber. It applies every update unchanged, so that the history
+// shows what the follower received.
 func (s *subscription) ApplyUpdate(u distribution.Update) error {
 	items := map[string]string{}
 	if !u.IsSnapshot() {
@@ -241,16 +242,16 @@
 	s.record(history.Event{Kind: history.Log, Who: s.follower, Resource: s.resource, Reason: "no relay answers"})
 }
 
-// Digest returns a hash of items by key, in hexadecimal.
+// Digest returns a hexadecimal hash of items, which are given by key.
 func Digest(items map[string]string) string {
 	hash := fnv.New64a()
 	for _, key := range slices.Sorted(maps.Keys(items)) {
-		_, _ = fmt.Fprintf(hash, "%d %s %d %s\n", len(key), key, len(items[key]), items[key]) // a hash.Hash never fails
+		_, _ = fmt.Fprintf(hash, "%d %s %d %s\n", len(key), key, len(items[key]), items[key]) // never fails
 	}
 	return fmt.Sprintf("%016x", hash.Sum64())
 }
 
-// DigestOf returns the Digest of a complete resource's items.
+// DigestOf returns the Digest of all items of a resource.
 func DigestOf(items []distribution.Item) string {
 	byKey := map[string]string{}
 	for _, item := range items {
--- a/internal/harness/worker/list_service.go
+++ b/internal/harness/worker/list_service.go
@@ -10,7 +10,7 @@
 	"fernlanding/internal/standin"
 )
 
-// listService is one list service.
+// listService is a stand-in list service.
 type listService struct {
 	*standin.Discovery
 }
@@ -21,7 +21,7 @@
 		Rate:       spec.SnapshotRate,
 		QueueSize:  spec.SnapshotQueue,
 		RetryAfter: spec.RetryAfter,
-		// Members are listed by the port of their relay, which each caller reaches at the caller's
+		// The list has the port of each member's relay. A caller reaches the relay on the caller's
 		// own address.
 		Address: func(caller string, member standin.Member) string {
 			_, port, _ := strings.Cut(member.Address, ":")
@@ -41,9 +41,9 @@
 	return listService{discovery}, Hello{Address: discovery.Addr()}, nil
 }
 
-// pollEvent returns the event of an answered poll.
+// pollEvent returns the event for an answered poll.
 func pollEvent(spec Spec, clock history.Clock, call standin.DiscoveryCall) history.Event {
-	host, _, _ := net.SplitHostPort(call.Caller) // a TCP connection's address has a port
+	host, _, _ := net.SplitHostPort(call.Caller) // the address of a TCP connection always has a port
 	e := history.Event{
 		At:     clock.Now(),
 		Kind:   history.ListPolled,
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// update enters changed members into the list. Those that are DELETED leave it.
+// update puts changed members into the list and removes members with status DELETED.
 func (l listService) update(changed []standin.Member) {
 	var put []standin.Member
 	var deleted []string
--- a/internal/harness/worker/main.go
+++ b/internal/harness/worker/main.go
@@ -1,7 +1,8 @@
 // Package worker runs the stand-in processes of the harness: list services, backends, clients, and
-// publishers and followers of resources, many in a process. A worker reads what it runs from the
-// first line of its standard input, and one command from each further line. It writes events to its
-// standard output, one a line. It ends when its input ends, so that no worker outlives the harness.
+// publishers and followers of resources. One process can run many stand-ins. A worker reads its
+// Spec from the first line of its standard input and one Command from each further line. It writes
+// a Hello and then events to its standard output, one per line. It exits when its input ends, so
+// that no worker outlives the harness.
 package worker
 
 import (
@@ -21,17 +22,17 @@
 )
 
 const (
-	lineBytes     = 1 << 16 // of the buffer for a line of input
-	maxLineBytes  = 4 << 20 // of a line of input
-	flushInterval = 50 * time.Millisecond
+	lineBytes     = 1 << 16               // initial size of the buffer for a line of input
+	maxLineBytes  = 4 << 20               // largest line of input
+	flushInterval = 50 * time.Millisecond // interval between two flushes of the events
 )
 
-// errUnknownCommand says that a command is not one of the worker's group.
+// errUnknownCommand is the error for a command that the worker's group does not support.
 var errUnknownCommand = errors.New("unknown command")
 
-// runner is what a worker runs.
+// runner is the stand-ins that a worker runs.
 type runner interface {
-	// execute carries out a command. Commands come one at a time. ctx is done when the worker ends.
+	// execute carries out a command. Calls are sequential. ctx is done when the worker ends.
 	execute(ctx context.Context, command Command) error
 	// close releases all resources and waits for all goroutines. It is called once, after the
 	// context of execute is done.
@@ -41,7 +42,7 @@
 // Main runs a worker until its input ends.
 func Main(in io.Reader, out io.Writer) error { return MainWith(in, out, newFollower) }
 
-// MainWith is Main with another implementation of followers of resources.
+// MainWith is like Main but creates followers of resources with build.
 func MainWith(in io.Reader, out io.Writer, build NewFollower) error {
 	terminated, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
@@ -52,7 +53,8 @@
 		return err
 	}
 	r := recorder{history: history.NewWriter(out), clock: history.ClockFrom(spec.ClockZero), build: build}
-	// SIGTERM ends the input, and the end of the input ends what runs: in that order.
+	// SIGTERM must not cancel ctx directly: it closes the input, and the end of the input ends the
+	// runner.
 	ctx, cancel := context.WithCancel(context.WithoutCancel(terminated))
 	defer cancel()
 	runner, hello, err := r.newRunner(ctx, spec)
@@ -68,7 +70,7 @@
 	}
 	context.AfterFunc(terminated, func() {
 		if input, ok := in.(io.Closer); ok {
-			_ = input.Close() // it is read no further
+			_ = input.Close() // the input is not read any further
 		}
 	})
 	defer r.flushPeriodically()()
@@ -78,21 +80,21 @@
 // readSpec reads the first line of the input.
 func readSpec(lines *bufio.Scanner) (Spec, error) {
 	if !lines.Scan() {
-		return Spec{}, fmt.Errorf("worker: a line that says what it is expected: %w", lines.Err())
+		return Spec{}, fmt.Errorf("worker: missing spec in the first line of input: %w", lines.Err())
 	}
 	var spec Spec
 	if err := json.Unmarshal(lines.Bytes(), &spec); err != nil {
-		return Spec{}, fmt.Errorf("worker: a line that says what it is expected: %w", err)
+		return Spec{}, fmt.Errorf("worker: invalid spec in the first line of input: %w", err)
 	}
 	return spec, nil
 }
 
-// executeAll executes the commands of the further lines, until the input ends.
+// executeAll executes the commands in the lines after the first until the input ends.
 func executeAll(ctx context.Context, lines *bufio.Scanner, name string, runner runner) error {
 	for lines.Scan() {
 		var command Command
 		if err := json.Unmarshal(lines.Bytes(), &command); err != nil {
-			return fmt.Errorf("worker %s: a command expected: %w", name, err)
+			return fmt.Errorf("worker %s: invalid command: %w", name, err)
 		}
 		if err := runner.execute(ctx, command); err != nil {
 			return fmt.Errorf("worker %s: %s: %w", name, command.Do, err)
@@ -101,15 +103,15 @@
 	return nil
 }
 
-// recorder records the events of a worker, and makes what it runs.
+// recorder records the events of a worker and creates its runner.
 type recorder struct {
 	history *history.Writer
 	clock   history.Clock
 	build   NewFollower
 }
 
-// record writes an event. An event without a time gets the current one. It may be called from any
-// goroutine.
+// record writes an event. If the event has no time, record sets the current time. It may be called
+// from any goroutine.
 func (r recorder) record(e history.Event) {
 	if e.At == 0 {
 		e.At = r.clock.Now()
@@ -117,8 +119,8 @@
 	r.history.Write(e)
 }
 
-// flushPeriodically writes buffered events out at an interval, until stop is called, which writes
-// the last ones.
+// flushPeriodically flushes buffered events every flushInterval until stop is called. stop flushes
+// the last events and waits for the goroutine.
 func (r recorder) flushPeriodically() (stop func()) {
 	done := make(chan struct{})
 	var flushing sync.WaitGroup
@@ -128,7 +130,7 @@
 		for {
 			select {
 			case <-ticker.C:
-				_ = r.history.Flush() // fails only when the harness has gone, which ends the input
+				_ = r.history.Flush() // fails only after the harness has exited, which also ends the input
 			case <-done:
 				_ = r.history.Flush()
 				return
@@ -141,7 +143,7 @@
 	}
 }
 
-// newRunner starts what a spec describes. Its goroutines run until ctx is done.
+// newRunner starts the runner that spec describes. The runner's goroutines run until ctx is done.
 func (r recorder) newRunner(ctx context.Context, spec Spec) (runner, Hello, error) {
 	switch spec.Group {
 	case "lists":
@@ -155,5 +157,7 @@
 	case plan.OnPublisher:
 		return newPublisher(ctx, spec, r), Hello{}, nil
 	}
-	return nil, Hello{}, fmt.Errorf("group %q; lists, backends, clients, followers or publisher expected", spec.Group)
+	return nil, Hello{}, fmt.Errorf(
+		"unknown group %q: want lists, backends, clients, followers or publisher", spec.Group,
+	)
 }
--- a/internal/harness/worker/publisher.go
+++ b/internal/harness/worker/publisher.go
@@ -19,12 +19,12 @@
 
 const (
 	putTimeout          = 2 * time.Second
-	putRetryDelay       = 100 * time.Millisecond // between two attempts of a put that is retried
+	putRetryDelay       = 100 * time.Millisecond // delay between two attempts of a put
 	maxPutResponseBytes = 1 << 16
 	maxIdleConns        = 8
 )
 
-// publisher writes resources to the source, by a plan.
+// publisher writes resources to the source according to its Spec.
 type publisher struct {
 	recorder
 	spec    Spec
@@ -32,8 +32,8 @@
 	running sync.WaitGroup
 }
 
-// newPublisher starts a publisher. If the run has started already, it goes on with the puts that
-// are due from now on.
+// newPublisher starts a publisher. If the run has already started, the publisher continues with the
+// puts that are due from now on.
 func newPublisher(ctx context.Context, spec Spec, r recorder) *publisher {
 	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConns}
 	p := &publisher{recorder: r, spec: spec, client: &http.Client{Timeout: putTimeout, Transport: transport}}
@@ -67,9 +67,9 @@
 	p.client.CloseIdleConnections()
 }
 
-// startPuts writes all puts that are still due, each at its time after the run's start, whatever
-// has become of those before it. A process before this one has written the others, or has died with
-// them.
+// startPuts starts to write the puts that are still due, each at its time after the run's start and
+// independently of the results of earlier puts. It skips puts without Retry that were due earlier:
+// a previous process of the publisher has written them, or was killed before it could.
 func (p *publisher) startPuts(ctx context.Context, runStart int64) {
 	p.running.Go(func() {
 		startedAt := p.clock.Now()
@@ -86,7 +86,7 @@
 	})
 }
 
-// publish writes one put, and retries it if the put says so.
+// publish writes one put. If put.Retry is set, it retries until the source accepts the put.
 func (p *publisher) publish(ctx context.Context, put plan.Put) {
 	for {
 		answered := p.attempt(ctx, put)
@@ -96,11 +96,11 @@
 	}
 }
 
-// attempt writes one put once and records what came of it. It reports whether the source accepted
-// it.
+// attempt writes one put once and records the outcome. It reports whether the source accepted the
+// put.
 func (p *publisher) attempt(ctx context.Context, put plan.Put) (accepted bool) {
 	var request distribution.PutRequest
-	_ = json.Unmarshal(put.Request, &request) // for the resource's name alone; the source checks the rest
+	_ = json.Unmarshal(put.Request, &request) // only for the resource's name; the source validates the request
 	start := p.clock.Now()
 	status, version, err := p.post(ctx, put.Request)
 	if ctx.Err() != nil {
@@ -124,8 +124,8 @@
 	return err == nil
 }
 
-// post sends a put to the source. It returns the response's status, 0 if there is none, and the
-// version that the put created.
+// post sends a put to the source. It returns the response's status, or 0 if there is no response,
+// and the version that the put created.
 func (p *publisher) post(ctx context.Context, body []byte) (status int, version distribution.Version, err error) {
 	url := "http://" + p.spec.Source + "/v1/put"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
@@ -137,7 +137,7 @@
 	if err != nil {
 		return 0, distribution.Version{}, err
 	}
-	defer func() { _ = resp.Body.Close() }() // only reading can fail
+	defer func() { _ = resp.Body.Close() }() // read errors are handled below
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxPutResponseBytes))
 	if err != nil {
 		return resp.StatusCode, distribution.Version{}, err
@@ -150,7 +150,7 @@
 	return resp.StatusCode, version, err
 }
 
-// StatusError is a response of the source that is not 200.
+// StatusError is the error for a response of the source with a status other than 200.
 type StatusError struct {
 	Status int
 	Body   []byte
