--- a/cmd/fernctl/pcap_test.go
+++ b/cmd/fernctl/pcap_test.go
@@ -155,9 +155,9 @@
 		"-to: found \"\", expected":       nil,
 		"-set: found \"x\", expected":     {"-to", to, "-set", "x"},
 		"-redact: found \"x\", expected":  {"-to", to, "-redact", "x"},
-		"it cannot be set":                {"-to", to, "-set", "Content-Length=1"},
+		"Length\" cannot be set":          {"-to", to, "-set", "Content-Length=1"},
 		"-conns: found 0, expected 1 to":  {"-to", to, "-conns", "0"},
-		"speed: found 1e-09, expected":    {"-to", to, "-speed", "1e-9"},
+		"invalid speed 1e-09: expected":   {"-to", to, "-speed", "1e-9"},
 	} {
 		expect(t, 2, message, append(append([]string{"pcap", "replay"}, args...), file)...)
 	}
--- a/internal/pcap/bench_input_test.go
+++ b/internal/pcap/bench_input_test.go
@@ -16,26 +16,26 @@
 	"github.com/gopacket/gopacket/pcapgo"
 )
 
-// benchBytes is the size of each generated capture.
+// benchBytes is the size in bytes of each generated capture.
 const benchBytes = 1 << 30
 
 const (
 	fileHeaderBytes   = 24
 	packetHeaderBytes = 16
-	sequenceOffset    = 14 + 20 + 4 // of the sequence number in a frame: Ethernet, IPv4 without options, TCP
+	sequenceOffset    = 14 + 20 + 4 // in a frame: Ethernet, IPv4 without options, TCP ports
 )
 
-// repeatedCapture repeats the packets of a capture up to a size. The sequence numbers of a
-// connection that never ends go on.
+// repeatedCapture is a capture file that repeats a block of packets up to a size. The sequence
+// numbers of a connection that never ends are incremented with each repetition.
 type repeatedCapture struct {
 	header, block []byte
 	remaining     int64 // bytes
-	offset        int   // in the block
+	offset        int   // next byte of the block
 	sequences     []sequenceNumber
 }
 
-// sequenceNumber is where a packet of the block has its sequence number, and by how much that grows
-// with each block.
+// sequenceNumber is the offset of a packet's sequence number in the block, and the increment of the
+// sequence number for each repetition.
 type sequenceNumber struct {
 	offset    int
 	increment uint32
@@ -63,8 +63,8 @@
 	return n, nil
 }
 
-// encodeBlock returns the header and the packets of a capture, with the offsets of the sequence
-// numbers in the packets.
+// encodeBlock returns the file header and the packets of a capture file, and the offsets of the
+// sequence numbers in the packets.
 func encodeBlock(b *testing.B, conns []*synth.Conn) (header, block []byte, sequenceOffsets []int) {
 	b.Helper()
 	var buf bytes.Buffer
@@ -91,7 +91,7 @@
 	return buf.Bytes()[:fileHeaderBytes], buf.Bytes()[fileHeaderBytes:], sequenceOffsets
 }
 
-// messageOfSize returns a message of n bytes.
+// messageOfSize returns a message of exactly n bytes, with the given start of the head.
 func messageOfSize(head string, n int) []byte {
 	for body := n; ; body-- {
 		m := fmt.Sprintf("%sContent-Length: %d\r\n\r\n", head, body)
@@ -101,13 +101,13 @@
 	}
 }
 
-// benchConn returns a connection from a client address to the one server.
+// benchConn returns a connection from a client address to the server.
 func benchConn(client netip.Addr) *synth.Conn {
 	return synth.NewConn(netip.AddrPortFrom(client, 4000), netip.MustParseAddrPort("10.9.0.1:80"),
 		synth.Ethernet, [2]uint32{7, 7})
 }
 
-// shortConnections returns a thousand connections of two exchanges each, over and over.
+// shortConnections returns a capture of 1000 connections with two exchanges each, repeated.
 func shortConnections(b *testing.B) io.Reader {
 	b.Helper()
 	var conns []*synth.Conn
@@ -125,7 +125,7 @@
 	return &repeatedCapture{header: header, block: block, remaining: benchBytes}
 }
 
-// endlessConnection returns one connection that never ends.
+// endlessConnection returns a capture of one connection that never ends.
 func endlessConnection(b *testing.B) io.Reader {
 	b.Helper()
 	c := benchConn(netip.MustParseAddr("10.0.0.1"))
@@ -141,7 +141,7 @@
 	return r
 }
 
-// openConnections returns connections that never end, each with one packet.
+// openConnections returns a capture of n connections that never end, each with one packet.
 func openConnections(b *testing.B, n int) io.Reader {
 	b.Helper()
 	var conns []*synth.Conn
--- a/internal/pcap/bench_test.go
+++ b/internal/pcap/bench_test.go
@@ -19,7 +19,7 @@
 	"github.com/gopacket/gopacket/reassembly"
 )
 
-// ignoringSink is a Sink that keeps nothing.
+// ignoringSink is a Sink that discards everything.
 type ignoringSink struct{}
 
 func (ignoringSink) Exchange(*http.Exchange)                            {}
@@ -27,7 +27,7 @@
 func (ignoringSink) SegmentFault(flow.Fault)                            {}
 func (ignoringSink) FlowEnded(*flow.Flow, flow.EndReason)               {}
 
-// byteCounter is a flow.Sink that counts bytes, and a Stream of the library's reassembly.
+// byteCounter is a flow.Sink and a reassembly.Stream that counts bytes.
 type byteCounter struct{ bytes int64 }
 
 func (c *byteCounter) Opened(*flow.Flow)                                {}
@@ -48,7 +48,7 @@
 	_ *layers.TCP, _ gopacket.CaptureInfo, _ reassembly.TCPFlowDirection, _ reassembly.Sequence,
 	start *bool, _ reassembly.AssemblerContext,
 ) bool {
-	*start = *start || c.bytes == 0 // the first segment of all may be no SYN
+	*start = *start || c.bytes == 0 // the first segment of the capture need not be a SYN
 	return true
 }
 
@@ -59,19 +59,19 @@
 
 func (c *byteCounter) ReassemblyComplete(reassembly.AssemblerContext) bool { return true }
 
-// heapBytes returns the size of the heap.
+// heapBytes returns the size of the allocated heap.
 func heapBytes() uint64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-// heapSampler samples the heap while a capture is read from it.
+// heapSampler is a reader that samples the heap size while a capture is read from it.
 type heapSampler struct {
 	io.Reader
 	reads    int
-	baseline uint64
-	peak     uint64 // over the baseline
+	baseline uint64 // bytes before the capture is read
+	peak     uint64 // bytes above the baseline
 }
 
 func newHeapSampler(r io.Reader) *heapSampler {
@@ -93,8 +93,8 @@
 	}
 }
 
-// BenchmarkGigabyte reads a gigabyte: with HTTP, flows alone, and flows alone by the library's own
-// reassembly.
+// BenchmarkGigabyte reads 1 GiB with HTTP parsing, with flow reassembly only, and with the
+// reassembly of the gopacket library.
 //
 //	go test -run - -bench Gigabyte -benchtime 1x -cpu 1 ./internal/pcap
 func BenchmarkGigabyte(b *testing.B) {
@@ -118,16 +118,16 @@
 	}
 }
 
-// readHTTP reads a capture's requests and responses.
+// readHTTP reads the requests and responses of a capture.
 func readHTTP(b *testing.B, input io.Reader) {
 	b.Helper()
 	summary, err := Read(context.Background(), input, Options{}, ignoringSink{})
 	if err != nil || summary.Check() != nil || summary.Stream.Request == 0 {
-		b.Fatalf("%v, %v", err, summary)
+		b.Fatalf("got error %v, summary %v", err, summary)
 	}
 }
 
-// readFlows reassembles a capture's streams.
+// readFlows reassembles the streams of a capture.
 func readFlows(b *testing.B, input io.Reader) {
 	b.Helper()
 	sink := &byteCounter{}
@@ -148,11 +148,11 @@
 	}
 	assembler.Close()
 	if sink.bytes < benchBytes/2 {
-		b.Fatalf("%d bytes", sink.bytes)
+		b.Fatalf("got %d bytes, want at least %d", sink.bytes, benchBytes/2)
 	}
 }
 
-// readByLibrary reassembles a capture's streams by the library's reassembly.
+// readByLibrary reassembles the streams of a capture with the gopacket library.
 func readByLibrary(b *testing.B, input io.Reader) {
 	b.Helper()
 	sink := &byteCounter{}
@@ -178,11 +178,11 @@
 	}
 	assembler.FlushAll()
 	if sink.bytes < benchBytes/2 {
-		b.Fatalf("%d bytes", sink.bytes)
+		b.Fatalf("got %d bytes, want at least %d", sink.bytes, benchBytes/2)
 	}
 }
 
-// BenchmarkOpenFlows measures the memory of connections that never end.
+// BenchmarkOpenFlows measures the memory per flow of connections that never end.
 func BenchmarkOpenFlows(b *testing.B) {
 	for _, n := range []int{1000, 10_000, 60_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -198,7 +198,8 @@
 	}
 }
 
-// heapAtEnd measures the heap when the input has ended and all flows are still open.
+// heapAtEnd is a reader that measures the heap size at the end of the input, when all flows are
+// still open.
 type heapAtEnd struct {
 	io.Reader
 	heap uint64
--- a/internal/pcap/bodies/bodies.go
+++ b/internal/pcap/bodies/bodies.go
@@ -1,4 +1,4 @@
-// Package bodies stores large bodies in files of a temporary directory, up to a total size.
+// Package bodies stores large bodies in files of a temporary directory, up to a maximum total size.
 package bodies
 
 import (
@@ -10,19 +10,19 @@
 	"fernlanding/internal/pcap/http"
 )
 
-// Dir is an [http.Store] in a directory of its own, which Close removes. It is safe for concurrent
-// use.
+// Dir is an [http.Store] in a temporary directory, which Close removes. A Dir is safe for
+// concurrent use.
 type Dir struct {
 	path        string
-	maxBytes    int64
+	maxBytes    int64 // maximum total size of the bodies
 	storedBytes atomic.Int64
 }
 
-// ErrFull is the error of a write to a Dir that has no room left.
-var ErrFull = errors.New("the store of bodies is full")
+// ErrFull is returned by a write that would exceed the maximum total size of a Dir.
+var ErrFull = errors.New("body store is full")
 
-// New creates a store of a total size under a parent directory; an empty parent stands for the
-// system's directory of temporary files.
+// New creates a Dir for at most maxBytes of bodies in a new directory within parent. An empty
+// parent means the default directory for temporary files.
 func New(parent string, maxBytes int64) (*Dir, error) {
 	path, err := os.MkdirTemp(parent, "bodies-")
 	if err != nil {
@@ -31,10 +31,10 @@
 	return &Dir{path: path, maxBytes: maxBytes}, nil
 }
 
-// StoredBytes returns the total size of the bodies in the store.
+// StoredBytes returns the total size in bytes of the stored bodies.
 func (d *Dir) StoredBytes() int64 { return d.storedBytes.Load() }
 
-// Close removes the store and the bodies that are left in it.
+// Close removes the directory and all bodies in it.
 func (d *Dir) Close() error { return os.RemoveAll(d.path) }
 
 // New implements http.Store.
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("bodies: %w", err)
 	}
-	// The file is opened again for each write: flows may be many, and descriptors are few.
+	// The file is reopened for each write, since many open flows could exhaust the file descriptors.
 	if err := file.Close(); err != nil {
 		return nil, fmt.Errorf("bodies: %w", err)
 	}
--- a/internal/pcap/bodies/stored_body.go
+++ b/internal/pcap/bodies/stored_body.go
@@ -7,22 +7,22 @@
 	"os"
 )
 
-const writeBufferSize = 256 << 10 // bytes in memory before they are written to a file
+const writeBufferSize = 256 << 10 // bytes buffered in memory before a write to the file
 
-// storedBody is one body, in a file of a Dir.
+// storedBody is a body that is stored in a file of a Dir.
 type storedBody struct {
 	dir      *Dir
-	name     string // of the file
-	size     int64
-	buffered []byte // not yet written to the file
+	name     string // path of the file
+	size     int64  // bytes, including the buffered ones
+	buffered []byte // bytes that are not written to the file yet
 }
 
-// Write implements io.Writer. It returns ErrFull where the store has no room left.
+// Write implements io.Writer. It returns ErrFull if the body would exceed the size of the store.
 func (b *storedBody) Write(p []byte) (int, error) {
 	size := int64(len(p))
 	if b.dir.storedBytes.Add(size) > b.dir.maxBytes {
 		b.dir.storedBytes.Add(-size)
-		return 0, fmt.Errorf("%w: %d bytes", ErrFull, b.dir.maxBytes)
+		return 0, fmt.Errorf("%w: limit of %d bytes", ErrFull, b.dir.maxBytes)
 	}
 	b.size += size
 	b.buffered = append(b.buffered, p...)
--- a/internal/pcap/capture/capture.go
+++ b/internal/pcap/capture/capture.go
@@ -1,6 +1,6 @@
-// Package capture reads capture files: pcap in both byte orders with microseconds and nanoseconds,
-// and pcapng with several sections and interfaces, plain or compressed with gzip. It reads files
-// only; nothing is captured live.
+// Package capture reads capture files: pcap in both byte orders with timestamps in microseconds or
+// nanoseconds, and pcapng with several sections and interfaces, uncompressed or compressed with
+// gzip. It does not capture live traffic.
 package capture
 
 import (
@@ -13,23 +13,23 @@
 	"github.com/gopacket/gopacket/layers"
 )
 
-// MaxPacketBytes is the longest packet that is read: the limit of the common capture tools.
+// MaxPacketBytes is the maximum size of a packet: the limit that common capture tools have.
 const MaxPacketBytes = 256 << 10
 
-// Packet is one packet of a file.
+// Packet is one packet of a capture file.
 type Packet struct {
-	Number     int64 // from 1
+	Number     int64 // position in the file, from 1
 	Time       time.Time
 	Link       layers.LinkType
-	Interface  int    // of a pcapng section
+	Interface  int    // index within the pcapng section
 	Data       []byte // valid until the next call of Reader.Next
-	WireLength int    // bytes, before the snap length cut the packet
+	WireLength int    // bytes on the wire, before the snap length truncated the packet
 }
 
-// ReadError is the error of a file that cannot be read further.
+// ReadError reports a capture file that cannot be read to its end.
 type ReadError struct {
-	Packet int64 // the number that the next packet would have had
-	Offset int64 // bytes read of the file, before decompression
+	Packet int64 // number of the packet that could not be read, from 1
+	Offset int64 // bytes of the file that had been read, before decompression
 	Err    error
 }
 
@@ -38,40 +38,40 @@
 	return fmt.Sprintf("packet %d, at byte %d of the file: %v", e.Packet, e.Offset, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *ReadError) Unwrap() error { return e.Err }
 
-// ErrTruncated is the cause of a ReadError where the file ends within a packet.
-var ErrTruncated = errors.New("the file ends within a packet")
+// ErrTruncated is wrapped by the ReadError of a file that ends within a packet.
+var ErrTruncated = errors.New("file ends within a packet")
 
-// packetSource reads the packets of one of the two formats.
+// packetSource reads packets of one of the two file formats.
 type packetSource interface {
 	ZeroCopyReadPacketData() ([]byte, gopacket.CaptureInfo, error)
 }
 
-// Reader reads the packets of a capture. It is not safe for concurrent use.
+// Reader reads the packets of a capture file. A Reader is not safe for concurrent use.
 type Reader struct {
 	format  string
 	input   *countingReader
 	packets packetSource
-	link    layers.LinkType // of a pcap file
-	number  int64           // of the last packet
-	err     error           // of the first call of Next that failed
+	link    layers.LinkType // link type of a pcap file
+	number  int64           // number of the last packet
+	err     error           // result of the first failed call of Next
 }
 
-// Format returns the name of the file's format.
+// Format returns the name of the file's format, with its compression.
 func (r *Reader) Format() string { return r.format }
 
 // Next returns the next packet, whose data is valid until the next call. The error is io.EOF at the
-// end of the file, and a *ReadError where the file cannot be read further; every later call returns
-// the same error.
+// end of the file, and a *ReadError if the file cannot be read any further. After an error, every
+// call returns the same error.
 func (r *Reader) Next() (Packet, error) {
 	if r.err != nil {
 		return Packet{}, r.err
 	}
 	data, info, err := r.packets.ZeroCopyReadPacketData()
 	if err == nil && len(data) > MaxPacketBytes {
-		err = fmt.Errorf("found a packet of %d bytes, expected at most %d", len(data), MaxPacketBytes)
+		err = fmt.Errorf("packet of %d bytes exceeds the limit of %d", len(data), MaxPacketBytes)
 	}
 	if err != nil {
 		r.err = r.readError(err)
@@ -86,7 +86,7 @@
 		Data:       data,
 		WireLength: info.Length,
 	}
-	if len(info.AncillaryData) > 0 { // a pcapng reader puts the interface's link type there
+	if len(info.AncillaryData) > 0 { // the pcapng reader stores the interface's link type here
 		if link, ok := info.AncillaryData[0].(layers.LinkType); ok {
 			packet.Link = link
 		}
@@ -94,7 +94,7 @@
 	return packet, nil
 }
 
-// readError returns the error of Next for an error of the packet source.
+// readError converts an error of the packet source to the error that Next returns.
 func (r *Reader) readError(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.EOF
--- a/internal/pcap/capture/capture_test.go
+++ b/internal/pcap/capture/capture_test.go
@@ -14,8 +14,8 @@
 
 var packetTime = time.Date(2026, 12, 24, 20, 0, 0, 123456000, time.UTC)
 
-// pcapFile returns a file of one packet in a byte order and a resolution, by the format's
-// specification.
+// pcapFile returns a pcap file with one packet, encoded as the format's specification says, in the
+// given byte order and timestamp resolution.
 func pcapFile(order binary.AppendByteOrder, nanoseconds bool, data string) []byte {
 	magic, fraction := uint32(0xa1b2c3d4), uint32(packetTime.Nanosecond()/1000)
 	if nanoseconds {
@@ -44,17 +44,17 @@
 			p, err := r.Next()
 			if err != nil || string(p.Data) != "hello" || p.WireLength != 12 || !p.Time.Equal(packetTime) ||
 				p.Link != layers.LinkTypeRaw || p.Number != 1 || r.Format() != "pcap" {
-				t.Errorf("%v, nanoseconds %v: %+v, %v", order, nanoseconds, p, err)
+				t.Errorf("%v, nanoseconds %v: got packet %+v, error %v", order, nanoseconds, p, err)
 			}
 			if _, err := r.Next(); !errors.Is(err, io.EOF) {
-				t.Errorf("behind the last packet: %v", err)
+				t.Errorf("after the last packet: got error %v, want io.EOF", err)
 			}
 		}
 	}
 }
 
-// A file of several sections, whose interfaces have different link types, by the format's
-// specification.
+// Each packet of a pcapng file has the link type of its interface, with several sections in one
+// file and unknown blocks between them. The file is encoded as the format's specification says.
 func TestSectionsAndInterfaces(t *testing.T) {
 	le := binary.LittleEndian
 	block := func(kind uint32, body []byte) []byte {
@@ -81,7 +81,7 @@
 	var file []byte
 	for _, part := range [][]byte{
 		section, interfaceBlock(layers.LinkTypeRaw), interfaceBlock(layers.LinkTypeEthernet),
-		packet(0, "one"), packet(1, "two"), block(0x0bad, []byte("a block that nobody knows")),
+		packet(0, "one"), packet(1, "two"), block(0x0bad, []byte("a block that is not known")),
 		section, interfaceBlock(layers.LinkTypeLinuxSLL), packet(0, "three"),
 	} {
 		file = append(file, part...)
@@ -96,15 +96,16 @@
 	}{{"one", layers.LinkTypeRaw}, {"two", layers.LinkTypeEthernet}, {"three", layers.LinkTypeLinuxSLL}} {
 		p, err := r.Next()
 		if err != nil || string(p.Data) != want.data || p.Link != want.link {
-			t.Errorf("packet %d: %q with link %v, %v", i+1, p.Data, p.Link, err)
+			t.Errorf("packet %d: got %q with link type %v, error %v", i+1, p.Data, p.Link, err)
 		}
 	}
 	if _, err := r.Next(); !errors.Is(err, io.EOF) {
-		t.Errorf("behind the last packet: %v", err)
+		t.Errorf("after the last packet: got error %v, want io.EOF", err)
 	}
 }
 
-// A length beyond the limit is an error that names the packet, and allocates nothing.
+// A packet length above the limit is an error that names the packet, and a Reader does not allocate
+// a buffer of that length.
 func TestInvalidPacketLengths(t *testing.T) {
 	for _, n := range []uint32{MaxPacketBytes + 1, 1 << 30, 1<<32 - 1} {
 		file := pcapFile(binary.LittleEndian, false, "hello")
@@ -118,15 +119,16 @@
 		_, err = r.Next()
 		if !errors.As(err, &readError) || readError.Packet != 1 ||
 			!strings.Contains(err.Error(), "packet 1, at byte 45") {
-			t.Errorf("a length of %d: %v", n, err)
+			t.Errorf("packet length %d: got error %v", n, err)
 		}
-		if _, again := r.Next(); again != err { //nolint:errorlint // the very same error is wanted
-			t.Errorf("asked again: %v", again)
+		if _, again := r.Next(); again != err { //nolint:errorlint // the identical error value is expected
+			t.Errorf("second call of Next: got error %v, want %v", again, err)
 		}
 	}
 }
 
-// growingFile returns the parts that have been written so far, and then the end of the file.
+// growingFile is a file that is still being written. Each Read returns at most the rest of one
+// part, and after the last part io.EOF.
 type growingFile struct{ parts []string }
 
 func (g *growingFile) Read(p []byte) (int, error) {
@@ -141,7 +143,7 @@
 	return n, nil
 }
 
-// A file that is still being written is read to its present end, whatever the sizes of the reads.
+// A file that is still being written is read to its current end, whatever the sizes of the reads.
 func TestGrowingFile(t *testing.T) {
 	file := string(pcapFile(binary.LittleEndian, false, "hello"))
 	r, err := Open(&growingFile{[]string{file[:10], file[10:30], file[30:], file[24:43]}})
@@ -149,9 +151,9 @@
 		t.Fatal(err)
 	}
 	if p, err := r.Next(); err != nil || string(p.Data) != "hello" {
-		t.Errorf("got %q, %v", p.Data, err)
+		t.Errorf("got packet %q, error %v", p.Data, err)
 	}
 	if _, err := r.Next(); !errors.Is(err, ErrTruncated) {
-		t.Errorf("within the second packet: %v", err)
+		t.Errorf("file ends within the second packet: got error %v, want ErrTruncated", err)
 	}
 }
--- a/internal/pcap/capture/open.go
+++ b/internal/pcap/capture/open.go
@@ -10,14 +10,14 @@
 	"github.com/gopacket/gopacket/pcapgo"
 )
 
-const bufferSize = 256 << 10
+const bufferSize = 256 << 10 // bytes
 
 var (
 	gzipMagic   = []byte{0x1f, 0x8b}             // RFC 1952, section 2.3.1
-	pcapngMagic = []byte{0x0a, 0x0d, 0x0d, 0x0a} // the type of a section header block
+	pcapngMagic = []byte{0x0a, 0x0d, 0x0d, 0x0a} // block type of a section header block
 )
 
-// countingReader counts the bytes that are read.
+// countingReader counts the bytes read through it.
 type countingReader struct {
 	reader io.Reader
 	count  int64
@@ -30,7 +30,8 @@
 	return n, err
 }
 
-// Open begins to read a capture. If the file is no capture, the error says what was found.
+// Open detects the format of a capture file and returns a Reader for its packets. If the file is
+// not a capture file, the error contains the bytes that were found instead.
 func Open(file io.Reader) (*Reader, error) {
 	r := &Reader{input: &countingReader{reader: file}}
 	buffered := bufio.NewReaderSize(r.input, bufferSize)
@@ -45,7 +46,7 @@
 	}
 	head, err := buffered.Peek(len(pcapngMagic))
 	if err != nil {
-		return nil, fmt.Errorf("capture: found %d bytes, expected a pcap or pcapng file", len(head))
+		return nil, fmt.Errorf("capture: file of %d bytes is too short: expected a pcap or pcapng file", len(head))
 	}
 	if bytes.Equal(head, pcapngMagic) {
 		options := pcapgo.NgReaderOptions{WantMixedLinkType: true, SkipUnknownVersion: true}
@@ -58,7 +59,7 @@
 	}
 	packets, err := pcapgo.NewReader(buffered)
 	if err != nil {
-		return nil, fmt.Errorf("capture: found % x, expected a pcap or pcapng file: %w", head, err)
+		return nil, fmt.Errorf("capture: invalid file header % x: expected a pcap or pcapng file: %w", head, err)
 	}
 	r.format, r.packets, r.link = "pcap"+compression, packets, packets.LinkType()
 	return r, nil
--- a/internal/pcap/flow/assembler.go
+++ b/internal/pcap/flow/assembler.go
@@ -6,12 +6,12 @@
 	"net/netip"
 )
 
-// Limits bound what an Assembler holds. Zero values stand for the defaults.
+// Limits are the limits of the state that an Assembler holds. A zero field means its default.
 type Limits struct {
-	Flows    int // open at a time; the one that has been idle longest is evicted (default 65,536)
-	Pending  int // bytes of one stream that are buffered behind missing ones (default 1 MiB)
-	Buffered int // bytes of all streams that are buffered (default 64 MiB)
-	Retained int // bytes of a stream, already handed on, kept to compare retransmissions with (default 4 KiB)
+	Flows    int // open flows; beyond the limit the least recently active one is evicted (default 65,536)
+	Pending  int // out-of-order bytes buffered for one stream (default 1 MiB)
+	Buffered int // out-of-order bytes buffered for all streams (default 64 MiB)
+	Retained int // delivered bytes of a stream kept to verify retransmissions (default 4 KiB)
 }
 
 const (
@@ -21,14 +21,15 @@
 	defaultRetained = 4 << 10
 )
 
-// Assembler sorts segments into flows. It is not safe for concurrent use.
+// Assembler assigns segments to flows and reassembles the streams of each flow. An Assembler is not
+// safe for concurrent use.
 type Assembler struct {
 	limits        Limits
 	sink          Sink
 	flows         map[flowKey]*Flow
-	idle          *list.List // of *Flow, the longest idle first
-	opened        int64      // flows so far
-	bufferedBytes int        // of all streams
+	idle          *list.List // *Flow values, least recently active first
+	opened        int64      // number of flows that have been opened so far
+	bufferedBytes int        // out-of-order bytes of all streams
 	counts        ByteCounts
 }
 
@@ -41,14 +42,14 @@
 	return &Assembler{limits: limits, sink: sink, flows: map[flowKey]*Flow{}, idle: list.New()}
 }
 
-// ByteCounts returns what became of all payload so far. What is buffered is in none of its kinds
-// until Close.
+// ByteCounts returns the counts of all payload bytes so far. Buffered bytes are included in Payload
+// only, until they are delivered or discarded.
 func (a *Assembler) ByteCounts() ByteCounts { return a.counts }
 
 // OpenFlows returns the number of open flows.
 func (a *Assembler) OpenFlows() int { return len(a.flows) }
 
-// Add takes the next segment of the capture.
+// Add processes the next segment of the capture.
 func (a *Assembler) Add(s *Segment) {
 	f := a.flowOf(s)
 	if f == nil {
@@ -72,13 +73,13 @@
 	}
 }
 
-// flowOf returns the flow of a segment, a new one where it opens one; nil where the segment belongs
-// to no flow and opens none.
+// flowOf returns the flow of a segment, and opens a flow if necessary. It returns nil for a segment
+// that belongs to no open flow and does not open one.
 func (a *Assembler) flowOf(s *Segment) *Flow {
 	key := keyOf(s.Src, s.Dst)
 	f := a.flows[key]
 	if f != nil && s.SYN {
-		// Another SYN than the one that was seen opens a new connection, whatever became of the old one.
+		// A SYN other than the known one opens a new connection, whatever the state of the old one.
 		known := &f.streams[f.directionOf(s)]
 		if known.seen && (!known.synSeen || known.synSeq != s.Seq) {
 			a.endFlow(f, Reused)
@@ -89,7 +90,7 @@
 		return f
 	}
 	if len(s.Payload) == 0 && !s.SYN && s.Missing == 0 {
-		return nil // the last segments of a flow that has ended, or an ACK from before the capture
+		return nil // a late segment of a flow that has ended, or an ACK of a connection older than the capture
 	}
 	return a.openFlow(key, s)
 }
@@ -112,7 +113,7 @@
 	return f
 }
 
-// evictOldest ends the flow that has been idle longest, and reports whether there was one.
+// evictOldest ends the least recently active flow, and reports whether there was one.
 func (a *Assembler) evictOldest(reason EndReason) bool {
 	front := a.idle.Front()
 	if front == nil {
@@ -120,22 +121,22 @@
 	}
 	f, ok := front.Value.(*Flow)
 	if !ok {
-		return false // nothing else is ever put into the list
+		return false // unreachable: the list holds only *Flow values
 	}
 	a.endFlow(f, reason)
 	return true
 }
 
-// endFlow ends a flow. A stream with buffered bytes has a gap.
+// endFlow ends a flow and both of its streams. A stream that still has buffered bytes has a gap.
 func (a *Assembler) endFlow(f *Flow, reason EndReason) {
 	for i := range f.streams {
-		half, dir := &f.streams[i], Direction(i)
-		if len(half.buffered) > 0 {
+		st, dir := &f.streams[i], Direction(i)
+		if len(st.buffered) > 0 {
 			a.declareGap(f, dir)
 		}
-		if half.seen && !half.ended {
-			half.ended = true
-			a.sink.Broken(f, dir, half.offset, string(reason))
+		if st.seen && !st.ended {
+			st.ended = true
+			a.sink.Broken(f, dir, st.offset, string(reason))
 		}
 	}
 	a.idle.Remove(f.idleElement)
--- a/internal/pcap/flow/buffer.go
+++ b/internal/pcap/flow/buffer.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-const maxBufferedSegments = 1024 // of one stream
+const maxBufferedSegments = 1024 // per stream
 
-// bufferedSegment is out of order: it waits for the bytes before it.
+// bufferedSegment is an out-of-order segment, which is delivered after the bytes before it.
 type bufferedSegment struct {
 	offset int64
 	data   []byte
@@ -17,28 +17,29 @@
 	time   time.Time
 }
 
-// end returns the offset behind the segment.
+// end returns the offset of the first byte after the segment.
 func (b *bufferedSegment) end() int64 { return b.offset + int64(len(b.data)) }
 
-// buffer keeps the parts of a segment that are not buffered yet, and compares the others.
+// buffer buffers the parts of a segment that are not buffered yet, and compares the other parts
+// with the buffered bytes.
 func (a *Assembler) buffer(f *Flow, dir Direction, added bufferedSegment) {
-	half := &f.streams[dir]
-	i, _ := slices.BinarySearchFunc(half.buffered, added.offset, func(b bufferedSegment, offset int64) int {
+	st := &f.streams[dir]
+	i, _ := slices.BinarySearchFunc(st.buffered, added.offset, func(b bufferedSegment, offset int64) int {
 		return cmp.Compare(b.offset, offset)
 	})
-	if i > 0 && half.buffered[i-1].end() > added.offset {
+	if i > 0 && st.buffered[i-1].end() > added.offset {
 		i--
 	}
 	for len(added.data) > 0 {
-		if i == len(half.buffered) || half.buffered[i].offset >= added.end() {
-			a.bufferAt(half, i, added)
+		if i == len(st.buffered) || st.buffered[i].offset >= added.end() {
+			a.bufferAt(st, i, added)
 			return
 		}
-		known := half.buffered[i]
-		if added.offset < known.offset { // the part before the one that is buffered
+		known := st.buffered[i]
+		if added.offset < known.offset { // the part before the known segment
 			before := added
 			before.data = added.data[:known.offset-added.offset]
-			a.bufferAt(half, i, before)
+			a.bufferAt(st, i, before)
 			added.skip(int64(len(before.data)))
 			i++
 		}
@@ -50,16 +51,16 @@
 	}
 }
 
-// skip drops the segment's first bytes.
+// skip removes the first n bytes of the segment.
 func (b *bufferedSegment) skip(n int64) {
 	b.offset += n
 	b.data = b.data[n:]
 }
 
-// bufferAt inserts a copy of a segment into the buffer.
-func (a *Assembler) bufferAt(half *stream, i int, added bufferedSegment) {
+// bufferAt inserts a copy of a segment at index i of the buffered segments.
+func (a *Assembler) bufferAt(st *stream, i int, added bufferedSegment) {
 	added.data = bytes.Clone(added.data)
-	half.buffered = slices.Insert(half.buffered, i, added)
-	half.bufferedBytes += len(added.data)
+	st.buffered = slices.Insert(st.buffered, i, added)
+	st.bufferedBytes += len(added.data)
 	a.bufferedBytes += len(added.data)
 }
--- a/internal/pcap/flow/flow.go
+++ b/internal/pcap/flow/flow.go
@@ -1,13 +1,14 @@
-// Package flow reassembles the segments of TCP connections into the two byte streams that they
-// carried (RFC 9293, sections 3.4 and 3.10.7). It does no I/O and reads no clock: segments come in
-// as they stand in a capture, and all that is found goes to a [Sink].
+// Package flow reassembles the segments of TCP connections into the two byte streams of each
+// connection (RFC 9293, sections 3.4 and 3.10.7). It does no I/O and reads no clock: segments are
+// added in the order of the capture, and all results are reported to a [Sink].
 //
-// Its policy, where a capture leaves room:
-//   - The first bytes seen for an offset of the stream stand. Others for the same offset are
-//     compared with them, and reported where they differ.
-//   - A gap ends the trust in a stream from there on, and not before: what lies beyond is counted
-//     and reported, and never handed on, since nobody knows what the missing bytes made of it.
-//   - Every byte of every payload is counted once, as one of the kinds of [ByteCounts].
+// Ambiguous captures are handled as follows:
+//   - The first bytes captured for an offset of the stream are kept. Later bytes for the same
+//     offset are compared with them, and a difference is reported.
+//   - A stream is untrusted after a gap, and only after it. The gap is reported and the bytes after
+//     it are counted, but they are never delivered, since the missing bytes could change their
+//     meaning.
+//   - Every byte of every payload is counted once, in one of the fields of [ByteCounts].
 package flow
 
 import (
@@ -17,42 +18,42 @@
 	"time"
 )
 
-// Segment is one TCP segment as a capture has it.
+// Segment is one captured TCP segment.
 type Segment struct {
-	Packet   int64 // its number in the capture, from 1
+	Packet   int64 // number of the packet in the capture, from 1
 	Time     time.Time
 	Src, Dst netip.AddrPort
 	Seq      uint32
 	SYN, FIN bool
 	RST      bool
 	Payload  []byte // valid until Assembler.Add returns
-	Missing  int    // bytes of the payload behind these that the capture's snap length cut off
+	Missing  int    // bytes after Payload that the capture's snap length cut off
 }
 
-// Direction is a direction of a flow: 0 from its opener, as far as that is known, 1 to it.
+// Direction is a direction of a flow: 0 from the opener, as far as known, and 1 to the opener.
 type Direction int
 
-// Flow is one connection, from its first segment to its end.
+// Flow is one TCP connection, from its first captured segment to its end.
 type Flow struct {
-	ID          int64             // from 1, in the order of first segments
-	Addresses   [2]netip.AddrPort // the opener's, and the other's
-	SYNSeen     bool              // otherwise the first segment's sender counts as the opener
+	ID          int64             // from 1, in the order of the first segments
+	Addresses   [2]netip.AddrPort // of the opener and of its peer
+	SYNSeen     bool              // if false, the sender of the first segment is taken as the opener
 	FirstPacket int64
 	LastPacket  int64
 	Began       time.Time
-	Ended       time.Time // of its last packet
-	Data        any       // the sink's own
+	Ended       time.Time // time of the last packet
+	Data        any       // for use by the sink
 
 	streams     [2]stream
 	idleElement *list.Element // in Assembler.idle
 }
 
-// String returns the flow's name in reports.
+// String returns the name of the flow in reports.
 func (f *Flow) String() string {
 	return fmt.Sprintf("flow %d %v>%v", f.ID, f.Addresses[0], f.Addresses[1])
 }
 
-// directionOf returns the direction that a segment goes in.
+// directionOf returns the direction of a segment.
 func (f *Flow) directionOf(s *Segment) Direction {
 	if s.Src == f.Addresses[0] {
 		return 0
@@ -60,42 +61,43 @@
 	return 1
 }
 
-// isClosed reports whether both streams have ended by their FIN.
+// isClosed reports whether both streams have ended with a FIN.
 func (f *Flow) isClosed() bool {
 	a, b := &f.streams[0], &f.streams[1]
 	return a.ended && b.ended && a.finSeen && b.finSeen
 }
 
-// EndReason says why a flow ended.
+// EndReason is the reason for which a flow ended.
 type EndReason string
 
-// The reasons why a flow ends.
+// The reasons for which a flow ends.
 const (
-	Closed       EndReason = "closed"             // both streams by FIN
-	Reset        EndReason = "reset"              // by RST
-	Reused       EndReason = "ports reused"       // a new connection began between the same addresses
-	Evicted      EndReason = "gave way"           // more flows were open than Limits.Flows
-	EndOfCapture EndReason = "end of the capture" // still open there
+	Closed       EndReason = "closed"             // both streams ended with a FIN
+	Reset        EndReason = "reset"              // a RST ended the connection
+	Reused       EndReason = "ports reused"       // a new connection was opened between the same addresses
+	Evicted      EndReason = "gave way"           // the number of open flows exceeded Limits.Flows
+	EndOfCapture EndReason = "end of the capture" // the flow was still open at the end of the capture
 )
 
-// Sink takes what an Assembler finds. Its methods are called from inside Add and Close.
+// Sink receives the results of an Assembler. Its methods are called by Assembler.Add and
+// Assembler.Close.
 type Sink interface {
-	// Opened takes a new flow.
+	// Opened reports a new flow.
 	Opened(f *Flow)
-	// Data takes the next bytes of a stream, which begin at an offset. They are valid until Data
+	// Data receives the next bytes of a stream, which start at offset. The data is valid until Data
 	// returns.
 	Data(f *Flow, dir Direction, offset int64, data []byte, packet int64, t time.Time)
-	// Broken reports that a stream ends at an offset without its FIN: at a gap, or with the flow.
+	// Broken reports that a stream ends at offset without a FIN, at a gap or with its flow.
 	Broken(f *Flow, dir Direction, offset int64, reason string)
-	// Finished reports that a stream has ended by its FIN, with all of its bytes handed on.
+	// Finished reports that a stream has ended with a FIN and that all of its bytes were delivered.
 	Finished(f *Flow, dir Direction)
-	// Fault takes a fault.
+	// Fault reports a fault.
 	Fault(fault Fault)
-	// Ended takes the end of a flow, after which nothing follows.
+	// Ended reports the end of a flow. It is the last call for the flow.
 	Ended(f *Flow, reason EndReason)
 }
 
-// flowKey identifies the connection between two addresses, whatever its direction.
+// flowKey identifies the connection between two addresses, independently of direction.
 type flowKey struct{ low, high netip.AddrPort }
 
 func keyOf(x, y netip.AddrPort) flowKey {
--- a/internal/pcap/flow/flow_test.go
+++ b/internal/pcap/flow/flow_test.go
@@ -8,22 +8,24 @@
 	"time"
 )
 
-// recorder is a Sink that writes down what is reported to it.
+// recorder is a Sink that records what is reported to it.
 type recorder struct {
 	lines []string
-	data  [2]string // of both directions
+	data  [2]string // by direction
 }
 
-func (r *recorder) note(format string, a ...any) {
+func (r *recorder) record(format string, a ...any) {
 	r.lines = append(r.lines, fmt.Sprintf(format, a...))
 }
-func (r *recorder) Opened(f *Flow) { r.note("open %d", f.ID) }
+func (r *recorder) Opened(f *Flow) { r.record("open %d", f.ID) }
 func (r *recorder) Broken(_ *Flow, d Direction, at int64, why string) {
-	r.note("broken %d at %d: %s", d, at, why)
+	r.record("broken %d at %d: %s", d, at, why)
 }
-func (r *recorder) Finished(_ *Flow, d Direction) { r.note("finished %d", d) }
-func (r *recorder) Fault(f Fault)                 { r.note("%s %d at %d: %d", f.Kind, f.Direction, f.Offset, f.Bytes) }
-func (r *recorder) Ended(f *Flow, why EndReason)  { r.note("end %d: %s", f.ID, why) }
+func (r *recorder) Finished(_ *Flow, d Direction) { r.record("finished %d", d) }
+func (r *recorder) Fault(f Fault) {
+	r.record("%s %d at %d: %d", f.Kind, f.Direction, f.Offset, f.Bytes)
+}
+func (r *recorder) Ended(f *Flow, why EndReason) { r.record("end %d: %s", f.ID, why) }
 func (r *recorder) has(line string) bool {
 	return strings.Contains("\n"+strings.Join(r.lines, "\n")+"\n", "\n"+line+"\n")
 }
@@ -33,8 +35,9 @@
 	there = netip.MustParseAddrPort("10.0.0.2:80")
 )
 
-// play adds segments written as words: "S100" a SYN at 100, "101:abc" data, "F104" a FIN, "R104" an
-// RST, "101:abc/5" data of which the capture lacks 5 bytes, with "<" before what comes back.
+// play adds segments that are encoded as words: "S100" is a SYN with sequence number 100, "101:abc"
+// is data, "F104" a FIN, "R104" a RST, and "101:abc/5" data followed by 5 bytes that the capture
+// does not have. A word that begins with "<" is a segment of the opposite direction.
 func play(t *testing.T, a *Assembler, words ...string) {
 	t.Helper()
 	for i, w := range words {
@@ -61,7 +64,7 @@
 
 func (r *recorder) Data(_ *Flow, d Direction, at int64, data []byte, _ int64, _ time.Time) {
 	if int(at) != len(r.data[d]) {
-		r.note("bytes %d at %d, after %d", d, at, len(r.data[d]))
+		r.record("bytes %d at %d, after %d", d, at, len(r.data[d]))
 	}
 	r.data[d] += string(data)
 }
@@ -69,7 +72,7 @@
 func TestReassembly(t *testing.T) {
 	for name, c := range map[string]struct {
 		words  []string
-		data   string // of the opener
+		data   string // sent by the opener
 		lines  []string
 		limits Limits
 	}{
@@ -85,43 +88,43 @@
 			words: []string{"S100", "F107", "104:def", "101:abc"}, data: "abcdef",
 			lines: []string{"finished 0"},
 		},
-		"SYN again": {
+		"retransmitted SYN": {
 			words: []string{"S100", "S100", "101:abc", "S100"}, data: "abc",
 			lines: []string{"broken 0 at 3: end of the capture"},
 		},
 		"data on the SYN": {
 			words: []string{"S100:ab", "103:c"}, data: "abc",
 		},
-		"repeated": {
+		"retransmission": {
 			words: []string{"S100", "101:abc", "101:abc", "101:abcd"}, data: "abcd",
 		},
-		"repeated, differing": {
+		"retransmission with different data": {
 			words: []string{"S100", "101:abc", "101:aXc"}, data: "abc",
 			lines: []string{"differing 0 at 0: 1"},
 		},
-		"overlap ahead": {
+		"overlap with buffered data": {
 			words: []string{"S100", "103:cde", "102:bXd", "101:a"}, data: "abcde",
 			lines: []string{"differing 0 at 2: 1"},
 		},
-		"covers what waits": {
+		"covers buffered segments": {
 			words: []string{"S100", "103:c", "105:e", "102:bcdef", "101:a"}, data: "abcdef",
 		},
-		"lost": {
+		"lost segment": {
 			words: []string{"S100", "101:abc", "107:ghi", "F110"}, data: "abc",
 			lines: []string{"gap 0 at 3: 3", "broken 0 at 3: gap"},
 		},
-		"wrap": {
+		"sequence number wrap": {
 			words: []string{"S4294967293", "4294967294:abcd", "2:ef"}, data: "abcdef",
 		},
-		"mid-flow": {
+		"capture starts mid-flow": {
 			words: []string{"500:abc", "503:def", "497:xyz"}, data: "abcdef",
 			lines: []string{"early 0 at -3: 3"},
 		},
-		"snap cut": {
+		"truncated segment": {
 			words: []string{"S100", "101:abc/3", "107:gh"}, data: "abc",
 			lines: []string{"snap-cut 0 at 3: 3", "gap 0 at 3: 3"},
 		},
-		"snap cut, made good": {
+		"truncated segment, retransmitted": {
 			words: []string{"S100", "101:abc/3", "104:def", "107:gh"}, data: "abcdefgh",
 			lines: []string{"snap-cut 0 at 3: 3"},
 		},
@@ -136,25 +139,25 @@
 		"keep-alive": {
 			words: []string{"S100", "101:abc", "103:\x00", "104:d"}, data: "abcd",
 		},
-		"after its FIN": {
+		"data after the FIN": {
 			words: []string{"S100", "101:abc", "F104", "105:xx"}, data: "abc",
 			lines: []string{"after-close 0 at 4: 2"},
 		},
-		"stray": {
+		"out of window": {
 			words: []string{"S100", "101:abc", "1500000000:zz"}, data: "abc",
 			lines: []string{"stray 0 at 1499999899: 2"},
 		},
-		"too much waits": {
+		"buffer limit exceeded": {
 			words: []string{"S100", "111:0123456789", "121:x", "101:abc"}, data: "",
 			lines:  []string{"gap 0 at 0: 10"},
 			limits: Limits{Pending: 10},
 		},
-		"filled too late": {
+		"gap filled after the limit": {
 			words: []string{"S100", "101:abc", "111:0123456789", "104:defghij", "111:kl"}, data: "abc",
 			lines:  []string{"gap 0 at 3: 7", "broken 0 at 3: gap"},
 			limits: Limits{Pending: 5},
 		},
-		"no longer held": {
+		"bytes no longer retained": {
 			words: []string{"S100", "101:abcdef", "101:abcdef"}, data: "abcdef",
 			lines:  []string{"unheld 0 at 0: 4"},
 			limits: Limits{Retained: 2},
@@ -173,30 +176,32 @@
 			}
 		}
 		if got := a.ByteCounts(); got.Sum() != got.Payload {
-			t.Errorf("%s: %+v does not add up", name, got)
+			t.Errorf("%s: sum %d of the counts %+v, want Payload", name, got.Sum(), got)
 		}
 		if a.OpenFlows() != 0 || a.bufferedBytes != 0 {
-			t.Errorf("%s: %d flows and %d bytes are left", name, a.OpenFlows(), a.bufferedBytes)
+			t.Errorf("%s: %d open flows and %d buffered bytes after Close, want 0",
+				name, a.OpenFlows(), a.bufferedBytes)
 		}
 	}
 }
 
-// A hundred thousand flows that never end hold no more than the limit; those evicted are reported.
+// With 100,000 flows that never end, the number of open flows stays within the limit, and each
+// eviction is reported.
 func TestIdleFlowsAreEvicted(t *testing.T) {
 	ends := counts{}
 	a := New(Limits{Flows: 1000}, ends)
-	most := 0
+	maxOpen := 0
 	for i := range 100_000 {
 		src := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), uint16(1+i>>16))
 		a.Add(&Segment{Packet: int64(i), Src: src, Dst: there, Seq: 5, Payload: []byte("GET")})
-		most = max(most, a.OpenFlows())
+		maxOpen = max(maxOpen, a.OpenFlows())
 	}
-	if most > 1000 || ends[Evicted] != 99_000 {
-		t.Errorf("%d flows open at most, ends %v", most, ends)
+	if maxOpen > 1000 || ends[Evicted] != 99_000 {
+		t.Errorf("got up to %d open flows and ends %v, want at most 1000 open flows and 99000 evictions", maxOpen, ends)
 	}
 }
 
-// counts is a Sink that counts ends.
+// counts is a Sink that counts the ends of flows by reason.
 type counts map[EndReason]int
 
 func (counts) Opened(*Flow)                                           {}
@@ -232,7 +237,7 @@
 		}
 		a.Close()
 		if got := a.ByteCounts(); got.Sum() != got.Payload || a.bufferedBytes != 0 {
-			t.Errorf("%+v, %d held", got, a.bufferedBytes)
+			t.Errorf("got counts %+v and %d buffered bytes after Close", got, a.bufferedBytes)
 		}
 	})
 }
--- a/internal/pcap/generate_test.go
+++ b/internal/pcap/generate_test.go
@@ -19,13 +19,13 @@
 
 var noon = time.Date(2026, 12, 24, 12, 0, 0, 0, time.UTC)
 
-// generatedMessage is a message as it was generated.
+// generatedMessage is a generated request or response.
 type generatedMessage struct {
 	text, body string
-	end        int // offset in its stream
+	end        int // offset after the last byte in the stream
 }
 
-// generatedConn is one generated connection.
+// generatedConn is a generated connection with its messages.
 type generatedConn struct {
 	conn       *synth.Conn
 	initialSeq [2]uint32
@@ -33,7 +33,7 @@
 	responses  []generatedMessage
 }
 
-// generateMessage returns a message with a body, whose framing is chunked or by length.
+// generateMessage returns a message whose body is framed by Content-Length or by chunks.
 func generateMessage(rnd *rand.Rand, head, body string) string {
 	if rnd.IntN(3) > 0 {
 		return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
@@ -48,7 +48,7 @@
 	return b.String() + "0\r\nTrailer: x\r\n\r\n"
 }
 
-// generateConn returns a connection with pipelined requests and their responses.
+// generateConn returns connection number i, with pipelined requests and their responses.
 func generateConn(rnd *rand.Rand, i int) *generatedConn {
 	client := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), uint16(40000+i))
 	server := netip.MustParseAddrPort("10.9.0.1:8443")
@@ -58,7 +58,7 @@
 	}
 	initialSeq := [2]uint32{rnd.Uint32(), rnd.Uint32()}
 	if rnd.IntN(4) == 0 {
-		initialSeq[0] = ^uint32(0) - uint32(rnd.IntN(2000)) // wraps
+		initialSeq[0] = ^uint32(0) - uint32(rnd.IntN(2000)) // the sequence numbers wrap
 	}
 	link := synth.Link(rnd.IntN(int(synth.LinkCount)))
 	g := &generatedConn{conn: synth.NewConn(client, server, link, initialSeq), initialSeq: initialSeq}
@@ -78,8 +78,8 @@
 	return g
 }
 
-// generateBurst adds pipelined requests and their responses, which begin at offsets of both
-// directions. It returns what each direction sends.
+// generateBurst adds pipelined requests and their responses, which begin at the given offsets of
+// the two directions. It returns the data of each direction.
 func (g *generatedConn) generateBurst(rnd *rand.Rand, i, burst int, offsets [2]int) (sent [2]string) {
 	for n := range 1 + rnd.IntN(3) {
 		body := string(synth.RandomBytes(rnd, rnd.IntN(6000)))
@@ -100,7 +100,8 @@
 	return sent
 }
 
-// contiguousBytes returns how many bytes of a direction are in the segments without a gap.
+// contiguousBytes returns the number of bytes of a direction that the segments contain before the
+// first gap.
 func (g *generatedConn) contiguousBytes(dir int) int {
 	type span struct{ from, to int }
 	var spans []span
@@ -120,8 +121,8 @@
 	return end
 }
 
-// interleave frames the segments of all connections, mixed, those of each connection in their
-// order.
+// interleave returns the packets of all connections in random order. The segments of each
+// connection stay in order.
 func interleave(t *testing.T, rnd *rand.Rand, conns []*generatedConn) []synth.Packet {
 	t.Helper()
 	remaining := make([][]synth.Part, len(conns))
@@ -152,7 +153,7 @@
 	}
 }
 
-// fileFormat is a format of a capture file.
+// fileFormat is the format of a capture file.
 type fileFormat int
 
 const (
@@ -163,12 +164,12 @@
 	fileFormatCount
 )
 
-// packetWriter is a writer of one of the formats.
+// packetWriter writes the packets of one of the formats.
 type packetWriter interface {
 	WritePacket(info gopacket.CaptureInfo, data []byte) error
 }
 
-// encodeFile returns a capture file of packets.
+// encodeFile returns a capture file with the packets.
 func encodeFile(tb testing.TB, format fileFormat, link synth.Link, packets []synth.Packet) []byte {
 	tb.Helper()
 	check := func(err error) {
--- a/internal/pcap/http/body.go
+++ b/internal/pcap/http/body.go
@@ -6,42 +6,42 @@
 	"io"
 )
 
-// Store keeps bodies that are too large for memory.
+// Store stores bodies that exceed Limits.Memory.
 type Store interface {
-	// New returns an empty body to write to.
+	// New returns an empty body for writing.
 	New() (StoredBody, error)
 }
 
-// StoredBody is one body of a Store. It belongs to whoever has the message, who calls Remove when
-// done with it.
+// StoredBody is one body in a Store. The owner of the message owns the body, and calls Remove when
+// it is no longer needed.
 type StoredBody interface {
 	io.Writer
-	// Open returns the body from its start.
+	// Open returns a reader of the body from its start.
 	Open() (io.ReadCloser, error)
-	// Remove removes the body from its store.
+	// Remove removes the body from the store.
 	Remove() error
 }
 
-// Body is a message's body. The zero Body is empty.
+// Body is the body of a message. The zero Body is empty.
 type Body struct {
 	Size   int64      // bytes
-	memory []byte     // the bytes, unless stored is set
+	memory []byte     // content, unless stored is set
 	stored StoredBody // nil for a body in memory
 }
 
-// Open returns the body's bytes from the start. It may be called many times until Remove.
+// Open returns a reader of the body from its start. It may be called repeatedly until Remove.
 func (b Body) Open() (io.ReadCloser, error) {
 	if b.stored == nil {
 		return io.NopCloser(bytes.NewReader(b.memory)), nil
 	}
 	r, err := b.stored.Open()
 	if err != nil {
-		return nil, fmt.Errorf("open a kept body: %w", err)
+		return nil, fmt.Errorf("open stored body: %w", err)
 	}
 	return r, nil
 }
 
-// Bytes returns all bytes of the body.
+// Bytes returns the content of the body.
 func (b Body) Bytes() ([]byte, error) {
 	if b.stored == nil {
 		return b.memory, nil
@@ -50,11 +50,11 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = r.Close() }() // it was only read: nothing can be lost
+	defer func() { _ = r.Close() }() // read only: a failed close loses no data
 	return io.ReadAll(r)
 }
 
-// Remove removes the body from its store.
+// Remove removes the body from its store. A body in memory has nothing to remove.
 func (b Body) Remove() error {
 	if b.stored == nil {
 		return nil
@@ -62,21 +62,21 @@
 	return b.stored.Remove()
 }
 
-// bodyBuffer gathers a body: in memory up to a limit, in a store beyond it.
+// bodyBuffer accumulates a body, in memory up to memoryLimit and in a store above it.
 type bodyBuffer struct {
-	size        int64
-	memoryLimit int
+	size        int64 // bytes
+	memoryLimit int   // bytes
 	memory      []byte
-	store       Store // may be nil
+	store       Store // nil: all bytes stay in memory
 	stored      StoredBody
 }
 
-// newBodyBuffer returns an empty body. The store may be nil.
+// newBodyBuffer returns an empty buffer. If store is nil, all bytes stay in memory.
 func newBodyBuffer(store Store, memoryLimit int) *bodyBuffer {
 	return &bodyBuffer{store: store, memoryLimit: memoryLimit}
 }
 
-// append adds bytes to the body. An error is the store's.
+// append appends bytes to the body. An error comes from the store.
 func (b *bodyBuffer) append(data []byte) error {
 	if b.stored == nil && b.store != nil && len(b.memory)+len(data) > b.memoryLimit {
 		if err := b.moveToStore(); err != nil {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// moveToStore moves what is in memory to the store.
+// moveToStore moves the bytes in memory to the store.
 func (b *bodyBuffer) moveToStore() error {
 	stored, err := b.store.New()
 	if err != nil {
@@ -109,15 +109,15 @@
 	return nil
 }
 
-// discard drops a body that is not handed on.
+// discard removes a body that is not passed on with a message.
 func (b *bodyBuffer) discard() {
 	if b.stored != nil {
-		_ = b.stored.Remove() // the store removes what is left when it closes
+		_ = b.stored.Remove() // the store removes remaining bodies when it is closed
 	}
 	b.memory, b.stored = nil, nil
 }
 
-// body returns the body as gathered.
+// body returns the accumulated body.
 func (b *bodyBuffer) body() Body {
 	return Body{Size: b.size, memory: b.memory, stored: b.stored}
 }
--- a/internal/pcap/http/body_test.go
+++ b/internal/pcap/http/body_test.go
@@ -10,13 +10,14 @@
 	"fernlanding/internal/pcap/flow"
 )
 
-// fullStore is a Store without room.
+// fullStore is a Store that has no space.
 type fullStore struct{}
 
-func (fullStore) New() (StoredBody, error) { return nil, errors.New("the disk is full") }
+func (fullStore) New() (StoredBody, error) { return nil, errors.New("disk is full") }
 
-// A body that cannot be stored is a fault, and the messages before it are not lost.
-func TestBodyThatCannotBeStoredIsAFault(t *testing.T) {
+// A body that cannot be stored is reported as a fault, and the messages before it are still
+// reported.
+func TestBodyStoreErrorIsReported(t *testing.T) {
 	sink := &recorder{}
 	reader := NewReader(Limits{Memory: 10}, fullStore{}, sink)
 	f := &flow.Flow{ID: 1}
@@ -31,7 +32,7 @@
 	}
 }
 
-func TestBodyInMemoryOpensManyTimes(t *testing.T) {
+func TestBodyInMemoryCanBeReopened(t *testing.T) {
 	buffer := newBodyBuffer(nil, 10)
 	if err := buffer.append([]byte("abc")); err != nil {
 		t.Fatal(err)
@@ -43,7 +44,7 @@
 			t.Fatal(err)
 		}
 		if got, err := io.ReadAll(r); err != nil || string(got) != "abc" || body.Size != 3 {
-			t.Errorf("got %q, %v", got, err)
+			t.Errorf("got %q, error %v", got, err)
 		}
 	}
 	if err := body.Remove(); err != nil {
--- a/internal/pcap/http/cases_test.go
+++ b/internal/pcap/http/cases_test.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// connectionCases are played in segments of several sizes. Faults are written as kind, direction,
-// offset and bytes.
+// connectionCases are the cases of TestMessagesAndFaultsOfAllKinds. Faults are written as kind,
+// direction, offset and number of bytes.
 var connectionCases = map[string]connectionCase{
 	"pipelined": {
 		sent: []string{get + post + get, ok + ok[1:], ok},
@@ -14,17 +14,17 @@
 			"done closed",
 		},
 	},
-	"second cut": {
+	"truncated second request": {
 		sent:     []string{get + post[:30], ok},
 		brokenBy: "gap",
 		want:     []string{`GET /a "" > 200 "ok" +0`, "cut 0 at 28: 30"},
 	},
-	"body cut": {
+	"truncated body": {
 		sent:     []string{post[:len(post)-1]},
 		brokenBy: "gap",
 		want:     []string{"cut 0 at 0: 41"},
 	},
-	"answer first": {
+	"response before the end of the request": {
 		sent: []string{post[:len(post)-2], ok, "bc"},
 		want: []string{`POST /b "abc" > 200 "ok" +0`},
 	},
@@ -35,7 +35,7 @@
 		},
 		want: []string{`POST /c "abcde" > 200 "ok" +0`},
 	},
-	"chunks, empty": {
+	"chunked, empty body": {
 		sent: []string{"POST /c HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", ok},
 		want: []string{`POST /c "" > 200 "ok" +0`},
 	},
@@ -55,24 +55,24 @@
 		sent: []string{get + get, "<HTTP/1.1 204 N\r\n\r\n", ok},
 		want: []string{`GET /a "" > 204 "" +0`, `GET /a "" > 200 "ok" +0`},
 	},
-	"until close": {
+	"body until close": {
 		sent: []string{get, "<HTTP/1.1 200 OK\r\n\r\nall the rest"},
 		want: []string{`GET /a "" > 200 "all the rest" +0`},
 	},
-	"until a break": {
+	"body until reset": {
 		sent:     []string{get, "<HTTP/1.1 200 OK\r\n\r\nall"},
 		brokenBy: "reset",
 		want:     []string{"cut 1 at 0: 22", "unanswered 0 at 0: 0"},
 	},
-	"answers alone": {
+	"response without request": {
 		sent: []string{ok},
 		want: []string{`- > 200 "ok" +0`, "unasked 1 at 0: 0"},
 	},
-	"requests alone": {
+	"request without response": {
 		sent: []string{get},
 		want: []string{`GET /a "" > -`, "unanswered 0 at 0: 0"},
 	},
-	"length lies": {
+	"length too long": {
 		sent: []string{"POST /b HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc", ok},
 		want: []string{"cut 0 at 0: 42"},
 	},
@@ -80,11 +80,11 @@
 		sent: []string{"POST /b HTTP/1.1\r\nContent-Length: 1\r\n\r\nabc", ok},
 		want: []string{`POST /b "a" > 200 "ok" +0`, "cut 0 at 40: 2"},
 	},
-	"length of words": {
+	"length not a number": {
 		sent: []string{"POST /b HTTP/1.1\r\nContent-Length: -1\r\n\r\n"},
 		want: []string{"bad-length 0 at 0: 40"},
 	},
-	"lengths differ": {
+	"conflicting lengths": {
 		sent: []string{"POST /b HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n"},
 		want: []string{"bad-length 0 at 0: 58"},
 	},
@@ -100,7 +100,7 @@
 		sent: []string{"POST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffffffff\r\nabc"},
 		want: []string{"too-large 0 at 0: 63"},
 	},
-	"bad chunk": {
+	"malformed chunk": {
 		sent: []string{"POST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nabXX\r\n"},
 		want: []string{"bad-chunk 0 at 0: 57"},
 	},
@@ -109,11 +109,11 @@
 		limits: Limits{Head: 100},
 		want:   []string{"bad-head 0 at 0: 220"},
 	},
-	"bad first line": {
+	"malformed request line": {
 		sent: []string{"GET /a b HTTP/1.1\r\n\r\n"},
 		want: []string{"bad-head 0 at 0: 21"},
 	},
-	"bad field": {
+	"malformed header field": {
 		sent: []string{"GET /a HTTP/1.1\r\nno field\r\n\r\n"},
 		want: []string{"bad-head 0 at 0: 29"},
 	},
@@ -125,15 +125,15 @@
 		sent: []string{"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"},
 		want: []string{"http2 0 at 0: 24"},
 	},
-	"noise": {
+	"not HTTP": {
 		sent: []string{"\x00\x01\x02\x03"},
 		want: []string{"not-http 0 at 0: 4"},
 	},
-	"old versions": {
+	"HTTP/0.9": {
 		sent: []string{get, "<HTTP/0.9 200\r\n\r\n"},
 		want: []string{"not-http 1 at 0: 16", "unanswered 0 at 0: 0"},
 	},
-	"noise behind": {
+	"not HTTP after a request": {
 		sent: []string{get + "\x00\x01", ok},
 		want: []string{`GET /a "" > 200 "ok" +0`, "not-http 0 at 28: 2"},
 	},
@@ -145,7 +145,7 @@
 		sent: []string{"\r\n" + get, ok},
 		want: []string{`GET /a "" > 200 "ok" +0`, "empty-lines 0 at 0: 1", "empty-lines 0 at 1: 1"},
 	},
-	"many unpaired": {
+	"unpaired requests over the limit": {
 		sent:   []string{get + get + get},
 		limits: Limits{Unpaired: 2},
 		want: []string{
--- a/internal/pcap/http/connection.go
+++ b/internal/pcap/http/connection.go
@@ -11,9 +11,9 @@
 	reader       *Reader
 	flow         *flow.Flow
 	halves       [2]halfStream
-	requestCount int         // so far
-	waiting      []*Exchange // requests without a response yet
-	ahead        []*Message  // responses whose requests have not been parsed yet: begun late, or captured out of order
+	requestCount int         // number of requests so far
+	waiting      []*Exchange // requests that have no response yet
+	ahead        []*Message  // responses whose requests are not parsed yet: late capture start or reordering
 	interim      []*Message  // 1xx responses before the next response
 }
 
@@ -30,7 +30,7 @@
 // limits returns the reader's limits.
 func (c *connection) limits() *Limits { return &c.reader.limits }
 
-// deriveRole sets the role of a direction by that of the other one, if only that is known.
+// deriveRole sets the role of a direction, if unknown, from the role of the opposite direction.
 func (c *connection) deriveRole(dir flow.Direction) {
 	half := &c.halves[dir]
 	if half.role != unknownRole {
@@ -45,8 +45,8 @@
 	}
 }
 
-// requestMethod returns the method of the request that the next response is for, or an empty string
-// if that request has not been parsed.
+// requestMethod returns the method of the request that the next response belongs to, or an empty
+// string if that request has not been parsed.
 func (c *connection) requestMethod() string {
 	if len(c.waiting) == 0 {
 		return ""
@@ -54,7 +54,7 @@
 	return c.waiting[0].Request.Method
 }
 
-// addMessage takes a complete message.
+// addMessage counts a complete message and pairs it with its counterpart.
 func (c *connection) addMessage(m *Message) {
 	size := m.EndOffset - m.Offset
 	if m.IsRequest {
@@ -70,7 +70,7 @@
 	c.addResponse(m)
 }
 
-// addRequest pairs a request with the first response that is ahead, or has it wait for one.
+// addRequest pairs a request with the first unpaired response, or adds it to the waiting requests.
 func (c *connection) addRequest(m *Message) {
 	exchange := &Exchange{Flow: c.flow, Number: c.requestCount, Request: m}
 	c.requestCount++
@@ -83,21 +83,21 @@
 	if len(c.waiting) > c.limits().Unpaired {
 		first := c.waiting[0]
 		c.waiting = c.waiting[1:]
-		c.reportMessage(UnmatchedRequest, "too many requests wait for an answer", first.Request)
+		c.reportMessage(UnmatchedRequest, "too many requests without a response", first.Request)
 		c.reader.sink.Exchange(first)
 	}
 }
 
-// addInterim keeps a 1xx response for the response that follows it.
+// addInterim stores a 1xx response until its final response arrives.
 func (c *connection) addInterim(m *Message) {
 	c.interim = append(c.interim, m)
 	if len(c.interim) > maxInterim {
-		c.reportMessage(UnmatchedResponse, "early answers without end", c.interim[0])
+		c.reportMessage(UnmatchedResponse, "too many interim responses", c.interim[0])
 		c.interim = c.interim[1:]
 	}
 }
 
-// addResponse pairs a final response with the first request that waits.
+// addResponse pairs a final response with the first waiting request.
 func (c *connection) addResponse(m *Message) {
 	m.Interim, c.interim = c.interim, nil
 	if len(c.waiting) == 0 {
@@ -114,7 +114,7 @@
 	c.complete(exchange)
 }
 
-// complete hands on an exchange. What follows a CONNECT or an upgrade belongs to no message.
+// complete reports an exchange. Bytes after a CONNECT or an upgrade do not belong to any message.
 func (c *connection) complete(exchange *Exchange) {
 	c.reader.sink.Exchange(exchange)
 	statusCode := exchange.Response.StatusCode
@@ -124,31 +124,31 @@
 		return
 	}
 	for dir := range c.halves {
-		c.halves[dir].failRest(Tunnel, "what follows a CONNECT or an upgrade")
+		c.halves[dir].failRest(Tunnel, "data after a CONNECT or an upgrade")
 	}
 }
 
-// reportUnmatched hands on what has no counterpart at the end of the flow.
+// reportUnmatched reports the messages that have no counterpart at the end of the flow.
 func (c *connection) reportUnmatched() {
 	for _, exchange := range c.waiting {
-		c.reportMessage(UnmatchedRequest, "a request whose answer was not seen", exchange.Request)
+		c.reportMessage(UnmatchedRequest, "no response was captured for the request", exchange.Request)
 		c.reader.sink.Exchange(exchange)
 	}
 	for _, m := range c.ahead {
 		c.reportUnmatchedResponse(m)
 	}
 	for _, m := range c.interim {
-		c.reportMessage(UnmatchedResponse, "an early answer that none followed", m)
+		c.reportMessage(UnmatchedResponse, "no final response follows the interim response", m)
 	}
 }
 
-// reportUnmatchedResponse hands on a response whose request was not seen.
+// reportUnmatchedResponse reports a response whose request was not captured.
 func (c *connection) reportUnmatchedResponse(m *Message) {
-	c.reportMessage(UnmatchedResponse, "an answer that no request was seen for", m)
+	c.reportMessage(UnmatchedResponse, "no request was captured for the response", m)
 	c.reader.sink.Exchange(&Exchange{Flow: c.flow, Number: -1, Response: m})
 }
 
-// reportMessage reports a message without its counterpart.
+// reportMessage reports a message that has no counterpart.
 func (c *connection) reportMessage(kind FaultKind, reason string, m *Message) {
 	role := responses
 	if m.IsRequest {
--- a/internal/pcap/http/half_stream.go
+++ b/internal/pcap/http/half_stream.go
@@ -6,13 +6,13 @@
 	"fernlanding/internal/pcap/flow"
 )
 
-// parseState says what the next bytes of a half-stream are.
+// parseState is the part of a message that the next bytes of a half-stream belong to.
 type parseState int
 
 const (
 	betweenMessages parseState = iota
 	inHead
-	inBody // of a known length
+	inBody // body of known length
 	inChunkSize
 	inChunkData
 	inChunkEnd
@@ -21,29 +21,29 @@
 	inFault
 )
 
-// halfStream parses one direction of a connection. Bytes are pushed into it as they come.
+// halfStream parses one direction of a connection incrementally.
 type halfStream struct {
 	conn      *connection
 	direction flow.Direction
-	role      streamRole // set by the first bytes, of this direction or of the other
+	role      streamRole // derived from the first bytes of this direction or of the opposite one
 
 	state      parseState
-	offset     int64 // of the next byte
-	packet     int64 // that is being taken
+	offset     int64 // offset of the next byte
+	packet     int64 // number of the current packet
 	packetTime time.Time
-	buffered   []byte // of the head, the chunk size or the trailer
+	buffered   []byte // incomplete head, chunk size or trailer
 
-	// Of the message or the fault that has begun.
+	// State of the current message or fault.
 	startOffset int64
 	startPacket int64
 	startTime   time.Time
 	message     *Message
 	body        *bodyBuffer
-	remaining   int64  // bytes of the body or of the chunk; -1 until the connection closes
-	fault       *Fault // all bytes to the end of the stream belong to it
+	remaining   int64  // bytes of the body or of the chunk; -1 for a body that ends with the connection
+	fault       *Fault // current fault, which extends to the end of the stream
 }
 
-// take parses the next bytes.
+// take parses the next bytes of the stream.
 func (h *halfStream) take(data []byte, packet int64, packetTime time.Time) {
 	h.packet, h.packetTime = packet, packetTime
 	for len(data) > 0 {
@@ -51,7 +51,8 @@
 	}
 }
 
-// step parses some bytes and returns the rest. It takes none where it only changes the state.
+// step parses a prefix of the bytes and returns the rest. A step that only changes the state
+// consumes no bytes.
 func (h *halfStream) step(data []byte) []byte {
 	switch h.state {
 	case betweenMessages:
@@ -73,11 +74,11 @@
 	return nil
 }
 
-// beginMessage begins a message, or passes over a byte of an empty line before it.
+// beginMessage begins a message, or skips one byte of an empty line before the message.
 func (h *halfStream) beginMessage(data []byte) []byte {
 	if data[0] == '\r' || data[0] == '\n' {
 		h.conn.reportFault(h.direction, Fault{
-			Kind: EmptyLines, Reason: "an empty line before a message", Offset: h.offset, Bytes: 1, Packet: h.packet,
+			Kind: EmptyLines, Reason: "empty line before a message", Offset: h.offset, Bytes: 1, Packet: h.packet,
 		})
 		h.offset++
 		return data[1:]
@@ -88,7 +89,7 @@
 	return data
 }
 
-// fail makes the bytes of the message that has begun, and all that follow, part of a fault.
+// fail begins a fault that contains the bytes of the current message and the rest of the stream.
 func (h *halfStream) fail(kind FaultKind, reason string) {
 	if h.body != nil {
 		h.body.discard()
@@ -100,7 +101,7 @@
 	h.message, h.buffered, h.state = nil, nil, inFault
 }
 
-// finishMessage hands on a complete message.
+// finishMessage passes a complete message to the connection.
 func (h *halfStream) finishMessage() {
 	message := h.message
 	message.Body = h.body.body()
@@ -109,7 +110,7 @@
 	h.conn.addMessage(message)
 }
 
-// failRest makes what follows the last message part of a fault.
+// failRest begins a fault that contains all bytes after the last complete message.
 func (h *halfStream) failRest(kind FaultKind, reason string) {
 	if h.state == inFault {
 		return
@@ -120,7 +121,8 @@
 	h.fail(kind, reason)
 }
 
-// end takes the end of the stream. A clean end is by the sender's FIN, with no bytes missing.
+// end processes the end of the stream. The end is clean if the sender sent a FIN and no bytes are
+// missing.
 func (h *halfStream) end(clean bool, reason string) {
 	switch {
 	case h.state == betweenMessages:
@@ -129,7 +131,7 @@
 		h.finishMessage()
 		return
 	case h.state != inFault:
-		h.fail(Truncated, "the stream ends within a message: "+reason)
+		h.fail(Truncated, "stream ends within a message: "+reason)
 	}
 	if h.fault.Bytes > 0 {
 		h.conn.reportFault(h.direction, *h.fault)
--- a/internal/pcap/http/half_stream_body.go
+++ b/internal/pcap/http/half_stream_body.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// takeBody takes bytes of a body or of a chunk.
+// takeBody appends bytes of a body or of a chunk to the message.
 func (h *halfStream) takeBody(data []byte) []byte {
 	var rest []byte
 	if h.remaining >= 0 {
@@ -16,11 +16,11 @@
 	size := int64(len(data))
 	h.offset += size
 	if limit := h.conn.limits().Body; h.body.size+size > limit {
-		h.fail(TooLarge, fmt.Sprintf("a body of over %d bytes", limit))
+		h.fail(TooLarge, fmt.Sprintf("body exceeds the limit of %d bytes", limit))
 		return rest
 	}
 	if err := h.body.append(data); err != nil {
-		h.fail(TooLarge, "nowhere to keep the body: "+err.Error())
+		h.fail(TooLarge, "store body: "+err.Error())
 		return rest
 	}
 	if h.remaining < 0 {
@@ -37,23 +37,23 @@
 	return rest
 }
 
-// takeChunkSize takes bytes of a chunk's size and extensions.
+// takeChunkSize buffers and parses the line with a chunk's size and extensions.
 func (h *halfStream) takeChunkSize(data []byte) []byte {
 	return h.takeBlock(
-		data, maxChunkLine, endOfLine, MalformedChunk, "a chunk size that does not end", h.parseChunkSize)
+		data, maxChunkLine, endOfLine, MalformedChunk, "chunk size line is too long", h.parseChunkSize)
 }
 
-// parseChunkSize parses a chunk's size (RFC 9112, section 7.1). Extensions are ignored.
+// parseChunkSize parses the size of a chunk (RFC 9112, section 7.1). Extensions are ignored.
 func (h *halfStream) parseChunkSize(line []byte) {
 	text, _, _ := strings.Cut(string(line[:len(line)-len(lineEnd)]), ";")
 	text = strings.TrimRight(text, " \t")
 	size, err := strconv.ParseUint(text, 16, 62)
 	if err != nil || text == "" {
-		h.fail(MalformedChunk, fmt.Sprintf("found %.20q, expected a chunk's size", line))
+		h.fail(MalformedChunk, fmt.Sprintf("invalid chunk size %.20q", line))
 		return
 	}
 	if limit := h.conn.limits().Body; size > uint64(limit) {
-		h.fail(TooLarge, fmt.Sprintf("a chunk of %d bytes, of at most %d", size, limit))
+		h.fail(TooLarge, fmt.Sprintf("chunk of %d bytes exceeds the limit of %d", size, limit))
 		return
 	}
 	h.state, h.remaining = inChunkData, int64(size)
@@ -62,22 +62,22 @@
 	}
 }
 
-// takeChunkEnd takes the line end behind a chunk's data.
+// takeChunkEnd buffers and parses the line end after a chunk's data.
 func (h *halfStream) takeChunkEnd(data []byte) []byte {
-	return h.takeBlock(data, len(lineEnd), endOfLine, MalformedChunk, "bytes behind a chunk", h.parseChunkEnd)
+	return h.takeBlock(data, len(lineEnd), endOfLine, MalformedChunk, "missing line end after a chunk", h.parseChunkEnd)
 }
 
-// parseChunkEnd checks that a chunk's data ends with its size.
+// parseChunkEnd checks that the line end follows the data of a chunk immediately.
 func (h *halfStream) parseChunkEnd(line []byte) {
 	if len(line) != len(lineEnd) {
-		h.fail(MalformedChunk, fmt.Sprintf("found %.10q behind a chunk, expected its end", line))
+		h.fail(MalformedChunk, fmt.Sprintf("invalid data %.10q after a chunk: missing line end", line))
 		return
 	}
 	h.state = inChunkSize
 }
 
-// takeTrailer takes bytes of a trailer, whose fields are ignored.
+// takeTrailer buffers a trailer and finishes the message. The trailer fields are ignored.
 func (h *halfStream) takeTrailer(data []byte) []byte {
-	return h.takeBlock(data, h.conn.limits().Head, endOfTrailer, MalformedChunk, "a trailer that does not end",
+	return h.takeBlock(data, h.conn.limits().Head, endOfTrailer, MalformedChunk, "trailer is too long",
 		func([]byte) { h.finishMessage() })
 }
--- a/internal/pcap/http/half_stream_head.go
+++ b/internal/pcap/http/half_stream_head.go
@@ -10,17 +10,17 @@
 	headEnd = []byte("\r\n\r\n")
 )
 
-// findEnd returns the length of a block with its delimiter, or -1. Of the buffered bytes, those
-// before searched were looked at before.
+// findEnd returns the length of a block including its delimiter, or -1 if the block is incomplete.
+// The first searched bytes of buffered have been searched before.
 type findEnd func(buffered []byte, searched int) int
 
-// endOfLine finds the end of a line.
+// endOfLine is the findEnd of a line.
 func endOfLine(buffered []byte, searched int) int { return findDelimiter(buffered, searched, lineEnd) }
 
-// endOfHead finds the empty line behind a head.
+// endOfHead is the findEnd of a head, which ends with an empty line.
 func endOfHead(buffered []byte, searched int) int { return findDelimiter(buffered, searched, headEnd) }
 
-// endOfTrailer finds the empty line behind a trailer, which may have no field.
+// endOfTrailer is the findEnd of a trailer, which ends with an empty line and may have no fields.
 func endOfTrailer(buffered []byte, searched int) int {
 	if bytes.HasPrefix(buffered, lineEnd) {
 		return len(lineEnd)
@@ -28,9 +28,9 @@
 	return endOfHead(buffered, searched)
 }
 
-// findDelimiter returns the length of a block with its delimiter, or -1.
+// findDelimiter returns the length of a block including its delimiter, or -1.
 func findDelimiter(buffered []byte, searched int, delimiter []byte) int {
-	from := max(0, searched-len(delimiter)+1) // the delimiter may have begun in what was searched
+	from := max(0, searched-len(delimiter)+1) // the delimiter may start within the searched bytes
 	i := bytes.Index(buffered[from:], delimiter)
 	if i < 0 {
 		return -1
@@ -38,11 +38,11 @@
 	return from + i + len(delimiter)
 }
 
-// buffer buffers bytes up to the end of a block. It returns the block, nil while that is
-// incomplete, and the bytes behind it.
+// buffer buffers bytes up to the end of a block. It returns the block, or nil if the block is still
+// incomplete, and the bytes after the block.
 func (h *halfStream) buffer(data []byte, limit int, find findEnd) (block, rest []byte) {
 	before := len(h.buffered)
-	// A block of exactly the limit has its delimiter behind it, of four bytes at most.
+	// The limit does not include the delimiter, which has at most four bytes.
 	added := data[:min(len(data), limit+len(headEnd)-min(before, limit))]
 	h.buffered = append(h.buffered, added...)
 	size := find(h.buffered, before)
@@ -54,8 +54,8 @@
 	return h.buffered[:size], data[size-before:]
 }
 
-// takeBlock buffers a block and parses it once it is complete. An incomplete one over the limit is
-// a fault.
+// takeBlock buffers a block and parses it once it is complete. An incomplete block that exceeds the
+// limit is a fault.
 func (h *halfStream) takeBlock(
 	data []byte, limit int, find findEnd, kind FaultKind, tooLong string, parse func([]byte),
 ) []byte {
@@ -70,7 +70,8 @@
 	return rest
 }
 
-// takeHead takes bytes of a head. What is not HTTP/1 is found before the head is complete.
+// takeHead buffers bytes of a head and parses the complete head. A stream that is not HTTP/1 is
+// detected before the head is complete.
 func (h *halfStream) takeHead(data []byte) []byte {
 	block, rest := h.buffer(data, h.conn.limits().Head, endOfHead)
 	if kind, reason := classify(h.buffered, h.role, block != nil); kind != "" {
@@ -82,12 +83,12 @@
 		h.parseHead(block)
 		h.buffered = h.buffered[:0]
 	case len(h.buffered) > h.conn.limits().Head:
-		h.fail(MalformedHead, "a head that does not end")
+		h.fail(MalformedHead, fmt.Sprintf("head exceeds the limit of %d bytes", h.conn.limits().Head))
 	}
 	return rest
 }
 
-// parseHead parses a complete head, and decides how the body is framed.
+// parseHead parses a complete head and determines the framing of the body.
 func (h *halfStream) parseHead(block []byte) {
 	if h.role == unknownRole {
 		h.role = requests
@@ -115,7 +116,7 @@
 	}
 	limits := h.conn.limits()
 	if length > limits.Body {
-		h.fail(TooLarge, fmt.Sprintf("a body of %d bytes, of at most %d", length, limits.Body))
+		h.fail(TooLarge, fmt.Sprintf("body of %d bytes exceeds the limit of %d", length, limits.Body))
 		return
 	}
 	h.message, h.body = message, newBodyBuffer(h.conn.reader.bodies, limits.Memory)
--- a/internal/pcap/http/head.go
+++ b/internal/pcap/http/head.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-var errStartLine = errors.New("the first line makes no sense")
+var errStartLine = errors.New("invalid start line")
 
 // parseHead parses RawHead: the start line and the fields.
 func (m *Message) parseHead() error {
@@ -23,13 +23,13 @@
 		}
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || name == "" || strings.Trim(name, tokenCharacters) != "" {
-			return fmt.Errorf("found %.60q, expected a field", line)
+			return fmt.Errorf("invalid header field %.60q", line)
 		}
 		m.Header = append(m.Header, Field{Name: name, Value: strings.Trim(value, " \t")})
 	}
 }
 
-// parseStartLine parses the first line of a message.
+// parseStartLine parses the start line of a message.
 func (m *Message) parseStartLine(line string) error {
 	if m.IsRequest {
 		return m.parseRequestLine(line)
@@ -41,7 +41,7 @@
 func (m *Message) parseRequestLine(line string) error {
 	parts := strings.Split(line, " ")
 	if len(parts) != 3 || parts[0] == "" || parts[1] == "" || !strings.HasPrefix(parts[2], "HTTP/1.") {
-		return fmt.Errorf("%w: found %.60q, expected a method, a target and HTTP/1.1", errStartLine, line)
+		return fmt.Errorf("%w %.60q: expected a method, a target and HTTP/1.1", errStartLine, line)
 	}
 	m.Method, m.Target, m.Proto = parts[0], parts[1], parts[2]
 	return nil
@@ -53,15 +53,15 @@
 	text, _, _ := strings.Cut(status, " ")
 	code, err := strconv.Atoi(text)
 	if err != nil || len(text) != 3 || code < 100 {
-		return fmt.Errorf("%w: found %.60q, expected HTTP/1.1 and a status", errStartLine, line)
+		return fmt.Errorf("%w %.60q: expected HTTP/1.1 and a status code", errStartLine, line)
 	}
 	m.Proto, m.StatusCode = proto, code
 	return nil
 }
 
-// parseFraming returns the length of the body, and sets Chunked or UntilClose where the head does
-// not give it (RFC 9112, section 6.3). The method is that of the request. An ambiguous framing is
-// an error, since the capture does not show how the receiver read it.
+// parseFraming returns the length of the body, and sets Chunked or UntilClose if the head does not
+// contain the length (RFC 9112, section 6.3). The method is the method of the request. Ambiguous
+// framing is an error, since the capture does not show how the receiver interpreted it.
 func (m *Message) parseFraming(method string) (int64, error) {
 	if !m.IsRequest && isBodiless(method, m.StatusCode) {
 		return 0, nil
@@ -80,7 +80,7 @@
 			return 0, errors.New("both Content-Length and Transfer-Encoding")
 		}
 		if len(codings) > 1 || !strings.EqualFold(codings[0], "chunked") {
-			return 0, fmt.Errorf("Transfer-Encoding: found %.40q, expected chunked", strings.Join(codings, ", "))
+			return 0, fmt.Errorf("unsupported Transfer-Encoding %.40q: expected chunked", strings.Join(codings, ", "))
 		}
 		m.Chunked = true
 		return 0, nil
@@ -92,7 +92,7 @@
 	return parseContentLength(lengths)
 }
 
-// isBodiless reports whether a response has no body, whatever its fields say.
+// isBodiless reports whether a response has no body regardless of its header fields.
 func isBodiless(method string, statusCode int) bool {
 	return method == http.MethodHead ||
 		statusCode/100 == 1 ||
@@ -101,16 +101,16 @@
 		method == http.MethodConnect && statusCode/100 == 2
 }
 
-// parseContentLength returns the length that all values of Content-Length agree on.
+// parseContentLength returns the value of Content-Length. Different values are an error.
 func parseContentLength(values []string) (int64, error) {
 	for _, value := range values[1:] {
 		if value != values[0] {
-			return 0, fmt.Errorf("Content-Length: found %.20q and %.20q", values[0], value)
+			return 0, fmt.Errorf("conflicting Content-Length values %.20q and %.20q", values[0], value)
 		}
 	}
 	length, err := strconv.ParseUint(values[0], 10, 62)
 	if err != nil {
-		return 0, fmt.Errorf("Content-Length: found %.20q, expected a number", values[0])
+		return 0, fmt.Errorf("invalid Content-Length %.20q", values[0])
 	}
 	return int64(length), nil
 }
--- a/internal/pcap/http/message.go
+++ b/internal/pcap/http/message.go
@@ -1,7 +1,7 @@
-// Package http finds the HTTP/1.1 messages in the byte streams of captured connections (RFC 9112),
-// pairs requests with their responses, and accounts for every byte: it belongs to a request, to a
-// response, or to a fault. It does no I/O and reads no clock; a body beyond a limit goes to a
-// [Store] that the caller gives.
+// Package http parses the HTTP/1.1 messages in the byte streams of captured connections (RFC 9112),
+// pairs requests with their responses, and accounts for every byte as part of a request, a response
+// or a fault. It does no I/O and reads no clock. A body that exceeds a limit is written to a
+// [Store] of the caller.
 package http
 
 import (
@@ -9,31 +9,32 @@
 	"time"
 )
 
-// Field is a header field as captured, without the white space around its name and its value.
+// Field is a captured header field, without the white space around its name and its value.
 type Field struct{ Name, Value string }
 
 // Message is a request or a response.
 type Message struct {
 	IsRequest   bool
-	Method      string // of a request
-	Target      string // of a request
-	StatusCode  int    // of a response
+	Method      string // request only
+	Target      string // request only
+	StatusCode  int    // response only
 	Proto       string
 	Header      []Field
-	RawHead     []byte // the head's bytes, with the empty line
-	Body        Body   // without the transfer coding
+	RawHead     []byte // captured bytes of the head, with the empty line
+	Body        Body   // content without the transfer coding
 	Chunked     bool
-	UntilClose  bool  // a response whose body ends with the connection (RFC 9112, section 6.3, rule 8)
-	Offset      int64 // in the stream, of the first byte
-	EndOffset   int64 // in the stream, behind the last byte
+	UntilClose  bool  // response body that ends with the connection (RFC 9112, section 6.3, rule 8)
+	Offset      int64 // offset of the first byte in the stream
+	EndOffset   int64 // offset after the last byte in the stream
 	FirstPacket int64
 	LastPacket  int64
-	Began       time.Time  // of the packet with the first byte
-	Ended       time.Time  // of the packet with the last byte
-	Interim     []*Message // the 1xx responses before a response
+	Began       time.Time  // time of the packet with the first byte
+	Ended       time.Time  // time of the packet with the last byte
+	Interim     []*Message // 1xx responses before a final response
 }
 
-// FieldValue returns the first value of a field, or an empty string. The name's case is ignored.
+// FieldValue returns the first value of a field, or an empty string. The case of the name is
+// ignored.
 func (m *Message) FieldValue(name string) string {
 	for _, field := range m.Header {
 		if strings.EqualFold(field.Name, name) {
--- a/internal/pcap/http/reader.go
+++ b/internal/pcap/http/reader.go
@@ -6,28 +6,30 @@
 	"fernlanding/internal/pcap/flow"
 )
 
-// Exchange is a request and its response, as far as they were seen complete.
+// Exchange is a request and its response. Each is nil if it was not captured completely.
 type Exchange struct {
 	Flow     *flow.Flow
-	Number   int      // of the request on its connection, from 0; -1 without a request
-	Request  *Message // nil: none was seen for the response
-	Response *Message // nil: none was seen
+	Number   int      // index of the request on its connection, from 0; -1 without a request
+	Request  *Message // nil if no request was captured for the response
+	Response *Message // nil if no response was captured
 }
 
-// Sink takes what a Reader finds.
+// Sink receives the results of a Reader.
 type Sink interface {
-	// Exchange takes a request with its response, in the order of the responses. One without its
-	// counterpart comes at the end of its flow. The bodies are the sink's to remove.
+	// Exchange receives a request with its response, in the order of the responses. A message without
+	// a counterpart is reported at the end of its flow, or earlier if too many messages are unpaired.
+	// The sink owns the bodies, and removes them.
 	Exchange(exchange *Exchange)
-	// StreamFault takes a fault of one direction of a flow.
+	// StreamFault reports a fault of one direction of a flow.
 	StreamFault(f *flow.Flow, dir flow.Direction, fault Fault)
-	// SegmentFault takes a fault of a flow's segments.
+	// SegmentFault reports a fault of the segments of a flow.
 	SegmentFault(fault flow.Fault)
-	// FlowEnded takes the end of a flow.
+	// FlowEnded reports the end of a flow.
 	FlowEnded(f *flow.Flow, reason flow.EndReason)
 }
 
-// Reader reads HTTP/1.1 from flows. It is a [flow.Sink], and not safe for concurrent use.
+// Reader parses the HTTP/1.1 messages of flows. It implements [flow.Sink]. A Reader is not safe for
+// concurrent use.
 type Reader struct {
 	limits Limits
 	bodies Store
@@ -35,21 +37,22 @@
 	counts ByteCounts
 }
 
-// NewReader returns a Reader that reports to a sink. Without a Store, all bodies stay in memory.
+// NewReader returns a Reader that reports to a sink. If bodies is nil, all bodies stay in memory.
 func NewReader(limits Limits, bodies Store, sink Sink) *Reader {
 	return &Reader{limits: limits.withDefaults(), bodies: bodies, sink: sink}
 }
 
-// ByteCounts returns what became of all bytes of the flows that have ended.
+// ByteCounts returns the counts of all bytes. The bytes of an incomplete message or fault are
+// included in Bytes only.
 func (r *Reader) ByteCounts() ByteCounts { return r.counts }
 
 // Opened implements flow.Sink.
 func (r *Reader) Opened(f *flow.Flow) { f.Data = newConnection(r, f) }
 
-// connectionOf returns the connection that Opened set as the flow's data.
+// connectionOf returns the connection of a flow, which Opened has stored in Flow.Data.
 func (r *Reader) connectionOf(f *flow.Flow) *connection {
 	conn, ok := f.Data.(*connection)
-	if !ok { // nothing else sets a flow's data, and an Assembler opens a flow first
+	if !ok { // unreachable: nothing else sets Flow.Data, and an Assembler calls Opened first
 		conn = newConnection(r, f)
 		f.Data = conn
 	}
@@ -71,7 +74,7 @@
 
 // Finished implements flow.Sink.
 func (r *Reader) Finished(f *flow.Flow, dir flow.Direction) {
-	r.connectionOf(f).halves[dir].end(true, "its sender closed")
+	r.connectionOf(f).halves[dir].end(true, "sender closed the connection")
 }
 
 // Fault implements flow.Sink.
--- a/internal/pcap/http/reader_test.go
+++ b/internal/pcap/http/reader_test.go
@@ -10,19 +10,19 @@
 	"fernlanding/internal/pcap/flow"
 )
 
-// recorder is a Sink that writes down what is reported to it.
+// recorder is a Sink that records what is reported to it.
 type recorder struct{ lines []string }
 
-func (r *recorder) note(format string, a ...any) {
+func (r *recorder) record(format string, a ...any) {
 	r.lines = append(r.lines, fmt.Sprintf(format, a...))
 }
 
-func (r *recorder) SegmentFault(fault flow.Fault) { r.note("%s", fault.Kind) }
+func (r *recorder) SegmentFault(fault flow.Fault) { r.record("%s", fault.Kind) }
 
-func (r *recorder) FlowEnded(_ *flow.Flow, reason flow.EndReason) { r.note("done %s", reason) }
+func (r *recorder) FlowEnded(_ *flow.Flow, reason flow.EndReason) { r.record("done %s", reason) }
 
 func (r *recorder) StreamFault(_ *flow.Flow, dir flow.Direction, fault Fault) {
-	r.note("%s %d at %d: %d", fault.Kind, dir, fault.Offset, fault.Bytes)
+	r.record("%s %d at %d: %d", fault.Kind, dir, fault.Offset, fault.Bytes)
 }
 
 func (r *recorder) Exchange(e *Exchange) {
@@ -35,16 +35,17 @@
 		body, _ := e.Response.Body.Bytes()
 		response = fmt.Sprintf("%d %q +%d", e.Response.StatusCode, body, len(e.Response.Interim))
 	}
-	r.note("%s > %s", request, response)
+	r.record("%s > %s", request, response)
 }
 
-// has reports whether a line was written down.
+// has reports whether a line was recorded.
 func (r *recorder) has(line string) bool {
 	return strings.Contains("\n"+strings.Join(r.lines, "\n")+"\n", "\n"+line+"\n")
 }
 
-// playConnection plays what both ends send, "<" before what the server sends, in segments of a
-// size. Both streams end by their FIN, or are broken for the given reason.
+// playConnection passes the data that both endpoints of a connection send to a Reader, in segments
+// of a fixed size. Data that begins with "<" is sent by the server. Both streams end with a FIN, or
+// are broken with the given reason.
 func playConnection(sink Sink, limits Limits, segmentSize int, brokenBy string, sent ...string) ByteCounts {
 	reader := NewReader(limits, nil, sink)
 	f := &flow.Flow{ID: 1, Addresses: [2]netip.AddrPort{
@@ -81,7 +82,7 @@
 	ok   = "<HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 )
 
-// connectionCase is a connection, and what is reported of it.
+// connectionCase is a connection and the expected report of it.
 type connectionCase struct {
 	sent     []string
 	brokenBy string
@@ -96,7 +97,7 @@
 			counts := playConnection(sink, c.limits, segmentSize, c.brokenBy, c.sent...)
 			for _, line := range c.want {
 				if !sink.has(line) {
-					t.Errorf("%s, segments of %d: %q is not in %q", name, segmentSize, line, sink.lines)
+					t.Errorf("%s, segments of %d bytes: %q is not in %q", name, segmentSize, line, sink.lines)
 				}
 			}
 			total := int64(0)
@@ -104,7 +105,7 @@
 				total += int64(len(strings.TrimPrefix(data, "<")))
 			}
 			if counts.Sum() != counts.Bytes || counts.Bytes != total {
-				t.Errorf("%s, segments of %d: %+v of %d bytes", name, segmentSize, counts, total)
+				t.Errorf("%s, segments of %d bytes: counts %+v of %d bytes", name, segmentSize, counts, total)
 			}
 		}
 	}
@@ -117,11 +118,11 @@
 		"POST /c HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
 		"HTTP/1.1 100 C\r\n\r\nHTTP/1.1 101 S\r\n\r\nxx", uint8(200))
 	f.Fuzz(func(t *testing.T, request, response string, segmentSize uint8) {
-		request = strings.TrimLeft(request, "<") // which stands for the server in playConnection
+		request = strings.TrimLeft(request, "<") // "<" marks the data of the server in playConnection
 		limits := Limits{Head: 256, Memory: 64, Body: 1024, Unpaired: 4}
 		counts := playConnection(&recorder{}, limits, int(segmentSize)+1, "", request, "<"+response)
 		if counts.Sum() != counts.Bytes || counts.Bytes != int64(len(request)+len(response)) {
-			t.Errorf("%+v of %d bytes", counts, len(request)+len(response))
+			t.Errorf("counts %+v of %d bytes", counts, len(request)+len(response))
 		}
 	})
 }
--- a/internal/pcap/inject_test.go
+++ b/internal/pcap/inject_test.go
@@ -7,7 +7,7 @@
 	"fernlanding/internal/pcap/synth"
 )
 
-// injectedFault is a kind of fault that is made of a connection's segments.
+// injectedFault is a kind of fault that is injected into the segments of a connection.
 type injectedFault int
 
 const (
@@ -23,8 +23,8 @@
 	injectedFaultCount = iota
 )
 
-// injectFault makes a random fault of a connection's segments. It reports whether a reading has to
-// report the fault: order and retransmissions can be restored.
+// injectFault injects a random fault into the segments of a connection. It returns whether Read has
+// to report the fault: reordering and retransmissions can be repaired and need no report.
 func injectFault(rnd *rand.Rand, c *synth.Conn) (mustBeReported bool) {
 	var withData []int
 	for i, p := range c.Parts {
@@ -35,7 +35,7 @@
 	if withData == nil {
 		return false
 	}
-	// No part is altered twice, lest one fault undo another.
+	// No part is altered twice, since one fault could undo another.
 	pick := func() int {
 		i := withData[rnd.IntN(len(withData))]
 		c.Parts[i].Altered = true
@@ -46,7 +46,7 @@
 		i := pick()
 		c.Parts = slices.Delete(c.Parts, i, i+1)
 		return true
-	case retransmittedSegment: // at once or late
+	case retransmittedSegment: // immediately or later
 		i := pick()
 		c.Parts = slices.Insert(c.Parts, i+1+rnd.IntN(len(c.Parts)-i), c.Parts[i])
 	case outOfOrderSegment:
@@ -54,7 +54,7 @@
 		p := c.Parts[i]
 		j := min(len(c.Parts)-1, i+1+rnd.IntN(4))
 		c.Parts = slices.Insert(slices.Delete(c.Parts, i, i+1), j, p)
-	case conflictingRetransmission: // at once
+	case conflictingRetransmission: // immediately
 		i := pick()
 		p := c.Parts[i]
 		p.Data = slices.Clone(p.Data)
@@ -82,8 +82,8 @@
 	return false
 }
 
-// overlapNext has the segment after one begin with the last bytes of that one. It reports whether
-// there is such a segment in the same direction.
+// overlapNext extends the segment after part i with the last bytes of part i. It reports whether
+// the next part is an unaltered data segment of the same direction.
 func overlapNext(rnd *rand.Rand, c *synth.Conn, i int) bool {
 	if i+1 >= len(c.Parts) {
 		return false
--- a/internal/pcap/packet/defragment.go
+++ b/internal/pcap/packet/defragment.go
@@ -16,34 +16,34 @@
 )
 
 const (
-	maxFragments     = 4096             // that wait; beyond it all of them are discarded
-	fragmentLifetime = 30 * time.Second // of the capture's time
-	expiryInterval   = 1024             // fragments between two searches for expired ones
+	maxFragments     = 4096             // buffered fragments; beyond the limit all of them are discarded
+	fragmentLifetime = 30 * time.Second // in capture time, since the last fragment of a datagram
+	expiryInterval   = 1024             // fragments between two scans for expired ones
 )
 
-var errFragment = errors.New("a fragment that makes no sense")
+var errFragment = errors.New("invalid IP fragment")
 
-// datagramKey is what the fragments of one datagram have in common (RFC 791, section 2.3; RFC 8200,
+// datagramKey identifies the datagram that a fragment belongs to (RFC 791, section 2.3; RFC 8200,
 // section 4.5).
 type datagramKey struct {
 	src, dst netip.Addr
 	id       uint32
 }
 
-// incompleteDatagram is a datagram whose fragments wait for the rest.
+// incompleteDatagram is a datagram of which fragments are still missing.
 type incompleteDatagram struct {
-	fragments int
-	last      time.Time // of the last fragment
+	fragments int       // number of buffered fragments
+	last      time.Time // capture time of the last fragment
 }
 
-// fragmentTable reassembles datagrams, and counts the fragments that wait.
+// fragmentTable reassembles datagrams and counts the buffered fragments.
 type fragmentTable struct {
 	ipv4       *ip4defrag.IPv4Defragmenter
 	ipv6       *ip6defrag.IPv6Defragmenter
 	incomplete map[datagramKey]*incompleteDatagram
-	waiting    int   // fragments
-	discarded  int64 // fragments
-	added      int   // fragments so far
+	waiting    int   // number of buffered fragments
+	discarded  int64 // number of discarded fragments
+	added      int   // number of fragments that have been buffered so far
 }
 
 // newFragmentTable returns an empty table.
@@ -53,18 +53,18 @@
 	return t
 }
 
-// discardAll discards the fragments that wait.
+// discardAll discards all buffered fragments.
 func (t *fragmentTable) discardAll() {
 	t.ipv4, t.ipv6 = ip4defrag.NewIPv4Defragmenter(), ip6defrag.NewIPv6Defragmenter()
 	t.discarded += int64(t.waiting)
 	t.incomplete, t.waiting = map[datagramKey]*incompleteDatagram{}, 0
 }
 
-// discardedAndWaiting returns the number of fragments that joined no datagram so far.
+// discardedAndWaiting returns the number of fragments that are part of no reassembled datagram.
 func (t *fragmentTable) discardedAndWaiting() int64 { return t.discarded + int64(t.waiting) }
 
-// add counts a fragment that waits. It discards expired ones from time to time, and all of them
-// where too many wait.
+// add counts a buffered fragment. After every expiryInterval fragments it discards the expired
+// ones, and above maxFragments it discards all of them.
 func (t *fragmentTable) add(key datagramKey, now time.Time) {
 	datagram := t.incomplete[key]
 	if datagram == nil {
@@ -83,7 +83,7 @@
 	}
 }
 
-// discardOlderThan discards the datagrams whose last fragment came before a time.
+// discardOlderThan discards the datagrams whose last fragment was captured before oldest.
 func (t *fragmentTable) discardOlderThan(oldest time.Time) {
 	t.ipv4.DiscardOlderThan(oldest)
 	t.ipv6.DiscardOlderThan(oldest)
@@ -95,7 +95,7 @@
 	}
 }
 
-// remove removes the fragments of a datagram from those that wait.
+// remove stops counting the buffered fragments of a datagram.
 func (t *fragmentTable) remove(key datagramKey) {
 	if datagram := t.incomplete[key]; datagram != nil {
 		t.waiting -= datagram.fragments
@@ -103,7 +103,7 @@
 	}
 }
 
-// joinIPv4 adds an IPv4 fragment, and decodes the datagram if that completes it.
+// joinIPv4 adds the decoded IPv4 fragment, and decodes its datagram if it is now complete.
 func (d *Decoder) joinIPv4(s *flow.Segment) (Kind, error) {
 	ip := d.ipv4
 	ip.Payload = bytes.Clone(ip.Payload)
@@ -122,7 +122,7 @@
 	return d.decodeJoined(layers.LayerTypeIPv4, joined.Protocol, joined.Payload, s)
 }
 
-// joinIPv6 adds an IPv6 fragment, and decodes the datagram if that completes it.
+// joinIPv6 adds the decoded IPv6 fragment, and decodes its datagram if it is now complete.
 func (d *Decoder) joinIPv6(s *flow.Segment) (Kind, error) {
 	ip, fragment := d.ipv6, d.ipv6Fragment
 	ip.SrcIP, ip.DstIP = bytes.Clone(ip.SrcIP), bytes.Clone(ip.DstIP)
@@ -138,7 +138,7 @@
 	return d.decodeJoined(layers.LayerTypeIPv6, joined.NextHeader, joined.Payload, s)
 }
 
-// decodeJoined sets the segment from the payload of a complete datagram. Nothing of it is missing.
+// decodeJoined sets s from the payload of a reassembled datagram, which has no missing bytes.
 func (d *Decoder) decodeJoined(
 	ip gopacket.LayerType, protocol layers.IPProtocol, payload []byte, s *flow.Segment,
 ) (Kind, error) {
@@ -147,7 +147,7 @@
 	}
 	err := d.parsers[layers.LayerTypeTCP].DecodeLayers(payload, &d.decoded)
 	if err != nil || len(d.decoded) == 0 {
-		return Malformed, fmt.Errorf("cannot be decoded when put together: %w", err)
+		return Malformed, fmt.Errorf("decode reassembled datagram: %w", err)
 	}
 	d.fillSegment(ip, s)
 	d.dropResetPayload(s)
--- a/internal/pcap/packet/packet.go
+++ b/internal/pcap/packet/packet.go
@@ -1,6 +1,6 @@
-// Package packet finds the TCP segment in a captured packet: Ethernet with VLAN tags (also
-// stacked), Linux cooked captures of both versions, loopback and raw IP; IPv4 and IPv6 with
-// extension headers and fragments.
+// Package packet decodes the TCP segment of a captured packet. It supports Ethernet with VLAN tags
+// (also stacked), Linux cooked captures of both versions, loopback and raw IP, and IPv4 and IPv6
+// with extension headers and fragments.
 package packet
 
 import (
@@ -14,38 +14,38 @@
 	"github.com/gopacket/gopacket/layers"
 )
 
-// Kind says what a packet holds.
+// Kind is the kind of a decoded packet.
 type Kind int
 
 // The kinds of packet.
 const (
-	Segment   Kind = iota // of TCP
-	Other                 // of another protocol
-	Fragment              // of an IP datagram that is incomplete
-	Malformed             // not decodable, or cut before its TCP header ends
+	Segment   Kind = iota // TCP segment
+	Other                 // packet of another protocol
+	Fragment              // fragment of an IP datagram that is still incomplete
+	Malformed             // packet that cannot be decoded, or that is truncated before the end of its TCP header
 )
 
-// Two numbers for raw IP that libpcap uses on some systems, beside layers.LinkTypeRaw.
+// Link types for raw IP that libpcap uses on some systems, in addition to layers.LinkTypeRaw.
 const (
 	linkTypeRawBSD     layers.LinkType = 12
 	linkTypeRawOpenBSD layers.LinkType = 14
 )
 
-// DecodeError is the error of a malformed packet.
+// DecodeError reports a malformed packet.
 type DecodeError struct {
-	Packet int64
+	Packet int64 // number in the capture, from 1
 	Err    error
 }
 
 // Error implements error.
 func (e *DecodeError) Error() string { return fmt.Sprintf("packet %d: %v", e.Packet, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// Decoder decodes packets. It is not safe for concurrent use.
+// Decoder decodes packets and reassembles IP fragments. A Decoder is not safe for concurrent use.
 type Decoder struct {
-	parsers map[gopacket.LayerType]*gopacket.DecodingLayerParser // by the first layer
+	parsers map[gopacket.LayerType]*gopacket.DecodingLayerParser // by first layer
 	decoded []gopacket.LayerType
 
 	ethernet      layers.Ethernet
@@ -76,7 +76,7 @@
 		parser := gopacket.NewDecodingLayerParser(first,
 			&d.ethernet, &d.vlan, &d.sll, &d.sll2, &d.loopback,
 			&d.ipv4, &d.ipv6, &d.ipv6Fragment, &d.ipv6Extension, &d.tcp, &d.payload)
-		// Added again, since the skipper would take a fragment header for any other extension.
+		// ipv6Fragment is added again after ipv6Extension, which otherwise skips fragment headers.
 		parser.AddDecodingLayer(&d.ipv6Fragment)
 		parser.IgnoreUnsupported = true
 		d.parsers[first] = parser
@@ -84,12 +84,12 @@
 	return d
 }
 
-// DiscardedFragments returns the number of fragments that were discarded, with those that still
-// wait for the rest of their datagram.
+// DiscardedFragments returns the number of fragments that were discarded, plus those whose datagram
+// is still incomplete.
 func (d *Decoder) DiscardedFragments() int64 { return d.fragments.discardedAndWaiting() }
 
-// Decode sets the segment from a packet; its payload is valid as long as the packet's data. The
-// error says why a packet is Malformed, and is nil for the other kinds.
+// Decode decodes a packet into s. The payload of s is valid as long as the packet's data. The error
+// is the reason for which a packet is Malformed, and nil for the other kinds.
 func (d *Decoder) Decode(p *capture.Packet, s *flow.Segment) (Kind, error) {
 	first, err := firstLayer(p)
 	if err != nil {
@@ -97,12 +97,12 @@
 	}
 	s.Packet, s.Time = p.Number, p.Time
 	if err := d.parsers[first].DecodeLayers(p.Data, &d.decoded); err != nil {
-		return Malformed, fmt.Errorf("cannot be decoded: %w", err)
+		return Malformed, fmt.Errorf("decode layers: %w", err)
 	}
 	return d.decodeIP(s)
 }
 
-// firstLayer returns the layer that a packet begins with.
+// firstLayer returns the type of the outermost layer of a packet.
 func firstLayer(p *capture.Packet) (gopacket.LayerType, error) {
 	switch p.Link {
 	case layers.LinkTypeEthernet:
@@ -119,12 +119,12 @@
 		}
 		return layers.LayerTypeIPv4, nil
 	default:
-		return 0, fmt.Errorf("found link type %d, expected Ethernet, Linux cooked, loopback or raw IP", p.Link)
+		return 0, fmt.Errorf("unsupported link type %d: expected Ethernet, Linux cooked, loopback or raw IP", p.Link)
 	}
 }
 
-// decodeIP sets the segment from the decoded layers. A packet within another one is a tunnel, and
-// counts as of another protocol.
+// decodeIP sets s from the decoded layers. A packet with a second IP header is tunneled, and its
+// kind is Other.
 func (d *Decoder) decodeIP(s *flow.Segment) (Kind, error) {
 	var ip gopacket.LayerType
 	isIPv6Fragment := false
@@ -156,7 +156,7 @@
 	return Other, nil
 }
 
-// fillSegment sets the segment from the IP and TCP headers.
+// fillSegment sets s from the decoded IP and TCP headers.
 func (d *Decoder) fillSegment(ip gopacket.LayerType, s *flow.Segment) {
 	var src, dst netip.Addr
 	if ip == layers.LayerTypeIPv4 {
@@ -170,8 +170,8 @@
 	s.Payload, s.Missing = d.tcp.Payload, 0
 }
 
-// missingBytes returns how many bytes of the payload the snap length cut off, by the length in the
-// IP header.
+// missingBytes returns the number of payload bytes that the snap length cut off, computed from the
+// length in the IP header.
 func (d *Decoder) missingBytes(ip gopacket.LayerType) int {
 	var payloadBytes int
 	if ip == layers.LayerTypeIPv4 {
@@ -182,14 +182,15 @@
 	return max(0, payloadBytes-len(d.tcp.Payload))
 }
 
-// dropResetPayload drops the text of a RST, which is no data (RFC 9293, section 3.5.3).
+// dropResetPayload removes the payload of a RST, which is explanatory text and not stream data
+// (RFC 9293, section 3.5.3).
 func (d *Decoder) dropResetPayload(s *flow.Segment) {
 	if s.RST {
 		s.Payload, s.Missing = nil, 0
 	}
 }
 
-// addrOf returns the address of a header's bytes; the decoder has checked their length.
+// addrOf returns the address in a header field, whose length the decoder has checked.
 func addrOf(b []byte) netip.Addr {
 	addr, _ := netip.AddrFromSlice(b)
 	return addr
--- a/internal/pcap/packet/packet_test.go
+++ b/internal/pcap/packet/packet_test.go
@@ -40,21 +40,22 @@
 	}
 }
 
-// Extension headers before the segment are skipped (RFC 8200, section 4), and fragments are joined.
+// Extension headers before the TCP header are skipped (RFC 8200, section 4), and fragments are
+// reassembled in any order.
 func TestIPv6ExtensionsAndFragments(t *testing.T) {
 	decoder := New()
 	var s flow.Segment
-	// A destination option of six bytes of padding, then TCP.
+	// The destination options header holds one PadN option of six bytes and is followed by TCP.
 	option := gopacket.Payload{byte(layers.IPProtocolTCP), 0, 1, 4, 0, 0, 0, 0}
 	data := serialize(t,
 		ipv6Header(layers.IPProtocolIPv6Destination), option, tcpHeader(), gopacket.Payload("hello"))
 	kind, err := decoder.Decode(rawIPPacket(data, 1), &s)
 	if kind != Segment || err != nil || string(s.Payload) != "hello" || s.Missing != 0 || s.Seq != 77 {
-		t.Errorf("behind an option: %v, %v, %+v", kind, err, s)
+		t.Errorf("after a destination options header: kind %v, error %v, segment %+v", kind, err, s)
 	}
 	kind, err = decoder.Decode(rawIPPacket(data[:len(data)-2], 2), &s)
 	if kind != Segment || err != nil || string(s.Payload) != "hel" || s.Missing != 2 {
-		t.Errorf("cut: %v, %v, %+v", kind, err, s)
+		t.Errorf("truncated packet: kind %v, error %v, segment %+v", kind, err, s)
 	}
 	datagram := serialize(t, tcpHeader(), gopacket.Payload("hello, this is a longer one"))
 	fragment := func(from, to int, more byte) []byte {
@@ -63,16 +64,18 @@
 	}
 	kind, _ = decoder.Decode(rawIPPacket(fragment(24, len(datagram), 0), 3), &s)
 	if kind != Fragment || decoder.DiscardedFragments() != 1 {
-		t.Errorf("the last fragment first: %v, %d wait", kind, decoder.DiscardedFragments())
+		t.Errorf("last fragment first: kind %v, %d fragments buffered", kind, decoder.DiscardedFragments())
 	}
 	kind, err = decoder.Decode(rawIPPacket(fragment(0, 24, 1), 4), &s)
 	if kind != Segment || err != nil || string(s.Payload) != "hello, this is a longer one" ||
 		decoder.DiscardedFragments() != 0 {
-		t.Errorf("joined: %v, %v, %+v, %d wait", kind, err, s, decoder.DiscardedFragments())
+		t.Errorf("reassembled datagram: kind %v, error %v, segment %+v, %d fragments buffered",
+			kind, err, s, decoder.DiscardedFragments())
 	}
 }
 
-// Fragments of incomplete datagrams are discarded and counted, and no more than the limit wait.
+// Fragments of incomplete datagrams are discarded and counted, and the number of buffered fragments
+// stays within the limit.
 func TestIncompleteDatagramsAreDiscarded(t *testing.T) {
 	decoder := New()
 	var s flow.Segment
@@ -83,18 +86,18 @@
 		}
 		data := serialize(t, ip, gopacket.Payload(make([]byte, 64)))
 		if kind, _ := decoder.Decode(rawIPPacket(data, int64(i)), &s); kind != Fragment {
-			t.Fatalf("fragment %d: %v", i, kind)
+			t.Fatalf("fragment %d: got kind %v", i, kind)
 		}
 		if decoder.fragments.waiting > maxFragments {
-			t.Fatalf("%d fragments wait", decoder.fragments.waiting)
+			t.Fatalf("%d fragments buffered, limit %d", decoder.fragments.waiting, maxFragments)
 		}
 	}
 	if decoder.DiscardedFragments() != 3*maxFragments {
-		t.Errorf("%d fragments are counted, of %d", decoder.DiscardedFragments(), 3*maxFragments)
+		t.Errorf("DiscardedFragments() = %d, want %d", decoder.DiscardedFragments(), 3*maxFragments)
 	}
 }
 
-// Other protocols are not malformed; an unknown link type is.
+// A packet of another protocol is not malformed. A packet of an unknown link type is malformed.
 func TestOtherAndMalformedPackets(t *testing.T) {
 	decoder := New()
 	var s flow.Segment
@@ -108,15 +111,15 @@
 		packet *capture.Packet
 		want   Kind
 	}{
-		"UDP":         {rawIPPacket(udp, 1), Other},
-		"ARP":         {&capture.Packet{Link: layers.LinkTypeEthernet, Data: arp}, Other},
-		"empty":       {rawIPPacket(nil, 1), Malformed},
-		"cut head":    {rawIPPacket(udp[:20], 1), Malformed},
-		"half a TCP":  {rawIPPacket(shortTCP, 1), Malformed},
-		"other links": {&capture.Packet{Link: 195, Data: udp}, Malformed},
+		"UDP":                  {rawIPPacket(udp, 1), Other},
+		"ARP":                  {&capture.Packet{Link: layers.LinkTypeEthernet, Data: arp}, Other},
+		"empty":                {rawIPPacket(nil, 1), Malformed},
+		"truncated IP header":  {rawIPPacket(udp[:20], 1), Malformed},
+		"truncated TCP header": {rawIPPacket(shortTCP, 1), Malformed},
+		"unknown link type":    {&capture.Packet{Link: 195, Data: udp}, Malformed},
 	} {
 		if kind, err := decoder.Decode(c.packet, &s); kind != c.want || (err != nil) != (c.want == Malformed) {
-			t.Errorf("%s: %v, %v", name, kind, err)
+			t.Errorf("%s: got kind %v and error %v, want kind %v", name, kind, err, c.want)
 		}
 	}
 }
--- a/internal/pcap/pcap.go
+++ b/internal/pcap/pcap.go
@@ -1,6 +1,6 @@
-// Package pcap reads the HTTP/1.1 traffic of a capture file: packets to segments, segments to
-// flows, flows to requests and their responses. Each step counts what it takes and what became of
-// it, so that nothing is lost unnoticed.
+// Package pcap reads the HTTP/1.1 traffic of a capture file. It decodes packets to segments,
+// reassembles segments to flows, and parses requests and responses from flows. Each stage counts
+// its input and the outcome of the input, so that no loss remains undetected.
 package pcap
 
 import (
@@ -14,20 +14,19 @@
 	"fernlanding/internal/pcap/packet"
 )
 
-// Options are the limits of a reading, and where parts of it go. The zero value is valid.
+// Options are the limits and the destinations of Read. The zero value is valid.
 type Options struct {
 	Flow        flow.Limits
 	HTTP        http.Limits
-	Bodies      http.Store                // of bodies too large for memory; nil: all stay in memory
-	OnMalformed func(*packet.DecodeError) // is called for each malformed packet; may be nil
+	Bodies      http.Store                // store of large bodies; nil means that all bodies stay in memory
+	OnMalformed func(*packet.DecodeError) // called for each malformed packet; may be nil
 }
 
-// contextCheckInterval is in packets.
-const contextCheckInterval = 4096
+const contextCheckInterval = 4096 // packets between two checks of the context
 
-// Read reads a capture and reports what it holds to a sink. A file that breaks off is read as far
-// as possible, and the Summary says so. An error means that the file is no capture, or that the
-// context ended.
+// Read reads a capture file and reports its contents to a sink. A truncated or damaged file is read
+// as far as possible, and the Summary contains the reason. An error means that the file is not a
+// capture file, or that the context ended.
 func Read(ctx context.Context, file io.Reader, opts Options, sink http.Sink) (*Summary, error) {
 	packets, err := capture.Open(file)
 	if err != nil {
@@ -50,7 +49,7 @@
 	return summary, nil
 }
 
-// reading is a capture on its way from packets to flows.
+// reading is the state of one call of Read.
 type reading struct {
 	onMalformed func(*packet.DecodeError) // may be nil
 	decoder     *packet.Decoder
@@ -59,24 +58,24 @@
 	segment     flow.Segment // reused for each packet
 }
 
-// readPackets reads all packets, up to the end of the file or to where it cannot be read further.
-// It returns an error only if the context ends.
+// readPackets reads all packets, up to the end of the file or to the first packet that cannot be
+// read. It returns an error only if the context ends.
 func (r *reading) readPackets(ctx context.Context, packets *capture.Reader) error {
 	for {
 		next, err := packets.Next()
 		if err != nil {
 			r.summary.setReadError(err)
-			return nil // what was read before it counts
+			return nil // the packets before the error are valid
 		}
 		if r.summary.Packets%contextCheckInterval == 0 && ctx.Err() != nil {
-			return fmt.Errorf("pcap: at packet %d: %w", next.Number, ctx.Err())
+			return fmt.Errorf("pcap: read interrupted at packet %d: %w", next.Number, ctx.Err())
 		}
 		r.summary.addTime(next.Time)
 		r.addPacket(&next)
 	}
 }
 
-// addPacket decodes a packet, counts it, and hands on its segment.
+// addPacket decodes a packet, counts it, and passes its segment to the assembler.
 func (r *reading) addPacket(p *capture.Packet) {
 	r.summary.Packets++
 	kind, err := r.decoder.Decode(p, &r.segment)
--- a/internal/pcap/pcap_test.go
+++ b/internal/pcap/pcap_test.go
@@ -17,9 +17,8 @@
 	"github.com/gopacket/gopacket/pcapgo"
 )
 
-// Captures with all kinds of faults, mixed: each request that is complete in the packets is read
-// byte for byte, each flow with a fault that cannot be restored is reported, and every byte is
-// accounted for.
+// In captures with random faults of all kinds, each message that is complete in the packets is read
+// byte for byte, each flow with an irreparable fault is reported, and every byte is accounted for.
 func TestCompleteMessagesAreReadByteForByte(t *testing.T) {
 	for seed := range uint64(500) {
 		rnd := rand.New(rand.NewPCG(seed, 15))
@@ -39,13 +38,13 @@
 		file := encodeFile(t, fileFormat(seed%uint64(fileFormatCount)), link, interleave(t, rnd, conns))
 		sink, summary := readCapture(t, file)
 		if !summary.Complete() || summary.Malformed > 0 || summary.DiscardedFragments > 0 {
-			t.Errorf("seed %d: %+v", seed, summary)
+			t.Errorf("seed %d: got summary %+v, want a complete one without malformed packets", seed, summary)
 		}
 		exchanges, faults := sink.byRequestID(), sink.faultsByClient()
 		for _, g := range conns {
 			checkMessages(t, seed, g, exchanges, sink.bodies)
 			if mustBeReported[g.conn.Client] && faults[g.conn.Client] == 0 {
-				t.Fatalf("seed %d: no fault of %v is reported, which has one", seed, g.conn.Client)
+				t.Fatalf("seed %d: no fault of client %v is reported, want at least one", seed, g.conn.Client)
 			}
 		}
 		if t.Failed() {
@@ -54,7 +53,7 @@
 	}
 }
 
-// byRequestID returns the exchanges by the id of their request.
+// byRequestID returns the exchanges by request ID.
 func (r *recorder) byRequestID() map[string]*http.Exchange {
 	exchanges := map[string]*http.Exchange{}
 	for _, e := range r.exchanges {
@@ -65,7 +64,8 @@
 	return exchanges
 }
 
-// faultsByClient returns, by client, a number that is 0 for a client without faults.
+// faultsByClient returns a number for each client that is 0 if and only if the client has no
+// faults.
 func (r *recorder) faultsByClient() map[netip.AddrPort]int {
 	faults := map[netip.AddrPort]int{}
 	for _, e := range r.exchanges {
@@ -77,7 +77,7 @@
 	return faults
 }
 
-// checkMessages checks that the messages of a connection that are complete in its packets have been
+// checkMessages checks that all messages that are complete in the packets of a connection were
 // read.
 func checkMessages(
 	t *testing.T, seed uint64, g *generatedConn, exchanges map[string]*http.Exchange, bodies map[*http.Message]string,
@@ -92,20 +92,21 @@
 		id, _, _ := strings.Cut(rest, "\r\n")
 		e := exchanges[id]
 		if e == nil {
-			t.Fatalf("seed %d: request %s is complete up to %d of %d, and was not read",
+			t.Fatalf("seed %d: request %s was not read: it ends at byte %d of %d contiguous ones",
 				seed, id, request.end, contiguous[0])
 		}
 		if bodies[e.Request] != request.body || !strings.HasPrefix(request.text, string(e.Request.RawHead)) {
-			t.Fatalf("seed %d: request %s was changed", seed, id)
+			t.Fatalf("seed %d: request %s was read with another head or body", seed, id)
 		}
 		response := g.responses[n]
 		if response.end <= contiguous[1] && (e.Response == nil || bodies[e.Response] != response.body) {
-			t.Fatalf("seed %d: the response to %s was changed or not read", seed, id)
+			t.Fatalf("seed %d: the response to %s was not read, or was read with another body", seed, id)
 		}
 	}
 }
 
-// A file that is cut anywhere is read up to there, and the summary says so.
+// A file that is truncated at any byte is read up to that byte, and the summary says that the file
+// is incomplete.
 func TestTruncatedFileIsReadAsFarAsPossible(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	g := generateConn(rnd, 1)
@@ -123,24 +124,24 @@
 				t.Errorf("format %d, %d bytes: %v", format, n, err)
 			}
 			if summary.Packets < lastPackets {
-				t.Errorf("format %d, %d bytes: %d packets, with fewer bytes %d",
+				t.Errorf("format %d, %d bytes: got %d packets, want at least the %d packets of a shorter prefix",
 					format, n, summary.Packets, lastPackets)
 			}
 			lastPackets = summary.Packets
 			if summary.Complete() && summary.Packets == int64(len(packets)) {
-				t.Errorf("format %d: %d of %d bytes are read as the complete file", format, n, len(data))
+				t.Errorf("format %d: %d of %d bytes were read as a complete file", format, n, len(data))
 			}
 		}
 	}
 	for _, noCapture := range []string{"", "abc", "no capture at all", "\x1f\x8bno gzip"} {
 		_, err := Read(context.Background(), strings.NewReader(noCapture), Options{}, newRecorder())
 		if err == nil || !strings.Contains(err.Error(), "capture: ") {
-			t.Errorf("%q: %v", noCapture, err)
+			t.Errorf("input %q: got error %v", noCapture, err)
 		}
 	}
 }
 
-func TestReadEndsWithItsContext(t *testing.T) {
+func TestReadEndsWithContext(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	g := generateConn(rnd, 1)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -148,7 +149,7 @@
 	data := encodeFile(t, pcapMicroseconds, g.conn.Link, interleave(t, rnd, []*generatedConn{g}))
 	_, err := Read(ctx, bytes.NewReader(data), Options{}, newRecorder())
 	if !errors.Is(err, context.Canceled) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want context.Canceled", err)
 	}
 }
 
@@ -173,7 +174,7 @@
 	})
 }
 
-// encodeFuzzSeed returns a pcap file of a connection.
+// encodeFuzzSeed returns a pcap file with the packets of a connection.
 func encodeFuzzSeed(f *testing.F, c *synth.Conn) []byte {
 	f.Helper()
 	var buf bytes.Buffer
--- a/internal/pcap/recorder_test.go
+++ b/internal/pcap/recorder_test.go
@@ -9,12 +9,12 @@
 	"fernlanding/internal/pcap/http"
 )
 
-// recorder is a Sink that keeps what is reported to it.
+// recorder is a Sink that records what is reported to it.
 type recorder struct {
 	exchanges     []*http.Exchange
 	bodies        map[*http.Message]string
-	streamFaults  map[int64][]http.Fault // by flow
-	segmentFaults map[int64][]flow.Fault // by flow
+	streamFaults  map[int64][]http.Fault // by flow ID
+	segmentFaults map[int64][]flow.Fault // by flow ID
 }
 
 func newRecorder() *recorder {
@@ -54,7 +54,7 @@
 	return len(r.streamFaults[flowID]) + len(r.segmentFaults[flowID])
 }
 
-// readCapture reads a capture and checks its sums.
+// readCapture reads a capture and checks the sums of its summary.
 func readCapture(t *testing.T, data []byte) (*recorder, *Summary) {
 	t.Helper()
 	sink := newRecorder()
--- a/internal/pcap/replay/capture_test.go
+++ b/internal/pcap/replay/capture_test.go
@@ -24,7 +24,7 @@
 	okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 )
 
-// recorder is a Sink that keeps exchanges and faults.
+// recorder is a Sink that records exchanges and faults.
 type recorder struct {
 	exchanges []*http.Exchange
 	faults    []string
@@ -40,10 +40,11 @@
 
 func (r *recorder) FlowEnded(*flow.Flow, flow.EndReason) {}
 
-// sentBytes is what the client and the server send over a connection.
+// sentBytes holds the bytes that the client and the server of a connection send.
 type sentBytes struct{ client, server string }
 
-// captureOf returns the exchanges of connections as if they had been captured.
+// captureOf writes connections to a capture file, and returns the exchanges that are read from the
+// file.
 func captureOf(t *testing.T, conns ...sentBytes) []*http.Exchange {
 	t.Helper()
 	var buf bytes.Buffer
@@ -61,7 +62,7 @@
 	return readCapture(t, file, &buf)
 }
 
-// newCaptureFile begins a capture file in a buffer.
+// newCaptureFile returns a capture file that is written to a buffer.
 func newCaptureFile(t *testing.T, buf *bytes.Buffer) *write.File {
 	t.Helper()
 	file, err := write.New(buf, 0, "client")
@@ -71,7 +72,7 @@
 	return file
 }
 
-// readCapture returns the exchanges of a capture file, which must have no fault.
+// readCapture returns the exchanges of a capture file. A fault in the file fails the test.
 func readCapture(t *testing.T, file *write.File, buf *bytes.Buffer) []*http.Exchange {
 	t.Helper()
 	if err := file.Flush(); err != nil {
@@ -83,12 +84,12 @@
 		t.Fatal(err)
 	}
 	if err := summary.Check(); err != nil || len(sink.faults) > 0 {
-		t.Fatalf("%v, %q", err, sink.faults)
+		t.Fatalf("got error %v and faults %q, want none", err, sink.faults)
 	}
 	return sink.exchanges
 }
 
-// newPlan returns the plan of exchanges.
+// newPlan returns a plan for the exchanges.
 func newPlan(t *testing.T, opts Options, exchanges []*http.Exchange) *Plan {
 	t.Helper()
 	p, err := New(opts, 1)
--- a/internal/pcap/replay/connection.go
+++ b/internal/pcap/replay/connection.go
@@ -14,26 +14,27 @@
 	"fernlanding/internal/sleep"
 )
 
-const maxPipelined = 64 // requests of a connection without a response
+const maxPipelined = 64 // pending requests of a connection
 
-// longAgo is a deadline that ends reads and writes at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that ends reads and writes immediately.
+var pastDeadline = time.Unix(1, 0)
 
 // connection is an open connection of a replay.
 type connection struct {
 	*run
 	conn   *recordedConn
 	reader *bufio.Reader
-	ended  atomic.Bool // it can carry no further request
+	ended  atomic.Bool // no further request can be sent
 }
 
-// pendingResponse is a request that waits for its response.
+// pendingResponse is a sent request that has no response yet.
 type pendingResponse struct {
 	step   *Step
 	sentAt time.Time
 }
 
-// runSteps sends steps over one connection, at least one, and returns those that were not begun.
+// runSteps sends steps over one new connection. It begins at least one step, and returns the steps
+// that were not started.
 func (r *run) runSteps(ctx context.Context, steps []*Step) []*Step {
 	if !sleep.Until(ctx, r.start.Add(steps[0].Offset)) {
 		return nil
@@ -50,7 +51,7 @@
 		c.conn.capture = r.target.Capture.Open(0, local, r.target.Addr, time.Now())
 	}
 	defer c.conn.closeAndRecord()
-	stop := context.AfterFunc(ctx, func() { _ = raw.SetDeadline(longAgo) }) // fails only on a closed connection
+	stop := context.AfterFunc(ctx, func() { _ = raw.SetDeadline(pastDeadline) }) // fails only on a closed connection
 	defer stop()
 	c.reader = bufio.NewReader(c.conn)
 	if r.target.Pipeline {
@@ -59,8 +60,8 @@
 	return c.runSequentially(ctx, steps)
 }
 
-// runSequentially sends each step after the response to the one before. It returns the steps that
-// were not begun.
+// runSequentially sends each step after the response to the previous step. It returns the steps
+// that were not started.
 func (c *connection) runSequentially(ctx context.Context, steps []*Step) []*Step {
 	for i, step := range steps {
 		if i > 0 && !sleep.Until(ctx, c.start.Add(step.Offset)) {
@@ -73,19 +74,19 @@
 	return nil
 }
 
-// runPipelined sends each step at its offset, whether or not there are responses. It returns the
-// steps that were not begun.
+// runPipelined sends each step at its offset without waiting for responses. It returns the steps
+// that were not started.
 func (c *connection) runPipelined(ctx context.Context, steps []*Step) []*Step {
 	pending := make(chan pendingResponse, maxPipelined)
 	var receiving sync.WaitGroup
 	receiving.Go(func() { c.receiveAll(ctx, pending) })
-	begun := 0
-	for begun < len(steps) {
-		step := steps[begun]
-		if begun > 0 && (!sleep.Until(ctx, c.start.Add(step.Offset)) || c.ended.Load()) {
+	started := 0
+	for started < len(steps) {
+		step := steps[started]
+		if started > 0 && (!sleep.Until(ctx, c.start.Add(step.Offset)) || c.ended.Load()) {
 			break
 		}
-		begun++
+		started++
 		if !c.send(step) {
 			break
 		}
@@ -93,11 +94,11 @@
 	}
 	close(pending)
 	receiving.Wait()
-	return steps[begun:]
+	return steps[started:]
 }
 
-// receiveAll receives the responses of pipelined requests. After the first failure, the others have
-// no response.
+// receiveAll receives the responses of pipelined requests. After the first failure, the remaining
+// requests have no response.
 func (c *connection) receiveAll(ctx context.Context, pending <-chan pendingResponse) {
 	failed := false
 	for next := range pending {
@@ -107,13 +108,13 @@
 		}
 		if !c.receive(ctx, next) {
 			failed = true
-			_ = c.conn.Close() // ends a write that is blocked; the error would be that of a second close
+			_ = c.conn.Close() // unblocks a pending write; the error would only report a second close
 		}
 	}
 }
 
-// send writes a step's request. It reports whether that succeeded; a failure may come after the
-// last byte.
+// send writes the request of a step, and reports whether the write succeeded. A write can fail
+// after its last byte was sent.
 func (c *connection) send(step *Step) bool {
 	result := c.results[step]
 	result.Delay = max(0, time.Since(c.start)-step.Offset)
@@ -126,12 +127,12 @@
 	return true
 }
 
-// receive reads a response. It reports whether the connection can bring another one.
+// receive reads a response. It reports whether the connection can carry another response.
 func (c *connection) receive(ctx context.Context, pending pendingResponse) bool {
-	// Deadlines are set on an open connection, which cannot fail; a closed one fails the read.
+	// Setting a deadline fails only on a closed connection, on which the read fails too.
 	_ = c.conn.SetReadDeadline(time.Now().Add(c.target.Timeout))
-	if ctx.Err() != nil { // that deadline may have undone the one for the end of the context
-		_ = c.conn.SetDeadline(longAgo)
+	if ctx.Err() != nil { // the deadline may have replaced pastDeadline, set when the context ended
+		_ = c.conn.SetDeadline(pastDeadline)
 	}
 	result := c.results[pending.step]
 	response, err := c.readFinalResponse(pending.step.Method)
@@ -141,7 +142,7 @@
 		return false
 	}
 	equal, size, err := compareBodies(response.Body, pending.step.CapturedBody)
-	_ = response.Body.Close() // it was read to its end, or the connection is given up
+	_ = response.Body.Close() // the body was read to its end, or the connection is not used again
 	if err != nil {
 		result.Err = fmt.Errorf("the answer broke off: %w", err)
 		c.ended.Store(true)
@@ -156,7 +157,8 @@
 	return true
 }
 
-// readFinalResponse reads the next response that is not interim. 101 is final: it ends HTTP/1.1.
+// readFinalResponse reads the next response that is not interim. A 101 response is final, since it
+// ends HTTP/1.1 on the connection.
 func (c *connection) readFinalResponse(method string) (*nethttp.Response, error) {
 	for {
 		response, err := nethttp.ReadResponse(c.reader, &nethttp.Request{Method: method})
--- a/internal/pcap/replay/errors.go
+++ b/internal/pcap/replay/errors.go
@@ -7,34 +7,34 @@
 )
 
 var (
-	// ErrTooManyRequests is the error of a capture with more requests than Options.MaxRequests.
-	ErrTooManyRequests = errors.New("more requests than a replay takes")
+	// ErrTooManyRequests is the error of Plan.Add for requests in excess of Options.MaxRequests.
+	ErrTooManyRequests = errors.New("too many requests in the capture")
 
 	errNotSent    = errors.New("not sent: the replay was ended")
 	errNoResponse = errors.New("the connection ended before the answer")
 )
 
-// SpeedError is the error of a speed that is out of range.
+// SpeedError reports a speed that is out of range.
 type SpeedError struct {
 	Speed float64
 }
 
 // Error implements error.
 func (e *SpeedError) Error() string {
-	return fmt.Sprintf("replay: speed: found %g, expected %g to %g", e.Speed, minSpeed, maxSpeed)
+	return fmt.Sprintf("replay: invalid speed %g: expected %g to %g", e.Speed, minSpeed, maxSpeed)
 }
 
-// FieldError is the error of a field that cannot be set.
+// FieldError reports a header field that cannot be set.
 type FieldError struct {
 	Name string
 }
 
 // Error implements error.
 func (e *FieldError) Error() string {
-	return fmt.Sprintf("replay: field %.40q: it cannot be set", e.Name)
+	return fmt.Sprintf("replay: field %.40q cannot be set", e.Name)
 }
 
-// AddressError is the error of an address that a replay may not go to.
+// AddressError reports a target address that is not allowed.
 type AddressError struct {
 	Address netip.AddrPort
 }
--- a/internal/pcap/replay/options.go
+++ b/internal/pcap/replay/options.go
@@ -1,5 +1,6 @@
-// Package replay sends the requests of a capture again. A [Plan] decides what is sent, when, and
-// what is skipped; it does no I/O and reads no clock. [Plan.Run] carries it out. No request is sent
+// Package replay sends the requests of a capture again. A [Plan] determines which requests are
+// sent, when they are sent, and which are skipped. Building a plan does no I/O except for reading
+// captured bodies, and reads no clock. [Plan.Run] executes the plan. No request of a plan is sent
 // twice.
 package replay
 
@@ -10,24 +11,24 @@
 	"strings"
 )
 
-// Options direct a plan. The zero value sends the idempotent requests and those with an idempotency
-// key, as captured.
+// Options are the options of a plan. With the zero value, the idempotent requests and the requests
+// with an idempotency key are sent as captured.
 type Options struct {
-	Speed                float64 // 0 and 1: as captured; 2: twice as fast; negative: without pauses
-	ConnectionPerRequest bool    // otherwise the connections are as captured
+	Speed                float64 // 0 and 1 mean as captured, 2 twice as fast, and a negative speed without pauses
+	ConnectionPerRequest bool    // one connection for each request; otherwise as captured
 	SendNonIdempotent    bool
-	ClassField           string            // names a request's class in reports (default Request-Class)
-	IDField              string            // gets a new value in each request; empty: none does
-	NewKeys              bool              // replaces idempotency keys, equal ones by equal ones
-	Set                  map[string]string // fields by name; an empty value removes the captured field
-	Copy                 map[string]string // fields by name, and the captured field that each has its value from
+	ClassField           string            // field with the class of a request, for reports (default Request-Class)
+	IDField              string            // field that gets a new value in each request; empty means none
+	NewKeys              bool              // replace idempotency keys; equal keys stay equal
+	Set                  map[string]string // values by field name; an empty value removes the captured field
+	Copy                 map[string]string // captured field to copy the value from, by field name
 	Redact               []Redaction
-	MaxRequests          int // default 1,000,000
+	MaxRequests          int // including skipped ones (default 1,000,000)
 }
 
-// Redaction replaces what matches a pattern in the values of a field, or in bodies of up to 1 MiB
-// if Field is empty. A request with a longer body is skipped, since it might show what is to be
-// redacted.
+// Redaction replaces the matches of a pattern in the values of a field, or in bodies of up to 1 MiB
+// if Field is empty. A request with a longer body is skipped, since the body could contain data
+// that has to be redacted.
 type Redaction struct {
 	Field   string
 	Pattern *regexp.Regexp
@@ -42,7 +43,8 @@
 	maxSpeed           = 1e6
 )
 
-// withDefaults returns the options with the defaults for zero values, or what is invalid in them.
+// withDefaults returns the options with zero fields set to their defaults, or an error if an option
+// is invalid.
 func (o Options) withDefaults() (Options, error) {
 	if o.Speed == 0 {
 		o.Speed = 1
@@ -66,7 +68,7 @@
 	return o, nil
 }
 
-// setsField reports whether the options set or copy a field.
+// setsField reports whether the options set a field or copy a value to it.
 func (o *Options) setsField(name string) bool {
 	for _, fields := range []map[string]string{o.Set, o.Copy} {
 		for set := range fields {
@@ -78,7 +80,7 @@
 	return false
 }
 
-// redactsBodies reports whether a redaction is for bodies.
+// redactsBodies reports whether a redaction applies to bodies.
 func (o *Options) redactsBodies() bool {
 	return slices.ContainsFunc(o.Redact, func(r Redaction) bool { return r.Field == "" })
 }
@@ -91,8 +93,8 @@
 		!isConnectionField(name)
 }
 
-// isConnectionField reports whether a field frames a message or is about its connection. The plan
-// writes these itself.
+// isConnectionField reports whether a field concerns the framing of a message or its connection.
+// Such a field is not copied; the plan writes the framing itself.
 func isConnectionField(name string) bool {
 	fields := []string{
 		"Content-Length", "Transfer-Encoding", "Connection", "Expect", "Trailer", "Upgrade", "TE", "Keep-Alive",
@@ -101,8 +103,8 @@
 	return slices.ContainsFunc(fields, func(field string) bool { return strings.EqualFold(field, name) })
 }
 
-// CheckAddress checks that a replay may go to an address: loopback, or one of those that are
-// allowed. The error is an *AddressError.
+// CheckAddress checks that the target of a replay is a loopback address or one of the allowed
+// addresses. The error is an *AddressError.
 func CheckAddress(to netip.AddrPort, allowed []netip.AddrPort) error {
 	if to.Addr().Unmap().IsLoopback() || slices.Contains(allowed, to) {
 		return nil
--- a/internal/pcap/replay/plan.go
+++ b/internal/pcap/replay/plan.go
@@ -10,20 +10,20 @@
 	"fernlanding/internal/pcap/http"
 )
 
-// Idempotency says what a second execution of a request does.
+// Idempotency says whether a request may be executed twice.
 type Idempotency int
 
-// The kinds of request.
+// The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // GET, HEAD, OPTIONS, TRACE (RFC 9110, section 9.2.1)
-	IdempotentByKey                    // it has an Idempotency-Key
-	NonIdempotent                      // any other: a replay repeats its effect
+	IdempotentByKey                    // any other method with an Idempotency-Key
+	NonIdempotent                      // any other request: a replay repeats its effect
 )
 
-// String returns the kind's name in reports.
+// String returns the name of the kind in reports.
 func (i Idempotency) String() string { return [...]string{"safe", "keyed", "unsafe"}[i] }
 
-// idempotencyOf returns the kind of a request.
+// idempotencyOf returns the idempotency of a request.
 func idempotencyOf(request *http.Message) Idempotency {
 	switch request.Method {
 	case nethttp.MethodGet, nethttp.MethodHead, nethttp.MethodOptions, nethttp.MethodTrace:
@@ -35,44 +35,44 @@
 	return NonIdempotent
 }
 
-// Step is one request of a plan.
+// Step is one request of a plan, to be sent or skipped.
 type Step struct {
-	Connection   int           // of the replay, from 0
+	Connection   int           // number of the connection in the replay, from 0
 	Offset       time.Duration // from the start of the replay
 	Idempotency  Idempotency
 	Class        string
-	OldID        string
-	NewID        string
+	OldID        string // captured value of Options.IDField
+	NewID        string // new value of Options.IDField
 	Head         []byte // with the empty line
 	Body         http.Body
-	RedactedBody []byte // is sent instead of Body if Redacted
+	RedactedBody []byte // sent instead of Body if Redacted is true
 	Redacted     bool
 	Method       string
 	Target       string
 	Captured     Outcome
-	CapturedBody http.Body // of the response
-	SkipReason   string    // why it is not sent; empty if it is
+	CapturedBody http.Body // body of the captured response
+	SkipReason   string    // reason for which the request is not sent; empty if it is sent
 }
 
-// Outcome is what became of a request, in the capture or in the replay.
+// Outcome is the outcome of a request in the capture or in the replay.
 type Outcome struct {
-	StatusCode int // 0: no complete response
+	StatusCode int // 0 means no complete response
 	Latency    time.Duration
 }
 
-// Plan is what a replay sends. It is not safe for concurrent use.
+// Plan is a sequence of requests to replay. A Plan is not safe for concurrent use.
 type Plan struct {
 	Steps []*Step
 
 	opts           Options
 	rnd            *rand.Rand
-	connections    map[int64]int // by flow, the latest
+	connections    map[int64]int // latest connection by flow ID
 	nextConnection int
 	firstRequest   time.Time
-	newKeys        map[string]string // by captured key
+	newKeys        map[string]string // new idempotency keys by captured key
 }
 
-// New returns an empty plan, whose new ids come from the seed.
+// New returns an empty plan. New IDs and idempotency keys are generated from the seed.
 func New(opts Options, seed uint64) (*Plan, error) {
 	opts, err := opts.withDefaults()
 	if err != nil {
@@ -86,12 +86,12 @@
 	}, nil
 }
 
-// Add adds a step for the next request of a capture. The error is ErrTooManyRequests, or that of a
-// body that cannot be read.
+// Add adds a step for the next request of a capture. The error wraps ErrTooManyRequests, or is the
+// error of a body that cannot be read.
 func (p *Plan) Add(e *http.Exchange) error {
 	request := e.Request
 	if len(p.Steps) >= p.opts.MaxRequests {
-		return fmt.Errorf("replay: %w: %d", ErrTooManyRequests, p.opts.MaxRequests)
+		return fmt.Errorf("replay: %w: limit of %d", ErrTooManyRequests, p.opts.MaxRequests)
 	}
 	if len(p.Steps) == 0 {
 		p.firstRequest = request.Began
@@ -123,7 +123,7 @@
 	return p.prepare(step, request)
 }
 
-// offsetOf returns when a request is sent.
+// offsetOf returns the time at which a request is sent, from the start of the replay.
 func (p *Plan) offsetOf(request *http.Message) time.Duration {
 	if p.opts.Speed > 0 {
 		return max(0, time.Duration(float64(request.Began.Sub(p.firstRequest))/p.opts.Speed))
@@ -131,7 +131,7 @@
 	return 0
 }
 
-// connectionOf returns the connection for the next request of a flow.
+// connectionOf returns the number of the connection for the next request of a flow.
 func (p *Plan) connectionOf(flowID int64) int {
 	connection, ok := p.connections[flowID]
 	if ok && !p.opts.ConnectionPerRequest {
@@ -143,7 +143,7 @@
 	return connection
 }
 
-// newID returns a new random id.
+// newID returns a new random ID of 128 bits in hexadecimal.
 func (p *Plan) newID() string {
 	var id [16]byte
 	for i := range id {
--- a/internal/pcap/replay/plan_test.go
+++ b/internal/pcap/replay/plan_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A non-idempotent request is skipped, unless the options say that it is sent.
+// A non-idempotent request is skipped unless Options.SendNonIdempotent is set.
 func TestPlanSkipsNonIdempotentRequests(t *testing.T) {
 	exchanges := captureOf(t, sentBytes{
 		client: idempotentRequest + keyedRequest + nonIdempotentRequest,
@@ -17,12 +17,12 @@
 	steps := newPlan(t, Options{}, exchanges).Steps
 	if len(steps) != 3 || steps[0].SkipReason != "" || steps[1].SkipReason != "" ||
 		steps[2].SkipReason == "" || steps[2].Head != nil {
-		t.Errorf("got %+v", steps)
+		t.Errorf("got steps %+v", steps)
 	}
 	step := newPlan(t, Options{SendNonIdempotent: true}, exchanges).Steps[2]
 	head := string(step.Head)
 	if step.SkipReason != "" || !strings.Contains(head, "Content-Length: 3\r\n") || strings.Contains(head, "chunked") {
-		t.Errorf("got %+v, %q", step, step.Head)
+		t.Errorf("got step %+v with head %q", step, step.Head)
 	}
 }
 
@@ -55,17 +55,17 @@
 	}
 	if steps[1].OldID != "u1" || steps[1].NewID == steps[2].NewID || strings.Contains(head, "k1") ||
 		string(steps[1].RedactedBody) != "card=XX" {
-		t.Errorf("got %+v", steps[1])
+		t.Errorf("got step %+v", steps[1])
 	}
 	if first, second := idempotencyKeyOf(steps[1]), idempotencyKeyOf(steps[2]); first == "" || first != second {
-		t.Errorf("one key of the capture became %q and %q", first, second)
+		t.Errorf("one captured idempotency key was replaced by %q and %q", first, second)
 	}
 	if strings.Contains(string(steps[0].Head), "secret") {
-		t.Errorf("a removed field is sent: %q", steps[0].Head)
+		t.Errorf("head %q contains a removed field", steps[0].Head)
 	}
 }
 
-func TestPlanIsRepeatableBySeed(t *testing.T) {
+func TestPlanIsReproducibleFromSeed(t *testing.T) {
 	exchanges := captureOf(t, sentBytes{
 		client: idempotentRequest + keyedRequest + keyedRequest,
 		server: okResponse + okResponse + okResponse,
@@ -73,7 +73,7 @@
 	opts := Options{IDField: "Request-Id", NewKeys: true}
 	first, second := newPlan(t, opts, exchanges), newPlan(t, opts, exchanges)
 	if !bytes.Equal(first.Steps[1].Head, second.Steps[1].Head) {
-		t.Error("one seed gave two plans")
+		t.Error("two plans with the same seed are different")
 	}
 }
 
@@ -85,12 +85,12 @@
 		{Copy: map[string]string{"a b": "c"}},
 	} {
 		if _, err := New(opts, 1); err == nil {
-			t.Errorf("%+v is accepted", opts)
+			t.Errorf("options %+v are accepted", opts)
 		}
 	}
 }
 
-func TestPlanBoundsItsRequests(t *testing.T) {
+func TestPlanLimitsRequests(t *testing.T) {
 	exchanges := captureOf(t, sentBytes{
 		client: idempotentRequest + keyedRequest, server: okResponse + okResponse,
 	})
@@ -99,11 +99,11 @@
 		t.Fatal(err)
 	}
 	if first, second := p.Add(exchanges[0]), p.Add(exchanges[1]); first != nil || second == nil {
-		t.Errorf("of at most one: %v, %v", first, second)
+		t.Errorf("got errors %v and %v, want an error for the second request only", first, second)
 	}
 }
 
-// idempotencyKeyOf returns the key that a step is sent with.
+// idempotencyKeyOf returns the idempotency key in the head of a step.
 func idempotencyKeyOf(s *Step) string {
 	_, rest, _ := strings.Cut(string(s.Head), "Idempotency-Key: ")
 	key, _, _ := strings.Cut(rest, "\r\n")
@@ -113,7 +113,7 @@
 func TestCheckAddress(t *testing.T) {
 	remote := netip.MustParseAddrPort("192.0.2.1:80")
 	if CheckAddress(remote, nil) == nil {
-		t.Error("an address that is not allowed is accepted")
+		t.Errorf("address %v is accepted, but is not allowed", remote)
 	}
 	if err := CheckAddress(remote, []netip.AddrPort{remote}); err != nil {
 		t.Error(err)
--- a/internal/pcap/replay/recorded_conn.go
+++ b/internal/pcap/replay/recorded_conn.go
@@ -10,12 +10,12 @@
 	"fernlanding/internal/pcap/write"
 )
 
-const copyBufferSize = 32 << 10
+const copyBufferSize = 32 << 10 // bytes
 
-// recordedConn is a connection whose bytes are written to a capture.
+// recordedConn is a connection whose data is also written to a capture.
 type recordedConn struct {
 	net.Conn
-	capture *write.Conn // may be nil
+	capture *write.Conn // nil means no capture
 }
 
 // Read implements io.Reader.
@@ -27,15 +27,16 @@
 	return n, err
 }
 
-// closeAndRecord closes the connection, and records its close.
+// closeAndRecord closes the connection and records the close in the capture.
 func (c *recordedConn) closeAndRecord() {
-	_ = c.Close() // the results say what was sent and received
+	_ = c.Close() // the results already state what was sent and received
 	if c.capture != nil {
 		c.capture.Close(false, 0, time.Now())
 	}
 }
 
-// writeRequest writes a step's request until a deadline. The capture has its ids as a comment.
+// writeRequest writes the request of a step before a deadline. The capture contains the IDs of the
+// request as a comment.
 func (c *recordedConn) writeRequest(step *Step, deadline time.Time) error {
 	_ = c.SetWriteDeadline(deadline) // fails only on a closed connection, as the write then does
 	comment := ""
@@ -52,11 +53,11 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = body.Close() }() // it is only read: nothing can be lost
+	defer func() { _ = body.Close() }() // read only: a failed close loses no data
 	return c.writeBody(body)
 }
 
-// writeBody writes a body to its end.
+// writeBody writes a complete body.
 func (c *recordedConn) writeBody(body io.Reader) error {
 	buffer := make([]byte, copyBufferSize)
 	for {
@@ -75,7 +76,7 @@
 	}
 }
 
-// write writes bytes and records what was written of them.
+// write writes bytes and records the bytes that were written.
 func (c *recordedConn) write(b []byte, comment string) error {
 	n, err := c.Write(b)
 	if n > 0 && c.capture != nil {
--- a/internal/pcap/replay/request.go
+++ b/internal/pcap/replay/request.go
@@ -11,7 +11,7 @@
 
 const keyField = "Idempotency-Key"
 
-// prepare sets the head and the body of a step as they are sent.
+// prepare sets the head and the body of a step to the data that is sent.
 func (p *Plan) prepare(step *Step, request *http.Message) error {
 	bodySize, err := p.redactBody(step, request)
 	if err != nil || step.SkipReason != "" {
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// redactBody sets the body of a step if bodies are redacted, and returns the size of the body that
-// is sent. A step whose body is too large to be redacted is skipped.
+// redactBody sets the redacted body of a step if the options redact bodies, and returns the size of
+// the body that is sent. A step whose body is too large for redaction is skipped.
 func (p *Plan) redactBody(step *Step, request *http.Message) (int64, error) {
 	size := request.Body.Size
 	if !p.opts.redactsBodies() || size <= 0 {
@@ -58,14 +58,14 @@
 	return int64(len(body)), nil
 }
 
-// headWriter writes the head of a request, with its fields redacted.
+// headWriter writes the head of a request with redacted fields.
 type headWriter struct {
 	plan    *Plan
 	text    strings.Builder
 	hasHost bool // a Host field has been written
 }
 
-// writeField writes a field.
+// writeField writes a field with its redacted value.
 func (w *headWriter) writeField(name, value string) {
 	fmt.Fprintf(&w.text, "%s: %s\r\n", name, w.plan.redactField(name, value))
 	if strings.EqualFold(name, "Host") {
@@ -73,8 +73,8 @@
 	}
 }
 
-// copyField writes a captured field, unless the plan writes it itself. Ids and idempotency keys are
-// replaced where the options say so.
+// copyField writes a captured field, unless the plan sets or omits the field. IDs and idempotency
+// keys are replaced if the options require it.
 func (p *Plan) copyField(head *headWriter, step *Step, field http.Field) {
 	switch {
 	case p.opts.setsField(field.Name) || isConnectionField(field.Name):
@@ -84,7 +84,7 @@
 			head.writeField(field.Name, step.NewID)
 		}
 	case p.opts.NewKeys && strings.EqualFold(field.Name, keyField):
-		if p.newKeys[field.Value] == "" { // the key of a captured retry is replaced by the same one
+		if p.newKeys[field.Value] == "" { // a captured retry gets the same new key
 			p.newKeys[field.Value] = p.newID()
 		}
 		head.writeField(field.Name, p.newKeys[field.Value])
@@ -93,7 +93,7 @@
 	}
 }
 
-// addFields writes the fields that the options add.
+// addFields writes the fields that the options add to a request.
 func (p *Plan) addFields(head *headWriter, step *Step, request *http.Message) {
 	if p.opts.IDField != "" && step.NewID == "" {
 		step.NewID = p.newID()
@@ -111,7 +111,7 @@
 	}
 }
 
-// redactField returns a field's value after redaction, in one line.
+// redactField returns the redacted value of a field. Line breaks are replaced by spaces.
 func (p *Plan) redactField(name, value string) string {
 	for _, r := range p.opts.Redact {
 		if r.Field != "" && strings.EqualFold(r.Field, name) {
--- a/internal/pcap/replay/run.go
+++ b/internal/pcap/replay/run.go
@@ -10,13 +10,13 @@
 	"fernlanding/internal/sleep"
 )
 
-// Target is where a replay goes, and how.
+// Target is the destination of a replay and the way in which requests are sent.
 type Target struct {
 	Addr           netip.AddrPort
-	MaxConnections int           // open at a time (default 256); the others wait
-	Timeout        time.Duration // of a response (default 30 s)
-	Pipeline       bool          // send without waiting for the response before, as the capture's times say
-	Capture        *write.File   // takes what is sent and received; may be nil
+	MaxConnections int           // open connections (default 256); further connections wait
+	Timeout        time.Duration // timeout of a dial, a request write or a response (default 30 s)
+	Pipeline       bool          // send at the captured times, without waiting for the previous response
+	Capture        *write.File   // receives the data that is sent and received; may be nil
 }
 
 const (
@@ -24,7 +24,7 @@
 	defaultTimeout        = 30 * time.Second
 )
 
-// withDefaults returns the target with the defaults for zero values.
+// withDefaults returns the target with zero fields set to their defaults.
 func (t Target) withDefaults() Target {
 	if t.MaxConnections <= 0 {
 		t.MaxConnections = defaultMaxConnections
@@ -35,31 +35,31 @@
 	return t
 }
 
-// Result is what became of a step.
+// Result is the result of a step.
 type Result struct {
 	Step      *Step
-	Sent      bool // its last byte was written
+	Sent      bool // all bytes of the request were written
 	Replayed  Outcome
-	BodyEqual bool // the response's body is the captured one
-	Size      int64
-	Err       error         // why there is no complete response
-	Delay     time.Duration // after the step's offset
+	BodyEqual bool          // the replayed response body equals the captured one
+	Size      int64         // bytes of the replayed response body
+	Err       error         // reason for which there is no complete response
+	Delay     time.Duration // time of sending after the offset of the step
 }
 
-// run is a plan that is carried out.
+// run is one execution of a plan.
 type run struct {
 	target  Target
 	start   time.Time
-	results map[*Step]*Result // is not changed after its making
+	results map[*Step]*Result // not modified once connections run
 }
 
-// Run carries a plan out and returns a result for each step that is not skipped, in their order. A
-// request that may have been sent is never sent again: where a connection breaks, the requests on
-// it have no response, and those that were not begun go over a new connection.
+// Run executes the plan and returns a result for each step that is not skipped, in the order of the
+// steps. A request that may have been sent is never sent again: if a connection breaks, its pending
+// requests have no response, and the requests that were not started are sent over a new connection.
 func (p *Plan) Run(ctx context.Context, target Target) []*Result {
 	r := &run{target: target.withDefaults(), results: map[*Step]*Result{}}
 	stepsOf := map[int][]*Step{} // by connection
-	var connections []int        // by the offsets of their first steps
+	var connections []int        // in the order of their first steps
 	var all []*Result
 	for _, step := range p.Steps {
 		if step.SkipReason != "" {
@@ -83,7 +83,8 @@
 	return all
 }
 
-// runConnections carries out the steps of each connection, and returns when all have ended.
+// runConnections executes the steps of each connection, and returns when all connections have
+// ended.
 func (r *run) runConnections(ctx context.Context, connections []int, stepsOf map[int][]*Step) {
 	slots := make(chan struct{}, r.target.MaxConnections)
 	var running sync.WaitGroup
--- a/internal/pcap/replay/run_test.go
+++ b/internal/pcap/replay/run_test.go
@@ -17,21 +17,21 @@
 	"fernlanding/internal/pcap/http"
 )
 
-// server counts the requests that reach it, by id.
+// server counts the requests that it receives, by request ID.
 type server struct {
 	mu     sync.Mutex
 	counts map[string]int
 	bodies map[string]string
 }
 
-// requestCounts returns how often each request has arrived.
+// requestCounts returns the number of times that each request was received.
 func (s *server) requestCounts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.counts)
 }
 
-// startServer starts a server that counts requests before a handler responds.
+// startServer starts a server that counts each request and then calls the handler.
 func startServer(t *testing.T, handler nethttp.HandlerFunc) (*server, netip.AddrPort) {
 	t.Helper()
 	s := &server{counts: map[string]int{}, bodies: map[string]string{}}
@@ -48,8 +48,8 @@
 	return s, netip.MustParseAddrPort(web.Listener.Addr().String())
 }
 
-// Captured requests reach a server byte for byte and once, and the capture of the replay holds the
-// same requests.
+// Each captured request reaches the server once and unchanged, and the capture of the replay
+// contains the same requests.
 func TestReplayAndItsCapture(t *testing.T) {
 	largeBody := strings.Repeat("0123456789", 9000)
 	var conns []sentBytes
@@ -85,36 +85,36 @@
 	results := newPlan(t, Options{Speed: -1}, exchanges).Run(context.Background(),
 		Target{Addr: addr, MaxConnections: 4, Pipeline: pipeline, Capture: file})
 	if len(results) != 40 {
-		t.Fatalf("%d results", len(results))
+		t.Fatalf("got %d results, want 40", len(results))
 	}
 	for _, r := range results {
 		if r.Err != nil || !r.Sent || r.Replayed.StatusCode != r.Step.Captured.StatusCode ||
 			r.BodyEqual != (r.Step.Method == nethttp.MethodPost) {
-			t.Errorf("%s: %+v, captured %+v, %v", r.Step.Target, r.Replayed, r.Step.Captured, r.Err)
+			t.Errorf("%s: replayed %+v, captured %+v, error %v", r.Step.Target, r.Replayed, r.Step.Captured, r.Err)
 		}
 	}
 	s.mu.Lock()
 	for i := range 20 {
 		post, get := fmt.Sprint("a", i), fmt.Sprint("b", i)
 		if s.counts[post] != 1 || s.counts[get] != 1 || s.bodies[post] != largeBody {
-			t.Errorf("request %d: arrived %d and %d times", i, s.counts[post], s.counts[get])
+			t.Errorf("connection %d: the requests were received %d and %d times", i, s.counts[post], s.counts[get])
 		}
 	}
 	s.mu.Unlock()
 	replayed := readCapture(t, file, &buf)
 	if len(replayed) != 40 {
-		t.Fatalf("the capture of the replay holds %d exchanges", len(replayed))
+		t.Fatalf("got %d exchanges in the capture of the replay, want 40", len(replayed))
 	}
 	for _, e := range replayed {
 		body, err := e.Request.Body.Bytes()
 		if err != nil || e.Request.Method == nethttp.MethodPost && string(body) != largeBody {
-			t.Errorf("the capture has a body of %d bytes, %v", len(body), err)
+			t.Errorf("got a body of %d bytes in the capture of the replay, error %v", len(body), err)
 		}
 	}
 }
 
-// A connection that breaks after a request was sent leaves that request without a response, and the
-// request is not sent again; those that were not begun go over a new connection.
+// If a connection breaks after a request was sent, the request has no response and is not sent
+// again. The requests that were not started are sent over a new connection.
 func TestBrokenConnectionIsNotRetried(t *testing.T) {
 	second := strings.Replace(keyedRequest, "u1", "u2", 1)
 	third := strings.Replace(keyedRequest, "u1", "u3", 1)
@@ -131,21 +131,21 @@
 		target := Target{Addr: addr, Pipeline: pipeline}
 		results := newPlan(t, Options{Speed: -1}, exchanges).Run(context.Background(), target)
 		if results[0].Err == nil || !results[0].Sent {
-			t.Errorf("the request on the broken connection: %+v", results[0])
+			t.Errorf("request on the broken connection: got result %+v", results[0])
 		}
 		for id, n := range s.requestCounts() {
 			if n > 1 {
-				t.Errorf("%s was sent %d times", id, n)
+				t.Errorf("request %s was received %d times", id, n)
 			}
 		}
 		if !pipeline && (results[1].Err != nil || results[2].Err != nil) {
-			t.Errorf("the others: %v, %v", results[1].Err, results[2].Err)
+			t.Errorf("requests on the new connection: got errors %v and %v", results[1].Err, results[2].Err)
 		}
 	}
 }
 
-// A replay whose context ends returns, with an error for each request that has no response.
-func TestReplayEndsWithItsContext(t *testing.T) {
+// When its context ends, a replay returns with an error for each request that has no response.
+func TestReplayEndsWithContext(t *testing.T) {
 	addr, received := startSilentServer(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -158,13 +158,13 @@
 	results := newPlan(t, Options{Speed: -1}, exchanges).Run(ctx, Target{Addr: addr, MaxConnections: 1})
 	for i, r := range results {
 		if r.Err == nil {
-			t.Errorf("request %d: %+v", i, r)
+			t.Errorf("request %d: got result %+v, want an error", i, r)
 		}
 	}
 }
 
-// startSilentServer starts a server that accepts connections and never responds. It sends a value
-// for each connection on which it has received something.
+// startSilentServer starts a server that accepts connections and never responds. The channel gets a
+// value for each connection on which the server has received data.
 func startSilentServer(t *testing.T) (netip.AddrPort, <-chan struct{}) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/pcap/replay/sidecar_test.go
+++ b/internal/pcap/replay/sidecar_test.go
@@ -15,9 +15,9 @@
 	"fernlanding/internal/standin"
 )
 
-// startSidecar starts a sidecar with three classes in front of two backends. It returns the
-// sidecar's address, and a function that returns the bodies of a captured request that reached the
-// backends.
+// startSidecar starts a sidecar with three classes and two backends. It returns the address of the
+// sidecar, and a function that returns the bodies that the backends received for a captured
+// request.
 func startSidecar(t *testing.T) (netip.AddrPort, func(capturedID string) []string) {
 	t.Helper()
 	var mu sync.Mutex
@@ -70,9 +70,8 @@
 	}
 }
 
-// A capture is replayed through a sidecar to backends, and the capture of the replay is read: it
-// has the same requests with equal bodies, and each has reached a backend once, also those that are
-// non-idempotent.
+// A capture is replayed through a sidecar. Each request, including the non-idempotent ones, reaches
+// a backend once with an equal body, and the capture of the replay contains the same requests.
 func TestReplayThroughSidecar(t *testing.T) {
 	addr, received := startSidecar(t)
 	conns, bodies := generateConns(rand.New(rand.NewPCG(15, 1)))
@@ -87,27 +86,27 @@
 	}, exchanges)
 	for _, r := range p.Run(context.Background(), Target{Addr: addr, MaxConnections: 8, Capture: file}) {
 		if r.Err != nil || r.Replayed.StatusCode != 200 {
-			t.Errorf("%s: %+v, %v", r.Step.OldID, r.Replayed, r.Err)
+			t.Errorf("%s: replayed %+v, error %v", r.Step.OldID, r.Replayed, r.Err)
 		}
 	}
 	for id, body := range bodies {
 		if got := received(id); len(got) != 1 || got[0] != body {
-			t.Errorf("%s arrived %d times, or with another body", id, len(got))
+			t.Errorf("%s was received %d times, want once, or its body was changed", id, len(got))
 		}
 	}
 	replayed := readCapture(t, file, &buf)
 	if len(replayed) != len(bodies) {
-		t.Errorf("the capture of the replay has %d requests, of %d", len(replayed), len(bodies))
+		t.Errorf("got %d requests in the capture of the replay, want %d", len(replayed), len(bodies))
 	}
 	for _, e := range replayed {
 		id := e.Request.FieldValue("Captured-Id")
 		if body, err := e.Request.Body.Bytes(); err != nil || string(body) != bodies[id] {
-			t.Errorf("%s has another body in the capture of the replay: %v", id, err)
+			t.Errorf("%s has a different body in the capture of the replay, error %v", id, err)
 		}
 	}
 }
 
-// generateConns returns connections with requests of three classes, and the bodies by request id.
+// generateConns returns connections with requests of three classes, and the bodies by request ID.
 func generateConns(rnd *rand.Rand) (conns []sentBytes, bodies map[string]string) {
 	bodies = map[string]string{}
 	for i := range 30 {
--- a/internal/pcap/summary.go
+++ b/internal/pcap/summary.go
@@ -11,27 +11,27 @@
 	"fernlanding/internal/pcap/http"
 )
 
-// Summary counts what was read.
+// Summary contains the counts of a capture that was read.
 type Summary struct {
 	Format             string          `json:"format"`
 	Packets            int64           `json:"packets"`
-	Segments           int64           `json:"segments"`  // of TCP
-	OtherPackets       int64           `json:"others"`    // of other protocols
-	Fragments          int64           `json:"fragments"` // that waited for the rest of their datagram
+	Segments           int64           `json:"segments"`  // TCP segments
+	OtherPackets       int64           `json:"others"`    // packets of other protocols
+	Fragments          int64           `json:"fragments"` // IP fragments of datagrams that were incomplete when read
 	DiscardedFragments int64           `json:"fragments_given_up"`
-	Malformed          int64           `json:"bad"`            // packets
-	TimeReversals      int64           `json:"time_went_back"` // packets with an earlier time than one before
+	Malformed          int64           `json:"bad"`            // malformed packets
+	TimeReversals      int64           `json:"time_went_back"` // packets with an earlier time than a previous packet
 	First              time.Time       `json:"first"`
 	Last               time.Time       `json:"last"`
 	Payload            flow.ByteCounts `json:"payload"`
 	Stream             http.ByteCounts `json:"stream"`
-	ReadFailure        *string         `json:"broken,omitempty"` // why the file could not be read to its end
+	ReadFailure        *string         `json:"broken,omitempty"` // reason for which the file was not read to its end
 
 	readError *capture.ReadError // nil if the file was read to its end
 }
 
-// AccountingError says which sums of a Summary do not agree. It is a fault of this program, not of
-// a capture.
+// AccountingError reports the sums of a Summary that do not match. It is caused by a defect of this
+// program, not of the capture.
 type AccountingError struct {
 	Mismatches []string
 }
@@ -52,7 +52,7 @@
 	}
 	mismatch("%d packets, %d accounted for", s.Packets, s.Segments+s.OtherPackets+s.Fragments+s.Malformed)
 	mismatch("%d bytes of payload, %d accounted for", s.Payload.Payload, s.Payload.Sum())
-	mismatch("%d bytes handed on, %d taken", s.Payload.Delivered, s.Stream.Bytes)
+	mismatch("%d bytes delivered by flows, %d received by streams", s.Payload.Delivered, s.Stream.Bytes)
 	mismatch("%d bytes of streams, %d accounted for", s.Stream.Bytes, s.Stream.Sum())
 	if mismatches != nil {
 		return &AccountingError{Mismatches: mismatches}
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// addTime adds the time of the next packet.
+// addTime updates First, Last and TimeReversals with the time of the next packet.
 func (s *Summary) addTime(t time.Time) {
 	switch {
 	case s.Packets == 0:
@@ -72,7 +72,7 @@
 	}
 }
 
-// setReadError sets the error of a file that cannot be read to its end. The end itself is none.
+// setReadError records the error of a file that cannot be read to its end. io.EOF is not recorded.
 func (s *Summary) setReadError(err error) {
 	if !errors.As(err, &s.readError) {
 		return
--- a/internal/pcap/synth/link.go
+++ b/internal/pcap/synth/link.go
@@ -7,7 +7,7 @@
 	"github.com/gopacket/gopacket/layers"
 )
 
-// Link is the link layer that packets are framed in.
+// Link is the link layer of the packets of a connection.
 type Link int
 
 // The link layers.
@@ -19,10 +19,10 @@
 	SLL2
 	Loopback
 	RawIP
-	LinkCount // the number of link layers
+	LinkCount // number of link layers
 )
 
-// Type returns the link type that a capture file states for the link layer.
+// Type returns the link type of the link layer in a capture file.
 func (l Link) Type() layers.LinkType {
 	return [...]layers.LinkType{
 		layers.LinkTypeEthernet, layers.LinkTypeEthernet, layers.LinkTypeEthernet, layers.LinkTypeLinuxSLL,
@@ -30,7 +30,8 @@
 	}[l]
 }
 
-// header returns the link layer's header of a packet from an address.
+// header returns the link layer header of a packet from src, whose address family selects the
+// protocol.
 func (l Link) header(src netip.Addr) []gopacket.SerializableLayer {
 	etherType, family := layers.EthernetTypeIPv4, layers.ProtocolFamilyIPv4
 	if !src.Is4() {
--- a/internal/pcap/synth/packet.go
+++ b/internal/pcap/synth/packet.go
@@ -16,10 +16,11 @@
 	gopacket.NetworkLayer
 }
 
-// serializeOptions have lengths and checksums computed.
+// serializeOptions enable the computation of lengths and checksums.
 var serializeOptions = gopacket.SerializeOptions{FixLengths: true, ComputeChecksums: true}
 
-// Packets frames a part, in one packet or in the fragments that it asks for.
+// Packets returns the packets of a part: one packet, or the number of IPv4 fragments that the part
+// requests.
 func (c *Conn) Packets(p Part, at time.Time) ([]Packet, error) {
 	src, dst := c.Client, c.Server
 	if p.Direction == 1 {
@@ -28,7 +29,7 @@
 	tcp := tcpHeader(p, src.Port(), dst.Port())
 	ip := ipHeader(src.Addr(), dst.Addr())
 	if err := tcp.SetNetworkLayerForChecksum(ip); err != nil {
-		return nil, fmt.Errorf("checksum: %w", err)
+		return nil, fmt.Errorf("compute checksum: %w", err)
 	}
 	if ipv4, ok := ip.(*layers.IPv4); ok && p.Fragments > 1 && len(p.Data) > 8*p.Fragments {
 		return c.fragments(ipv4, tcp, p, src.Addr(), at)
@@ -69,14 +70,14 @@
 	}
 }
 
-// fragments frames a part in IPv4 fragments.
+// fragments returns the IPv4 fragments of a part.
 func (c *Conn) fragments(ip *layers.IPv4, tcp *layers.TCP, p Part, src netip.Addr, at time.Time) ([]Packet, error) {
 	buffer := gopacket.NewSerializeBuffer()
 	if err := gopacket.SerializeLayers(buffer, serializeOptions, tcp, gopacket.Payload(p.Data)); err != nil {
 		return nil, fmt.Errorf("serialize: %w", err)
 	}
 	datagram := slices.Clone(buffer.Bytes())
-	size := (len(datagram)/p.Fragments + 7) / 8 * 8 // offsets count in units of eight bytes (RFC 791, section 3.1)
+	size := (len(datagram)/p.Fragments + 7) / 8 * 8 // fragment offsets are in units of 8 bytes (RFC 791, section 3.1)
 	ip.Id = uint16(p.Seq>>3) | 1
 	var packets []Packet
 	for from := 0; from < len(datagram); from += size {
@@ -95,7 +96,7 @@
 	return packets, nil
 }
 
-// frame puts the link layer's header before the other layers of a packet.
+// frame serializes a packet: the link layer header and the given layers.
 func (c *Conn) frame(src netip.Addr, at time.Time, rest ...gopacket.SerializableLayer) (Packet, error) {
 	buffer := gopacket.NewSerializeBuffer()
 	all := append(c.Link.header(src), rest...)
--- a/internal/pcap/synth/synth.go
+++ b/internal/pcap/synth/synth.go
@@ -1,5 +1,5 @@
-// Package synth makes the packets of TCP connections: for captures that are written, and for
-// captures with known faults that tests and benchmarks read.
+// Package synth synthesizes the packets of TCP connections, for captures that are written and for
+// captures with known faults in tests and benchmarks.
 package synth
 
 import (
@@ -12,10 +12,10 @@
 type Packet struct {
 	Time       time.Time
 	Data       []byte
-	WireLength int // bytes, before Part.Truncated cut the packet
+	WireLength int // bytes, before truncation by Part.Truncated
 }
 
-// Part is a segment before it is framed.
+// Part is a TCP segment that has not been serialized yet.
 type Part struct {
 	Direction int // 0 from the client, 1 from the server
 	Seq       uint32
@@ -23,12 +23,12 @@
 	SYN, FIN  bool
 	RST       bool
 	Data      []byte
-	Truncated int  // bytes at its end that the capture lacks
-	Fragments int  // IP fragments that it is sent in; below 2: one packet
-	Altered   bool // a test has made a fault of it already
+	Truncated int  // bytes at the end of the packet that are not captured
+	Fragments int  // number of IPv4 fragments; 0 and 1 mean one packet
+	Altered   bool // a test has already injected a fault into the part
 }
 
-// Conn makes the segments of one connection.
+// Conn synthesizes the segments of one connection.
 type Conn struct {
 	Client, Server netip.AddrPort
 	Link           Link
@@ -37,13 +37,13 @@
 	nextSeq [2]uint32 // by direction
 }
 
-// NewConn returns a connection that begins at the given sequence numbers, of the client and of the
+// NewConn returns a connection with the given initial sequence numbers of the client and the
 // server.
 func NewConn(client, server netip.AddrPort, link Link, initialSeq [2]uint32) *Conn {
 	return &Conn{Client: client, Server: server, Link: link, nextSeq: initialSeq}
 }
 
-// Open adds the handshake.
+// Open adds the three-way handshake.
 func (c *Conn) Open() {
 	c.add(Part{Direction: 0, SYN: true})
 	c.add(Part{Direction: 1, SYN: true})
@@ -59,14 +59,14 @@
 	}
 }
 
-// Close adds the FINs of both ends.
+// Close adds the FINs of both endpoints.
 func (c *Conn) Close() {
 	c.add(Part{Direction: 0, FIN: true})
 	c.add(Part{Direction: 1, FIN: true})
 	c.add(Part{Direction: 0})
 }
 
-// Reset adds a RST.
+// Reset adds a RST in a direction.
 func (c *Conn) Reset(dir int) { c.add(Part{Direction: dir, RST: true}) }
 
 // add adds a part with the next sequence number of its direction.
--- a/internal/pcap/write/conn.go
+++ b/internal/pcap/write/conn.go
@@ -7,21 +7,21 @@
 	"fernlanding/internal/pcap/synth"
 )
 
-const maxSegment = 1400 // bytes of a packet's payload
+const maxSegment = 1400 // payload bytes of a packet
 
-// Direction is a direction of a connection: 0 from its opener, 1 to it.
+// Direction is a direction of a connection: 0 from its opener, 1 to its opener.
 type Direction int
 
-// Conn is one connection in a file. It is safe for concurrent use.
+// Conn is one connection of a File. A Conn is safe for concurrent use.
 type Conn struct {
-	file           *File // whose lock guards the rest
+	file           *File // its lock guards the other fields
 	interfaceIndex int
 	synthetic      *synth.Conn
 	closed         bool
 }
 
-// Data writes bytes that went in a direction. The first packet has the comment, unless that is
-// empty. Nothing is written after Close.
+// Data writes bytes that were sent in a direction. The comment, unless it is empty, is attached to
+// the first packet. After Close, Data writes nothing.
 func (c *Conn) Data(dir Direction, data []byte, at time.Time, comment string) {
 	c.file.mu.Lock()
 	defer c.file.mu.Unlock()
@@ -32,7 +32,8 @@
 	c.writeParts(at, comment)
 }
 
-// Close writes the FINs of both ends, or the RST of one of them. A second Close writes nothing.
+// Close writes the FINs of both endpoints, or a RST in the direction by. A second Close writes
+// nothing.
 func (c *Conn) Close(reset bool, by Direction, at time.Time) {
 	c.file.mu.Lock()
 	defer c.file.mu.Unlock()
@@ -48,12 +49,13 @@
 	c.writeParts(at, "")
 }
 
-// writeParts writes the segments that have been added. The file's lock is held.
+// writeParts writes the segments that were added to the connection. The caller holds the file's
+// lock.
 func (c *Conn) writeParts(at time.Time, comment string) {
 	for _, part := range c.synthetic.Parts {
 		packets, err := c.synthetic.Packets(part, at)
 		if err != nil {
-			c.file.fail(fmt.Errorf("write the capture: %w", err))
+			c.file.fail(fmt.Errorf("write capture: %w", err))
 			break
 		}
 		for _, packet := range packets {
--- a/internal/pcap/write/write.go
+++ b/internal/pcap/write/write.go
@@ -1,6 +1,7 @@
-// Package write writes the bytes of connections as a pcapng file that common tools open:
-// handshakes, segments with valid sequence numbers and checksums, closes, and request ids as packet
-// comments. The packets are made from the bytes that were sent and received; they are not captured.
+// Package write writes the data of connections as a pcapng file for common tools. The file contains
+// handshakes, segments with valid sequence numbers and checksums, connection closes, and request
+// IDs as packet comments. The packets are synthesized from the bytes that were sent and received;
+// they are not captured.
 package write
 
 import (
@@ -20,32 +21,32 @@
 
 const snapLength = 256 << 10 // bytes
 
-// ErrFull is the error of a file that has reached its size limit.
-var ErrFull = errors.New("the capture has its full size")
+// ErrFull is the error of a File that has reached its size limit.
+var ErrFull = errors.New("capture has reached its size limit")
 
-// File is a pcapng file that is being written. It is safe for concurrent use. After the first error
-// it writes no more, and Flush returns that error: the connections go on without it.
+// File is a pcapng file that is being written. A File is safe for concurrent use. After the first
+// error nothing more is written, and Flush returns that error. The connections are not interrupted.
 type File struct {
 	mu       sync.Mutex
 	writer   *pcapgo.NgWriter
-	maxBytes int64 // of packets; 0: no limit
-	written  int64 // bytes of packets
-	err      error // the first one
+	maxBytes int64 // limit of written; 0 means no limit
+	written  int64 // bytes of the packets, without file format overhead
+	err      error // first error
 }
 
-// New begins a file with the named interfaces. At most maxBytes of packets are written to it; 0
-// stands for no limit.
+// New begins a file with the named interfaces, at least one. At most maxBytes of packets are
+// written; 0 means no limit.
 func New(to io.Writer, maxBytes int64, interfaces ...string) (*File, error) {
 	f := &File{maxBytes: maxBytes}
 	for _, name := range interfaces {
 		if err := f.addInterface(to, name); err != nil {
-			return nil, fmt.Errorf("begin the capture: %w", err)
+			return nil, fmt.Errorf("begin capture: %w", err)
 		}
 	}
 	return f, nil
 }
 
-// addInterface adds an interface to the file. The first one begins the file.
+// addInterface adds an interface to the file. The first interface begins the file.
 func (f *File) addInterface(to io.Writer, name string) error {
 	description := pcapgo.NgInterface{
 		Name: name, LinkType: layers.LinkTypeRaw, SnapLength: snapLength, TimestampResolution: 9,
@@ -60,24 +61,25 @@
 	return err
 }
 
-// Flush writes what is buffered, and returns the first error that the file had.
+// Flush writes the buffered bytes, and returns the first error of the file.
 func (f *File) Flush() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.writer.Flush(); err != nil {
-		f.fail(fmt.Errorf("write the capture: %w", err))
+		f.fail(fmt.Errorf("write capture: %w", err))
 	}
 	return f.err
 }
 
-// fail keeps the first error.
+// fail records an error, unless there is an earlier one.
 func (f *File) fail(err error) {
 	if f.err == nil {
 		f.err = err
 	}
 }
 
-// Open writes a connection's handshake and returns the connection. The time is that of its packets.
+// Open writes the handshake of a connection, with packets at the given time, and returns the
+// connection.
 func (f *File) Open(interfaceIndex int, opener, other netip.AddrPort, at time.Time) *Conn {
 	c := &Conn{
 		file: f, interfaceIndex: interfaceIndex,
@@ -90,7 +92,7 @@
 	return c
 }
 
-// writePacket writes one packet, with a comment unless that is empty. The file's lock is held.
+// writePacket writes one packet, with a comment unless it is empty. The caller holds the lock.
 func (f *File) writePacket(interfaceIndex int, p synth.Packet, comment string) {
 	if f.err != nil {
 		return
@@ -111,6 +113,6 @@
 		InterfaceIndex: interfaceIndex,
 	}
 	if err := f.writer.WritePacketWithOptions(info, p.Data, options); err != nil {
-		f.err = fmt.Errorf("write the capture: %w", err)
+		f.err = fmt.Errorf("write capture: %w", err)
 	}
 }
--- a/internal/pcap/write/write_test.go
+++ b/internal/pcap/write/write_test.go
@@ -22,10 +22,10 @@
 	noon       = time.Date(2026, 12, 24, 12, 0, 0, 0, time.UTC)
 )
 
-// recorder is a Sink that counts exchanges and keeps the ends of flows and the faults.
+// recorder is a Sink that counts exchanges and records the ends of flows and the faults.
 type recorder struct {
 	ends     []flow.EndReason
-	requests int
+	requests int // number of exchanges
 	faults   []string
 }
 
@@ -43,7 +43,7 @@
 	r.ends = append(r.ends, reason)
 }
 
-// A close, a reset, both interfaces and the comments are read as they were written.
+// Closes, resets, both interfaces and the comments are read as they were written.
 func TestWrittenFileReadsBack(t *testing.T) {
 	var buf bytes.Buffer
 	f, err := New(&buf, 0, "client", "upstream")
@@ -68,10 +68,10 @@
 	got := &recorder{}
 	sum, err := pcap.Read(context.Background(), &buf, pcap.Options{}, got)
 	if err != nil || sum.Check() != nil || !sum.Complete() || got.requests != 2 || got.faults != nil {
-		t.Errorf("%+v, %v, %+v", got, err, sum)
+		t.Errorf("got %+v, error %v, summary %+v", got, err, sum)
 	}
 	if len(got.ends) != 2 || got.ends[0] != flow.Closed || got.ends[1] != flow.Reset {
-		t.Errorf("ends %v", got.ends)
+		t.Errorf("got ends %v, want closed and reset", got.ends)
 	}
 	r, err := pcapgo.NewNgReader(bytes.NewReader(file), pcapgo.NgReaderOptions{})
 	if err != nil {
@@ -91,11 +91,12 @@
 		}
 	}
 	if packets[0] == 0 || packets[1] == 0 || comments != 2 {
-		t.Errorf("packets by interface %v, %d comments", packets, comments)
+		t.Errorf("got packets %v by interface and %d comments, want packets of both interfaces and 2 comments",
+			packets, comments)
 	}
 }
 
-// fakeDisk takes a number of bytes, and rejects the others.
+// fakeDisk is a writer that fails after a number of bytes.
 type fakeDisk struct{ remaining int }
 
 var errDiskFull = errors.New("no space left on device")
@@ -108,7 +109,8 @@
 	return len(p), nil
 }
 
-// A full disk and a full file stop the file. The writer goes on, and Flush returns the error.
+// A full disk and the size limit stop the file only: writes to the connection continue, and Flush
+// returns the error.
 func TestFullDiskStopsOnlyTheFile(t *testing.T) {
 	for name, c := range map[string]struct {
 		diskBytes int
@@ -128,10 +130,10 @@
 		}
 		conn.Close(false, 0, noon)
 		if err := f.Flush(); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want %v", name, err, c.want)
 		}
 		if err := f.Flush(); !errors.Is(err, c.want) {
-			t.Errorf("%s, second flush: %v", name, err)
+			t.Errorf("%s, second flush: got error %v, want %v", name, err, c.want)
 		}
 	}
 }
