--- a/internal/scale/churn/churn_test.go
+++ b/internal/scale/churn/churn_test.go
@@ -7,9 +7,9 @@
 	"fernlanding/internal/scale/churn"
 )
 
-// Snapshots and deltas alike determine the version that they lead to, and the list keeps its size
-// within one.
-func TestVersionFollowsFromList(t *testing.T) {
+// The version can be computed from a snapshot and from a delta, and the size of the list varies by
+// at most one.
+func TestVersionFromSnapshotAndDelta(t *testing.T) {
 	const backends = 5
 	all := map[int]membership.Status{}
 	for n := range backends {
@@ -29,7 +29,7 @@
 			all[change.Backend] = membership.Serving
 		}
 		if got := churn.Version(&membership.List{Endpoints: []membership.Endpoint{delta}}, backends); got != version {
-			t.Errorf("change to version %d read as %d", version, got)
+			t.Errorf("delta: version %d, want %d", got, version)
 		}
 		snapshot := &membership.List{Full: true}
 		for n, status := range all {
@@ -37,19 +37,19 @@
 			snapshot.Endpoints = append(snapshot.Endpoints, endpoint)
 		}
 		if got := churn.Version(snapshot, backends); got != version {
-			t.Errorf("list of version %d read as %d", version, got)
+			t.Errorf("snapshot: version %d, want %d", got, version)
 		}
 		first, last, isDraining := churn.BackendRange(version, backends)
 		if last-first != len(all) || isDraining != (all[first] == membership.Draining) {
-			t.Errorf("version %d: %d to %d, draining %v; the list is %v", version, first, last, isDraining, all)
+			t.Errorf("version %d: range %d to %d, draining %v; want that of %v", version, first, last, isDraining, all)
 		}
 	}
 }
 
-func TestNumberOfNamesWithoutOne(t *testing.T) {
+func TestBackendNumberOfNameWithoutNumber(t *testing.T) {
 	for _, name := range []string{"", "x", "x-", "x-1y"} {
 		if n := churn.BackendNumber(name); n != -1 {
-			t.Errorf("%q has number %d", name, n)
+			t.Errorf("%q: number %d, want -1", name, n)
 		}
 	}
 }
--- a/internal/scale/fit/doc.go
+++ b/internal/scale/fit/doc.go
@@ -1,7 +1,7 @@
-// Package fit computes from the results of sweeps how each figure of each role grows: a line for
-// each sweep, and one model over all sweeps of a source whose terms are costs per proxy, per
-// service followed, and so on.
+// Package fit computes how each metric of each role grows, from the results of sweeps. It fits one
+// line to each sweep, and one model to all sweeps of a source. The terms of a model are costs per
+// proxy, per service followed, and so on.
 //
-// Points that are held out are never part of a fit; they are compared with its predictions. The
-// package is pure, and its functions may be called concurrently.
+// Held-out points are never part of a fit. They are compared with its predictions. The package does
+// no I/O, and its functions are safe for concurrent use.
 package fit
--- a/internal/scale/fit/fit_test.go
+++ b/internal/scale/fit/fit_test.go
@@ -9,7 +9,7 @@
 	"fernlanding/internal/scale/result"
 )
 
-// slopes are the true costs behind synthetic measurements, in bytes per second over all proxies.
+// slopes holds the true costs of synthetic measurements, in bytes per second over all proxies.
 type slopes struct{ proxy, followed, endpoint, delivered, changed float64 }
 
 func (s slopes) at(d Drivers) float64 {
@@ -17,8 +17,8 @@
 		s.delivered*d.Delivered + s.changed*d.EndpointsChanged
 }
 
-// sweepOfTruth returns a synthetic sweep of six sizes and three rounds, in which the truth is
-// measured with a relative noise.
+// sweepOfTruth returns a synthetic sweep of six sizes and three rounds that measures truth with
+// relative noise.
 func sweepOfTruth(
 	d result.Dimension, changes float64, truth func(Drivers) float64, noise float64, rng *rand.Rand,
 ) *result.Result {
@@ -55,8 +55,8 @@
 	return r
 }
 
-// allSweepsOfTruth returns synthetic sweeps of four dimensions, that of backends twice: with and
-// without changes.
+// allSweepsOfTruth returns synthetic sweeps of four dimensions. The dimension of backends has two
+// sweeps, with and without changes.
 func allSweepsOfTruth(truth func(Drivers) float64, noise float64, rng *rand.Rand) []*result.Result {
 	var all []*result.Result
 	for _, d := range []result.Dimension{result.Proxies, result.Services, result.Backends, result.Changes} {
@@ -84,11 +84,11 @@
 			EndpointsChanged: 1e6,
 		}
 		if got, want := m.Predict(target), truth.at(target); math.Abs(got/want-1) > 0.05 {
-			t.Errorf("trial %d: %.4g predicted at the target, %.4g true; terms %+v", trial, got, want, m.Terms)
+			t.Errorf("trial %d: prediction at the target %.4g, want %.4g; terms %+v", trial, got, want, m.Terms)
 		}
 		term := m.Term("endpoint followed")
 		if math.Abs(term.Value-truth.endpoint) > 5*term.StandardError || term.StandardError > 0.05*truth.endpoint {
-			t.Errorf("trial %d: an endpoint costs %.4g +- %.2g, %.4g true",
+			t.Errorf("trial %d: cost of an endpoint %.4g +- %.2g, want %.4g",
 				trial, term.Value, term.StandardError, truth.endpoint)
 		}
 	}
@@ -105,16 +105,16 @@
 		"change delivered a second": 500,
 	} {
 		if got := m.Term(name).Value; math.Abs(got/want-1) > 0.01 {
-			t.Errorf("%s: %.4g, %.4g expected", name, got, want)
+			t.Errorf("%s: got %.4g, want %.4g", name, got, want)
 		}
 	}
 	if len(m.Terms) != 4 || m.R2 < 0.9999 {
-		t.Errorf("R2 %.5f, terms %+v; four terms expected", m.R2, m.Terms)
+		t.Errorf("R2 %.5f, terms %+v; want 4 terms and R2 of 0.9999 or more", m.R2, m.Terms)
 	}
 }
 
-// Over consul a change ends a long poll early: the cost is that of the lists read, which is not
-// linear in changes.
+// Over consul a change ends a long poll early. The cost is proportional to the lists read, which are
+// not linear in the changes.
 func TestConsulModelFitsListsRead(t *testing.T) {
 	truth := func(d Drivers) float64 { return 300*d.ListsRead + 110*d.EndpointsRead }
 	results := allSweepsOfTruth(truth, 0.01, rand.New(rand.NewPCG(1, 2)))
@@ -124,14 +124,14 @@
 	m := NewModels(results, result.SourceConsul, true).Model(Proxies, BytesIn)
 	for name, want := range map[string]float64{TermListRead: 300, TermEndpointRead: 110} {
 		if got := m.Term(name); math.Abs(got.Value-want) > 5*got.StandardError || got.StandardError > 0.1*want {
-			t.Errorf("%s: %.4g +- %.2g, %.4g expected", name, got.Value, got.StandardError, want)
+			t.Errorf("%s: got %.4g +- %.2g, want %.4g", name, got.Value, got.StandardError, want)
 		}
 	}
 	if at := LongPollRate(0); at != 0.5 {
-		t.Errorf("%g reads a second at rest, 0.5 expected", at)
+		t.Errorf("LongPollRate(0) = %g, want 0.5", at)
 	}
 	if busy := LongPollRate(100); math.Abs(busy-100) > 1e-6 {
-		t.Errorf("%g reads a second at 100 changes, 100 expected", busy)
+		t.Errorf("LongPollRate(100) = %g, want 100", busy)
 	}
 }
 
@@ -141,7 +141,7 @@
 	m := NewModels([]*result.Result{r}, result.SourceRelay, true).Model(Proxies, BytesIn)
 	if !slices.Contains(m.Aliased, "endpoint of a changed list a second") &&
 		!slices.Contains(m.Aliased, "change delivered a second") {
-		t.Errorf("aliased: %q; one of the two terms of changes expected: every list has 23 endpoints", m.Aliased)
+		t.Errorf("aliased %q, want one of the two terms of changes, since every list has 23 endpoints", m.Aliased)
 	}
 }
 
@@ -170,11 +170,11 @@
 			}
 		}
 		if line == nil || line.Shape != (Shape{Kind: test.kind, DepartureSize: test.from}) {
-			t.Errorf("%s: %+v; %s from %g expected", test.name, line, test.kind, test.from)
+			t.Errorf("%s: got %+v, want %s from %g", test.name, line, test.kind, test.from)
 			continue
 		}
 		if math.Abs(line.Slope-test.slope) > 5*line.SlopeError {
-			t.Errorf("%s: slope %.4g +- %.2g, %.4g expected", test.name, line.Slope, line.SlopeError, test.slope)
+			t.Errorf("%s: slope %.4g +- %.2g, want %.4g", test.name, line.Slope, line.SlopeError, test.slope)
 		}
 	}
 }
@@ -187,13 +187,13 @@
 	} {
 		for _, s := range Sweeps(sweepOfTruth(dimension, 0, truth.at, 0, rand.New(rand.NewPCG(1, 2)))) {
 			if s.Metric == BytesIn && math.Abs(s.Line.Slope/want-1) > 0.01 {
-				t.Errorf("along %s: slope %.4g, %.4g expected", dimension, s.Line.Slope, want)
+				t.Errorf("along %s: slope %.4g, want %.4g", dimension, s.Line.Slope, want)
 			}
 		}
 	}
 }
 
-func TestStraightLinesAreRarelyReportedAsBent(t *testing.T) {
+func TestNoisyStraightLinesAreRarelyBent(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	bent := 0
 	for range 200 {
@@ -205,19 +205,19 @@
 		}
 	}
 	if bent > 6 {
-		t.Errorf("%d of 200 straight lines under 3%% of noise are not called linear, 6 expected at most", bent)
+		t.Errorf("%d of 200 straight lines with 3%% noise are not Linear, want at most 6", bent)
 	}
 }
 
-func TestZeroFigureHasNoTermsAndIsFlat(t *testing.T) {
+func TestZeroMetricHasNoTermsAndIsFlat(t *testing.T) {
 	r := sweepOfTruth(result.Proxies, 0, slopes{proxy: 100}.at, 0, rand.New(rand.NewPCG(1, 2)))
 	m := NewModels([]*result.Result{r}, result.SourceRelay, true).Model(Proxies, BytesOut)
 	if m == nil || len(m.Terms) > 0 || m.Predict(Drivers{Proxies: 1}) != 0 || m.R2 != 1 {
-		t.Errorf("%+v; a model without terms expected", m)
+		t.Errorf("got %+v, want a model without terms", m)
 	}
 	for _, s := range Sweeps(r) {
 		if s.Metric == BytesOut && s.Line != (Line{R2: 1, Shape: Shape{Kind: Flat}}) {
-			t.Errorf("%+v; a flat line at nothing expected", s.Line)
+			t.Errorf("got %+v, want a flat line at 0", s.Line)
 		}
 	}
 }
@@ -227,7 +227,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	results := allSweepsOfTruth(truth.at, 0, rng)
 	without := NewModels(results, result.SourceRelay, true).Model(Proxies, BytesIn).Terms
-	alone := *results[0] // as a file of its own
+	alone := *results[0] // the held-out point in a separate file
 	alone.Points = results[0].Points[5:]
 	results[0].Points = results[0].Points[:5]
 	results = append(results, &alone)
@@ -248,15 +248,15 @@
 		if c.Metric == BytesIn {
 			found = true
 			if math.Abs(c.Ratio()-0.5) > 0.01 || WithinTolerance(c.Ratio()) {
-				t.Errorf("ratio %.3f, within %v; 0.5 and false expected", c.Ratio(), WithinTolerance(c.Ratio()))
+				t.Errorf("ratio %.3f, within tolerance %v; want 0.5 and false", c.Ratio(), WithinTolerance(c.Ratio()))
 			}
 			if math.Abs(c.LineRatio()-0.5) > 0.01 {
-				t.Errorf("ratio by the line %.3f, 0.5 expected", c.LineRatio())
+				t.Errorf("ratio by the line %.3f, want 0.5", c.LineRatio())
 			}
 		}
 	}
 	if !found {
-		t.Error("the held-out point is compared nowhere")
+		t.Error("no comparison of the held-out point")
 	}
 }
 
@@ -268,11 +268,11 @@
 	actual.Points = actual.Points[:1]
 	pairs := Pairs([]*result.Result{hollow, actual})
 	if len(pairs) == 0 || pairs[len(pairs)-1].Size.Proxies != 100 {
-		t.Fatalf("%+v; pairs of 100 proxies expected", pairs)
+		t.Fatalf("got %+v, want pairs of 100 proxies", pairs)
 	}
 	for _, p := range pairs {
 		if p.Metric == BytesIn && math.Abs(p.Real/p.Hollow-1.5) > 0.01 {
-			t.Errorf("%+v; a ratio of 1.5 expected", p)
+			t.Errorf("got %+v, want a ratio of 1.5", p)
 		}
 	}
 }
--- a/internal/scale/fit/heldout.go
+++ b/internal/scale/fit/heldout.go
@@ -9,7 +9,7 @@
 // Tolerance is the relative error that a prediction may have.
 const Tolerance = 0.15
 
-// Comparison is a model's prediction for a point that was held out beside what was measured there.
+// Comparison compares a prediction for a held-out point with the measurement.
 type Comparison struct {
 	Scenario        string
 	Source          result.Source
@@ -17,7 +17,7 @@
 	Role            Role
 	Metric          Metric
 	Predicted       float64 // by the model over all sweeps
-	PredictedByLine float64 // by the line of the point's sweep; NaN where that has none
+	PredictedByLine float64 // by the line of the point's sweep; NaN if the sweep has no line
 	Measured        float64 // mean over the rounds
 }
 
@@ -34,10 +34,11 @@
 	return predicted / measured
 }
 
-// WithinTolerance reports whether a ratio is within the Tolerance.
+// WithinTolerance reports whether a ratio differs from 1 by at most Tolerance.
 func WithinTolerance(ratio float64) bool { return math.Abs(ratio-1) <= Tolerance }
 
-// HeldOut compares all held-out points of the models' source with their predictions.
+// HeldOut compares the predictions for all held-out points of the models' source with the
+// measurements.
 func (m *Models) HeldOut(results []*result.Result) []Comparison {
 	var all []Comparison
 	for _, r := range results {
@@ -46,16 +47,16 @@
 		}
 		for i := range r.Points {
 			if r.Points[i].HeldOut {
-				all = append(all, m.compare(r, &r.Points[i], Sweeps(sweepOf(r, results)))...)
+				all = append(all, m.compare(r, &r.Points[i], Sweeps(mergedSweep(r, results)))...)
 			}
 		}
 	}
 	return all
 }
 
-// sweepOf returns a result's sweep with the points that are in other files: a held-out size may be
-// measured by a run of its own.
-func sweepOf(r *result.Result, results []*result.Result) *result.Result {
+// mergedSweep returns the sweep of a result with its points in all files. A held-out size may have
+// been measured by a separate run.
+func mergedSweep(r *result.Result, results []*result.Result) *result.Result {
 	sweep := *r
 	sweep.Points = nil
 	for _, other := range results {
@@ -66,12 +67,12 @@
 	return &sweep
 }
 
-// isSameSweep reports whether two results vary the same dimension of the same fleet.
+// isSameSweep reports whether two results vary the same dimension of the same fleet and source.
 func isSameSweep(a, b *result.Result) bool {
 	return a.Source == b.Source && a.Hollow == b.Hollow && a.Dimension == b.Dimension && fixedSize(a) == fixedSize(b)
 }
 
-// fixedSize returns the size of a sweep with the dimension that it varies set to zero.
+// fixedSize returns the size of a sweep with the swept dimension set to zero.
 func fixedSize(r *result.Result) result.Size {
 	s := r.Points[0].Size
 	switch r.Dimension {
@@ -89,7 +90,7 @@
 	return s
 }
 
-// compare returns the comparisons of all figures that were measured at a point.
+// compare returns the comparisons of all metrics that were measured at a point.
 func (m *Models) compare(res *result.Result, p *result.Point, lines []Sweep) []Comparison {
 	var all []Comparison
 	for i := range m.All {
@@ -104,7 +105,7 @@
 		n := 0
 		for k := range p.Rounds {
 			r := &p.Rounds[k]
-			value, ok := measured(r, model.Role, model.Metric)
+			value, ok := roundValue(r, model.Role, model.Metric)
 			if !ok {
 				continue
 			}
@@ -122,8 +123,8 @@
 	return all
 }
 
-// predictByLine returns a model's figure at a size by the line of its sweep; NaN where there is
-// none.
+// predictByLine returns the metric of a model at a size by the line of the sweep, or NaN if there is
+// no line.
 func predictByLine(lines []Sweep, m *Model, size result.Size) float64 {
 	for _, s := range lines {
 		if s.Role != m.Role || s.Metric != m.Metric {
--- a/internal/scale/fit/leastsquares.go
+++ b/internal/scale/fit/leastsquares.go
@@ -4,30 +4,30 @@
 	"math"
 )
 
-// tiny replaces zero as a divisor.
-const tiny = 1e-300
+// minDivisor replaces a divisor of zero.
+const minDivisor = 1e-300
 
-// problem is an overdetermined system of linear equations, one per row, to be solved for the least
-// sum of squared errors. The rows are weighted already.
-type problem struct {
+// leastSquaresProblem is an overdetermined system of linear equations, one per row, to be solved for
+// the least sum of squared errors. The rows are already weighted.
+type leastSquaresProblem struct {
 	rows   [][]float64
 	values []float64
 }
 
-// solution has a coefficient and its standard error for each column.
+// solution holds the coefficient and its standard error for each column.
 type solution struct {
 	coefficients []float64
 	errors       []float64
 }
 
-func (p *problem) add(row []float64, value float64) {
+func (p *leastSquaresProblem) add(row []float64, value float64) {
 	p.rows = append(p.rows, row)
 	p.values = append(p.values, value)
 }
 
-// solve returns the solution that has no negative coefficient, by the active-set method of Lawson
-// and Hanson (Solving Least Squares Problems, chapter 23). Columns should be of a like magnitude.
-func (p *problem) solve(columns int) solution {
+// solve returns the non-negative least squares solution by the active-set method of Lawson and
+// Hanson (Solving Least Squares Problems, chapter 23). The columns should have similar magnitudes.
+func (p *leastSquaresProblem) solve(columns int) solution {
 	active := make([]bool, columns)
 	x := make([]float64, columns)
 	for range 3 * columns {
@@ -36,15 +36,15 @@
 			break
 		}
 		active[best] = true
-		p.settle(x, active)
+		p.optimizeActive(x, active)
 	}
 	return solution{coefficients: x, errors: p.standardErrors(x, active)}
 }
 
-// steepest returns the inactive column along which the error falls most; -1 where it falls along
-// none.
-func (p *problem) steepest(x []float64, active []bool) int {
-	best, most := -1, 1e-9*p.norm()
+// steepest returns the inactive column along which the error decreases fastest, or -1 if the error
+// decreases along no inactive column.
+func (p *leastSquaresProblem) steepest(x []float64, active []bool) int {
+	best, steepestGradient := -1, 1e-9*p.norm()
 	residuals := p.residuals(x)
 	for j := range x {
 		if active[j] {
@@ -54,16 +54,16 @@
 		for i, row := range p.rows {
 			gradient += row[j] * residuals[i]
 		}
-		if gradient > most {
-			best, most = j, gradient
+		if gradient > steepestGradient {
+			best, steepestGradient = j, gradient
 		}
 	}
 	return best
 }
 
-// settle moves x to the optimum of the active columns and deactivates those that would become
-// negative on the way.
-func (p *problem) settle(x []float64, active []bool) {
+// optimizeActive moves x to the optimum of the active columns and deactivates the columns whose
+// coefficients would become negative.
+func (p *leastSquaresProblem) optimizeActive(x []float64, active []bool) {
 	for range len(x) + 1 {
 		target, _, ok := p.optimum(active)
 		if !ok {
@@ -84,8 +84,8 @@
 	}
 }
 
-// feasibleStep returns the largest part of the way from x to target, at most 1, on which no active
-// coefficient becomes negative, and the column that limits it; -1 where none does.
+// feasibleStep returns the largest fraction, at most 1, of the step from x to target that makes no
+// active coefficient negative, and the column that limits the step, or -1 if no column does.
 func feasibleStep(x, target []float64, active []bool) (step float64, blocking int) {
 	step, blocking = 1.0, -1
 	for j := range x {
@@ -99,8 +99,8 @@
 	return step, blocking
 }
 
-// deactivateZeros deactivates the columns that have no coefficient yet: they depend linearly on the
-// others.
+// deactivateZeros deactivates the columns whose coefficients are still zero, because these columns
+// depend linearly on the others.
 func deactivateZeros(x []float64, active []bool) {
 	for j := range x {
 		if active[j] && x[j] == 0 {
@@ -109,9 +109,9 @@
 	}
 }
 
-// optimum solves the normal equations of the active columns. The inverse is that of their matrix.
-// It is not ok if the columns are linearly dependent.
-func (p *problem) optimum(active []bool) (x []float64, inverse [][]float64, ok bool) {
+// optimum solves the normal equations of the active columns and also returns the inverse of their
+// matrix. The result ok is false if the columns are linearly dependent.
+func (p *leastSquaresProblem) optimum(active []bool) (x []float64, inverse [][]float64, ok bool) {
 	var columns []int
 	for j, a := range active {
 		if a {
@@ -132,8 +132,9 @@
 	return x, inverse, true
 }
 
-// normalEquations returns the matrix and the right side of the normal equations of some columns.
-func (p *problem) normalEquations(columns []int) (matrix [][]float64, right []float64) {
+// normalEquations returns the matrix and the right-hand side of the normal equations of the given
+// columns.
+func (p *leastSquaresProblem) normalEquations(columns []int) (matrix [][]float64, right []float64) {
 	matrix = make([][]float64, len(columns))
 	right = make([]float64, len(columns))
 	for a, ja := range columns {
@@ -148,17 +149,17 @@
 	return matrix, right
 }
 
-// norm returns the sum of the squared values; never zero.
-func (p *problem) norm() float64 {
+// norm returns the sum of the squared values, which is at least minDivisor.
+func (p *leastSquaresProblem) norm() float64 {
 	sum := 0.0
 	for _, v := range p.values {
 		sum += v * v
 	}
-	return max(sum, tiny)
+	return max(sum, minDivisor)
 }
 
-// residuals returns what the solution x leaves of each value.
-func (p *problem) residuals(x []float64) []float64 {
+// residuals returns the residual of each value under the solution x.
+func (p *leastSquaresProblem) residuals(x []float64) []float64 {
 	out := make([]float64, len(p.values))
 	for i, row := range p.rows {
 		out[i] = p.values[i]
@@ -169,9 +170,9 @@
 	return out
 }
 
-// standardErrors returns the standard errors of the active columns' coefficients, and zero for the
-// other columns.
-func (p *problem) standardErrors(x []float64, active []bool) []float64 {
+// standardErrors returns the standard errors of the coefficients of the active columns. The errors
+// of the other columns are 0.
+func (p *leastSquaresProblem) standardErrors(x []float64, active []bool) []float64 {
 	out := make([]float64, len(x))
 	_, inverse, ok := p.optimum(active)
 	if !ok {
@@ -182,7 +183,7 @@
 		squares += r * r
 	}
 	free := max(1, len(p.values)-len(inverse))
-	k := 0 // the active column's index in the inverse
+	k := 0 // index of the active column in the inverse
 	for j, a := range active {
 		if a {
 			out[j] = math.Sqrt(max(0, squares/float64(free)*inverse[k][k]))
--- a/internal/scale/fit/line.go
+++ b/internal/scale/fit/line.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Line is how a figure grows along the dimension of a sweep.
+// Line is the line fitted to a metric along the dimension of a sweep.
 type Line struct {
-	Slope          float64 // of the figure, per unit of the dimension
+	Slope          float64 // of the metric, per unit of the dimension
 	SlopeError     float64 // standard error over all rounds
 	Intercept      float64
 	InterceptError float64 // standard error over all rounds
@@ -15,9 +15,9 @@
 	Shape          Shape
 }
 
-// fitLine fits a line to observations, with weights under which small sizes count like large ones.
-// It is not ok if there are fewer than three sizes.
-func fitLine(all []observation) (Line, bool) {
+// fitLine fits a line to observations, with the weights of weightsOf. The result ok is false if the
+// observations have fewer than three sizes.
+func fitLine(all []observation) (l Line, ok bool) {
 	sizes := sizesOf(all)
 	if len(sizes) < 3 {
 		return Line{}, false
@@ -30,7 +30,7 @@
 	return line, true
 }
 
-// sizesOf returns the distinct sizes of the observations, ascending.
+// sizesOf returns the distinct sizes of the observations in ascending order.
 func sizesOf(all []observation) []float64 {
 	var sizes []float64
 	for _, o := range all {
@@ -40,7 +40,7 @@
 	return slices.Compact(sizes)
 }
 
-// moments are the weighted sums that determine a line.
+// moments holds the weighted sums that determine a line.
 type moments struct{ w, wx, wy, wxx, wxy float64 }
 
 func momentsOf(all []observation, weights []float64) moments {
@@ -56,10 +56,11 @@
 	return m
 }
 
-// determinant returns that of the normal equations; 0 where all observations are at one size.
+// determinant returns the determinant of the normal equations. It is 0 if all observations are at
+// one size.
 func (m moments) determinant() float64 { return m.w*m.wxx - m.wx*m.wx }
 
-// leastSquaresLine returns the line of weighted least squares, without its shape.
+// leastSquaresLine returns the weighted least squares line without its shape.
 func leastSquaresLine(all []observation) Line {
 	weights := weightsOf(all)
 	m := momentsOf(all, weights)
@@ -86,13 +87,13 @@
 	return line
 }
 
-// at returns the line's value at a size.
+// at returns the value of the line at a size.
 func (l Line) at(x float64) float64 { return l.Intercept + l.Slope*x }
 
-// weightFloor is the part of the largest value below which all values have the same weight.
+// weightFloor is the fraction of the largest value below which all values have the same weight.
 const weightFloor = 0.02
 
-// weightsOf returns the weights under which a relative error counts the same at every size.
+// weightsOf returns weights that give a relative error the same influence at every size.
 func weightsOf(all []observation) []float64 {
 	largest := 0.0
 	for _, o := range all {
@@ -100,7 +101,7 @@
 	}
 	weights := make([]float64, len(all))
 	for i, o := range all {
-		v := max(math.Abs(o.value), weightFloor*largest, tiny)
+		v := max(math.Abs(o.value), weightFloor*largest, minDivisor)
 		weights[i] = 1 / (v * v)
 	}
 	return weights
--- a/internal/scale/fit/matrix.go
+++ b/internal/scale/fit/matrix.go
@@ -5,7 +5,7 @@
 )
 
 // invert returns the inverse of a symmetric positive matrix, by Gauss-Jordan elimination with
-// partial pivoting. It is not ok if the matrix is singular.
+// partial pivoting. The result ok is false if the matrix is singular.
 func invert(m [][]float64) (inverse [][]float64, ok bool) {
 	n := len(m)
 	work := make([][]float64, n)
@@ -36,8 +36,8 @@
 	return inverse, true
 }
 
-// eliminate makes column c that of the identity matrix by row operations, with row c as the
-// pivot's.
+// eliminate turns column c into the column of the identity matrix by row operations with pivot row
+// c.
 func eliminate(work [][]float64, c int) {
 	scale := work[c][c]
 	for k := range work[c] {
--- a/internal/scale/fit/figure.go
+++ b/internal/scale/fit/metric.go
@@ -1,6 +1,6 @@
 package fit
 
-// Role is a kind of process whose costs are measured together.
+// Role is a group of processes whose costs are measured together.
 type Role string
 
 // The roles of a sweep.
@@ -13,23 +13,23 @@
 // Roles returns all roles.
 func Roles() []Role { return []Role{Proxies, Lists, Relays} }
 
-// Metric is a quantity that is measured for a role.
+// Metric is a quantity measured for a role.
 type Metric string
 
-// The figures. Times are measured for proxies only.
+// The metrics. Times are measured for proxies only.
 const (
-	CPU               Metric = "cpu" // cores: CPU seconds per second
-	RSS               Metric = "rss" // bytes
-	Heap              Metric = "heap"
-	Allocated         Metric = "allocated" // bytes per second
-	Allocations       Metric = "allocations"
+	CPU               Metric = "cpu"         // CPU seconds per second
+	RSS               Metric = "rss"         // bytes
+	Heap              Metric = "heap"        // bytes
+	Allocated         Metric = "allocated"   // bytes per second
+	Allocations       Metric = "allocations" // per second
 	Goroutines        Metric = "goroutines"
 	Connections       Metric = "connections"
-	BytesIn           Metric = "bytes_in" // per second
-	BytesOut          Metric = "bytes_out"
-	MessagesIn        Metric = "messages_in"
-	MessagesOut       Metric = "messages_out"
-	PropagationMedian Metric = "in_force_p50" // seconds
+	BytesIn           Metric = "bytes_in"     // per second
+	BytesOut          Metric = "bytes_out"    // per second
+	MessagesIn        Metric = "messages_in"  // per second
+	MessagesOut       Metric = "messages_out" // per second
+	PropagationMedian Metric = "in_force_p50" // all times in seconds
 	PropagationP99    Metric = "in_force_p99"
 	PropagationMax    Metric = "in_force_last"
 	CallMedian        Metric = "call_p50"
@@ -41,7 +41,7 @@
 	microPerSecond = 1e6
 )
 
-// Metrics returns all figures.
+// Metrics returns all metrics.
 func Metrics() []Metric {
 	return []Metric{
 		CPU, RSS, Heap, Allocated, Allocations, Goroutines, Connections, BytesIn, BytesOut, MessagesIn, MessagesOut,
@@ -49,9 +49,9 @@
 	}
 }
 
-// IsTime reports whether the figure is a quantile of a time. Times are not summed over proxies.
-func (f Metric) IsTime() bool {
-	switch f {
+// IsTime reports whether the metric is a quantile of a time. Times are not summed over proxies.
+func (m Metric) IsTime() bool {
+	switch m {
 	case PropagationMedian, PropagationP99, PropagationMax, CallMedian, CallP99:
 		return true
 	default:
@@ -59,14 +59,14 @@
 	}
 }
 
-// isState reports whether the figure is a level at a moment, not a rate.
-func (f Metric) isState() bool {
-	return f == RSS || f == Heap || f == Goroutines || f == Connections
+// isGauge reports whether the metric is a current value rather than a rate.
+func (m Metric) isGauge() bool {
+	return m == RSS || m == Heap || m == Goroutines || m == Connections
 }
 
-// Unit returns the unit in which tables print the figure, and the number of base units in it.
-func (f Metric) Unit() (name string, base float64) {
-	switch f {
+// Unit returns the unit in which tables print the metric, and the number of base units per unit.
+func (m Metric) Unit() (name string, base float64) {
+	switch m {
 	case CPU:
 		return "millicores", 1e-3
 	case RSS, Heap:
--- a/internal/scale/fit/observe.go
+++ b/internal/scale/fit/observe.go
@@ -4,7 +4,7 @@
 	"fernlanding/internal/scale/result"
 )
 
-// costOf returns a role's costs in a round.
+// costOf returns the costs of a role in a round.
 func costOf(r *result.Round, role Role) *result.Cost {
 	switch role {
 	case Lists:
@@ -16,17 +16,17 @@
 	}
 }
 
-// measured returns a figure of a role in a round, over all processes of the role. It is not ok if
-// the figure was not measured.
-func measured(r *result.Round, role Role, figure Metric) (value float64, ok bool) {
-	if figure.IsTime() {
-		return quantile(r, role, figure)
+// roundValue returns a metric of a role in a round, over all processes of the role. The result ok is
+// false if the metric was not measured.
+func roundValue(r *result.Round, role Role, metric Metric) (value float64, ok bool) {
+	if metric.IsTime() {
+		return timeQuantile(r, role, metric)
 	}
 	c := costOf(r, role)
 	if *c == (result.Cost{}) {
 		return 0, false
 	}
-	switch figure {
+	switch metric {
 	case CPU:
 		return c.CPUSeconds / r.Seconds, true
 	case RSS:
@@ -52,12 +52,13 @@
 	}
 }
 
-// quantile returns a figure that is a time, in seconds. It is not ok if nothing was timed.
-func quantile(r *result.Round, role Role, figure Metric) (value float64, ok bool) {
+// timeQuantile returns a metric that is a time, in seconds. The result ok is false if no time was
+// recorded.
+func timeQuantile(r *result.Round, role Role, metric Metric) (value float64, ok bool) {
 	if role != Proxies {
 		return 0, false
 	}
-	switch figure {
+	switch metric {
 	case PropagationMedian:
 		return r.Propagation.P50, r.Propagation.Count > 0
 	case PropagationP99:
@@ -71,15 +72,15 @@
 	}
 }
 
-// observation is a figure as one round measured it.
+// observation is the value of a metric in one round.
 type observation struct {
 	at    Drivers
-	x     float64 // the size in the sweep's dimension
+	x     float64 // size along the dimension of the sweep
 	value float64
 }
 
-// observe returns a figure of a role at all points of a result that are not held out.
-func observe(res *result.Result, role Role, figure Metric) []observation {
+// observe returns the values of a metric of a role at all points of a result that are not held out.
+func observe(res *result.Result, role Role, metric Metric) []observation {
 	var all []observation
 	for i := range res.Points {
 		p := &res.Points[i]
@@ -88,7 +89,7 @@
 		}
 		for k := range p.Rounds {
 			r := &p.Rounds[k]
-			if value, ok := measured(r, role, figure); ok {
+			if value, ok := roundValue(r, role, metric); ok {
 				all = append(all, observation{
 					at:    DriversOf(p.Size, costOf(r, role).Processes, r.Relays.Processes),
 					x:     DimensionValue(res.Dimension, p.Size),
@@ -100,7 +101,7 @@
 	return all
 }
 
-// DimensionValue returns the value of a size in one dimension.
+// DimensionValue returns the value of a size along one dimension.
 func DimensionValue(d result.Dimension, s result.Size) float64 {
 	switch d {
 	case result.Services:
@@ -116,12 +117,12 @@
 	}
 }
 
-// MeanOf returns the mean over a point's rounds of a figure of a role. It is not ok if the figure
-// was not measured.
-func MeanOf(p *result.Point, role Role, figure Metric) (mean float64, ok bool) {
+// MeanOf returns the mean of a metric of a role over the rounds of a point. The result ok is false
+// if the metric was not measured.
+func MeanOf(p *result.Point, role Role, metric Metric) (mean float64, ok bool) {
 	n := 0
 	for k := range p.Rounds {
-		if v, ok := measured(&p.Rounds[k], role, figure); ok {
+		if v, ok := roundValue(&p.Rounds[k], role, metric); ok {
 			mean += v
 			n++
 		}
--- a/internal/scale/fit/pairs.go
+++ b/internal/scale/fit/pairs.go
@@ -4,7 +4,7 @@
 	"fernlanding/internal/scale/result"
 )
 
-// Pair is a figure measured with hollow and with real proxies under the same load.
+// Pair is a metric measured with hollow and with real proxies under the same load.
 type Pair struct {
 	Source result.Source
 	Size   result.Size
@@ -14,8 +14,8 @@
 	Real   float64 // mean over the rounds, over all processes
 }
 
-// Pairs returns all figures of points of the same size that were measured with hollow and with real
-// proxies.
+// Pairs returns all metrics of points of the same size that were measured both with hollow and with
+// real proxies.
 func Pairs(results []*result.Result) []Pair {
 	var all []Pair
 	for _, hollow := range results {
@@ -44,9 +44,9 @@
 func pairsOfPoints(source result.Source, hollow, actual *result.Point) []Pair {
 	var all []Pair
 	for _, role := range Roles() {
-		for _, figure := range Metrics() {
-			hollowMean, hollowOK := MeanOf(hollow, role, figure)
-			actualMean, actualOK := MeanOf(actual, role, figure)
+		for _, metric := range Metrics() {
+			hollowMean, hollowOK := MeanOf(hollow, role, metric)
+			actualMean, actualOK := MeanOf(actual, role, metric)
 			if !hollowOK || !actualOK {
 				continue
 			}
@@ -54,7 +54,7 @@
 				Source: source,
 				Size:   hollow.Size,
 				Role:   role,
-				Metric: figure,
+				Metric: metric,
 				Hollow: hollowMean,
 				Real:   actualMean,
 			})
--- a/internal/scale/fit/shape.go
+++ b/internal/scale/fit/shape.go
@@ -5,10 +5,12 @@
 	"math"
 )
 
-// Shape is how a figure grows along a sweep.
+// Shape is the kind of growth of a metric along a sweep.
 type Shape struct {
-	Kind          ShapeKind
-	DepartureSize float64 // the first size that departs from the line through the smaller sizes; 0 for Flat and Linear
+	Kind ShapeKind
+	// DepartureSize is the first size that departs from the line through the smaller sizes. It is 0
+	// for Flat and Linear.
+	DepartureSize float64
 }
 
 // ShapeKind is the kind of a Shape.
@@ -16,9 +18,10 @@
 
 // The kinds of Shape.
 const (
-	// Flat means that the slope is within its error, or moves the figure by under a twentieth over the sweep.
+	// Flat means that the slope is within its error, or changes the metric by less than a twentieth
+	// over the sweep.
 	Flat ShapeKind = "flat"
-	// Linear means that the slopes of the lower and the upper half agree.
+	// Linear means that the slopes of the lower and the upper half of the sizes agree.
 	Linear      ShapeKind = "linear"
 	Superlinear ShapeKind = "grows faster than linear"
 	Sublinear   ShapeKind = "grows slower than linear"
@@ -34,14 +37,15 @@
 
 // Thresholds of the test for linearity.
 const (
-	slopeErrors   = 3    // standard errors by which two slopes must differ
-	slopePart     = 0.15 // of the larger slope, by which they must differ too
-	flatPart      = 0.05 // of the figure, that a slope must move it by over a sweep to count
-	departurePart = 0.1  // of the line's value, by which a size departs from it
-	minHalfSizes  = 2    // in each half
+	minSlopeErrors    = 3    // minimum difference of two slopes in standard errors
+	minSlopeFraction  = 0.15 // minimum difference of two slopes as a fraction of the larger slope
+	flatFraction      = 0.05 // minimum change of a metric over a sweep, as a fraction of the metric
+	departureFraction = 0.1  // deviation of a departing size from the line, as a fraction of the line's value
+	minHalfSizes      = 2    // sizes in each half
 )
 
-// shapeOf compares the slope over the lower half of the sizes with that over the upper half.
+// shapeOf returns the shape of observations. It compares the slopes over the lower and the upper
+// half of the sizes.
 func shapeOf(all []observation, sizes []float64, line Line) Shape {
 	lower, upper := halves(all, sizes[len(sizes)/2])
 	if len(sizesOf(lower)) < minHalfSizes || len(sizesOf(upper)) < minHalfSizes {
@@ -49,19 +53,19 @@
 	}
 	a, b := leastSquaresLine(lower), leastSquaresLine(upper)
 	difference := b.Slope - a.Slope
-	spread := math.Hypot(slopeSpread(lower, a), slopeSpread(upper, b))
-	isUncertain := math.Abs(difference) <= slopeErrors*spread
-	isSmall := math.Abs(difference) <= slopePart*max(math.Abs(a.Slope), math.Abs(b.Slope))
+	spread := math.Hypot(scatterSlopeError(lower, a), scatterSlopeError(upper, b))
+	isUncertain := math.Abs(difference) <= minSlopeErrors*spread
+	isSmall := math.Abs(difference) <= minSlopeFraction*max(math.Abs(a.Slope), math.Abs(b.Slope))
 	if isUncertain || isSmall || !isBend(all, sizes, a, b) {
 		return straightShape(line, sizes)
 	}
 	if difference > 0 {
-		return Shape{Kind: Superlinear, DepartureSize: departure(all, sizes)}
+		return Shape{Kind: Superlinear, DepartureSize: departureSize(all, sizes)}
 	}
-	return Shape{Kind: Sublinear, DepartureSize: departure(all, sizes)}
+	return Shape{Kind: Sublinear, DepartureSize: departureSize(all, sizes)}
 }
 
-// halves splits observations at a size. Those at the size itself are in both halves.
+// halves splits observations at a size. Observations at that size are in both halves.
 func halves(all []observation, middle float64) (lower, upper []observation) {
 	for _, o := range all {
 		if o.x <= middle {
@@ -74,10 +78,10 @@
 	return lower, upper
 }
 
-// slopeSpread returns the standard error of a slope by the scatter of the rounds at each size
-// alone, so that a bend does not add to it. Where no size has two rounds it is the line's own
-// error.
-func slopeSpread(all []observation, line Line) float64 {
+// scatterSlopeError returns the standard error of a slope, computed only from the scatter of the
+// rounds at each size, so that a bend does not increase the error. If no size has two rounds, it
+// returns the error of the line.
+func scatterSlopeError(all []observation, line Line) float64 {
 	weights := weightsOf(all)
 	m := momentsOf(all, weights)
 	scatter := 0.0
@@ -93,26 +97,26 @@
 	return math.Sqrt(scatter / float64(free) * m.w / d)
 }
 
-// isBend reports whether the difference of two lines moves the figure at the largest size by more
-// than flatPart.
+// isBend reports whether two lines differ at the largest size by more than flatFraction of the
+// metric.
 func isBend(all []observation, sizes []float64, a, b Line) bool {
 	largest := sizes[len(sizes)-1]
-	return math.Abs(a.at(largest)-b.at(largest)) > flatPart*math.Abs(meanAt(all, largest))
+	return math.Abs(a.at(largest)-b.at(largest)) > flatFraction*math.Abs(meanAt(all, largest))
 }
 
-// straightShape returns the shape of a line without a bend.
+// straightShape returns the shape of observations without a bend: Flat or Linear.
 func straightShape(line Line, sizes []float64) Shape {
 	moved := math.Abs(line.Slope) * (sizes[len(sizes)-1] - sizes[0])
 	middle := math.Abs(line.at((sizes[0] + sizes[len(sizes)-1]) / 2))
-	if math.Abs(line.Slope) <= slopeErrors*line.SlopeError || moved <= flatPart*middle {
+	if math.Abs(line.Slope) <= minSlopeErrors*line.SlopeError || moved <= flatFraction*middle {
 		return Shape{Kind: Flat}
 	}
 	return Shape{Kind: Linear}
 }
 
-// departure returns the first size, from the third on, whose mean is off the line through all
-// smaller sizes; the largest size where none is.
-func departure(all []observation, sizes []float64) float64 {
+// departureSize returns the first size, from the third on, whose mean departs from the line through
+// all smaller sizes. If no size departs, it returns the largest size.
+func departureSize(all []observation, sizes []float64) float64 {
 	for i := 2; i < len(sizes); i++ {
 		var smaller []observation
 		for _, o := range all {
@@ -121,14 +125,14 @@
 			}
 		}
 		expected := leastSquaresLine(smaller).at(sizes[i])
-		if math.Abs(meanAt(all, sizes[i])-expected) > departurePart*math.Abs(expected) {
+		if math.Abs(meanAt(all, sizes[i])-expected) > departureFraction*math.Abs(expected) {
 			return sizes[i]
 		}
 	}
 	return sizes[len(sizes)-1]
 }
 
-// meanAt returns the mean of the values at a size; 0 where there are none.
+// meanAt returns the mean of the values at a size, or 0 if there are none.
 func meanAt(all []observation, x float64) float64 {
 	sum, n := 0.0, 0
 	for _, o := range all {
--- a/internal/scale/fit/sweep.go
+++ b/internal/scale/fit/sweep.go
@@ -4,7 +4,7 @@
 	"fernlanding/internal/scale/result"
 )
 
-// Sweep is how a figure of a role grows in one sweep.
+// Sweep is the growth of a metric of a role in one sweep.
 type Sweep struct {
 	Scenario  string
 	Source    result.Source
@@ -13,26 +13,26 @@
 	Role      Role
 	Metric    Metric
 	Line      Line
-	// PerProxy is set where the figure is divided by the number of proxies. Where the sweep varies
-	// that number, the figure is not divided, and the slope is the cost of one proxy.
+	// PerProxy reports whether the metric is divided by the number of proxies. If the sweep varies
+	// the number of proxies, the metric is not divided, and the slope is the cost of one proxy.
 	PerProxy bool
 }
 
-// Sweeps returns the lines of all figures that a result has at three sizes or more.
+// Sweeps returns the lines of all metrics that a result has at three or more sizes.
 func Sweeps(res *result.Result) []Sweep {
 	var all []Sweep
 	for _, role := range Roles() {
-		for _, figure := range Metrics() {
+		for _, metric := range Metrics() {
 			s := Sweep{
 				Scenario:  res.Scenario,
 				Source:    res.Source,
 				Dimension: res.Dimension,
 				Hollow:    res.Hollow,
 				Role:      role,
-				Metric:    figure,
-				PerProxy:  role == Proxies && res.Dimension != result.Proxies && !figure.IsTime(),
+				Metric:    metric,
+				PerProxy:  role == Proxies && res.Dimension != result.Proxies && !metric.IsTime(),
 			}
-			observations := observe(res, role, figure)
+			observations := observe(res, role, metric)
 			if s.PerProxy {
 				for i := range observations {
 					observations[i].value /= observations[i].at.Proxies
--- a/internal/scale/fit/terms.go
+++ b/internal/scale/fit/terms.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// Bounds below which a term is left out.
+// Limits below which a term is omitted.
 const (
-	minErrors = 2.0  // standard errors between a term's value and zero
-	minShare  = 0.02 // of the figure, at the size at which the term contributes most
+	minErrors = 2.0  // value of the term in standard errors
+	minShare  = 0.02 // fraction of the metric at the size where the term contributes most
 )
 
-// fit finds the terms by backward elimination: the least significant term is left out until all
-// that stay are significant. No term is negative, since costs are not.
+// fit finds the terms by backward elimination: it removes the least significant term until all
+// remaining terms are significant. No term is negative, because costs are not negative.
 func (m *Model) fit(all []observation, drivers []driver) {
 	candidates := drivers
 	if allZero(all) {
@@ -32,26 +32,26 @@
 	}
 	m.Aliased = aliasedDrivers(all, candidates, m.Terms)
 	slices.SortStableFunc(m.Terms, byShare)
-	m.rate(all)
+	m.computeErrors(all)
 }
 
-// byShare orders terms by their contribution, the largest first.
+// byShare orders terms by descending Share.
 func byShare(a, b Term) int { return cmp.Compare(b.Share, a.Share) }
 
 func allZero(all []observation) bool {
 	return !slices.ContainsFunc(all, func(o observation) bool { return o.value != 0 })
 }
 
-// leastSignificant returns the index of the term to leave out next; -1 where all are to stay.
+// leastSignificant returns the index of the next term to remove, or -1 if all terms are significant.
 func leastSignificant(terms []Term) int {
-	weakest, least := -1, math.Inf(1)
+	weakest, lowest := -1, math.Inf(1)
 	for i, t := range terms {
 		if t.Value == 0 || t.Share < minShare {
 			return i
 		}
-		significance := t.Value / max(t.StandardError, tiny)
-		if significance < minErrors && significance < least {
-			weakest, least = i, significance
+		significance := t.Value / max(t.StandardError, minDivisor)
+		if significance < minErrors && significance < lowest {
+			weakest, lowest = i, significance
 		}
 	}
 	return weakest
@@ -74,9 +74,9 @@
 	return terms
 }
 
-// scaledProblem returns the weighted equations of the observations, and the scale of each column:
-// the unit in which the problem counts that driver, so that all columns are of a like magnitude.
-func scaledProblem(all []observation, drivers []driver) (p problem, scales []float64) {
+// scaledProblem returns the weighted equations of the observations and the scale of each column. The
+// columns are divided by their scales so that they have similar magnitudes.
+func scaledProblem(all []observation, drivers []driver) (p leastSquaresProblem, scales []float64) {
 	weights := weightsOf(all)
 	scales = make([]float64, len(drivers))
 	for i := range all {
@@ -89,7 +89,7 @@
 		p.add(row, root*all[i].value)
 	}
 	for j := range scales {
-		scales[j] = max(scales[j], tiny)
+		scales[j] = max(scales[j], minDivisor)
 		for i := range p.rows {
 			p.rows[i][j] /= scales[j]
 		}
@@ -97,7 +97,7 @@
 	return p, scales
 }
 
-// largestShare returns the largest part of the figure that a term makes up at any of the
+// largestShare returns the largest fraction of the metric that a term contributes at any of the
 // observations.
 func largestShare(all []observation, t Term) float64 {
 	share := 0.0
@@ -109,8 +109,8 @@
 	return share
 }
 
-// aliasedDrivers returns the names of the candidates that are linear combinations of the terms'
-// drivers at all measured sizes.
+// aliasedDrivers returns the names of the candidates that are linear combinations of the drivers of
+// the terms at all measured sizes.
 func aliasedDrivers(all []observation, candidates []driver, terms []Term) []string {
 	var names []string
 	for _, d := range candidates {
@@ -123,7 +123,7 @@
 }
 
 func isAliased(all []observation, d driver, terms []Term) bool {
-	p := problem{}
+	p := leastSquaresProblem{}
 	for i := range all {
 		predicted := 0.0
 		for _, t := range terms {
@@ -131,9 +131,9 @@
 		}
 		row := make([]float64, len(terms))
 		for j, t := range terms {
-			row[j] = t.Value * t.driver(&all[i].at) / max(predicted, tiny)
+			row[j] = t.Value * t.driver(&all[i].at) / max(predicted, minDivisor)
 		}
-		p.add(row, d.value(&all[i].at)/max(predicted, tiny))
+		p.add(row, d.value(&all[i].at)/max(predicted, minDivisor))
 	}
 	active := make([]bool, len(terms))
 	for j := range active {
@@ -143,8 +143,8 @@
 	return ok && isExact(&p, x)
 }
 
-// isExact reports whether a solution leaves no more than rounding errors.
-func isExact(p *problem, x []float64) bool {
+// isExact reports whether the residuals of a solution are rounding errors only.
+func isExact(p *leastSquaresProblem, x []float64) bool {
 	left, total := 0.0, 0.0
 	for i, r := range p.residuals(x) {
 		left += r * r
@@ -153,8 +153,8 @@
 	return total > 0 && left < 1e-9*total
 }
 
-// rate computes how well the model fits.
-func (m *Model) rate(all []observation) {
+// computeErrors sets R2, MedianError and MaxError.
+func (m *Model) computeErrors(all []observation) {
 	weights := weightsOf(all)
 	var sumWeights, mean float64
 	for i, o := range all {
--- a/internal/scale/hollow/conn.go
+++ b/internal/scale/hollow/conn.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// dialTimeout bounds the establishment of a connection to a list service.
+// dialTimeout is the timeout of establishing a connection to a list service.
 const dialTimeout = time.Second
 
-// Traffic counts what was sent and received over connections to list services. A message is all
-// that goes in one direction before the direction changes: a request or a response where they
-// alternate.
+// Traffic counts the traffic on connections to list services. A message is all data sent in one
+// direction before the direction changes. If requests and responses alternate, each of them is one
+// message.
 type Traffic struct {
 	BytesIn     int64 `json:"bytes_in"`
 	BytesOut    int64 `json:"bytes_out"`
 	MessagesIn  int64 `json:"messages_in"`
 	MessagesOut int64 `json:"messages_out"`
-	OpenConns   int   `json:"open"` // open connections
+	OpenConns   int   `json:"open"`
 }
 
 // meter counts the traffic of many connections. It is safe for concurrent use.
@@ -30,7 +30,7 @@
 	bytesOut    atomic.Int64
 	messagesIn  atomic.Int64
 	messagesOut atomic.Int64
-	open        atomic.Int64 // connections
+	open        atomic.Int64 // open connections
 }
 
 func (m *meter) traffic() Traffic {
@@ -43,7 +43,7 @@
 	}
 }
 
-// dialer opens metered connections from one local address.
+// dialer opens metered connections from a fixed local address.
 type dialer struct {
 	net.Dialer
 	meter *meter
@@ -51,7 +51,7 @@
 
 func newDialer(from netip.Addr, m *meter) *dialer {
 	d := &dialer{meter: m}
-	d.KeepAlive = -1 // no probes
+	d.KeepAlive = -1 // disables keep-alive probes
 	d.Timeout = dialTimeout
 	if from.IsValid() {
 		d.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(from, 0))
@@ -69,7 +69,7 @@
 	return &meteredConn{Conn: c, meter: d.meter}, nil
 }
 
-// direction is the direction of the bytes last seen on a connection.
+// direction is the direction of the most recent data on a connection.
 type direction int32
 
 const (
@@ -86,7 +86,7 @@
 	closed sync.Once
 }
 
-// startsMessage reports whether bytes in a direction are the first of a message.
+// startsMessage records the direction of data and reports whether the data starts a message.
 func (c *meteredConn) startsMessage(to direction) bool {
 	return direction(c.last.Swap(int32(to))) != to
 }
@@ -105,7 +105,7 @@
 
 // Write implements [net.Conn].
 func (c *meteredConn) Write(b []byte) (int, error) {
-	if c.startsMessage(outbound) { // counted before the response can arrive
+	if c.startsMessage(outbound) { // before Write, because the response may arrive before Write returns
 		c.meter.messagesOut.Add(1)
 	}
 	n, err := c.Conn.Write(b)
--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/hollow/hollow.go
@@ -1,12 +1,12 @@
-// Package hollow runs the control half of many sidecars in one process: their configurations are
-// decoded and put in force, their sources follow real endpoint lists, their pools decide. They have
-// neither listeners nor connections to backends.
+// Package hollow runs hollow proxies: the control plane parts of many sidecars in one process. A
+// hollow proxy decodes and applies its configuration, follows real endpoint lists, and selects
+// endpoints for calls. It has neither listeners nor connections to backends.
 //
-// A fault of one proxy is contained as far as that is possible: a configuration that is rejected, a
-// source that receives garbage, and a panic on a goroutine that this package starts end that proxy
-// only. A panic on a goroutine that the sidecar itself starts (a pool's timers, a source's loop)
-// ends the process and all proxies in it, as it would end a sidecar; so do a lack of memory and
-// what the runtime calls fatal, such as concurrent writes to a map.
+// A failure of one proxy is isolated as far as possible. An invalid configuration, a source that
+// receives invalid data, and a panic on a goroutine that this package starts end that proxy only. A
+// panic on a goroutine that the sidecar itself starts (the timers of a pool, the loop of a source)
+// ends the process and all proxies in it, as the panic would end a sidecar. Out-of-memory and fatal
+// errors of the runtime, such as concurrent writes to a map, end the process too.
 package hollow
 
 import (
@@ -30,37 +30,38 @@
 	"golang.org/x/sys/unix"
 )
 
-// MaxAppliedVersions bounds the number of arrivals that a fleet keeps until they are collected.
+// MaxAppliedVersions is the maximum number of applied versions that a fleet keeps until
+// TakeAppliedVersions is called.
 const MaxAppliedVersions = 4 << 20
 
 // ProxySpec describes a proxy to start.
 type ProxySpec struct {
 	Name      string
 	Config    []byte     // the configuration file
-	LocalAddr netip.Addr // of connections to list services; the zero Addr: any
+	LocalAddr netip.Addr // of connections to list services; the zero Addr means any
 }
 
-// Fleet runs hollow proxies. Its methods may be called concurrently.
+// Fleet runs hollow proxies. Its methods are safe for concurrent use.
 type Fleet struct {
 	meter    meter
-	backends int // of each service's first list
+	backends int // per service, in the first list
 	onList   func(proxy, service string, list *membership.List)
 	running  sync.WaitGroup
 
 	mu       sync.Mutex
 	closed   bool
-	cancels  []context.CancelFunc // of what Close ends
+	cancels  []context.CancelFunc // of the contexts that Close cancels
 	proxies  []*proxy
-	failures map[string]string // reasons for which proxies ended, by name
-	arrivals []AppliedVersion
-	lost     int64 // arrivals beyond MaxArrivals
+	failures map[string]string // errors of the proxies that failed, by name
+	applied  []AppliedVersion
+	dropped  int64 // applied versions beyond MaxAppliedVersions
 }
 
 // Config configures a fleet.
 type Config struct {
-	BackendsPerService int // of each service's first list
-	// OnList, if not nil, is called after a list of a proxy's service is in force. A panic in it
-	// ends that proxy only.
+	BackendsPerService int // in the first list
+	// OnList, if not nil, is called after a proxy has applied a list. A panic in OnList ends that
+	// proxy only.
 	OnList func(proxy, service string, list *membership.List)
 }
 
@@ -73,23 +74,23 @@
 	failed   atomic.Bool
 
 	mu       sync.Mutex
-	versions map[string]int64 // in force, by service
+	versions map[string]int64 // applied versions by service
 }
 
-// AppliedVersion is a version of a service's list that a proxy has put in force.
+// AppliedVersion is a version of the list of a service that a proxy has applied.
 type AppliedVersion struct {
 	Service string
 	Version int64
-	At      int64 // of MonotonicNow
+	At      int64 // time of MonotonicNow
 }
 
-// New returns a fleet without proxies. Close ends it.
+// New returns a fleet without proxies. The caller calls Close to stop the fleet.
 func New(cfg Config) *Fleet {
 	return &Fleet{backends: cfg.BackendsPerService, onList: cfg.OnList, failures: map[string]string{}}
 }
 
-// newContext returns a context that Close cancels. Proxies and calls outlive the commands that
-// start them, so it does not derive from a caller's context.
+// newContext returns a context that Close cancels. The context is not derived from the context of a
+// caller, because proxies and calls outlive the commands that start them.
 func (f *Fleet) newContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.mu.Lock()
@@ -101,16 +102,17 @@
 	return ctx, cancel
 }
 
-// MonotonicNow returns the machine's monotonic clock in nanoseconds, which all its processes share.
+// MonotonicNow returns the time of the monotonic clock in nanoseconds. All processes of the machine
+// share this clock.
 func MonotonicNow() int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
-		return 0 // every Linux kernel has this clock
+		return 0 // does not happen: every Linux kernel has this clock
 	}
 	return t.Nano()
 }
 
-// recoverPanic calls f and returns its error, or its panic as an error.
+// recoverPanic calls f and returns the error of f, or the panic of f as an error.
 func recoverPanic(f func() error) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -120,23 +122,23 @@
 	return f()
 }
 
-// panicLocation returns the line of a stack at which it panicked, or all of the stack where that
-// line cannot be found.
+// panicLocation returns the line of a stack trace that names the location of the panic, or the whole
+// trace if that line cannot be found.
 func panicLocation(stack string) string {
 	_, below, found := strings.Cut(stack, "\npanic(")
 	lines := strings.Split(below, "\n")
-	const callerAt = 3 // after the arguments of panic, its file, and the caller's name
+	const callerAt = 3 // after the arguments of panic, the file of panic, and the name of the caller
 	if !found || len(lines) <= callerAt {
 		return stack
 	}
 	return strings.TrimSpace(lines[callerAt])
 }
 
-// Start starts a proxy. If it cannot be started, the reason is returned and kept among the
-// failures.
+// Start starts a proxy. If the proxy cannot be started, Start returns the error and adds it to
+// Failures.
 func (f *Fleet) Start(spec ProxySpec) error {
 	p := &proxy{name: spec.Name, versions: map[string]int64{}}
-	if err := recoverPanic(func() error { return f.build(p, spec) }); err != nil {
+	if err := recoverPanic(func() error { return f.newSidecar(p, spec) }); err != nil {
 		f.failProxy(p, err)
 		return fmt.Errorf("%s: %w", spec.Name, err)
 	}
@@ -154,8 +156,8 @@
 	return nil
 }
 
-// build decodes a proxy's configuration and makes its sidecar.
-func (f *Fleet) build(p *proxy, spec ProxySpec) error {
+// newSidecar decodes the configuration of a proxy and sets its sidecar.
+func (f *Fleet) newSidecar(p *proxy, spec ProxySpec) error {
 	app, err := config.Decode(spec.Name, spec.Config)
 	if err != nil {
 		return err
@@ -165,16 +167,16 @@
 	}
 	options := sidecar.HollowOptions{
 		Dial:          newDialer(spec.LocalAddr, &f.meter).dial,
-		OnListApplied: func(service string, list *membership.List) { f.listInForce(p, service, list) },
+		OnListApplied: func(service string, list *membership.List) { f.onListApplied(p, service, list) },
 	}
 	p.sidecar, err = sidecar.NewHollow(app, slog.New(slog.DiscardHandler), options)
 	return err
 }
 
-// listInForce records that a list is in force in a proxy.
-func (f *Fleet) listInForce(p *proxy, service string, list *membership.List) {
+// onListApplied records that a proxy has applied a list.
+func (f *Fleet) onListApplied(p *proxy, service string, list *membership.List) {
 	err := recoverPanic(func() error {
-		f.recordArrivals(p, service, list)
+		f.recordAppliedVersions(p, service, list)
 		if f.onList != nil {
 			f.onList(p.name, service, list)
 		}
@@ -185,28 +187,29 @@
 	}
 }
 
-// recordArrivals records the versions that a list brings beyond the one in force before.
-func (f *Fleet) recordArrivals(p *proxy, service string, list *membership.List) {
+// recordAppliedVersions records the versions of a list that are later than the previously applied
+// version.
+func (f *Fleet) recordAppliedVersions(p *proxy, service string, list *membership.List) {
 	now, version := MonotonicNow(), churn.Version(list, f.backends)
 	p.mu.Lock()
 	before, known := p.versions[service]
 	p.versions[service] = max(before, version)
 	p.mu.Unlock()
-	if !known { // the first list has all changes that were made before the proxy's start
+	if !known { // the first list contains all changes made before the start of the proxy
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for v := before + 1; v <= version; v++ {
-		if len(f.arrivals) == MaxAppliedVersions {
-			f.lost++
+		if len(f.applied) == MaxAppliedVersions {
+			f.dropped++
 			continue
 		}
-		f.arrivals = append(f.arrivals, AppliedVersion{Service: service, Version: v, At: now})
+		f.applied = append(f.applied, AppliedVersion{Service: service, Version: v, At: now})
 	}
 }
 
-// failProxy ends a proxy and keeps the first reason for it.
+// failProxy stops a proxy and keeps its first error.
 func (f *Fleet) failProxy(p *proxy, err error) {
 	p.failed.Store(true)
 	f.mu.Lock()
@@ -219,21 +222,21 @@
 	}
 }
 
-// Failures returns the reasons for which proxies have ended, by their names.
+// Failures returns the errors of the proxies that have failed, by proxy name.
 func (f *Fleet) Failures() map[string]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return maps.Clone(f.failures)
 }
 
-var errNotReady = errors.New("not all lists have come")
+var errListsMissing = errors.New("not all lists received")
 
 // WaitReady waits until all proxies that have not failed have received all their lists.
 func (f *Fleet) WaitReady(ctx context.Context) error {
 	for _, p := range f.alive() {
 		deadline, _ := ctx.Deadline()
 		if err := p.sidecar.WaitReady(ctx, timeLeft(deadline)); err != nil && !p.failed.Load() {
-			return fmt.Errorf("%s: %w: %w", p.name, errNotReady, err)
+			return fmt.Errorf("%s: %w: %w", p.name, errListsMissing, err)
 		}
 	}
 	return nil
@@ -252,20 +255,20 @@
 	return out
 }
 
-// Traffic returns the traffic between all proxies and list services so far.
+// Traffic returns the traffic between all proxies and their list services so far.
 func (f *Fleet) Traffic() Traffic { return f.meter.traffic() }
 
-// TakeAppliedVersions returns the versions put in force since the last call, and the number of those that were
-// lost because there were more than MaxArrivals.
-func (f *Fleet) TakeAppliedVersions() (all []AppliedVersion, lost int64) {
+// TakeAppliedVersions returns the versions applied since the last call, and the number of versions
+// that were dropped because there were more than MaxAppliedVersions.
+func (f *Fleet) TakeAppliedVersions() (all []AppliedVersion, dropped int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	all, lost = f.arrivals, f.lost
-	f.arrivals, f.lost = nil, 0
-	return all, lost
+	all, dropped = f.applied, f.dropped
+	f.applied, f.dropped = nil, 0
+	return all, dropped
 }
 
-// Close ends all proxies and the calls on them, and returns when the proxies have ended.
+// Close stops all proxies and the calls on them, and returns when the proxies have stopped.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	f.closed = true
@@ -276,7 +279,7 @@
 	f.running.Wait()
 }
 
-// timeLeft returns the time until a deadline; a long time without one.
+// timeLeft returns the time until a deadline, or one hour for the zero deadline.
 func timeLeft(deadline time.Time) time.Duration {
 	const long = time.Hour
 	if deadline.IsZero() {
--- a/internal/scale/hollow/hollow_test.go
+++ b/internal/scale/hollow/hollow_test.go
@@ -22,10 +22,10 @@
 
 const (
 	backends = 5
-	patience = 30 * time.Second // of a wait that ends as soon as its condition holds
+	patience = 30 * time.Second // maximum wait for a condition
 )
 
-// newRegistry returns a list service with services that have all their backends.
+// newRegistry returns a list service whose services have all their backends.
 func newRegistry(t *testing.T, services int) *standin.Registry {
 	t.Helper()
 	var names []string
@@ -55,7 +55,7 @@
 	}
 }
 
-// newLayout returns the layout of a fleet whose proxies follow all services of one list service.
+// newLayout returns a layout in which every proxy follows all services of one list service.
 func newLayout(services int, lists string) *topology.Layout {
 	return &topology.Layout{
 		Source:       result.SourceConsul,
@@ -77,7 +77,7 @@
 	}
 }
 
-// waitReady waits until all proxies have their lists.
+// waitReady waits until all proxies have received their lists.
 func waitReady(t *testing.T, f *hollow.Fleet) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
@@ -87,7 +87,7 @@
 	}
 }
 
-// waitUntil waits until a condition holds, which it describes where it does not.
+// waitUntil waits until a condition holds. It fails the test with the description on a timeout.
 func waitUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	poll, timeout := time.NewTicker(5*time.Millisecond), time.NewTimer(patience)
@@ -97,29 +97,29 @@
 		select {
 		case <-poll.C:
 		case <-timeout.C:
-			t.Fatalf("not within %v: %s", patience, description)
+			t.Fatalf("timeout after %v: %s", patience, description)
 		}
 	}
 }
 
-// waitArrivals waits until so many versions are in force.
-func waitArrivals(t *testing.T, f *hollow.Fleet, want int) []hollow.AppliedVersion {
+// waitAppliedVersions waits until the fleet has recorded the wanted number of applied versions.
+func waitAppliedVersions(t *testing.T, f *hollow.Fleet, want int) []hollow.AppliedVersion {
 	t.Helper()
 	var all []hollow.AppliedVersion
-	waitUntil(t, fmt.Sprintf("%d versions in force", want), func() bool {
-		more, lost := f.TakeAppliedVersions()
+	waitUntil(t, fmt.Sprintf("%d applied versions", want), func() bool {
+		more, dropped := f.TakeAppliedVersions()
 		all = append(all, more...)
-		if lost > 0 {
-			t.Fatalf("%d arrivals lost", lost)
+		if dropped > 0 {
+			t.Fatalf("%d applied versions dropped", dropped)
 		}
 		return len(all) >= want
 	})
 	return all
 }
 
-// Each change is in force once in each proxy that follows its service, after it was made, and calls
-// are decided by what is in force.
-func TestChangesComeInForceAndCallsAreServed(t *testing.T) {
+// Each proxy that follows a service applies each change of its list once, after the change was made.
+// Calls are served with the applied lists.
+func TestChangesAreAppliedAndCallsServed(t *testing.T) {
 	const proxies, services = 6, 3
 	r := newRegistry(t, services)
 	l := newLayout(services, r.Addr())
@@ -131,24 +131,25 @@
 	waitReady(t, f)
 	load := hollow.NewLoad(f, 200)
 	defer load.Close()
-	began := hollow.MonotonicNow()
+	startTime := hollow.MonotonicNow()
 	r.Service(topology.ServiceName(1)).Put(member(1, 0, "DRAINING"))
 	seen := map[hollow.AppliedVersion]int{}
-	for _, a := range waitArrivals(t, f, proxies) {
-		if a.At < began || a.At > hollow.MonotonicNow() {
-			t.Errorf("arrived at %d, made at %d", a.At, began)
+	for _, a := range waitAppliedVersions(t, f, proxies) {
+		if a.At < startTime || a.At > hollow.MonotonicNow() {
+			t.Errorf("applied at %d, want between the change at %d and now", a.At, startTime)
 		}
 		a.At = 0
 		seen[a]++
 	}
-	if want := (hollow.AppliedVersion{Service: topology.ServiceName(1), Version: 1}); len(seen) != 1 || seen[want] != proxies {
-		t.Errorf("arrivals %v", seen)
+	want := hollow.AppliedVersion{Service: topology.ServiceName(1), Version: 1}
+	if len(seen) != 1 || seen[want] != proxies {
+		t.Errorf("applied versions %v, want %v from %d proxies", seen, want, proxies)
 	}
 	r.Service(topology.ServiceName(1)).Delete(churn.BackendName(topology.ServiceName(1), 0))
 	r.Service(topology.ServiceName(1)).Put(member(1, backends, "SERVING"))
-	for _, a := range waitArrivals(t, f, 2*proxies) {
+	for _, a := range waitAppliedVersions(t, f, 2*proxies) {
 		if a.Version != 2 && a.Version != 3 {
-			t.Errorf("version %d", a.Version)
+			t.Errorf("version %d, want 2 or 3", a.Version)
 		}
 	}
 	var calls hollow.Calls
@@ -164,7 +165,7 @@
 	for n := range proxies {
 		listener, err := net.Listen("tcp", topology.ListenAddr(n))
 		if err != nil {
-			t.Errorf("a hollow proxy listens: %v", err)
+			t.Errorf("a hollow proxy occupies its listen address: %v", err)
 			continue
 		}
 		if err := listener.Close(); err != nil {
@@ -174,24 +175,25 @@
 	traffic := f.Traffic()
 	if traffic.BytesIn == 0 || traffic.BytesOut == 0 ||
 		traffic.MessagesOut < proxies*services || traffic.OpenConns < proxies*services {
-		t.Errorf("traffic %+v", traffic)
+		t.Errorf("traffic %+v, want bytes both ways, at least %d sent messages and connections",
+			traffic, proxies*services)
 	}
 	if failures := f.Failures(); len(failures) > 0 {
 		t.Error(failures)
 	}
 }
 
-// A proxy whose configuration is rejected, one whose source receives garbage and one that panics do
-// not affect others.
-func TestFaultsAreContained(t *testing.T) {
+// An invalid configuration, a source that receives invalid data and a panic end the affected proxy
+// only.
+func TestFailuresAreIsolated(t *testing.T) {
 	r := newRegistry(t, 1)
-	var answers atomic.Int64
-	garbage := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("X-Consul-Index", fmt.Sprint(answers.Add(1)))
+	var responses atomic.Int64
+	invalidSource := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set("X-Consul-Index", fmt.Sprint(responses.Add(1)))
 		_, _ = w.Write(bytes.Repeat([]byte(`{"no":"list"`), 100))
 	}))
-	defer garbage.Close()
-	const healthy, panics, garbled, malformed = 0, 1, 2, 3
+	defer invalidSource.Close()
+	const healthy, panics, invalidData, malformed = 0, 1, 2, 3
 	f := hollow.New(hollow.Config{BackendsPerService: backends, OnList: func(proxy, _ string, l *membership.List) {
 		if proxy == topology.ProxyName(panics) && churn.Version(l, backends) > 0 {
 			panic("for the test")
@@ -202,36 +204,36 @@
 	start(t, f, l, healthy)
 	start(t, f, l, panics)
 	waitReady(t, f)
-	start(t, f, newLayout(1, strings.TrimPrefix(garbage.URL, "http://")), garbled)
+	start(t, f, newLayout(1, strings.TrimPrefix(invalidSource.URL, "http://")), invalidData)
 	text := append(l.Config(malformed), "nonsense = 1\n"...)
 	err := f.Start(hollow.ProxySpec{Name: topology.ProxyName(malformed), Config: text})
 	if err == nil || !strings.Contains(err.Error(), "nonsense: unknown field") {
-		t.Errorf("bad configuration: %v", err)
+		t.Errorf("invalid configuration: got error %v, want an unknown field", err)
 	}
 	if err := f.Start(hollow.ProxySpec{Name: "empty"}); err == nil {
-		t.Error("an empty configuration was accepted")
+		t.Error("no error for an empty configuration")
 	}
-	waitUntil(t, "a second read of garbage", func() bool { return answers.Load() >= 2 })
+	waitUntil(t, "a second read of invalid data", func() bool { return responses.Load() >= 2 })
 	r.Service(topology.ServiceName(0)).Put(member(0, 0, "DRAINING"))
 	waitUntil(t, "the panic among the failures", func() bool { return f.Failures()[topology.ProxyName(panics)] != "" })
-	waitArrivals(t, f, 1)
+	waitAppliedVersions(t, f, 1)
 	r.Service(topology.ServiceName(0)).Delete(churn.BackendName(topology.ServiceName(0), 0))
-	for _, a := range waitArrivals(t, f, 1) {
+	for _, a := range waitAppliedVersions(t, f, 1) {
 		if a.Version != 1 && a.Version != 2 {
-			t.Errorf("%+v", a)
+			t.Errorf("applied version %+v, want version 1 or 2", a)
 		}
 	}
 	failures := f.Failures()
 	for _, n := range []int{panics, malformed} {
 		if failures[topology.ProxyName(n)] == "" {
-			t.Errorf("%s: no failure", topology.ProxyName(n))
+			t.Errorf("%s: no failure recorded", topology.ProxyName(n))
 		}
 	}
 	reason := failures[topology.ProxyName(panics)]
 	if !strings.Contains(reason, "for the test") || !strings.Contains(reason, "hollow_test.go") {
-		t.Errorf("the panic is reported as %q", reason)
+		t.Errorf("failure %q, want the value and the location of the panic", reason)
 	}
-	if len(failures) != 3 { // the empty one too
-		t.Errorf("failures %v", failures)
+	if len(failures) != 3 { // including the empty configuration
+		t.Errorf("failures %v, want 3", failures)
 	}
 }
--- a/internal/scale/hollow/load.go
+++ b/internal/scale/hollow/load.go
@@ -16,16 +16,16 @@
 
 const (
 	callInterval = 5 * time.Millisecond
-	// maxBacklog bounds the calls that a worker which falls behind makes up for; calls beyond it
-	// count as skipped.
+	// maxBacklog bounds the due calls of a worker that is behind schedule. Calls beyond it count as
+	// skipped.
 	maxBacklog  = time.Second
 	callTimeout = time.Second
-	maxLatency  = int64(time.Minute) // in a histogram, in nanoseconds
+	maxLatency  = int64(time.Minute) // largest value of a histogram, in nanoseconds
 	precision   = 3                  // significant digits of a histogram
 	noTenant    = -1
 )
 
-// Load makes calls at a steady rate on a fleet, whatever their outcome.
+// Load makes calls to a fleet at a constant rate, regardless of the outcomes.
 type Load struct {
 	workers []*callWorker
 	stop    context.CancelFunc
@@ -34,18 +34,18 @@
 
 // Calls counts calls by their outcome.
 type Calls struct {
-	Latency   *hdrhistogram.Histogram // of all calls made, in nanoseconds
+	Latency   *hdrhistogram.Histogram // latencies of all calls made, in nanoseconds
 	Served    int64
 	NotServed int64 // rejected or failed
 	Skipped   int64 // due but not made
 }
 
-// callWorker makes the calls on some of the proxies.
+// callWorker makes the calls to some of the proxies.
 type callWorker struct {
 	fleet   *Fleet
 	proxies []*proxy
-	rate    float64 // calls per second over its proxies
-	number  uint64  // of the last call; the upper 16 bits are the worker's
+	rate    float64 // calls per second over all proxies of the worker
+	number  uint64  // number of the last call; the upper 16 bits identify the worker
 
 	mu    sync.Mutex
 	calls Calls
@@ -53,8 +53,8 @@
 
 func newCalls() Calls { return Calls{Latency: hdrhistogram.New(1, maxLatency, precision)} }
 
-// NewLoad starts calls on all proxies that have not failed, at a rate for each of them. Close of
-// the load or of the fleet ends them.
+// NewLoad starts calls to all proxies that have not failed. The rate callsPerSecond applies to each
+// proxy. Close of the load or of the fleet stops the calls.
 func NewLoad(f *Fleet, callsPerSecond float64) *Load {
 	ctx, stop := f.newContext()
 	l := &Load{stop: stop}
@@ -88,13 +88,13 @@
 	return sum
 }
 
-// Close ends the calls and returns when none is under way.
+// Close stops the calls and returns when no call is in progress.
 func (l *Load) Close() {
 	l.stop()
 	l.running.Wait()
 }
 
-// run makes the calls that are due at each tick until ctx ends.
+// run makes the due calls at each tick until ctx is done.
 func (w *callWorker) run(ctx context.Context) {
 	tick := time.NewTicker(callInterval)
 	defer tick.Stop()
@@ -117,14 +117,14 @@
 	}
 }
 
-// skip counts calls that are not made.
+// skip counts calls that were due but are not made.
 func (w *callWorker) skip(calls int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.calls.Skipped += calls
 }
 
-// call makes the next call. It takes proxies and their services in turn.
+// call makes the next call. It uses the proxies, and the services of each proxy, in turn.
 func (w *callWorker) call() {
 	w.number++
 	turn := w.number & (1<<48 - 1)
@@ -134,7 +134,7 @@
 		return
 	}
 	service := p.services[turn/uint64(len(w.proxies))%uint64(len(p.services))]
-	began := time.Now()
+	startTime := time.Now()
 	request := w.newRequest(p)
 	isServed := false
 	err := recoverPanic(func() error {
@@ -146,7 +146,7 @@
 		outcome.Response.Close()
 		return nil
 	})
-	latency := time.Since(began)
+	latency := time.Since(startTime)
 	if err != nil {
 		w.fleet.failProxy(p, err)
 	}
@@ -157,11 +157,11 @@
 	} else {
 		w.calls.NotServed++
 	}
-	// It fails only for values out of range.
+	// RecordValue fails only for values out of range.
 	_ = w.calls.Latency.RecordValue(min(max(1, latency.Nanoseconds()), maxLatency))
 }
 
-// newRequest returns the request of the last call, to a proxy.
+// newRequest returns the request of the current call to a proxy.
 func (w *callWorker) newRequest(p *proxy) *core.Request {
 	return &core.Request{Request: logic.Request{
 		ID:             strconv.FormatUint(w.number, 16),
--- a/internal/scale/latency/chain.go
+++ b/internal/scale/latency/chain.go
@@ -19,15 +19,15 @@
 	readyTimeout      = 10 * time.Second
 	readyPollInterval = 10 * time.Millisecond
 	probeTimeout      = time.Second
-	logTailBytes      = 400 // of a process's log, that an error contains
+	logTailBytes      = 400 // end of a process's log in error messages
 
-	backendsName = "backends" // of the process that holds them
+	backendsName = "backends" // name of the process of all backends
 )
 
-// chain is sidecars in a row before stand-in backends: processes of their own, which end with this
-// one.
+// chain is a series of sidecars in front of stand-in backends. Each sidecar is a process, and all
+// backends share one process. The processes end when this process ends.
 type chain struct {
-	first    netip.AddrPort // of the first sidecar
+	first    netip.AddrPort // address of the first sidecar
 	backends []netip.AddrPort
 	starter  *spawn.Starter
 	dir      string
@@ -42,8 +42,8 @@
 	exited  chan struct{} // closed when the process has been reaped
 }
 
-// startChain starts the processes of a case and returns when all are ready. Its close
-// method ends them.
+// startChain starts the processes of a case and returns when all of them are ready. The caller calls
+// close to end the processes.
 func startChain(ctx context.Context, program string, p *Plan, c *Case) (*chain, error) {
 	addresses, err := reserve(c.Backends + c.Hops)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return ch, nil
 }
 
-// start starts the backends, and then the sidecars from the last to the first.
+// start starts the backends and then the sidecars from the last to the first.
 func (ch *chain) start(ctx context.Context, program string, p *Plan, listeners []netip.AddrPort) error {
 	next := ch.backends
 	for i := len(listeners) - 1; i >= 0; i-- {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// startBackends starts the stand-in backends that a sidecar's configuration file names.
+// startBackends starts the stand-in backends in the configuration file of a sidecar.
 func (ch *chain) startBackends(ctx context.Context, program, file string) error {
 	if err := ch.startProcess(backendsName, program, "standin", file); err != nil {
 		return err
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// sidecarConfig returns the configuration file of a sidecar before backends that send nothing after
-// their responses.
+// sidecarConfig returns the configuration file of a sidecar in front of the given backends. The
+// backends are trusted: they send no data after their responses.
 func sidecarConfig(name string, listener netip.AddrPort, backends []netip.AddrPort, s Sidecar) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "version = 2\nname = %q\n", name)
@@ -123,7 +123,7 @@
 	return b.String()
 }
 
-// startProcess starts a process whose output goes to a file.
+// startProcess starts a process whose output is written to a file.
 func (ch *chain) startProcess(name string, args ...string) error {
 	p := &child{
 		name:   name,
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// waitReady waits until the process that was started last answers a GET request with 200.
+// waitReady waits until the most recently started process answers a GET request with status 200.
 func (ch *chain) waitReady(ctx context.Context, url string) error {
 	p := ch.children[len(ch.children)-1]
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
@@ -163,15 +163,15 @@
 		}
 		select {
 		case <-p.exited:
-			return fmt.Errorf("%s has ended: %s", p.name, p.logTail())
+			return fmt.Errorf("%s: exited before it was ready: %s", p.name, p.logTail())
 		case <-ctx.Done():
-			return fmt.Errorf("%s is not ready: %w: %s", p.name, ctx.Err(), p.logTail())
+			return fmt.Errorf("%s: not ready: %w: %s", p.name, ctx.Err(), p.logTail())
 		case <-poll.C:
 		}
 	}
 }
 
-// isReady reports whether a GET request is answered with 200.
+// isReady reports whether a GET request is answered with status 200.
 func isReady(ctx context.Context, client *http.Client, url string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -181,11 +181,11 @@
 	if err != nil {
 		return false
 	}
-	_ = response.Body.Close() // the connection is not kept
+	_ = response.Body.Close() // the connection is not reused
 	return response.StatusCode == http.StatusOK
 }
 
-// logTail returns the end of a process's output.
+// logTail returns the end of the output of a process.
 func (p *child) logTail() string {
 	data, err := os.ReadFile(p.log)
 	if err != nil {
@@ -197,7 +197,7 @@
 // close kills the processes and returns when all have exited.
 func (ch *chain) close() {
 	for _, p := range ch.children {
-		_ = p.command.Process.Kill() // it may have ended
+		_ = p.command.Process.Kill() // fails if the process has exited
 	}
 	for _, p := range ch.children {
 		<-p.exited
@@ -206,8 +206,8 @@
 	_ = os.RemoveAll(ch.dir)
 }
 
-// reserve returns free addresses on a loopback host of this process's own: outgoing connections
-// come from 127.0.0.1 and take no ports there.
+// reserve returns free addresses on a loopback IP address derived from the process ID. Outgoing
+// connections come from 127.0.0.1 and use no ports of that IP address.
 func reserve(n int) (addresses []netip.AddrPort, err error) {
 	id := os.Getpid()
 	host := netip.AddrFrom4([4]byte{127, byte(64 + id>>16&63), byte(id >> 8), byte(id)})
@@ -216,7 +216,7 @@
 		if err != nil {
 			return nil, err
 		}
-		defer func() { _ = l.Close() }() // held until all addresses are found
+		defer func() { _ = l.Close() }() // kept open until all addresses are found
 		address, err := netip.ParseAddrPort(l.Addr().String())
 		if err != nil {
 			return nil, err
--- a/internal/scale/latency/client.go
+++ b/internal/scale/latency/client.go
@@ -11,26 +11,27 @@
 )
 
 const (
-	callTimeout          = 5 * time.Second // from the intended moment
+	callTimeout          = 5 * time.Second // from the intended send time
 	startDelay           = time.Millisecond
-	passesPerCancelCheck = 4096
+	passesPerCancelCheck = 4096 // passes of the polling loop
 )
 
 var (
 	errTimeout       = errors.New("no answer in time")
-	errNoConnections = errors.New("no connection is left")
+	errNoConnections = errors.New("all connections closed")
 )
 
-// pool keeps connections to the same addresses. Between two segments no call is on any of them.
+// pool keeps persistent connections to a set of addresses. Between segments, all connections are
+// idle.
 type pool struct {
-	addresses []netip.AddrPort // in turn
+	addresses []netip.AddrPort // used in turn
 	size      int
-	opened    int           // connections since the start
-	calls     int           // calls since the start
-	idle      []*connection // the one that is idle longest first
+	opened    int           // connections opened so far
+	calls     int           // calls made so far
+	idle      []*connection // longest idle connection first
 }
 
-// fill opens connections until the pool has its size.
+// fill opens connections until the pool has size connections.
 func (p *pool) fill() error {
 	for len(p.idle) < p.size {
 		c, err := connect(p.addresses[p.opened%len(p.addresses)], newRequest())
@@ -48,14 +49,14 @@
 	idDigits     = 10
 )
 
-// newRequest returns a connection's request, with room for the number of each call.
+// newRequest returns the request of a connection, with a placeholder for the call number.
 func newRequest() []byte {
 	return fmt.Appendf(nil, "%s%0*d\r\n\r\n", requestStart, idDigits, 0)
 }
 
-// writeCallNumber writes a call's number into a request. No two calls of a pool have the same
-// Request-Id: a sidecar that still works on a call which the client has given up would reject a
-// second one with its Request-Id.
+// writeCallNumber writes the number of a call into a request. All calls of a pool have different
+// Request-Ids, because a sidecar rejects a request with the Request-Id of a call that the sidecar
+// still processes after the client has given up.
 func writeCallNumber(request []byte, n int) {
 	for at := len(requestStart) + idDigits - 1; at >= len(requestStart); at-- {
 		request[at] = byte('0' + n%10)
@@ -70,23 +71,23 @@
 	p.idle = nil
 }
 
-// tally has the outcomes of the calls of some segments.
+// tally collects the outcomes of the calls of segments.
 type tally struct {
-	latency         *hdrhistogram.Histogram // of served calls, from their intended moments
-	sendLateness    *hdrhistogram.Histogram // from a call's intended moment to its being sent
-	receiveLateness *hdrhistogram.Histogram // between the last two polls for a response, which bounds its lateness
-	sent            int                     // calls; each is served, rejected or failed
+	latency         *hdrhistogram.Histogram // of served calls, from the intended send time
+	sendLateness    *hdrhistogram.Histogram // from the intended to the actual send time
+	receiveLateness *hdrhistogram.Histogram // time between the last two polls, which bounds the lateness
+	sent            int                     // all calls: served, rejected and failed
 	served          int
 	rejected        int
-	waited          int   // calls that were due while no connection was idle
-	failure         error // of the first call that failed
+	waited          int   // calls that became due while no connection was idle
+	failure         error // error of the first failed call
 }
 
 func newTally() *tally {
 	return &tally{latency: newHistogram(), sendLateness: newHistogram(), receiveLateness: newHistogram()}
 }
 
-// add adds another tally.
+// add adds the outcomes of another tally.
 func (t *tally) add(o *tally) {
 	t.latency.Merge(o.latency)
 	t.sendLateness.Merge(o.sendLateness)
@@ -100,27 +101,28 @@
 	}
 }
 
-// fail records why a call failed.
+// fail records the error of a failed call. Only the first error is kept.
 func (t *tally) fail(err error) {
 	if t.failure == nil {
 		t.failure = err
 	}
 }
 
-// segment plays a schedule on a pool. It spins: between two calls it polls the connections with a
-// call, and allocates nothing, so that its measurements contain neither the wake-up of a timer nor
-// the network poller nor garbage collections of this process. It keeps one core busy.
+// segment is the execution of a schedule on a pool. It busy-polls the connections with a call in
+// flight and allocates no memory, so that the measurements do not include the wake-up latency of
+// timers and of the network poller or garbage collections of this process. A segment keeps one core
+// busy.
 type segment struct {
 	pool     *pool
 	tally    *tally
 	schedule []time.Duration
 	start    time.Time
-	next     int // of the schedule
-	open     []*connection
+	next     int // index of the next call in schedule
+	inFlight []*connection
 }
 
-// playSchedule sends the calls of a schedule over a pool and returns when each has its answer or
-// has failed.
+// playSchedule sends the calls of a schedule over a pool and returns when every call has been
+// answered or has failed.
 func playSchedule(ctx context.Context, p *pool, schedule []time.Duration, t *tally) error {
 	if err := p.fill(); err != nil {
 		return err
@@ -133,14 +135,14 @@
 		tally:    t,
 		schedule: schedule,
 		start:    time.Now().Add(startDelay),
-		open:     make([]*connection, 0, p.size),
+		inFlight: make([]*connection, 0, p.size),
 	}
-	for pass := 0; s.next < len(schedule) || len(s.open) > 0; pass++ {
+	for pass := 0; s.next < len(schedule) || len(s.inFlight) > 0; pass++ {
 		if pass%passesPerCancelCheck == 0 && ctx.Err() != nil {
 			s.abandon()
 			return ctx.Err()
 		}
-		if len(s.open) == 0 && len(p.idle) == 0 {
+		if len(s.inFlight) == 0 && len(p.idle) == 0 {
 			return fmt.Errorf("%w: %w", errNoConnections, t.failure)
 		}
 		s.sendDue()
@@ -149,11 +151,11 @@
 	return nil
 }
 
-// now returns the time since the segment's start.
+// now returns the time since the start of the segment.
 func (s *segment) now() time.Duration { return time.Since(s.start) }
 
-// sendDue sends the next call if it is due and a connection is idle, on the one that is idle
-// longest.
+// sendDue sends the next call if the call is due and a connection is idle. It uses the connection
+// that has been idle longest.
 func (s *segment) sendDue() {
 	if s.next == len(s.schedule) {
 		return
@@ -177,13 +179,13 @@
 		c.close()
 		return
 	}
-	s.open = append(s.open, c)
+	s.inFlight = append(s.inFlight, c)
 }
 
-// receiveAll polls each connection with a call once.
+// receiveAll polls each connection with a call in flight once.
 func (s *segment) receiveAll() {
-	kept := s.open[:0]
-	for _, c := range s.open {
+	kept := s.inFlight[:0]
+	for _, c := range s.inFlight {
 		isComplete, err := c.receive()
 		now := s.now()
 		if err == nil && !isComplete && now-c.intended > callTimeout {
@@ -198,14 +200,14 @@
 			c.idleSince = now
 			s.pool.idle = append(s.pool.idle, c)
 		default:
-			c.polled = now
+			c.polledAt = now
 			kept = append(kept, c)
 		}
 	}
-	s.open = kept
+	s.inFlight = kept
 }
 
-// recordResponse records a call whose response is complete.
+// recordResponse records the outcome of a call with a complete response.
 func (s *segment) recordResponse(c *connection, now time.Duration) {
 	if c.isRejected {
 		s.tally.rejected++
@@ -213,13 +215,13 @@
 	}
 	s.tally.served++
 	record(s.tally.latency, now-c.intended)
-	record(s.tally.receiveLateness, now-c.polled)
+	record(s.tally.receiveLateness, now-c.polledAt)
 }
 
-// abandon closes the connections on which a call is open.
+// abandon closes the connections with calls in flight.
 func (s *segment) abandon() {
-	for _, c := range s.open {
+	for _, c := range s.inFlight {
 		c.close()
 	}
-	s.open = nil
+	s.inFlight = nil
 }
--- a/internal/scale/latency/connection.go
+++ b/internal/scale/latency/connection.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	maxAnswer = 8 << 10 // bytes of an answer, with its head
+	maxResponseBytes = 8 << 10 // including the header section
 
 	servedPrefix   = "HTTP/1.1 200 "
 	rejectedPrefix = "HTTP/1.1 503 "
 )
 
 var (
-	errClosed   = errors.New("the connection has ended before the answer")
-	errTooLong  = errors.New("an answer that is too long")
-	errTooMuch  = errors.New("more than one answer")
-	errNoLength = errors.New("an answer without a Content-Length that makes sense")
+	errClosed    = errors.New("the connection has ended before the answer")
+	errTooLong   = errors.New("an answer that is too long")
+	errExtraData = errors.New("more than one answer")
+	errNoLength  = errors.New("an answer without a Content-Length that makes sense")
 
 	headEnd     = []byte("\r\n\r\n")
 	lengthField = []byte("\r\nContent-Length: ")
 )
 
-// connection is a persistent connection that carries one call at a time. Its socket is non-blocking
-// and unknown to the runtime's network poller: the client polls it, so that no time passes between
-// the arrival of a response and the wake-up of a goroutine.
+// connection is a persistent connection with at most one call in flight. Its socket is non-blocking
+// and not registered with the network poller of the runtime. The client polls the socket, so that
+// the measurements do not include the wake-up latency of a goroutine.
 type connection struct {
 	socket  int
 	request []byte
 
-	intended   time.Duration // of the current call
-	polled     time.Duration // when its response was last polled for
-	idleSince  time.Duration // when the previous call was answered
-	received   int           // bytes of the response
-	length     int           // of the response; 0: unknown
+	intended   time.Duration // intended send time of the current call
+	polledAt   time.Duration // time of the last poll for the response
+	idleSince  time.Duration // time of the previous response
+	received   int           // bytes of the response received so far
+	length     int           // bytes of the complete response; 0 means unknown
 	isRejected bool          // the response is a 503
-	answer     [maxAnswer]byte
+	response   [maxResponseBytes]byte
 }
 
 // connect opens a connection to a loopback address.
@@ -65,13 +65,13 @@
 	return c, nil
 }
 
-// close closes the socket; its errors do not concern a call.
+// close closes the socket. Errors of closing do not affect a call.
 func (c *connection) close() { _ = unix.Close(c.socket) }
 
-// send writes the request, which is shorter than any socket's buffer.
+// send writes the request. The request always fits in the send buffer of the socket.
 func (c *connection) send(intended time.Duration) error {
 	c.intended = intended
-	c.polled = intended
+	c.polledAt = intended
 	c.received = 0
 	c.length = 0
 	c.isRejected = false
@@ -82,10 +82,10 @@
 	return err
 }
 
-// receive reads what has arrived of the response, without blocking, and reports whether the
-// response is complete.
+// receive reads the available part of the response without blocking and reports whether the response
+// is complete.
 func (c *connection) receive() (isComplete bool, err error) {
-	n, err := unix.Read(c.socket, c.answer[c.received:])
+	n, err := unix.Read(c.socket, c.response[c.received:])
 	switch {
 	case errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR):
 		return false, nil
@@ -96,25 +96,25 @@
 	}
 	c.received += n
 	if c.length == 0 {
-		c.length, c.isRejected, err = responseLength(c.answer[:c.received])
+		c.length, c.isRejected, err = responseLength(c.response[:c.received])
 		if err != nil {
 			return false, err
 		}
 	}
 	switch {
 	case c.length > 0 && c.received > c.length:
-		return false, errTooMuch
+		return false, errExtraData
 	case c.length > 0 && c.received == c.length:
 		return true, nil
-	case c.received == maxAnswer:
+	case c.received == maxResponseBytes:
 		return false, errTooLong
 	}
 	return false, nil
 }
 
-// responseLength returns the length of a response of which some bytes have arrived, 0 if its head
-// is not complete, and whether it rejects the call (503). A response with another status than 200
-// and 503 is an error.
+// responseLength returns the total length of a partially received response, or 0 if the header
+// section is not complete, and whether the response rejects the call (503). A response with a status
+// other than 200 and 503 is an error.
 func responseLength(received []byte) (length int, isRejected bool, err error) {
 	end := bytes.Index(received, headEnd)
 	if end < 0 {
@@ -135,7 +135,7 @@
 		return 0, false, errNoLength
 	}
 	length = end + len(headEnd) + int(body)
-	if length > maxAnswer {
+	if length > maxResponseBytes {
 		return 0, false, errTooLong
 	}
 	return length, isRejected, nil
--- a/internal/scale/latency/distribution.go
+++ b/internal/scale/latency/distribution.go
@@ -8,22 +8,24 @@
 )
 
 const (
-	shortest    = int64(time.Nanosecond)
-	longest     = int64(time.Minute)
-	digits      = 3    // significant decimal digits of each recorded value
-	coupledAt   = 1000 // quantiles at which two distributions are held against each other
-	millisecond = float64(time.Millisecond)
+	minTime           = int64(time.Nanosecond)
+	maxTime           = int64(time.Minute)
+	significantDigits = 3    // decimal digits of each recorded value
+	coupledQuantiles  = 1000 // number of quantiles at which coupledP99 compares two distributions
+	millisecond       = float64(time.Millisecond)
 )
 
 // newHistogram returns an empty histogram of nanoseconds.
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(shortest, longest, digits) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minTime, maxTime, significantDigits)
+}
 
-// record enters a time; what is out of the histogram's range counts as its nearest end.
+// record adds a time to a histogram. A time out of range is recorded as the nearest limit.
 func record(h *hdrhistogram.Histogram, took time.Duration) {
-	_ = h.RecordValue(min(max(int64(took), shortest), longest)) // fails beyond the range alone
+	_ = h.RecordValue(min(max(int64(took), minTime), maxTime)) // fails only out of range
 }
 
-// Quantiles are those of a distribution of times, in milliseconds.
+// Quantiles holds quantiles of a distribution of times, in milliseconds.
 type Quantiles struct {
 	P50  float64 `json:"p50_ms"`
 	P90  float64 `json:"p90_ms"`
@@ -45,33 +47,33 @@
 func inMilliseconds(ns int64) float64 { return float64(ns) / millisecond }
 
 // coupledP99 pairs the calls of two distributions by rank (the fastest with the fastest, and so on
-// to the slowest) and returns the 99th percentile of the pairs' differences, in milliseconds. Where
-// the difference grows with the rank, it is the difference of the two 99th percentiles; where the
-// slowest calls differ by less than others, it is more than that.
+// to the slowest) and returns the 99th percentile of the differences of the pairs, in milliseconds.
+// If the difference increases with the rank, the result is the difference of the two 99th
+// percentiles. If the slowest calls differ by less than other calls, the result is larger.
 func coupledP99(direct, through *hdrhistogram.Histogram) float64 {
-	ranks := make([]float64, coupledAt)
+	ranks := make([]float64, coupledQuantiles)
 	for i := range ranks {
-		ranks[i] = (float64(i) + 0.5) / coupledAt * 100
+		ranks[i] = (float64(i) + 0.5) / coupledQuantiles * 100
 	}
 	a, b := direct.ValueAtPercentilesSlice(ranks), through.ValueAtPercentilesSlice(ranks)
-	differences := make([]int64, coupledAt)
+	differences := make([]int64, coupledQuantiles)
 	for i := range differences {
 		differences[i] = b[i] - a[i]
 	}
 	slices.Sort(differences)
-	return inMilliseconds(differences[coupledAt*99/100-1])
+	return inMilliseconds(differences[coupledQuantiles*99/100-1])
 }
 
-// Spread is the median of some rounds' figures, and how far they lie apart.
+// Spread is the median and the range of a value over the rounds.
 type Spread struct {
 	Median  float64 `json:"median"`
 	Lowest  float64 `json:"lowest"`
 	Highest float64 `json:"highest"`
 }
 
-// spreadOf returns the spread of figures, of which there is at least one.
-func spreadOf(figures []float64) Spread {
-	sorted := slices.Sorted(slices.Values(figures))
+// spreadOf returns the spread of values. The slice has at least one value.
+func spreadOf(values []float64) Spread {
+	sorted := slices.Sorted(slices.Values(values))
 	n := len(sorted)
 	return Spread{Median: (sorted[(n-1)/2] + sorted[n/2]) / 2, Lowest: sorted[0], Highest: sorted[n-1]}
 }
--- a/internal/scale/latency/fieldlines.go
+++ b/internal/scale/latency/fieldlines.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// lineOfField returns the line of the field of a path such as cases[0].hops in a JSON text, or else
-// that of its nearest parent; 0 where neither is there.
+// lineOfField returns the line of the field with a path such as cases[0].hops in a JSON text. If the
+// field is missing, it returns the line of the nearest parent, or 0 if there is none.
 func lineOfField(data []byte, path string) int {
 	lines := fieldLines(data)
 	for path != "" {
@@ -20,7 +20,7 @@
 	return 0
 }
 
-// lineOfName returns the first line on which a field has a name; 0 where none does.
+// lineOfName returns the line of the first field with a name, or 0 if there is none.
 func lineOfName(data []byte, name string) int {
 	first := 0
 	for path, line := range fieldLines(data) {
@@ -31,33 +31,33 @@
 	return first
 }
 
-// fieldLines are the lines of all fields of a JSON text, by their paths, up to where it makes no
-// sense.
+// fieldLines returns the lines of all fields of a JSON text by their paths, up to the first syntax
+// error.
 func fieldLines(data []byte) map[string]int {
 	w := &walker{data: data, decoder: json.NewDecoder(bytes.NewReader(data)), lines: map[string]int{}}
 	w.value("")
 	return w.lines
 }
 
-// maxDepth bounds the nesting that is walked; no field of a result is deeper.
+// maxDepth is the maximum nesting depth of the walker. No field of a result is nested deeper.
 const maxDepth = 16
 
-// walker walks over the tokens of a JSON text.
+// walker visits the tokens of a JSON text.
 type walker struct {
-	data    []byte
-	decoder *json.Decoder
-	lines   map[string]int
-	depth   int
-	counted int64 // bytes whose newlines are counted in passed
-	passed  int
+	data         []byte
+	decoder      *json.Decoder
+	lines        map[string]int
+	depth        int
+	countedBytes int64 // bytes whose newlines are counted in passed
+	countedLines int
 }
 
 // line returns the line of the last token.
 func (w *walker) line() int {
 	at := min(w.decoder.InputOffset(), int64(len(w.data)))
-	w.passed += bytes.Count(w.data[w.counted:at], []byte("\n"))
-	w.counted = at
-	return 1 + w.passed
+	w.countedLines += bytes.Count(w.data[w.countedBytes:at], []byte("\n"))
+	w.countedBytes = at
+	return 1 + w.countedLines
 }
 
 // value consumes a value and reports whether it is complete.
--- a/internal/scale/latency/plan.go
+++ b/internal/scale/latency/plan.go
@@ -1,12 +1,14 @@
 // Package latency measures the latency that sidecars add to a call.
 //
-// A load generator sends calls at moments that are fixed beforehand, whatever has become of the
-// calls before (an open loop), and counts each call's latency from its intended moment of sending
-// to the last byte of its answer. So a stall is felt by every call that was due in it, and none is
-// left out (no coordinated omission). In turn, in short segments of one run, the calls go directly
-// to a stand-in backend and through sidecars before the same backend; what differs between the two
-// is what the sidecars add. The direct segments, held against each other, show what the method and
-// the machine differ by themselves.
+// An open-loop load generator sends calls at scheduled times, regardless of the progress of earlier
+// calls. It measures the latency of each call from the intended send time to the last byte of the
+// response. A stall therefore affects every call that is due during the stall, and no call is
+// omitted (no coordinated omission).
+//
+// Each run consists of short alternating segments. In one segment, the calls go directly to a
+// stand-in backend. In the next segment, they go through sidecars in front of the same backend. The
+// difference is the latency that the sidecars add. The difference between direct segments is the
+// error of the method and the machine.
 package latency
 
 import (
@@ -16,69 +18,69 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// Bounds of a plan.
+// Limits of a plan.
 const (
-	MaxRate        = 20_000 // calls a second
+	MaxRate        = 20_000 // calls per second
 	MaxHops        = 16
 	MaxRounds      = 100
 	MaxCycles      = 100
 	MaxConnections = 1024
 	MaxSegment     = time.Minute
 	MaxWarmUp      = time.Minute
-	MaxDuration    = 15 * time.Minute // of all cases, without the starts of processes
+	MaxDuration    = 15 * time.Minute // of all cases, without the start of processes
 	maxCases       = 32
 	maxBackends    = 64
 	minRounds      = 3
 	minObjective   = 10 * time.Millisecond
 )
 
-// Spacing is how the intended moments of sending are spaced.
+// Spacing is the distribution of the gaps between intended send times.
 type Spacing string
 
 // The spacings.
 const (
-	Even    Spacing = "even"    // all gaps are equal
-	Poisson Spacing = "poisson" // exponential gaps, as of many independent clients
+	Even    Spacing = "even"    // equal gaps
+	Poisson Spacing = "poisson" // exponentially distributed gaps, as with many independent clients
 )
 
-// Plan is what a run measures.
+// Plan describes the measurements of a run.
 type Plan struct {
 	Name     string
-	Seed     uint64        // of all schedules
-	TargetMS float64       // that the sidecars may add to 99 in 100 calls; for the report
-	Spacing  Spacing       // of the intended moments
-	WarmUp   time.Duration // of load on each path before the first round of a case
-	Segment  time.Duration // of load on one path at a time
+	Seed     uint64        // seed of all schedules
+	TargetMS float64       // target of the added 99th percentile, used in the report only
+	Spacing  Spacing       // of the intended send times
+	WarmUp   time.Duration // duration of load on each path before the first round of a case
+	Segment  time.Duration // duration of a segment
 	Sidecar  Sidecar
 	Cases    []Case
 }
 
-// Sidecar is what each sidecar is told.
+// Sidecar holds the settings of each sidecar.
 type Sidecar struct {
 	Cores    float64
 	MemoryMB float64
-	// Of the calls' class. Calls that a stall delays beyond them are rejected, and so part of no
-	// distribution.
+	// Objective and Deadline are settings of the class of the calls. Calls that a stall delays beyond
+	// these times are rejected, and rejected calls are not part of the distributions.
 	Objective, Deadline time.Duration
 }
 
-// Case is one rate over one number of hops.
+// Case is a combination of a call rate and a number of hops.
 type Case struct {
 	Name        string
-	Rate        float64 // calls a second
-	Hops        int     // sidecars in a row
+	Rate        float64 // calls per second
+	Hops        int     // sidecars in series
 	Rounds      int
-	Cycles      int // of four segments (direct, through, direct, through) in each round
-	Connections int // kept to the backend and to the first sidecar, each
-	Backends    int // stand-ins, in one process
+	Cycles      int // per round, each of four segments (direct, through, direct, through)
+	Connections int // to the backends, and as many to the first sidecar
+	Backends    int // stand-in backends in one process
 }
 
-// length is how long the load of a case lasts.
-func (c *Case) length(p *Plan) time.Duration {
+// duration returns the total duration of the load of a case.
+func (c *Case) duration(p *Plan) time.Duration {
 	return 2*p.WarmUp + time.Duration(c.Rounds*c.Cycles*segmentsPerCycle)*p.Segment
 }
 
-// ReadPlan reads a plan from a TOML file's bytes. Its faults name file, line, column and field.
+// ReadPlan decodes a plan from TOML. The error names file, line, column and field of each problem.
 func ReadPlan(file string, data []byte) (*Plan, error) {
 	return tomldoc.Decode(file, data, readPlan)
 }
@@ -103,14 +105,14 @@
 	if len(list) == 0 || len(list) > maxCases {
 		s.ReportField(rules.Missing, "cases", "1 to %d [[cases]] expected, %d found", maxCases, len(list))
 	}
-	var all time.Duration
+	var total time.Duration
 	for _, v := range list {
 		c := readCase(v)
-		all += c.length(p)
+		total += c.duration(p)
 		p.Cases = append(p.Cases, c)
 	}
-	if all > MaxDuration {
-		s.ReportField(rules.Range, "cases", "load for %v, %v at most expected", all, MaxDuration)
+	if total > MaxDuration {
+		s.ReportField(rules.Range, "cases", "load of %v found, at most %v expected", total, MaxDuration)
 	}
 	s.ReportUnknown()
 	return p
@@ -124,7 +126,7 @@
 		Deadline:  v.Duration("deadline", 4*time.Second, minObjective, callTimeout),
 	}
 	if s.Objective > s.Deadline {
-		v.ReportField(rules.Range, "objective", "the deadline of %v at most expected", s.Deadline)
+		v.ReportField(rules.Range, "objective", "at most the deadline of %v expected", s.Deadline)
 	}
 	return s
 }
--- a/internal/scale/latency/plan_test.go
+++ b/internal/scale/latency/plan_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestReadPlanRejectsFaultsByPlace(t *testing.T) {
+func TestReadPlanErrorsNamePositionAndField(t *testing.T) {
 	for _, x := range []struct{ from, to, want string }{
 		{"format = 1", "format = 2", "p.toml:1:10: RANGE: format"},
 		{"format = 1", "", "format = 1 expected"},
@@ -30,18 +30,18 @@
 		{"271", "271\n[sidecar]\nobjective = \"3s\"\ndeadline = \"2s\"", "sidecar.objective"},
 		{"271", "271\nhops = 17", "p.toml:5:8: RANGE: cases[1].hops"},
 		{"271", "271\nrounds = 2", "cases[1].rounds"},
-		{"271", "271\nrounds = 100\ncycles = 100", "load for 11h6m44s, 15m0s at most expected"},
+		{"271", "271\nrounds = 100\ncycles = 100", "load of 11h6m44s found, at most 15m0s expected"},
 		{"format = 1", "format = 1\nspacing = \"bursts\"", "p.toml:2:11: WORD: spacing"},
 		{"format = 1", "format = 1\nsegments = \"1s\"", "p.toml:2:1"},
 	} {
 		_, err := ReadPlan("p.toml", []byte(strings.Replace(smallPlan, x.from, x.to, 1)))
 		if err == nil || !strings.Contains(err.Error(), x.want) {
-			t.Errorf("%q: %v, want %s", x.to, err, x.want)
+			t.Errorf("%q: got error %v, want %s", x.to, err, x.want)
 		}
 	}
 }
 
-// The plan that is committed can be read, and its load is over in under three minutes.
+// The committed plan is valid, and its load takes less than three minutes.
 func TestCommittedPlan(t *testing.T) {
 	const name = "../../../deploy/scale/latency.toml"
 	data, err := os.ReadFile(name)
@@ -52,12 +52,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all time.Duration
+	var total time.Duration
 	for i := range p.Cases {
-		all += p.Cases[i].length(p)
+		total += p.Cases[i].duration(p)
 	}
-	if all > 170*time.Second {
-		t.Errorf("load for %v", all)
+	if total > 170*time.Second {
+		t.Errorf("load of %v, want at most 170s", total)
 	}
 }
 
@@ -65,8 +65,8 @@
 	f.Add([]byte(smallPlan))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		p, err := ReadPlan("p.toml", data)
-		if err == nil && (len(p.Cases) == 0 || p.Cases[0].length(p) > MaxDuration) {
-			t.Errorf("taken: %+v", p)
+		if err == nil && (len(p.Cases) == 0 || p.Cases[0].duration(p) > MaxDuration) {
+			t.Errorf("accepted an invalid plan: %+v", p)
 		}
 	})
 }
--- a/internal/scale/latency/print.go
+++ b/internal/scale/latency/print.go
@@ -15,7 +15,7 @@
 	return n
 }
 
-// printer writes columns, and keeps the first error.
+// printer writes columns and keeps the first error.
 type printer struct {
 	w   *tabwriter.Writer
 	err error
@@ -27,14 +27,14 @@
 	}
 }
 
-// flush ends the columns.
+// flush writes the buffered columns.
 func (p *printer) flush() {
 	if p.err == nil {
 		p.err = p.w.Flush()
 	}
 }
 
-// Print writes a result as text for people.
+// Print writes a result as human-readable text.
 func (r *Result) Print(out io.Writer) error {
 	_, err := fmt.Fprintf(out, "%s, %s: %s on %d cores, calls spaced %s, sidecars with %g cores and %g MB; "+
 		"goal %g ms added for 99 in 100\n",
@@ -73,12 +73,12 @@
 	p.printf("added\t\t%.3f\t%.3f\t%.3f\t\t\t\t\t\t\t\t\n", f.AddedP50, f.AddedP90, f.AddedP99)
 }
 
-// String returns the median with the lowest and the highest figure.
+// String returns the text of the median, the lowest and the highest value.
 func (s Spread) String() string {
 	return fmt.Sprintf("%.3f (%.3f to %.3f)", s.Median, s.Lowest, s.Highest)
 }
 
-// String returns the quantiles as cells of a table.
+// String returns the quantiles as tab-separated cells of a table.
 func (q Quantiles) String() string {
 	return fmt.Sprintf("%.3f\t%.3f\t%.3f\t%.3f", q.P50, q.P90, q.P99, q.P999)
 }
--- a/internal/scale/latency/readresult.go
+++ b/internal/scale/latency/readresult.go
@@ -10,15 +10,15 @@
 	"strings"
 )
 
-// ResultError is a fault of a result file.
+// ResultError reports an invalid result file.
 type ResultError struct {
 	File    string
-	Line    int    // from 1; 0: unknown
-	Field   string // path of the field; empty: unknown
-	Problem string // what was found and what is expected
+	Line    int    // from 1; 0 means unknown
+	Field   string // path of the field; empty means unknown
+	Problem string // the value found and the values allowed
 }
 
-// Error returns file, line, field and fault on one line.
+// Error returns file, line, field and problem on one line.
 func (e *ResultError) Error() string {
 	position := e.File
 	if e.Line > 0 {
@@ -30,12 +30,12 @@
 	return position + ": " + e.Problem
 }
 
-// ReadResult reads a result from a file's bytes. Its error is a *ResultError, of the first fault.
+// ReadResult decodes and validates a result file. The error is a *ResultError for the first problem.
 func ReadResult(name string, data []byte) (*Result, error) {
 	if len(data) > MaxResultBytes {
 		return nil, &ResultError{
 			File:    name,
-			Problem: fmt.Sprintf("%d bytes found, %d at most expected", len(data), MaxResultBytes),
+			Problem: fmt.Sprintf("file of %d bytes exceeds the limit of %d", len(data), MaxResultBytes),
 		}
 	}
 	decoder := json.NewDecoder(bytes.NewReader(data))
@@ -48,7 +48,7 @@
 		return nil, &ResultError{
 			File:    name,
 			Line:    lineAt(data, decoder.InputOffset()),
-			Problem: "more than one value found, the end of the file expected",
+			Problem: "unexpected data after the document",
 		}
 	}
 	if e := r.validate(); e != nil {
@@ -61,7 +61,7 @@
 
 var unknownField = regexp.MustCompile(`^json: unknown field "(.*)"$`)
 
-// decodeError returns a decoder's error with its line and field.
+// decodeError returns an error of the decoder with its line and field.
 func decodeError(name string, data []byte, err error) *ResultError {
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
@@ -81,13 +81,13 @@
 			File:    name,
 			Line:    lineOfName(data, m[1]),
 			Field:   m[1],
-			Problem: fmt.Sprintf("unknown field, one of format %d expected", Format),
+			Problem: fmt.Sprintf("unknown field in format %d", Format),
 		}
 	}
 	return &ResultError{File: name, Problem: strings.ReplaceAll(err.Error(), "\n", " ")}
 }
 
-// lineAt returns the line of an offset, from 1.
+// lineAt returns the line, from 1, of a byte offset.
 func lineAt(data []byte, offset int64) int {
 	return 1 + bytes.Count(data[:min(max(offset, 0), int64(len(data)))], []byte("\n"))
 }
--- a/internal/scale/latency/readresult_test.go
+++ b/internal/scale/latency/readresult_test.go
@@ -10,14 +10,15 @@
 	"time"
 )
 
-// goodResult is a result as a run writes it.
-func goodResult() *Result {
+// validResult returns a valid result.
+func validResult() *Result {
 	round := func(added float64) Stats {
 		return Stats{
 			DirectCalls: 100, ThroughCalls: 100,
 			Direct:   Quantiles{0.1, 0.2, 0.25, 0.5},
 			Through:  Quantiles{0.25, 0.3, 0.25 + added, 2},
-			AddedP50: 0.15, AddedP90: 0.1, AddedP99: added, CoupledP99: added, DirectDifferenceP50: -0.01, DirectDifferenceP99: 0.02,
+			AddedP50: 0.15, AddedP90: 0.1, AddedP99: added, CoupledP99: added,
+			DirectDifferenceP50: -0.01, DirectDifferenceP99: 0.02,
 			SendLatenessP50: 0.001, SendLatenessP99: 0.002, ReceiveLatenessP99: 0.003, LoadAverage: [3]float64{1, 2, 3},
 		}
 	}
@@ -35,7 +36,7 @@
 	}
 }
 
-// encode returns a result as a file's bytes.
+// encode returns the contents of the file of a result.
 func encode(tb testing.TB, r *Result) []byte {
 	tb.Helper()
 	data, err := json.MarshalIndent(r, "", "  ")
@@ -46,24 +47,24 @@
 }
 
 func TestReadResult(t *testing.T) {
-	data := encode(t, goodResult())
+	data := encode(t, validResult())
 	r, err := ReadResult("r.json", data)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if again := encode(t, r); string(again) != string(data) {
-		t.Errorf("read and written again:\n%s", again)
+		t.Errorf("the round trip changes the result:\n%s", again)
 	}
 }
 
-// Whatever is wrong with a result is one line with the file, the line and the field.
-func TestReadResultRejectsFaultsByField(t *testing.T) {
+// Each problem of a result is reported on one line with the file, the line and the field.
+func TestReadResultErrorsNameLineAndField(t *testing.T) {
 	for _, x := range []struct{ name, from, to, want string }{
 		{"version", `"format": 1`, `"format": 2`, `r.json:2: format: 2 found, 1 expected`},
 		{"no version", `"format": 1,`, ``, `r.json: format: 0 found, 1 expected`},
 		{
 			"unknown field", `"cores": 8`, `"cores": 8, "corse": 8`,
-			`r.json:6: corse: unknown field, one of format 1 expected`,
+			`r.json:6: corse: unknown field in format 1`,
 		},
 		{"unknown field below", `"hops": 1`, `"hop": 1`, `r.json:16: hop: unknown field`},
 		{"kind", `"cores": 8`, `"cores": "8"`, `r.json:6: cores: string found, int expected`},
@@ -71,7 +72,7 @@
 		{"cut off", `"cores": 8,`, ``, ``},
 		{"date", `"2026-01-02T03:04:05Z"`, `"yesterday"`, `r.json: `},
 		{"spacing", `"poisson"`, `"bursts"`, `r.json:8: spacing: "bursts" found`},
-		{"no cores", `"cores": 8`, `"cores": 0`, `r.json:6: cores: 0 found, 1 at least expected`},
+		{"no cores", `"cores": 8`, `"cores": 0`, `r.json:6: cores: 0 found, at least 1 expected`},
 		{
 			"rate", `"rate_per_second": 271`, `"rate_per_second": -271`,
 			`r.json:15: cases[0].rate_per_second: -271 found`,
@@ -87,66 +88,66 @@
 		},
 		{
 			"difference", `"added_p99_ms": 0.25`, `"added_p99_ms": 0.2`,
-			`cases[0].rounds[0].added_p99_ms: 0.2 found, 0.25 expected by its terms`,
+			`cases[0].rounds[0].added_p99_ms: 0.2 found, 0.25 expected from other fields`,
 		},
 		{
 			"spread", `"lowest": 0.25`, `"lowest": 0.2`,
-			`cases[0].added_p99_ms.lowest: 0.2 found, 0.25 expected by its terms`,
+			`cases[0].added_p99_ms.lowest: 0.2 found, 0.25 expected from other fields`,
 		},
 		{
 			"sum", `"direct_calls": 300`, `"direct_calls": 301`,
-			`cases[0].all.direct_calls: 301 found, the rounds' sum of 300 expected`,
+			`cases[0].all.direct_calls: 301 found, the sum over the rounds, 300, expected`,
 		},
 		{
-			"more refused than sent", `"refused_calls": 0`, `"refused_calls": 999`,
-			`cases[0].all.refused_calls: 999 of 600 found`,
+			"more rejected than sent", `"refused_calls": 0`, `"refused_calls": 999`,
+			`cases[0].all.refused_calls: 999 found, less than 600 expected`,
 		},
 		{
 			"more failed than sent", `"failed_calls": 0`, `"failed_calls": 999`,
-			`cases[0].all.failed_calls: 999 of 600 found`,
+			`cases[0].all.failed_calls: 999 found, less than 600 expected`,
 		},
 		{
 			"lateness", `"send_lateness_p99_ms": 0.002`, `"send_lateness_p99_ms": 0.0001`,
 			`send_lateness_p99_ms: 0.0001 found, 0.001 to`,
 		},
 	} {
-		good := string(encode(t, goodResult()))
+		good := string(encode(t, validResult()))
 		bad := strings.Replace(good, x.from, x.to, 1)
 		if x.name == "cut off" {
 			bad = good[:len(good)/2]
 		}
 		if bad == good {
-			t.Errorf("%s: %q does not stand in the result", x.name, x.from)
+			t.Errorf("%s: the result does not contain %q", x.name, x.from)
 			continue
 		}
 		_, err := ReadResult("r.json", []byte(bad))
 		var fault *ResultError
 		if !errors.As(err, &fault) || !strings.Contains(err.Error(), x.want) ||
 			strings.Contains(err.Error(), "\n") || !strings.HasPrefix(err.Error(), "r.json") {
-			t.Errorf("%s: %v, want %s", x.name, err, x.want)
+			t.Errorf("%s: got error %v, want %s", x.name, err, x.want)
 		}
 	}
 }
 
-func TestReadResultRejectsWholeFiles(t *testing.T) {
-	good := string(encode(t, goodResult()))
+func TestReadResultRejectsInvalidDocuments(t *testing.T) {
+	good := string(encode(t, validResult()))
 	for name, x := range map[string]struct{ text, want string }{
 		"two values": {good + "\n{}", "r.json:"},
-		"too large":  {good + strings.Repeat(" ", MaxResultBytes), "1048576 at most expected"},
+		"too large":  {good + strings.Repeat(" ", MaxResultBytes), "exceeds the limit of 1048576"},
 		"nothing":    {"", "r.json: "},
 		"deep":       {strings.Repeat(`{"format":`, 20_000), "r.json"},
 	} {
 		_, err := ReadResult("r.json", []byte(x.text))
 		if err == nil || !strings.Contains(err.Error(), x.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want %s", name, err, x.want)
+			t.Errorf("%s: got error %v, want %s", name, err, x.want)
 		}
 	}
 }
 
-// A goal that lies nearer to the median than direct calls lie to direct calls is neither reached
-// nor missed.
+// The verdict is Undecided if the distance from the median to the goal is not larger than the
+// difference between direct segments.
 func TestVerdict(t *testing.T) {
-	c := &goodResult().Cases[0] // added p99: 0.375 ms; direct against direct: 0.02 ms
+	c := &validResult().Cases[0] // added p99: 0.375 ms; direct against direct: 0.02 ms
 	for target, want := range map[float64]Verdict{
 		0.34:  Missed,
 		0.36:  Undecided,
@@ -160,16 +161,16 @@
 	}
 	c.Rounds[0].DirectDifferenceP99, c.Rounds[1].DirectDifferenceP99 = -3, 2
 	if got := c.Verdict(0.34); got != Undecided {
-		t.Errorf("with noise of either sign: %s, want %s", got, Undecided)
+		t.Errorf("noise of either sign: %s, want %s", got, Undecided)
 	}
-	late := &goodResult().Cases[0]
+	late := &validResult().Cases[0]
 	late.All.SendLatenessP99 = 0.05
 	if got := late.Verdict(0.34); got != Undecided {
-		t.Errorf("with a client that sends late: %s, want %s", got, Undecided)
+		t.Errorf("client that sends late: %s, want %s", got, Undecided)
 	}
 }
 
-// The results that are committed can be read.
+// The committed results are valid.
 func TestCommittedResults(t *testing.T) {
 	files, err := filepath.Glob("../../../deploy/scale/results/latency-*.json")
 	if err != nil {
@@ -186,18 +187,19 @@
 	}
 }
 
-// No text makes the reader panic; what it takes is sound, and its faults are one line.
+// FuzzReadResult checks that ReadResult does not panic, that an accepted result has cases and
+// rounds, and that an error is one line.
 func FuzzReadResult(f *testing.F) {
-	f.Add(encode(f, goodResult()))
+	f.Add(encode(f, validResult()))
 	f.Add([]byte(`{"format":1,"cases":[{"rounds":[{}]}]}`))
 	f.Add([]byte(`{"x":[[[[{"y":1}]]]]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r, err := ReadResult("r.json", data)
 		switch {
 		case err != nil && strings.Contains(err.Error(), "\n"):
-			t.Errorf("more than one line: %q", err)
+			t.Errorf("error of more than one line: %q", err)
 		case err == nil && (r.Format != Format || len(r.Cases) == 0 || len(r.Cases[0].Rounds) < minRounds):
-			t.Errorf("taken: %+v", r)
+			t.Errorf("accepted an invalid result: %+v", r)
 		}
 	})
 }
--- a/internal/scale/latency/result.go
+++ b/internal/scale/latency/result.go
@@ -4,21 +4,22 @@
 	"time"
 )
 
-// Format is the version of plans and results.
+// Format is the version of the formats of plans and results.
 const Format = 1
 
-// MaxResultBytes is the size of a result's file in bytes.
+// MaxResultBytes is the maximum size of a result file.
 const MaxResultBytes = 1 << 20
 
 const (
-	leastPositive = 1e-6     // of figures that can't be zero
-	maxMS         = 60_000.0 // of any time in a result
-	maxUS         = 1e9
-	maxLoad       = 1e6
-	tolerance     = 1e-6 // milliseconds by which a difference may miss its terms
+	minPositive = 1e-6     // minimum of values that cannot be zero
+	maxMS       = 60_000.0 // maximum of any time in milliseconds
+	maxUS       = 1e9      // maximum of any time in microseconds
+	maxLoad     = 1e6      // maximum of a load average
+	tolerance   = 1e-6     // rounding error of a computed difference, in milliseconds
 )
 
-// Result is what a run measured. Times are in milliseconds unless the name says otherwise.
+// Result holds the measurements of a run. Times are in milliseconds unless the field name has
+// another unit.
 type Result struct {
 	Format          int          `json:"format"`
 	Plan            string       `json:"plan"`
@@ -33,7 +34,7 @@
 	Cases           []CaseResult `json:"cases"`
 }
 
-// CaseResult is what one case measured.
+// CaseResult holds the measurements of one case.
 type CaseResult struct {
 	Name           string  `json:"name"`
 	RatePerSecond  float64 `json:"rate_per_second"`
@@ -41,62 +42,65 @@
 	Connections    int     `json:"connections"`
 	Backends       int     `json:"backends"`
 	SegmentSeconds float64 `json:"segment_seconds"`
-	// Of all threads of all sidecars of the chain, per call that goes through them: their time on a
-	// core, and their time runnable without a core. The second is due to the machine, not the
-	// sidecar.
+	// SidecarCPUPerCallUS is the time on a core of all threads of all sidecars of the chain, per call
+	// through the chain. SidecarWaitPerCallUS is their time runnable without a core, which is caused
+	// by the machine and not by the sidecars.
 	SidecarCPUPerCallUS  float64 `json:"sidecar_cpu_per_call_us"`
 	SidecarWaitPerCallUS float64 `json:"sidecar_wait_per_call_us"`
-	AddedP50             Spread  `json:"added_p50_ms"` // of the rounds' figures
+	AddedP50             Spread  `json:"added_p50_ms"` // spreads are over the rounds
 	AddedP99             Spread  `json:"added_p99_ms"`
 	CoupledP99           Spread  `json:"coupled_p99_ms"`
 	DirectDifferenceP99  Spread  `json:"same_p99_ms"`
-	All                  Stats   `json:"all"` // of the calls of all rounds together
+	All                  Stats   `json:"all"` // of the calls of all rounds
 	Rounds               []Stats `json:"rounds"`
 }
 
-// Stats are what the calls of one round, or of all rounds, measured.
+// Stats holds the statistics of the calls of one round, or of all rounds.
 type Stats struct {
 	DirectCalls  int       `json:"direct_calls"`
 	ThroughCalls int       `json:"through_calls"`
-	Rejected     int       `json:"refused_calls"` // on both paths, answered with 503; part of no distribution
-	Failed       int       `json:"failed_calls"`  // on both paths, without a complete response of status 200 or 503
+	Rejected     int       `json:"refused_calls"` // both paths, answered with 503; excluded from the distributions
+	Failed       int       `json:"failed_calls"`  // both paths, without a complete response of status 200 or 503
 	Failure      string    `json:"first_failure,omitempty"`
-	Waited       int       `json:"waited_calls"` // on both paths, due while no connection was idle
+	Waited       int       `json:"waited_calls"` // both paths, due while no connection was idle
 	Direct       Quantiles `json:"direct"`
 	Through      Quantiles `json:"through"`
-	// Through less direct, quantile by quantile.
+	// AddedP50, AddedP90 and AddedP99 are the quantiles through the sidecars minus the direct
+	// quantiles.
 	AddedP50 float64 `json:"added_p50_ms"`
 	AddedP90 float64 `json:"added_p90_ms"`
 	AddedP99 float64 `json:"added_p99_ms"`
-	// The 99th percentile of the differences of calls that are paired by rank.
+	// CoupledP99 is the 99th percentile of the differences of calls paired by rank.
 	CoupledP99 float64 `json:"coupled_p99_ms"`
-	// The second direct segments less the first: the error of the method and the machine.
+	// DirectDifferenceP50 and DirectDifferenceP99 are the quantiles of the second direct segments
+	// minus those of the first: the error of the method and the machine.
 	DirectDifferenceP50 float64 `json:"same_p50_ms"`
 	DirectDifferenceP99 float64 `json:"same_p99_ms"`
-	// From the intended moments to the sending, and the upper bound of how late responses were
-	// noticed, on both paths.
+	// SendLatenessP50 and SendLatenessP99 are quantiles of the time from the intended to the actual
+	// send time. ReceiveLatenessP99 is the 99th percentile of an upper bound of the time from the
+	// arrival of a response to its detection. All three include both paths.
 	SendLatenessP50    float64    `json:"send_lateness_p50_ms"`
 	SendLatenessP99    float64    `json:"send_lateness_p99_ms"`
 	ReceiveLatenessP99 float64    `json:"receive_lateness_p99_ms"`
-	LoadAverage        [3]float64 `json:"load_average"` // of the machine over 1, 5 and 15 minutes, at the end
+	LoadAverage        [3]float64 `json:"load_average"` // over 1, 5 and 15 minutes, at the end of the round
 }
 
-// roundSpread is a figure of rounds, and its spread.
+// roundSpread is a value of each round and the spread of the values.
 type roundSpread struct {
 	field  string
 	spread *Spread
-	figure func(*Stats) float64
+	value  func(*Stats) float64
 }
 
 func (s roundSpread) values(rounds []Stats) []float64 {
 	out := make([]float64, len(rounds))
 	for i := range rounds {
-		out[i] = s.figure(&rounds[i])
+		out[i] = s.value(&rounds[i])
 	}
 	return out
 }
 
-// spreads returns the figures whose spread over the rounds is part of a case's result.
+// spreads returns the spreads over the rounds that are part of the result of a case.
 func (cr *CaseResult) spreads() []roundSpread {
 	return []roundSpread{
 		{"added_p50_ms", &cr.AddedP50, func(f *Stats) float64 { return f.AddedP50 }},
@@ -106,7 +110,7 @@
 	}
 }
 
-// fillSpreads fills in what follows from the rounds.
+// fillSpreads sets the spreads over the rounds.
 func (cr *CaseResult) fillSpreads() {
 	for _, s := range cr.spreads() {
 		*s.spread = spreadOf(s.values(cr.Rounds))
--- a/internal/scale/latency/run.go
+++ b/internal/scale/latency/run.go
@@ -12,18 +12,19 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// segmentsPerCycle is the number of segments in which each cycle plays one schedule: directly,
-// through the sidecars, directly, and through them again. So a drift of the machine affects both
-// paths alike, and the first and second direct segments can be compared.
+// segmentsPerCycle is the number of segments per cycle. All segments of a cycle use the same
+// schedule: directly, through the sidecars, directly, and through the sidecars. The alternation
+// makes a drift of the machine affect both paths equally, and allows a comparison of the first and
+// the second direct segments.
 const segmentsPerCycle = 4
 
 // Options are the settings of a run that are not part of its plan.
 type Options struct {
-	Program  string    // of the sidecar under test
-	Progress io.Writer // receives one line for each round; nil: none
+	Program  string    // program of the sidecar under test
+	Progress io.Writer // receives one line per round; nil means no progress output
 }
 
-// Run measures the cases of a plan in turn, each with processes of its own.
+// Run measures the cases of a plan in turn. Each case has its own processes.
 func Run(ctx context.Context, p *Plan, o Options) (*Result, error) {
 	if o.Progress == nil {
 		o.Progress = io.Discard
@@ -50,20 +51,20 @@
 	return r, nil
 }
 
-// measurement is a case that is being measured.
-type measurement struct {
+// caseRun is the state of the measurement of a case.
+type caseRun struct {
 	plan        *Plan
 	testCase    *Case
 	chain       *chain
 	direct      *pool
 	through     *pool
-	first       *tally    // of the first direct segments of all cycles
-	second      *tally    // of the second direct segments of all cycles
-	sidecars    *tally    // of the segments through the sidecars
-	sidecarTime schedTime // of the sidecars' threads, during their segments
+	first       *tally    // first direct segments of all cycles
+	second      *tally    // second direct segments of all cycles
+	sidecars    *tally    // segments through the sidecars
+	sidecarTime schedTime // threads of the sidecars during the segments through them
 }
 
-// round has the outcomes of one round's segments.
+// round holds the outcomes of the segments of one round.
 type round struct {
 	first, second, through *tally
 }
@@ -78,7 +79,7 @@
 		return nil, err
 	}
 	defer ch.close()
-	m := &measurement{
+	m := &caseRun{
 		plan:     p,
 		testCase: c,
 		chain:    ch,
@@ -90,7 +91,7 @@
 	}
 	defer m.direct.close()
 	defer m.through.close()
-	if err := m.warm(ctx); err != nil {
+	if err := m.warmUp(ctx); err != nil {
 		return nil, err
 	}
 	out := &CaseResult{
@@ -107,12 +108,12 @@
 			return nil, err
 		}
 		out.Rounds = append(out.Rounds, *f)
-		// A run goes on where its progress cannot be shown.
+		// Errors of the progress output do not stop the run.
 		_, _ = fmt.Fprintf(o.Progress,
 			"%s, round %d of %d: added p50 %.3f ms, p99 %.3f ms; direct against direct p99 %+.3f ms\n",
 			c.Name, i+1, c.Rounds, f.AddedP50, f.AddedP99, f.DirectDifferenceP99)
 	}
-	all, err := figuresOf(&round{first: m.first, second: m.second, through: m.sidecars})
+	all, err := statsOf(&round{first: m.first, second: m.second, through: m.sidecars})
 	if err != nil {
 		return nil, err
 	}
@@ -123,13 +124,13 @@
 	return out, nil
 }
 
-// perCall returns a time per call that went through the sidecars, in microseconds.
-func (m *measurement) perCall(t time.Duration) float64 {
+// perCall returns a time divided by the number of calls through the sidecars, in microseconds.
+func (m *caseRun) perCall(t time.Duration) float64 {
 	return float64(t.Microseconds()) / float64(m.sidecars.sent)
 }
 
-// warm puts load on each path for the plan's warm-up and discards the outcome.
-func (m *measurement) warm(ctx context.Context) error {
+// warmUp puts load on each path for the plan's warm-up and discards the outcome.
+func (m *caseRun) warmUp(ctx context.Context) error {
 	if m.plan.WarmUp == 0 {
 		return nil
 	}
@@ -142,8 +143,8 @@
 	return nil
 }
 
-// round measures one round and adds its outcomes to the case's.
-func (m *measurement) round(ctx context.Context, number int) (*Stats, error) {
+// round measures one round and adds its outcomes to the outcomes of the case.
+func (m *caseRun) round(ctx context.Context, number int) (*Stats, error) {
 	r := newRound()
 	for cycle := range m.testCase.Cycles {
 		seed := m.plan.Seed + uint64(1+number*m.testCase.Cycles+cycle)
@@ -160,12 +161,12 @@
 	m.first.add(r.first)
 	m.second.add(r.second)
 	m.sidecars.add(r.through)
-	return figuresOf(r)
+	return statsOf(r)
 }
 
-// measureThrough plays a schedule through the sidecars and adds the time that their threads spend
-// on it.
-func (m *measurement) measureThrough(ctx context.Context, schedule []time.Duration, t *tally) error {
+// measureThrough plays a schedule through the sidecars and adds the CPU and wait times of their
+// threads.
+func (m *caseRun) measureThrough(ctx context.Context, schedule []time.Duration, t *tally) error {
 	before, err := m.chain.sidecarUsage()
 	if err != nil {
 		return err
@@ -178,16 +179,16 @@
 	return err
 }
 
-// figuresOf returns the figures of a round's segments.
-func figuresOf(r *round) (*Stats, error) {
+// statsOf returns the statistics of the segments of a round.
+func statsOf(r *round) (*Stats, error) {
 	load, err := loadAverage()
 	if err != nil {
 		return nil, err
 	}
 	for _, t := range []*tally{r.first, r.second, r.through} {
 		if t.served == 0 {
-			first := fmt.Sprint(t.failure) // there may be none: all calls may have been rejected
-			return nil, fmt.Errorf("none of %d calls was served, %d were refused; first failure: %s",
+			first := fmt.Sprint(t.failure) // nil if all calls were rejected
+			return nil, fmt.Errorf("no calls served: %d sent, %d rejected, first failure: %s",
 				t.sent, t.rejected, first)
 		}
 	}
--- a/internal/scale/latency/run_test.go
+++ b/internal/scale/latency/run_test.go
@@ -26,9 +26,9 @@
 	return program
 }
 
-// Every intended call is sent once and has one answer, directly and through two sidecars, and the
-// result can be read again. A sidecar whose backends are new may refuse what a busy machine brings
-// it at once: a refusal is an answer too.
+// Every scheduled call is sent once and answered once, directly and through two sidecars, and the
+// result can be read. On a busy machine, a sidecar with new backends may reject calls that arrive at
+// once. A rejection is an answer too.
 func TestRun(t *testing.T) {
 	p, err := ReadPlan("p.toml", []byte("format = 1\nwarm = \"100ms\"\nsegment = \"100ms\"\n"+
 		"[sidecar]\nobjective = \"4s\"\ndeadline = \"4s\"\n"+
@@ -40,9 +40,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const each = 3 * 2 * 20 // rounds, segments of one way in each, calls in each
+	const each = 3 * 2 * 20 // rounds * segments of one path per round * calls per segment
 	if all := r.Cases[0].All; all.DirectCalls != each || all.ThroughCalls != each || all.Failed != 0 {
-		t.Errorf("%d calls directly and %d through, %d failed (%s); want %d both ways and none failed",
+		t.Errorf("%d calls directly and %d through, %d failed (%s); want %d on both paths and none failed",
 			all.DirectCalls, all.ThroughCalls, all.Failed, all.Failure, each)
 	}
 	if _, err := ReadResult("r.json", encode(t, r)); err != nil {
@@ -50,12 +50,12 @@
 	}
 	var text strings.Builder
 	if err := r.Print(&text); err != nil || !strings.Contains(text.String(), "two hops: 200 calls a second, 2 hops") {
-		t.Errorf("printed, with error %v:\n%s", err, text.String())
+		t.Errorf("Print: error %v, want the case in:\n%s", err, text.String())
 	}
 }
 
-// A program that ends at its start is named with what it said, and nothing is left of the chain.
-func TestRunOfABrokenProgram(t *testing.T) {
+// The error of a program that exits at its start contains the output of the program.
+func TestRunReportsOutputOfFailingProgram(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "broken")
 	if err := os.WriteFile(program, []byte("#!/bin/sh\necho no sidecar >&2\nexit 1\n"), 0o700); err != nil {
 		t.Fatal(err)
@@ -66,11 +66,11 @@
 	}
 	_, err = Run(t.Context(), p, Options{Program: program})
 	if err == nil || !strings.Contains(err.Error(), "no sidecar") {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want the output of the program", err)
 	}
 }
 
-// backendFor returns a backend's pool of connections.
+// backendFor returns a backend with a handler and a pool of connections to the backend.
 func backendFor(t *testing.T, size int, h standin.Handler) (*standin.Backend, *pool) {
 	t.Helper()
 	b, err := standin.NewBackend(h)
@@ -83,14 +83,14 @@
 	return b, p
 }
 
-// A backend that holds up one call delays neither the sending of the others nor hides its own wait:
-// with connections enough, all others are sent and answered before the held one, whose latency
-// counts from its intended moment.
+// A backend that delays one call does not delay the other calls, and the delay is measured: with
+// enough connections, all other calls are sent and answered before the delayed call, whose latency
+// is measured from its intended send time.
 func TestPlayIsOpenLoop(t *testing.T) {
 	const calls = 20
 	release := make(chan struct{})
 	b, p := backendFor(t, 4, func(c *standin.Call) bool {
-		switch c.Header.Get("Request-Id") { // not by the order of arrival, which may differ from that of sending
+		switch c.Header.Get("Request-Id") { // the order of arrival may differ from the order of sending
 		case "call-0000000001":
 			<-release
 		case "call-0000000020":
@@ -103,18 +103,17 @@
 		t.Fatal(err)
 	}
 	if tally.sent != calls || tally.served != calls || tally.failure != nil || b.Requests() != calls {
-		t.Errorf("%d sent, %d answered, %d came, %v; want %d of each",
+		t.Errorf("%d sent, %d answered, %d received by the backend, error %v; want %d of each",
 			tally.sent, tally.served, b.Requests(), tally.failure, calls)
 	}
-	// The last call is due 19 ms after the first, which is answered only then; a histogram holds
-	// three digits.
+	// The last call is due 19 ms after the first call, which is answered only then. A histogram has a
+	// precision of three digits.
 	if slowest := time.Duration(tally.latency.Max()); slowest < (calls-1)*time.Millisecond*999/1000 {
-		t.Errorf("the held call counts as %v", slowest)
+		t.Errorf("largest latency %v, want at least the 19 ms of the delayed call", slowest)
 	}
 }
 
-// A call that is due while no connection is idle waits, counts as waiting, and is sent all the
-// same.
+// A call that becomes due while no connection is idle is counted as waited and is sent later.
 func TestPlayCountsWaits(t *testing.T) {
 	const calls = 5
 	_, p := backendFor(t, 1, standin.Echo)
@@ -123,18 +122,18 @@
 		t.Fatal(err)
 	}
 	if tally.served != calls || tally.waited != calls-1 {
-		t.Errorf("%d answered, %d waited; want %d and %d", tally.served, tally.waited, calls, calls-1)
+		t.Errorf("%d served, %d waited; want %d and %d", tally.served, tally.waited, calls, calls-1)
 	}
 }
 
-// Calls that are answered badly, or whose connection ends, are failed calls; their connections are
-// opened anew for the next segment.
+// Calls with an invalid response or a closed connection are failed calls. Their connections are
+// replaced before the next segment.
 func TestPlayCountsFailures(t *testing.T) {
 	for name, h := range map[string]standin.Handler{
 		"status":  standin.RespondWith("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true),
 		"close":   func(*standin.Call) bool { return false },
-		"two":     standin.RespondWith(goodAnswer+goodAnswer, true),
-		"endless": standin.RespondWith(strings.Repeat("x", maxAnswer), true),
+		"two":     standin.RespondWith(okResponse+okResponse, true),
+		"endless": standin.RespondWith(strings.Repeat("x", maxResponseBytes), true),
 	} {
 		b, p := backendFor(t, 4, func(c *standin.Call) bool {
 			if c.Number%2 == 0 {
@@ -149,13 +148,13 @@
 			}
 		}
 		if tally.sent != 8 || tally.served != 4 || tally.failure == nil || b.Requests() != 8 {
-			t.Errorf("%s: %d sent, %d answered, %d came, %v",
+			t.Errorf("%s: %d sent, %d served, %d received by the backend, error %v; want 8, 4, 8 and an error",
 				name, tally.sent, tally.served, b.Requests(), tally.failure)
 		}
 	}
 }
 
-// Refusals are answers on a connection that stays, and count by themselves.
+// Rejections keep the connection open and are counted separately from failures.
 func TestPlayCountsRejections(t *testing.T) {
 	b, p := backendFor(t, 1, func(c *standin.Call) bool {
 		if c.Number%2 == 0 {
@@ -170,21 +169,21 @@
 	opened, _, _ := b.Conns()
 	if tally.served != 2 || tally.rejected != 2 || tally.failure != nil ||
 		opened != 1 || tally.latency.TotalCount() != 2 {
-		t.Errorf("%d served, %d refused, %v, %d connections", tally.served, tally.rejected, tally.failure, opened)
+		t.Errorf("%d served, %d rejected, error %v, %d connections, %d latencies; want 2, 2, nil, 1 and 2",
+			tally.served, tally.rejected, tally.failure, opened, tally.latency.TotalCount())
 	}
 }
 
-// Nothing is left open when a segment is called off, and one whose connections have all ended says
-// so.
-func TestPlayEnds(t *testing.T) {
+// playSchedule returns an error if the context is canceled or if all connections have closed.
+func TestPlayReturnsErrors(t *testing.T) {
 	_, p := backendFor(t, 2, standin.Hang)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := playSchedule(ctx, p, Schedule(Even, 1000, 2, 1), newTally()); !errors.Is(err, context.Canceled) {
-		t.Errorf("called off: %v", err)
+		t.Errorf("canceled context: got error %v, want context.Canceled", err)
 	}
 	_, p = backendFor(t, 2, func(*standin.Call) bool { return false })
 	if err := playSchedule(t.Context(), p, Schedule(Even, 1000, 10, 1), newTally()); !errors.Is(err, errNoConnections) {
-		t.Errorf("no connections: %v", err)
+		t.Errorf("all connections closed: got error %v, want errNoConnections", err)
 	}
 }
--- a/internal/scale/latency/schedtime.go
+++ b/internal/scale/latency/schedtime.go
@@ -12,8 +12,8 @@
 
 // schedTime is the time that threads spent running and waiting to run.
 type schedTime struct {
-	running time.Duration // on a core
-	waiting time.Duration // runnable without a core
+	running time.Duration // time on a core
+	waiting time.Duration // time runnable without a core
 }
 
 func (t schedTime) plus(o schedTime) schedTime {
@@ -24,7 +24,7 @@
 	return schedTime{running: t.running - o.running, waiting: t.waiting - o.waiting}
 }
 
-// sidecarUsage returns the time of all threads of all sidecars so far.
+// sidecarUsage returns the cumulative time of all threads of all sidecars.
 func (ch *chain) sidecarUsage() (schedTime, error) {
 	var sum schedTime
 	for _, p := range ch.children {
@@ -40,7 +40,7 @@
 	return sum, nil
 }
 
-// processTime returns the time of all live threads of a process.
+// processTime returns the cumulative time of all live threads of a process.
 func processTime(pid int) (schedTime, error) {
 	var sum schedTime
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
@@ -64,13 +64,13 @@
 	return sum, nil
 }
 
-// parseSchedstat parses /proc/PID/task/TID/schedstat: nanoseconds on a core, nanoseconds of waiting
-// for one, and slices.
+// parseSchedstat parses the contents of /proc/PID/task/TID/schedstat: nanoseconds on a core,
+// nanoseconds waiting for a core, and the number of time slices.
 func parseSchedstat(text string) (schedTime, error) {
 	var t schedTime
 	var slices int64
 	if _, err := fmt.Sscan(text, &t.running, &t.waiting, &slices); err != nil {
-		return schedTime{}, fmt.Errorf("%.60q found, three whole numbers expected", text)
+		return schedTime{}, fmt.Errorf("invalid schedstat %.60q: three integers expected", text)
 	}
 	return t, nil
 }
--- a/internal/scale/latency/schedule.go
+++ b/internal/scale/latency/schedule.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// Schedule returns the intended moments of sending of n calls at a rate a second, from the start of
-// a segment on and in order. It is the same for the same seed.
+// Schedule returns the intended send times of n calls at a rate in calls per second, in ascending
+// order. The times are relative to the start of a segment. The schedule is determined by the
+// arguments.
 func Schedule(spacing Spacing, rate float64, n int, seed uint64) []time.Duration {
 	gap := float64(time.Second) / rate
-	moments := make([]time.Duration, n)
+	times := make([]time.Duration, n)
 	if spacing == Even {
-		for i := range moments {
-			moments[i] = time.Duration(float64(i) * gap)
+		for i := range times {
+			times[i] = time.Duration(float64(i) * gap)
 		}
-		return moments
+		return times
 	}
 	random := rand.New(rand.NewPCG(seed, uint64(n)))
 	at := 0.0
-	for i := range moments {
+	for i := range times {
 		at += random.ExpFloat64() * gap
-		moments[i] = time.Duration(at)
+		times[i] = time.Duration(at)
 	}
-	return moments
+	return times
 }
 
-// callCount is how many calls a segment holds.
+// callCount returns the number of calls in a segment, which is at least 1.
 func callCount(rate float64, segment time.Duration) int {
 	return max(1, int(rate*segment.Seconds()+0.5))
 }
--- a/internal/scale/latency/schedule_test.go
+++ b/internal/scale/latency/schedule_test.go
@@ -15,19 +15,19 @@
 	}
 }
 
-// The moments of a Poisson schedule are in order, repeat with the seed, have the rate's mean gap,
-// and gaps that vary as an exponential distribution's: their standard deviation is their mean.
+// A Poisson schedule is ascending and determined by the seed. The gaps have the mean of the rate and
+// a standard deviation equal to the mean, as an exponential distribution has.
 func TestSchedulePoisson(t *testing.T) {
 	const n, rate = 50_000, 271.0
 	got := Schedule(Poisson, rate, n, 7)
 	if !slices.Equal(got, Schedule(Poisson, rate, n, 7)) {
-		t.Error("one seed gave two schedules")
+		t.Error("two schedules with the same seed differ")
 	}
 	if slices.Equal(got, Schedule(Poisson, rate, n, 8)) {
-		t.Error("two seeds gave one schedule")
+		t.Error("schedules with different seeds are equal")
 	}
 	if !slices.IsSorted(got) || got[0] < 0 {
-		t.Error("moments out of order")
+		t.Error("send times not ascending from 0")
 	}
 	mean := got[n-1].Seconds() / n
 	squares := 0.0
@@ -36,7 +36,7 @@
 		squares += gap * gap
 	}
 	if deviation := math.Sqrt(squares / n); math.Abs(mean*rate-1) > 0.02 || math.Abs(deviation*rate-1) > 0.02 {
-		t.Errorf("gaps of %.3g s with a deviation of %.3g s, want %.3g s for both", mean, deviation, 1/rate)
+		t.Errorf("gaps with mean %.3g s and deviation %.3g s, want %.3g s for both", mean, deviation, 1/rate)
 	}
 }
 
@@ -52,7 +52,7 @@
 		{2710, 500 * time.Millisecond, 1355},
 	} {
 		if got := callCount(x.rate, x.segment); got != x.want {
-			t.Errorf("%g a second for %v: %d calls, want %d", x.rate, x.segment, got, x.want)
+			t.Errorf("%g per second for %v: %d calls, want %d", x.rate, x.segment, got, x.want)
 		}
 	}
 }
--- a/internal/scale/latency/validate.go
+++ b/internal/scale/latency/validate.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// validate returns the first field with an impossible value; nil where there is none.
+// validate returns an error for the first field with an invalid value, or nil.
 func (r *Result) validate() *ResultError {
 	c := &validator{}
 	c.require(r.Format == Format, "format", "%d found, %d expected", r.Format, Format)
-	c.require(r.Plan != "", "plan", "the plan's name expected")
-	c.require(!r.Date.IsZero(), "date", "the run's time expected")
+	c.require(r.Plan != "", "plan", "the name of the plan expected")
+	c.require(!r.Date.IsZero(), "date", "the time of the run expected")
 	c.require(strings.HasPrefix(r.GoVersion, "go") || strings.HasPrefix(r.GoVersion, "devel"), "go_version",
-		"%q found, a version of Go expected", r.GoVersion)
-	c.require(r.Cores >= 1, "cores", "%d found, 1 at least expected", r.Cores)
+		"%q found, a Go version expected", r.GoVersion)
+	c.require(r.Cores >= 1, "cores", "%d found, at least 1 expected", r.Cores)
 	c.require(r.Spacing == Even || r.Spacing == Poisson, "spacing",
 		"%q found, %q or %q expected", r.Spacing, Even, Poisson)
-	c.requireWithin(r.SidecarCores, leastPositive, 1024, "sidecar_cores")
-	c.requireWithin(r.SidecarMemoryMB, leastPositive, 1<<20, "sidecar_memory_mb")
-	c.requireWithin(r.TargetMS, leastPositive, maxMS, "target_added_p99_ms")
+	c.requireWithin(r.SidecarCores, minPositive, 1024, "sidecar_cores")
+	c.requireWithin(r.SidecarMemoryMB, minPositive, 1<<20, "sidecar_memory_mb")
+	c.requireWithin(r.TargetMS, minPositive, maxMS, "target_added_p99_ms")
 	c.require(len(r.Cases) > 0 && len(r.Cases) <= maxCases, "cases",
 		"%d found, 1 to %d expected", len(r.Cases), maxCases)
 	for i := range r.Cases {
@@ -31,14 +31,14 @@
 
 func (cr *CaseResult) validate(c *validator) {
 	path := c.path
-	c.require(cr.Name != "", "name", "the case's name expected")
+	c.require(cr.Name != "", "name", "the name of the case expected")
 	c.requireWithin(cr.RatePerSecond, 1, MaxRate, "rate_per_second")
 	c.require(cr.Hops >= 1 && cr.Hops <= MaxHops, "hops", "%d found, 1 to %d expected", cr.Hops, MaxHops)
 	c.require(cr.Connections >= 1 && cr.Connections <= MaxConnections, "connections",
 		"%d found, 1 to %d expected", cr.Connections, MaxConnections)
 	c.require(cr.Backends >= 1 && cr.Backends <= maxBackends, "backends",
 		"%d found, 1 to %d expected", cr.Backends, maxBackends)
-	c.requireWithin(cr.SegmentSeconds, leastPositive, MaxSegment.Seconds(), "segment_seconds")
+	c.requireWithin(cr.SegmentSeconds, minPositive, MaxSegment.Seconds(), "segment_seconds")
 	c.requireWithin(cr.SidecarCPUPerCallUS, 0, maxUS, "sidecar_cpu_per_call_us")
 	c.requireWithin(cr.SidecarWaitPerCallUS, 0, maxUS, "sidecar_wait_per_call_us")
 	c.require(len(cr.Rounds) >= minRounds && len(cr.Rounds) <= MaxRounds, "rounds",
@@ -55,7 +55,7 @@
 	}
 }
 
-// validateSums compares the figures of all rounds with the rounds.
+// validateSums compares the statistics of all rounds with the rounds.
 func (cr *CaseResult) validateSums(c *validator) {
 	var sum Stats
 	for i := range cr.Rounds {
@@ -66,15 +66,15 @@
 		sum.Waited += cr.Rounds[i].Waited
 	}
 	c.require(cr.All.DirectCalls == sum.DirectCalls, "all.direct_calls",
-		"%d found, the rounds' sum of %d expected", cr.All.DirectCalls, sum.DirectCalls)
+		"%d found, the sum over the rounds, %d, expected", cr.All.DirectCalls, sum.DirectCalls)
 	c.require(cr.All.ThroughCalls == sum.ThroughCalls, "all.through_calls",
-		"%d found, the rounds' sum of %d expected", cr.All.ThroughCalls, sum.ThroughCalls)
+		"%d found, the sum over the rounds, %d, expected", cr.All.ThroughCalls, sum.ThroughCalls)
 	c.require(cr.All.Rejected == sum.Rejected, "all.refused_calls",
-		"%d found, the rounds' sum of %d expected", cr.All.Rejected, sum.Rejected)
+		"%d found, the sum over the rounds, %d, expected", cr.All.Rejected, sum.Rejected)
 	c.require(cr.All.Failed == sum.Failed, "all.failed_calls",
-		"%d found, the rounds' sum of %d expected", cr.All.Failed, sum.Failed)
+		"%d found, the sum over the rounds, %d, expected", cr.All.Failed, sum.Failed)
 	c.require(cr.All.Waited == sum.Waited, "all.waited_calls",
-		"%d found, the rounds' sum of %d expected", cr.All.Waited, sum.Waited)
+		"%d found, the sum over the rounds, %d, expected", cr.All.Waited, sum.Waited)
 	for _, s := range cr.spreads() {
 		want := spreadOf(s.values(cr.Rounds))
 		c.requireNear(s.spread.Median, want.Median, s.field+".median")
@@ -84,13 +84,15 @@
 }
 
 func (f *Stats) validate(c *validator) {
-	c.require(f.DirectCalls >= 1, "direct_calls", "%d found, 1 at least expected", f.DirectCalls)
-	c.require(f.ThroughCalls >= 1, "through_calls", "%d found, 1 at least expected", f.ThroughCalls)
+	c.require(f.DirectCalls >= 1, "direct_calls", "%d found, at least 1 expected", f.DirectCalls)
+	c.require(f.ThroughCalls >= 1, "through_calls", "%d found, at least 1 expected", f.ThroughCalls)
 	calls := f.DirectCalls + f.ThroughCalls
-	c.require(f.Rejected >= 0 && f.Rejected < calls, "refused_calls", "%d of %d found", f.Rejected, calls)
+	c.require(f.Rejected >= 0 && f.Rejected < calls, "refused_calls",
+		"%d found, less than %d expected", f.Rejected, calls)
 	c.require(f.Failed >= 0 && f.Failed < calls-f.Rejected, "failed_calls",
-		"%d of %d found", f.Failed, calls-f.Rejected)
-	c.require(f.Waited >= 0 && f.Waited <= calls, "waited_calls", "%d of %d found", f.Waited, calls)
+		"%d found, less than %d expected", f.Failed, calls-f.Rejected)
+	c.require(f.Waited >= 0 && f.Waited <= calls, "waited_calls",
+		"%d found, at most %d expected", f.Waited, calls)
 	f.Direct.validate(c, "direct")
 	f.Through.validate(c, "through")
 	c.requireNear(f.AddedP50, f.Through.P50-f.Direct.P50, "added_p50_ms")
@@ -108,17 +110,17 @@
 }
 
 func (q *Quantiles) validate(c *validator, name string) {
-	least := leastPositive
+	lowest := minPositive
 	for _, x := range []struct {
 		field string
 		value float64
 	}{{"p50_ms", q.P50}, {"p90_ms", q.P90}, {"p99_ms", q.P99}, {"p999_ms", q.P999}} {
-		c.requireWithin(x.value, least, maxMS, name+"."+x.field)
-		least = x.value
+		c.requireWithin(x.value, lowest, maxMS, name+"."+x.field)
+		lowest = x.value
 	}
 }
 
-// validator keeps the first fault.
+// validator keeps the first error.
 type validator struct {
 	path  string
 	first *ResultError
@@ -130,10 +132,10 @@
 	}
 }
 
-func (c *validator) requireWithin(v, least, most float64, field string) {
-	c.require(v >= least && v <= most, field, "%g found, %g to %g expected", v, least, most)
+func (c *validator) requireWithin(v, lowest, highest float64, field string) {
+	c.require(v >= lowest && v <= highest, field, "%g found, %g to %g expected", v, lowest, highest)
 }
 
 func (c *validator) requireNear(v, want float64, field string) {
-	c.require(math.Abs(v-want) <= tolerance, field, "%g found, %g expected by its terms", v, want)
+	c.require(math.Abs(v-want) <= tolerance, field, "%g found, %g expected from other fields", v, want)
 }
--- a/internal/scale/latency/verdict.go
+++ b/internal/scale/latency/verdict.go
@@ -4,27 +4,26 @@
 	"math"
 )
 
-// Verdict is whether the median of the rounds' added 99th percentiles is within a goal.
+// Verdict reports whether the median over the rounds of the added 99th percentile meets a goal.
 type Verdict string
 
 // The verdicts.
 const (
 	Reached   Verdict = "reached"
 	Missed    Verdict = "missed"
-	Undecided Verdict = "undecided" // the machine was too busy to tell
+	Undecided Verdict = "undecided" // the noise of the machine is too large
 )
 
-// lateForGoal is the part of a goal by which 1 in 100 calls may be sent late; beyond it a run
-// decides nothing.
-const lateForGoal = 0.1
+// maxSendLatenessFraction is the maximum 99th percentile of the send lateness, as a fraction of the
+// goal. The verdict of a run beyond this maximum is Undecided.
+const maxSendLatenessFraction = 0.1
 
-// Verdict compares a case with a goal in milliseconds. It is Undecided if the median is no further
-// from the goal than direct calls are from direct calls in half of the rounds, or if the client
-// itself was delayed.
+// Verdict compares a case with a goal in milliseconds. The verdict is Undecided if the distance of
+// the median from the goal does not exceed the noise, or if the client was delayed.
 func (cr *CaseResult) Verdict(target float64) Verdict {
 	distance := cr.AddedP99.Median - target
 	switch {
-	case math.Abs(distance) <= cr.Noise(), cr.All.SendLatenessP99 > lateForGoal*target:
+	case math.Abs(distance) <= cr.Noise(), cr.All.SendLatenessP99 > maxSendLatenessFraction*target:
 		return Undecided
 	case distance > 0:
 		return Missed
@@ -32,8 +31,8 @@
 	return Reached
 }
 
-// Noise returns the median over the rounds of the difference between direct calls and direct calls,
-// in milliseconds.
+// Noise returns the median over the rounds of the absolute difference between the 99th percentiles
+// of the direct segments, in milliseconds.
 func (cr *CaseResult) Noise() float64 {
 	noise := make([]float64, len(cr.Rounds))
 	for i := range cr.Rounds {
--- a/internal/scale/predict/before.go
+++ b/internal/scale/predict/before.go
@@ -7,21 +7,21 @@
 	"fernlanding/internal/scale/result"
 )
 
-// BeforeAfter returns the table of what was measured over consul and over distribution at the same
-// size: the largest of each dimension at which both were measured.
+// BeforeAfter returns the table that compares the measurements over consul and over distribution. It
+// has the largest size along each dimension at which both sources were measured.
 func (c *Calculator) BeforeAfter() Table {
 	table := Table{Head: []string{"size", "figure", "consul", "distribution", "consul to distribution"}}
 	for _, d := range []result.Dimension{result.Proxies, result.Services, result.Backends, result.Changes} {
-		if before, after := c.largestOfBoth(d); before != nil {
+		if before, after := c.largestCommonPoints(d); before != nil {
 			table.Rows = append(table.Rows, beforeAfterRows(before, after)...)
 		}
 	}
 	return table
 }
 
-// largestOfBoth returns the points of the largest size along a dimension that was measured over
-// both sources; nil where there is none.
-func (c *Calculator) largestOfBoth(d result.Dimension) (before, after *result.Point) {
+// largestCommonPoints returns the points of the largest size along a dimension that was measured
+// over both sources, or nil if there is none.
+func (c *Calculator) largestCommonPoints(d result.Dimension) (before, after *result.Point) {
 	for _, consul := range c.evidence.hollowSweeps(result.SourceConsul, d) {
 		for _, relay := range c.evidence.hollowSweeps(result.SourceRelay, d) {
 			for i := range consul.Points {
@@ -38,7 +38,7 @@
 	return before, after
 }
 
-// hollowSweeps returns the results of hollow proxies from a source along a dimension.
+// hollowSweeps returns the results with hollow proxies of a source along a dimension.
 func (e *Evidence) hollowSweeps(source result.Source, d result.Dimension) []*result.Result {
 	var sweeps []*result.Result
 	for _, f := range e.Files {
@@ -49,7 +49,7 @@
 	return sweeps
 }
 
-// pointOfSize returns the last point of a result that has a size; nil where none has.
+// pointOfSize returns the last point of a result with the given size, or nil if there is none.
 func pointOfSize(r *result.Result, size result.Size) *result.Point {
 	for i := len(r.Points) - 1; i >= 0; i-- {
 		if r.Points[i].Size == size {
@@ -65,7 +65,7 @@
 	for _, line := range []struct {
 		name    string
 		role    fit.Role
-		figure  fit.Metric
+		metric  fit.Metric
 		divisor float64
 	}{
 		{"bytes to a proxy", fit.Proxies, fit.BytesIn, proxies},
@@ -80,12 +80,12 @@
 		{"in force, p99", fit.Proxies, fit.PropagationP99, 1},
 		{"in force, last", fit.Proxies, fit.PropagationMax, 1},
 	} {
-		valueBefore, okBefore := fit.MeanOf(before, line.role, line.figure)
-		valueAfter, okAfter := fit.MeanOf(after, line.role, line.figure)
+		valueBefore, okBefore := fit.MeanOf(before, line.role, line.metric)
+		valueAfter, okAfter := fit.MeanOf(after, line.role, line.metric)
 		if !okBefore && !okAfter {
 			continue
 		}
-		unit, base := line.figure.Unit()
+		unit, base := line.metric.Unit()
 		format := func(v float64, ok bool) string {
 			if !ok {
 				return "-"
--- a/internal/scale/predict/calculator.go
+++ b/internal/scale/predict/calculator.go
@@ -5,16 +5,16 @@
 	"fernlanding/internal/scale/result"
 )
 
-// Calculator computes the tables of the page.
+// Calculator computes the tables of docs/CAPACITY.md.
 type Calculator struct {
 	target   *Target
 	evidence *Evidence
 }
 
-// NewCalculator returns a calculator that predicts the costs of a target from what was measured.
+// NewCalculator returns a calculator that predicts the costs of a target from measurements.
 func NewCalculator(t *Target, e *Evidence) *Calculator { return &Calculator{target: t, evidence: e} }
 
-// proxyNeeds is what the control traffic of one proxy needs.
+// proxyNeeds holds the predicted resource usage of the control traffic of one proxy.
 type proxyNeeds struct {
 	in          amount // bytes per second
 	out         amount // bytes per second
@@ -27,8 +27,8 @@
 }
 
 func (c *Calculator) proxyNeeds(source result.Source, drivers fit.Drivers) proxyNeeds {
-	predict := func(figure fit.Metric) amount {
-		return c.evidence.predictProxy(source, figure, drivers, c.target.Assumed(ProcessBytes))
+	predict := func(metric fit.Metric) amount {
+		return c.evidence.predictProxy(source, metric, drivers, c.target.Assumed(ProcessBytes))
 	}
 	n := proxyNeeds{
 		in:          predict(fit.BytesIn),
@@ -43,7 +43,7 @@
 	return n
 }
 
-// withoutCalls returns the drivers of control traffic alone.
+// withoutCalls returns the drivers without calls, for control traffic only.
 func withoutCalls(drivers fit.Drivers) fit.Drivers {
 	drivers.Calls = 0
 	return drivers
@@ -54,12 +54,11 @@
 	return withoutCalls(model.driversUnder(model.ordinaryDay(c.target), c.minReadInterval()))
 }
 
-// minReadInterval returns the least time between two reads of a complete list by a proxy, in
-// seconds.
+// minReadInterval returns the minimum time between two snapshot reads of a proxy, in seconds.
 func (c *Calculator) minReadInterval() float64 { return c.target.Assumed(ReadIntervalMs) / 1000 }
 
-// machines returns how many machines a tier needs for its CPU time, in cores, and its network
-// traffic.
+// machines returns the number of machines that a tier needs for its CPU time, in cores, and its
+// network traffic.
 func (c *Calculator) machines(cores, bytesPerSecond amount) amount {
 	use := c.target.Assumed(MachineUtilization)
 	byCPU := cores.dividedBy(c.target.Assumed(MachineCores) * use)
--- a/internal/scale/predict/curve.go
+++ b/internal/scale/predict/curve.go
@@ -7,14 +7,14 @@
 	"fernlanding/internal/scale/result"
 )
 
-// Curve returns the table of what a proxy costs by the number of services that it follows, with
-// notes on where each budget is exceeded.
+// Curve returns the table of the costs of a proxy by the number of followed services. The notes give
+// the number at which each budget is exceeded.
 func (c *Calculator) Curve() Table {
 	table := Table{Head: []string{
 		"services followed", "endpoints", "connections to backends", "consul: bytes", "processor", "memory",
 		"distribution: bytes", "processor", "memory",
 	}}
-	b := breaks{}
+	b := exceedances{}
 	for _, n := range c.target.Curve {
 		for _, ofLargest := range []bool{false, true} {
 			table.Rows = append(table.Rows, c.curveRow(n, ofLargest, b))
@@ -22,38 +22,38 @@
 	}
 	for _, ofLargest := range []bool{false, true} {
 		for _, source := range comparedSources() {
-			table.Notes = append(table.Notes, c.breakNote(source, ofLargest, b))
+			table.Notes = append(table.Notes, c.exceedanceNote(source, ofLargest, b))
 		}
 	}
 	return table
 }
 
-// breaks has the first number of followed services at which a budget is exceeded.
-type breaks map[budgetKey]int
+// exceedances maps a budget to the first number of followed services that exceeds it.
+type exceedances map[budgetKey]int
 
-// budgetKey is a budget of a proxy that follows typical services or the largest ones. That of
-// descriptors has no source.
+// budgetKey identifies a budget of a proxy that follows either typical services or the largest
+// services. The budget of descriptors has no source.
 type budgetKey struct {
 	source    result.Source
 	ofLargest bool
 	name      string
 }
 
-func (b breaks) record(key budgetKey, n int, isExceeded bool) {
+func (b exceedances) record(key budgetKey, n int, isExceeded bool) {
 	if _, found := b[key]; isExceeded && !found {
 		b[key] = n
 	}
 }
 
-func (b breaks) text(key budgetKey) string {
+func (b exceedances) text(key budgetKey) string {
 	if n, found := b[key]; found {
 		return fmt.Sprintf("%s at %d", key.name, n)
 	}
 	return key.name + " nowhere"
 }
 
-// modelFollowing returns a fleet whose proxies all follow n services, typical ones or the n
-// largest, and the number of endpoints that a proxy then holds.
+// modelFollowing returns the model of a fleet whose proxies all follow n services, and the number of
+// endpoints per proxy. The n services are either typical services or the n largest services.
 func (c *Calculator) modelFollowing(n int, ofLargest bool) (model *fleetModel, endpoints float64) {
 	f := c.target.Target
 	f.ServicesFollowed = min(float64(n), float64(f.Services))
@@ -70,7 +70,7 @@
 	return model, model.largestEndpoints(n)
 }
 
-func (c *Calculator) curveRow(n int, ofLargest bool, b breaks) []string {
+func (c *Calculator) curveRow(n int, ofLargest bool, b exceedances) []string {
 	kind := "typical"
 	if ofLargest {
 		kind = "the largest"
@@ -98,7 +98,7 @@
 	return row
 }
 
-func (c *Calculator) breakNote(source result.Source, ofLargest bool, b breaks) string {
+func (c *Calculator) exceedanceNote(source result.Source, ofLargest bool, b exceedances) string {
 	kind := "typical services"
 	if ofLargest {
 		kind = "the largest services"
--- a/internal/scale/predict/doc.go
+++ b/internal/scale/predict/doc.go
@@ -1,6 +1,6 @@
-// Package predict computes from the fits of scale tests what each role costs in a fleet of a stated
-// size: at rest, for any number of services that a proxy follows, and in events such as the loss of
+// Package predict computes the costs of each role in a fleet of a given size from the fits of scale
+// tests: on an ordinary day, for any number of followed services, and in events such as the loss of
 // a zone. It generates the tables of docs/CAPACITY.md.
 //
-// The package is pure. A Calculator may be used concurrently.
+// The package does no I/O. A Calculator is safe for concurrent use.
 package predict
--- a/internal/scale/predict/events.go
+++ b/internal/scale/predict/events.go
@@ -7,25 +7,26 @@
 	"fernlanding/internal/scale/result"
 )
 
-// event is something that changes lists or makes proxies read their lists again.
+// event is a cause of list changes or of additional list reads.
 type event struct {
 	name      string
 	note      string
-	load      load
-	listReads float64 // complete lists that are read, beyond those that changes cause
-	resumes   float64 // proxies that resume their stream from its position, over distribution
-	// canResume is set if over distribution proxies resume in place of reading complete lists.
+	load      changeLoad
+	listReads float64 // snapshots read in addition to the reads caused by changes
+	resumes   float64 // proxies that resume their streams from their positions, over distribution
+	// canResume reports whether proxies resume over distribution instead of reading snapshots.
 	canResume bool
-	// isConfiguration is set if the event changes configuration, which today nothing distributes.
+	// isConfiguration reports whether the event changes configuration, which only distribution
+	// delivers.
 	isConfiguration bool
 }
 
 const (
-	releaseChanges   = 4   // of a released backend: draining, removed, added, warmed up
-	immediateSeconds = 1.0 // over which the changes of a sudden event are counted
+	releaseChanges   = 4   // changes per released backend: draining, removed, added, warmed up
+	immediateSeconds = 1.0 // duration of the changes of a sudden event
 )
 
-// events returns the events of the table, at the size of a fleet.
+// events returns the events of the table for the fleet of a model.
 func (c *Calculator) events(model *fleetModel) []event {
 	fleet := model.fleet
 	ordinary := model.ordinaryDay(c.target)
@@ -33,7 +34,7 @@
 	region := float64(fleet.Proxies) / float64(fleet.Regions)
 	largest := model.sizes[0]
 	rack := min(c.target.Assumed(RackBackends), float64(fleet.Proxies))
-	duringCut := ordinary.scaled(c.target.Assumed(PartitionSeconds)/day, 1)
+	duringPartition := ordinary.scaled(c.target.Assumed(PartitionSeconds)/secondsPerDay, 1)
 	return []event{
 		{
 			name:      "an ordinary day",
@@ -71,8 +72,8 @@
 		},
 		{
 			name: "a region was cut off for an hour, the meeting again",
-			note: fmt.Sprintf("%s changes were missed", formatNumber(duringCut.total())),
-			load: changesMissed(model, duringCut, region),
+			note: fmt.Sprintf("%s changes were missed", formatNumber(duringPartition.total())),
+			load: missedChanges(model, duringPartition, region),
 		},
 		{
 			name:            "a bad configuration of the largest service is taken back",
@@ -83,19 +84,19 @@
 	}
 }
 
-// busiestMinute is the event of the day's busiest minute.
+// busiestMinute returns the event of the busiest minute of a day.
 func (c *Calculator) busiestMinute(model *fleetModel) event {
 	ordinary := model.ordinaryDay(c.target)
 	return event{
 		name: "its busiest minute",
-		load: ordinary.scaled(c.target.Assumed(BusiestFactor)*60/day, 60),
+		load: ordinary.scaled(c.target.Assumed(BusiestFactor)*60/secondsPerDay, 60),
 	}
 }
 
-// changesMissed returns the changes that a region receives after it was cut off from all: at most
-// one of each backend, and only its share of the proxies receives them.
-func changesMissed(model *fleetModel, all load, regionProxies float64) load {
-	out := load{seconds: immediateSeconds, changes: make([]float64, len(all.changes))}
+// missedChanges returns the changes that a region receives after a network partition: at most one
+// per backend, and only to the proxies of the region.
+func missedChanges(model *fleetModel, all changeLoad, regionProxies float64) changeLoad {
+	out := changeLoad{seconds: immediateSeconds, changes: make([]float64, len(all.changes))}
 	for i, n := range all.changes {
 		distinct := model.sizes[i] * (1 - math.Exp(-n/model.sizes[i]))
 		out.changes[i] = distinct * regionProxies / float64(model.fleet.Proxies)
@@ -103,7 +104,7 @@
 	return out
 }
 
-// Events returns the table of events at the size of a fleet.
+// Events returns the table of the costs of events for a fleet.
 func (c *Calculator) Events(name string, f Fleet) Table {
 	model := newFleetModel(f, c.target)
 	table := Table{Title: name, Head: []string{
@@ -138,18 +139,19 @@
 		out.messages.format(formatNumber),
 		out.bytes.format(formatBytes),
 		out.cores.format(formatNumber),
-		out.inForce.format(formatSeconds),
+		out.propagation.format(formatSeconds),
 		c.eventVerdict(e, out),
 	)
 }
 
-// minRateSeconds is the shortest event whose rate of bytes to a proxy is held against its limit.
+// minRateSeconds is the minimum duration of an event whose byte rate per proxy is compared with the
+// limit.
 const minRateSeconds = 60.0
 
-// eventVerdict compares the time until the event's changes are in force with its limit, and the
-// rate of a proxy's bytes too if the event lasts.
+// eventVerdict compares the propagation time of an event with its limit. For an event of at least
+// minRateSeconds, it also compares the byte rate per proxy.
 func (c *Calculator) eventVerdict(e event, out outcome) string {
-	text := verdict(out.inForce, c.target.Limits.PropagationSeconds)
+	text := verdict(out.propagation, c.target.Limits.PropagationSeconds)
 	rate := out.bytes.dividedBy(e.load.seconds)
 	if e.load.seconds >= minRateSeconds && rate.known && rate.value > c.target.Limits.ProxyBytesPerSecond {
 		text += "; bytes: " + verdict(rate, c.target.Limits.ProxyBytesPerSecond)
--- a/internal/scale/predict/evidence.go
+++ b/internal/scale/predict/evidence.go
@@ -8,40 +8,41 @@
 	"fernlanding/internal/scale/result"
 )
 
-// File is a sweep's result with the name of its file.
+// File is the result of a sweep with its file name.
 type File struct {
 	Name   string
 	Result *result.Result
 }
 
-// Latency is the result of one case of a latency run: what the sidecars on the path add to a call.
-// Times are in milliseconds.
+// Latency is the result of one case of a latency run: the latency that the sidecars on the path add
+// to a call. Times are in milliseconds.
 type Latency struct {
 	File                string
 	Case                string
 	RatePerSecond       float64
 	Hops                int
 	AddedP99            Spread
-	DirectDifferenceP99 Spread  // of the same path against itself: the error of the method and the machine
-	Noise               float64 // median over the rounds of a round's difference from itself
+	DirectDifferenceP99 Spread  // direct path compared with itself: error of the method and the machine
+	Noise               float64 // median over the rounds of the absolute direct difference
 	CPUPerCallMicros    float64
 	DirectP99           float64
-	ThroughP99          float64 // 99th percentile through the sidecars
+	ThroughP99          float64 // through the sidecars
 }
 
-// Spread is the median and the range of the rounds' figures.
+// Spread is the median and the range of a value over the rounds.
 type Spread struct{ Median, Lowest, Highest float64 }
 
-// Evidence is all that was measured, with the models fitted to it.
+// Evidence holds all measurements and the models fitted to them.
 type Evidence struct {
-	Files   []File // by name
+	Files   []File // sorted by name
 	Latency []Latency
 
 	models map[result.Source]*fit.Models
 	pairs  []fit.Pair
 }
 
-// comparedSources returns the sources that predictions are made for: today's and distribution.
+// comparedSources returns the sources for which costs are predicted: the present source (consul) and
+// distribution.
 func comparedSources() []result.Source {
 	return []result.Source{result.SourceConsul, result.SourceRelay}
 }
@@ -51,7 +52,7 @@
 	return []result.Source{result.SourceStatic, result.SourceConsul, result.SourceCatalog, result.SourceRelay}
 }
 
-// sourceName returns a source's name on the page.
+// sourceName returns the name of a source on the page.
 func sourceName(source result.Source) string {
 	if source == result.SourceRelay {
 		return "distribution"
@@ -59,8 +60,8 @@
 	return "consul"
 }
 
-// NewEvidence fits models to the results. Hollow proxies are preferred: those of a source are
-// fitted to real ones only where no hollow ones were measured.
+// NewEvidence fits models to the results. The models of a source are fitted to results with hollow
+// proxies, or to results with real proxies if there are none with hollow proxies.
 func NewEvidence(files []File, latencies []Latency) *Evidence {
 	files = slices.Clone(files)
 	slices.SortFunc(files, func(a, b File) int { return cmp.Compare(a.Name, b.Name) })
@@ -85,7 +86,7 @@
 	return out
 }
 
-// fitted returns the files that the models of a source are fitted to.
+// fitted returns the files to which the models of a source are fitted.
 func (e *Evidence) fitted(source result.Source) []File {
 	models := e.models[source]
 	if models == nil {
@@ -100,41 +101,41 @@
 	return files
 }
 
-// predict returns a figure of a role over all its processes.
-func (e *Evidence) predict(source result.Source, role fit.Role, figure fit.Metric, drivers fit.Drivers) amount {
-	m := e.models[source].Model(role, figure)
+// predict returns a metric of a role over all its processes.
+func (e *Evidence) predict(source result.Source, role fit.Role, metric fit.Metric, drivers fit.Drivers) amount {
+	m := e.models[source].Model(role, metric)
 	if m == nil {
 		return amount{}
 	}
 	return known(m.Predict(drivers))
 }
 
-// predictProxy returns a figure of one proxy: its share of what all proxies cost, and what hollow
-// proxies do not show. Where no real proxy was measured, the latter is processBytes for memory and
-// 0 for other figures.
+// predictProxy returns a metric of one proxy: the cost of all proxies divided by their number, plus
+// the hidden cost that hollow proxies do not have. If no real proxy was measured, the hidden cost is
+// processBytes for memory and 0 for other metrics.
 func (e *Evidence) predictProxy(
-	source result.Source, figure fit.Metric, drivers fit.Drivers, processBytes float64,
+	source result.Source, metric fit.Metric, drivers fit.Drivers, processBytes float64,
 ) amount {
 	drivers.Processes = 0
-	a := e.predict(source, fit.Proxies, figure, drivers).dividedBy(max(drivers.Proxies, 1))
-	hidden, isMeasured := e.hiddenCost(source, figure)
-	if !isMeasured && figure == fit.RSS {
+	a := e.predict(source, fit.Proxies, metric, drivers).dividedBy(max(drivers.Proxies, 1))
+	hidden, isMeasured := e.hiddenCost(source, metric)
+	if !isMeasured && metric == fit.RSS {
 		hidden = processBytes
 	}
 	a.value += hidden
 	return a
 }
 
-// hiddenCost returns how much more of a figure a real proxy uses than a hollow one under the same
-// load, by the mean of the pairs measured of a source; 0 where no pair was measured.
-func (e *Evidence) hiddenCost(source result.Source, figure fit.Metric) (cost float64, isMeasured bool) {
-	m := e.models[source].Model(fit.Proxies, figure)
+// hiddenCost returns by how much a metric of a real proxy exceeds the metric of a hollow proxy under
+// the same load, as the mean over the measured pairs of a source. It is 0 if no pair was measured.
+func (e *Evidence) hiddenCost(source result.Source, metric fit.Metric) (cost float64, isMeasured bool) {
+	m := e.models[source].Model(fit.Proxies, metric)
 	if m == nil || !m.Hollow {
 		return 0, m != nil
 	}
 	sum, n := 0.0, 0
 	for _, p := range e.pairs {
-		if p.Source == source && p.Role == fit.Proxies && p.Metric == figure {
+		if p.Source == source && p.Role == fit.Proxies && p.Metric == metric {
 			drivers := fit.DriversOf(p.Size, 0, 0)
 			sum += (p.Real - m.Predict(drivers)) / drivers.Proxies
 			n++
@@ -143,15 +144,15 @@
 	return max(0, sum/float64(max(n, 1))), n > 0
 }
 
-// inForce returns the time in seconds until a change is in force: the median of the rounds' 99th
-// percentiles over all points that are not held out. It was measured with source and proxies on one
-// machine and at most one relay between.
-func (e *Evidence) inForce(source result.Source) amount {
+// medianPropagation returns the propagation time of a change in seconds: the median, over the rounds
+// of all points that are not held out, of the 99th percentile. The measurements have source and
+// proxies on one machine and at most one relay between them.
+func (e *Evidence) medianPropagation(source result.Source) amount {
 	var all []float64
 	for _, f := range e.fitted(source) {
 		for _, p := range f.Result.Points {
 			if !p.HeldOut {
-				all = append(all, inForceTimes(p.Rounds)...)
+				all = append(all, propagationP99s(p.Rounds)...)
 			}
 		}
 	}
@@ -162,7 +163,7 @@
 	return known(all[len(all)/2])
 }
 
-func inForceTimes(rounds []result.Round) []float64 {
+func propagationP99s(rounds []result.Round) []float64 {
 	var times []float64
 	for _, r := range rounds {
 		if r.Propagation.Count > 0 {
--- a/internal/scale/predict/fittables.go
+++ b/internal/scale/predict/fittables.go
@@ -10,18 +10,18 @@
 	"fernlanding/internal/scale/result"
 )
 
-// mainFigures returns the figures that the page shows; fernctl scale fit prints all.
-func mainFigures() []fit.Metric {
+// mainMetrics returns the metrics on the page. The command fernctl scale fit prints all metrics.
+func mainMetrics() []fit.Metric {
 	return []fit.Metric{
 		fit.CPU, fit.RSS, fit.Heap, fit.BytesIn, fit.BytesOut, fit.MessagesIn, fit.MessagesOut, fit.Allocations,
 		fit.Connections, fit.PropagationMedian, fit.PropagationP99,
 	}
 }
 
-// figureText returns a figure with its unit, if it has one.
-func figureText(figure fit.Metric) string {
-	unit, _ := figure.Unit()
-	return strings.TrimSuffix(fmt.Sprintf("%s, %s", figure, unit), ", ")
+// metricText returns the name of a metric with its unit, if it has one.
+func metricText(metric fit.Metric) string {
+	unit, _ := metric.Unit()
+	return strings.TrimSuffix(fmt.Sprintf("%s, %s", metric, unit), ", ")
 }
 
 func sizeText(s result.Size) string {
@@ -29,17 +29,17 @@
 		s.Proxies, s.Services, s.TotalServices, s.Backends, formatNumber(s.ChangesPerSecond))
 }
 
-// plusMinus returns a value with its standard error, in a base unit.
+// plusMinus returns the text of a value and its standard error, in units of base.
 func plusMinus(value, standardError, base float64) string {
 	return fmt.Sprintf("%s ± %s", formatNumber(value/base), formatNumber(standardError/base))
 }
 
-// Lines returns the table of how each figure grows along each sweep.
-func (e *Evidence) Lines(figures []fit.Metric) Table {
+// Lines returns the table of the lines fitted to each metric along each sweep.
+func (e *Evidence) Lines(metrics []fit.Metric) Table {
 	table := Table{Head: []string{"run", "role", "figure", "along", "slope", "intercept", "R²", "growth"}}
 	for _, f := range e.Files {
 		for _, sweep := range fit.Sweeps(f.Result) {
-			if slices.Contains(figures, sweep.Metric) {
+			if slices.Contains(metrics, sweep.Metric) {
 				table.Rows = append(table.Rows, lineRow(f.Name, sweep))
 			}
 		}
@@ -57,7 +57,7 @@
 	return []string{
 		"`" + file + "`",
 		role,
-		figureText(sweep.Metric),
+		metricText(sweep.Metric),
 		string(sweep.Dimension),
 		plusMinus(l.Slope, l.SlopeError, base),
 		plusMinus(l.Intercept, l.InterceptError, base),
@@ -66,8 +66,8 @@
 	}
 }
 
-// Models returns the table of the models' formulas.
-func (e *Evidence) Models(figures []fit.Metric) Table {
+// Models returns the table of the formulas of the models.
+func (e *Evidence) Models(metrics []fit.Metric) Table {
 	table := Table{Head: []string{
 		"way", "role", "figure", "formula: the sum of", "R²", "off by, median and most", "rounds",
 	}}
@@ -77,7 +77,7 @@
 			continue
 		}
 		for i := range models.All {
-			if slices.Contains(figures, models.All[i].Metric) {
+			if slices.Contains(metrics, models.All[i].Metric) {
 				table.Rows = append(table.Rows, modelRow(&models.All[i]))
 			}
 		}
@@ -106,7 +106,7 @@
 	return []string{
 		string(m.Source),
 		string(m.Role),
-		figureText(m.Metric),
+		metricText(m.Metric),
 		formula,
 		fmt.Sprintf("%.3f", m.R2),
 		formatPercent(m.MedianError) + ", " + formatPercent(m.MaxError),
@@ -114,9 +114,8 @@
 	}
 }
 
-// HeldOut returns the table of predictions for the points that were held out, and of what was
-// measured there.
-func (e *Evidence) HeldOut(figures []fit.Metric) Table {
+// HeldOut returns the table that compares the predictions for held-out points with the measurements.
+func (e *Evidence) HeldOut(metrics []fit.Metric) Table {
 	table := Table{Head: []string{
 		"run", "size", "role", "figure", "by the formula", "by the sweep's line", "measured", "formula to measured",
 		"line to measured", "within 15%",
@@ -128,7 +127,7 @@
 			continue
 		}
 		for _, c := range e.models[source].HeldOut(results) {
-			if !slices.Contains(figures, c.Metric) {
+			if !slices.Contains(metrics, c.Metric) {
 				continue
 			}
 			table.Rows = append(table.Rows, heldOutRow(c))
@@ -163,7 +162,7 @@
 		c.Scenario,
 		sizeText(c.Size),
 		string(c.Role),
-		figureText(c.Metric),
+		metricText(c.Metric),
 		formatNumber(c.Predicted / base),
 		formatNumber(c.PredictedByLine / base),
 		formatNumber(c.Measured / base),
@@ -173,13 +172,13 @@
 	}
 }
 
-// Hollow returns the table of hollow beside real proxies under the same load.
-func (e *Evidence) Hollow(figures []fit.Metric) Table {
+// Hollow returns the table that compares hollow with real proxies under the same load.
+func (e *Evidence) Hollow(metrics []fit.Metric) Table {
 	table := Table{Head: []string{
 		"source", "size", "figure", "hollow, a proxy", "real, a proxy", "real to hollow",
 	}}
 	for _, p := range e.pairs {
-		if p.Role == fit.Proxies && slices.Contains(figures, p.Metric) {
+		if p.Role == fit.Proxies && slices.Contains(metrics, p.Metric) {
 			table.Rows = append(table.Rows, pairRow(p))
 		}
 	}
@@ -199,7 +198,7 @@
 	return []string{
 		string(p.Source),
 		sizeText(p.Size),
-		figureText(p.Metric),
+		metricText(p.Metric),
 		formatNumber(p.Hollow / divisor / base),
 		formatNumber(p.Real / divisor / base),
 		ratio,
--- a/internal/scale/predict/fleetmodel.go
+++ b/internal/scale/predict/fleetmodel.go
@@ -4,9 +4,9 @@
 	"math"
 )
 
-// fleetModel is a fleet with the sizes of its services: service i has sizes[i] backends, and the
-// part followed[i] of all proxies follows it. Both fall with a power of the rank, whose exponent
-// follows from the sums.
+// fleetModel is a fleet with the sizes of its services. Service i has sizes[i] backends and is
+// followed by the fraction followed[i] of all proxies. Both follow a power law of the rank i+1,
+// whose exponent is determined by the sum over all services.
 type fleetModel struct {
 	fleet    Fleet
 	sizes    []float64
@@ -22,11 +22,11 @@
 	}
 }
 
-// bisections find an exponent to a part in 10^12.
+// bisections is the number of steps that find an exponent to one part in 10^12.
 const bisections = 46
 
-// powerLaw returns n values largest*rank^-e, each at least least, with the exponent e at which
-// their sum is closest to sum.
+// powerLaw returns n values largest*rank^-e, each at least the value least. The exponent e is chosen
+// so that their sum is closest to sum.
 func powerLaw(n int, largest, least, sum float64) []float64 {
 	low, high := 0.0, 64.0
 	for range bisections {
@@ -38,7 +38,7 @@
 		}
 	}
 	out := ranked(n, largest, least, high)
-	if got := total(out); got < sum*(1-1e-6) { // even if all values are the largest
+	if got := total(out); got < sum*(1-1e-6) { // the sum is out of reach even with e = 0
 		for i := range out {
 			out[i] *= sum / got
 		}
@@ -62,7 +62,7 @@
 	return sum
 }
 
-// endpointsFollowed returns the number of endpoints that a typical proxy holds.
+// endpointsFollowed returns the number of endpoints of the services that a typical proxy follows.
 func (m *fleetModel) endpointsFollowed() float64 {
 	sum := 0.0
 	for i := range m.sizes {
@@ -77,8 +77,8 @@
 // callers returns the number of proxies that follow service i.
 func (m *fleetModel) callers(i int) float64 { return float64(m.fleet.Proxies) * m.followed[i] }
 
-// callRate returns the calls per second of one caller to service i. All backends of the fleet
-// receive the same number of calls.
+// callRate returns the calls per second of one caller to service i. All backends of the fleet are
+// assumed to receive the same number of calls.
 func (m *fleetModel) callRate(i int) float64 {
 	return m.fleet.CallsPerSecond / float64(m.fleet.Proxies) * m.sizes[i] / max(m.callers(i), 1)
 }
--- a/internal/scale/predict/format.go
+++ b/internal/scale/predict/format.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// formatNumber returns a number with three significant digits and, from 10,000 on, a prefix.
+// formatNumber returns the text of a number with three significant digits and, from 10,000 on, a
+// unit prefix (k, M or G).
 func formatNumber(v float64) string {
 	magnitude := math.Abs(v)
 	switch {
@@ -30,8 +31,8 @@
 	return threeDigits(v)
 }
 
-// threeDigits returns a number of at most three significant digits, without trailing zeros after
-// the point.
+// threeDigits returns the text of a number with at most three significant digits and no trailing
+// zeros after the decimal point.
 func threeDigits(v float64) string {
 	digits := 2
 	switch magnitude := math.Abs(v); {
@@ -64,8 +65,8 @@
 	return formatNumber(100*v) + "%"
 }
 
-// formatPrefix returns a number that its unit may follow directly: it ends with the unit's prefix,
-// or with a space.
+// formatPrefix returns the text of a number to which a unit can be appended: the text ends with a
+// unit prefix or a space.
 func formatPrefix(v float64) string {
 	s := formatNumber(v)
 	if strings.ContainsAny(s, "GMk") {
@@ -74,7 +75,7 @@
 	return s + " "
 }
 
-// formatRange returns two numbers, or one where they are equal.
+// formatRange returns the text of a range, or of one number if both are equal.
 func formatRange(first, last float64) string {
 	if first == last {
 		return formatNumber(first)
@@ -82,7 +83,7 @@
 	return formatNumber(first) + " to " + formatNumber(last)
 }
 
-// verdict returns by what factor a need is within its limit, or exceeds it.
+// verdict returns a text with the factor by which a need is below or above its limit.
 func verdict(need amount, limit float64) string {
 	switch {
 	case !need.known:
--- a/internal/scale/predict/inputs.go
+++ b/internal/scale/predict/inputs.go
@@ -10,7 +10,7 @@
 	"fernlanding/internal/scale/result"
 )
 
-// Sizes returns the table of both fleets: what is stated of them and what follows from it.
+// Sizes returns the table of both fleets, with their stated, assumed and computed quantities.
 func (c *Calculator) Sizes() Table {
 	table := Table{Head: []string{"", "today", "target"}}
 	today, target := newFleetModel(c.target.Today, c.target), newFleetModel(c.target.Target, c.target)
@@ -35,7 +35,7 @@
 		{"changes of configuration a day", Stated, func(m *fleetModel) float64 { return m.fleet.ConfigChangesPerDay }},
 		{"of both delivered to proxies, a second", Computed, func(m *fleetModel) float64 {
 			changes, _ := m.delivered(m.ordinaryDay(c.target))
-			return changes / day
+			return changes / secondsPerDay
 		}},
 	} {
 		table.Rows = append(table.Rows, []string{
@@ -47,8 +47,8 @@
 	return table
 }
 
-// todayMark returns the mark of a figure of today's fleet: what is stated of the target is assumed
-// of today.
+// todayMark returns the mark of a quantity of the present fleet. A quantity that is stated for the
+// target is assumed for the present fleet.
 func todayMark(m Mark) Mark {
 	if m == Stated {
 		return Assumed
@@ -56,7 +56,7 @@
 	return m
 }
 
-// Assumptions returns the table of what is assumed.
+// Assumptions returns the table of the assumptions.
 func (c *Calculator) Assumptions() Table {
 	table := Table{Head: []string{"assumption", "value", "why"}}
 	for _, a := range c.target.Assumptions {
--- a/internal/scale/predict/latencytable.go
+++ b/internal/scale/predict/latencytable.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// Latencies returns the table of what sidecars add to a call's latency.
+// Latencies returns the table of the latency that sidecars add to a call.
 func (c *Calculator) Latencies() Table {
 	table := Table{Head: []string{
 		"run", "case", "calls/s", "hops", "direct p99, ms", "through p99, ms",
@@ -32,8 +32,7 @@
 	return fmt.Sprintf("%s, %s, %s m", formatNumber(s.Median), formatNumber(s.Lowest), formatNumber(s.Highest))
 }
 
-// latencyVerdict compares the added latency with its limit, if the method is precise enough for
-// that.
+// latencyVerdict compares the added latency with its limit if the measurement is precise enough.
 func (c *Calculator) latencyVerdict(l *Latency) string {
 	if !l.isConclusive(c.target.Limits.AddedP99Ms) {
 		return "cannot be told: the run's noise is larger than the distance from what is allowed"
--- a/internal/scale/predict/order.go
+++ b/internal/scale/predict/order.go
@@ -10,15 +10,16 @@
 	"fernlanding/internal/scale/result"
 )
 
-// mechanism is a part of the system, and how far the target is missed without it.
+// mechanism is a part of the system with the ratios of need to limit without and with it.
 type mechanism struct {
 	name    string
-	without amount // ratio of the need to its limit, as it is today
-	with    amount // the same ratio with the mechanism
-	figures string
+	without amount // ratio of need to limit without the mechanism
+	with    amount // ratio of need to limit with the mechanism
+	details string // text of the last column
 }
 
-// Order returns the table of mechanisms, those without which the target is missed by most first.
+// Order returns the table of mechanisms in descending order of the ratio of need to limit without
+// the mechanism.
 func (c *Calculator) Order() Table {
 	model := newFleetModel(c.target.Target, c.target)
 	all := []mechanism{
@@ -43,13 +44,13 @@
 	table := Table{Head: []string{"mechanism", "need to allowed without it", "with it", "figures"}}
 	for _, m := range all {
 		table.Rows = append(table.Rows, []string{
-			m.name, m.without.format(formatNumber), m.with.format(formatNumber), m.figures,
+			m.name, m.without.format(formatNumber), m.with.format(formatNumber), m.details,
 		})
 	}
 	return table
 }
 
-// compareSources returns the ratio of a proxy's need to its limit, over consul and over
+// compareSources returns the ratios of the need of a proxy to its limit, over consul and over
 // distribution.
 func (c *Calculator) compareSources(
 	model *fleetModel, limit float64, need func(proxyNeeds) amount,
@@ -67,7 +68,7 @@
 		name:    "distribution of lists: bytes of a proxy",
 		without: without,
 		with:    with,
-		figures: fmt.Sprintf("%s allowed", formatByteRate(limit)),
+		details: fmt.Sprintf("%s allowed", formatByteRate(limit)),
 	}
 }
 
@@ -78,7 +79,7 @@
 		name:    "distribution of lists: processor of a proxy",
 		without: without,
 		with:    with,
-		figures: fmt.Sprintf("%s of a core allowed", formatPercent(limit)),
+		details: fmt.Sprintf("%s of a core allowed", formatPercent(limit)),
 	}
 }
 
@@ -98,64 +99,64 @@
 		name:    "distribution of lists: machines for control",
 		without: ratio(result.SourceConsul),
 		with:    ratio(result.SourceRelay),
-		figures: fmt.Sprintf("%d machines set aside", c.target.Limits.ControlMachines),
+		details: fmt.Sprintf("%d machines set aside", c.target.Limits.ControlMachines),
 	}
 }
 
-// configurationDistribution has no bound without the mechanism: today no change is ever in force,
-// since nothing distributes configuration.
+// configurationDistribution returns the mechanism of distributing configuration. Its ratio without
+// the mechanism is infinite: without distribution, no configuration change is ever applied.
 func (c *Calculator) configurationDistribution(model *fleetModel) mechanism {
 	minute := c.predictEvent(result.SourceRelay, model, c.busiestMinute(model))
 	return mechanism{
 		name:    "distribution of configuration",
 		without: known(math.Inf(1)),
-		with:    minute.inForce.dividedBy(c.target.Limits.PropagationSeconds),
-		figures: fmt.Sprintf("%s changes a day; today nothing carries one to a proxy and nobody can say where it is "+
+		with:    minute.propagation.dividedBy(c.target.Limits.PropagationSeconds),
+		details: fmt.Sprintf("%s changes a day; today nothing carries one to a proxy and nobody can say where it is "+
 			"in force; with it: the busiest minute", formatNumber(model.fleet.ConfigChangesPerDay)),
 	}
 }
 
 func (c *Calculator) subsets(model *fleetModel) mechanism {
-	_, most := model.connectionsIn(0)
+	_, maximum := model.connectionsIn(0)
 	all, dialled := model.connectionsWithoutSubsets(0, c.target.Assumed(IdleTimeoutSeconds))
 	limit := c.target.Assumed(Descriptors)
 	return mechanism{
 		name:    "subsets of backends (there already: `logic`)",
 		without: known(all / limit),
-		with:    known(most / limit),
-		figures: fmt.Sprintf(
+		with:    known(maximum / limit),
+		details: fmt.Sprintf(
 			"%s connections to a backend of the largest service, %s of calls on a new one; %s with subsets",
-			formatNumber(all), formatPercent(dialled), formatNumber(most)),
+			formatNumber(all), formatPercent(dialled), formatNumber(maximum)),
 	}
 }
 
 func (c *Calculator) replicaIndexes(model *fleetModel) mechanism {
-	_, most := model.connectionsIn(0)
+	_, maximum := model.connectionsIn(0)
 	limit := c.target.Assumed(Descriptors)
 	return mechanism{
 		name:    "an ordinal of its own for each caller (`ordinal` in its file; nothing deals them out)",
 		without: known(model.callers(0) / limit),
-		with:    known(most / limit),
-		figures: fmt.Sprintf("all callers with ordinal 0 share one subset of %s backends",
+		with:    known(maximum / limit),
+		details: fmt.Sprintf("all callers with ordinal 0 share one subset of %s backends",
 			formatNumber(model.subset(0))),
 	}
 }
 
-// sameRate is the part by which two rates may differ and still count as the same.
-const sameRate = 0.2
+// rateTolerance is the relative difference below which two call rates count as equal.
+const rateTolerance = 0.2
 
 func (c *Calculator) addedLatency(hops int) mechanism {
 	limit := c.target.Limits.AddedP99Ms
 	m := mechanism{
 		name:    fmt.Sprintf("a faster way through: p99 added, %d in a row", hops),
-		figures: fmt.Sprintf("%s ms allowed", formatNumber(limit)),
+		details: fmt.Sprintf("%s ms allowed", formatNumber(limit)),
 	}
 	ratePerProxy := c.target.Target.CallsPerSecond / float64(c.target.Target.Proxies)
 	for _, l := range c.evidence.Latency {
-		if l.Hops != hops || math.Abs(l.RatePerSecond/ratePerProxy-1) >= sameRate {
+		if l.Hops != hops || math.Abs(l.RatePerSecond/ratePerProxy-1) >= rateTolerance {
 			continue
 		}
-		m.figures += fmt.Sprintf("; %s ms measured, the method against itself %s ms in half of the rounds",
+		m.details += fmt.Sprintf("; %s ms measured, the method against itself %s ms in half of the rounds",
 			formatNumber(l.AddedP99.Median), formatNumber(l.Noise))
 		if l.isConclusive(limit) {
 			m.without = known(l.AddedP99.Median / limit)
@@ -164,7 +165,7 @@
 	return m
 }
 
-// isConclusive reports whether the run shows on which side of a limit the added latency is.
+// isConclusive reports whether the added latency differs from a limit by more than the noise.
 func (l *Latency) isConclusive(limit float64) bool {
 	return math.Abs(l.AddedP99.Median-limit) > l.Noise
 }
