--- a/internal/scale/predict/outcome.go
+++ b/internal/scale/predict/outcome.go
@@ -5,17 +5,17 @@
 	"fernlanding/internal/scale/result"
 )
 
-// outcome is the predicted cost of an event over one source. It includes the cost of the fleet at
+// outcome is the predicted cost of an event over one source, including the cost of the fleet at
 // rest.
 type outcome struct {
-	messages amount // to proxies, over the whole event
-	bytes    amount // to a typical proxy, over the whole event
-	cores    amount // of the tier that the proxies are connected to
-	inForce  amount // seconds until the event's changes are in force everywhere
+	messages    amount // to proxies, over the whole event
+	bytes       amount // to a typical proxy, over the whole event
+	cores       amount // of the tier to which the proxies are connected
+	propagation amount // seconds until all proxies have applied the changes
 }
 
-// relayHops is the number of hops from the source to a proxy: to the region's relay, to the zone's
-// relay, to the proxy.
+// relayHops is the number of hops from the source to a proxy: to the relay of the region, to the
+// relay of the zone, to the proxy.
 const relayHops = 3
 
 // predictEvent returns the outcome of an event over a source.
@@ -41,7 +41,7 @@
 	longestQueue := known(0)
 	for i, tier := range c.controlTiers(source, model, drivers) {
 		need := c.evidence.predict(source, tier.role, fit.CPU, tier.drivers)
-		if i == 0 { // the tier that the proxies read their lists from
+		if i == 0 { // the tier from which the proxies read their lists
 			need.value += readCost.cpuSeconds(reads+resumes, endpoints) / seconds
 			need.known = need.known && readCost.isMeasured
 			out.cores = need
@@ -49,23 +49,23 @@
 		delay := c.queueDelay(need.value, seconds, tier.machines)
 		longestQueue = maxAmount(longestQueue, amount{value: delay, known: need.known})
 	}
-	out.inForce = c.inForce(source, hops).plus(longestQueue)
+	out.propagation = c.propagationTime(source, hops).plus(longestQueue)
 	return out
 }
 
-// queueDelay returns how many seconds a tier's machines are behind after a span, in seconds, in
-// which they need so many cores.
+// queueDelay returns the delay in seconds of the machines of a tier after a span, in seconds, in
+// which they need the given number of cores.
 func (c *Calculator) queueDelay(cores, span, machines float64) float64 {
 	capacity := machines * c.target.Assumed(MachineCores) * c.target.Assumed(MachineUtilization)
 	return span * max(0, cores/capacity-1)
 }
 
-// inForce returns the time in seconds until a change is in force, without queues: the measured time
-// over at most one relay, and the hops that were not measured.
-func (c *Calculator) inForce(source result.Source, hops int) amount {
+// propagationTime returns the propagation time of a change in seconds, without queueing: the
+// measured time over at most one relay plus the hops that were not measured.
+func (c *Calculator) propagationTime(source result.Source, hops int) amount {
 	further := c.target.Assumed(RegionRoundTripMs) / 1000
 	if hops > 1 {
 		further += float64(hops-2) * c.target.Assumed(CoalescingMs) / 1000
 	}
-	return c.evidence.inForce(source).plus(known(further))
+	return c.evidence.medianPropagation(source).plus(known(further))
 }
--- a/internal/scale/predict/page.go
+++ b/internal/scale/predict/page.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Section names a generated part of the page.
+// Section is the name of a generated section of the page.
 type Section string
 
 // The sections.
@@ -27,7 +27,7 @@
 	sectionAssumptions Section = "assumptions"
 )
 
-// Sections returns the sections that a page may have, in their order.
+// Sections returns all sections that a page may have, in the order of the page.
 func Sections() []Section {
 	return []Section{
 		sectionSizes, sectionRoles, sectionCurve, sectionEvents, sectionOrder, sectionBeforeAfter, sectionLatency,
@@ -35,7 +35,7 @@
 	}
 }
 
-// Tables returns the tables of a section. The error names the sections that there are.
+// Tables returns the tables of a section. The error for an unknown section names all sections.
 func (c *Calculator) Tables(s Section) ([]Table, error) {
 	today, target := c.target.Today, c.target.Target
 	switch s {
@@ -54,19 +54,19 @@
 	case sectionLatency:
 		return []Table{c.Latencies()}, nil
 	case sectionHeldOut:
-		return []Table{c.evidence.HeldOut(mainFigures())}, nil
+		return []Table{c.evidence.HeldOut(mainMetrics())}, nil
 	case sectionHollow:
-		return []Table{c.evidence.Hollow(mainFigures())}, nil
+		return []Table{c.evidence.Hollow(mainMetrics())}, nil
 	case sectionModels:
-		return []Table{c.evidence.Models(mainFigures())}, nil
+		return []Table{c.evidence.Models(mainMetrics())}, nil
 	case sectionLines:
-		return []Table{c.evidence.Lines(mainFigures())}, nil
+		return []Table{c.evidence.Lines(mainMetrics())}, nil
 	case sectionFiles:
 		return []Table{c.Files()}, nil
 	case sectionAssumptions:
 		return []Table{c.Assumptions()}, nil
 	default:
-		return nil, fmt.Errorf("section %.40q, one of %s expected", s, sectionNames(Sections()))
+		return nil, fmt.Errorf("unknown section %.40q: one of %s expected", s, sectionNames(Sections()))
 	}
 }
 
@@ -78,7 +78,7 @@
 	return strings.Join(names, ", ")
 }
 
-// markdown returns a section's tables as text of the page.
+// markdown returns the tables of a section as Markdown text.
 func (c *Calculator) markdown(s Section) (string, error) {
 	tables, err := c.Tables(s)
 	if err != nil {
@@ -91,27 +91,27 @@
 	return strings.Join(texts, "\n"), nil
 }
 
-// The markers that enclose the generated text in a page.
+// Markers that enclose the generated text of a section in a page.
 const (
 	markerBegin = "<!-- generated: fernctl scale predict "
-	markerClose = " -->" // of the marker that begins a section
+	markerClose = " -->" // end of the line of markerBegin
 	markerEnd   = "<!-- end -->"
 )
 
-// PageError is a fault of a page's markers.
+// PageError reports an invalid marker of a page.
 type PageError struct {
 	Line int // from 1
 	Err  error
 }
 
-// Error returns the line and the fault.
+// Error returns the line and the cause.
 func (e *PageError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns the fault without its line.
+// Unwrap returns the cause without the line.
 func (e *PageError) Unwrap() error { return e.Err }
 
-// Fill returns the page with the text between its markers generated anew. The error is a
-// *PageError: a marker names an unknown or a repeated section, or does not end.
+// Fill returns the page with the text between its markers regenerated. It returns a *PageError if a
+// marker names an unknown or a duplicate section, or if a section has no begin or end marker.
 func (c *Calculator) Fill(page string) (string, error) {
 	f := pageFiller{calculator: c}
 	for i, line := range strings.SplitAfter(page, "\n") {
@@ -120,25 +120,25 @@
 		}
 	}
 	if f.openLine > 0 {
-		return "", &PageError{Line: f.openLine, Err: errMarkerOpen}
+		return "", &PageError{Line: f.openLine, Err: errUnterminatedMarker}
 	}
 	return f.out.String(), nil
 }
 
-// pageFiller is the state of Fill between two lines.
+// pageFiller is the state of Fill between lines.
 type pageFiller struct {
 	calculator *Calculator
 	out        strings.Builder
 	seen       []Section
-	openLine   int // of the marker that has begun and not ended; 0 where none has
+	openLine   int // line of the begin marker of the current section; 0 outside of sections
 }
 
 var (
-	errMarkerOpen    = errors.New("the marker has no end")
-	errMarkerMissing = errors.New("an end without a marker")
+	errUnterminatedMarker = errors.New("marker without an end marker")
+	errUnmatchedEnd       = errors.New("end marker without a marker")
 )
 
-// line copies a line of the page, or replaces it if it is generated.
+// line copies a line of the page or, at a begin marker, writes the generated text.
 func (f *pageFiller) line(number int, line string) error {
 	trimmed := strings.TrimSpace(line)
 	switch {
@@ -147,7 +147,7 @@
 		return f.begin(number, line, section)
 	case trimmed == markerEnd:
 		if f.openLine == 0 {
-			return errMarkerMissing
+			return errUnmatchedEnd
 		}
 		f.openLine = 0
 		f.out.WriteString(line)
@@ -159,10 +159,10 @@
 
 func (f *pageFiller) begin(number int, line string, s Section) error {
 	if f.openLine > 0 {
-		return fmt.Errorf("a marker begins, the end of that on line %d expected", f.openLine)
+		return fmt.Errorf("nested marker: end marker of line %d expected", f.openLine)
 	}
 	if slices.Contains(f.seen, s) {
-		return fmt.Errorf("section %s stands twice, once expected", s)
+		return fmt.Errorf("duplicate section %s", s)
 	}
 	text, err := f.calculator.markdown(s)
 	if err != nil {
--- a/internal/scale/predict/predict_test.go
+++ b/internal/scale/predict/predict_test.go
@@ -11,10 +11,10 @@
 	"fernlanding/internal/scale/result"
 )
 
-// True costs behind the synthetic sweeps, in bytes and cores per second.
+// True costs of the synthetic sweeps, in bytes and cores per second.
 const (
 	readsPerService   = 0.5
-	bytesPerEndpoint  = 100.0 // of a complete list
+	bytesPerEndpoint  = 100.0 // of a snapshot
 	relayBytesAtRest  = 80.0  // per proxy
 	bytesPerChange    = 300.0
 	cpuPerEndpoint    = 1e-6 // CPU seconds of the list service
@@ -22,7 +22,7 @@
 	memoryPerProcess  = 1e7
 )
 
-// syntheticSweeps returns sweeps of a source along four dimensions, each with and without changes.
+// syntheticSweeps returns sweeps of a source along four dimensions, with and without changes.
 func syntheticSweeps(source result.Source) []File {
 	var files []File
 	for _, d := range []result.Dimension{result.Proxies, result.Services, result.Backends, result.Changes} {
@@ -105,8 +105,8 @@
 	return NewCalculator(readTestTarget(tb), NewEvidence(files, nil))
 }
 
-// near reports whether got differs from want by at most a part of it.
-func near(got, want, part float64) bool { return math.Abs(got-want) <= part*math.Abs(want) }
+// approxEqual reports whether got differs from want by at most the fraction part of want.
+func approxEqual(got, want, part float64) bool { return math.Abs(got-want) <= part*math.Abs(want) }
 
 func TestProxyNeedsFollowFromKnownCosts(t *testing.T) {
 	c := newTestCalculator(t)
@@ -114,20 +114,20 @@
 	endpoints := model.endpointsFollowed()
 	atRest := withoutCalls(model.driversAtRest())
 	consul := c.proxyNeeds(result.SourceConsul, atRest)
-	if want := bytesPerEndpoint * readsPerService * endpoints; !near(consul.in.value, want, 0.02) {
-		t.Errorf("consul at rest: %.0f B/s per proxy, %.0f expected", consul.in.value, want)
+	if want := bytesPerEndpoint * readsPerService * endpoints; !approxEqual(consul.in.value, want, 0.02) {
+		t.Errorf("consul at rest: %.0f B/s per proxy, want %.0f", consul.in.value, want)
 	}
-	if got := c.proxyNeeds(result.SourceRelay, atRest).in.value; !near(got, relayBytesAtRest, 0.02) {
-		t.Errorf("distribution at rest: %.0f B/s per proxy, %.0f expected", got, relayBytesAtRest)
+	if got := c.proxyNeeds(result.SourceRelay, atRest).in.value; !approxEqual(got, relayBytesAtRest, 0.02) {
+		t.Errorf("distribution at rest: %.0f B/s per proxy, want %.0f", got, relayBytesAtRest)
 	}
 	wantMemory := c.target.Assumed(ProcessBytes) + memoryPerEndpoint*endpoints
-	if !near(consul.memory.value, wantMemory, 0.02) {
-		t.Errorf("memory: %.0f per proxy, %.0f expected", consul.memory.value, wantMemory)
+	if !approxEqual(consul.memory.value, wantMemory, 0.02) {
+		t.Errorf("memory: %.0f bytes per proxy, want %.0f", consul.memory.value, wantMemory)
 	}
 	cost := c.evidence.listReadCost(c.target)
-	if !cost.isMeasured || !near(cost.bytesPerEndpoint, bytesPerEndpoint, 0.02) ||
-		!near(cost.cpuPerEndpoint, 1e-6*100/100, 0.02) {
-		t.Errorf("a list read costs %+v", cost)
+	if !cost.isMeasured || !approxEqual(cost.bytesPerEndpoint, bytesPerEndpoint, 0.02) ||
+		!approxEqual(cost.cpuPerEndpoint, 1e-6*100/100, 0.02) {
+		t.Errorf("cost of a list read %+v, want a measured cost of %g B per endpoint", cost, bytesPerEndpoint)
 	}
 }
 
@@ -137,62 +137,62 @@
 		f := target.Target
 		f.ServicesFollowed = followed
 		model := newFleetModel(f, target)
-		if !near(total(model.sizes), 28_000, 1e-6) || model.sizes[0] != 1000 {
-			t.Errorf("%g followed: %.1f backends in all, the largest service has %.1f",
+		if !approxEqual(total(model.sizes), 28_000, 1e-6) || model.sizes[0] != 1000 {
+			t.Errorf("%g followed: %.1f backends, %.1f of the largest service; want 28000 and 1000",
 				followed, total(model.sizes), model.sizes[0])
 		}
-		if !near(total(model.followed), followed, 1e-6) {
-			t.Errorf("%g followed: the parts add up to %g", followed, total(model.followed))
+		if !approxEqual(total(model.followed), followed, 1e-6) {
+			t.Errorf("%g followed: sum of the fractions %g", followed, total(model.followed))
 		}
 	}
 }
 
-func TestConnectionsOfABackend(t *testing.T) {
+func TestConnectionsOfBackend(t *testing.T) {
 	target := readTestTarget(t)
 	model := newFleetModel(target.Target, target)
-	mean, most := model.connectionsIn(0)
-	if !near(mean, model.callers(0)*model.subset(0)/1000, 0.01) || most < mean || most > 1.5*mean {
-		t.Errorf("%.0f connections in the mean, %.0f at most", mean, most)
+	mean, maximum := model.connectionsIn(0)
+	if !approxEqual(mean, model.callers(0)*model.subset(0)/1000, 0.01) || maximum < mean || maximum > 1.5*mean {
+		t.Errorf("mean of %.0f connections, maximum of %.0f; want a maximum of 1 to 1.5 times the mean", mean, maximum)
 	}
 	all, dialled := model.connectionsWithoutSubsets(0, 1e9)
-	if !near(all, model.callers(0), 1e-6) || dialled > 1e-6 {
-		t.Errorf("connections that are never closed: %.0f, %.3f of calls on new ones; %.0f and none expected",
+	if !approxEqual(all, model.callers(0), 1e-6) || dialled > 1e-6 {
+		t.Errorf("without idle timeout: %.0f connections, %.3f of calls on new connections; want %.0f and 0",
 			all, dialled, model.callers(0))
 	}
 }
 
-func TestEventsQueueOnlyWhereMachinesAreTooFew(t *testing.T) {
+func TestEventsQueueOnlyBeyondCapacity(t *testing.T) {
 	c := newTestCalculator(t)
 	model := newFleetModel(c.target.Target, c.target)
-	if got := c.inForce(result.SourceConsul, 1).value; !near(got, 0.25, 0.01) {
-		t.Errorf("%.2f s, the measured 0.1 and a round trip expected", got)
+	if got := c.propagationTime(result.SourceConsul, 1).value; !approxEqual(got, 0.25, 0.01) {
+		t.Errorf("propagation over consul %.2f s, want the measured 0.1 s plus a round trip", got)
 	}
-	if got := c.inForce(result.SourceRelay, relayHops).value; !near(got, 0.3, 0.01) {
-		t.Errorf("%.2f s over distribution, a relay's coalescing time more expected", got)
+	if got := c.propagationTime(result.SourceRelay, relayHops).value; !approxEqual(got, 0.3, 0.01) {
+		t.Errorf("propagation over distribution %.2f s, want the coalescing time of a relay more than consul", got)
 	}
 	enough, few := c.queueDelay(100, 1, 50), c.queueDelay(1e5, 1, 50)
-	if enough != 0 || !near(few, 1e5/400-1, 0.01) {
-		t.Errorf("queues of %.2f and %.2f s, none and that of what exceeds 400 cores expected", enough, few)
+	if enough != 0 || !approxEqual(few, 1e5/400-1, 0.01) {
+		t.Errorf("queueing delays %.2f and %.2f s, want 0 and the delay by the excess over 400 cores", enough, few)
 	}
 	for _, e := range c.events(model) {
 		consul := c.predictEvent(result.SourceConsul, model, e)
 		relay := c.predictEvent(result.SourceRelay, model, e)
-		if !consul.inForce.known || !relay.inForce.known {
-			t.Errorf("%s: over consul %+v, over distribution %+v; both known expected", e.name, consul, relay)
+		if !consul.propagation.known || !relay.propagation.known {
+			t.Errorf("%s: consul %+v, distribution %+v; want both known", e.name, consul, relay)
 		}
 		if relay.bytes.value > consul.bytes.value && e.load.total() > 100 && e.listReads == 0 {
-			t.Errorf("%s: over consul %+v, over distribution %+v; fewer bytes expected", e.name, consul, relay)
+			t.Errorf("%s: consul %+v, distribution %+v; want fewer bytes over distribution", e.name, consul, relay)
 		}
 	}
 }
 
-func TestSectionsSayThatNothingIsMeasured(t *testing.T) {
+func TestSectionsWithoutMeasurements(t *testing.T) {
 	c := NewCalculator(readTestTarget(t), NewEvidence(nil, nil))
 	for _, s := range Sections() {
 		text, err := c.markdown(s)
 		isMeasured := s != sectionSizes && s != sectionAssumptions
 		if err != nil || isMeasured && !strings.Contains(strings.ToLower(text), "not measured") {
-			t.Errorf("%s: %v\n%s", s, err, text)
+			t.Errorf("%s: error %v, want \"not measured\" in:\n%s", s, err, text)
 		}
 	}
 }
@@ -204,45 +204,48 @@
 	noisy := Latency{Hops: 7, RatePerSecond: 271, AddedP99: added, Noise: 0.5}
 	noisy.DirectDifferenceP99 = Spread{Lowest: -4, Highest: 0.1}
 	c := NewCalculator(readTestTarget(t), NewEvidence(nil, []Latency{quiet, noisy}))
-	if got := c.addedLatency(1).without; !got.known || !near(got.value, 2, 1e-9) {
-		t.Errorf("one hop: %+v, 2 expected", got)
+	if got := c.addedLatency(1).without; !got.known || !approxEqual(got.value, 2, 1e-9) {
+		t.Errorf("one hop: got %+v, want 2", got)
 	}
-	if got := c.addedLatency(7); got.without.known || !strings.Contains(got.figures, "0.5 ms in half of the rounds") {
-		t.Errorf("seven hops: %+v, the noise expected", got)
+	if got := c.addedLatency(7); got.without.known || !strings.Contains(got.details, "0.5 ms in half of the rounds") {
+		t.Errorf("seven hops: got %+v, want an unknown ratio and the noise", got)
 	}
 	rows := c.Latencies().Rows
 	last := len(rows[0]) - 1
 	if rows[0][last] != "**misses by 2 times**" || !strings.HasPrefix(rows[1][last], "cannot be told") {
-		t.Errorf("%q and %q", rows[0][last], rows[1][last])
+		t.Errorf("verdicts %q and %q, want a miss by 2 times and no verdict", rows[0][last], rows[1][last])
 	}
 }
 
-func TestFillReplacesTheTextBetweenMarkers(t *testing.T) {
+func TestFillReplacesTextBetweenMarkers(t *testing.T) {
 	c := newTestCalculator(t)
 	page := "before\n" + markerBegin + "sizes" + markerClose + "\nstale\n" + markerEnd + "\nafter\n"
 	once, err := c.Fill(page)
 	isKept := strings.HasPrefix(once, "before\n") && strings.HasSuffix(once, markerEnd+"\nafter\n")
 	if err != nil || strings.Contains(once, "stale") || !isKept {
-		t.Fatalf("%v\n%s", err, once)
+		t.Fatalf("error %v, want only the text between the markers replaced in:\n%s", err, once)
 	}
 	if twice, err := c.Fill(once); err != nil || twice != once {
-		t.Errorf("filled again it differs: %v", err)
+		t.Errorf("a second Fill changes the page: %v", err)
 	}
 	for _, test := range []struct{ page, want string }{
-		{markerBegin + "sizes" + markerClose + "\n", "line 1: the marker has no end"},
-		{"\n" + markerEnd + "\n", "line 2: an end without a marker"},
-		{markerBegin + "size" + markerClose + "\n" + markerEnd + "\n", `line 1: section "size", one of sizes, roles`},
-		{strings.Repeat(markerBegin+"sizes"+markerClose+"\n"+markerEnd+"\n", 2), "line 3: section sizes stands twice"},
-		{strings.Repeat(markerBegin+"sizes"+markerClose+"\n", 2), "line 2: a marker begins"},
+		{markerBegin + "sizes" + markerClose + "\n", "line 1: marker without an end marker"},
+		{"\n" + markerEnd + "\n", "line 2: end marker without a marker"},
+		{
+			markerBegin + "size" + markerClose + "\n" + markerEnd + "\n",
+			`line 1: unknown section "size": one of sizes, roles`,
+		},
+		{strings.Repeat(markerBegin+"sizes"+markerClose+"\n"+markerEnd+"\n", 2), "line 3: duplicate section sizes"},
+		{strings.Repeat(markerBegin+"sizes"+markerClose+"\n", 2), "line 2: nested marker"},
 	} {
 		if _, err := c.Fill(test.page); err == nil || !strings.HasPrefix(err.Error(), test.want) {
-			t.Errorf("%v; %s expected", err, test.want)
+			t.Errorf("got error %v, want prefix %s", err, test.want)
 		}
 	}
 }
 
-// The subset is computed with the constants of package logic, which does not export them.
-func TestSubsetHasTheConstantsOfPackageLogic(t *testing.T) {
+// The subset is computed with copies of unexported constants of package logic.
+func TestSubsetConstantsMatchPackageLogic(t *testing.T) {
 	source, err := os.ReadFile("../../../logic/subset.go")
 	if err != nil {
 		t.Fatal(err)
@@ -254,7 +257,7 @@
 		"goldenRatioInverse": goldenRatioInverse,
 	} {
 		if want := fmt.Sprintf("%s = %v", name, value); !strings.Contains(words, want) {
-			t.Errorf("logic does not say %q any more: connections.go follows it", want)
+			t.Errorf("logic/subset.go does not contain %q: connections.go has to match it", want)
 		}
 	}
 }
--- a/internal/scale/predict/readcost.go
+++ b/internal/scale/predict/readcost.go
@@ -5,8 +5,8 @@
 	"fernlanding/internal/scale/result"
 )
 
-// listReadCost is the cost of reading a complete list from a list service, by the cost of long
-// polls at rest.
+// listReadCost is the cost of reading a snapshot from a list service. It is derived from the cost of
+// long polls.
 type listReadCost struct {
 	bytesPerRead     float64
 	bytesPerEndpoint float64
@@ -15,8 +15,8 @@
 	isMeasured       bool
 }
 
-// listReadCost returns the cost of a list read as measured over consul; where it was not, the
-// assumed bytes per endpoint.
+// listReadCost returns the cost of a list read as measured over consul. If consul was not measured,
+// it returns the assumed bytes per endpoint.
 func (e *Evidence) listReadCost(t *Target) listReadCost {
 	models := e.models[result.SourceConsul]
 	received := models.Model(fit.Proxies, fit.BytesIn)
--- a/internal/scale/predict/readtarget.go
+++ b/internal/scale/predict/readtarget.go
@@ -8,26 +8,25 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// Format is the version of target files that this program reads.
+// Format is the version of the format of target files.
 const Format = 1
 
-// Bounds of a target.
+// Limits of a target file.
 const (
 	maxProxies  = 1_000_000
 	maxServices = 8192
 	maxCurve    = 20
-	maxReason   = 400 // bytes of an assumption's reason
+	maxReason   = 400 // bytes of the reason of an assumption
 )
 
-// ReadTarget reads a target file. The error lists all faults, one per line, each with file, line
-// and field.
+// ReadTarget decodes a target file. The error has one line per problem, with file, line and field.
 func ReadTarget(file string, data []byte) (*Target, error) {
 	return tomldoc.Decode(file, data, readTarget)
 }
 
 func readTarget(s tomldoc.Scope) *Target {
 	if !s.Has("format") {
-		s.ReportField(rules.Version, "format", "the file's format, %d, expected", Format)
+		s.ReportField(rules.Version, "format", "the file format version, %d, expected", Format)
 	}
 	s.Int("format", Format, Format, Format)
 	t := &Target{
@@ -41,21 +40,21 @@
 	return t
 }
 
-// requiredNumber reads a number that the file has to have.
-func requiredNumber(s tomldoc.Scope, field string, least, most float64) float64 {
+// requiredNumber reads a required number.
+func requiredNumber(s tomldoc.Scope, field string, lowest, highest float64) float64 {
 	if !s.Has(field) {
-		s.ReportField(rules.Missing, field, "a number, %g to %g, expected", least, most)
+		s.ReportField(rules.Missing, field, "a number, %g to %g, expected", lowest, highest)
 	}
-	return s.Float(field, least, least, most)
+	return s.Float(field, lowest, lowest, highest)
 }
 
-// requiredCount reads a whole number from 1 on that the file has to have.
-func requiredCount(s tomldoc.Scope, field string, most int64) int {
-	const least = 1
+// requiredCount reads a required integer of at least 1.
+func requiredCount(s tomldoc.Scope, field string, highest int64) int {
+	const lowest = 1
 	if !s.Has(field) {
-		s.ReportField(rules.Missing, field, "a whole number, %d to %d, expected", least, most)
+		s.ReportField(rules.Missing, field, "a whole number, %d to %d, expected", lowest, highest)
 	}
-	return int(s.Int(field, least, least, most))
+	return int(s.Int(field, lowest, lowest, highest))
 }
 
 func readFleet(s tomldoc.Scope) Fleet {
@@ -74,14 +73,14 @@
 		ProxiesPerZone:        requiredCount(s, "zone_proxies", maxProxies),
 	}
 	if f.Proxies < f.Services {
-		s.ReportField(rules.Range, "services", "no more than there are proxies, %d, expected", f.Proxies)
+		s.ReportField(rules.Range, "services", "at most the number of proxies, %d, expected", f.Proxies)
 	}
 	if f.LargestService > f.Proxies {
 		s.ReportField(rules.Range, "largest_service",
-			"no more backends than there are proxies, %d, expected", f.Proxies)
+			"at most the number of proxies, %d, expected", f.Proxies)
 	}
 	if f.ServicesFollowed > float64(f.Services) {
-		s.ReportField(rules.Range, "services_followed", "no more than there are services, %d, expected", f.Services)
+		s.ReportField(rules.Range, "services_followed", "at most the number of services, %d, expected", f.Services)
 	}
 	s.ReportUnknown()
 	return f
@@ -140,7 +139,7 @@
 			Why:   entry.Text("why", ""),
 		}
 		if hasAssumption(all, a.Name) {
-			entry.ReportField(rules.Range, "name", "each assumption once expected")
+			entry.ReportField(rules.Range, "name", "a unique assumption name expected")
 		}
 		if a.Why == "" || len(a.Why) > maxReason {
 			entry.ReportField(rules.Missing, "why", "the reason, 1 to %d bytes, expected", maxReason)
--- a/internal/scale/predict/readtarget_test.go
+++ b/internal/scale/predict/readtarget_test.go
@@ -8,7 +8,7 @@
 
 const targetFile = "../../../deploy/scale/target.toml"
 
-// readTestTarget returns the project's own target.
+// readTestTarget returns the committed target.
 func readTestTarget(tb testing.TB) *Target {
 	tb.Helper()
 	data, err := os.ReadFile(targetFile)
@@ -22,7 +22,7 @@
 	return target
 }
 
-func TestReadTargetRejectsFaultsByPlace(t *testing.T) {
+func TestReadTargetErrorsNamePositionAndField(t *testing.T) {
 	data, err := os.ReadFile(targetFile)
 	if err != nil {
 		t.Fatal(err)
@@ -35,12 +35,12 @@
 		{"[1, 2, 5", "[0, 2, 5", "curve.services_followed[1]"},
 		{"[1, 2, 5", "[5, 2, 5", "ascending numbers expected"},
 		{`name = "rack_backends"`, `name = "rack_backend"`, "rack_backends meant?"},
-		{`name = "rack_backends"`, `name = "cut_seconds"`, "each assumption once expected"},
+		{`name = "rack_backends"`, `name = "cut_seconds"`, "a unique assumption name expected"},
 		{"[limits]", "[limits]\nspeed = 1", "limits.speed"},
 	} {
 		_, err := ReadTarget("t.toml", []byte(strings.Replace(string(data), test.old, test.replacement, 1)))
 		if err == nil || !strings.Contains(err.Error(), test.want) || !strings.Contains(err.Error(), "t.toml:") {
-			t.Errorf("%s: %v; %s expected", test.replacement, err, test.want)
+			t.Errorf("%s: got error %v, want %s", test.replacement, err, test.want)
 		}
 	}
 }
@@ -56,7 +56,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		target, err := ReadTarget("t.toml", data)
 		if (target == nil) == (err == nil) {
-			t.Errorf("%v and %v", target, err)
+			t.Errorf("target %v and error %v, want exactly one of them", target, err)
 		}
 	})
 }
--- a/internal/scale/predict/roles.go
+++ b/internal/scale/predict/roles.go
@@ -7,7 +7,7 @@
 	"fernlanding/internal/scale/result"
 )
 
-// Roles returns the table of what each role costs at the size of a fleet, on an ordinary day.
+// Roles returns the table of the costs of each role in a fleet on an ordinary day.
 func (c *Calculator) Roles(name string, f Fleet) Table {
 	model := newFleetModel(f, c.target)
 	table := Table{Title: name, Head: []string{
@@ -48,12 +48,12 @@
 	}
 }
 
-// backendProxyRow returns the row of the proxy of a backend of the largest service. Its control
-// half is like that of a caller's proxy; its listener accepts the callers' connections.
+// backendProxyRow returns the row of the proxy of a backend of the largest service. The proxy has
+// the control traffic of a caller's proxy and accepts the connections of the callers.
 func (c *Calculator) backendProxyRow(source result.Source, model *fleetModel, drivers fit.Drivers) []string {
 	needs := c.proxyNeeds(source, drivers)
-	mean, most := model.connectionsIn(0)
-	needs.memory.value += most * c.target.Assumed(ConnectionBytes)
+	mean, maximum := model.connectionsIn(0)
+	needs.memory.value += maximum * c.target.Assumed(ConnectionBytes)
 	return []string{
 		"a backend's proxy, largest service",
 		sourceName(source),
@@ -63,7 +63,7 @@
 		needs.cores.format(formatPercent),
 		needs.memory.format(formatBytes),
 		fmt.Sprintf("%s control; %s from callers, %s at most w",
-			needs.connections.format(formatNumber), formatNumber(mean), formatNumber(most)),
+			needs.connections.format(formatNumber), formatNumber(mean), formatNumber(maximum)),
 		c.tightestLimit(needs),
 	}
 }
@@ -76,8 +76,7 @@
 	return n.in.format(formatByteRate) + ", " + n.out.format(formatByteRate)
 }
 
-// tightestLimit returns the verdict on the limit of a proxy that is exceeded by most, or else has
-// the least room.
+// tightestLimit returns the verdict on the limit of a proxy with the largest ratio of need to limit.
 func (c *Calculator) tightestLimit(needs proxyNeeds) string {
 	limits := c.target.Limits
 	tightest, name := amount{}, ""
@@ -100,16 +99,16 @@
 	return verdict(tightest, 1) + " (" + name + ")"
 }
 
-// Sizes of the answer to the operator's tool, at its bounds.
+// Limits of the status that fernctl rollout reads.
 const (
-	laggardBytes   = 128 + 40
-	rejectionBytes = 128 + 256 + 60
-	maxLaggards    = 20
+	laggingProxyBytes = 128 + 40
+	rejectionBytes    = 128 + 256 + 60
+	maxLaggingProxies = 20 // also the limit of rejections
 )
 
-// operatorRow returns the row of fernctl rollout, which reads one resource's status.
+// operatorRow returns the row of fernctl rollout, which reads the status of one resource.
 func operatorRow() []string {
-	size := float64(maxLaggards * (laggardBytes + rejectionBytes))
+	size := float64(maxLaggingProxies * (laggingProxyBytes + rejectionBytes))
 	return []string{
 		"an operator's tool",
 		sourceName(result.SourceRelay),
@@ -123,10 +122,10 @@
 	}
 }
 
-// backendRow returns the row of a backend of service i as all its callers together load it.
+// backendRow returns the row of a backend of service i under the load of all its callers.
 func (c *Calculator) backendRow(model *fleetModel, i int, name string) []string {
 	callers := model.callers(i)
-	mean, most := model.connectionsIn(i)
+	mean, maximum := model.connectionsIn(i)
 	all, dialled := model.connectionsWithoutSubsets(i, c.target.Assumed(IdleTimeoutSeconds))
 	return []string{
 		"a backend as seen by its callers",
@@ -136,12 +135,12 @@
 		formatRate(model.fleet.CallsPerSecond/float64(model.fleet.Proxies)) + " calls t",
 		"-",
 		"-",
-		formatBytes(most*c.target.Assumed(ConnectionBytes)) + " w",
-		// If all callers have the same replica index, they all choose the same backends.
+		formatBytes(maximum*c.target.Assumed(ConnectionBytes)) + " w",
+		// Callers with the same replica index select the same subset of backends.
 		fmt.Sprintf("%s, %s at most, by subsets of %s w; %s without subsets, %s of calls on a new connection w; "+
 			"%s where callers share one ordinal w",
-			formatNumber(mean), formatNumber(most), formatNumber(model.subset(i)), formatNumber(all),
+			formatNumber(mean), formatNumber(maximum), formatNumber(model.subset(i)), formatNumber(all),
 			formatPercent(dialled), formatNumber(callers)),
-		verdict(known(most), c.target.Assumed(Descriptors)) + " (descriptors)",
+		verdict(known(maximum), c.target.Assumed(Descriptors)) + " (descriptors)",
 	}
 }
--- a/internal/scale/predict/table.go
+++ b/internal/scale/predict/table.go
@@ -4,7 +4,7 @@
 	"strings"
 )
 
-// Table is a table of the page.
+// Table is a table of docs/CAPACITY.md.
 type Table struct {
 	Title string
 	Head  []string
@@ -12,7 +12,7 @@
 	Notes []string // paragraphs that follow the table
 }
 
-// Markdown returns the table as text of the page.
+// Markdown returns the table as Markdown text.
 func (t *Table) Markdown() string {
 	var b strings.Builder
 	if t.Title != "" {
@@ -41,7 +41,7 @@
 	b.WriteString("\n")
 }
 
-// Mark says where a figure is from. The page shows it after each figure.
+// Mark is the provenance of a value. The page shows the mark after each value.
 type Mark string
 
 // The marks.
--- a/internal/scale/predict/tiers.go
+++ b/internal/scale/predict/tiers.go
@@ -8,16 +8,17 @@
 	"fernlanding/internal/scale/result"
 )
 
-// tier is one level of the services between the origin of a change and the proxies.
+// tier is one level of control services between the origin of a change and the proxies.
 type tier struct {
 	name     string
 	role     fit.Role
 	drivers  fit.Drivers
 	state    string
-	machines float64 // that the tier has
+	machines float64 // number of machines of the tier
 }
 
-// controlTiers returns the tiers of a source, that which the proxies are connected to first.
+// controlTiers returns the tiers of a source. The first one is the tier to which the proxies are
+// connected.
 func (c *Calculator) controlTiers(source result.Source, model *fleetModel, drivers fit.Drivers) []tier {
 	state := fmt.Sprintf("%d services, %d endpoints t", model.fleet.Services, model.fleet.Proxies)
 	if source != result.SourceRelay {
@@ -57,8 +58,8 @@
 	}
 }
 
-// relaysAsFollowers returns the drivers of a tier whose followers are n relays, each of which
-// follows everything.
+// relaysAsFollowers returns the drivers of a tier whose followers are n relays. Each relay follows
+// all services.
 func relaysAsFollowers(model *fleetModel, n float64, drivers fit.Drivers) fit.Drivers {
 	return fit.Drivers{
 		Proxies:          n,
@@ -73,14 +74,14 @@
 	}
 }
 
-// relayTierDrivers returns the drivers of a tier of n relays, one on each machine.
+// relayTierDrivers returns the drivers of a tier of n relays, with one relay per machine.
 func relayTierDrivers(n float64, drivers fit.Drivers) fit.Drivers {
 	drivers.Processes = n
 	drivers.Relays = n
 	return drivers
 }
 
-// sourceTierDrivers returns the drivers of the source, whose followers are n relays that report for
+// sourceTierDrivers returns the drivers of the source. Its followers are n relays that report for
 // the whole fleet.
 func sourceTierDrivers(n float64, drivers fit.Drivers) fit.Drivers {
 	drivers.Processes = 1
@@ -89,8 +90,8 @@
 }
 
 func (c *Calculator) tierRow(source result.Source, t tier) []string {
-	predict := func(figure fit.Metric) amount {
-		return c.evidence.predict(source, t.role, figure, t.drivers)
+	predict := func(metric fit.Metric) amount {
+		return c.evidence.predict(source, t.role, metric, t.drivers)
 	}
 	cores, in, out := predict(fit.CPU), predict(fit.BytesIn), predict(fit.BytesOut)
 	need := c.machines(cores, maxAmount(in, out))
--- a/internal/scale/result/decode.go
+++ b/internal/scale/result/decode.go
@@ -12,30 +12,31 @@
 )
 
 var (
-	errUnknownField = errors.New("unknown field")
-	errRepeated     = errors.New("stands twice, once expected")
-	errTooDeep      = fmt.Errorf("deeper than %d levels", maxDepth)
-	errTruncated    = errors.New("the document ends early")
-	errTrailing     = errors.New("something behind the document's end, nothing expected")
+	errUnknownField   = errors.New("unknown field")
+	errDuplicateField = errors.New("duplicate field")
+	errTooDeep        = fmt.Errorf("nesting exceeds %d levels", maxDepth)
+	errTruncated      = errors.New("unexpected end of document")
+	errTrailingData   = errors.New("unexpected data after the document")
 )
 
-// fieldLines are the lines on which the fields of a file stand, by their paths such as
-// "points[2].size.proxies".
+// fieldLines maps the path of each field, such as "points[2].size.proxies", to its line in the
+// file.
 type fieldLines map[string]int
 
-// decode reads a JSON document into v, a pointer to a struct. It rejects, with a *FileError, fields
-// that the struct lacks, repeated fields, and anything that follows the document: encoding/json
-// alone accepts the latter two.
+// decode reads a JSON document into v, a pointer to a struct. It returns a *FileError for a field
+// that the struct lacks, a duplicate field, and data after the document. Package encoding/json
+// accepts the latter two.
 func decode(name string, data []byte, v any) (fieldLines, error) {
 	if len(data) > MaxFileBytes {
-		return nil, &FileError{File: name, Err: fmt.Errorf("%d bytes, at most %d expected", len(data), MaxFileBytes)}
+		err := fmt.Errorf("file of %d bytes exceeds the limit of %d", len(data), MaxFileBytes)
+		return nil, &FileError{File: name, Err: err}
 	}
 	w := walker{data: data, decoder: json.NewDecoder(bytes.NewReader(data)), lines: fieldLines{}}
 	if err := w.walk("", reflect.TypeOf(v).Elem()); err != nil {
 		return nil, &FileError{File: name, Line: w.line(w.decoder.InputOffset()), Err: err}
 	}
 	if _, err := w.decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, &FileError{File: name, Line: w.line(w.decoder.InputOffset()), Err: errTrailing}
+		return nil, &FileError{File: name, Line: w.line(w.decoder.InputOffset()), Err: errTrailingData}
 	}
 	if err := json.Unmarshal(data, v); err != nil {
 		return nil, w.unmarshalError(name, err)
@@ -43,7 +44,7 @@
 	return w.lines, nil
 }
 
-// walker goes through a document side by side with the type that the document is decoded to.
+// walker compares the tokens of a document with the type that the document is decoded to.
 type walker struct {
 	data    []byte
 	decoder *json.Decoder
@@ -51,13 +52,13 @@
 	depth   int
 }
 
-// line returns the line of a byte's offset, from 1.
+// line returns the line, from 1, of a byte offset.
 func (w *walker) line(offset int64) int {
 	return 1 + bytes.Count(w.data[:min(offset, int64(len(w.data)))], []byte("\n"))
 }
 
-// walk consumes one value of type t. A value of another type is left to json.Unmarshal, which names
-// both types.
+// walk consumes one value of type t. It does not check the types of values: json.Unmarshal does, and
+// its error names both types.
 func (w *walker) walk(path string, t reflect.Type) error {
 	token, err := w.decoder.Token()
 	if err != nil {
@@ -88,7 +89,7 @@
 		key, _ := token.(string) // always a string: the decoder rejects any other key
 		field := strings.TrimPrefix(path+"."+key, ".")
 		if seen[key] {
-			return &FieldError{Field: printable(field), Err: errRepeated}
+			return &FieldError{Field: printable(field), Err: errDuplicateField}
 		}
 		seen[key] = true
 		inner, found := fieldType(t, key)
@@ -123,8 +124,8 @@
 	return nil
 }
 
-// fieldType returns the type of a struct's field by its JSON key. Every key is accepted for a type
-// that is no struct: json.Unmarshal rejects the object.
+// fieldType returns the type of the struct field with a JSON key. It accepts every key for a type
+// that is not a struct, because json.Unmarshal rejects the object later.
 func fieldType(t reflect.Type, key string) (reflect.Type, bool) {
 	if t == nil || t.Kind() != reflect.Struct {
 		return nil, true
@@ -139,7 +140,7 @@
 	return nil, false
 }
 
-// syntaxError returns a decoder's error on one line.
+// syntaxError returns a decoder's error as one line.
 func syntaxError(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return errTruncated
@@ -147,7 +148,7 @@
 	return errors.New(oneLine(err.Error()))
 }
 
-// unmarshalError returns json.Unmarshal's error with its line and field.
+// unmarshalError returns an error of json.Unmarshal with its line and field.
 func (w *walker) unmarshalError(name string, err error) error {
 	var mismatch *json.UnmarshalTypeError
 	if !errors.As(err, &mismatch) {
@@ -159,10 +160,11 @@
 	}}
 }
 
-// printable returns a field's path for an error: at most 100 characters, on one line.
+// printable returns the path of a field for an error message, as one line of at most 100
+// characters.
 func printable(path string) string { return oneLine(fmt.Sprintf("%.100s", path)) }
 
-// oneLine returns the text with each control character replaced by a question mark.
+// oneLine returns text with each control character replaced by a question mark.
 func oneLine(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
--- a/internal/scale/result/read.go
+++ b/internal/scale/result/read.go
@@ -7,24 +7,24 @@
 	"io"
 )
 
-// Bounds of a result file.
+// Limits of a result file.
 const (
 	MaxFileBytes = 4 << 20 // bytes
 	MaxPoints    = 64
-	MaxRounds    = 32 // of a point
+	MaxRounds    = 32 // per point
 	MaxProxies   = 1_000_000
-	MaxValue     = 1e15 // of any number in a file
-	maxDepth     = 16   // of a document's nesting
+	MaxValue     = 1e15 // any number in the file
+	maxDepth     = 16   // nesting of the document
 )
 
-// FileError is a fault of a result file. Its text is one line.
+// FileError reports an invalid result file. Its text is one line.
 type FileError struct {
 	File string
-	Line int   // from 1; 0 where it is unknown
-	Err  error // a *FieldError where the fault is that of a field
+	Line int   // from 1; 0 means unknown
+	Err  error // a *FieldError if a single field is invalid
 }
 
-// Error returns the file, the line and the fault.
+// Error returns the file, the line and the cause.
 func (e *FileError) Error() string {
 	if e.Line == 0 {
 		return fmt.Sprintf("%s: %v", e.File, e.Err)
@@ -32,22 +32,22 @@
 	return fmt.Sprintf("%s:%d: %v", e.File, e.Line, e.Err)
 }
 
-// Unwrap returns the fault without its position.
+// Unwrap returns the cause without its position.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// FieldError is a fault of one field: what was found and what is expected.
+// FieldError reports an invalid field.
 type FieldError struct {
-	Field string // its path, such as "points[2].size.proxies"
-	Err   error
+	Field string // path of the field, such as "points[2].size.proxies"
+	Err   error  // the value found and the values allowed
 }
 
-// Error returns the field and its fault.
+// Error returns the field and the cause.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
 
-// Unwrap returns the fault without the field.
+// Unwrap returns the cause without the field.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// Read reads a result file strictly. The error is a *FileError.
+// Read decodes and validates a result file. It rejects unknown fields. The error is a *FileError.
 func Read(name string, data []byte) (*Result, error) {
 	r := &Result{}
 	lines, err := decode(name, data, r)
@@ -60,14 +60,14 @@
 		if errors.As(err, &field) {
 			line = lines[field.Field]
 		}
-		// A field that the document lacks is a fault of the document as a whole.
+		// The error of a missing field has the position of the document.
 		return nil, &FileError{File: name, Line: max(1, line), Err: err}
 	}
 	return r, nil
 }
 
-// Write writes a result file that Read accepts. It returns an error that wraps a *FieldError, and
-// writes nothing, where Read would reject the file.
+// Write writes a result file that Read accepts. If Read would reject the file, Write writes nothing
+// and returns an error that wraps a *FieldError.
 func Write(w io.Writer, r *Result) error {
 	if err := r.validate(); err != nil {
 		return fmt.Errorf("result: %w", err)
--- a/internal/scale/result/read_test.go
+++ b/internal/scale/result/read_test.go
@@ -33,19 +33,19 @@
 	return out.String()
 }
 
-func TestReadReturnsWhatWriteWrote(t *testing.T) {
+func TestWriteReadRoundTrip(t *testing.T) {
 	want := sample()
 	got, err := Read("a.json", []byte(encode(t, want)))
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("read %+v, %v", got, err)
+		t.Errorf("Read = %+v, %v; want %+v", got, err, want)
 	}
 }
 
-func TestReadRejectsFaultsByLineAndField(t *testing.T) {
+func TestReadErrorsNameLineAndField(t *testing.T) {
 	good := encode(t, sample())
 	for _, test := range []struct{ old, replacement, want string }{
 		{`"format": 1`, `"format": 2`, `a.json:2: format: 2 found, 1 expected`},
-		{`"format": 1`, `"format": 1, "format": 1`, `a.json:2: format: stands twice, once expected`},
+		{`"format": 1`, `"format": 1, "format": 1`, `a.json:2: format: duplicate field`},
 		{`"proxies": 10`, `"proxies": 0`, `a.json:15: points[0].size.proxies: 0 found, 1 to 1e+06 expected`},
 		{`"proxies": 10`, `"proxy": 10`, `a.json:15: points[0].size.proxy: unknown field`},
 		{`"proxies": 10`, `"proxies": "many"`, `a.json:15: points.size.proxies: string found, int expected`},
@@ -62,18 +62,19 @@
 			`a.json:4: source: "eureka" found, static, consul, catalog or relay expected`,
 		},
 		{good, `{"format": 1}`, `a.json:1: scenario: "" found, a name of 1 to 128 bytes expected`},
-		{good, `{"format": 1`, `a.json:1: the document ends early`},
-		{good, strings.Repeat("[", 1<<20), `deeper than 16 levels`},
-		{good, good + "{}", `something behind the document's end, nothing expected`},
+		{good, `{"format": 1`, `a.json:1: unexpected end of document`},
+		{good, strings.Repeat("[", 1<<20), `nesting exceeds 16 levels`},
+		{good, good + "{}", `unexpected data after the document`},
 	} {
 		_, err := Read("a.json", []byte(strings.Replace(good, test.old, test.replacement, 1)))
 		if err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%s: %v; %s expected", test.replacement, err, test.want)
+			t.Errorf("%s: got error %v, want %s", test.replacement, err, test.want)
 		}
 	}
 }
 
-// FuzzRead checks that an error of Read is one line and that Write accepts what Read accepts.
+// FuzzRead checks that an error of Read is one line and that Write accepts every result that Read
+// accepts.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"format": 1, "points": [{"size": {"proxies": 1}, "rounds": [{"seconds": 1}]}]}`))
 	f.Add([]byte("{\"a\nb\": [[]]}"))
@@ -81,12 +82,12 @@
 		r, err := Read("a.json", data)
 		if err != nil {
 			if strings.ContainsAny(err.Error(), "\n\r") {
-				t.Errorf("more than a line: %q", err)
+				t.Errorf("error of more than one line: %q", err)
 			}
 			return
 		}
 		if err := Write(&bytes.Buffer{}, r); err != nil {
-			t.Errorf("read, but not written: %v", err)
+			t.Errorf("Write rejects a result that Read accepts: %v", err)
 		}
 	})
 }
--- a/internal/scale/result/validate.go
+++ b/internal/scale/result/validate.go
@@ -7,8 +7,7 @@
 	"slices"
 )
 
-// validate returns a *FieldError for the first field with an impossible value, nil where there is
-// none.
+// validate returns a *FieldError for the first field with an invalid value, or nil.
 func (r *Result) validate() error {
 	switch {
 	case r.Format != Format:
@@ -29,7 +28,7 @@
 	}
 	for i := range r.Points {
 		if err := r.Points[i].validate(); err != nil {
-			return under(fmt.Sprintf("points[%d]", i), err)
+			return prefixField(fmt.Sprintf("points[%d]", i), err)
 		}
 	}
 	return nil
@@ -37,28 +36,28 @@
 
 func (p *Point) validate() error {
 	if err := p.Size.validate(); err != nil {
-		return under("size", err)
+		return prefixField("size", err)
 	}
 	if len(p.Rounds) == 0 || len(p.Rounds) > MaxRounds {
 		return fieldErrorf("rounds", "%d found, 1 to %d expected", len(p.Rounds), MaxRounds)
 	}
 	for i := range p.Rounds {
 		if err := p.Rounds[i].validate(); err != nil {
-			return under(fmt.Sprintf("rounds[%d]", i), err)
+			return prefixField(fmt.Sprintf("rounds[%d]", i), err)
 		}
 	}
 	return nil
 }
 
 func (s *Size) validate() error {
-	leastInAll := float64(min(s.Services, MaxProxies))
-	return firstOutside([]boundedField{
-		{name: "proxies", value: float64(s.Proxies), least: 1, most: MaxProxies},
-		{name: "services", value: float64(s.Services), most: MaxProxies},
-		{name: "services_in_all", value: float64(s.TotalServices), least: leastInAll, most: MaxProxies},
-		{name: "backends", value: float64(s.Backends), most: MaxProxies},
-		{name: "changes_per_second", value: s.ChangesPerSecond, most: MaxValue},
-		{name: "calls_per_second", value: s.CallsPerSecond, most: MaxValue},
+	minTotal := float64(min(s.Services, MaxProxies))
+	return firstOutOfBounds([]boundedField{
+		{name: "proxies", value: float64(s.Proxies), min: 1, max: MaxProxies},
+		{name: "services", value: float64(s.Services), max: MaxProxies},
+		{name: "services_in_all", value: float64(s.TotalServices), min: minTotal, max: MaxProxies},
+		{name: "backends", value: float64(s.Backends), max: MaxProxies},
+		{name: "changes_per_second", value: s.ChangesPerSecond, max: MaxValue},
+		{name: "calls_per_second", value: s.CallsPerSecond, max: MaxValue},
 	})
 }
 
@@ -77,65 +76,65 @@
 		{"call", &r.Call},
 	} {
 		if err := part.value.validate(); err != nil {
-			return under(part.field, err)
+			return prefixField(part.field, err)
 		}
 	}
 	return nil
 }
 
 func (c *Cost) validate() error {
-	return firstOutside([]boundedField{
-		{name: "processes", value: float64(c.Processes), most: MaxProxies},
-		{name: "cpu_seconds", value: c.CPUSeconds, most: MaxValue},
-		{name: "rss_bytes", value: float64(c.RSSBytes), most: MaxValue},
-		{name: "heap_bytes", value: float64(c.HeapBytes), most: MaxValue},
-		{name: "allocated_bytes", value: float64(c.AllocatedBytes), most: MaxValue},
-		{name: "allocations", value: float64(c.Allocations), most: MaxValue},
-		{name: "goroutines", value: float64(c.Goroutines), most: MaxValue},
-		{name: "connections", value: float64(c.Connections), most: MaxValue},
-		{name: "bytes_in", value: float64(c.BytesIn), most: MaxValue},
-		{name: "bytes_out", value: float64(c.BytesOut), most: MaxValue},
-		{name: "messages_in", value: float64(c.MessagesIn), most: MaxValue},
-		{name: "messages_out", value: float64(c.MessagesOut), most: MaxValue},
+	return firstOutOfBounds([]boundedField{
+		{name: "processes", value: float64(c.Processes), max: MaxProxies},
+		{name: "cpu_seconds", value: c.CPUSeconds, max: MaxValue},
+		{name: "rss_bytes", value: float64(c.RSSBytes), max: MaxValue},
+		{name: "heap_bytes", value: float64(c.HeapBytes), max: MaxValue},
+		{name: "allocated_bytes", value: float64(c.AllocatedBytes), max: MaxValue},
+		{name: "allocations", value: float64(c.Allocations), max: MaxValue},
+		{name: "goroutines", value: float64(c.Goroutines), max: MaxValue},
+		{name: "connections", value: float64(c.Connections), max: MaxValue},
+		{name: "bytes_in", value: float64(c.BytesIn), max: MaxValue},
+		{name: "bytes_out", value: float64(c.BytesOut), max: MaxValue},
+		{name: "messages_in", value: float64(c.MessagesIn), max: MaxValue},
+		{name: "messages_out", value: float64(c.MessagesOut), max: MaxValue},
 	})
 }
 
 func (s *TimeSummary) validate() error {
-	return firstOutside([]boundedField{
-		{name: "count", value: float64(s.Count), most: MaxValue},
-		{name: "p50", value: s.P50, most: MaxValue},
-		{name: "p99", value: s.P99, least: s.P50, most: MaxValue},
-		{name: "max", value: s.Max, least: s.P99, most: MaxValue},
+	return firstOutOfBounds([]boundedField{
+		{name: "count", value: float64(s.Count), max: MaxValue},
+		{name: "p50", value: s.P50, max: MaxValue},
+		{name: "p99", value: s.P99, min: s.P50, max: MaxValue},
+		{name: "max", value: s.Max, min: s.P99, max: MaxValue},
 	})
 }
 
-// boundedField is the value of a numeric field with its bounds, both included.
+// boundedField is the value of a numeric field with its inclusive bounds.
 type boundedField struct {
 	name  string
 	value float64
-	least float64
-	most  float64
+	min   float64
+	max   float64
 }
 
-// firstOutside returns a *FieldError for the first field that is outside its bounds.
-func firstOutside(fields []boundedField) error {
+// firstOutOfBounds returns a *FieldError for the first field that is out of its bounds, or nil.
+func firstOutOfBounds(fields []boundedField) error {
 	for _, f := range fields {
-		if !isWithin(f.value, f.least, f.most) {
-			return fieldErrorf(f.name, "%g found, %g to %g expected", f.value, f.least, f.most)
+		if !isWithin(f.value, f.min, f.max) {
+			return fieldErrorf(f.name, "%g found, %g to %g expected", f.value, f.min, f.max)
 		}
 	}
 	return nil
 }
 
-// isWithin reports whether v is a number between both bounds, bounds included.
+// isWithin reports whether v is a number (not NaN) within the inclusive bounds.
 func isWithin(v, least, most float64) bool { return !math.IsNaN(v) && v >= least && v <= most }
 
 func fieldErrorf(field, format string, args ...any) *FieldError {
 	return &FieldError{Field: field, Err: fmt.Errorf(format, args...)}
 }
 
-// under returns a field's error with the path of the struct that holds the field in front.
-func under(path string, err error) error {
+// prefixField prepends the path of the enclosing struct to the field of a *FieldError.
+func prefixField(path string, err error) error {
 	var inner *FieldError
 	if errors.As(err, &inner) {
 		return &FieldError{Field: path + "." + inner.Field, Err: inner.Err}
--- a/internal/scale/scenario/scenario.go
+++ b/internal/scale/scenario/scenario.go
@@ -1,5 +1,6 @@
-// Package scenario reads the descriptions of the sweeps of fernctl scale: the fleet, the dimension
-// that is swept and its sizes, and for how long each size is measured. It is pure.
+// Package scenario reads the scenario files of fernctl scale run. A scenario describes the fleet,
+// the dimension that a sweep varies, the sizes along that dimension, and how long each size is
+// measured. The package does no I/O.
 package scenario
 
 import (
@@ -10,54 +11,55 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// Format is the version of the file format that this program reads.
+// Format is the version of the file format.
 const Format = 1
 
-// Bounds of a scenario.
+// Limits of a scenario.
 const (
 	MaxProxies       = 100_000
-	MaxRealProxies   = 200 // each a process of the program itself
-	MaxServices      = 256 // that a proxy follows: the bound of its configuration
+	MaxRealProxies   = 200 // one process of the proxy program each
+	MaxServices      = 256 // followed by a proxy; the limit of a proxy's configuration
 	MaxTotalServices = 8192
-	MaxBackends      = 2000 // of a service
-	MaxChanges       = 10_000
-	MaxCalls         = 100_000
-	MaxProcesses     = 64 // with hollow proxies; also of relays
+	MaxBackends      = 2000    // per service
+	MaxChanges       = 10_000  // per second
+	MaxCalls         = 100_000 // per second and proxy
+	MaxProcesses     = 64      // with hollow proxies; also the limit of relays
 	MaxDuration      = 10 * time.Minute
-	MaxRounds        = 20
-	MinSizes         = 5 // of a sweep
+	MaxRounds        = 20 // per size
+	MinSizes         = 5  // per sweep
 	MaxSizes         = 20
-	MinFactor        = 2    // between two neighbouring sizes, but for factorSlack
-	factorSlack      = 0.99 // lets sizes be rounded
+	MinFactor        = 2    // between neighbouring sizes, less factorTolerance
+	factorTolerance  = 0.99 // of MinFactor, so that sizes may be rounded
 )
 
 // Scenario describes a sweep.
 type Scenario struct {
 	Name          string
 	Source        result.Source
-	Hollow        bool // false: each proxy is a process of the program itself
+	Hollow        bool // false: one process of the proxy program per proxy
 	Seed          uint64
-	WarmUp        time.Duration // at each size, before its first round
-	RoundDuration time.Duration // of a round
-	SettleTime    time.Duration // after a span, within which its last changes have to be in force
+	WarmUp        time.Duration // at each size, before the first round
+	RoundDuration time.Duration
+	SettleTime    time.Duration // wait after a round for the application of its last changes
 	Rounds        int
-	Size          result.Size // what the sweep does not vary
+	Size          result.Size // values of the dimensions that the sweep does not vary
 	Dimension     result.Dimension
 	Sizes         []float64 // ascending
-	HeldOut       float64   // a further size, larger than all others, that no fit uses; 0: none
+	HeldOut       float64   // additional largest size that fits exclude; 0 means none
 	Processes     Processes
 }
 
-// Processes are the numbers and settings of a sweep's processes.
+// Processes holds the numbers and settings of the processes of a sweep.
 type Processes struct {
-	Proxies int // that run hollow proxies
-	Relays  int // if the source is result.SourceRelay
+	Proxies int // processes that run hollow proxies
+	Relays  int // relays, used with result.SourceRelay only
 	// GCPercent is the garbage collection target (GOGC) of the processes that run hollow proxies. A
-	// smaller one takes less memory and more CPU time.
+	// lower target uses less memory and more CPU time.
 	GCPercent int
 }
 
-// Points returns the sizes to be measured, ascending, without rounds; the held-out one is last.
+// Points returns the points to be measured, without rounds. The points are in ascending order of
+// size. The held-out point is last.
 func (sc *Scenario) Points() []result.Point {
 	var out []result.Point
 	for _, size := range sc.Sizes {
@@ -69,7 +71,7 @@
 	return out
 }
 
-// sizeAt returns the size with its swept dimension set to a value.
+// sizeAt returns the size with the swept dimension set to value.
 func (sc *Scenario) sizeAt(value float64) result.Size {
 	s := sc.Size
 	switch sc.Dimension {
@@ -88,14 +90,14 @@
 	return s
 }
 
-// Read reads a scenario. The error lists all faults, one per line, each with file, line and field.
+// Read decodes a scenario. The error has one line per problem, with file, line and field.
 func Read(file string, data []byte) (*Scenario, error) {
 	return tomldoc.Decode(file, data, read)
 }
 
 func read(s tomldoc.Scope) *Scenario {
 	if !s.Has("format") {
-		s.ReportField(rules.Version, "format", "the file's format, %d, expected", Format)
+		s.ReportField(rules.Version, "format", "the file format version, %d, expected", Format)
 	}
 	s.Int("format", Format, Format, Format)
 	sc := &Scenario{
@@ -123,14 +125,15 @@
 			"%d real proxies at most expected, %d found", MaxRealProxies, largest.Proxies)
 	}
 	if sc.Source == result.SourceStatic && largest.ChangesPerSecond > 0 {
-		const want = "lists that stand in the configuration do not change: changes_per_second 0 expected"
+		const want = "static endpoint lists do not change: changes_per_second 0 expected"
 		s.ReportField(rules.Exclusive, "source", want)
 	}
 	s.ReportUnknown()
 	return sc
 }
 
-// readSource reads the source. The platform's discovery is not among those that a sweep can start.
+// readSource reads the source. A sweep cannot start the discovery of the platform
+// (result.SourceCatalog).
 func readSource(s tomldoc.Scope) result.Source {
 	return result.Source(s.OneOf("source", string(result.SourceConsul),
 		string(result.SourceStatic), string(result.SourceConsul), string(result.SourceRelay)))
@@ -146,7 +149,7 @@
 	return p
 }
 
-// largest returns the largest size that is measured.
+// largest returns the largest size to be measured.
 func (sc *Scenario) largest() result.Size {
 	points := sc.Points()
 	if len(points) == 0 {
--- a/internal/scale/scenario/scenario_test.go
+++ b/internal/scale/scenario/scenario_test.go
@@ -12,11 +12,11 @@
 
 const base = "format = 1\nname = \"x\"\n[sweep]\ndimension = \"proxies\"\nsizes = [1, 2, 4, 8, 16]\n"
 
-// Every fault of a scenario is one line with its position, its field and what is expected.
-func TestReadRejectsFaultsByPlace(t *testing.T) {
+// Each problem of a scenario is reported on one line with position, field and allowed values.
+func TestReadErrorsNamePositionAndField(t *testing.T) {
 	sweep := func(text string) string { return "format = 1\nname = \"x\"\n[sweep]\n" + text }
 	for _, test := range []struct{ text, want string }{
-		{"name = \"x\"\n", "s.toml:1:1: VERSION: format: the file's format, 1, expected"},
+		{"name = \"x\"\n", "s.toml:1:1: VERSION: format: the file format version, 1, expected"},
 		{"format = 2\nname = \"x\"\n", "s.toml:1:10: RANGE: format: found 2: 1 to 1 expected"},
 		{"format = 1\n", "s.toml:1:1: MISSING: name: the scenario's name expected"},
 		{
@@ -68,8 +68,8 @@
 	}
 }
 
-// The points of a sweep are in order and differ in the swept dimension only; the held-out one is
-// last and marked.
+// The points of a sweep are in ascending order and differ in the swept dimension only. The held-out
+// point is last and marked.
 func TestPoints(t *testing.T) {
 	const text = "format = 1\nname = \"x\"\n[size]\nproxies = 7\n" +
 		"[sweep]\ndimension = \"services\"\nsizes = [1, 2, 4, 8, 16]\nheld_out = 32\n"
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestReadAcceptsTheScenariosOfTheProject(t *testing.T) {
+func TestReadAcceptsCommittedScenarios(t *testing.T) {
 	files, err := filepath.Glob("../../../deploy/scale/*-*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
@@ -105,7 +105,7 @@
 	}
 }
 
-// FuzzRead checks that all points of an accepted scenario are within the bounds.
+// FuzzRead checks that all points of an accepted scenario are within the limits.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(base))
 	f.Add([]byte(base + "held_out = 100\n[size]\nservices = 3\nchanges_per_second = 0.5\n[processes]\nrelays = 2\n"))
@@ -126,7 +126,7 @@
 				s.Services >= 1 && s.Services <= s.TotalServices &&
 				s.Backends >= 2 && s.Backends <= scenario.MaxBackends
 			if !isInBounds {
-				t.Errorf("out of bounds: %+v", p)
+				t.Errorf("size out of bounds: %+v", p)
 			}
 		}
 	})
--- a/internal/scale/sweep/plan.go
+++ b/internal/scale/sweep/plan.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	spareDescriptors = 256 // of a process, for pipes, listeners and all but connections to list services
-	listConnections  = 8000
-	maxLists         = 64      // list services
-	kernelPerConn    = 8 << 10 // bytes that the kernel holds for both ends of a connection on loopback, about
-	probeProxies     = 50      // measured, and then probeMore, before a larger size
-	probeMore        = 200
+	spareDescriptors   = 256  // per process, for pipes, listeners and others, except connections to list services
+	listServiceConns   = 8000 // per list service
+	maxListServices    = 64
+	kernelBytesPerConn = 8 << 10 // approximate kernel memory of both ends of a loopback connection
+	probeProxies       = 50      // in the first probe of measureFootprint
+	largerProbeProxies = 200     // in the second probe; sizes up to this are not probed
 )
 
-// plan is how a size is spread over processes.
+// plan is the distribution of a size over processes.
 type plan struct {
 	size    result.Size
-	workers int // of hollow proxies
-	lists   int
+	workers int // processes that run hollow proxies
+	lists   int // list services, or 1 for the publisher
 	relays  int
 }
 
@@ -30,16 +30,16 @@
 	switch sc.Source {
 	case result.SourceConsul:
 		conns := size.Proxies * size.Services
-		p.lists = min(max(1, (conns+listConnections-1)/listConnections), maxLists, size.TotalServices)
+		p.lists = min(max(1, (conns+listServiceConns-1)/listServiceConns), maxListServices, size.TotalServices)
 	case result.SourceRelay:
 		p.lists = 1
 		p.relays = sc.Processes.Relays
-	default: // the lists are part of the configuration
+	default: // static lists need no list service
 	}
 	return p
 }
 
-// connections returns the number of connections that a proxy has to list services.
+// connections returns the number of connections of a proxy to list services or relays.
 func connections(source result.Source, size result.Size) int {
 	switch source {
 	case result.SourceConsul:
@@ -51,47 +51,47 @@
 	}
 }
 
-// proxiesByDescriptors returns how many proxies the descriptors of the processes allow, of which
-// each process has so many.
+// proxiesByDescriptors returns the maximum number of proxies for the given number of file
+// descriptors per process.
 func (p plan) proxiesByDescriptors(source result.Source, each int) int {
 	conns := connections(source, p.size)
 	if conns == 0 {
 		return scenario.MaxProxies
 	}
 	room := each - spareDescriptors
-	fit := room / conns * p.workers
+	maxProxies := room / conns * p.workers
 	servers := p.relays
 	if source == result.SourceConsul {
-		servers = min(maxLists, p.size.TotalServices)
+		servers = min(maxListServices, p.size.TotalServices)
 	}
-	return min(fit, room*servers/conns)
+	return min(maxProxies, room*servers/conns)
 }
 
-// footprint is what one proxy costs in memory, in bytes, as measured with few of them.
+// footprint is the measured memory cost of proxies, in bytes.
 type footprint struct {
-	base    int64 // of all processes without proxies
-	proxy   int64 // in the process that has it, for each
-	service int64 // in the list service and the relays and the kernel, for each proxy
+	base    int64 // all processes without proxies
+	proxy   int64 // per proxy, in the process that runs the proxy
+	service int64 // per proxy, in the list services, the relays and the kernel
 }
 
-// proxiesWithin returns how many proxies a bound on memory, in bytes, allows.
+// proxiesWithin returns the maximum number of proxies for a memory limit in bytes.
 func (f footprint) proxiesWithin(bound int64) int {
 	each := max(1, f.proxy+f.service)
 	return int(max(0, bound-f.base) / each)
 }
 
-// checkFit returns an error of one line if the size does not fit. It says why, and how many proxies
-// fit.
+// checkFit returns an error if the size does not fit. The error is one line with the exceeded limit
+// and the maximum number of proxies.
 func (p plan) checkFit(source result.Source, each int, f footprint, bound int64) error {
-	if fit := p.proxiesByDescriptors(source, each); p.size.Proxies > fit {
+	if maxProxies := p.proxiesByDescriptors(source, each); p.size.Proxies > maxProxies {
 		return fmt.Errorf(
-			"%d proxies do not fit: %d do, by the %d descriptors of each of %d processes, with %d connections a proxy",
-			p.size.Proxies, fit, each, p.workers, connections(source, p.size))
+			"%d proxies exceed the limit of %d: %d descriptors in each of %d processes, %d connections per proxy",
+			p.size.Proxies, maxProxies, each, p.workers, connections(source, p.size))
 	}
-	if fit := f.proxiesWithin(bound); p.size.Proxies > fit {
+	if maxProxies := f.proxiesWithin(bound); p.size.Proxies > maxProxies {
 		return fmt.Errorf(
-			"%d proxies do not fit: %d do, by %.1f GB of memory, at %.1f KB a proxy and %.1f KB beside it",
-			p.size.Proxies, fit, float64(bound)/(1<<30), float64(f.proxy)/(1<<10), float64(f.service)/(1<<10))
+			"%d proxies exceed the limit of %d: %.1f GB of memory, %.1f KB per proxy in its process, %.1f KB elsewhere",
+			p.size.Proxies, maxProxies, float64(bound)/(1<<30), float64(f.proxy)/(1<<10), float64(f.service)/(1<<10))
 	}
 	return nil
 }
--- a/internal/scale/sweep/processes.go
+++ b/internal/scale/sweep/processes.go
@@ -19,22 +19,22 @@
 	realStartInterval  = 10 * time.Millisecond // between the starts of two real proxies
 )
 
-// processes are the processes of one size by their roles.
+// processes holds the processes of one size by role.
 type processes struct {
 	runner      *runner
 	group       *processGroup
 	layout      topology.Layout
 	plan        plan
-	lists       []string // workers that are list services, or the one that writes to the source
-	source      []server // of distribution; one or none
+	lists       []string // workers: the list services or the publisher
+	source      []server // source of distribution; at most one
 	relays      []server
-	workers     []string // with hollow proxies
+	workers     []string // workers that run hollow proxies
 	realProxies []string
 
-	followers map[string]int64 // number of proxies by the service that they follow; nil: not counted yet
+	followers map[string]int64 // number of following proxies by service; nil until counted
 }
 
-// startProcesses starts the processes of a size, without their proxies.
+// startProcesses starts the processes of a size without proxies.
 func (r *runner) startProcesses(ctx context.Context, size result.Size, p plan) (*processes, error) {
 	ps := &processes{
 		runner: r,
@@ -49,7 +49,7 @@
 	return ps, nil
 }
 
-// startServices starts all processes but real proxies.
+// startServices starts all processes except real proxies.
 func (ps *processes) startServices(ctx context.Context) error {
 	if ps.runner.scenario.Source == result.SourceRelay {
 		if err := ps.startDistribution(ctx); err != nil {
@@ -84,17 +84,17 @@
 	for i := range ps.plan.lists {
 		name := fmt.Sprintf("lists-%d", i+1)
 		spec := worker.Spec{Role: worker.ListService, Layout: ps.layout, Index: i, ListServices: ps.plan.lists}
-		hello, err := ps.group.startWorker(ctx, name, spec)
+		reply, err := ps.group.startWorker(ctx, name, spec)
 		if err != nil {
 			return err
 		}
 		ps.lists = append(ps.lists, name)
-		ps.layout.ListServices = append(ps.layout.ListServices, hello.Address)
+		ps.layout.ListServices = append(ps.layout.ListServices, reply.Address)
 	}
 	return nil
 }
 
-// startLoad starts the proxies, the calls and the changes.
+// startLoad starts the proxies, then the calls, then the list changes.
 func (ps *processes) startLoad(ctx context.Context) error {
 	if ps.runner.scenario.Hollow {
 		if _, err := ps.group.requestAll(ctx, ps.workers, worker.Command{Kind: worker.CommandStart}); err != nil {
@@ -110,7 +110,7 @@
 	return err
 }
 
-// startRealProxies starts a process for each proxy and waits until all listen.
+// startRealProxies starts one process per proxy and waits until all of them listen.
 func (ps *processes) startRealProxies(ctx context.Context) error {
 	for n := range ps.layout.Size.Proxies {
 		name := topology.ProxyName(n)
@@ -137,19 +137,20 @@
 	return nil
 }
 
-// waitListening waits until a real proxy accepts connections, or a process has exited.
+// waitListening waits until a real proxy accepts connections. It returns an error if a process
+// exits.
 func (ps *processes) waitListening(ctx context.Context, proxy int) error {
 	for {
 		conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", topology.ListenAddr(proxy))
 		if err == nil {
-			_ = conn.Close() // nothing was sent
+			_ = conn.Close() // no data was sent
 			return nil
 		}
-		if exit := ps.group.failure(); exit != nil {
+		if exit := ps.group.unexpectedExit(); exit != nil {
 			return exit
 		}
 		if !sleep.For(ctx, listenPollInterval) {
-			return fmt.Errorf("%s does not listen: %w", topology.ProxyName(proxy), err)
+			return fmt.Errorf("%s: not listening: %w", topology.ProxyName(proxy), err)
 		}
 	}
 }
--- a/internal/scale/sweep/processgroup.go
+++ b/internal/scale/sweep/processgroup.go
@@ -18,20 +18,20 @@
 
 const (
 	replyTimeout = 3 * time.Minute // of a worker, for any command
-	maxLine      = 64 << 20
+	maxLine      = 64 << 20        // bytes of a reply
 )
 
-// processGroup starts the processes of one size and talks to the workers among them. All processes
-// end with this one.
+// processGroup starts the processes of one size and exchanges commands and replies with workers. All
+// processes end when this process ends.
 type processGroup struct {
 	set        *process.Set
-	workerArgs []string // the command line of a worker
+	workerArgs []string // command line of a worker
 
 	mu        sync.Mutex
-	replies   map[string]chan []byte
-	exited    map[string]chan struct{} // closed when a process has exited, by name
+	replies   map[string]chan []byte   // by name of the worker
+	exited    map[string]chan struct{} // by name; closed when the process has exited
 	closing   bool
-	firstExit error // of a process that was not ended by close
+	firstExit error // of a process that close did not stop
 }
 
 func newProcessGroup(args []string) *processGroup {
@@ -40,7 +40,7 @@
 	return g
 }
 
-// handleEvent notes that a process has exited.
+// handleEvent records the exit of a process.
 func (g *processGroup) handleEvent(e history.Event) {
 	if e.Kind != history.Exited {
 		return
@@ -52,12 +52,12 @@
 		delete(g.exited, e.Who)
 	}
 	if !g.closing && g.firstExit == nil {
-		g.firstExit = fmt.Errorf("process %s ended %s; what it had is lost, and so is this size", e.Who, e.Reason)
+		g.firstExit = fmt.Errorf("process %s exited unexpectedly: %s: measurements of this size lost", e.Who, e.Reason)
 	}
 }
 
-// failure returns why the first process exited by itself; nil where none has.
-func (g *processGroup) failure() error {
+// unexpectedExit returns the error of the first process that exited before close, or nil.
+func (g *processGroup) unexpectedExit() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.firstExit
@@ -82,13 +82,13 @@
 	return g.request(ctx, name, spec)
 }
 
-// startServer starts a process whose first line of output is "listening ADDRESS", and returns the
+// startServer starts a process whose first line of output is "listening ADDRESS". It returns that
 // address.
 func (g *processGroup) startServer(ctx context.Context, name string, args []string) (address string, err error) {
 	first := make(chan string, 1)
 	g.mu.Lock()
-	gone := make(chan struct{})
-	g.exited[name] = gone
+	exited := make(chan struct{})
+	g.exited[name] = exited
 	g.mu.Unlock()
 	read := func(out io.Reader) {
 		lines := bufio.NewScanner(out)
@@ -104,17 +104,17 @@
 	case line := <-first:
 		address, found := strings.CutPrefix(line, "listening ")
 		if !found {
-			return "", fmt.Errorf("%s: %q; \"listening ADDRESS\" expected", name, line)
+			return "", fmt.Errorf("%s: unexpected output %q: \"listening ADDRESS\" expected", name, line)
 		}
 		return address, nil
-	case <-gone:
-		return "", errors.Join(g.failure(), fmt.Errorf("%s: ended before it listened", name))
+	case <-exited:
+		return "", errors.Join(g.unexpectedExit(), fmt.Errorf("%s: exited before listening", name))
 	case <-ctx.Done():
 		return "", ctx.Err()
 	}
 }
 
-// startProgram starts a process that is neither a worker nor a server.
+// startProgram starts a process whose output is not read.
 func (g *processGroup) startProgram(name string, args []string) error {
 	g.mu.Lock()
 	g.exited[name] = make(chan struct{})
@@ -122,13 +122,13 @@
 	return g.set.Start(process.Spec{Name: name, Args: args})
 }
 
-// request writes a line to a worker and returns its reply.
+// request writes a line to a worker and returns the reply of the worker.
 func (g *processGroup) request(ctx context.Context, name string, line any) (r worker.Reply, err error) {
 	g.mu.Lock()
-	replies, gone := g.replies[name], g.exited[name]
+	replies, exited := g.replies[name], g.exited[name]
 	g.mu.Unlock()
 	if err := g.set.SendCommand(name, line); err != nil {
-		return r, errors.Join(g.failure(), fmt.Errorf("%s: %w", name, err))
+		return r, errors.Join(g.unexpectedExit(), fmt.Errorf("%s: %w", name, err))
 	}
 	timeout := time.NewTimer(replyTimeout)
 	defer timeout.Stop()
@@ -141,16 +141,17 @@
 			return r, fmt.Errorf("%s: %s", name, r.Error)
 		}
 		return r, nil
-	case <-gone:
-		return r, errors.Join(g.failure(), fmt.Errorf("%s: ended before it answered", name))
+	case <-exited:
+		return r, errors.Join(g.unexpectedExit(), fmt.Errorf("%s: exited before the reply", name))
 	case <-timeout.C:
-		return r, fmt.Errorf("%s: no answer within %v", name, replyTimeout)
+		return r, fmt.Errorf("%s: no reply within %v", name, replyTimeout)
 	case <-ctx.Done():
 		return r, ctx.Err()
 	}
 }
 
-// requestAll writes a command to workers concurrently and returns their replies in order.
+// requestAll writes a command to workers concurrently and returns their replies in the order of
+// names.
 func (g *processGroup) requestAll(ctx context.Context, names []string, c worker.Command) ([]worker.Reply, error) {
 	replies, errs := make([]worker.Reply, len(names)), make([]error, len(names))
 	var all sync.WaitGroup
@@ -161,7 +162,7 @@
 	return replies, errors.Join(errs...)
 }
 
-// pid returns the id of a process.
+// pid returns the process ID of a process.
 func (g *processGroup) pid(name string) int { return g.set.PID(name) }
 
 // close kills all processes and waits until they have exited.
--- a/internal/scale/sweep/procfs.go
+++ b/internal/scale/sweep/procfs.go
@@ -11,8 +11,8 @@
 	"syscall"
 )
 
-// cpuSeconds returns the CPU time that a process has used: that of its live threads, which for a Go
-// program are nearly all that it ever had.
+// cpuSeconds returns the CPU time used by the live threads of a process. A Go program ends few of
+// its threads, so that this is nearly the CPU time of the process.
 func cpuSeconds(pid int) (float64, error) {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(threads) == 0 {
@@ -22,7 +22,7 @@
 	for _, file := range threads {
 		data, err := os.ReadFile(file)
 		if errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.ESRCH) {
-			continue // ended meanwhile
+			continue // the thread has ended
 		}
 		if err != nil {
 			return 0, err
@@ -37,16 +37,16 @@
 	return total, nil
 }
 
-// residentBytes returns the resident memory of a process.
+// residentBytes returns the resident memory of a process in bytes.
 func residentBytes(pid int) (int64, error) {
-	return kilobytes(fmt.Sprintf("/proc/%d/status", pid), "VmRSS:")
+	return procFieldBytes(fmt.Sprintf("/proc/%d/status", pid), "VmRSS:")
 }
 
-// machineBytes returns the machine's memory.
-func machineBytes() (int64, error) { return kilobytes("/proc/meminfo", "MemTotal:") }
+// machineMemoryBytes returns the memory of the machine in bytes.
+func machineMemoryBytes() (int64, error) { return procFieldBytes("/proc/meminfo", "MemTotal:") }
 
-// kilobytes reads a field in kB of a file of /proc, and returns it in bytes.
-func kilobytes(file, field string) (int64, error) {
+// procFieldBytes reads a field with the unit kB from a file of /proc and returns its value in bytes.
+func procFieldBytes(file, field string) (int64, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return 0, err
@@ -60,10 +60,10 @@
 			return n << 10, nil
 		}
 	}
-	return 0, fmt.Errorf("%s: no field %s", file, field)
+	return 0, fmt.Errorf("%s: missing field %s", file, field)
 }
 
-// loadAverage returns the machine's load average over the last minute; 0 where it cannot be read.
+// loadAverage returns the 1-minute load average of the machine, or 0 if it cannot be read.
 func loadAverage() float64 {
 	data, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -74,11 +74,11 @@
 	return load
 }
 
-// descriptors returns how many file descriptors a process may have open.
-func descriptors() (int, error) {
+// maxDescriptors returns the maximum number of open file descriptors of a process.
+func maxDescriptors() (int, error) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return 0, fmt.Errorf("bound on descriptors: %w", err)
+		return 0, fmt.Errorf("limit of file descriptors: %w", err)
 	}
 	return int(min(limit.Cur, 1<<30)), nil
 }
--- a/internal/scale/sweep/relays.go
+++ b/internal/scale/sweep/relays.go
@@ -32,8 +32,8 @@
 	return out
 }
 
-// startDistribution starts a source of distribution, relays, and what writes to the source, and has
-// all lists written.
+// startDistribution starts a source of distribution, its relays and a publisher. It returns when the
+// publisher has written all lists to the source.
 func (ps *processes) startDistribution(ctx context.Context) error {
 	state := filepath.Join(ps.runner.dir, fmt.Sprintf("source-%d", time.Now().UnixNano()))
 	source, err := ps.startServer(ctx, "source", "source", "-listen", anyPort, "-state", state)
@@ -65,7 +65,7 @@
 	return server{name: name, address: strings.TrimSpace(address)}, err
 }
 
-// listNames returns the processes whose costs are those of the list service.
+// listNames returns the names of the list services or of the source.
 func (ps *processes) listNames() []string {
 	if ps.runner.scenario.Source == result.SourceRelay {
 		return names(ps.source)
@@ -81,8 +81,8 @@
 	return ps.workerUsages(ctx, ps.lists)
 }
 
-// serverUsages returns what sources or relays have used since their start, and the part of their
-// traffic that went between them and their followers. They do not report their allocations.
+// serverUsages returns the resource usage of sources or relays since their start, and the part of
+// their traffic that they exchanged with followers. Sources and relays do not report allocations.
 func (ps *processes) serverUsages(ctx context.Context, all []server) (total, followers []worker.Usage, err error) {
 	client := httpapi.NewClient(nil)
 	defer client.Close()
--- a/internal/scale/sweep/round.go
+++ b/internal/scale/sweep/round.go
@@ -13,17 +13,17 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// measureRound measures one span.
-func (ps *processes) measureRound(ctx context.Context, span time.Duration) (result.Round, error) {
+// measureRound measures one round.
+func (ps *processes) measureRound(ctx context.Context, duration time.Duration) (result.Round, error) {
 	var r result.Round
-	if _, err := ps.takeChanges(ctx); err != nil { // those before the span
+	if _, err := ps.takeChanges(ctx); err != nil { // discards earlier changes
 		return r, err
 	}
 	before, err := ps.sampleUsage(ctx)
 	if err != nil {
 		return r, err
 	}
-	if !sleep.For(ctx, span) {
+	if !sleep.For(ctx, duration) {
 		return r, ctx.Err()
 	}
 	after, err := ps.sampleUsage(ctx)
@@ -45,7 +45,7 @@
 	return r, ps.collect(ctx, changes, &r)
 }
 
-// roundOf returns the costs of a span between two samples.
+// roundOf returns the costs between two samples.
 func (ps *processes) roundOf(before, after usageSample, memory roleMemory) result.Round {
 	r := result.Round{
 		Seconds: after.at.Sub(before.at).Seconds(),
@@ -54,7 +54,7 @@
 		Relays:  costBetween(before.relays, after.relays),
 	}
 	if !ps.runner.scenario.Hollow {
-		// Real proxies do not count their control traffic: it is that of their peers.
+		// Real proxies do not count their control traffic. The counts of their peers are used instead.
 		r.Proxies = peerTraffic(r.Lists)
 		if len(ps.relays) > 0 {
 			r.Proxies = peerTraffic(costBetween(before.followers, after.followers))
@@ -68,7 +68,7 @@
 	return r
 }
 
-// takeChanges returns the changes made since the last takeChanges.
+// takeChanges returns the changes made since the last call of takeChanges.
 func (ps *processes) takeChanges(ctx context.Context) ([]worker.Change, error) {
 	replies, err := ps.group.requestAll(ctx, ps.lists, worker.Command{Kind: worker.CommandChanges})
 	if err != nil {
@@ -81,32 +81,32 @@
 	return changes, nil
 }
 
-// collect adds to a round what is live after a garbage collection, the times until the changes were
-// in force, and the times of calls.
+// collect adds the state after a garbage collection, the propagation times of the changes and the
+// latencies of calls to a round.
 func (ps *processes) collect(ctx context.Context, changes []worker.Change, r *result.Round) error {
 	command := worker.Command{Kind: worker.CommandCollect, Changes: changes}
 	replies, err := ps.group.requestAll(ctx, ps.workers, command)
 	if err != nil {
 		return err
 	}
-	inForce, calls := worker.NewPropagationHistogram(), hdrhistogram.New(1, int64(time.Minute), 3)
+	propagation, calls := worker.NewPropagationHistogram(), hdrhistogram.New(1, int64(time.Minute), 3)
 	for i, reply := range replies {
 		addState(&r.Proxies, reply.State)
 		if err := ps.checkState(ps.workers[i], reply.State); err != nil {
 			return err
 		}
-		if err := mergeHistogram(inForce, reply.State.Propagation); err != nil {
+		if err := mergeHistogram(propagation, reply.State.Propagation); err != nil {
 			return err
 		}
 		if err := mergeHistogram(calls, reply.State.Calls); err != nil {
 			return err
 		}
 	}
-	r.Late = ps.expectedArrivals(changes) - inForce.TotalCount()
-	r.Propagation = spreadOf(inForce, time.Microsecond)
-	r.Call = spreadOf(calls, time.Nanosecond)
+	r.Late = ps.expectedPropagations(changes) - propagation.TotalCount()
+	r.Propagation = summaryOf(propagation, time.Microsecond)
+	r.Call = summaryOf(calls, time.Nanosecond)
 	if ps.runner.scenario.Source == result.SourceRelay {
-		return nil // sources and relays do not report their heap
+		return nil // sources and relays do not report their heap sizes
 	}
 	replies, err = ps.group.requestAll(ctx, ps.lists, worker.Command{Kind: worker.CommandCollect})
 	if err != nil {
@@ -118,25 +118,25 @@
 	return nil
 }
 
-// checkState returns an error if a worker's measurement is incomplete, and logs calls that were not
-// served.
+// checkState returns an error if the measurement of a worker is incomplete. It logs calls that were
+// not served.
 func (ps *processes) checkState(name string, s worker.State) error {
 	for proxy, reason := range s.Failures {
 		return fmt.Errorf("%s: %s failed: %s", name, proxy, reason)
 	}
 	if s.Lost > 0 {
-		return fmt.Errorf("%s: %d times of changes in force could not be kept", name, s.Lost)
+		return fmt.Errorf("%s: %d applied versions dropped", name, s.Lost)
 	}
 	if s.NotServed+s.Skipped > 0 {
-		ps.runner.logf("%s: %d calls refused or failed, %d not made in time, of %d",
+		ps.runner.logf("%s: %d calls rejected or failed, %d skipped, of %d",
 			name, s.NotServed, s.Skipped, s.Served+s.NotServed+s.Skipped)
 	}
 	return nil
 }
 
-// expectedArrivals returns how many times the changes have to come in force, over all proxies that
+// expectedPropagations returns how many times the changes have to be applied, over all proxies that
 // follow their services.
-func (ps *processes) expectedArrivals(changes []worker.Change) int64 {
+func (ps *processes) expectedPropagations(changes []worker.Change) int64 {
 	if ps.followers == nil {
 		ps.followers = map[string]int64{}
 		for n := range ps.layout.Size.Proxies {
@@ -157,7 +157,7 @@
 	cost.Goroutines += s.Goroutines
 }
 
-// mergeHistogram adds an encoded histogram to another. No bytes are an empty histogram.
+// mergeHistogram adds an encoded histogram to another histogram. Empty data is an empty histogram.
 func mergeHistogram(to *hdrhistogram.Histogram, data []byte) error {
 	if len(data) == 0 {
 		return nil
@@ -172,8 +172,8 @@
 	return nil
 }
 
-// spreadOf returns the spread of a histogram of a unit, in seconds.
-func spreadOf(h *hdrhistogram.Histogram, unit time.Duration) result.TimeSummary {
+// summaryOf returns the summary of a histogram whose values have the given unit.
+func summaryOf(h *hdrhistogram.Histogram, unit time.Duration) result.TimeSummary {
 	if h.TotalCount() == 0 {
 		return result.TimeSummary{}
 	}
--- a/internal/scale/sweep/run.go
+++ b/internal/scale/sweep/run.go
@@ -1,5 +1,5 @@
-// Package sweep runs the sweeps of fernctl scale: for each size it starts the processes, lets them
-// warm up, and measures in rounds what each role uses.
+// Package sweep runs the sweeps of fernctl scale run. For each size, it starts the processes, waits
+// for the warm-up, and measures the resource usage of each role in rounds.
 package sweep
 
 import (
@@ -20,22 +20,22 @@
 
 // Options are the settings of a run.
 type Options struct {
-	Worker      []string  // the program that runs as a worker, with its arguments
-	Sidecar     []string  // the program that real proxies run, with its first arguments
-	Relay       []string  // the program that is a source or a relay of distribution
-	MemoryBytes int64     // that all processes may use; 0: half of the machine's
-	Selection   Selection // the sizes that are measured
-	Log         io.Writer // receives a line for each round; nil: none
+	Worker      []string  // command line of a worker
+	Sidecar     []string  // program of real proxies with its first arguments
+	Relay       []string  // program of sources and relays of distribution with its first arguments
+	MemoryBytes int64     // memory limit of all processes; 0 means half of the machine's memory
+	Selection   Selection // sizes to measure
+	Log         io.Writer // receives one line per round; nil means no log
 }
 
-// Selection selects sizes of a sweep.
+// Selection selects the sizes of a sweep to measure.
 type Selection int
 
 // The selections.
 const (
 	All            Selection = iota
-	WithoutHeldOut           // not the held-out size
-	HeldOutOnly              // the held-out size alone
+	WithoutHeldOut           // all sizes except the held-out size
+	HeldOutOnly              // the held-out size only
 )
 
 // points returns the selected points.
@@ -49,8 +49,8 @@
 	return out
 }
 
-// Run measures a sweep. If a size does not fit on the machine, it returns an error before any is
-// measured.
+// Run measures a sweep. If a size does not fit on the machine, Run returns an error before it
+// measures any size.
 func Run(ctx context.Context, sc *scenario.Scenario, opts Options) (*result.Result, error) {
 	points := opts.Selection.points(sc.Points())
 	if len(points) == 0 {
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("scale: %w", err)
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // what is left is in the directory for temporary files
+	defer func() { _ = os.RemoveAll(dir) }() // on failure, files remain in the temporary directory
 	r := &runner{scenario: sc, options: opts, dir: dir}
 	if err := r.checkFit(ctx, points); err != nil {
 		return nil, fmt.Errorf("scale: %w", err)
@@ -80,14 +80,14 @@
 	for _, p := range points {
 		p.Rounds, err = r.runSize(ctx, p.Size)
 		if err != nil {
-			return nil, fmt.Errorf("scale: %s = %s: %w", sc.Dimension, describe(p.Size), err)
+			return nil, fmt.Errorf("scale: %s = %s: %w", sc.Dimension, sizeText(p.Size), err)
 		}
 		out.Points = append(out.Points, p)
 	}
 	return out, nil
 }
 
-// revision returns the revision of the sources that this program was built from.
+// revision returns the source revision of this program.
 func revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -105,7 +105,7 @@
 	return revision + suffix
 }
 
-func describe(s result.Size) string {
+func sizeText(s result.Size) string {
 	return fmt.Sprintf("%d proxies, %d of %d services of %d, %g changes and %g calls a second",
 		s.Proxies, s.Services, s.TotalServices, s.Backends, s.ChangesPerSecond, s.CallsPerSecond)
 }
@@ -114,7 +114,7 @@
 type runner struct {
 	scenario *scenario.Scenario
 	options  Options
-	dir      string // of the configurations of real proxies
+	dir      string // directory of the configurations of real proxies
 }
 
 // runSize measures the rounds of one size.
@@ -133,7 +133,7 @@
 	var rounds []result.Round
 	for i := range r.scenario.Rounds {
 		round, err := ps.measureRound(ctx, r.scenario.RoundDuration)
-		if err := errors.Join(err, ps.group.failure()); err != nil {
+		if err := errors.Join(err, ps.group.unexpectedExit()); err != nil {
 			return nil, fmt.Errorf("round %d: %w", i+1, err)
 		}
 		rounds = append(rounds, round)
@@ -147,8 +147,8 @@
 	r.logf("%s: round %d: "+
 		"proxies %.3f s CPU, %.1f MB RSS, %.1f MB heap, %d B in, %d B out; "+
 		"lists %.3f s, %.1f MB; relays %.3f s, %.1f MB; "+
-		"in force %d, p50 %.4f, p99 %.4f, max %.4f s; calls %d, p99 %.1f us",
-		describe(size), number,
+		"propagations %d, p50 %.4f, p99 %.4f, max %.4f s; calls %d, p99 %.1f us",
+		sizeText(size), number,
 		proxies.CPUSeconds, megabytes(proxies.RSSBytes), megabytes(proxies.HeapBytes),
 		proxies.BytesIn, proxies.BytesOut,
 		lists.CPUSeconds, megabytes(lists.RSSBytes), relays.CPUSeconds, megabytes(relays.RSSBytes),
@@ -160,11 +160,11 @@
 
 func (r *runner) logf(format string, args ...any) {
 	if r.options.Log != nil {
-		_, _ = fmt.Fprintf(r.options.Log, format+"\n", args...) // a run goes on without its log
+		_, _ = fmt.Fprintf(r.options.Log, format+"\n", args...) // log errors do not stop a run
 	}
 }
 
-// writeConfig writes a real proxy's configuration and returns its path.
+// writeConfig writes the configuration of a real proxy and returns the path of the file.
 func (r *runner) writeConfig(name string, data []byte) (string, error) {
 	path := filepath.Join(r.dir, name+".toml")
 	return path, os.WriteFile(path, data, 0o600)
--- a/internal/scale/sweep/sweep_test.go
+++ b/internal/scale/sweep/sweep_test.go
@@ -15,21 +15,21 @@
 	"fernlanding/internal/scale/worker"
 )
 
-// workerVariable is set in the processes that this test starts from itself.
+// workerVariable is the environment variable that is set in the worker processes of the tests.
 const workerVariable = "SCALE_TEST_WORKER"
 
-// TestMain runs a worker in place of the tests in the processes that the tests start.
+// TestMain runs a worker instead of the tests if workerVariable is set.
 func TestMain(m *testing.M) {
 	if os.Getenv(workerVariable) == "" {
 		os.Exit(m.Run())
 	}
 	if err := worker.Run(os.Stdin, os.Stdout); err != nil {
-		_, _ = fmt.Fprintln(os.Stderr, err) // there is no other place to say so
+		_, _ = fmt.Fprintln(os.Stderr, err) // there is no other place to report the error
 		os.Exit(1)
 	}
 }
 
-// readScenario returns the scenario of a text.
+// readScenario parses a scenario.
 func readScenario(t *testing.T, text string) *scenario.Scenario {
 	t.Helper()
 	sc, err := scenario.Read("s.toml", []byte(text))
@@ -39,7 +39,7 @@
 	return sc
 }
 
-// workerOptions returns options by which this test's own program is the worker.
+// workerOptions returns options with the test program as the worker.
 func workerOptions(t *testing.T) sweep.Options {
 	t.Helper()
 	self, err := os.Executable()
@@ -52,7 +52,7 @@
 
 const relayRounds = 4
 
-const small = `format = 1
+const smallScenario = `format = 1
 name = "small"
 warm_up = "100ms"
 span = "300ms"
@@ -75,8 +75,8 @@
 held_out = 20
 `
 
-// sumOfCounters adds up what is counted over spans: in a single short one a starved process may do
-// nothing.
+// sumOfCounters adds the counters of two rounds. The tests check sums over rounds, because a starved
+// process may do nothing in a single short round.
 func sumOfCounters(a, b result.Cost) result.Cost {
 	a.CPUSeconds += b.CPUSeconds
 	a.AllocatedBytes += b.AllocatedBytes
@@ -88,39 +88,39 @@
 	return a
 }
 
-// checkCounters fails the test unless all that every role counts was counted.
+// checkCounters fails the test unless all counters that every role has are positive.
 func checkCounters(t *testing.T, c result.Cost) {
 	t.Helper()
 	if c.CPUSeconds <= 0 || c.BytesIn <= 0 || c.BytesOut <= 0 || c.MessagesIn <= 0 || c.MessagesOut <= 0 {
-		t.Errorf("%+v", c)
+		t.Errorf("cost %+v, want CPU time, bytes and messages above 0", c)
 	}
 }
 
-// A sweep of up to 20 hollow proxies measures every figure.
+// A sweep of up to 20 hollow proxies measures every metric.
 func TestSweepOverConsul(t *testing.T) {
-	out, err := sweep.Run(context.Background(), readScenario(t, small), workerOptions(t))
+	out, err := sweep.Run(context.Background(), readScenario(t, smallScenario), workerOptions(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(out.Points) != 6 || out.Format != result.Format || !out.Hollow {
-		t.Fatalf("%+v", out)
+		t.Fatalf("result %+v, want 6 points with hollow proxies", out)
 	}
-	inForce, calls := int64(0), int64(0)
+	propagation, calls := int64(0), int64(0)
 	var proxies, lists result.Cost
 	for i, p := range out.Points {
 		if p.HeldOut != (i == 5) || len(p.Rounds) != 1 {
-			t.Fatalf("%+v", p)
+			t.Fatalf("point %d: %+v, want one round and the last point held out", i, p)
 		}
 		r := p.Rounds[0]
-		inForce += r.Propagation.Count
+		propagation += r.Propagation.Count
 		calls += r.Call.Count
 		if r.Proxies.Processes != min(2, p.Size.Proxies) || r.Proxies.Connections < 2*p.Size.Proxies ||
 			r.Lists.Processes != 1 || r.Relays.Processes != 0 {
-			t.Errorf("%d proxies: %+v", p.Size.Proxies, r)
+			t.Errorf("%d proxies: wrong processes or connections in %+v", p.Size.Proxies, r)
 		}
 		for _, c := range []result.Cost{r.Proxies, r.Lists} {
 			if c.RSSBytes <= 0 || c.HeapBytes <= 0 || c.Goroutines <= 0 {
-				t.Errorf("%d proxies: %+v", p.Size.Proxies, c)
+				t.Errorf("%d proxies: cost %+v, want memory and goroutines above 0", p.Size.Proxies, c)
 			}
 		}
 		proxies = sumOfCounters(proxies, r.Proxies)
@@ -128,16 +128,16 @@
 	}
 	for _, c := range []result.Cost{proxies, lists} {
 		if c.Allocations <= 0 || c.AllocatedBytes <= 0 {
-			t.Errorf("%+v", c)
+			t.Errorf("cost %+v, want allocations above 0", c)
 		}
 		checkCounters(t, c)
 	}
-	if inForce == 0 || calls == 0 {
-		t.Errorf("%d changes in force, %d calls", inForce, calls)
+	if propagation == 0 || calls == 0 {
+		t.Errorf("%d applied changes, %d calls; want both above 0", propagation, calls)
 	}
 }
 
-// A sweep over relays measures the source and the relays too; each proxy has one connection.
+// A sweep over relays also measures the source and the relays. Each proxy has one connection.
 func TestSweepOverRelays(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "fernrelay")
 	build := exec.Command("go", "build", "-o", program, "fernlanding/cmd/fernrelay")
@@ -151,26 +151,26 @@
 		"name = \"small\"", "name = \"small\"\nsource = \"relay\"",
 		"rounds = 1", fmt.Sprintf("rounds = %d", relayRounds),
 		"proxies = 2\n", "proxies = 2\nrelays = 2\n",
-	).Replace(small)
+	).Replace(smallScenario)
 	out, err := sweep.Run(context.Background(), readScenario(t, text), opts)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(out.Points) != 1 || !out.Points[0].HeldOut || len(out.Points[0].Rounds) != relayRounds {
-		t.Fatalf("%+v", out.Points)
+		t.Fatalf("points %+v, want the held-out point with %d rounds", out.Points, relayRounds)
 	}
-	inForce, calls := int64(0), int64(0)
+	propagation, calls := int64(0), int64(0)
 	var proxies, lists, relays result.Cost
 	p := out.Points[0]
 	for _, r := range p.Rounds {
 		if r.Proxies.Connections < p.Size.Proxies || r.Lists.Processes != 1 ||
 			r.Relays.Processes != 2 || r.Relays.Connections < p.Size.Proxies {
-			t.Errorf("%+v", r)
+			t.Errorf("wrong processes or connections in %+v", r)
 		}
 		if r.Proxies.RSSBytes <= 0 || r.Lists.RSSBytes <= 0 || r.Relays.RSSBytes <= 0 {
-			t.Errorf("%+v", r)
+			t.Errorf("round %+v, want resident memory above 0 for each role", r)
 		}
-		inForce += r.Propagation.Count
+		propagation += r.Propagation.Count
 		calls += r.Call.Count
 		proxies = sumOfCounters(proxies, r.Proxies)
 		lists = sumOfCounters(lists, r.Lists)
@@ -179,39 +179,40 @@
 	checkCounters(t, proxies)
 	checkCounters(t, lists)
 	checkCounters(t, relays)
-	if inForce == 0 || calls == 0 {
-		t.Errorf("%d changes in force, %d calls", inForce, calls)
+	if propagation == 0 || calls == 0 {
+		t.Errorf("%d applied changes, %d calls; want both above 0", propagation, calls)
 	}
 }
 
-// A size that does not fit is rejected by one line that says how many proxies do, and nothing is
-// started.
-func TestSizesThatDoNotFitAreRejected(t *testing.T) {
+// A size that exceeds a limit of the machine is rejected before any size is measured. The error is
+// one line with the maximum number of proxies.
+func TestSizesBeyondMachineLimitsAreRejected(t *testing.T) {
 	const text = "format = 1\nname = \"x\"\n[size]\nservices = 100\nservices_in_all = 100\n" +
 		"[sweep]\ndimension = \"proxies\"\nsizes = [1, 2, 4, 8, 100_000]\n"
 	opts := sweep.Options{Worker: []string{"/nonexistent"}}
 	_, err := sweep.Run(context.Background(), readScenario(t, text), opts)
-	if err == nil || !strings.Contains(err.Error(), "100000 proxies do not fit: ") ||
-		!strings.Contains(err.Error(), " do, by the ") || strings.Contains(err.Error(), "\n") {
-		t.Errorf("%v", err)
+	if err == nil || !strings.Contains(err.Error(), "100000 proxies exceed the limit of ") ||
+		!strings.Contains(err.Error(), " descriptors in each of ") || strings.Contains(err.Error(), "\n") {
+		t.Errorf("got error %v, want one line with the limit by descriptors", err)
 	}
 	opts = workerOptions(t)
 	opts.MemoryBytes = 64 << 20
 	const memory = "format = 1\nname = \"x\"\nwarm_up = \"0s\"\n" +
 		"[sweep]\ndimension = \"proxies\"\nsizes = [1, 2, 4, 8, 8_000]\n"
 	_, err = sweep.Run(context.Background(), readScenario(t, memory), opts)
-	if err == nil || !strings.Contains(err.Error(), "8000 proxies do not fit: ") ||
+	if err == nil || !strings.Contains(err.Error(), "8000 proxies exceed the limit of ") ||
 		!strings.Contains(err.Error(), " GB of memory") || strings.Contains(err.Error(), "\n") {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want one line with the limit by memory", err)
 	}
 }
 
-// A worker that cannot be started, and one that exits, fail the sweep with a reason.
+// A worker that cannot be started or exits early fails the sweep with an error that names it.
 func TestFailedWorkerFailsSweep(t *testing.T) {
 	for _, program := range []string{"/nonexistent", "/bin/true"} {
-		_, err := sweep.Run(context.Background(), readScenario(t, small), sweep.Options{Worker: []string{program}})
+		opts := sweep.Options{Worker: []string{program}}
+		_, err := sweep.Run(context.Background(), readScenario(t, smallScenario), opts)
 		if err == nil || !strings.Contains(err.Error(), "lists-1") {
-			t.Errorf("%s: %v", program, err)
+			t.Errorf("%s: got error %v, want one that names lists-1", program, err)
 		}
 	}
 }
--- a/internal/scale/sweep/usage.go
+++ b/internal/scale/sweep/usage.go
@@ -9,7 +9,7 @@
 	"fernlanding/internal/scale/worker"
 )
 
-// roleMemory is the resident memory of the processes by role, in bytes.
+// roleMemory is the resident memory of processes by role, in bytes.
 type roleMemory struct {
 	proxies int64
 	lists   int64
@@ -38,17 +38,17 @@
 	return m, nil
 }
 
-// usageSample is what all processes have used up to a moment.
+// usageSample is the cumulative resource usage of all processes at one time.
 type usageSample struct {
 	at        time.Time
 	proxies   []worker.Usage // by worker
 	lists     []worker.Usage
 	relays    []worker.Usage
 	followers []worker.Usage // traffic between relays and proxies only
-	realCPU   float64        // seconds of CPU time of the real proxies
+	realCPU   float64        // CPU seconds of the real proxies
 }
 
-// sampleUsage returns what all processes have used so far.
+// sampleUsage returns the current usage of all processes.
 func (ps *processes) sampleUsage(ctx context.Context) (usageSample, error) {
 	u := usageSample{at: time.Now()}
 	var err error
@@ -83,7 +83,7 @@
 	return usages, nil
 }
 
-// costBetween returns what the processes of a role used between two samples.
+// costBetween returns the cost of the processes of a role between two samples.
 func costBetween(before, after []worker.Usage) result.Cost {
 	sum := result.Cost{Processes: len(after)}
 	for i, a := range after {
@@ -100,7 +100,7 @@
 	return sum
 }
 
-// peerTraffic returns the traffic of a role as its peers see it.
+// peerTraffic returns the traffic of the peers of a role: the counts with both directions swapped.
 func peerTraffic(c result.Cost) result.Cost {
 	return result.Cost{
 		BytesIn:     c.BytesOut,
--- a/internal/scale/topology/layout.go
+++ b/internal/scale/topology/layout.go
@@ -1,7 +1,7 @@
-// Package topology derives from the size of a scale test's fleet the names, addresses and
-// configurations of all its members: the services that a proxy follows, the services of a list
-// service, the addresses of backends. It is pure, so that a sweep and its workers derive the same
-// from the same Layout.
+// Package topology derives the names, addresses and configurations of all members of a scale test
+// from the size of its fleet: the services that a proxy follows, the services of a list service,
+// and the addresses of backends. The package does no I/O and depends on its input only, so that a
+// sweep and its workers derive the same topology from the same Layout.
 package topology
 
 import (
@@ -17,7 +17,7 @@
 	"fernlanding/internal/scale/result"
 )
 
-// Class is the one request class of each service.
+// Class is the name of the only request class of each service.
 const Class = "read"
 
 // Settings of the proxies.
@@ -27,32 +27,32 @@
 	memoryMB = 64
 )
 
-// Addresses. All are on loopback; a proxy has an address of its own so that its ports do not run
-// out.
+// Loopback addresses and ports. Each proxy has its own address so that it does not run out of
+// ports.
 const (
 	firstClient  = 0x7f400001 // 127.64.0.1
 	firstBackend = 0x7f200001 // 127.32.0.1
-	backendPort  = 8000       // of the first service
-	listenPort   = 19_000     // of a real proxy
+	backendPort  = 8000       // backends of the first service
+	listenPort   = 19_000     // real proxies
 )
 
-// followStream is the stream of the seed that chooses the services followed.
-const followStream = 51
+// followedServicesStream is the PCG stream that selects the services that a proxy follows.
+const followedServicesStream = 51
 
-// Layout determines all members of a fleet.
+// Layout determines all members of a fleet. It is passed to workers as JSON.
 type Layout struct {
 	Source       result.Source `json:"source"`
 	Size         result.Size   `json:"size"`
 	Seed         uint64        `json:"seed"`
-	ListServices []string      `json:"lists,omitempty"`  // addresses of the list services; services are assigned in turn
-	Relays       []string      `json:"relays,omitempty"` // addresses of the relays
+	ListServices []string      `json:"lists,omitempty"`  // addresses; services are assigned to them in turn
+	Relays       []string      `json:"relays,omitempty"` // addresses
 }
 
-// ServiceName returns the name of a service by its number.
+// ServiceName returns the name of the service with a number.
 func ServiceName(number int) string { return fmt.Sprintf("service-%04d", number) }
 
-// ServicesOfListService returns the numbers of the services whose lists the list service of an index serves, of
-// so many list services.
+// ServicesOfListService returns the numbers of the services whose lists are served by the list
+// service with the given index. The parameter listServices is the number of list services.
 func ServicesOfListService(size result.Size, index, listServices int) []int {
 	var numbers []int
 	for n := index; n < size.TotalServices; n += listServices {
@@ -61,21 +61,21 @@
 	return numbers
 }
 
-// ProxyName returns the name of a proxy by its number.
+// ProxyName returns the name of the proxy with a number.
 func ProxyName(number int) string { return fmt.Sprintf("proxy-%05d", number) }
 
-// FollowedServices returns the numbers of the services that a proxy follows, ascending.
+// FollowedServices returns the numbers of the services that a proxy follows, in ascending order.
 func (l *Layout) FollowedServices(proxy int) []int {
-	rng := rand.New(rand.NewPCG(l.Seed+uint64(proxy), followStream))
+	rng := rand.New(rand.NewPCG(l.Seed+uint64(proxy), followedServicesStream))
 	numbers := rng.Perm(l.Size.TotalServices)[:l.Size.Services]
 	slices.Sort(numbers)
 	return numbers
 }
 
-// ClientAddr returns the loopback address that a proxy connects from.
+// ClientAddr returns the loopback address from which a proxy opens connections.
 func ClientAddr(proxy int) netip.Addr { return addrFrom(firstClient + uint32(proxy)) }
 
-// BackendAddr returns the address of a backend of a service. Nothing listens there.
+// BackendAddr returns the address of a backend of a service. No process listens on this address.
 func BackendAddr(service, number int) string {
 	ip := addrFrom(firstBackend + uint32(number)%(1<<16))
 	return net.JoinHostPort(ip.String(), strconv.Itoa(backendPort+service%4096))
@@ -85,7 +85,7 @@
 	return netip.AddrFrom4([4]byte{byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)})
 }
 
-// ListenAddr returns the address that a real proxy listens on; a hollow one does not listen.
+// ListenAddr returns the address on which a real proxy listens. Hollow proxies do not listen.
 func ListenAddr(proxy int) string {
 	return net.JoinHostPort(ClientAddr(proxy).String(), strconv.Itoa(listenPort))
 }
@@ -114,7 +114,7 @@
 	return []byte(text.String())
 }
 
-// writeMembership writes where a service's endpoint list comes from.
+// writeMembership writes the settings for the endpoint list of a service.
 func (l *Layout) writeMembership(text *strings.Builder, service int) {
 	switch l.Source {
 	case result.SourceConsul:
--- a/internal/scale/worker/changer.go
+++ b/internal/scale/worker/changer.go
@@ -9,8 +9,8 @@
 	"fernlanding/internal/scale/topology"
 )
 
-// changer changes the lists of services at a steady rate, one after the other.
-type changer struct {
+// listChanger changes the lists of services in turn at a constant rate.
+type listChanger struct {
 	services []int
 	backends int
 	rate     float64 // changes per second, over all services
@@ -23,11 +23,11 @@
 	mu       sync.Mutex
 	versions []int64 // by index in services
 	made     []Change
-	err      error // the first of a write
+	err      error // first error of a write
 }
 
-func newChanger(services []int, backends int, rate float64, write func(int, churn.Change) error) *changer {
-	return &changer{
+func newListChanger(services []int, backends int, rate float64, write func(int, churn.Change) error) *listChanger {
+	return &listChanger{
 		services: services,
 		backends: backends,
 		rate:     rate,
@@ -37,16 +37,16 @@
 	}
 }
 
-// start begins to change lists. Further calls do nothing.
-func (c *changer) start() {
+// start starts to change lists. Further calls have no effect.
+func (c *listChanger) start() {
 	if c.rate <= 0 || len(c.services) == 0 {
 		return
 	}
 	c.startOnce.Do(func() { c.running.Go(c.run) })
 }
 
-// run makes a change at each tick, to the services in turn.
-func (c *changer) run() {
+// run makes a change at each tick. It changes the services in turn.
+func (c *listChanger) run() {
 	tick := time.NewTicker(time.Duration(float64(time.Second) / c.rate))
 	defer tick.Stop()
 	for turn := 0; ; turn++ {
@@ -60,7 +60,7 @@
 }
 
 // change makes the next change of the service at an index.
-func (c *changer) change(index int) {
+func (c *listChanger) change(index int) {
 	c.mu.Lock()
 	c.versions[index]++
 	version := c.versions[index]
@@ -76,8 +76,8 @@
 	c.made = append(c.made, Change{Service: topology.ServiceName(service), Version: version, At: at})
 }
 
-// take returns the changes made since the last take.
-func (c *changer) take() []Change {
+// take returns the changes made since the last call of take.
+func (c *listChanger) take() []Change {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := c.made
@@ -85,15 +85,15 @@
 	return out
 }
 
-// firstError returns the first error of a change; nil where all were made.
-func (c *changer) firstError() error {
+// firstError returns the first error of a change, or nil if all changes were made.
+func (c *listChanger) firstError() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.err
 }
 
-// close ends the changes and returns when none is under way.
-func (c *changer) close() {
+// close stops the changes and returns when no change is in progress.
+func (c *listChanger) close() {
 	close(c.stop)
 	c.running.Wait()
 }
--- a/internal/scale/worker/listservice.go
+++ b/internal/scale/worker/listservice.go
@@ -9,10 +9,10 @@
 	"fernlanding/internal/standin"
 )
 
-// listService is a list service: a stand-in registry, with a changer of its lists.
+// listService is a worker that serves endpoint lists from a stand-in registry and changes the lists.
 type listService struct {
 	registry *standin.Registry
-	changer  *changer
+	changer  *listChanger
 }
 
 func newListService(spec Spec) (*listService, error) {
@@ -37,10 +37,10 @@
 		return applyChange(registry.Service(topology.ServiceName(service)), service, c)
 	}
 	rate := size.ChangesPerSecond * float64(len(services)) / float64(size.TotalServices)
-	return &listService{registry: registry, changer: newChanger(services, size.Backends, rate, write)}, nil
+	return &listService{registry: registry, changer: newListChanger(services, size.Backends, rate, write)}, nil
 }
 
-// backendMember returns a backend as the registry lists it.
+// backendMember returns the registry entry of a backend.
 func backendMember(service, number int) standin.Member {
 	return standin.Member{
 		Name:    churn.BackendName(topology.ServiceName(service), number),
@@ -50,7 +50,7 @@
 	}
 }
 
-// applyChange makes a change in the registry.
+// applyChange applies a change to the registry.
 func applyChange(to *standin.Health, service int, c churn.Change) error {
 	m := backendMember(service, c.Backend)
 	switch c.Kind {
@@ -59,7 +59,7 @@
 		return nil
 	case churn.Drain:
 		m.Status = "DRAINING"
-	case churn.Join: // a new backend serves at once
+	case churn.Join: // a new backend has the status SERVING
 	}
 	to.Put(m)
 	return nil
--- a/internal/scale/worker/proxyhost.go
+++ b/internal/scale/worker/proxyhost.go
@@ -11,29 +11,28 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// startInterval is the time between the starts of two proxies, so that they do not all read their
-// lists at once.
+// startInterval is the time between the starts of two proxies, so that the proxies do not all read
+// their lists at once.
 const startInterval = time.Millisecond
 
-// readyTimeout bounds the start of all proxies and their wait for their lists.
+// readyTimeout is the timeout for the start of all proxies and the receipt of all lists.
 const readyTimeout = 2 * time.Minute
 
 const (
-	maxInForceMicros = int64(10 * time.Minute / time.Microsecond)
-	precision        = 3 // significant digits of a histogram
+	maxPropagationMicros = int64(10 * time.Minute / time.Microsecond)
+	precision            = 3 // significant digits of a histogram
 )
 
-// NewPropagationHistogram returns an empty histogram of the times until changes were in force, in
-// microseconds.
+// NewPropagationHistogram returns an empty histogram of propagation times in microseconds.
 func NewPropagationHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxInForceMicros, precision)
+	return hdrhistogram.New(1, maxPropagationMicros, precision)
 }
 
 // proxyHost is a worker that runs hollow proxies.
 type proxyHost struct {
 	spec  Spec
 	fleet *hollow.Fleet
-	load  *hollow.Load // nil: no calls are made
+	load  *hollow.Load // nil if no calls are made
 }
 
 func newProxyHost(spec Spec) *proxyHost {
@@ -81,17 +80,17 @@
 	return p.fleet.WaitReady(ctx)
 }
 
-// collect fills in what was measured since the last collect. The times until changes were in force
-// are those of the given changes.
+// collect sets the measurements since the last call of collect. The propagation times are the times
+// of the given changes.
 func (p *proxyHost) collect(changes []Change, s *State) error {
 	s.Failures = p.fleet.Failures()
-	arrivals, lost := p.fleet.TakeAppliedVersions()
-	s.Lost = lost
-	inForce, err := encodeHistogram(inForceTimes(changes, arrivals))
+	applied, dropped := p.fleet.TakeAppliedVersions()
+	s.Lost = dropped
+	propagation, err := encodeHistogram(propagationTimes(changes, applied))
 	if err != nil {
 		return err
 	}
-	s.Propagation = inForce
+	s.Propagation = propagation
 	if p.load == nil {
 		return nil
 	}
@@ -103,8 +102,8 @@
 	return err
 }
 
-// inForceTimes returns the times until changes were in force, over all proxies.
-func inForceTimes(changes []Change, arrivals []hollow.AppliedVersion) *hdrhistogram.Histogram {
+// propagationTimes returns the times from changes until proxies applied them, over all proxies.
+func propagationTimes(changes []Change, applied []hollow.AppliedVersion) *hdrhistogram.Histogram {
 	type version struct {
 		service string
 		number  int64
@@ -114,16 +113,16 @@
 		made[version{service: c.Service, number: c.Version}] = c.At
 	}
 	h := NewPropagationHistogram()
-	for _, a := range arrivals {
-		if at, known := made[version{service: a.Service, number: a.Version}]; known {
+	for _, a := range applied {
+		if at, found := made[version{service: a.Service, number: a.Version}]; found {
 			took := (a.At - at) / int64(time.Microsecond)
-			_ = h.RecordValue(min(max(1, took), maxInForceMicros)) // fails only for values out of range
+			_ = h.RecordValue(min(max(1, took), maxPropagationMicros)) // fails only for values out of range
 		}
 	}
 	return h
 }
 
-// encodeHistogram returns a histogram as bytes of a reply; nil where it is empty.
+// encodeHistogram returns the encoding of a histogram for a reply, or nil if the histogram is empty.
 func encodeHistogram(h *hdrhistogram.Histogram) ([]byte, error) {
 	if h.TotalCount() == 0 {
 		return nil, nil
--- a/internal/scale/worker/publisher.go
+++ b/internal/scale/worker/publisher.go
@@ -14,24 +14,25 @@
 	"fernlanding/internal/scale/topology"
 )
 
-// putTimeout bounds one write to the source.
+// putTimeout is the timeout of a write to the source.
 const putTimeout = 10 * time.Second
 
-// publisher writes lists to a source of distribution.
+// publisher is a worker that writes lists to a source of distribution and changes the lists.
 type publisher struct {
 	spec    Spec
 	client  *httpapi.Client
-	changer *changer
+	changer *listChanger
 }
 
 func newPublisher(spec Spec) *publisher {
 	p := &publisher{spec: spec, client: httpapi.NewClient(nil)}
 	size := spec.Layout.Size
-	p.changer = newChanger(topology.ServicesOfListService(size, 0, 1), size.Backends, size.ChangesPerSecond, p.change)
+	services := topology.ServicesOfListService(size, 0, 1)
+	p.changer = newListChanger(services, size.Backends, size.ChangesPerSecond, p.change)
 	return p
 }
 
-// endpointValue is the value of a list item: a backend.
+// endpointValue is the value of a list item, which describes a backend.
 type endpointValue struct {
 	Address string  `json:"address"`
 	Status  string  `json:"status"`
@@ -81,7 +82,8 @@
 	return nil
 }
 
-// change makes a change of a service's list. One that takes a backend out of use is urgent.
+// change applies a change to the list of a service. Changes that take a backend out of use are
+// urgent.
 func (p *publisher) change(service int, c churn.Change) error {
 	status := "serving"
 	if c.Kind == churn.Drain {
@@ -112,7 +114,7 @@
 	return nil
 }
 
-// traffic is none: the source counts it.
+// traffic returns zero, because the source counts the traffic.
 func (p *publisher) traffic() hollow.Traffic { return hollow.Traffic{} }
 
 func (p *publisher) close() {
--- a/internal/scale/worker/usage.go
+++ b/internal/scale/worker/usage.go
@@ -9,18 +9,18 @@
 	"fernlanding/internal/scale/hollow"
 )
 
-// The runtime's metrics of allocations since the process's start.
+// Metrics of package runtime/metrics: allocations since the start of the process.
 const (
 	allocatedBytes   = "/gc/heap/allocs:bytes"
 	allocatedObjects = "/gc/heap/allocs:objects"
 )
 
-// measureUsage returns what this process has used since its start, with its traffic.
+// measureUsage returns the resource usage of this process since its start, with the given traffic.
 func measureUsage(traffic hollow.Traffic) Usage {
 	allocations := []metrics.Sample{{Name: allocatedBytes}, {Name: allocatedObjects}}
 	metrics.Read(allocations)
 	var used syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &used) // fails only for other arguments
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &used) // fails only for invalid arguments
 	cpu := time.Duration(used.Utime.Nano() + used.Stime.Nano())
 	return Usage{
 		At:             hollow.MonotonicNow(),
@@ -31,7 +31,7 @@
 	}
 }
 
-// measureState returns what is live in this process after a garbage collection.
+// measureState returns the live heap and the goroutines of this process after a garbage collection.
 func measureState() State {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/scale/worker/worker.go
+++ b/internal/scale/worker/worker.go
@@ -1,10 +1,10 @@
-// Package worker implements the processes of a scale test other than the program's own: one kind
-// runs many hollow proxies, another is a list service with what changes its lists, a third writes
-// lists to a source of distribution.
+// Package worker implements the worker processes of a scale test. The roles are a host of many
+// hollow proxies, a list service that changes its lists, and a publisher that writes lists to a
+// source of distribution.
 //
 // A worker reads a Spec from the first line of its standard input and a Command from each further
-// line, and answers each with a Reply on a line of its standard output. It ends when its input
-// does.
+// line. It answers each line with a Reply on a line of its standard output. A worker exits at the
+// end of its input.
 package worker
 
 import (
@@ -24,22 +24,22 @@
 
 const maxLine = 64 << 20 // bytes
 
-// roleWorker is what a worker does by its role.
+// roleWorker is the implementation of a role.
 type roleWorker interface {
-	// do carries out a command and fills in its reply. It returns errUnknownCommand for a command
-	// that the role lacks.
+	// do executes a command and sets fields of the reply. It returns errUnknownCommand for a command
+	// that the role does not support.
 	do(ctx context.Context, c Command, r *Reply) error
 	traffic() hollow.Traffic
 	close()
 }
 
 var (
-	errUnknownCommand = errors.New("not a command of this role")
-	errNoSpec         = errors.New("a line that says what it is expected")
+	errUnknownCommand = errors.New("command not supported by this role")
+	errInvalidSpec    = errors.New("invalid spec")
 )
 
-// Run runs a worker until its input ends. An error of a command is part of its reply; Run returns
-// other errors.
+// Run runs a worker until the end of its input. The error of a command is part of its reply. Run
+// returns all other errors.
 func Run(input io.Reader, output io.Writer) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -47,10 +47,10 @@
 	lines.Buffer(make([]byte, 1<<16), maxLine)
 	var spec Spec
 	if !lines.Scan() {
-		return fmt.Errorf("worker: %w: %w", errNoSpec, errors.Join(lines.Err(), io.ErrUnexpectedEOF))
+		return fmt.Errorf("worker: %w: %w", errInvalidSpec, errors.Join(lines.Err(), io.ErrUnexpectedEOF))
 	}
 	if err := json.Unmarshal(lines.Bytes(), &spec); err != nil {
-		return fmt.Errorf("worker: %w: %w", errNoSpec, err)
+		return fmt.Errorf("worker: %w: %w", errInvalidSpec, err)
 	}
 	w, hello, err := newRoleWorker(spec)
 	if err != nil {
@@ -64,7 +64,7 @@
 	for lines.Scan() {
 		var c Command
 		if err := json.Unmarshal(lines.Bytes(), &c); err != nil {
-			return fmt.Errorf("worker: a command expected: %w", err)
+			return fmt.Errorf("worker: invalid command: %w", err)
 		}
 		if err := replies.Encode(execute(ctx, w, c)); err != nil {
 			return fmt.Errorf("worker: %w", err)
@@ -73,7 +73,7 @@
 	return lines.Err()
 }
 
-// newRoleWorker starts the worker of a role and returns the reply to its Spec.
+// newRoleWorker starts the implementation of a role and returns the reply to the Spec.
 func newRoleWorker(spec Spec) (roleWorker, Reply, error) {
 	switch spec.Role {
 	case Proxies:
@@ -90,11 +90,12 @@
 	case Publisher:
 		return newPublisher(spec), Reply{}, nil
 	default:
-		return nil, Reply{}, fmt.Errorf("role %q: %s, %s or %s expected", spec.Role, Proxies, ListService, Publisher)
+		return nil, Reply{}, fmt.Errorf("unknown role %q: %s, %s or %s expected",
+			spec.Role, Proxies, ListService, Publisher)
 	}
 }
 
-// execute carries out a command and returns its reply.
+// execute executes a command and returns its reply.
 func execute(ctx context.Context, w roleWorker, c Command) Reply {
 	if c.Kind == CommandUsage {
 		return Reply{Usage: measureUsage(w.traffic())}
