--- a/cmd/fernctl/migrate_test.go
+++ b/cmd/fernctl/migrate_test.go
@@ -17,7 +17,7 @@
 	if err := os.WriteFile(name, old, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	out := expect(t, 0, "version = 2; the format", "migrate", name)
+	out := expect(t, 0, "version = 2; the newest version", "migrate", name)
 	if now, _ := os.ReadFile(name); !bytes.Equal(now, old) {
 		t.Error("printing replaced the file")
 	}
--- a/cmd/fernlanding/main_test.go
+++ b/cmd/fernlanding/main_test.go
@@ -129,8 +129,8 @@
 		{nil, "neither -config nor LB_CONFIG"},
 		{
 			[]string{"-config", bad},
-			bad + ":2:8: WRONG-TYPE: name: found 7: a string expected\n" +
-				bad + ":3:12: UNKNOWN-FIELD: listener: unknown field; listeners meant?\n",
+			bad + ":2:8: WRONG-TYPE: name: invalid value 7: must be a string\n" +
+				bad + ":3:12: UNKNOWN-FIELD: listener: unknown field \"listener\"; did you mean \"listeners\"?\n",
 		},
 		{[]string{"-config", filepath.Join(dir, "none")}, "no such file"},
 		{[]string{"-confg", bad}, "flag provided but not defined"},
--- a/internal/config/capacity.go
+++ b/internal/config/capacity.go
@@ -3,84 +3,88 @@
 import "fmt"
 
 const (
-	ownDescriptors = 32       // that are neither a client's nor a backend's, generously
-	minConnections = 8        // on either side
-	bodyFraction   = 4        // one part in so many of the process's memory holds bodies
-	bodyMemory     = 64 << 20 // bytes for bodies where the process's memory is not known
-	// ClientsConsumer is the party under which clients' connections are counted.
+	ownDescriptors = 32       // descriptors of the process itself, with a generous margin
+	minConnections = 8        // connections, both to clients and to backends
+	bodyFraction   = 4        // divisor of the process's memory that gives the memory for bodies
+	bodyMemory     = 64 << 20 // bytes for bodies if the process's memory is unknown
+	// ClientsConsumer is the name of the consumer that holds the connections of clients.
 	ClientsConsumer = "(clients)"
 )
 
-// Allocation is how a resource is divided among parties: see package quota.
+// Allocation is the division of a resource among consumers; see package quota.
 type Allocation struct {
-	Total  int64
-	Names  []string
-	Floors []int64 // what each party can have at any time
+	Total  int64    // total capacity
+	Names  []string // names of the consumers
+	Floors []int64  // guaranteed part of each consumer
 }
 
-// add adds a party.
-func (p *Allocation) add(name string, floor int64) {
-	p.Names = append(p.Names, name)
-	p.Floors = append(p.Floors, floor)
+// add adds a consumer.
+func (a *Allocation) add(name string, floor int64) {
+	a.Names = append(a.Names, name)
+	a.Floors = append(a.Floors, floor)
 }
 
-// Descriptors divides the process's file descriptors among clients and services. A third of what is
-// not the process's own is the clients' at any time, a third the services'; the last third is lent.
+// Descriptors divides the process's file descriptors among clients and services. Of the descriptors
+// that the process does not need itself, a third is guaranteed to clients, a third is guaranteed to
+// services, and any consumer can borrow from the last third.
 func (a *App) Descriptors() (Allocation, error) {
-	parts := Allocation{Total: int64(a.Process.Sockets - ownDescriptors)}
+	allocation := Allocation{Total: int64(a.Process.Sockets - ownDescriptors)}
 	if a.Kind == Platform {
-		return a.platformDescriptors(parts)
+		return a.platformDescriptors(allocation)
 	}
-	if parts.Total < 2*minConnections {
-		return parts, fmt.Errorf("%d descriptors are too few: %d expected at least",
+	if allocation.Total < 2*minConnections {
+		return allocation, fmt.Errorf("%d file descriptors are too few: must be at least %d",
 			a.Process.Sockets, ownDescriptors+2*minConnections)
 	}
-	clients := max(minConnections, parts.Total/3)
-	parts.add(ClientsConsumer, clients)
+	clients := max(minConnections, allocation.Total/3)
+	allocation.add(ClientsConsumer, clients)
 	sum := clients
 	for _, s := range a.Services {
 		floor := s.Connections
 		if floor == 0 {
-			floor = max(1, parts.Total/3/int64(len(a.Services)))
+			floor = max(1, allocation.Total/3/int64(len(a.Services)))
 		}
-		parts.add(s.Name, floor)
+		allocation.add(s.Name, floor)
 		sum += floor
 	}
-	if sum > parts.Total {
-		return parts, fmt.Errorf("%d descriptors are too few: %d for the process, %d for clients and %d for services"+
-			" that are theirs at any time", a.Process.Sockets, ownDescriptors, clients, sum-clients)
+	if sum > allocation.Total {
+		return allocation, fmt.Errorf(
+			"%d file descriptors are too few: the process needs %d, clients %d and services %d",
+			a.Process.Sockets, ownDescriptors, clients, sum-clients)
 	}
-	return parts, nil
+	return allocation, nil
 }
 
-// platformDescriptors divides the descriptors of a sidecar of the platform. Each open request has
-// at most one attempt in flight, and a third more connections to backends may be kept for the next.
-// What is left is the clients': their open requests, and those that are silent or idle.
-func (a *App) platformDescriptors(parts Allocation) (Allocation, error) {
+// platformDescriptors divides the file descriptors of a sidecar of the platform. Each open request
+// has at most one attempt in flight, and a third more connections to backends may be kept idle for
+// later attempts. The remaining descriptors are for clients: those with open requests, and those
+// that are silent or idle.
+func (a *App) platformDescriptors(allocation Allocation) (Allocation, error) {
 	backends := int64(a.Process.Sockets / 3 * 4 / 3)
-	clients := parts.Total - backends
-	parts.add(ClientsConsumer, clients)
-	parts.add(PlatformService, backends)
+	clients := allocation.Total - backends
+	allocation.add(ClientsConsumer, clients)
+	allocation.add(PlatformService, backends)
 	if clients < minConnections {
-		return parts, fmt.Errorf("%d sockets are too few", a.Process.Sockets)
+		return allocation, fmt.Errorf("%d file descriptors are too few: %d are left for clients, must be at least %d",
+			a.Process.Sockets, clients, minConnections)
 	}
-	return parts, nil
+	return allocation, nil
 }
 
-// Memory divides the process's memory for bodies, in bytes, among services. Half of it is theirs at
-// any time, evenly; the other half is lent.
+// Memory divides the process's memory for bodies, in bytes, among services. Half of the memory is
+// guaranteed to services in equal parts, and any service can borrow from the other half.
 func (a *App) Memory() (Allocation, error) {
-	parts := Allocation{Total: bodyMemory}
+	allocation := Allocation{Total: bodyMemory}
 	if a.Process.MemoryMB > 0 {
-		parts.Total = int64(a.Process.MemoryMB * (1 << 20) / bodyFraction)
+		allocation.Total = int64(a.Process.MemoryMB * (1 << 20) / bodyFraction)
 	}
 	for _, s := range a.Services {
-		parts.add(s.Name, parts.Total/2/int64(len(a.Services)))
-		if s.MaxBody > parts.Total/4 || s.MaxResponse > parts.Total/4 {
-			return parts, fmt.Errorf("service %s: bodies of %d and answers of %d bytes are too large:"+
-				" a quarter of the %d bytes that all bodies share expected at most",
-				s.Name, s.MaxBody, s.MaxResponse, parts.Total)
+		allocation.add(s.Name, allocation.Total/2/int64(len(a.Services)))
+		if s.MaxBody > allocation.Total/4 || s.MaxResponse > allocation.Total/4 {
+			return allocation, fmt.Errorf("service %s: request bodies of %d bytes or response bodies of %d bytes"+
+				" exceed the limit of %d: a quarter of the %d bytes that all bodies share",
+				s.Name, s.MaxBody, s.MaxResponse, allocation.Total/4, allocation.Total)
 		}
 	}
-	return parts, nil
+	return allocation, nil
 }
--- a/internal/config/chain_test.go
+++ b/internal/config/chain_test.go
@@ -20,9 +20,10 @@
 	"fernlanding/internal/standin"
 )
 
-// A chain of three tiers and forty applications is generated from one catalogue and serves
-// requests: each application's sidecar runs, and the backends of a tier call the next one through
-// their own. An environment gives the addresses.
+// TestChainOfFortyApplicationsServes checks that three tiers with forty applications, whose files
+// are generated from one catalogue, serve requests. Each application has a running sidecar, and the
+// backends of a tier call the next tier through their own sidecar. An environment sets the
+// addresses.
 func TestChainOfFortyApplicationsServes(t *testing.T) {
 	sources, faults, err := dir.Load("testdata/good/chain-40/catalogue")
 	if err != nil || len(faults) > 0 {
@@ -36,7 +37,7 @@
 	}
 	plan, _, faults := check.Catalogue(cat, "", check.Options{})
 	if len(faults) > 0 || len(plan.Outputs) != 40 {
-		t.Fatalf("%d files\n%v", len(plan.Outputs), faults)
+		t.Fatalf("got %d files, want 40\n%v", len(plan.Outputs), faults)
 	}
 	for _, output := range plan.Outputs {
 		environment += fmt.Sprintf("[environments.loopback.applications.%s]\n", output.Application) +
@@ -55,21 +56,21 @@
 	c.sendRequests(gateways)
 }
 
-// chain is the backends and sidecars of the chain.
+// chain is the backends and sidecars of all tiers.
 type chain struct {
 	t        *testing.T
-	sidecars map[string]*atomic.Pointer[string] // address of each application's own sidecar, by the application
+	sidecars map[string]*atomic.Pointer[string] // address of the sidecar by application
 
 	mu     sync.Mutex
-	served map[string]int // requests at the last tier, by path and subject
+	served map[string]int // number of requests at the last tier by path and subject
 }
 
-// startBackends starts the backends of all tiers, and returns an environment with their addresses.
+// startBackends starts the backends of all tiers and returns an environment with their addresses.
 func (c *chain) startBackends() (environment string) {
 	environment = "catalogue = 1\n"
 	for _, pod := range []struct {
 		service, name string
-		applications  []string // that are its backends; the last tier's have none
+		applications  []string // applications that are backends of the service; nil for the last tier
 		size          int
 	}{
 		{"roaming", "one", numbered("desk", 1, 6), 6},
@@ -99,7 +100,7 @@
 	return environment
 }
 
-// numbered returns names with numbers.
+// numbered returns name with each number in a range.
 func numbered(name string, from, to int) []string {
 	var names []string
 	for i := from; i <= to; i++ {
@@ -108,7 +109,7 @@
 	return names
 }
 
-// serveLastTier is the handler of the backends of the last tier.
+// serveLastTier handles requests at the backends of the last tier.
 func (c *chain) serveLastTier(call *standin.Call) bool {
 	c.mu.Lock()
 	c.served[call.URL.Path+" "+call.Header.Get("Subject")]++
@@ -116,7 +117,7 @@
 	return standin.Echo(call)
 }
 
-// nextPath returns what a backend requests of the next tier to answer a request.
+// nextPath returns the path that a backend requests from the next tier for a request.
 func nextPath(path string) string {
 	switch {
 	case strings.HasPrefix(path, "/quote"):
@@ -131,7 +132,7 @@
 	return "/entries"
 }
 
-// forwardTo returns the handler of a backend that calls the next tier through its own sidecar.
+// forwardTo returns a handler that calls the next tier through the sidecar at an address.
 func (c *chain) forwardTo(sidecarAddr *atomic.Pointer[string]) standin.Handler {
 	client := &http.Client{Transport: &http.Transport{}, Timeout: 10 * time.Second}
 	c.t.Cleanup(client.CloseIdleConnections)
@@ -150,7 +151,7 @@
 		if err != nil {
 			return false
 		}
-		defer func() { _ = resp.Body.Close() }() // it has been read
+		defer func() { _ = resp.Body.Close() }() // the body has been read
 		body, err := io.ReadAll(resp.Body)
 		if err != nil {
 			return false
@@ -159,7 +160,7 @@
 	}
 }
 
-// startSidecars starts all sidecars, and returns the addresses of those of the first tier.
+// startSidecars starts all sidecars and returns the addresses of the sidecars of the first tier.
 func (c *chain) startSidecars(plan *catalogue.Plan, docs []*config.Document) (gateways []string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -172,7 +173,7 @@
 		if err != nil {
 			c.t.Fatalf("%s: %v", doc.File, err)
 		}
-		running.Go(func() { _ = s.Run(ctx) }) // its error shows in what is served
+		running.Go(func() { _ = s.Run(ctx) }) // a failed sidecar makes requests fail
 		if err := s.WaitReady(ctx, 10*time.Second); err != nil {
 			c.t.Fatal(err)
 		}
@@ -186,8 +187,8 @@
 	return gateways
 }
 
-// sendRequests sends each class of requests through each gateway, and checks that the last tier
-// serves each once.
+// sendRequests sends requests of each class through each gateway and checks that the last tier
+// serves each request once.
 func (c *chain) sendRequests(gateways []string) {
 	client := &http.Client{Transport: &http.Transport{}, Timeout: 15 * time.Second}
 	defer client.CloseIdleConnections()
@@ -210,15 +211,15 @@
 	defer c.mu.Unlock()
 	for request := range sent {
 		if c.served[request] != 1 {
-			c.t.Errorf("%s ran %d times", request, c.served[request])
+			c.t.Errorf("%s ran %d times, want 1", request, c.served[request])
 		}
 	}
 	if len(gateways) != 20 || len(sent) != 80 {
-		c.t.Errorf("%d gateways, %d requests", len(gateways), len(sent))
+		c.t.Errorf("got %d gateways and %d requests, want 20 and 80", len(gateways), len(sent))
 	}
 }
 
-// send sends a request, and returns an error unless it is answered with status 200.
+// send sends a request and returns an error unless the response has status 200.
 func send(client *http.Client, method, url, subject string) error {
 	req, err := http.NewRequest(method, url, nil)
 	if err != nil {
@@ -233,6 +234,6 @@
 	if resp.StatusCode != http.StatusOK {
 		err = fmt.Errorf("%s: status %s", url, resp.Status)
 	}
-	_ = resp.Body.Close() // its body does not matter
+	_ = resp.Body.Close() // the body is not needed
 	return err
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,7 +9,7 @@
 	"fernlanding/logic"
 )
 
-// check checks a file that has been decoded as a whole: its limits, and whether its parts agree.
+// check checks the limits of a decoded file, and whether its tables are consistent.
 func (dec *decoder) check(root tomldoc.Scope) {
 	if _, err := dec.app.Descriptors(); err != nil {
 		root.Table("process").ReportField(rules.Sockets, "sockets", "%v", err)
@@ -20,7 +20,9 @@
 	for i := range dec.app.Routes {
 		r := &dec.app.Routes[i]
 		scope := tomldoc.Scope{
-			Collector: root.Collector, Value: root.Value.Fields["routes"].Items[i], Path: fmt.Sprintf("routes[%d]", i+1),
+			Collector: root.Collector,
+			Value:     root.Value.Fields["routes"].Items[i],
+			Path:      fmt.Sprintf("routes[%d]", i+1),
 		}
 		for _, target := range r.Targets {
 			dec.checkWindow(scope, r, target)
@@ -29,19 +31,20 @@
 	dec.checkUse(root)
 }
 
-// checkWindow reports a route whose requests may be retried after the dedup window of their class.
+// checkWindow reports a route whose requests may be retried after the dedup window of the class.
 func (dec *decoder) checkWindow(scope tomldoc.Scope, r *Route, target Target) {
 	_, policy, ok := dec.app.class(target)
 	if !ok || policy.Idempotency != logic.IdempotentByKey || policy.RetryScope == RetryNever {
 		return
 	}
 	if deadline := dec.app.Deadline(r, target); deadline > policy.DedupWindow {
-		scope.ReportField(rules.KeyedWindow, "timeout", "its requests may take %v, class %s of %s is recalled for %v",
-			deadline, target.Class, target.Service, policy.DedupWindow)
+		scope.ReportField(rules.KeyedWindow, "timeout",
+			"duration of requests of %v exceeds the dedup window of %v of class %s of %s",
+			deadline, policy.DedupWindow, target.Class, target.Service)
 	}
 }
 
-// checkUse warns of services and classes to which no route leads.
+// checkUse warns of services and classes that no route uses.
 func (dec *decoder) checkUse(root tomldoc.Scope) {
 	usedServices, usedClasses := map[string]bool{}, map[[2]string]bool{}
 	use := func(target Target) {
@@ -69,8 +72,8 @@
 	}
 }
 
-// warnUnused warns of what is at a path.
+// warnUnused warns of the unused service or class at a path.
 func (dec *decoder) warnUnused(root tomldoc.Scope, path ...string) {
 	at, _ := root.Value.Lookup(path...)
-	root.ReportAt(at, rules.Unused, strings.Join(path, "."), "", "a route to it expected")
+	root.ReportAt(at, rules.Unused, strings.Join(path, "."), "", "unused: no route leads to it")
 }
--- a/internal/config/decode_distribution.go
+++ b/internal/config/decode_distribution.go
@@ -7,11 +7,11 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// MaxRelays is how many relays a file may name: more than a follower tries before the first is
-// tried again.
+// MaxRelays is the maximum number of relays in a file. A follower tries fewer relays before it
+// tries the first one again.
 const MaxRelays = 16
 
-// distribution decodes the table of that name, which version 1 lacks.
+// distribution decodes the table [distribution], which version 1 of the format lacks.
 func (dec *decoder) distribution(root tomldoc.Scope) {
 	if dec.version < 2 {
 		return
@@ -23,16 +23,16 @@
 	distribution.Relays = scope.Strings("relays")
 	switch n := len(distribution.Relays); {
 	case root.Has("distribution") && n == 0:
-		scope.ReportField(rules.Missing, "relays", "the address of one relay at least expected")
+		scope.ReportField(rules.Missing, "relays", "must contain the address of at least one relay")
 	case n > MaxRelays:
-		scope.ReportField(rules.TooMany, "relays", "%d relays, %d expected at most", n, MaxRelays)
+		scope.ReportField(rules.TooMany, "relays", "list of %d relays exceeds the limit of %d", n, MaxRelays)
 	default:
 		checkRelays(scope)
 	}
 	scope.ReportUnknown()
 }
 
-// checkRelays checks the addresses of relays one by one.
+// checkRelays checks the address of each relay.
 func checkRelays(scope tomldoc.Scope) {
 	v := scope.Get("relays", tomldoc.Array)
 	if v == nil {
@@ -41,11 +41,11 @@
 	seen := map[string]bool{}
 	for i, item := range v.Items {
 		path := fmt.Sprintf("%s[%d]", scope.FieldPath("relays"), i+1)
-		if expect := expectedAddress(item.Text, false); item.Kind == tomldoc.String && expect != "" {
-			scope.ReportAt(item, rules.Address, path, item.Describe(), expect)
+		if reason := addressError(item.Text, false); item.Kind == tomldoc.String && reason != "" {
+			scope.ReportAt(item, rules.Address, path, item.Describe(), reason)
 		}
 		if seen[item.Text] {
-			scope.ReportAt(item, rules.DoubleName, path, item.Describe(), "another relay has this address")
+			scope.ReportAt(item, rules.DoubleName, path, item.Describe(), "already the address of another relay")
 		}
 		seen[item.Text] = true
 	}
--- a/internal/config/decode_identity.go
+++ b/internal/config/decode_identity.go
@@ -11,10 +11,10 @@
 
 const (
 	maxNameBytes = 64
-	maxServes    = 64 // services that one application is a backend of
+	maxServes    = 64 // number of services of which one application is a backend
 )
 
-// identity decodes which application the file is for, who runs it, and what wrote the file.
+// identity decodes the application, its team and host, and the provenance of the file.
 func (dec *decoder) identity(root tomldoc.Scope) {
 	app := dec.app
 	app.Name = root.Text("name", "")
@@ -25,22 +25,23 @@
 	if root.Has("name") {
 		CheckName(root, "name", app.Name)
 	} else {
-		root.ReportField(rules.Missing, "name", "the application's name expected")
+		root.ReportField(rules.Missing, "name", "must be the name of the application")
 	}
 	app.Team = optionalName(root, "team")
 	app.Host = optionalName(root, "host")
 	app.Serves = root.Strings("serves")
 	if len(app.Serves) > maxServes {
-		root.ReportField(rules.TooMany, "serves", "%d services, %d expected at most", len(app.Serves), maxServes)
+		root.ReportField(rules.TooMany, "serves",
+			"list of %d services exceeds the limit of %d", len(app.Serves), maxServes)
 	}
 	for _, name := range app.Serves {
 		CheckName(root, "serves", name)
 	}
-	dec.head(root)
+	dec.provenance(root)
 }
 
-// head decodes what a generator has written about the file.
-func (dec *decoder) head(root tomldoc.Scope) {
+// provenance decodes the table that a generator has written about the file.
+func (dec *decoder) provenance(root tomldoc.Scope) {
 	scope := root.Table("generated")
 	dec.app.Provenance = Provenance{
 		GeneratedBy: scope.Text("by", ""), Requires: scope.Text("requires", ""),
@@ -52,22 +53,21 @@
 	scope.ReportUnknown()
 }
 
-// checkRequires reports a file that asks for a newer program.
+// checkRequires reports a file that requires a newer program.
 func (dec *decoder) checkRequires(scope tomldoc.Scope) {
 	want := dec.app.Provenance.Requires
 	isNewer, err := IsNewer(want, ProgramVersion)
 	if err != nil {
-		scope.ReportField(rules.Version, "requires", "a version such as %q expected", ProgramVersion)
+		scope.ReportField(rules.Version, "requires", "must be a version such as %q", ProgramVersion)
 	} else if isNewer {
-		scope.ReportField(rules.Version, "requires", "this program is of version %s; the file asks for %s",
-			ProgramVersion, tomldoc.Truncate(want))
+		scope.ReportField(rules.Version, "requires", "must be at most the program version %s", ProgramVersion)
 	}
 }
 
-// IsName reports whether a text is a valid name: a token of RFC 9110 of 1 to 64 bytes.
+// IsName reports whether name is valid: a token (RFC 9110) of 1 to 64 bytes.
 func IsName(name string) bool { return len(name) <= maxNameBytes && route.IsToken(name) }
 
-// CheckName reports a name that is not valid; without a field, it is the name of the table itself.
+// CheckName reports an invalid name in a field. An empty field means the name of the table itself.
 func CheckName(scope tomldoc.Scope, field, name string) {
 	if IsName(name) {
 		return
@@ -80,10 +80,10 @@
 		}
 	}
 	scope.ReportAt(at, rules.Name, path, strconv.Quote(tomldoc.Truncate(name)),
-		fmt.Sprintf("a name of 1 to %d letters, digits and signs expected", maxNameBytes))
+		fmt.Sprintf("must be a name of 1 to %d letters, digits and signs", maxNameBytes))
 }
 
-// optionalName decodes a name that may be missing.
+// optionalName decodes an optional name.
 func optionalName(scope tomldoc.Scope, field string) string {
 	name := scope.Text(field, "")
 	if scope.Has(field) {
--- a/internal/config/decode_listener.go
+++ b/internal/config/decode_listener.go
@@ -9,7 +9,7 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// listeners decodes where clients connect.
+// listeners decodes the listeners.
 func (dec *decoder) listeners(root tomldoc.Scope) {
 	seen := map[string]bool{}
 	for _, scope := range root.TableArray("listeners") {
@@ -17,24 +17,24 @@
 		CheckName(scope, "name", l.Name)
 		scope.ReportUnknown()
 		if seen[l.Name] {
-			scope.ReportField(rules.DoubleName, "name", "another listener has this name")
+			scope.ReportField(rules.DoubleName, "name", "already the name of another listener")
 		}
 		seen[l.Name] = true
 		for i, other := range dec.app.Listeners {
 			if AddressesConflict(other.Address, l.Address) {
 				scope.ReportField(rules.ListenerClash, "address",
-					"listener %s of number %d has this address", other.Name, i+1)
+					"already the address of listener %s, listeners[%d]", other.Name, i+1)
 			}
 		}
 		dec.app.Listeners = append(dec.app.Listeners, l)
 	}
 	if !root.Has("listeners") {
-		root.ReportField(rules.Missing, "listeners", "one listener at least expected")
+		root.ReportField(rules.Missing, "listeners", "must contain at least one listener")
 	}
 }
 
-// AddressesConflict reports whether two listeners of one host could not both open: they have the same
-// port other than 0, and the same address, or one of them all addresses.
+// AddressesConflict reports whether two listeners on one machine can't both open: they have the same
+// port other than 0, and either the same host or a host that means all IP addresses.
 func AddressesConflict(a, b string) bool {
 	hostA, portA, errA := net.SplitHostPort(a)
 	hostB, portB, errB := net.SplitHostPort(b)
@@ -48,29 +48,29 @@
 	return ipA != nil && ipB != nil && ipA.Equal(ipB)
 }
 
-// isAnyAddress reports whether a host stands for all addresses.
+// isAnyAddress reports whether a host means all IP addresses.
 func isAnyAddress(host string) bool {
 	ip := net.ParseIP(host)
 	return host == "" || ip != nil && ip.IsUnspecified()
 }
 
-// address decodes host:port. Port 0, which stands for any free one, is valid for listeners alone.
+// address decodes host:port. Port 0, which means any free port, is valid only for listeners.
 func address(scope tomldoc.Scope, field string, isListener bool) string {
 	addr := scope.Text(field, "")
-	if expect := expectedAddress(addr, isListener); expect != "" {
-		scope.ReportField(rules.Address, field, "%s", expect)
+	if reason := addressError(addr, isListener); reason != "" {
+		scope.ReportField(rules.Address, field, "%s", reason)
 	}
 	return addr
 }
 
-// expectedAddress returns what is expected instead of an invalid address; empty for a valid one.
-func expectedAddress(addr string, isListener bool) string {
+// addressError returns why an address is invalid, or "" if the address is valid.
+func addressError(addr string, isListener bool) string {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil || host == "" {
-		return "host:port expected"
+		return "must be host:port"
 	}
 	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 && !isListener {
-		return "host:port with a port of 1 to 65535 expected"
+		return "must be host:port with a port from 1 to 65535"
 	}
 	return ""
 }
--- a/internal/config/decode_listener_test.go
+++ b/internal/config/decode_listener_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-func TestAddressesClash(t *testing.T) {
+// TestAddressesConflict checks pairs of addresses in both orders.
+func TestAddressesConflict(t *testing.T) {
 	for _, test := range []struct {
 		a, b  string
 		clash bool
@@ -17,8 +18,9 @@
 		{"[::1]:80", "[0:0::1]:80", true},
 		{"x", "x", false},
 	} {
-		if got := AddressesConflict(test.a, test.b); got != test.clash || AddressesConflict(test.b, test.a) != test.clash {
-			t.Errorf("%s, %s: got %v", test.a, test.b, got)
+		got := AddressesConflict(test.a, test.b)
+		if got != test.clash || AddressesConflict(test.b, test.a) != test.clash {
+			t.Errorf("%s, %s: got %v, want %v", test.a, test.b, got, test.clash)
 		}
 	}
 }
--- a/internal/config/decode_process.go
+++ b/internal/config/decode_process.go
@@ -13,7 +13,7 @@
 	maxListAge     = 24 * time.Hour
 )
 
-// process decodes what the process may use, and the directory that outlives it.
+// process decodes the limits of the process and the directory for data that outlives the process.
 func (dec *decoder) process(root tomldoc.Scope) {
 	app, scope := dec.app, root.Table("process")
 	app.Process = Process{
@@ -23,11 +23,11 @@
 	}
 	app.StateDir = scope.Text("state_dir", "")
 	if scope.Has("state_dir") && app.StateDir == "" {
-		scope.ReportField(rules.Missing, "state_dir", "a folder expected")
+		scope.ReportField(rules.Missing, "state_dir", "must be a directory")
 	}
 	app.MaxListAge = scope.Duration("list_age", defaultListAge, 0, maxListAge)
 	if scope.Has("list_age") && app.StateDir == "" {
-		scope.ReportField(rules.Missing, "list_age", "state_dir, the folder that lists are kept in, expected beside it")
+		scope.ReportField(rules.Missing, "list_age", "requires state_dir, the directory for cached endpoint lists")
 	}
 	scope.ReportUnknown()
 }
--- a/internal/config/decode_route.go
+++ b/internal/config/decode_route.go
@@ -12,14 +12,14 @@
 
 const maxRouteTimeout = MaxDeadline
 
-// routes decodes the routes, and checks that each can be reached.
+// routes decodes the routes and checks that each route can be reached.
 func (dec *decoder) routes(root tomldoc.Scope) {
 	var scopes []tomldoc.Scope
 	names := map[string]bool{}
 	for _, scope := range root.TableArray("routes") {
 		r := dec.route(scope)
 		if names[r.Name] {
-			scope.ReportField(rules.DoubleName, "name", "another route has this name")
+			scope.ReportField(rules.DoubleName, "name", "already the name of another route")
 		}
 		names[r.Name] = true
 		dec.app.Routes = append(dec.app.Routes, r)
@@ -27,9 +27,9 @@
 	}
 	switch {
 	case !root.Has("routes"):
-		root.ReportField(rules.Missing, "routes", "one route at least expected")
+		root.ReportField(rules.Missing, "routes", "must contain at least one route")
 	case len(scopes) > MaxRoutes:
-		root.ReportField(rules.TooMany, "routes", "%d routes, %d expected at most", len(scopes), MaxRoutes)
+		root.ReportField(rules.TooMany, "routes", "list of %d routes exceeds the limit of %d", len(scopes), MaxRoutes)
 		return
 	}
 	for _, l := range dec.app.Listeners {
@@ -40,13 +40,14 @@
 // route decodes one route.
 func (dec *decoder) route(scope tomldoc.Scope) Route {
 	r := Route{
-		Name: scope.Text("name", ""), Listeners: scope.Strings("listeners"), RewritePrefix: scope.Text("rewrite_prefix", ""),
-		Timeout: scope.Duration("timeout", 0, minTime, maxRouteTimeout),
+		Name: scope.Text("name", ""), Listeners: scope.Strings("listeners"),
+		RewritePrefix: scope.Text("rewrite_prefix", ""),
+		Timeout:       scope.Duration("timeout", 0, minDuration, maxRouteTimeout),
 	}
 	CheckName(scope, "name", r.Name)
 	for _, name := range r.Listeners {
 		if !slices.ContainsFunc(dec.app.Listeners, func(l Listener) bool { return l.Name == name }) {
-			scope.ReportField(rules.UnknownListener, "listeners", "no listener is named %q", tomldoc.Truncate(name))
+			scope.ReportField(rules.UnknownListener, "listeners", "unknown listener %q", tomldoc.Truncate(name))
 		}
 	}
 	r.CausedBy = dec.causes(scope)
@@ -58,7 +59,8 @@
 	return r
 }
 
-// causes decodes which classes that the application serves cause a route's requests.
+// causes decodes the classes, of services that the application serves, that cause a route's
+// requests.
 func (dec *decoder) causes(scope tomldoc.Scope) []string {
 	if dec.version < 2 {
 		return nil
@@ -68,13 +70,13 @@
 		service, class, ok := strings.Cut(cause, "/")
 		if !ok || !IsName(class) || !slices.Contains(dec.app.Serves, service) {
 			scope.ReportField(rules.UnknownService, "for",
-				"service/class of what the application serves expected, found %q", tomldoc.Truncate(cause))
+				"invalid class %q: must be service/class of a service in serves", tomldoc.Truncate(cause))
 		}
 	}
 	return causes
 }
 
-// match decodes which requests a route takes.
+// match decodes the conditions that requests of a route meet.
 func (dec *decoder) match(scope tomldoc.Scope) route.Match {
 	match := route.Match{Hosts: scope.Strings("hosts"), Methods: scope.Strings("methods")}
 	paths := 0
@@ -88,7 +90,7 @@
 	}
 	if paths > 1 {
 		scope.ReportAt(scope.Value, rules.Exclusive, scope.Path, "",
-			"one of prefix, exact and template expected, not several")
+			"prefix, exact and template are mutually exclusive")
 	}
 	headers := scope.Table("headers")
 	for _, name := range headers.Value.Keys {
@@ -100,27 +102,27 @@
 		case v.Kind == tomldoc.Bool && v.Text == "true":
 			match.Headers = append(match.Headers, route.HeaderMatch{Name: name, Any: true})
 		default:
-			headers.ReportField(rules.WrongType, name, "a string, or true for any value, expected")
+			headers.ReportField(rules.WrongType, name, "must be a string, or true for any value")
 		}
 	}
 	return match
 }
 
-// checkRewrite reports a replacement of the prefix that is not valid, or of a route without a
+// checkRewrite reports an invalid replacement of the prefix, and a replacement in a route without
 // prefix.
 func (dec *decoder) checkRewrite(scope tomldoc.Scope, r Route) {
 	if !scope.Has("rewrite_prefix") {
 		return
 	}
 	if canonical, err := route.CanonicalPath(r.RewritePrefix); err != nil || canonical != r.RewritePrefix {
-		scope.ReportField(rules.Rewrite, "rewrite_prefix", "a path in canonical form expected")
+		scope.ReportField(rules.Rewrite, "rewrite_prefix", "must be a path in canonical form")
 	}
 	if r.Match.Kind != route.Prefix {
-		scope.ReportField(rules.Rewrite, "rewrite_prefix", "goes with prefix alone")
+		scope.ReportField(rules.Rewrite, "rewrite_prefix", "requires prefix")
 	}
 }
 
-// stickyField decodes the field by which the arm of a split is chosen.
+// stickyField decodes the header field that selects the arm of a split.
 func (dec *decoder) stickyField(scope tomldoc.Scope) string {
 	field := scope.Text("sticky_header", "")
 	if !scope.Has("sticky_header") {
@@ -128,7 +130,7 @@
 	}
 	field = textproto.CanonicalMIMEHeaderKey(field)
 	if !route.IsToken(field) {
-		scope.ReportField(rules.RouteMatch, "sticky_header", "the name of a field expected")
+		scope.ReportField(rules.RouteMatch, "sticky_header", "must be the name of a header field")
 	}
 	return field
 }
--- a/internal/config/decode_service.go
+++ b/internal/config/decode_service.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	minTime = time.Millisecond
-	// MaxDrainGrace is the longest drain grace. What is sent later after the notification of a
-	// drain is lost.
+	minDuration = time.Millisecond
+	// MaxDrainGrace is the longest drain grace. Requests sent later after the notification of a
+	// drain are lost.
 	MaxDrainGrace = 250 * time.Millisecond
 	// defaultSlowStartMultiple is the default of Service.SlowStartMultiple.
 	defaultSlowStartMultiple = 3
-	// fractionSlack is how much the capacity fractions of all tenants may be over 1 by the rounding
-	// of floats.
+	// fractionSlack is the rounding error of floats by which the sum of the capacity fractions of
+	// all tenants may exceed 1.
 	fractionSlack = 1e-9
 )
 
-// services decodes all services that are called.
+// services decodes all services that the application calls.
 func (dec *decoder) services(root tomldoc.Scope) {
 	names, scopes := root.Tables("services")
 	for i, scope := range scopes {
@@ -32,13 +32,14 @@
 	table := root.Value.Fields["services"]
 	switch {
 	case table == nil, len(table.Keys) == 0 && table.Kind == tomldoc.Table:
-		root.ReportField(rules.Missing, "services", "one service at least expected")
+		root.ReportField(rules.Missing, "services", "must contain at least one service")
 	case len(names) > MaxServices:
-		root.ReportField(rules.TooMany, "services", "%d services, %d expected at most", len(names), MaxServices)
+		root.ReportField(rules.TooMany, "services",
+			"table of %d services exceeds the limit of %d", len(names), MaxServices)
 	}
 }
 
-// service decodes one service with its classes, its tenants and the source of its list.
+// service decodes one service with its classes, its tenants and the source of its endpoint list.
 func (dec *decoder) service(scope tomldoc.Scope, name string) *Service {
 	CheckName(scope, "", name)
 	s := &Service{
@@ -47,7 +48,7 @@
 		MaxBody:     scope.Int("max_body", 64<<10, 0, MaxBody),
 		MaxResponse: scope.Int("max_answer", 1<<20, 0, MaxBody),
 	}
-	s.DialTimeout = scope.Duration("dial_timeout", 200*time.Millisecond, minTime, MaxDeadline)
+	s.DialTimeout = scope.Duration("dial_timeout", 200*time.Millisecond, minDuration, MaxDeadline)
 	s.IdleTimeout = scope.Duration("idle_close", 30*time.Second, 100*time.Millisecond, time.Hour)
 	dec.balancer(scope, s)
 	s.SlowStartMultiple = defaultSlowStartMultiple
@@ -62,8 +63,8 @@
 	return s
 }
 
-// balancer decodes where the sidecar is among those of its service, and the module's limits for the
-// service.
+// balancer decodes the settings of the module for the service: the zones, the sidecar's index among
+// the replicas, and the limits.
 func (dec *decoder) balancer(scope tomldoc.Scope, s *Service) {
 	s.Zones = scope.Strings("zones")
 	zone := scope.Text("zone", "")
@@ -87,24 +88,24 @@
 		MaxSendDelay:         s.DialTimeout.Microseconds(),
 	}
 	if s.Balancer.Zone < 0 {
-		scope.ReportField(rules.UnknownZone, "zone", "one of zones expected: %s", strings.Join(s.Zones, ", "))
+		scope.ReportField(rules.UnknownZone, "zone", "must be one of zones: %s", strings.Join(s.Zones, ", "))
 	}
 	if s.Balancer.DrainGrace > MaxDrainGrace.Microseconds() {
-		scope.ReportField(rules.DrainGrace, "drain_grace", "%v at most expected", MaxDrainGrace)
+		scope.ReportField(rules.DrainGrace, "drain_grace", "must be at most %v", MaxDrainGrace)
 	}
 	if s.Balancer.MaxRetryAfter == 0 {
-		scope.ReportField(rules.NoHint, "retry_after", "a time to come back expected")
+		scope.ReportField(rules.NoHint, "retry_after", "rejections have no Retry-After")
 	}
 }
 
-// serviceVersion2 decodes what version 2 adds to a service.
+// serviceVersion2 decodes the fields that version 2 of the format adds to a service.
 func (dec *decoder) serviceVersion2(scope tomldoc.Scope, s *Service) {
 	s.Owner = optionalName(scope, "owner")
 	s.CapacityFraction = scope.Float("share", 0, 0, 1)
 	s.SlowStartMultiple = scope.Float("cold_multiple", defaultSlowStartMultiple, 0, 100)
 	if s.SlowStartMultiple < 1 {
 		scope.ReportField(rules.ColdMultiple, "cold_multiple",
-			"1 at least expected: sidecars may send a cold backend all that it can do")
+			"must be at least 1: sidecars may send a cold backend its full present capacity")
 	}
 	codes := scope.Table("answers")
 	s.StatusCodes = StatusCodes{
@@ -115,11 +116,12 @@
 	codes.ReportUnknown()
 }
 
-// retriedAtOnce are the status codes after which a client retries at once: they promise that
+// retriedAtOnce are the status codes after which a client retries at once, because they state that
 // nothing has run.
 var retriedAtOnce = []int64{408, 425, 429, 503}
 
-// statusCode decodes a status code that has to be one of some; 0 where it is missing or invalid.
+// statusCode decodes a status code that must be one of codes. statusCode returns 0 if the status
+// code is missing or invalid.
 func statusCode(scope tomldoc.Scope, field string, codes ...int64) int {
 	scope.MarkKnown(field)
 	if !scope.Has(field) || scope.Get(field, tomldoc.Integer) == nil {
@@ -137,7 +139,7 @@
 	for i, code := range codes {
 		words[i] = strconv.FormatInt(code, 10)
 	}
-	scope.ReportField(rule, field, "one of %s expected", strings.Join(words, ", "))
+	scope.ReportField(rule, field, "must be one of %s", strings.Join(words, ", "))
 	return 0
 }
 
@@ -151,7 +153,7 @@
 	budget.ReportUnknown()
 }
 
-// tenants decodes the tenants and their quotas of the service.
+// tenants decodes the tenants of a service and their quotas.
 func (dec *decoder) tenants(scope tomldoc.Scope, s *Service) {
 	names, scopes := scope.Tables("tenants")
 	sum := 0.0
@@ -168,7 +170,7 @@
 		}
 		tenantScope.ReportUnknown()
 	}
-	if len(names) > 1 && sum > 1+fractionSlack { // one tenant alone may have it all by default
-		scope.ReportField(rules.TenantShares, "tenants", "portions of 1 together expected, not %.4g", sum)
+	if len(names) > 1 && sum > 1+fractionSlack { // the default of a tenant is 1, which is valid for a single tenant
+		scope.ReportField(rules.TenantShares, "tenants", "sum of portions of %.4g exceeds the limit of 1", sum)
 	}
 }
--- a/internal/config/decode_target.go
+++ b/internal/config/decode_target.go
@@ -12,18 +12,18 @@
 	"fernlanding/logic"
 )
 
-// maxNamesListed is how many names a diagnostic lists.
+// maxNamesListed is the maximum number of names that a diagnostic lists.
 const maxNamesListed = 8
 
-// targets decodes where a route leads.
+// targets decodes the targets of a route.
 func (dec *decoder) targets(scope tomldoc.Scope, r *Route) {
 	arms := scope.TableArray("split")
 	if len(arms) > 0 && (scope.Has("service") || scope.Has("class")) {
-		scope.ReportField(rules.Exclusive, "split", "either service and class or a split expected")
+		scope.ReportField(rules.Exclusive, "split", "service and class are not allowed with split")
 	}
 	if len(arms) == 0 {
 		if scope.Has("sticky_header") {
-			scope.ReportField(rules.Exclusive, "sticky_header", "goes with a split")
+			scope.ReportField(rules.Exclusive, "sticky_header", "requires split")
 		}
 		r.Targets = []Target{dec.target(scope, 1)}
 		scope.MarkKnown("split")
@@ -42,7 +42,7 @@
 	for _, arm := range arms {
 		target := dec.target(arm, int(arm.Int("weight", 0, 0, route.MaxWeight)))
 		if !arm.Has("weight") {
-			arm.ReportField(rules.Missing, "weight", "0 to %d expected", route.MaxWeight)
+			arm.ReportField(rules.Missing, "weight", "must be from 0 to %d", route.MaxWeight)
 		}
 		arm.ReportUnknown()
 		targets = append(targets, target)
@@ -54,8 +54,7 @@
 	return targets
 }
 
-// target decodes one service and class that a route leads to. The class may be missing where the
-// service has one alone.
+// target decodes one target. The class is optional if the service has only one class.
 func (dec *decoder) target(scope tomldoc.Scope, weight int) Target {
 	target := Target{Service: scope.Text("service", ""), Class: scope.Text("class", ""), Weight: weight}
 	s := dec.app.Service(target.Service)
@@ -65,7 +64,7 @@
 			names = append(names, other.Name)
 		}
 		scope.ReportField(rules.UnknownService, "service", "%s",
-			expectOneOf("one of the services expected", target.Service, names))
+			withNames("must be one of the services", target.Service, names))
 		return target
 	}
 	if target.Class == "" && len(s.Classes) == 1 && !scope.Has("class") {
@@ -77,22 +76,22 @@
 	return target
 }
 
-// reportUnknownClass reports a class that its service does not have, or has by another name now.
+// reportUnknownClass reports a class that the service does not have, or has under a new name.
 func (dec *decoder) reportUnknownClass(scope tomldoc.Scope, s *Service, class string) {
 	renamed := slices.IndexFunc(s.ClassPolicies, func(policy ClassPolicy) bool {
 		return slices.Contains(policy.FormerNames, class)
 	})
 	if renamed >= 0 {
-		scope.ReportField(rules.ClassRenamed, "class", "%s expected: that is its name now", s.Classes[renamed])
+		scope.ReportField(rules.ClassRenamed, "class", "must be %s, the new name of the class", s.Classes[renamed])
 		return
 	}
 	scope.ReportField(rules.UnknownClass, "class", "%s",
-		expectOneOf("one of the classes of "+s.Name+" expected", class, s.Classes))
+		withNames("must be one of the classes of "+s.Name, class, s.Classes))
 }
 
-// expectOneOf returns a text that is followed by the nearest of some names or, if there is none, by
-// the first of them.
-func expectOneOf(text, word string, names []string) string {
+// withNames returns text followed by the name that is nearest to word or, if there is none, by the
+// first names.
+func withNames(text, word string, names []string) string {
 	if guess := tomldoc.WithSuggestion(text, word, names); guess != text && word != "" {
 		return guess
 	}
@@ -103,10 +102,10 @@
 	return text + ": " + strings.Join(names, ", ")
 }
 
-// checkTargets reports arms of a split that disagree on idempotency, and a timeout that does not
-// fit their classes.
+// checkTargets reports arms of a split with different idempotencies, and a timeout that is invalid
+// for the class of a target.
 func (dec *decoder) checkTargets(scope tomldoc.Scope, r *Route) {
-	first := -1 // index of the first target whose class is known; the others are reported already
+	first := -1 // index of the first target with a known class; unknown classes have been reported
 	for i, target := range r.Targets {
 		class, policy, ok := dec.app.class(target)
 		if !ok {
@@ -122,24 +121,26 @@
 	}
 }
 
-// checkSticky reports a split of a keyed class whose arm is chosen by another field than the key.
+// checkSticky reports a split of a keyed class whose arm is selected by another header field than
+// the key.
 func (dec *decoder) checkSticky(scope tomldoc.Scope, r *Route, target Target, policy ClassPolicy) {
-	if policy.Idempotency != logic.IdempotentByKey || len(r.Targets) == 1 || r.StickyHeader == "" || r.StickyHeader == policy.Key {
+	if policy.Idempotency != logic.IdempotentByKey || len(r.Targets) == 1 ||
+		r.StickyHeader == "" || r.StickyHeader == policy.Key {
 		return
 	}
 	scope.ReportField(rules.SplitScope, "sticky_header",
-		"class %s of %s is keyed: one key may come with two values of %s",
+		"must be the key of class %s of %s: requests with the same key may have different values of %s",
 		target.Class, target.Service, r.StickyHeader)
 }
 
-// checkAgreement reports two arms of a split whose classes have different policies for running a
-// request again.
+// checkAgreement reports two arms of a split whose classes have different policies for repeated
+// runs of a request.
 func (dec *decoder) checkAgreement(scope tomldoc.Scope, first, other Target) {
 	_, a, _ := dec.app.class(first)
 	_, b, _ := dec.app.class(other)
 	if a.Idempotency != b.Idempotency {
 		scope.ReportField(rules.SplitRepeat, "split",
-			"its sides disagree on what may be repeated: %s of %s is %s, %s of %s is %s",
+			"arms have different repeat rules: %s of %s is %s, %s of %s is %s",
 			first.Class, first.Service, IdempotencyName(a.Idempotency),
 			other.Class, other.Service, IdempotencyName(b.Idempotency))
 		return
@@ -149,12 +150,11 @@
 	}
 }
 
-// isDeduplicated reports whether the policy has a key and a window; a file without them is rejected
-// for that already.
+// isDeduplicated reports whether the policy has a key and a window. A missing key or window is
+// reported separately.
 func (p ClassPolicy) isDeduplicated() bool { return p.Key != "" && p.DedupWindow > 0 }
 
-// checkSameDeduplication reports two arms of a keyed split that differ in their scope, window or
-// key.
+// checkSameDeduplication reports two arms of a keyed split that differ in the scope, window or key.
 func checkSameDeduplication(scope tomldoc.Scope, first Target, a ClassPolicy, other Target, b ClassPolicy) {
 	for _, field := range []struct {
 		name string
@@ -165,28 +165,28 @@
 		{"key", a.Key, b.Key},
 	} {
 		if field.a != field.b {
-			scope.ReportField(rules.SplitScope, "split", "its sides disagree on %s: %s of %s has %v, %s of %s has %v",
+			scope.ReportField(rules.SplitScope, "split", "arms have a different %s: %s of %s has %v, %s of %s has %v",
 				field.name, first.Class, first.Service, field.a, other.Class, other.Service, field.b)
 		}
 	}
 }
 
-// checkTimeout reports a timeout of a route that is over the deadline of a class that it leads to,
-// or under its latency objective.
+// checkTimeout reports a timeout of a route that is longer than the deadline of a target's class or
+// shorter than the latency objective of the class.
 func checkTimeout(scope tomldoc.Scope, r *Route, target Target, class logic.Class) {
 	if deadline := deadlineOf(class); r.Timeout > deadline {
-		scope.ReportField(rules.LimitDeadline, "timeout", "the deadline of class %s (%v) expected at most",
-			target.Class, deadline)
+		scope.ReportField(rules.LimitDeadline, "timeout", "must be at most the deadline of %v of class %s",
+			deadline, target.Class)
 	}
 	objective := time.Duration(class.LatencyObjective) * time.Microsecond
 	if r.Timeout > 0 && r.Timeout < objective {
-		scope.ReportField(rules.LimitObjective, "timeout", "the objective of class %s of %s (%v) expected at least",
-			target.Class, target.Service, objective)
+		scope.ReportField(rules.LimitObjective, "timeout", "must be at least the objective of %v of class %s of %s",
+			objective, target.Class, target.Service)
 	}
 }
 
-// mirror decodes where copies go; nil: nowhere. A copy is sent beside the request itself and is no
-// retry: a class that is not idempotent has no copies.
+// mirror decodes the target of copies, or returns nil if there is none. A copy is sent in addition
+// to the request itself, so only requests of idempotent classes may be copied.
 func (dec *decoder) mirror(scope tomldoc.Scope, targets []Target) *Target {
 	if !scope.Has("mirror") {
 		scope.MarkKnown("mirror")
@@ -198,13 +198,13 @@
 	for _, target := range targets {
 		if _, policy, ok := dec.app.class(target); ok && policy.Idempotency != logic.Idempotent {
 			scope.ReportField(rules.Mirror, "mirror",
-				"the route's class is %s: a copy of its requests would let an effect happen twice",
+				"class of the route is %s: a copy of a request would have the effect twice",
 				IdempotencyName(policy.Idempotency))
 			break
 		}
 	}
 	if _, policy, ok := dec.app.class(mirror); ok && policy.Idempotency != logic.Idempotent {
-		scope.ReportField(rules.Mirror, "mirror", "class %s of %s is %s: copies go to safe classes alone",
+		scope.ReportField(rules.Mirror, "mirror", "class %s of %s is %s: only safe classes may get copies",
 			mirror.Class, mirror.Service, IdempotencyName(policy.Idempotency))
 	}
 	return &mirror
--- a/internal/config/decode_test.go
+++ b/internal/config/decode_test.go
@@ -14,7 +14,7 @@
 	"fernlanding/logic"
 )
 
-// validFile is a file of version 1 with every kind of table.
+// validFile is a valid file of version 1 with all kinds of tables.
 const validFile = `version = 1
 name = "roaming"
 
@@ -88,7 +88,7 @@
 ]
 `
 
-// All tables of a valid file are decoded.
+// TestValidFileIsDecoded checks the decoding of all tables of a valid file.
 func TestValidFileIsDecoded(t *testing.T) {
 	a, err := Decode("app.toml", []byte(validFile))
 	if err != nil {
@@ -123,6 +123,7 @@
 	}
 }
 
+// testRoutesOfValidFile checks the routes of validFile.
 func testRoutesOfValidFile(t *testing.T, a *App) {
 	t.Helper()
 	r := a.Routes[0]
@@ -143,10 +144,10 @@
 	}
 }
 
-// A file over a bound is rejected.
-func TestBoundsOfAFile(t *testing.T) {
+// TestFileLimits checks that a file that exceeds a limit is rejected.
+func TestFileLimits(t *testing.T) {
 	if _, err := Decode("f", make([]byte, MaxFile+1)); err == nil {
-		t.Error("a file over the bound is accepted")
+		t.Error("file over the size limit accepted")
 	}
 	var b strings.Builder
 	b.WriteString(validFile[:strings.Index(validFile, "[[routes]]")])
@@ -154,16 +155,16 @@
 		fmt.Fprintf(&b, "[[routes]]\nname=\"r%d\"\nexact=\"/r%d\"\nservice=\"tariff\"\n", i, i)
 	}
 	_, err := Decode("f", []byte(b.String()))
-	if err == nil || !strings.Contains(err.Error(), "20000 expected at most") {
+	if err == nil || !strings.Contains(err.Error(), "list of 20001 routes exceeds the limit of 20000") {
 		t.Errorf("got %.300v", err)
 	}
 }
 
-// The examples that operators are given are valid.
+// TestExamplesAreValid checks that the example files for operators are valid.
 func TestExamplesAreValid(t *testing.T) {
 	paths, err := filepath.Glob("../../deploy/*.example.toml")
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("no examples: %v", err)
+		t.Fatalf("no example files: %v", err)
 	}
 	for _, path := range paths {
 		data, err := os.ReadFile(path)
@@ -176,7 +177,7 @@
 	}
 }
 
-// Any bytes give an App that is consistent, or diagnostics that are complete.
+// FuzzDecode checks that decoding returns either a consistent App or complete diagnostics.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(validFile))
 	f.Add([]byte("version = 1\nservices.a.classes.b.repeat = 'safe'\n[[routes]]\n[[routes.split]]\n"))
@@ -189,27 +190,27 @@
 		}
 		var faults tomldoc.Diagnostics
 		if !errors.As(err, &faults) || len(faults) == 0 {
-			t.Fatalf("%T %v", err, err)
+			t.Fatalf("got error %T %v, want diagnostics", err, err)
 		}
 		for _, fault := range faults {
 			if strings.ContainsAny(fault.Error(), "\n\r") || fault.Expect == "" {
-				t.Fatalf("%q", fault.Error())
+				t.Fatalf("incomplete diagnostic %q", fault.Error())
 			}
 		}
 	})
 }
 
-// checkConsistent checks that the sidecar can use an App.
+// checkConsistent checks that a sidecar can use an App.
 func checkConsistent(t *testing.T, a *App) {
 	t.Helper()
 	for _, l := range a.Listeners {
 		if _, _, err := a.Table(l.Name); err != nil {
-			t.Fatalf("a table that does not compile: %v", err)
+			t.Fatalf("routing table does not compile: %v", err)
 		}
 	}
 	for _, s := range a.Services {
 		if _, err := logic.New(s.Balancer, 1); err != nil {
-			t.Fatalf("settings that the module does not accept: %v", err)
+			t.Fatalf("module rejects the settings: %v", err)
 		}
 	}
 	if _, err := a.Descriptors(); err != nil {
--- a/internal/config/diagnostics_test.go
+++ b/internal/config/diagnostics_test.go
@@ -9,105 +9,114 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// ruleID matches the identifier of a rule in a diagnostic. Which rule objects is tested by
-// testdata/bad.
+// ruleID matches the identifier of a rule in a diagnostic. The cases of testdata/bad test the
+// identifiers.
 var ruleID = regexp.MustCompile(`[A-Z]+(-[A-Z]+)*: `)
 
-// Each diagnostic is one line with the file, line, column, field, what was found and what was
-// expected.
+// TestDiagnosticsHaveTheirPlace checks that each diagnostic is one line with the file, line,
+// column, field, invalid value and reason.
 func TestDiagnosticsHaveTheirPlace(t *testing.T) {
 	for _, test := range []struct{ before, after, want string }{
-		{"version = 1\n", "", `f:1:1: version: version = 2 expected`},
+		{"version = 1\n", "", `f:1:1: version: missing field "version": must be version = 2`},
 		{
 			"version = 1", "version = 9",
-			`f:1:11: version: found 9: this program (` + ProgramVersion + `) reads versions 1 to 2; the file is of version 9`,
+			`f:1:11: version: invalid value 9: program version ` + ProgramVersion + ` supports format versions 1 to 2`,
 		},
-		{"version = 1", `version = "1"`, `f:1:11: version: found "1": an integer expected`},
-		{"cores = 2", "cors = 2", `f:5:8: process.cors: unknown field; cores meant?`},
-		{"cores = 2", "cores = -1.5", `f:5:9: process.cores: found -1.5: 0 to 1024 expected`},
-		{"sockets = 512", "sockets = 47", `f:7:11: process.sockets: found 47: 47 descriptors are too few`},
-		{"sockets = 512", "sockets = 0x7fffffffffffffff", `1 to 16777216 expected`},
+		{"version = 1", `version = "1"`, `f:1:11: version: invalid value "1": must be an integer`},
+		{"cores = 2", "cors = 2", `f:5:8: process.cors: unknown field "cors"; did you mean "cores"?`},
+		{"cores = 2", "cores = -1.5", `f:5:9: process.cores: invalid value -1.5: must be from 0 to 1024`},
+		{"sockets = 512", "sockets = 47", `f:7:11: process.sockets: invalid value 47: 47 file descriptors are too few`},
+		{"sockets = 512", "sockets = 0x7fffffffffffffff", `must be from 1 to 16777216`},
 		{
 			"connections = 20", "connections = 400",
-			`descriptors are too few: 32 for the process, 160 for clients and 506 for services`,
+			`descriptors are too few: the process needs 32, clients 160 and services 506`,
 		},
-		{`"127.0.0.1:8080"`, `"8080"`, `f:10:11: listeners[1].address: found "8080": host:port expected`},
+		{`"127.0.0.1:8080"`, `"8080"`, `f:10:11: listeners[1].address: invalid value "8080": must be host:port`},
 		{
 			`discovery = "127.0.0.1:8500"`, `discovery = "a:99999"`,
-			`services.billing.discovery: found "a:99999": host:port with a port`,
+			`services.billing.discovery: invalid value "a:99999": must be host:port with a port`,
 		},
 		{
 			`membership = "static"`, `membership = "statc"`,
-			`f:13:14: services.tariff.membership: found "statc": one of static, catalog expected`,
+			`f:13:14: services.tariff.membership: invalid value "statc": must be one of static, catalog`,
+		},
+		{
+			`membership = "catalog"`, ``,
+			`services.billing.discovery: invalid value "127.0.0.1:8500": requires membership`,
 		},
-		{`membership = "catalog"`, ``, `services.billing.discovery: found "127.0.0.1:8500": goes with membership`},
 		{
 			`status = "draining"`, `status = 7`,
-			`f:17:55: services.tariff.endpoints[2].status: found 7: a string expected`,
+			`f:17:55: services.tariff.endpoints[2].status: invalid value 7: must be a string`,
+		},
+		{
+			`name = "t2"`, `name = "t1"`,
+			`f:17:12: services.tariff.endpoints[2].name: invalid value "t1": already the name of another endpoint`,
 		},
-		{`name = "t2"`, `name = "t1"`, `f:17:12: services.tariff.endpoints[2].name: found "t1": another endpoint`},
 		{
 			`repeat = "safe"` + "\n", "",
-			`f:19:26: services.tariff.classes.lookup.repeat: "safe", "keyed" or "unsafe" expected`,
+			`f:19:26: services.tariff.classes.lookup.repeat: missing field "repeat": ` +
+				`must be "safe", "keyed" or "unsafe"`,
 		},
 		{
 			`repeat = "safe"`, `repeat = "mostly"`,
-			`f:20:10: services.tariff.classes.lookup.repeat: found "mostly": one of safe, keyed, unsafe expected`,
+			`f:20:10: services.tariff.classes.lookup.repeat: invalid value "mostly": ` +
+				`must be one of safe, keyed, unsafe`,
 		},
-		{`objective = "200ms"`, `objective = "2s"`, `found "2s": the deadline (1.5s) expected at most`},
-		{`deadline = "1.5s"`, `deadline = "90s"`, `found "90s": 1ms to 1m0s expected`},
-		{`deadline = "1.5s"`, `deadline = "soon"`, `a time such as`},
-		{"worth = 5", `dedup_window = "1s"`, `only keyed classes`},
-		{`dedup_window = "7.5s"`, "", `how long its servers recall a key`},
-		{`zone = "b"`, `zone = "c"`, `found "c": one of zones expected: a, b`},
-		{`quota = 100`, `quota = nan`, `found nan: 0 to 1e+09 expected`},
+		{`objective = "200ms"`, `objective = "2s"`, `invalid value "2s": must be at most the deadline of 1.5s`},
+		{`deadline = "1.5s"`, `deadline = "90s"`, `invalid value "90s": must be from 1ms to 1m0s`},
+		{`deadline = "1.5s"`, `deadline = "soon"`, `must be a duration such as`},
+		{"worth = 5", `dedup_window = "1s"`, `applies only to keyed classes`},
+		{`dedup_window = "7.5s"`, "", `missing field "dedup_window": a keyed class must state the time`},
+		{`zone = "b"`, `zone = "c"`, `invalid value "c": must be one of zones: a, b`},
+		{`quota = 100`, `quota = nan`, `invalid value nan: must be from 0 to 1e+09`},
 		{
 			`service = "tariff"` + "\n", `service = "tarif"` + "\n",
-			`f:53:11: routes[1].service: found "tarif": one of the services expected: tariff meant?`,
+			`f:53:11: routes[1].service: invalid value "tarif": must be one of the services; did you mean "tariff"?`,
 		},
-		{`class = "post"`, `class = "pots"`, `one of the classes of billing expected: post meant?`},
-		{`timeout = "900ms"`, `timeout = "2s"`, `the deadline of class lookup (1.5s) expected at most`},
+		{`class = "post"`, `class = "pots"`, `must be one of the classes of billing; did you mean "post"?`},
+		{`timeout = "900ms"`, `timeout = "2s"`, `must be at most the deadline of 1.5s of class lookup`},
 		{
 			`prefix = "/v1/tariffs"`, `prefix = "/v1//tariffs"`,
 			`f:47:3: routes[1]: path "/v1//tariffs": requests are matched in canonical form, write "/v1/tariffs"`,
 		},
 		{
 			`prefix = "/v1/tariffs"`, "prefix = \"/v1/tariffs\"\nexact = \"/x\"",
-			`one of prefix, exact and template expected`,
+			`prefix, exact and template are mutually exclusive`,
 		},
 		{
 			`exact = "/rate"`, `template = "/accounts/{x}/charges"`,
-			`"rate": it can't be reached at listener main: "post" takes all its requests before (f:58)`,
+			`routes[3]: route "rate" can't be reached at listener main: ` +
+				`earlier route "post" matches all its requests (f:58)`,
 		},
-		{`name = "rate"`, `name = "post"`, `another route has this name`},
-		{`sticky_header = "x-account"`, `sticky_header = "x account"`, `the name of a field expected`},
+		{`name = "rate"`, `name = "post"`, `already the name of another route`},
+		{`sticky_header = "x-account"`, `sticky_header = "x account"`, `must be the name of a header field`},
 		{`weight = 95`, `weight = 0`, ``},
-		{`weight = 5 `, `weight = -5 `, `found -5: 0 to 1000000 expected`},
+		{`weight = 5 `, `weight = -5 `, `invalid value -5: must be from 0 to 1000000`},
 		{`service = "billing-next", class = "rate"`, `service = "billing", class = "post"`, `stands twice`},
 		{
 			`mirror = { service = "tariff", class = "lookup" }`, `mirror = { service = "billing", class = "post" }`,
-			`class post of billing is unsafe: copies go to safe classes alone`,
+			`class post of billing is unsafe: only safe classes may get copies`,
 		},
 		{
 			`class = "post"` + "\n", "class = \"post\"\nmirror = { service = \"tariff\" }\n",
-			`routes[2].mirror: the route's class is unsafe: a copy of its requests would let an effect happen twice`,
+			`routes[2].mirror: class of the route is unsafe: a copy of a request would have the effect twice`,
 		},
 		{
 			`class = "post"` + "\n", "class = \"rate\"\nmirror = { service = \"tariff\" }\n",
-			`the route's class is keyed`,
+			`class of the route is keyed`,
 		},
-		{`rewrite_prefix = "/tariffs"`, `rewrite_prefix = "/tariffs/../x"`, `a path in canonical form expected`},
+		{`rewrite_prefix = "/tariffs"`, `rewrite_prefix = "/tariffs/../x"`, `must be a path in canonical form`},
 		{
 			`headers = { x-partner = true`, `headers = { x-partner = false`,
-			`f:52:25: routes[1].headers.x-partner: found false: a string, or true`,
+			`f:52:25: routes[1].headers.x-partner: invalid value false: must be a string, or true`,
 		},
 		{`[process]`, `[process`, `f:4:9: `},
-		{`cores = 2`, "cores = 2\ncores = 3", `f:6:1: cores: it stands in line 5 already`},
-		{`cores = 2`, "cores = 1979-05-27", `found a date or time: a float expected`},
-		{`[[listeners]]`, "[[listener]]", `f:9:3: listener: unknown field; listeners meant?`},
+		{`cores = 2`, "cores = 2\ncores = 3", `f:6:1: cores: duplicate key "cores": already defined in line 5`},
+		{`cores = 2`, "cores = 1979-05-27", `value is a date or time: must be a float`},
+		{`[[listeners]]`, "[[listener]]", `f:9:3: listener: unknown field "listener"; did you mean "listeners"?`},
 	} {
 		if !strings.Contains(validFile, test.before) {
-			t.Fatalf("%q is not in the file", test.before)
+			t.Fatalf("invalid test case: %q is not in the file", test.before)
 		}
 		_, err := Decode("f", []byte(strings.Replace(validFile, test.before, test.after, 1)))
 		if test.want == "" {
@@ -122,8 +131,8 @@
 	}
 }
 
-// The arms of a split must agree on idempotency: a retry that is assigned to the other arm would
-// run twice.
+// TestSplitAcrossIdempotenciesIsRejected checks that the arms of a split must have the same
+// idempotency. Otherwise a retry that is assigned to the other arm could run twice.
 func TestSplitAcrossIdempotenciesIsRejected(t *testing.T) {
 	text := strings.Replace(validFile,
 		"[services.billing-next.classes.rate]\nrepeat = \"keyed\"\ndedup_window = \"5s\"",
@@ -134,7 +143,8 @@
 	}
 }
 
-// All violations are reported at once, in the order of the file.
+// TestAllViolationsAreReportedAtOnce checks that all violations are reported, in the order of the
+// file.
 func TestAllViolationsAreReportedAtOnce(t *testing.T) {
 	text := strings.NewReplacer("cores = 2", "cores = true", "worth = 5", "wort = 5",
 		`exact = "/rate"`, `exact = "rate"`,
@@ -146,7 +156,7 @@
 	}
 	for i, f := range faults {
 		if i > 0 && f.Line < faults[i-1].Line {
-			t.Errorf("out of order: %v", err)
+			t.Errorf("diagnostics out of order: %v", err)
 		}
 		if f.Line == 0 || f.Col == 0 || f.File != "f" || strings.Contains(f.Error(), "\n") {
 			t.Errorf("got %+v", f)
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// ChangeKind is a kind of change.
+// ChangeKind is the kind of a change.
 type ChangeKind int
 
 // The kinds of changes.
@@ -18,14 +18,14 @@
 	Renamed
 )
 
-// Change is one difference between two files of an application.
+// Change is one difference between two versions of an application's file.
 type Change struct {
 	Kind     ChangeKind
-	Path     string // of the field; empty for Renamed, whose paths are Old and New
-	Old, New string
+	Path     string // path of the field; empty for Renamed
+	Old, New string // values; paths for Renamed
 }
 
-// String returns the change as one line, with a sign as in other diffs.
+// String returns the change as one line that starts with +, - or ~.
 func (c Change) String() string {
 	switch c.Kind {
 	case Added:
@@ -39,14 +39,14 @@
 	}
 }
 
-// headPrefix begins the paths of a generated file's head. It changes with every edit of the
-// catalogue and changes nothing in a sidecar.
-const headPrefix = "generated."
+// provenancePrefix is the prefix of the paths in the provenance of a generated file. The provenance
+// changes with every edit of the catalogue and has no effect in a sidecar.
+const provenancePrefix = "generated."
 
 // Diff returns the differences between two files, in the order of the newer and then of the older
-// one, without those of their heads; headsDiffer reports whether there are any. A class that was
-// renamed is one change.
-func Diff(older, newer *Document) (changes []Change, headsDiffer bool) {
+// file. A renamed class is one change. Differences of the provenance are left out;
+// provenanceDiffers reports whether there are any.
+func Diff(older, newer *Document) (changes []Change, provenanceDiffers bool) {
 	renames := renamedClasses(older, newer)
 	oldPaths, oldValues := older.Values()
 	newPaths, newValues := newer.Values()
@@ -56,8 +56,8 @@
 	}
 	changes = renames.changes()
 	add := func(change Change) {
-		if strings.HasPrefix(change.Path, headPrefix) {
-			headsDiffer = true
+		if strings.HasPrefix(change.Path, provenancePrefix) {
+			provenanceDiffers = true
 		} else {
 			changes = append(changes, change)
 		}
@@ -75,14 +75,13 @@
 			add(Change{Kind: Removed, Path: path, Old: oldValues[path]})
 		}
 	}
-	return changes, headsDiffer
+	return changes, provenanceDiffers
 }
 
-// renames has the new paths of classes that were renamed, by their old paths.
+// renames maps the old paths of renamed classes to their new paths.
 type renames map[string]string
 
-// renamedClasses returns the renames that the newer file states, of classes that are in the older
-// one.
+// renamedClasses returns the renames that the newer file states for classes of the older file.
 func renamedClasses(older, newer *Document) renames {
 	renamed := renames{}
 	if newer.App == nil || older.App == nil {
@@ -104,11 +103,12 @@
 	return renamed
 }
 
+// classPath returns the path of a class.
 func classPath(service, class string) string {
 	return joinPath(joinPath(joinPath("services", service), "classes"), class)
 }
 
-// changes returns the renames as changes, in the order of the old paths.
+// changes returns the renames as changes, ordered by the old paths.
 func (r renames) changes() []Change {
 	var changes []Change
 	for _, from := range slices.Sorted(maps.Keys(r)) {
@@ -117,7 +117,7 @@
 	return changes
 }
 
-// newPath returns the new path of a field at an old one.
+// newPath returns the new path of the field at an old path.
 func (r renames) newPath(old string) string {
 	for from, to := range r {
 		if rest, within := strings.CutPrefix(old, from+"."); within {
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -5,22 +5,22 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// Document is an application's file that has been read: what it says, where it says it, and what is
-// wrong with it.
+// Document is an application's file after reading: the configuration, the places of all values, and
+// all violations.
 type Document struct {
 	File    string
 	Data    []byte
-	Version int  // of the format; 0: the file does not say
-	App     *App // nil where a sidecar would reject the file
-	// Diagnostics is all violations, warnings included, and those that a sidecar tolerates in an
-	// older format.
+	Version int  // version of the format; 0 means that the file states none
+	App     *App // nil if a sidecar would reject the file
+	// Diagnostics is all violations, including warnings and the violations that a sidecar tolerates
+	// in an older version of the format.
 	Diagnostics tomldoc.Diagnostics
-	// Origin is, for each line of a generated file, the place that it comes from; nil for others.
+	// Origin is the source place of each line of a generated file; nil for other files.
 	Origin []tomldoc.Place
 	root   *tomldoc.Value
 }
 
-// Read reads an application's file. file is the name that diagnostics have.
+// Read reads an application's file. file is the name of the file in diagnostics.
 func Read(file string, data []byte) *Document {
 	d := &Document{File: file, Data: data}
 	d.root, d.Diagnostics = tomldoc.Parse(file, data)
@@ -34,7 +34,7 @@
 	return d
 }
 
-// rejecting returns those of some diagnostics for which a sidecar rejects the file.
+// rejecting returns the diagnostics for which a sidecar rejects the file.
 func (d *Document) rejecting(diagnostics tomldoc.Diagnostics) tomldoc.Diagnostics {
 	var rejecting tomldoc.Diagnostics
 	for _, diagnostic := range diagnostics {
@@ -45,7 +45,7 @@
 	return rejecting
 }
 
-// rejects reports whether a sidecar rejects a file of the document's version for a violation of a
+// rejects reports whether a sidecar rejects a file of the document's version if the file violates a
 // rule.
 func (d *Document) rejects(rule rules.Rule) bool {
 	switch {
@@ -54,13 +54,13 @@
 	case rule.Since <= d.Version:
 		return true
 	}
-	// A file that does not say its version is checked like one of the newest, except for its line
-	// ends.
+	// A file that states no version is checked as a file of the newest version, except for its line
+	// endings.
 	return d.Version == 0 && rule.ID != rules.FileCRLF
 }
 
-// Decode reads an application's file as a sidecar does. The error is tomldoc.Diagnostics with all
-// violations for which it rejects the file.
+// Decode reads an application's file for a sidecar. The error is of type tomldoc.Diagnostics and
+// has all violations for which a sidecar rejects the file.
 func Decode(file string, data []byte) (*App, error) {
 	d := Read(file, data)
 	if err := d.rejecting(d.Diagnostics).Err(); err != nil {
@@ -69,9 +69,10 @@
 	return d.App, nil
 }
 
-// Place returns the place of the value at a path of names, and of indexes from 1 into arrays: in
-// the file, or in the sources that it was generated from. isSet reports whether there is such a
-// value; otherwise the place is that of the table that lacks it, and a default holds.
+// Place returns the place of the value at a path of field names and of array indexes, which start
+// at 1. The place is in the file, or in the sources of a generated file. isSet reports whether the
+// value exists. If it does not, a default applies, and the place is the place of the last table on
+// the path that exists.
 func (d *Document) Place(path ...string) (at tomldoc.Place, isSet bool) {
 	if d.root == nil {
 		return tomldoc.Place{File: d.File}, false
@@ -80,8 +81,8 @@
 	return d.SourcePlace(v.Place), isSet
 }
 
-// SourcePlace returns where a place of the file comes from: the place itself, unless the file was
-// generated.
+// SourcePlace returns the place in the sources of a generated file that a place of the file comes
+// from. For other files, SourcePlace returns the place itself.
 func (d *Document) SourcePlace(place tomldoc.Place) tomldoc.Place {
 	if place.Line < 1 || place.Line > len(d.Origin) {
 		return place
--- a/internal/config/fragments.go
+++ b/internal/config/fragments.go
@@ -10,13 +10,14 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// headFragment is the key of the fragment with the fields before the file's first table.
+// headFragment is the key of the fragment with the fields before the first table.
 const headFragment = "head"
 
-// Fragments divides an application's file, so that a change to one service is a small part of it: a
-// fragment for each service under "services/NAME", one for each other top-level table under
-// "table/NAME", and the fields before the first table. Join makes a file of the same meaning of
-// them; the order of tables of different names is lost.
+// Fragments splits an application's file into fragments, so that a change to one service affects
+// only a small part of the file. There is a fragment "services/NAME" for each service, a fragment
+// "table/NAME" for each other top-level table, and a fragment "head" for the fields before the
+// first table. Join builds an equivalent file from the fragments. The order of tables with
+// different names is lost.
 func Fragments(data []byte) map[string][]byte {
 	fragments := map[string][]byte{}
 	for _, section := range tomldoc.Sections(data) {
@@ -26,8 +27,8 @@
 	return fragments
 }
 
-// fragmentKey returns the key of the fragment that a table belongs to. Tables below one of an array
-// stay with it.
+// fragmentKey returns the key of the fragment for a table. A table below an item of an array
+// belongs to the fragment of the array.
 func fragmentKey(path []string) string {
 	switch {
 	case len(path) == 0:
@@ -38,7 +39,7 @@
 	return "table/" + path[0]
 }
 
-// withLineEnd returns a text whose last line has an end.
+// withLineEnd returns text with a line ending after its last line.
 func withLineEnd(text []byte) []byte {
 	if len(text) == 0 || bytes.HasSuffix(text, []byte("\n")) {
 		return text
@@ -46,10 +47,10 @@
 	return append(slices.Clone(text), '\n')
 }
 
-// SingleFragment returns a file as one fragment.
+// SingleFragment returns a file as a single fragment.
 func SingleFragment(data []byte) map[string][]byte { return map[string][]byte{headFragment: data} }
 
-// Join returns the file of some fragments. It does not check them.
+// Join builds a file from fragments. Join does not check the file.
 func Join(fragments map[string][]byte) []byte {
 	file := slices.Clone(fragments[headFragment])
 	for _, key := range slices.Sorted(maps.Keys(fragments)) {
@@ -60,13 +61,14 @@
 	return file
 }
 
-// Equivalent reports whether two configurations are the same but for the order of their services.
+// Equivalent reports whether two configurations differ at most in the order of their services.
 func Equivalent(a, b *App) bool {
 	x, y := *a, *b
 	x.Services, y.Services = sortedByName(a.Services), sortedByName(b.Services)
 	return reflect.DeepEqual(x, y)
 }
 
+// sortedByName returns a copy of services, sorted by name.
 func sortedByName(services []*Service) []*Service {
 	return slices.SortedFunc(slices.Values(services), func(a, b *Service) int {
 		return strings.Compare(a.Name, b.Name)
--- a/internal/config/fragments_test.go
+++ b/internal/config/fragments_test.go
@@ -8,8 +8,9 @@
 	"fernlanding/internal/config"
 )
 
-// A file that is joined from its fragments means what it did.
-func TestJoinedFragmentsMeanTheSame(t *testing.T) {
+// TestJoinedFragmentsAreEquivalent checks that a file joined from its fragments is equivalent to
+// the original file.
+func TestJoinedFragmentsAreEquivalent(t *testing.T) {
 	names, err := filepath.Glob("../../deploy/*.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -22,19 +23,20 @@
 		}
 		want, err := config.Decode(name, data)
 		if err != nil {
-			continue // another kind of file
+			continue // a file of another format
 		}
 		checked++
 		got, err := config.Decode(name, config.Join(config.Fragments(data)))
 		if err != nil || !config.Equivalent(got, want) {
-			t.Errorf("%s: %v, or another configuration", name, err)
+			t.Errorf("%s: joined file is not equivalent: %v", name, err)
 		}
 	}
 	if checked == 0 {
-		t.Error("no file was checked")
+		t.Error("no files checked")
 	}
 }
 
+// TestFragmentKeys checks which sections each fragment has.
 func TestFragmentKeys(t *testing.T) {
 	text := "name = \"x\"\n# of the table\n" +
 		"[services.a]\nn = \"\"\"\n[routes]\n\"\"\"\n[services.a.classes.c]\nx = 1\n" +
@@ -47,15 +49,16 @@
 	}
 	got := config.Fragments([]byte(text))
 	if len(got) != len(want) {
-		t.Errorf("%d fragments, want %d", len(got), len(want))
+		t.Errorf("got %d fragments, want %d", len(got), len(want))
 	}
 	for key, fragment := range want {
 		if string(got[key]) != fragment {
-			t.Errorf("%s is %q, want %q", key, got[key], fragment)
+			t.Errorf("%s: got %q, want %q", key, got[key], fragment)
 		}
 	}
 }
 
+// FuzzFragments checks that fragments lose no bytes of the file.
 func FuzzFragments(f *testing.F) {
 	f.Add([]byte("a = 1\n[services.a]\nb = '''\n[x]\n'''\n[[routes]]\n"))
 	f.Add([]byte("[services.a]\r\n[services]\n[[a.b]]\n[a.b.c]\n"))
@@ -66,10 +69,10 @@
 			total += len(text)
 		}
 		if total < len(data) || total > len(data)+len(fragments)+len(data) {
-			t.Errorf("%d bytes in fragments of %d", total, len(data))
+			t.Errorf("fragments have %d bytes, file has %d", total, len(data))
 		}
 		if joined := config.Join(fragments); len(joined) != total {
-			t.Errorf("%d bytes joined of %d", len(joined), total)
+			t.Errorf("joined file has %d bytes, fragments have %d", len(joined), total)
 		}
 	})
 }
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -14,18 +14,19 @@
 
 // MigrationStep is one change of a migration.
 type MigrationStep struct {
-	Place tomldoc.Place // in the file as it was
-	What  string
-	Why   string
+	Place tomldoc.Place // place in the file before the migration
+	What  string        // new text or form
+	Why   string        // reason of the step
 }
 
 // String returns the step as one line.
 func (s MigrationStep) String() string { return fmt.Sprintf("%s: %s; %s", s.Place, s.What, s.Why) }
 
-// Migrate returns a file of an older version in the newest one, and the steps that were taken.
-// Comments, order and all values stay; what the older version left unsaid and the newest requires
-// is said as the older one meant it. The error is tomldoc.Diagnostics with what the newest version
-// rejects: then nothing that means the same can be written, and an operator has to decide.
+// Migrate converts a file of an older version to the newest version, and returns the steps of the
+// conversion. Comments, order and all values stay. Fields that only the newest version requires are
+// added with the values that the older version implies. The error is of type tomldoc.Diagnostics
+// and has the violations of the newest version. In that case no equivalent file exists, and an
+// operator has to decide.
 func Migrate(file string, data []byte) (migrated []byte, steps []MigrationStep, err error) {
 	d := Read(file, data)
 	if d.App == nil {
@@ -41,7 +42,7 @@
 	migrated = m.applyEdits()
 	if d.hasCRLF() {
 		migrated = bytes.ReplaceAll(migrated, []byte("\r\n"), []byte("\n"))
-		m.addStep(tomldoc.Place{File: file}, "lines end with LF", rules.Get(rules.FileCRLF).Why)
+		m.addStep(tomldoc.Place{File: file}, "end lines with LF", rules.Get(rules.FileCRLF).Why)
 	}
 	after := Read(file, migrated)
 	if diagnostics := after.rejecting(after.Diagnostics); len(diagnostics) > 0 {
@@ -57,13 +58,13 @@
 	})
 }
 
-// edit replaces a range of bytes by a text.
+// edit is the replacement of a range of bytes by a text.
 type edit struct {
 	at   tomldoc.Range
 	text string
 }
 
-// migration collects the edits of a file.
+// migration collects the edits and steps for a file.
 type migration struct {
 	doc   *Document
 	data  []byte
@@ -71,22 +72,24 @@
 	steps []MigrationStep
 }
 
+// addStep adds a step.
 func (m *migration) addStep(at tomldoc.Place, what, why string) {
 	m.steps = append(m.steps, MigrationStep{Place: at, What: what, Why: why})
 }
 
+// replace adds an edit.
 func (m *migration) replace(at tomldoc.Range, text string) {
 	m.edits = append(m.edits, edit{at: at, text: text})
 }
 
-// setVersion replaces the version.
+// setVersion replaces the version of the format.
 func (m *migration) setVersion() {
 	version := m.doc.root.Fields["version"]
 	m.replace(version.Raw, fmt.Sprint(FormatVersion))
-	m.addStep(version.Place, fmt.Sprintf("version = %d", FormatVersion), "the format that the file is in from here on")
+	m.addStep(version.Place, fmt.Sprintf("version = %d", FormatVersion), "the newest version of the format")
 }
 
-// setName adds or replaces the application's name where it has none that is valid.
+// setName adds the application's name, or replaces an invalid name.
 func (m *migration) setName() {
 	if IsName(m.doc.App.Name) {
 		return
@@ -100,10 +103,10 @@
 		m.replace(m.endOfLine(version.Raw.To), fmt.Sprintf("\nname = %q", name))
 	}
 	m.addStep(version.Place, fmt.Sprintf("name = %q", name),
-		"checks over many files tell applications apart by it; it is the file's name")
+		"checks of several files identify an application by its name; derived from the name of the file")
 }
 
-// setKeys adds the field that carries the idempotency key to all keyed classes.
+// setKeys adds the field key, the header field with the idempotency key, to all keyed classes.
 func (m *migration) setKeys() {
 	root := m.doc.root
 	for _, s := range m.doc.App.Services {
@@ -114,26 +117,26 @@
 			class, _ := root.Lookup("services", s.Name, "classes", name)
 			m.addField(class.Fields["repeat"], "key", DefaultKey)
 			m.addStep(class.Place, fmt.Sprintf("services.%s.classes.%s.key = %q", s.Name, name, DefaultKey),
-				"what version 1 took for granted stands in the file")
+				"the key that version 1 implies")
 		}
 	}
 }
 
-// addField adds a field with a string behind another of the same table.
+// addField adds a field with a string value after another field of the same table.
 func (m *migration) addField(after *tomldoc.Value, field, value string) {
 	if after.Line.To == 0 { // the table is inline
 		m.replace(tomldoc.Range{From: after.Raw.To, To: after.Raw.To}, fmt.Sprintf(", %s = %q", field, value))
 		return
 	}
-	// The new line has the same indent and the same key with another last part.
+	// The new line has the same indentation and the same key except for the last part.
 	prefix := string(m.data[after.Line.From:after.Last.From])
 	lineStart := bytes.LastIndexByte(m.data[:after.Line.From], '\n') + 1
 	indent := string(m.data[lineStart:after.Line.From])
 	m.replace(m.endOfLine(after.Raw.To), fmt.Sprintf("\n%s%s%s = %q", indent, prefix, field, value))
 }
 
-// endOfLine returns the empty range before the end of the line that an offset is in, behind a
-// comment.
+// endOfLine returns the empty range before the line ending of the line at an offset, after a
+// comment in the line.
 func (m *migration) endOfLine(offset int) tomldoc.Range {
 	end := len(m.data)
 	if n := bytes.IndexByte(m.data[offset:], '\n'); n >= 0 {
@@ -145,7 +148,7 @@
 	return tomldoc.Range{From: end, To: end}
 }
 
-// applyEdits returns the file with all edits, which do not overlap.
+// applyEdits returns the file with all edits applied. Edits must not overlap.
 func (m *migration) applyEdits() []byte {
 	slices.SortStableFunc(m.edits, func(a, b edit) int { return a.at.From - b.at.From })
 	var file bytes.Buffer
@@ -159,7 +162,7 @@
 	return file.Bytes()
 }
 
-// nameOfFile returns a valid name that is made of a file's name.
+// nameOfFile returns a valid application name that is derived from the name of a file.
 func nameOfFile(file string) string {
 	name := strings.TrimSuffix(filepath.Base(file), ".toml")
 	name = strings.Map(func(r rune) rune {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -10,11 +10,12 @@
 	"fernlanding/internal/settings"
 )
 
-// PlatformService is the name of the platform's one service.
+// PlatformService is the name of the platform's single service.
 const PlatformService = "tier"
 
-// DecodePlatform decodes the file that the platform's LB_CONFIG names. listen and discovery replace
-// addresses that it lacks. Fields that it does not know are the platform's own and are ignored.
+// DecodePlatform decodes the file that the platform's LB_CONFIG names. listen and discovery are the
+// defaults of addresses that the file lacks. Unknown fields are for other programs of the platform
+// and are ignored.
 func DecodePlatform(file string, data []byte, listen, discovery string) (*App, error) {
 	var raw struct {
 		Name      string `json:"name"`
@@ -39,11 +40,11 @@
 		raw.Discovery = discovery
 	}
 	if raw.Listen == "" || raw.Discovery == "" {
-		return nil, errors.New("listen or discovery is missing")
+		return nil, errors.New("missing field \"listen\" or \"discovery\"")
 	}
 	seed, err := strconv.ParseUint(raw.Seed, 16, 64)
 	if err != nil {
-		return nil, fmt.Errorf("seed: %w", err)
+		return nil, fmt.Errorf("invalid seed: %w", err)
 	}
 	process, err := platformProcess(raw.Limits.Cores, raw.Limits.MemoryMB, raw.Limits.Sockets)
 	if err != nil {
@@ -60,10 +61,10 @@
 	}, nil
 }
 
-// platformProcess returns what the process may use.
+// platformProcess returns the limits of the process.
 func platformProcess(cores, memoryMB float64, sockets int) (Process, error) {
 	if sockets < 0 || cores < 0 || memoryMB < 0 {
-		return Process{}, errors.New("limits: negative")
+		return Process{}, errors.New("invalid limits: must not be negative")
 	}
 	if sockets == 0 {
 		sockets = defaultSockets
@@ -71,10 +72,10 @@
 	return Process{Cores: cores, MemoryMB: memoryMB, Sockets: sockets}, nil
 }
 
-// platformService returns the platform's one service, without the source of its list.
+// platformService returns the platform's single service, without the source of its endpoint list.
 func platformService(settingsText, known json.RawMessage) (*Service, error) {
 	if len(settingsText) == 0 {
-		return nil, errors.New("settings is missing")
+		return nil, errors.New("missing field \"settings\"")
 	}
 	deployment, err := settings.Decode(settingsText)
 	if err == nil {
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -5,14 +5,15 @@
 	"testing"
 )
 
-// platformFile is a file of the platform.
+// platformFile is a valid file of the platform.
 const platformFile = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",` +
 	`"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":{"index":4,"snapshot":true,"endpoints":[]},` +
 	`"later":1,"settings":{"contract":{},"failure_domains":["a"],"limits":{"dial_timeout_us":1,"idle_close_us":1,` +
 	`"try_limit":3},"membership_mode":"automatic","profiles":[{"give_up_us":8,"name":"look","objective_us":4,` +
 	`"repeat":"idempotent","worth":1}],"siblings":1}}`
 
-// A file of the platform is decoded; fields of applications' files are ignored there.
+// TestPlatformFileIsDecoded checks the decoding of a file of the platform, in which fields of
+// applications' files are ignored.
 func TestPlatformFileIsDecoded(t *testing.T) {
 	a, err := DecodePlatform("f", []byte(platformFile), "", "")
 	if err != nil {
@@ -28,7 +29,7 @@
 		`"distribution":{"relays":["127.0.0.1:1"]},"membership":"relay",`, 1)
 	a, err = DecodePlatform("f", []byte(withRelays), "", "")
 	if err != nil || len(a.Distribution.Relays) > 0 || a.Services[0].Source.Kind != Catalog {
-		t.Errorf("relays on the platform: %+v, %v", a, err)
+		t.Errorf("with relays: got %+v, %v", a, err)
 	}
 	withoutListen := strings.Replace(platformFile, `"listen":"127.0.0.1:0",`, "", 1)
 	a, err = DecodePlatform("f", []byte(withoutListen), "127.0.0.1:9", "")
@@ -37,16 +38,16 @@
 	}
 }
 
-// An invalid file of the platform is rejected with one line.
+// TestInvalidPlatformFileIsOneLine checks that the error for an invalid file is one line.
 func TestInvalidPlatformFileIsOneLine(t *testing.T) {
 	for _, test := range []struct{ before, after, want string }{
 		{platformFile, ``, "unexpected end"},
-		{`"listen":"127.0.0.1:0",`, ``, "listen or discovery"},
+		{`"listen":"127.0.0.1:0",`, ``, `missing field "listen" or "discovery"`},
 		{`8c1f30d27a5be964`, `sesame`, "seed"},
 		{`"sockets":512`, `"sockets":-1`, "limits"},
 		{`"endpoints":[]`, `"endpoints":[{}]`, "known"},
 		{`"name":"look",`, ``, "profiles[0].name"},
-		{`"settings"`, `"setting"`, "settings is missing"},
+		{`"settings"`, `"setting"`, `missing field "settings"`},
 		{`"automatic"`, `"never"`, "membership_mode"},
 	} {
 		text := strings.Replace(platformFile, test.before, test.after, 1)
@@ -62,7 +63,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		a, err := DecodePlatform("f", data, "127.0.0.1:0", "127.0.0.1:1")
 		if err == nil && len(a.Services) != 1 {
-			t.Fatalf("%d services", len(a.Services))
+			t.Fatalf("got %d services, want 1", len(a.Services))
 		}
 	})
 }
--- a/internal/config/program_version.go
+++ b/internal/config/program_version.go
@@ -9,7 +9,7 @@
 // programVersion is the version of a program.
 type programVersion struct{ major, minor uint64 }
 
-// IsNewer reports whether version a of a program, major.minor, is newer than b.
+// IsNewer reports whether program version a is newer than b. Versions have the form major.minor.
 func IsNewer(a, b string) (bool, error) {
 	x, err := parseProgramVersion(a)
 	if err != nil {
@@ -22,10 +22,11 @@
 	return x.major > y.major || x.major == y.major && x.minor > y.minor, nil
 }
 
+// parseProgramVersion parses a version of the form major.minor.
 func parseProgramVersion(text string) (programVersion, error) {
 	major, minor, ok := strings.Cut(text, ".")
 	if !ok {
-		return programVersion{}, fmt.Errorf("%q: major.minor expected", text)
+		return programVersion{}, fmt.Errorf("invalid program version %q: must be major.minor", text)
 	}
 	x, err := strconv.ParseUint(major, 10, 16)
 	if err != nil {
--- a/internal/config/program_version_test.go
+++ b/internal/config/program_version_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A program's version has two parts, which are numbers.
+// TestIsNewer checks the comparison of program versions, which consist of two numbers.
 func TestIsNewer(t *testing.T) {
 	for _, test := range []struct {
 		a, b    string
--- a/internal/config/testdata_test.go
+++ b/internal/config/testdata_test.go
@@ -19,14 +19,15 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// The cases of testdata are a directory each, with files of applications, or a catalogue in a
-// directory of its own. The file env has the environment, the directory deployed the files that run
-// before. Of bad cases, rule is the rule that must object, and want all reports; of good ones, near
-// has the rules that they nearly violate.
+// Each case of testdata is a directory with files of applications, or with a catalogue in the
+// directory catalogue. The file env has the environment, and the directory deployed has the files
+// that are deployed before. In a bad case, the file rule has the rule that must reject the case,
+// and the file want has all reports. In a good case, the file near has the rules that the case
+// nearly violates.
 
-var update = flag.Bool("update", false, "write the reports of the bad cases anew; look at what changes")
+var update = flag.Bool("update", false, "rewrite the reports of the bad cases; review the changes")
 
-// readText returns the text of a file without the space around it; empty where there is no file.
+// readText returns the text of a file without surrounding space, or "" if the file does not exist.
 func readText(t *testing.T, name string) string {
 	t.Helper()
 	data, err := os.ReadFile(name)
@@ -36,7 +37,8 @@
 	return strings.TrimSpace(string(data))
 }
 
-// checkCase checks the case in a directory, and returns its applications' files.
+// checkCase checks the case in a directory. checkCase returns the files of the applications and the
+// diagnostics.
 func checkCase(t *testing.T, path string) ([]check.File, tomldoc.Diagnostics) {
 	t.Helper()
 	deployed, err := dir.ReadDeployed(filepath.Join(path, "deployed"))
@@ -52,7 +54,7 @@
 	return checkCatalogue(t, path, options)
 }
 
-// readFiles reads the files of applications in a directory.
+// readFiles reads the files of the applications in a directory.
 func readFiles(t *testing.T, path string) []check.File {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(path, "*.toml"))
@@ -70,7 +72,8 @@
 	return files
 }
 
-// checkCatalogue checks the catalogue of a case, and returns the files that are generated from it.
+// checkCatalogue checks the catalogue of a case. checkCatalogue returns the generated files and the
+// diagnostics.
 func checkCatalogue(t *testing.T, path string, options check.Options) ([]check.File, tomldoc.Diagnostics) {
 	t.Helper()
 	sources, faults, err := dir.Load(filepath.Join(path, "catalogue"))
@@ -92,33 +95,33 @@
 	return files, append(faults, more...).Sorted()
 }
 
-// cases returns the directories of the cases of a kind, good or bad.
+// cases returns the directories of the good or the bad cases.
 func cases(t *testing.T, kind string) []string {
 	t.Helper()
 	dirs, err := filepath.Glob(filepath.Join("testdata", kind, "*"))
 	if err != nil || len(dirs) == 0 {
-		t.Fatalf("no cases: %v", err)
+		t.Fatalf("no %s cases: %v", kind, err)
 	}
 	return dirs
 }
 
-// Each bad configuration is rejected by the rule that it violates, with exactly the reports that an
-// operator has read and found clear; and every rule has a case.
+// TestBadConfigurationsAreRejected checks that each bad configuration is rejected by the rule that
+// it violates, with exactly the reviewed reports, and that every rule has a case.
 func TestBadConfigurationsAreRejected(t *testing.T) {
-	seen := map[rules.ID]bool{rules.FileSize: true} // TestLargeFileIsRejected
+	seen := map[rules.ID]bool{rules.FileSize: true} // tested by TestLargeFileIsRejected
 	paths := cases(t, "bad")
 	for _, path := range paths {
 		_, faults := checkCase(t, path)
 		rule := rules.ID(readText(t, filepath.Join(path, "rule")))
 		seen[rule] = true
 		if !slices.ContainsFunc(faults, func(f tomldoc.Diagnostic) bool { return f.Rule == rule }) {
-			t.Errorf("%s: %s does not object:\n%v", path, rule, faults)
+			t.Errorf("%s: no diagnostic of rule %s:\n%v", path, rule, faults)
 		}
 		var reports strings.Builder
 		for _, fault := range faults {
 			reports.WriteString(fault.Report() + "\n")
 			if fault.File == "" {
-				t.Errorf("%s: no place: %s", path, fault.Report())
+				t.Errorf("%s: diagnostic without a place: %s", path, fault.Report())
 			}
 		}
 		want := filepath.Join(path, "want")
@@ -133,18 +136,18 @@
 	}
 	for _, r := range rules.All() {
 		if !seen[r.ID] {
-			t.Errorf("no bad case of %s", r.ID)
+			t.Errorf("no bad case for rule %s", r.ID)
 		}
 	}
 	if len(paths) < 80 {
-		t.Errorf("%d cases", len(paths))
+		t.Errorf("got %d cases, want at least 80", len(paths))
 	}
 }
 
-// A configuration that nearly violates a rule is accepted: by the tool without an error, and by a
-// sidecar, which loads it. Every rule has a case.
+// TestGoodConfigurationsAreAccepted checks that a configuration that nearly violates a rule is
+// accepted by the checks and can be loaded by a sidecar, and that every rule has a case.
 func TestGoodConfigurationsAreAccepted(t *testing.T) {
-	near := map[rules.ID]bool{rules.FileSize: true} // TestLargeFileIsRejected
+	near := map[rules.ID]bool{rules.FileSize: true} // tested by TestLargeFileIsRejected
 	paths := cases(t, "good")
 	for _, path := range paths {
 		files, faults := checkCase(t, path)
@@ -166,15 +169,15 @@
 	}
 	for _, r := range rules.All() {
 		if !near[r.ID] {
-			t.Errorf("no near miss of %s", r.ID)
+			t.Errorf("no good case for rule %s", r.ID)
 		}
 	}
 	if len(paths) < 25 {
-		t.Errorf("%d cases", len(paths))
+		t.Errorf("got %d cases, want at least 25", len(paths))
 	}
 }
 
-// testLoad tests that a sidecar loads a file, on free ports.
+// testLoad checks that a sidecar loads a file, on free ports.
 func testLoad(t *testing.T, path string, file check.File) {
 	t.Helper()
 	app, err := config.Decode(file.Name, file.Data)
@@ -193,7 +196,8 @@
 	s.Close()
 }
 
-// A file over the bound is rejected before it is parsed, and one just under it for what it says.
+// TestLargeFileIsRejected checks that a file over the size limit is rejected before parsing, and
+// that a file of exactly the limit is rejected because of its content.
 func TestLargeFileIsRejected(t *testing.T) {
 	for _, test := range []struct {
 		size int
@@ -205,9 +209,9 @@
 	} {
 		text := strings.Repeat("#\n", test.size/2) + strings.Repeat("\n", test.size%2)
 		d := config.Read("f", []byte(text))
-		objects := func(f tomldoc.Diagnostic) bool { return f.Rule == test.rule }
-		if d.App != nil || !slices.ContainsFunc(d.Diagnostics, objects) {
-			t.Errorf("%d bytes: got %v", test.size, d.Diagnostics)
+		isRule := func(f tomldoc.Diagnostic) bool { return f.Rule == test.rule }
+		if d.App != nil || !slices.ContainsFunc(d.Diagnostics, isRule) {
+			t.Errorf("%d bytes: got %v, want a diagnostic of rule %s", test.size, d.Diagnostics, test.rule)
 		}
 	}
 }
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -7,8 +7,8 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// Values returns the scalars of the file by the paths of their fields, and the paths in the order
-// of the file. Tables in arrays that have a name go by it instead of their index.
+// Values returns the scalars of the file by their paths, and the paths in the order of the file.
+// The path of a table in an array has the name of the table, if there is one, instead of the index.
 func (d *Document) Values() (paths []string, values map[string]string) {
 	l := valueLister{values: map[string]string{}}
 	if d.root != nil {
@@ -17,13 +17,13 @@
 	return l.paths, l.values
 }
 
-// valueLister lists the scalars of a tree.
+// valueLister collects the scalars of a tree.
 type valueLister struct {
 	paths  []string
 	values map[string]string
 }
 
-// list lists a value at a path, and all values in it.
+// list collects the scalars of a value at a path.
 func (l *valueLister) list(path string, v *tomldoc.Value) {
 	switch v.Kind {
 	case tomldoc.Table:
@@ -45,8 +45,8 @@
 	}
 }
 
-// itemName returns the name by which an item of an array goes: its field "name" or "service", or
-// else its index.
+// itemName returns the name of an item of an array in a path: the field "name" or "service", or
+// else the index.
 func itemName(item *tomldoc.Value, index string) string {
 	if item.Kind != tomldoc.Table {
 		return index
@@ -59,7 +59,8 @@
 	return index
 }
 
-// joinPath returns the path of a field in a table. A name that would break the path is quoted.
+// joinPath returns the path of a field in a table. A field name that would make the path ambiguous
+// is quoted.
 func joinPath(table, field string) string {
 	if strings.ContainsAny(field, ". []\n\"") {
 		field = strconv.Quote(field)
--- a/internal/config/version1_test.go
+++ b/internal/config/version1_test.go
@@ -11,18 +11,19 @@
 	"fernlanding/internal/config"
 )
 
-// Files of version 1 are frozen: they are decoded as they were, are migrated without a loss, and
-// mean the same afterwards.
+// TestVersion1StaysReadable checks that files of version 1 can be decoded, and that the migrated
+// files are equivalent to them. The files and the results of their migration are frozen.
 func TestVersion1StaysReadable(t *testing.T) {
 	names, err := filepath.Glob("testdata/v1/*.toml")
 	if err != nil || len(names) < 5 {
-		t.Fatalf("%d files, %v", len(names), err)
+		t.Fatalf("got %d files, %v, want at least 5", len(names), err)
 	}
 	for _, name := range names {
 		t.Run(filepath.Base(name), func(t *testing.T) { testVersion1(t, name) })
 	}
 }
 
+// testVersion1 checks one file of version 1.
 func testVersion1(t *testing.T, name string) {
 	t.Helper()
 	data, err := os.ReadFile(name)
@@ -44,16 +45,16 @@
 	}
 	after.Version, after.Name = before.Version, before.Name
 	if a, b := format(after), format(before); a != b {
-		t.Errorf("migrated it is\n%s\nand before\n%s", a, b)
+		t.Errorf("after migration: got\n%s\nwant\n%s", a, b)
 	}
 	again, steps, err := config.Migrate(name, migrated)
 	if err != nil || len(steps) > 0 || string(again) != string(migrated) {
-		t.Errorf("migrated again: %v, %v", steps, err)
+		t.Errorf("second migration: got steps %v, error %v", steps, err)
 	}
 }
 
-// compareWithFrozen compares the result of a migration with a file that has it: the migrated file
-// and the steps, or the error.
+// compareWithFrozen compares the result of a migration with a frozen file. The result is the
+// migrated file and the steps, or the error.
 func compareWithFrozen(t *testing.T, frozen string, migrated []byte, steps []config.MigrationStep, err error) {
 	t.Helper()
 	got := string(migrated)
@@ -70,11 +71,11 @@
 		}
 	}
 	if strings.TrimSpace(got) != want {
-		t.Errorf("got\n%s", got)
+		t.Errorf("%s: got\n%s\nwant\n%s", frozen, got, want)
 	}
 }
 
-// format returns all that an App has.
+// format returns all values of an App as text.
 func format(app *config.App) string {
 	a := *app
 	a.Services, a.Routes = nil, slices.Clone(app.Routes)
--- a/internal/harness/scenario/scenario_test.go
+++ b/internal/harness/scenario/scenario_test.go
@@ -28,23 +28,26 @@
 func TestReadReportsErrors(t *testing.T) {
 	fault := func(lines string) string { return base + "[[faults]]\n" + lines }
 	for _, c := range []struct{ text, want string }{
-		{"", `s.toml:1:1: MISSING: name: the scenario's name expected`},
-		{"name = \"x\"\nfor = \"1h\"\n", `s.toml:2:7: RANGE: for: found "1h": 100ms to 10m0s expected`},
+		{"", `s.toml:1:1: MISSING: name: missing field "name": the scenario's name expected`},
+		{"name = \"x\"\nfor = \"1h\"\n", `s.toml:2:7: RANGE: for: invalid value "1h": must be from 100ms to 10m0s`},
 		{
 			"name = \"x\"\n[sidecars]\ncount = 5000\n",
-			"s.toml:3:9: RANGE: sidecars.count: found 5000: 1 to 1000 expected",
+			"s.toml:3:9: RANGE: sidecars.count: invalid value 5000: must be from 1 to 1000",
+		},
+		{"name = \"x\"\n[sidecar]\n", `UNKNOWN-FIELD: sidecar: unknown field "sidecar"; did you mean "sidecars"?`},
+		{base + "processes = 6\n", "backends.processes: invalid value 6: 1 to the 5 backends expected"},
+		{
+			fault("kind = \"cutt\"\nlink = \"sidecars-lists\"\n"),
+			`faults[1].kind: invalid value "cutt": must be one of choke, cut`,
 		},
-		{"name = \"x\"\n[sidecar]\n", "UNKNOWN-FIELD: sidecar: unknown field; sidecars meant?"},
-		{base + "processes = 6\n", "backends.processes: found 6: 1 to the 5 backends expected"},
-		{fault("kind = \"cutt\"\nlink = \"sidecars-lists\"\n"), `faults[1].kind: found "cutt": one of choke, cut`},
 		{
 			fault("kind = \"cut\"\nlink = \"lists-backends\"\n"),
-			`faults[1].link: found "lists-backends": ` +
-				`one of clients-sidecars, sidecars-lists, sidecars-backends expected`,
+			`faults[1].link: invalid value "lists-backends": ` +
+				`must be one of clients-sidecars, sidecars-lists, sidecars-backends`,
 		},
 		{
 			fault("kind = \"cut\"\nlink = \"sidecars-lists\"\nat = \"9s\"\nfor = \"2s\"\n"),
-			"faults[1].for: found \"2s\": the fault to end by the run's end, 10s, expected; it ends at 11s",
+			"faults[1].for: invalid value \"2s\": the fault to end by the run's end, 10s, expected; it ends at 11s",
 		},
 		{
 			fault("kind = \"cut\"\nlink = \"sidecars-lists\"\nnames = [\"sidecar-10\"]\n"),
@@ -52,26 +55,36 @@
 		},
 		{
 			fault("kind = \"cut\"\nlink = \"sidecars-lists\"\non = \"backends\"\n"),
-			"faults[1].on: found \"backends\": backends are at no end of the link sidecars-lists",
+			"faults[1].on: invalid value \"backends\": backends are at no end of the link sidecars-lists",
 		},
 		{
 			fault("kind = \"oneway\"\nlink = \"sidecars-lists\"\n"),
-			"faults[1].way: the direction expected: there or back",
+			"faults[1].way: missing field \"way\": the direction expected: there or back",
+		},
+		{
+			fault("kind = \"delay\"\nlink = \"sidecars-lists\"\n"),
+			`faults[1].delay: missing field "delay": the delay expected`,
+		},
+		{
+			fault("kind = \"slow\"\nlink = \"sidecars-lists\"\n"),
+			`faults[1].rate: missing field "rate": bytes a second expected`,
+		},
+		{
+			fault("kind = \"kill\"\nsite = \"c\"\n"),
+			`faults[1].site: invalid value "c": one of the sites expected: a, b`,
 		},
-		{fault("kind = \"delay\"\nlink = \"sidecars-lists\"\n"), "faults[1].delay: the delay expected"},
-		{fault("kind = \"slow\"\nlink = \"sidecars-lists\"\n"), "faults[1].rate: bytes a second expected"},
-		{fault("kind = \"kill\"\nsite = \"c\"\n"), `faults[1].site: found "c": one of the sites expected: a, b`},
 		{
 			fault("kind = \"kill\"\non = \"backends\"\nshare = 0.5\n"),
-			"faults[1].on: found \"backends\": backends share processes",
+			"faults[1].on: invalid value \"backends\": backends share processes",
 		},
 		{
 			fault("kind = \"kill\"\non = \"sites\"\n"),
-			"faults[1].site: one of the sites expected, and as many list services and processes of backends for each",
+			`faults[1].site: missing field "site": ` +
+				"one of the sites expected, and as many list services and processes of backends for each",
 		},
 		{
 			fault("kind = \"cut\"\nlink = \"sidecars-lists\"\nacross = true\n"),
-			"faults[1].across: found true: a site expected beside it",
+			"faults[1].across: invalid value true: a site expected beside it",
 		},
 		{
 			"name = \"x\"\n[sidecars]\nsites = [\"a\", \"a\"]\n",
@@ -81,12 +94,15 @@
 			base + "[clients]\nroam = true\n",
 			"clients.processes: as many for each of the 2 sites expected with roam, 1 found",
 		},
-		{fault("kind = \"kill\"\nat = 3\n"), `faults[1].at: found 3: a time with a unit`},
-		{base + "[random]\ncount = 3\n", "random.kinds: the kinds of faults that are drawn expected"},
+		{fault("kind = \"kill\"\nat = 3\n"), `faults[1].at: invalid value 3: must be a duration with a unit`},
+		{
+			base + "[random]\ncount = 3\n",
+			`random.kinds: missing field "kinds": the kinds of faults that are drawn expected`,
+		},
 		{base + "[random]\ncount = 3\nkinds = [\"kil\"]\n", `random.kinds: "kil" is no kind of fault`},
 		{
 			base + "[random]\ncount = 3\nkinds = [\"kill\"]\nfrom = \"9s\"\nuntil = \"8s\"\n",
-			"random.until: found \"8s\": after from, and at most the run's 10s expected",
+			"random.until: invalid value \"8s\": after from, and at most the run's 10s expected",
 		},
 	} {
 		_, err := scenario.Read("s.toml", []byte(c.text))
--- a/internal/rules/ids.go
+++ b/internal/rules/ids.go
@@ -1,6 +1,6 @@
 package rules
 
-// The groups of rules, as headings of the operators' page.
+// The groups of rules, which are headings of the operators' page.
 const (
 	groupFile    = "The file"
 	groupField   = "Fields"
@@ -14,7 +14,7 @@
 	groupWarning = "Warnings"
 )
 
-// The identifiers of the rules. Reports and the operators' page have them: they never change.
+// The identifiers of the rules. Reports and the operators' page contain them, so they never change.
 const (
 	FileSize        ID = "FILE-SIZE"
 	FileBOM         ID = "FILE-BOM"
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -1,6 +1,6 @@
-// Package rules is the register of what a configuration must not say: every rule with its
-// identifier, the reason why it is one, and what to write instead. It is pure. The tables in
-// docs/operate/configuration.md are made from it.
+// Package rules is the register of the rules that a configuration must obey. Each rule has an
+// identifier, a reason and a valid alternative. The package is pure: it does no I/O. The rules in
+// docs/operate/configuration.md are generated from the register.
 package rules
 
 import (
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// ID identifies a rule. Identifiers are stable: that of a rule that is withdrawn is not used again.
+// ID identifies a rule. Identifiers are stable, and the identifier of a removed rule is not reused.
 type ID string
 
-// Severity is what a violation of a rule means.
+// Severity is the consequence of a violation of a rule.
 type Severity int
 
 // The severities.
 const (
 	Error   Severity = iota // the configuration is rejected
-	Warning                 // the configuration is accepted, and the violation reported
+	Warning                 // the configuration is accepted, and the violation is reported
 )
 
 // String returns "error" or "warning".
@@ -29,30 +29,32 @@
 	return "error"
 }
 
-// Rule is one rule. What, Why and Instead are phrases of a report, without a full stop.
+// Rule is one rule. What, Why and Instead are phrases for reports, without a full stop.
 type Rule struct {
 	ID       ID
-	Group    string // under which the operators' page lists it
+	Group    string // heading of the rule on the operators' page
 	Severity Severity
-	// Since is the version of the application's format from which on the sidecar itself rejects a
-	// violation; 0: the sidecar always rejects it, or never sees it. Files of earlier versions stay
-	// readable, and fernctl alone objects.
+	// Since is the first version of the application's format in which the sidecar rejects a
+	// violation. The sidecar accepts a violation in files of earlier versions, so that they stay
+	// readable; only fernctl rejects it. 0 means that the sidecar rejects a violation in all
+	// versions or can't detect it.
 	Since   int
-	What    string // what the rule forbids
-	Why     string // why that matters
-	Instead string // what to write instead
+	What    string // configuration that the rule forbids
+	Why     string // reason of the rule
+	Instead string // valid alternative
 }
 
-// Anchor returns the anchor of the rule in the operators' page, as GitHub and others make it of a
-// heading.
+// Anchor returns the anchor of the rule on the operators' page, in the form that GitHub and others
+// derive from a heading.
 func (r Rule) Anchor() string { return strings.ToLower(string(r.ID)) }
 
-// Page is the path of the operators' page that has every rule.
+// Page is the path of the operators' page that lists all rules.
 const Page = "docs/operate/configuration.md"
 
-// all is every rule, by group.
+// all is all rules, ordered by group.
 var all = slices.Concat(documentRules, routeRules, classRules, fleetRules)
 
+// indexByID maps the identifier of a rule to the rule's index in all.
 var indexByID = func() map[ID]int {
 	index := map[ID]int{}
 	for i, r := range all {
@@ -61,10 +63,11 @@
 	return index
 }()
 
-// All returns every rule, by group.
+// All returns all rules, ordered by group.
 func All() []Rule { return slices.Clone(all) }
 
-// Get returns the rule of an identifier or, if there is none, a rule whose text says so.
+// Get returns the rule with an identifier. For an unknown identifier, Get returns a rule with the
+// texts "not registered".
 func Get(id ID) Rule {
 	if i, ok := indexByID[id]; ok {
 		return all[i]
@@ -72,7 +75,7 @@
 	return Rule{ID: id, What: "not registered", Why: "not registered", Instead: "not registered"}
 }
 
-// Markdown returns all rules as the operators' page has them.
+// Markdown returns the section of the operators' page with all rules.
 func Markdown() string {
 	var b strings.Builder
 	group := ""
@@ -91,15 +94,15 @@
 	return b.String()
 }
 
-// note returns what the operators' page says in brackets of when a rule holds; empty: it always
-// does.
+// note returns a remark on the severity and the versions of a rule, in parentheses, or "" for a
+// rule that always rejects.
 func (r Rule) note() string {
 	var notes []string
 	if r.Severity == Warning {
 		notes = append(notes, "a warning")
 	}
 	if r.Since > 0 {
-		note := fmt.Sprintf("refused by the sidecar from format %d on, by `fernctl check` in all", r.Since)
+		note := fmt.Sprintf("by the sidecar from format version %d on, by `fernctl check` in all versions", r.Since)
 		notes = append(notes, note)
 	}
 	if len(notes) == 0 {
--- a/internal/scale/predict/readtarget_test.go
+++ b/internal/scale/predict/readtarget_test.go
@@ -34,7 +34,7 @@
 		{"services = 1_200", "services = 1_200\nservice = 3", "target.service"},
 		{"[1, 2, 5", "[0, 2, 5", "curve.services_followed[1]"},
 		{"[1, 2, 5", "[5, 2, 5", "ascending numbers expected"},
-		{`name = "rack_backends"`, `name = "rack_backend"`, "rack_backends meant?"},
+		{`name = "rack_backends"`, `name = "rack_backend"`, `did you mean "rack_backends"?`},
 		{`name = "rack_backends"`, `name = "cut_seconds"`, "a unique assumption name expected"},
 		{"[limits]", "[limits]\nspeed = 1", "limits.speed"},
 	} {
--- a/internal/scale/scenario/scenario_test.go
+++ b/internal/scale/scenario/scenario_test.go
@@ -17,20 +17,20 @@
 	sweep := func(text string) string { return "format = 1\nname = \"x\"\n[sweep]\n" + text }
 	for _, test := range []struct{ text, want string }{
 		{"name = \"x\"\n", "s.toml:1:1: VERSION: format: the file format version, 1, expected"},
-		{"format = 2\nname = \"x\"\n", "s.toml:1:10: RANGE: format: found 2: 1 to 1 expected"},
-		{"format = 1\n", "s.toml:1:1: MISSING: name: the scenario's name expected"},
+		{"format = 2\nname = \"x\"\n", "s.toml:1:10: RANGE: format: invalid value 2: must be from 1 to 1"},
+		{"format = 1\n", "s.toml:1:1: MISSING: name: missing field \"name\": the scenario's name expected"},
 		{
 			"format = 1\nsource = \"consl\"\n",
-			`source: found "consl": one of static, consul, relay expected; consul meant?`,
+			`source: invalid value "consl": must be one of static, consul, relay; did you mean "consul"?`,
 		},
 		{
 			base + "held = 3\n",
-			"s.toml:6:8: UNKNOWN-FIELD: sweep.held: unknown field; known here: dimension, held_out, sizes",
+			`s.toml:6:8: UNKNOWN-FIELD: sweep.held: unknown field "held"; known fields: dimension, held_out, sizes`,
 		},
 		{
 			sweep("dimension = \"size\"\n"),
-			`s.toml:4:13: WORD: sweep.dimension: found "size": ` +
-				`one of proxies, services, backends, changes, calls expected`,
+			`s.toml:4:13: WORD: sweep.dimension: invalid value "size": ` +
+				`must be one of proxies, services, backends, changes, calls`,
 		},
 		{sweep("dimension = \"calls\"\nsizes = [1, 2, 4, 8]\n"), "sweep.sizes: 5 to 20 sizes expected, 4 found"},
 		{
@@ -39,27 +39,30 @@
 		},
 		{
 			sweep("dimension = \"proxies\"\nsizes = [1, 2, 4, 8, 16.5]\n"),
-			"s.toml:5:22: RANGE: sweep.sizes[5]: found 16.5: a whole number, 1 to 100000, expected",
+			"s.toml:5:22: RANGE: sweep.sizes[5]: invalid value 16.5: a whole number, 1 to 100000, expected",
 		},
 		{
 			sweep("dimension = \"services\"\nsizes = [1, 2, 4, 8, 512]\n"),
-			"sweep.sizes[5]: found 512: a whole number, 1 to 256, expected",
+			"sweep.sizes[5]: invalid value 512: a whole number, 1 to 256, expected",
 		},
-		{base + "held_out = 16\n", "sweep.held_out: found 16: more than the largest of the sizes, 16, expected"},
-		{base + "held_out = 17.5\n", "sweep.held_out: found 17.5: a whole number expected"},
-		{base + "[size]\nservices = 257\n", "size.services: found 257: 1 to 256 expected"},
+		{
+			base + "held_out = 16\n",
+			"sweep.held_out: invalid value 16: more than the largest of the sizes, 16, expected",
+		},
+		{base + "held_out = 17.5\n", "sweep.held_out: invalid value 17.5: a whole number expected"},
+		{base + "[size]\nservices = 257\n", "size.services: invalid value 257: must be from 1 to 256"},
 		{
 			"format = 1\nhollow = false\nname = \"x\"\n" +
 				"[sweep]\ndimension = \"proxies\"\nsizes = [20, 40, 80, 160, 320]\n",
-			"s.toml:2:10: RANGE: hollow: found false: 200 real proxies at most expected, 320 found",
+			"s.toml:2:10: RANGE: hollow: invalid value false: 200 real proxies at most expected, 320 found",
 		},
 		{
 			"format = 1\nsource = \"static\"\nname = \"x\"\n[size]\nchanges_per_second = 1\n" +
 				"[sweep]\ndimension = \"proxies\"\nsizes = [1, 2, 4, 8, 16]\n",
 			"changes_per_second 0 expected",
 		},
-		{base + "[processes]\nproxies = 100\n", "processes.proxies: found 100: 1 to 64 expected"},
-		{base + "[size]\nproxies = \"7\"\n", `size.proxies: found "7": an integer expected`},
+		{base + "[processes]\nproxies = 100\n", "processes.proxies: invalid value 100: must be from 1 to 64"},
+		{base + "[size]\nproxies = \"7\"\n", `size.proxies: invalid value "7": must be an integer`},
 	} {
 		_, err := scenario.Read("s.toml", []byte(test.text))
 		if err == nil || !strings.Contains(err.Error(), test.want) {
--- a/internal/tomldoc/diagnostic.go
+++ b/internal/tomldoc/diagnostic.go
@@ -9,7 +9,7 @@
 	"fernlanding/internal/rules"
 )
 
-// Place is a place in a file. Line and Col count from 1, Col in bytes; a Line of 0 stands for the
+// Place is a location in a file. Line and Col count from 1, Col in bytes. A Line of 0 means the
 // file as a whole.
 type Place struct {
 	File string
@@ -17,7 +17,7 @@
 	Col  int
 }
 
-// String returns file:line:col, or the file alone.
+// String returns file:line:col, or only the file if the place has no line.
 func (p Place) String() string {
 	if p.Line == 0 {
 		return p.File
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Col)
 }
 
-// Short returns file:line, or the file alone.
+// Short returns file:line, or only the file if the place has no line.
 func (p Place) Short() string {
 	if p.Line == 0 {
 		return p.File
@@ -38,27 +38,28 @@
 	return cmp.Or(strings.Compare(p.File, o.File), cmp.Compare(p.Line, o.Line), cmp.Compare(p.Col, o.Col))
 }
 
-// Diagnostic is one violation of a rule. It is also an error.
+// Diagnostic is one violation of a rule. A Diagnostic is also an error.
 //
-//nolint:errname // reports are made of diagnostics, most of which no one handles as an error
+//nolint:errname // reports consist of diagnostics, and few callers handle one as an error
 type Diagnostic struct {
 	Place
 	Rule   rules.ID
-	Field  string // path of the field; empty: none
-	Found  string // what the field has; empty where it is missing, or the other texts say it
-	Expect string // what was expected instead, or why the value is rejected
-	See    Place  // another place that has to do with it; none if its File is empty
+	Field  string // path of the field; empty if the violation concerns no field
+	Found  string // value or text that violates the rule; empty if nothing was found or Expect describes it
+	Expect string // valid values, or the reason of the rejection
+	See    Place  // related place; an empty File means none
 }
 
-// Warning reports whether the violation is a warning, with which the document is accepted.
+// Warning reports whether the violation is a warning. A document with only warnings is accepted.
 func (d Diagnostic) Warning() bool { return rules.Get(d.Rule).Severity == rules.Warning }
 
-// Error returns one line: the place, the rule, what was found and what was expected.
+// Error returns one line with the place, the rule, the field, the value and the reason.
 func (d Diagnostic) Error() string {
 	return oneLine(d.String() + ": " + string(d.Rule) + ": " + d.description())
 }
 
-// oneLine replaces what would break a line, such as control characters in a quoted key.
+// oneLine replaces the characters that would break a line, such as control characters in a quoted
+// key.
 func oneLine(s string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f || r == 0x85 || r == 0x2028 || r == 0x2029 {
@@ -68,13 +69,14 @@
 	}, s)
 }
 
+// description returns the field, the value, the reason and the related place.
 func (d Diagnostic) description() string {
 	var b strings.Builder
 	if d.Field != "" {
 		b.WriteString(d.Field + ": ")
 	}
-	if d.Found != "" {
-		b.WriteString("found " + d.Found + ": ")
+	if label := d.foundLabel(); d.Found != "" && label != "" {
+		b.WriteString(label + " " + d.Found + ": ")
 	}
 	b.WriteString(d.Expect)
 	if d.See.File != "" {
@@ -83,7 +85,41 @@
 	return b.String()
 }
 
-// Report returns one line that also says why the violation matters and what to write instead.
+// foundLabels has what descriptions call Found, for the rules by which Found is not the value of a
+// field. With an empty label, descriptions leave out Found because Expect names it.
+var foundLabels = map[rules.ID]string{
+	rules.FileSize:     "",
+	rules.FileBOM:      "",
+	rules.FileCRLF:     "",
+	rules.FileControl:  "",
+	rules.FileDepth:    "",
+	rules.RouteDead:    "",
+	rules.WindowChain:  "call to",
+	rules.RepeatChain:  "call to",
+	rules.ScopeChain:   "call to",
+	rules.RetryFactor:  "retry factor",
+	rules.PodDisagrees: "endpoint",
+	rules.PodMoves:     "endpoint",
+}
+
+// foundLabel returns what the description calls Found, or "" if the description leaves it out. A
+// value with a related place may be valid by itself and conflicts with that place.
+func (d Diagnostic) foundLabel() string {
+	if label, ok := foundLabels[d.Rule]; ok {
+		return label
+	}
+	switch {
+	case slices.Contains(kindNames[:], d.Found):
+		return "value is"
+	case d.Warning():
+		return "value"
+	case d.See.File != "":
+		return "conflicting value"
+	}
+	return "invalid value"
+}
+
+// Report returns one line that also has the reason of the rule and a valid alternative.
 func (d Diagnostic) Report() string {
 	rule, mark := rules.Get(d.Rule), ""
 	if rule.Severity == rules.Warning {
@@ -93,12 +129,12 @@
 		d.Place, d.Rule, mark, d.description(), rule.Why, rule.Instead))
 }
 
-// Diagnostics is all violations of a document, as one error.
+// Diagnostics is all violations of a document as one error.
 //
-//nolint:errname // like Diagnostic
+//nolint:errname // see Diagnostic
 type Diagnostics []Diagnostic
 
-// Error returns a line for each diagnostic.
+// Error returns one line per diagnostic.
 func (ds Diagnostics) Error() string {
 	lines := make([]string, len(ds))
 	for i, d := range ds {
@@ -122,7 +158,7 @@
 	return slices.Compact(sorted)
 }
 
-// Errors returns those that are no warnings.
+// Errors returns the diagnostics that are not warnings.
 func (ds Diagnostics) Errors() Diagnostics {
 	var errs Diagnostics
 	for _, d := range ds {
--- a/internal/tomldoc/fields.go
+++ b/internal/tomldoc/fields.go
@@ -12,85 +12,83 @@
 )
 
 // Text reads a string.
-func (s Scope) Text(field, otherwise string) string {
+func (s Scope) Text(field, defaultValue string) string {
 	if v := s.Get(field, String); v != nil {
 		return v.Text
 	}
-	return otherwise
+	return defaultValue
 }
 
-// OneOf reads a string that has to be one of some words. For any other it returns the first of them.
-func (s Scope) OneOf(field, otherwise string, words ...string) string {
-	word := s.Text(field, otherwise)
+// OneOf reads a string that must be one of the given words. For any other string, OneOf reports a
+// violation and returns the first word.
+func (s Scope) OneOf(field, defaultValue string, words ...string) string {
+	word := s.Text(field, defaultValue)
 	if slices.Contains(words, word) {
 		return word
 	}
-	expect := fmt.Sprintf("one of %s expected", strings.Join(words, ", "))
-	if nearest := Nearest(word, words); nearest != "" {
-		expect += "; " + nearest + " meant?"
-	}
-	s.ReportField(rules.Word, field, "%s", expect)
+	expect := "must be one of " + strings.Join(words, ", ")
+	s.ReportField(rules.Word, field, "%s", WithSuggestion(expect, word, words))
 	return words[0]
 }
 
-// Bool reads a boolean; it is false where it is missing.
+// Bool reads a boolean. A missing boolean is false.
 func (s Scope) Bool(field string) bool {
 	v := s.Get(field, Bool)
 	return v != nil && v.Text == "true"
 }
 
-// Int reads an integer from least to most.
-func (s Scope) Int(field string, otherwise, least, most int64) int64 {
+// Int reads an integer from minimum to maximum.
+func (s Scope) Int(field string, defaultValue, minimum, maximum int64) int64 {
 	v := s.Get(field, Integer)
 	if v == nil {
-		return otherwise
+		return defaultValue
 	}
 	n, err := strconv.ParseInt(strings.ReplaceAll(v.Text, "_", ""), 0, 64)
-	if err != nil || n < least || n > most {
-		s.ReportField(rules.Range, field, "%d to %d expected", least, most)
-		return otherwise
+	if err != nil || n < minimum || n > maximum {
+		s.ReportField(rules.Range, field, "must be from %d to %d", minimum, maximum)
+		return defaultValue
 	}
 	return n
 }
 
-// Float reads a float or an integer from least to most.
-func (s Scope) Float(field string, otherwise, least, most float64) float64 {
+// Float reads a float or an integer from minimum to maximum.
+func (s Scope) Float(field string, defaultValue, minimum, maximum float64) float64 {
 	v := s.Get(field, Float)
 	if v == nil {
-		return otherwise
+		return defaultValue
 	}
 	x, err := strconv.ParseFloat(strings.ReplaceAll(v.Text, "_", ""), 64)
-	if err != nil || math.IsNaN(x) || x < least || x > most {
-		s.ReportField(rules.Range, field, "%g to %g expected", least, most)
-		return otherwise
+	if err != nil || math.IsNaN(x) || x < minimum || x > maximum {
+		s.ReportField(rules.Range, field, "must be from %g to %g", minimum, maximum)
+		return defaultValue
 	}
 	return x
 }
 
-// Duration reads a duration from least to most, such as "7.5s".
-func (s Scope) Duration(field string, otherwise, least, most time.Duration) time.Duration {
+// Duration reads a duration from minimum to maximum, such as "7.5s".
+func (s Scope) Duration(field string, defaultValue, minimum, maximum time.Duration) time.Duration {
 	v := s.Value.Fields[field]
 	s.Value.markKnown(field)
 	if v == nil {
-		return otherwise
+		return defaultValue
 	}
 	d, err := time.ParseDuration(v.Text)
 	switch {
 	case v.Kind == Integer || v.Kind == Float:
-		s.ReportField(rules.Duration, field, `a time with a unit, such as "250ms" or "7.5s", expected`)
+		s.ReportField(rules.Duration, field, `must be a duration with a unit, such as "250ms" or "7.5s"`)
 	case v.Kind != String:
-		s.Get(field, String) // which reports the kind
+		s.Get(field, String) // reports the wrong type
 	case err != nil:
-		s.ReportField(rules.Duration, field, `a time such as "250ms" or "7.5s" expected`)
-	case d < least || d > most:
-		s.ReportField(rules.Range, field, "%v to %v expected", least, most)
+		s.ReportField(rules.Duration, field, `must be a duration such as "250ms" or "7.5s"`)
+	case d < minimum || d > maximum:
+		s.ReportField(rules.Range, field, "must be from %v to %v", minimum, maximum)
 	default:
 		return d
 	}
-	return otherwise
+	return defaultValue
 }
 
-// Strings reads an array of strings. Items of other kinds are reported and left out.
+// Strings reads an array of strings. Items of another type are reported and left out.
 func (s Scope) Strings(field string) []string {
 	v := s.Get(field, Array)
 	if v == nil {
@@ -100,7 +98,7 @@
 	for i, item := range v.Items {
 		if item.Kind != String {
 			path := fmt.Sprintf("%s[%d]", s.FieldPath(field), i+1)
-			s.ReportAt(item, rules.WrongType, path, item.Describe(), "a string expected")
+			s.reportType(item, path, String)
 			continue
 		}
 		texts = append(texts, item.Text)
--- a/internal/tomldoc/nearest.go
+++ b/internal/tomldoc/nearest.go
@@ -1,33 +1,37 @@
 package tomldoc
 
-// maxNearDistance is the largest Levenshtein distance at which a word counts as misspelt.
-const maxNearDistance = 2
+import "fmt"
 
-// maxNearLength is the length in bytes from which on words are not compared.
-const maxNearLength = 40
+// maxTypoDistance is the largest Levenshtein distance at which a word counts as a misspelling of
+// another.
+const maxTypoDistance = 2
 
-// Nearest returns the known word that a misspelt one is probably meant to be, or "".
+// maxComparedLength is the length in bytes up to which words are compared.
+const maxComparedLength = 40
+
+// Nearest returns the known word of which word is probably a misspelling, or "" if there is none.
 func Nearest(word string, known []string) string {
-	nearest, least := "", maxNearDistance+1
+	nearest, minDistance := "", maxTypoDistance+1
 	for _, k := range known {
-		if d := distance(word, k); d < least && d < len(k) {
-			least, nearest = d, k
+		if d := levenshtein(word, k); d < minDistance && d < len(k) {
+			minDistance, nearest = d, k
 		}
 	}
 	return nearest
 }
 
-// WithSuggestion returns a text that is followed by the nearest known word, if there is one.
+// WithSuggestion returns text followed by the known word that is nearest to word, if there is one.
 func WithSuggestion(text, word string, known []string) string {
 	if nearest := Nearest(word, known); nearest != "" {
-		return text + ": " + nearest + " meant?"
+		return fmt.Sprintf("%s; did you mean %q?", text, nearest)
 	}
 	return text
 }
 
-// distance returns the Levenshtein distance of two words. Long words count as far apart.
-func distance(a, b string) int {
-	if len(a) > maxNearLength || len(b) > maxNearLength {
+// levenshtein returns the Levenshtein distance of two words. If one of them is longer than
+// maxComparedLength, levenshtein returns the sum of their lengths.
+func levenshtein(a, b string) int {
+	if len(a) > maxComparedLength || len(b) > maxComparedLength {
 		return len(a) + len(b)
 	}
 	row := make([]int, len(b)+1)
--- a/internal/tomldoc/number.go
+++ b/internal/tomldoc/number.go
@@ -2,24 +2,25 @@
 
 import (
 	"errors"
+	"fmt"
 	"strconv"
 	"strings"
 )
 
-// integerProblem returns why a text is no integer of TOML 1.0; empty: it is one.
-func integerProblem(s string) string {
+// integerError returns why s is not a valid integer of TOML 1.0, or "" if s is valid.
+func integerError(s string) string {
 	digits := strings.TrimLeft(s, "+-")
 	signed := len(digits) != len(s)
 	base, prefixed := 10, false
 	if len(digits) > 1 && digits[0] == '0' {
-		base = baseOf(digits[1])
+		base = baseOfPrefix(digits[1])
 		if base == 0 {
-			return "an integer begins with no zero: " + Truncate(s)
+			return fmt.Sprintf("invalid integer %q: leading zero", Truncate(s))
 		}
 		digits, prefixed = digits[2:], true
 	}
 	if !prefixed && len(s)-len(digits) > 1 || signed && prefixed || !isGrouped(digits) {
-		return "not an integer: " + Truncate(s)
+		return fmt.Sprintf("invalid integer %q", Truncate(s))
 	}
 	text := strings.ReplaceAll(digits, "_", "")
 	if strings.HasPrefix(s, "-") {
@@ -28,15 +29,16 @@
 	_, err := strconv.ParseInt(text, base, 64)
 	switch {
 	case errors.Is(err, strconv.ErrRange):
-		return "an integer beyond 64 bits: " + Truncate(s)
+		return fmt.Sprintf("invalid integer %q: out of the range of 64 bits", Truncate(s))
 	case err != nil:
-		return "not an integer: " + Truncate(s)
+		return fmt.Sprintf("invalid integer %q", Truncate(s))
 	}
 	return ""
 }
 
-// baseOf returns the base that the letter after a leading zero stands for; 0: none.
-func baseOf(letter byte) int {
+// baseOfPrefix returns the base that the letter after a leading zero denotes, or 0 if the letter
+// denotes none.
+func baseOfPrefix(letter byte) int {
 	switch letter {
 	case 'x':
 		return 16
@@ -48,24 +50,24 @@
 	return 0
 }
 
-// isGrouped reports whether a text has underscores between two other characters alone, and is not
-// empty.
+// isGrouped reports whether s is not empty and each underscore in s is between two other
+// characters.
 func isGrouped(s string) bool {
 	return s != "" && s[0] != '_' && s[len(s)-1] != '_' && !strings.Contains(s, "__")
 }
 
-// isDecimal reports whether a text is decimal digits, with underscores between them.
+// isDecimal reports whether s consists of decimal digits, with underscores only between digits.
 func isDecimal(s string) bool {
 	return isGrouped(s) && strings.Trim(s, "0123456789_") == ""
 }
 
-// isFloat reports whether a text is a float of TOML 1.0 that fits 64 bits.
+// isFloat reports whether s is a valid float of TOML 1.0 in the range of 64 bits.
 func isFloat(s string) bool {
-	body := trimSign(s)
-	if body == "inf" || body == "nan" {
+	unsigned := trimSign(s)
+	if unsigned == "inf" || unsigned == "nan" {
 		return true
 	}
-	mantissa, exponent, hasExponent := strings.Cut(strings.ToLower(body), "e")
+	mantissa, exponent, hasExponent := strings.Cut(strings.ToLower(unsigned), "e")
 	integer, fraction, hasFraction := strings.Cut(mantissa, ".")
 	switch {
 	case !hasFraction && !hasExponent, hasExponent && !isDecimal(trimSign(exponent)):
@@ -75,11 +77,11 @@
 	case hasFraction && !isDecimal(fraction):
 		return false
 	}
-	_, err := strconv.ParseFloat(strings.ReplaceAll(body, "_", ""), 64)
+	_, err := strconv.ParseFloat(strings.ReplaceAll(unsigned, "_", ""), 64)
 	return err == nil
 }
 
-// trimSign returns a text without one leading sign.
+// trimSign returns s without one leading sign.
 func trimSign(s string) string {
 	if strings.HasPrefix(s, "+") || strings.HasPrefix(s, "-") {
 		return s[1:]
--- a/internal/tomldoc/parse.go
+++ b/internal/tomldoc/parse.go
@@ -1,13 +1,15 @@
-// Package tomldoc parses a TOML document into a tree with the place of every value, and decodes the
-// tree field by field while it collects all violations of rules. It is pure.
+// Package tomldoc parses a TOML document into a tree of values with their places, and decodes the
+// tree field by field while collecting all violations of rules. The package is pure: it does no
+// I/O.
 //
-// Parse returns the tree; a [Scope] decodes one of its tables; a [Diagnostic] is one violation.
+// [Parse] returns the tree, a [Scope] decodes one table of the tree, and a [Diagnostic] is one
+// violation.
 package tomldoc
 
 import (
 	"errors"
+	"fmt"
 	"slices"
-	"strconv"
 	"strings"
 
 	"fernlanding/internal/rules"
@@ -15,11 +17,12 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Parse parses a TOML document. The value is nil where the diagnostics leave nothing to decode;
-// others, which a version of a format may tolerate, come beside it. go-toml's parser checks the
-// syntax. What its decoder would check beyond that, in a time that grows with the square of the
-// tables, is checked here: what is defined twice, and numbers. Dates are not checked, since no
-// format here has any.
+// Parse parses a TOML document. Parse returns a nil value if the document can't be decoded.
+// Diagnostics beside a value are violations that a version of a format may tolerate.
+//
+// The parser of go-toml checks the syntax. Parse itself checks numbers and duplicate definitions,
+// because the decoder of go-toml, which also checks them, takes time quadratic in the number of
+// tables. Dates are not checked, because no format in this module has any.
 func Parse(file string, data []byte) (*Value, Diagnostics) {
 	faults, fatal := scan(file, data)
 	if fatal {
@@ -33,26 +36,26 @@
 	return b.root, faults
 }
 
-// definition is how a table came to be. It decides whether the table may be defined or added to
-// again (TOML 1.0, "Table").
+// definition is how a table was defined. The definition decides whether the table may be defined
+// again or extended (TOML 1.0, "Table").
 type definition int
 
 const (
-	byPath   definition = iota // on the path to a header's table: a header may still define it
-	byHeader                   // [table], or one of an array of them
-	byDots                     // on the path to a dotted key: other dotted keys and headers below may add to it
-	inline                     // complete as it is written
-	byArray                    // of an array: [[table]]; other arrays are complete as they are written
+	byPath   definition = iota // implicitly, on the path of a header; a header may still define the table
+	byHeader                   // [table], or an item of [[table]]
+	byDots                     // by a dotted key; other dotted keys, and headers below the table, may extend it
+	inline                     // inline; nothing may extend the table
+	byArray                    // array of tables by [[table]]; nothing may extend other arrays
 )
 
-// builder builds the tree of a document up to the first violation.
+// builder builds the tree of a document and stops at the first violation.
 type builder struct {
 	parser    unstable.Parser
 	file      string
 	data      []byte
 	root      *Value
-	lineStart []int // offsets at which lines begin
-	fault     *Diagnostic
+	lineStart []int       // offsets of the starts of lines
+	fault     *Diagnostic // first violation; nil means none
 }
 
 func newBuilder(file string, data []byte) *builder {
@@ -80,7 +83,7 @@
 			table = b.header(expression.Key(), true)
 		case unstable.KeyValue:
 			b.keyValue(table, expression, true)
-		default: // the parser leaves comments out, and has no other expressions
+		default: // the parser skips comments and has no other expressions
 		}
 	}
 	if b.fault == nil && b.parser.Error() != nil {
@@ -88,7 +91,7 @@
 	}
 }
 
-// syntaxError returns the diagnostic of an error of the parser.
+// syntaxError returns the diagnostic for an error of the parser.
 func (b *builder) syntaxError(err error) *Diagnostic {
 	d := &Diagnostic{
 		Place: Place{File: b.file}, Rule: rules.Syntax, Expect: strings.TrimPrefix(err.Error(), "toml: "),
@@ -105,31 +108,33 @@
 	return d
 }
 
-// report reports a violation, unless there is one already.
+// report reports a violation unless one has been reported.
 func (b *builder) report(at Place, rule rules.ID, name, expect string) {
 	if b.fault == nil {
 		b.fault = &Diagnostic{Place: at, Rule: rule, Field: name, Expect: expect}
 	}
 }
 
-// reportTwice reports a value that is defined twice.
-func (b *builder) reportTwice(at Place, name string, old *Value) {
-	b.report(at, rules.DoubleField, name, "it stands in line "+strconv.Itoa(old.Place.Line)+" already")
+// reportDuplicate reports a second definition of a value.
+func (b *builder) reportDuplicate(at Place, name string, old *Value) {
+	b.report(at, rules.DoubleField, name,
+		fmt.Sprintf("duplicate key %q: already defined in line %d", Truncate(name), old.Place.Line))
 }
 
-// place returns the place at which a range begins.
+// place returns the place of the start of a range.
 func (b *builder) place(r unstable.Range) Place {
 	offset := int(r.Offset)
 	line, _ := slices.BinarySearch(b.lineStart, offset+1)
 	return Place{File: b.file, Line: line, Col: offset - b.lineStart[line-1] + 1}
 }
 
+// rangeOf converts a range of the parser.
 func rangeOf(r unstable.Range) Range {
 	return Range{From: int(r.Offset), To: int(r.Offset) + int(r.Length)}
 }
 
-// header returns the table that a header defines, or with array the new last table of an array. It
-// creates the tables on the path that do not exist yet.
+// header returns the table that a header defines: a table or, if array is set, a new last item of
+// an array of tables. header creates missing tables on the path.
 func (b *builder) header(key unstable.Iterator, array bool) *Value {
 	table := b.root
 	for key.Next() {
@@ -143,8 +148,8 @@
 	return table
 }
 
-// descend returns the table of one part of a header's key; nil where the header must not define or
-// add to it.
+// descend returns the table for one part of a header's key, or nil if the header must not define or
+// extend that table.
 func (b *builder) descend(table *Value, name string, at Place, last, array bool) *Value {
 	next := table.Fields[name]
 	switch {
@@ -152,10 +157,10 @@
 		next = newHeaderValue(at, last, array)
 		table.Set(name, next)
 	case !next.allowsHeader(last, array):
-		b.reportTwice(at, name, next)
+		b.reportDuplicate(at, name, next)
 		return nil
 	case last && !array:
-		next.def, next.Place = byHeader, at // the place of its own header, not of that of a table in it
+		next.def, next.Place = byHeader, at // replaces the place of the header of a table below
 	}
 	if next.Kind != Array {
 		return next
@@ -168,8 +173,8 @@
 	return next.Items[len(next.Items)-1]
 }
 
-// newHeaderValue returns the value that a part of a header's key defines: an array, a table, or a
-// table on the path.
+// newHeaderValue returns the new value for a part of a header's key: an array of tables, a table,
+// or a table on the path.
 func newHeaderValue(at Place, last, array bool) *Value {
 	if last && array {
 		return &Value{Kind: Array, Place: at, def: byArray}
@@ -181,8 +186,9 @@
 	return table
 }
 
-// allowsHeader reports whether a header may define the value, or with array add to it; if its key's
-// part is not the last, whether the header may be of something in it.
+// allowsHeader reports whether a header may define the value or, if array is set, append to it. If
+// the value is not for the last part of the header's key, allowsHeader reports whether the header
+// may define something in the value.
 func (v *Value) allowsHeader(last, array bool) bool {
 	switch {
 	case last && array:
@@ -193,7 +199,7 @@
 	return v.def == byArray || v.Kind == Table && v.def != inline
 }
 
-// keyValue adds a field to a table; ownLine says that it has a line of its own.
+// keyValue adds a field to a table. ownLine is set if the field is on a line of its own.
 func (b *builder) keyValue(table *Value, expression *unstable.Node, ownLine bool) {
 	key := expression.Key()
 	var name string
@@ -209,7 +215,7 @@
 		next := table.Fields[name]
 		if key.IsLast() {
 			if next != nil {
-				b.reportTwice(at, name, next)
+				b.reportDuplicate(at, name, next)
 				return
 			}
 			break
@@ -219,7 +225,7 @@
 			next.def = byDots
 			table.Set(name, next)
 		} else if next.Kind != Table || next.def != byDots {
-			b.reportTwice(at, name, next)
+			b.reportDuplicate(at, name, next)
 			return
 		}
 		table = next
@@ -232,7 +238,8 @@
 	table.Set(name, value)
 }
 
-// value builds one value. Where the parser has no place for it, its place is that of its key.
+// value builds one value. If the parser has no place for the value, the value gets the place of the
+// key.
 func (b *builder) value(node *unstable.Node, key Place) *Value {
 	v := &Value{Place: key, Text: string(node.Data)}
 	if node.Raw.Length > 0 {
@@ -243,13 +250,13 @@
 		v.Kind = String
 	case unstable.Integer:
 		v.Kind = Integer
-		if problem := integerProblem(v.Text); problem != "" {
-			b.report(v.Place, rules.Syntax, "", problem)
+		if reason := integerError(v.Text); reason != "" {
+			b.report(v.Place, rules.Syntax, "", reason)
 		}
 	case unstable.Float:
 		v.Kind = Float
 		if !isFloat(v.Text) {
-			b.report(v.Place, rules.Syntax, "", "not a float: "+Truncate(v.Text))
+			b.report(v.Place, rules.Syntax, "", fmt.Sprintf("invalid float %q", Truncate(v.Text)))
 		}
 	case unstable.Bool:
 		v.Kind = Bool
--- a/internal/tomldoc/parse_test.go
+++ b/internal/tomldoc/parse_test.go
@@ -10,7 +10,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Brackets and dots in strings and comments are no nesting, whatever the kind of string.
+// TestNestingInStringsIsIgnored checks that brackets and dots in comments and in all kinds of
+// strings do not count as nesting.
 func TestNestingInStringsIsIgnored(t *testing.T) {
 	deep := strings.Repeat("[", 40)
 	for text, valid := range map[string]bool{
@@ -34,7 +35,8 @@
 	}
 }
 
-// The deepest text that the scanner lets through is far from what exhausts a stack.
+// TestMaximalNestingIsReported checks that a file of the maximum size that consists of nesting is
+// rejected by the scanner at a depth far below the one that exhausts the stack.
 func TestMaximalNestingIsReported(t *testing.T) {
 	for _, text := range []string{
 		strings.Repeat("[", MaxFile), "a=" + strings.Repeat("{a=", MaxFile/3-1), strings.Repeat("a.", MaxFile/2),
@@ -46,7 +48,8 @@
 	}
 }
 
-// What may be defined again, and how numbers are written, is checked as by go-toml's decoder.
+// TestDefinitionsAndNumbersAsInGoTOML compares the checks of duplicate definitions and of the
+// syntax of numbers with the decoder of go-toml.
 func TestDefinitionsAndNumbersAsInGoTOML(t *testing.T) {
 	for _, text := range []string{
 		"[a]\n[a]", "[a.b]\n[a]", "[a]\n[a.b]", "[a.b]\n[a]\n[a.b]", "a.b = 1\n[a]", "a.b = 1\na.c = 2",
@@ -65,7 +68,7 @@
 		err := toml.Unmarshal([]byte(text), &plain)
 		v, faults := Parse("f", []byte(text))
 		if (v == nil) != (err != nil) {
-			t.Errorf("%q: %v; go-toml returns %v", text, faults, err)
+			t.Errorf("%q: got %v, go-toml returns %v", text, faults, err)
 		}
 		if v != nil {
 			compare(t, v, plain, len(text))
@@ -73,7 +76,8 @@
 	}
 }
 
-// The tree has what go-toml's own decoder returns, and every value has a place in the text.
+// FuzzParse checks that the tree equals the result of go-toml's decoder, and that every value has a
+// valid place.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{
 		"a = 1\n[b.c]\nd = [1, { e = 'x' }]\n[[f]]\ng = 1.5\n[[f]]\ng.h = true", "a = \"\"\"\n\"\"\"",
@@ -91,7 +95,7 @@
 		}
 		if err != nil {
 			if !hasDate(v) { // dates are not checked
-				t.Fatalf("parsed, and go-toml returns %v", err)
+				t.Fatalf("got a value, but go-toml returns %v", err)
 			}
 			return
 		}
@@ -100,26 +104,26 @@
 	})
 }
 
-// checkFaults checks the diagnostics of a document that was not parsed; goTOML is the error of
-// go-toml's decoder.
+// checkFaults checks the diagnostics of a rejected document. goTOML is the error of go-toml's
+// decoder for the document.
 func checkFaults(t *testing.T, faults Diagnostics, goTOML error) {
 	t.Helper()
 	if len(faults) == 0 {
-		t.Fatal("no value, and no diagnostic")
+		t.Fatal("got neither a value nor a diagnostic")
 	}
 	isSyntax := true
 	for _, d := range faults {
 		if strings.ContainsAny(d.Report()+d.Error(), "\n\r") {
-			t.Fatalf("%q", d.Report())
+			t.Fatalf("diagnostic has several lines: %q", d.Report())
 		}
 		isSyntax = isSyntax && (d.Rule == rules.Syntax || d.Rule == rules.DoubleField)
 	}
 	if isSyntax && goTOML == nil {
-		t.Fatalf("rejected, and go-toml decodes it: %v", faults)
+		t.Fatalf("document rejected, but go-toml decodes it: %v", faults)
 	}
 }
 
-// hasDate reports whether a value is a date or time, or has one in it.
+// hasDate reports whether a value is or contains a date or time.
 func hasDate(v *Value) bool {
 	for _, field := range v.Fields {
 		if hasDate(field) {
@@ -129,33 +133,34 @@
 	return v.Kind == DateTime || slices.ContainsFunc(v.Items, hasDate)
 }
 
-// compare compares a value with that of go-toml's decoder. size is that of the document.
+// compare compares a value with the value from go-toml's decoder. size is the size of the document
+// in bytes.
 func compare(t *testing.T, v *Value, plain any, size int) {
 	t.Helper()
 	if v.Place.Line < 1 || v.Place.Col < 1 || v.Raw.From < 0 || v.Raw.To > size || v.Last.To > size {
-		t.Fatalf("place %+v, raw %+v", v.Place, v.Raw)
+		t.Fatalf("invalid place %+v or range %+v", v.Place, v.Raw)
 	}
 	switch plain := plain.(type) {
 	case map[string]any:
 		if v.Kind != Table || len(v.Keys) != len(plain) {
-			t.Fatalf("%v with %d keys for %d", v.Kind, len(v.Keys), len(plain))
+			t.Fatalf("got %v with %d keys, want a table with %d", v.Kind, len(v.Keys), len(plain))
 		}
 		for name, field := range plain {
 			if v.Fields[name] == nil {
-				t.Fatalf("%q is missing", name)
+				t.Fatalf("missing field %q", name)
 			}
 			compare(t, v.Fields[name], field, size)
 		}
 	case []any:
 		if v.Kind != Array || len(v.Items) != len(plain) {
-			t.Fatalf("%v with %d items for %d", v.Kind, len(v.Items), len(plain))
+			t.Fatalf("got %v with %d items, want an array with %d", v.Kind, len(v.Items), len(plain))
 		}
 		for i, item := range plain {
 			compare(t, v.Items[i], item, size)
 		}
 	case string:
 		if v.Kind != String || v.Text != plain {
-			t.Fatalf("%v %q for %q", v.Kind, v.Text, plain)
+			t.Fatalf("got %v %q, want string %q", v.Kind, v.Text, plain)
 		}
 	}
 }
--- a/internal/tomldoc/scan.go
+++ b/internal/tomldoc/scan.go
@@ -8,28 +8,28 @@
 	"fernlanding/internal/rules"
 )
 
-// MaxFile is the size of the largest document in bytes.
+// MaxFile is the maximum size of a document in bytes.
 const MaxFile = 4 << 20
 
 const (
-	maxDepth      = 16 // of brackets, and of the parts of one key
+	maxDepth      = 16 // limit of nested brackets, and of the parts of one key
 	byteOrderMark = "\xef\xbb\xbf"
 )
 
-// scan checks for what must not reach a parser: a document that is too large, bytes that an editor
-// does not show, and nesting that would exhaust the stack. fatal says that the document is not to
-// be parsed.
+// scan checks a document before parsing: its size, bytes that an editor does not show, and nesting
+// that would exhaust the stack of a parser. fatal reports whether the document must not be parsed.
 func scan(file string, data []byte) (faults Diagnostics, fatal bool) {
 	if len(data) > MaxFile {
 		return Diagnostics{{
 			Place: Place{File: file}, Rule: rules.FileSize,
-			Found: fmt.Sprintf("%d bytes", len(data)), Expect: fmt.Sprintf("%d at most", MaxFile),
+			Found:  fmt.Sprintf("%d bytes", len(data)),
+			Expect: fmt.Sprintf("file of %d bytes exceeds the limit of %d", len(data), MaxFile),
 		}}, true
 	}
 	if bytes.HasPrefix(data, []byte(byteOrderMark)) {
 		return Diagnostics{{
 			Place: Place{File: file, Line: 1, Col: 1}, Rule: rules.FileBOM,
-			Found: "a byte order mark", Expect: "text expected",
+			Found: "a byte order mark", Expect: "invalid byte order mark",
 		}}, true
 	}
 	s := scanner{file: file, data: data, line: 1}
@@ -37,7 +37,9 @@
 	if s.crlfLines > 0 {
 		faults = append(faults, Diagnostic{
 			Place: Place{File: file, Line: s.firstCRLF, Col: 1}, Rule: rules.FileCRLF,
-			Found: fmt.Sprintf("CR LF at the end of %d lines, first here", s.crlfLines), Expect: "LF expected",
+			Found: fmt.Sprintf("CR LF at the end of %d lines, first here", s.crlfLines),
+			Expect: fmt.Sprintf("invalid line ending CR LF: must be LF (lines with CR LF: %d, this is the first)",
+				s.crlfLines),
 		})
 	}
 	if s.fault != nil {
@@ -46,23 +48,23 @@
 	return faults, false
 }
 
-// scanner knows just enough of TOML to tell brackets and dots in strings and comments from others.
+// scanner recognizes strings and comments of TOML, in which brackets and dots are no nesting.
 type scanner struct {
 	file      string
 	data      []byte
 	line      int
-	lineStart int  // offset at which the line begins
-	crlfLines int  // lines so far that end with CR LF
-	firstCRLF int  // the first of them
-	depth     int  // of brackets
-	dots      int  // in the present key
-	quote     byte // of the string that is open; 0: none
-	multiline bool // the string that is open may extend over several lines
+	lineStart int  // offset of the start of the current line
+	crlfLines int  // number of lines so far that end with CR LF
+	firstCRLF int  // number of the first line that ends with CR LF
+	depth     int  // number of open brackets
+	dots      int  // number of dots in the current key
+	quote     byte // quote of the current string; 0 means that no string is open
+	multiline bool // whether the current string may extend over several lines
 	inComment bool
-	fault     *Diagnostic
+	fault     *Diagnostic // violation that ends the scan; nil means none
 }
 
-// report reports a violation at an offset. It ends the scan.
+// report reports a violation at an offset and ends the scan.
 func (s *scanner) report(offset int, rule rules.ID, found, expect string) {
 	at := Place{File: s.file, Line: s.line, Col: offset - s.lineStart + 1}
 	s.fault = &Diagnostic{Place: at, Rule: rule, Found: found, Expect: expect}
@@ -74,7 +76,7 @@
 	}
 }
 
-// step scans what begins at an offset, and returns how many bytes that is.
+// step scans the token at an offset and returns the token's length in bytes.
 func (s *scanner) step(i int) int {
 	if n := s.scanSpecial(i); n > 0 {
 		return n
@@ -88,8 +90,8 @@
 	return s.scanSyntax(i)
 }
 
-// scanSpecial scans a line end, a control character or a character of several bytes; 0: there is
-// none.
+// scanSpecial scans a line ending, a control character or a multi-byte character and returns its
+// length in bytes, or 0 if there is none at the offset.
 func (s *scanner) scanSpecial(i int) int {
 	c := s.data[i]
 	switch {
@@ -101,11 +103,12 @@
 			s.firstCRLF = s.line
 		}
 	case c < ' ' && c != '\t' || c == 0x7f:
-		s.report(i, rules.FileControl, fmt.Sprintf("byte %#02x", c), "text expected")
+		s.report(i, rules.FileControl, fmt.Sprintf("byte %#02x", c), fmt.Sprintf("invalid control character %#02x", c))
 	case c >= utf8.RuneSelf:
 		r, size := utf8.DecodeRune(s.data[i:])
 		if r == utf8.RuneError && size == 1 {
-			s.report(i, rules.FileControl, fmt.Sprintf("byte %#02x", c), "UTF-8 expected")
+			s.report(i, rules.FileControl,
+				fmt.Sprintf("byte %#02x", c), fmt.Sprintf("invalid byte %#02x: must be UTF-8", c))
 		}
 		return size
 	default:
@@ -119,11 +122,12 @@
 	s.lineStart = i + 1
 	s.dots, s.inComment = 0, false
 	if !s.multiline {
-		s.quote = 0 // an error of syntax, which the parser reports
+		s.quote = 0 // an unterminated string is a syntax error, which the parser reports
 	}
 }
 
-// scanString scans an escaped character, the end of the string that is open, or one byte of it.
+// scanString scans an escaped character, the end of the current string, or one byte of the string.
+// scanString returns the number of bytes.
 func (s *scanner) scanString(i int) int {
 	c := s.data[i]
 	switch {
@@ -138,14 +142,15 @@
 		return 1
 	}
 	n := 3
-	for i+n < len(s.data) && s.data[i+n] == c { // up to two more belong to the string
+	for i+n < len(s.data) && s.data[i+n] == c { // up to two more quotes belong to the string
 		n++
 	}
 	s.quote, s.multiline = 0, false
 	return n
 }
 
-// scanSyntax scans what is outside of strings and comments.
+// scanSyntax scans a byte outside of strings and comments, or the start of a string. scanSyntax
+// returns the number of bytes.
 func (s *scanner) scanSyntax(i int) int {
 	c := s.data[i]
 	switch c {
@@ -161,7 +166,7 @@
 		s.depth++
 		s.dots = 0
 		if s.depth > maxDepth {
-			s.reportDepth(i, fmt.Sprintf("%d brackets deep", s.depth))
+			s.reportDepth(i, fmt.Sprintf("%d brackets deep", s.depth), fmt.Sprintf("nesting of %d brackets", s.depth))
 		}
 	case ']', '}':
 		s.depth, s.dots = max(0, s.depth-1), 0
@@ -170,17 +175,18 @@
 	case '.':
 		s.dots++
 		if s.dots >= maxDepth {
-			s.reportDepth(i, fmt.Sprintf("a key of over %d parts", maxDepth))
+			s.reportDepth(i,
+				fmt.Sprintf("a key of over %d parts", maxDepth), fmt.Sprintf("key of %d or more parts", s.dots+1))
 		}
 	}
 	return 1
 }
 
-func (s *scanner) reportDepth(i int, found string) {
-	s.report(i, rules.FileDepth, found, fmt.Sprintf("%d at most", maxDepth))
+func (s *scanner) reportDepth(i int, found, what string) {
+	s.report(i, rules.FileDepth, found, fmt.Sprintf("%s exceeds the limit of %d", what, maxDepth))
 }
 
-// isTripled reports whether a byte occurs three times in a row.
+// isTripled reports whether the byte at an offset occurs three times in a row.
 func (s *scanner) isTripled(i int) bool {
 	c := s.data[i]
 	return i+2 < len(s.data) && s.data[i+1] == c && s.data[i+2] == c
--- a/internal/tomldoc/scope.go
+++ b/internal/tomldoc/scope.go
@@ -8,19 +8,19 @@
 	"fernlanding/internal/rules"
 )
 
-// Collector collects the diagnostics of a document that is being decoded.
+// Collector collects the diagnostics of a document during decoding.
 type Collector struct {
 	Diagnostics Diagnostics
-	// LaterFields has the fields that a later version of the format has, with that version: they are
-	// reported as such.
+	// LaterFields maps the fields that only a later version of the format has to that version.
+	// Unknown fields among them are reported with the version.
 	LaterFields map[string]int
 }
 
-// Scope is a table that is being decoded, with the path of its fields.
+// Scope is a table during decoding, with the path of the table.
 //
-// The methods that read a field mark it as known, so that Done can report those that are not. Where
-// a field is missing they return the default that is passed; where its value is invalid they report
-// that, and return a valid value so that decoding can go on.
+// The methods that read a field mark the field as known, so that ReportUnknown can report all other
+// fields. For a missing field they return the given default. For an invalid value they report a
+// violation and return a valid value, so that decoding can continue.
 type Scope struct {
 	*Collector
 	Value *Value
@@ -30,8 +30,8 @@
 // NewScope returns the scope of a whole document.
 func NewScope(r *Collector, root *Value) Scope { return Scope{Collector: r, Value: root} }
 
-// Decode parses a file and decodes it by a function that reads its root table. The error is
-// Diagnostics.
+// Decode parses a file and decodes the file with a function that reads the root table. The error
+// is of type Diagnostics.
 func Decode[T any](file string, data []byte, read func(Scope) *T) (*T, error) {
 	root, faults := Parse(file, data)
 	if root == nil {
@@ -60,41 +60,51 @@
 	return s.Path + "." + field
 }
 
-// ReportField reports a violation at a field or, where the table lacks the field, at the table.
+// ReportField reports a violation at a field or, if the field is missing, at the table. A violation
+// of rules.Missing names the missing field.
 func (s Scope) ReportField(rule rules.ID, field, expect string, args ...any) {
 	at, found := s.Value, ""
+	expect = fmt.Sprintf(expect, args...)
 	if v := s.Value.Fields[field]; v != nil {
 		at, found = v, v.Describe()
 		if v.Kind == Table || v.Kind == Array {
 			found = ""
 		}
+	} else if rule == rules.Missing {
+		expect = fmt.Sprintf("missing field %q: %s", field, expect)
 	}
-	s.ReportAt(at, rule, s.FieldPath(field), found, fmt.Sprintf(expect, args...))
+	s.ReportAt(at, rule, s.FieldPath(field), found, expect)
 }
 
-// MarkKnown marks fields as known, whatever they hold.
+// MarkKnown marks fields as known without reading them.
 func (s Scope) MarkKnown(fields ...string) {
 	for _, field := range fields {
 		s.Value.markKnown(field)
 	}
 }
 
-// Get returns a field of a kind, or nil. A field of another kind is reported; an integer is a float
-// too.
+// Get returns the value of a field if it has a given type, and nil otherwise. A value of another
+// type is reported. An integer is also accepted as a float.
 func (s Scope) Get(field string, want Kind) *Value {
 	s.Value.markKnown(field)
 	v := s.Value.Fields[field]
 	if v == nil || v.Kind == want || want == Float && v.Kind == Integer {
 		return v
 	}
-	s.ReportAt(v, rules.WrongType, s.FieldPath(field), v.Describe(), want.String()+" expected")
+	s.reportType(v, s.FieldPath(field), want)
 	return nil
 }
 
+// reportType reports a value at a path that has another type than the wanted one.
+func (s Scope) reportType(v *Value, path string, want Kind) {
+	s.ReportAt(v, rules.WrongType, path, v.Describe(), "must be "+want.String())
+}
+
 // Has reports whether the table has a field.
 func (s Scope) Has(field string) bool { return s.Value.Fields[field] != nil }
 
-// Table returns the scope of a table; that of an empty one where the field is missing or no table.
+// Table returns the scope of a table. If the field is missing or is not a table, Table returns the
+// scope of an empty table.
 func (s Scope) Table(field string) Scope {
 	v := s.Get(field, Table)
 	if v == nil {
@@ -103,7 +113,7 @@
 	return Scope{Collector: s.Collector, Value: v, Path: s.FieldPath(field)}
 }
 
-// Tables returns the scopes of the tables in a table, in order, with their names.
+// Tables returns the names and scopes of all tables in a table, in order.
 func (s Scope) Tables(field string) (names []string, scopes []Scope) {
 	table := s.Table(field)
 	for _, name := range table.Value.Keys {
@@ -115,7 +125,7 @@
 	return names, scopes
 }
 
-// TableArray returns the scopes of an array of tables.
+// TableArray returns the scopes of all tables in an array, in order.
 func (s Scope) TableArray(field string) []Scope {
 	v := s.Get(field, Array)
 	if v == nil {
@@ -125,7 +135,7 @@
 	for i, item := range v.Items {
 		path := fmt.Sprintf("%s[%d]", s.FieldPath(field), i+1)
 		if item.Kind != Table {
-			s.ReportAt(item, rules.WrongType, path, item.Describe(), "a table expected")
+			s.reportType(item, path, Table)
 			continue
 		}
 		scopes = append(scopes, Scope{Collector: s.Collector, Value: item, Path: path})
@@ -133,8 +143,8 @@
 	return scopes
 }
 
-// ReportUnknown reports the fields of the table that are not known. It is called once all known fields have
-// been read.
+// ReportUnknown reports all fields of the table that are not known. ReportUnknown must be called
+// after all known fields have been read.
 func (s Scope) ReportUnknown() {
 	for _, field := range s.Value.Keys {
 		if !s.Value.known[field] {
@@ -143,11 +153,12 @@
 	}
 }
 
-// reportUnknown reports a field that is not known.
+// reportUnknown reports a field as unknown.
 func (s Scope) reportUnknown(field string) {
 	v := s.Value.Fields[field]
 	if version := s.LaterFields[field]; version > 0 {
-		s.ReportAt(v, rules.FieldVersion, s.FieldPath(field), "", fmt.Sprintf("known from version %d on", version))
+		expect := fmt.Sprintf("unknown field %q: requires version %d", Truncate(field), version)
+		s.ReportAt(v, rules.FieldVersion, s.FieldPath(field), "", expect)
 		return
 	}
 	var known []string
@@ -155,9 +166,10 @@
 		known = append(known, name)
 	}
 	slices.Sort(known)
-	expect := "unknown field; known here: " + strings.Join(known, ", ")
-	if nearest := Nearest(field, known); nearest != "" {
-		expect = "unknown field; " + nearest + " meant?"
+	unknown := fmt.Sprintf("unknown field %q", Truncate(field))
+	expect := WithSuggestion(unknown, field, known)
+	if expect == unknown {
+		expect += "; known fields: " + strings.Join(known, ", ")
 	}
 	s.ReportAt(v, rules.UnknownField, s.FieldPath(field), "", expect)
 }
--- a/internal/tomldoc/value.go
+++ b/internal/tomldoc/value.go
@@ -5,10 +5,10 @@
 	"strconv"
 )
 
-// Kind is the kind of a value.
+// Kind is the type of a value.
 type Kind int
 
-// The kinds of values.
+// The types of values.
 const (
 	Table Kind = iota
 	Array
@@ -16,41 +16,42 @@
 	Integer
 	Float
 	Bool
-	DateTime // dates and times, which no format here has
+	DateTime // date or time; no format in this module has any
 )
 
 var kindNames = [...]string{
 	"a table", "an array", "a string", "an integer", "a float", "a boolean", "a date or time",
 }
 
-// String returns the kind as diagnostics have it.
+// String returns the name of the type, with an article, as diagnostics have it.
 func (k Kind) String() string { return kindNames[k] }
 
-// Range is a range of bytes of a document, To excluded.
+// Range is a range of bytes of a document, from From up to but excluding To.
 type Range struct{ From, To int }
 
-// Value is one value of a document and its place.
+// Value is a value of a document with its place.
 type Value struct {
 	Kind   Kind
 	Place  Place
-	Text   string   // of a scalar: as it is written; a string is unquoted
-	Items  []*Value // of an array
-	Keys   []string // of a table, in order
-	Fields map[string]*Value
-	// Line is the key, with its dotted parts, of a field that has a line of its own; else empty.
+	Text   string            // text of a scalar as written; strings are unquoted
+	Items  []*Value          // items of an array
+	Keys   []string          // names of the fields of a table, in order
+	Fields map[string]*Value // fields of a table by name
+	// Line is the range of the key, with its dotted parts, of a field on a line of its own. Line is
+	// empty for other values.
 	Line  Range
-	Last  Range           // of a field: the last part of its key
-	Raw   Range           // of a scalar
-	known map[string]bool // fields of a table that a decoder has asked for
-	def   definition      // of a table or an array
+	Last  Range           // range of the last part of a field's key
+	Raw   Range           // range of a scalar
+	known map[string]bool // fields of a table that a decoder has read
+	def   definition      // origin of a table or an array
 }
 
-// NewTable returns an empty table.
+// NewTable returns an empty table at a place.
 func NewTable(at Place) *Value {
 	return &Value{Kind: Table, Place: at, Fields: map[string]*Value{}}
 }
 
-// Set adds a field to a table, or replaces its value.
+// Set adds a field to a table, or replaces the field's value.
 func (v *Value) Set(name string, to *Value) {
 	if v.Fields[name] == nil {
 		v.Keys = append(v.Keys, name)
@@ -58,8 +59,8 @@
 	v.Fields[name] = to
 }
 
-// Lookup follows a path of names, and of indexes from 1 into arrays, as far as it leads. found reports
-// whether it led to the end.
+// Lookup follows a path of field names and of array indexes, which start at 1. Lookup returns the
+// last value that exists on the path; found reports whether that value is the end of the path.
 func (v *Value) Lookup(path ...string) (at *Value, found bool) {
 	for _, part := range path {
 		next := v.child(part)
@@ -71,7 +72,8 @@
 	return v, true
 }
 
-// child returns the field of a name, or the item of an index from 1; nil: there is none.
+// child returns the field with a name or the item at an index, which starts at 1. child returns nil
+// if there is none.
 func (v *Value) child(part string) *Value {
 	if v.Kind == Table {
 		return v.Fields[part]
@@ -82,8 +84,8 @@
 	return nil
 }
 
-// Clone returns a deep copy in which no field is marked as known. Scalars, which do not change, are
-// shared.
+// Clone returns a deep copy in which no field is marked as known. Scalars are shared because they
+// are immutable.
 func (v *Value) Clone() *Value {
 	if v.Kind != Table && v.Kind != Array {
 		return v
@@ -102,7 +104,7 @@
 	return &c
 }
 
-// markKnown notes that a decoder has asked for a field.
+// markKnown marks a field as known to the decoder.
 func (v *Value) markKnown(field string) {
 	if v.known == nil {
 		v.known = make(map[string]bool, len(v.Fields))
@@ -110,7 +112,7 @@
 	v.known[field] = true
 }
 
-// Describe returns the value as diagnostics have it.
+// Describe returns the text of the value in diagnostics.
 func (v *Value) Describe() string {
 	switch v.Kind {
 	case String:
@@ -122,13 +124,13 @@
 	}
 }
 
-// maxClipped is the length in bytes of a clipped text.
-const maxClipped = 60
+// maxTruncated is the length in bytes to which Truncate shortens a text.
+const maxTruncated = 60
 
-// Truncate shortens a text for a diagnostic.
+// Truncate shortens a long text for a diagnostic.
 func Truncate(s string) string {
-	if len(s) > maxClipped {
-		return s[:maxClipped] + "..."
+	if len(s) > maxTruncated {
+		return s[:maxTruncated] + "..."
 	}
 	return s
 }
