--- a/cmd/fernctl/catalogue.go
+++ b/cmd/fernctl/catalogue.go
@@ -34,7 +34,7 @@
 		return err
 	}
 	if directory == "" {
-		return errors.New("init: -catalogue DIR expected")
+		return errors.New("init: -catalogue DIR is required")
 	}
 	entries, err := os.ReadDir(directory)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -56,14 +56,14 @@
 	return nil
 }
 
-// catalogueSource is a catalogue that has been read from the disk.
+// catalogueSource is a catalogue as read from disk, with its diagnostics.
 type catalogueSource struct {
-	name        string               // of the directory or file
-	catalogue   *catalogue.Catalogue // nil if it could not be read
+	name        string               // name of the directory or file
+	catalogue   *catalogue.Catalogue // nil if the catalogue could not be read
 	diagnostics tomldoc.Diagnostics
 }
 
-// loadCatalogue reads a catalogue.
+// loadCatalogue reads the catalogue in a directory or in a single file.
 func loadCatalogue(name string) (*catalogueSource, error) {
 	files, includes, err := dir.Load(name)
 	if err != nil {
@@ -73,8 +73,8 @@
 	return &catalogueSource{name: name, catalogue: cat, diagnostics: append(includes, diagnostics...)}, nil
 }
 
-// withPaths returns diagnostics with the catalogue's directory before the names of its files, so
-// that an editor finds them.
+// withPaths returns the diagnostics sorted, with file names prefixed by the catalogue's directory,
+// so that an editor can open them.
 func (s *catalogueSource) withPaths(diagnostics tomldoc.Diagnostics) tomldoc.Diagnostics {
 	directory := s.name
 	if info, err := os.Stat(s.name); err == nil && !info.IsDir() {
@@ -91,7 +91,7 @@
 	return diagnostics.Sorted()
 }
 
-// generateCommand returns the command that generates the applications' files.
+// generateCommand returns the command that generates the configuration files of the applications.
 func generateCommand() *cli.Command {
 	return &cli.Command{
 		Name: "generate", Usage: "write one file for each application",
@@ -111,14 +111,14 @@
 	}
 }
 
-// generate writes the applications' files, or prints what would change.
+// generate writes the applications' files or, with -diff, prints what would change.
 func generate(_ context.Context, c *cli.Command) error {
 	name, out, environment := c.String("catalogue"), c.String("out"), c.String("env")
 	if err := noArgs(c); err != nil {
 		return err
 	}
 	if name == "" || out == "" {
-		return errors.New("generate: -catalogue DIR and -out DIR expected")
+		return errors.New("generate: -catalogue DIR and -out DIR are required")
 	}
 	source, err := loadCatalogue(name)
 	if err != nil {
@@ -132,7 +132,7 @@
 		return printDiagnostics(c.Root().ErrWriter, source.withPaths(source.diagnostics))
 	}
 	if environment == "" && len(source.catalogue.Environments()) > 0 {
-		return fmt.Errorf("generate: -env expected, one of %v", source.catalogue.Environments())
+		return fmt.Errorf("generate: -env is required: one of %v", source.catalogue.Environments())
 	}
 	options := check.Options{Deployed: deployed, ForEach: inParallel}
 	plan, docs, diagnostics := check.Catalogue(source.catalogue, environment, options)
@@ -150,8 +150,8 @@
 	return nil
 }
 
-// printDiff prints how the generated files differ from the deployed ones. The error is errFaults if
-// they differ in more than their heads.
+// printDiff prints how the generated files differ from the deployed ones. printDiff returns
+// errFindings if anything besides the heads of files differs.
 func printDiff(out io.Writer, deployed, generated []*config.Document) error {
 	removed := map[string]*config.Document{}
 	for _, doc := range deployed {
@@ -177,13 +177,14 @@
 		printf(out, "%d files differ in their head alone\n", headsOnly)
 	}
 	if hasChanges {
-		return errFaults
+		return errFindings
 	}
 	return nil
 }
 
-// printFileDiff prints how a generated file differs from the deployed one, which is nil where there
-// is none. It reports whether it does, and whether the heads differ, which it does not print.
+// printFileDiff prints how a generated file differs from the deployed file, which is nil if the
+// file is new. The results report whether the contents differ and whether the heads differ. A
+// difference of the heads is not printed.
 func printFileDiff(out io.Writer, deployed, generated *config.Document) (changed, headDiffers bool) {
 	if deployed == nil {
 		printf(out, "%s: added\n", generated.File)
--- a/cmd/fernctl/catalogue_test.go
+++ b/cmd/fernctl/catalogue_test.go
@@ -8,17 +8,18 @@
 	"testing"
 )
 
-// From an empty directory to checked files, and what is printed when the catalogue changes.
+// The starter catalogue generates files that pass check. Changes to the catalogue are printed by
+// -diff, and a catalogue with a violation is not written.
 func TestGenerateFromStarterCatalogue(t *testing.T) {
 	d := t.TempDir()
 	cat, out := filepath.Join(d, "cat"), filepath.Join(d, "out")
 	expect(t, 0, "services.toml", "init", "-catalogue", cat)
 	expect(t, 2, "is not empty", "init", "-catalogue", cat)
 	expect(t, 0, "", "check", "-catalogue", cat)
-	expect(t, 2, "-env expected, one of [local staging]", "generate", "-catalogue", cat, "-out", out)
+	expect(t, 2, "-env is required: one of [local staging]", "generate", "-catalogue", cat, "-out", out)
 	expect(t, 1, "gateway.toml: added", "generate", "-catalogue", cat, "-env", "local", "-out", out, "-diff")
 	if _, err := os.Stat(out); err == nil {
-		t.Error("a diff wrote files")
+		t.Error("generate -diff wrote files")
 	}
 	expect(t, 0, "2 files", "generate", "-catalogue", cat, "-env", "local", "-out", out)
 	first, err := os.ReadFile(filepath.Join(out, "gateway.toml"))
@@ -28,7 +29,7 @@
 	expect(t, 0, "", "generate", "-catalogue", cat, "-env", "local", "-out", out, "-diff")
 	expect(t, 0, "2 files", "generate", "-catalogue", cat, "-env", "local", "-out", out)
 	if again, err := os.ReadFile(filepath.Join(out, "gateway.toml")); err != nil || !bytes.Equal(first, again) {
-		t.Errorf("a second generation differs: %v", err)
+		t.Errorf("the second run of generate wrote a different file: %v", err)
 	}
 	files, _ := filepath.Glob(filepath.Join(out, "*.toml"))
 	expect(t, 0, "", append([]string{"check"}, files...)...)
@@ -41,18 +42,18 @@
 	expect(t, 0, "2 files differ in their head alone",
 		"generate", "-catalogue", cat, "-env", "local", "-out", out, "-diff")
 
-	// A catalogue with a violation changes no file.
+	// A catalogue with a violation leaves the files unchanged.
 	replaceInFile(t, filepath.Join(cat, "services.toml"),
 		`repeat = "unsafe" `, "resend = \"any\"\nrepeat = \"unsafe\" ")
 	expect(t, 1, "services.toml:45:10: UNSAFE-RESEND: ", "generate", "-catalogue", cat, "-env", "local", "-out", out)
 	expect(t, 1, "services.toml:45:10: UNSAFE-RESEND: ", "check", "-catalogue", cat)
 	if after, _ := os.ReadFile(filepath.Join(out, "gateway.toml")); !bytes.Equal(first, after) {
-		t.Error("a faulty catalogue was written")
+		t.Error("generate wrote a catalogue with a violation")
 	}
 }
 
-// An endpoint that moves to another pod is reported by the deployed files, and a removed
-// application is printed.
+// An endpoint that moves to another pod is reported by comparison with the deployed files, and the
+// file of a removed application is listed and deleted.
 func TestDeployedFilesAreCompared(t *testing.T) {
 	d := t.TempDir()
 	cat, out := filepath.Join(d, "cat"), filepath.Join(d, "out")
@@ -62,7 +63,7 @@
 		"[services.billing.pods.east]\ncell = 1", "[services.billing.pods.east]\ncell = 2")
 	expect(t, 1, "POD-MOVES", "generate", "-catalogue", cat, "-env", "local", "-out", out)
 	expect(t, 1, "POD-MOVES", "check", "-catalogue", cat, "-env", "local", "-deployed", out)
-	expect(t, 2, "-deployed is of one environment", "check", "-catalogue", cat, "-deployed", out)
+	expect(t, 2, "-deployed applies to one environment", "check", "-catalogue", cat, "-deployed", out)
 	expect(t, 0, "", "check", "-catalogue", cat)
 	replaceInFile(t, filepath.Join(cat, "services.toml"),
 		"[services.billing.pods.east]\ncell = 2", "[services.billing.pods.east]\ncell = 1")
@@ -74,6 +75,6 @@
 	expect(t, 1, "reports.toml: removed", "generate", "-catalogue", cat, "-env", "local", "-out", out, "-diff")
 	expect(t, 0, "1 files", "generate", "-catalogue", cat, "-env", "local", "-out", out)
 	if _, err := os.Stat(filepath.Join(out, "reports.toml")); err == nil {
-		t.Error("the file of a removed application remains")
+		t.Error("the file of a removed application still exists")
 	}
 }
--- a/cmd/fernctl/check.go
+++ b/cmd/fernctl/check.go
@@ -13,7 +13,7 @@
 	"fernlanding/internal/check"
 )
 
-// checkCommand returns the command that checks files or a catalogue.
+// checkCommand returns the command that checks configuration files or a catalogue.
 func checkCommand() *cli.Command {
 	return &cli.Command{
 		Name: "check", Usage: "say all that is wrong with files or a catalogue, and why", ArgsUsage: "FILE...",
@@ -36,11 +36,11 @@
 	}
 }
 
-// runCheck checks the files of the arguments, or the catalogue of the flag.
+// runCheck checks the files that the arguments name, or the catalogue that -catalogue names.
 func runCheck(_ context.Context, c *cli.Command) error {
 	name, files := c.String("catalogue"), c.Args().Slice()
 	if (name == "") == (len(files) == 0) {
-		return errors.New("check: either files or -catalogue DIR expected")
+		return errors.New("check: exactly one of FILE... and -catalogue DIR is required")
 	}
 	options, err := checkOptions(c)
 	if err != nil {
@@ -52,18 +52,18 @@
 	return checkCatalogue(c, name, options)
 }
 
-// checkOptions returns the options that the flags state.
+// checkOptions returns the options that the flags set.
 func checkOptions(c *cli.Command) (check.Options, error) {
 	factor := c.Float("retry-factor")
 	if factor != 0 && !(factor >= 1 && factor <= 100) { // negated, so that NaN is rejected
-		return check.Options{}, fmt.Errorf("check: -retry-factor %g; 1 to 100 expected", factor)
+		return check.Options{}, fmt.Errorf("check: invalid -retry-factor %g: must be between 1 and 100", factor)
 	}
 	options := check.Options{MaxAmplification: factor, ForEach: inParallel}
 	directory := c.String("deployed")
 	if directory == "" {
 		return options, nil
 	}
-	// Without this a missing directory would count as an empty one.
+	// Without the call of Stat a missing directory would count as an empty one.
 	if _, err := os.Stat(directory); err != nil {
 		return check.Options{}, fmt.Errorf("check: %w", err)
 	}
@@ -72,10 +72,10 @@
 	return options, err
 }
 
-// checkFiles checks applications' files.
+// checkFiles checks the configuration files of applications.
 func checkFiles(c *cli.Command, names []string, options check.Options) error {
 	if c.String("env") != "" {
-		return errors.New("check: -env goes with -catalogue")
+		return errors.New("check: -env requires -catalogue")
 	}
 	var files []check.File
 	for _, name := range names {
@@ -89,7 +89,7 @@
 	return reportDiagnostics(c, diagnostics)
 }
 
-// checkCatalogue checks what is generated from a catalogue, for one environment or for all of them.
+// checkCatalogue checks the files generated from a catalogue, for one environment or for all.
 func checkCatalogue(c *cli.Command, name string, options check.Options) error {
 	source, err := loadCatalogue(name)
 	if err != nil {
@@ -109,15 +109,15 @@
 	return reportDiagnostics(c, source.withPaths(diagnostics))
 }
 
-// checkedEnvironments returns the environment that -env names, or all; the empty one where the
-// catalogue has none.
+// checkedEnvironments returns the environment that -env names, or all environments without -env. If
+// the catalogue declares no environments, the result is the empty name.
 func checkedEnvironments(c *cli.Command, cat *catalogue.Catalogue, options check.Options) ([]string, error) {
 	all := cat.Environments()
 	if environment := c.String("env"); environment != "" || len(all) == 0 {
 		return []string{environment}, nil
 	}
 	if options.Deployed != nil && len(all) > 1 {
-		return nil, fmt.Errorf("check: -deployed is of one environment: -env expected, one of %v", all)
+		return nil, fmt.Errorf("check: -deployed applies to one environment: -env is required: one of %v", all)
 	}
 	return all, nil
 }
--- a/cmd/fernctl/check_test.go
+++ b/cmd/fernctl/check_test.go
@@ -10,7 +10,7 @@
 	"fernlanding/internal/rules"
 )
 
-// check and rules print JSON with -json.
+// With -json, check and rules print valid JSON, and no diagnostics print as an empty array.
 func TestCheckPrintsJSON(t *testing.T) {
 	d := t.TempDir()
 	name := filepath.Join(d, "a.toml")
@@ -32,6 +32,6 @@
 		t.Errorf("got %s", out)
 	}
 	if got := expect(t, 0, `"id": "UNSAFE-RESEND"`, "rules", "-json"); !json.Valid([]byte(got)) {
-		t.Error("no JSON")
+		t.Errorf("rules -json printed invalid JSON: %s", got)
 	}
 }
--- a/cmd/fernctl/coldstart.go
+++ b/cmd/fernctl/coldstart.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	baseReplicas      = 300 // whose rate and queue the flags state, where these grow with the fleet
-	restartedFraction = 0.6 // of the replicas, in an outage
-	replyLatency      = time.Millisecond
+	baseReplicas      = 300              // fleet size that -rate and -queue describe if -grow is set
+	restartedFraction = 0.6              // fraction of the replicas that restart in an outage
+	replyLatency      = time.Millisecond // latency of a reply of a list service
 )
 
-// coldStartCommand returns the command that simulates the start of fleets.
+// coldStartCommand returns the command that simulates the cold start of fleets.
 func coldStartCommand() *cli.Command {
 	return &cli.Command{
 		Name: "coldstart", Usage: "play the start of whole fleets before their list services on a virtual clock",
@@ -47,13 +47,13 @@
 	}
 }
 
-// coldStartRow is the start of one fleet.
+// coldStartRow is the result of the cold start of one fleet.
 type coldStartRow struct {
 	Replicas int `json:"Copies"`
 	coldstart.Result
 }
 
-// fleetColdStart simulates the start of fleets and prints what they came to.
+// fleetColdStart simulates the cold start of fleets and prints the results.
 func fleetColdStart(_ context.Context, c *cli.Command) error {
 	if err := noArgs(c); err != nil {
 		return fmt.Errorf("fleet %w", err)
@@ -67,12 +67,12 @@
 		rows = append(rows, coldStartRow{Replicas: replicas, Result: r})
 	}
 	if c.Bool("json") {
-		return asJSON(c.Root().Writer, rows)
+		return writeJSON(c.Root().Writer, rows)
 	}
 	return writeColdStarts(c.Root().Writer, rows)
 }
 
-// coldStartDay returns the day that the command's flags describe for a fleet.
+// coldStartDay returns the day that the command's flags describe for a fleet of that many replicas.
 func coldStartDay(c *cli.Command, replicas int) coldstart.Day {
 	scale := 1.0
 	if c.Bool("grow") {
--- a/cmd/fernctl/diagnostics.go
+++ b/cmd/fernctl/diagnostics.go
@@ -9,7 +9,7 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// jsonDiagnostic is a diagnostic as check prints it with -json.
+// jsonDiagnostic is a diagnostic as check -json prints it.
 type jsonDiagnostic struct {
 	File     string   `json:"file"`
 	Line     int      `json:"line"`
@@ -25,7 +25,7 @@
 	Page     string   `json:"page"`
 }
 
-// newJSONDiagnostic returns a diagnostic with the texts of its rule.
+// newJSONDiagnostic returns a diagnostic together with the texts of its rule.
 func newJSONDiagnostic(d tomldoc.Diagnostic) jsonDiagnostic {
 	rule := rules.Get(d.Rule)
 	j := jsonDiagnostic{
@@ -40,38 +40,38 @@
 	return j
 }
 
-// rulePage returns the place of a rule on the operators' page.
+// rulePage returns the link to a rule on the operators' page.
 func rulePage(rule rules.Rule) string { return rules.Page + "#" + rule.Anchor() }
 
-// reportDiagnostics prints the result of a check, as JSON with -json. The error is errFaults if any
-// of the diagnostics is no warning.
+// reportDiagnostics prints the diagnostics of a check, as JSON with -json. reportDiagnostics
+// returns errFindings if any of the diagnostics is an error rather than a warning.
 func reportDiagnostics(c *cli.Command, diagnostics tomldoc.Diagnostics) error {
 	if !c.Bool("json") {
 		return printDiagnostics(c.Root().Writer, diagnostics)
 	}
-	all := []jsonDiagnostic{} // not nil, so that no diagnostics print as an empty array
+	all := []jsonDiagnostic{} // not nil, so that an empty list prints as []
 	for _, d := range diagnostics {
 		all = append(all, newJSONDiagnostic(d))
 	}
-	if err := asJSON(c.Root().Writer, all); err != nil {
+	if err := writeJSON(c.Root().Writer, all); err != nil {
 		return err
 	}
-	return faultsOf(diagnostics)
+	return diagnosticsError(diagnostics)
 }
 
-// printDiagnostics prints a line for each diagnostic. The error is errFaults if any of them is no
-// warning.
+// printDiagnostics prints a line for each diagnostic. printDiagnostics returns errFindings if any
+// of the diagnostics is an error rather than a warning.
 func printDiagnostics(out io.Writer, diagnostics tomldoc.Diagnostics) error {
 	for _, d := range diagnostics {
 		printf(out, "%s\n", d.Report())
 	}
-	return faultsOf(diagnostics)
+	return diagnosticsError(diagnostics)
 }
 
-// faultsOf returns errFaults if any of the diagnostics is no warning, else nil.
-func faultsOf(diagnostics tomldoc.Diagnostics) error {
+// diagnosticsError returns errFindings if any of the diagnostics is an error rather than a warning.
+func diagnosticsError(diagnostics tomldoc.Diagnostics) error {
 	if len(diagnostics.Errors()) > 0 {
-		return errFaults
+		return errFindings
 	}
 	return nil
 }
--- a/cmd/fernctl/explain.go
+++ b/cmd/fernctl/explain.go
@@ -24,7 +24,7 @@
 			},
 			jsonFlag(),
 		},
-		// A field's value may have commas.
+		// The value of a header field may contain commas.
 		DisableSliceFlagSeparator: true,
 		Action:                    runExplain,
 	}
@@ -33,7 +33,7 @@
 // runExplain prints the explanation of the request that the arguments and flags describe.
 func runExplain(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() != 3 {
-		return fmt.Errorf("explain: FILE METHOD URL expected, found %d arguments", c.Args().Len())
+		return fmt.Errorf("explain: got %d arguments, want FILE METHOD URL", c.Args().Len())
 	}
 	name, method, target := c.Args().Get(0), c.Args().Get(1), c.Args().Get(2)
 	data, err := dir.ReadFile(name)
@@ -53,7 +53,7 @@
 		return fmt.Errorf("explain: %w", err)
 	}
 	if c.Bool("json") {
-		return asJSON(c.Root().Writer, explanation)
+		return writeJSON(c.Root().Writer, explanation)
 	}
 	w := tabwriter.NewWriter(c.Root().Writer, 0, 0, 2, ' ', 0)
 	for _, line := range explanation.Lines {
--- a/cmd/fernctl/flags.go
+++ b/cmd/fernctl/flags.go
@@ -6,7 +6,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// catalogueFlag returns the flag that names a catalogue.
+// catalogueFlag returns the flag that names the catalogue.
 func catalogueFlag() cli.Flag {
 	return &cli.StringFlag{Name: "catalogue", Usage: "the catalogue: a `DIR` of TOML files, or one file"}
 }
@@ -14,10 +14,10 @@
 // jsonFlag returns the flag that selects JSON output.
 func jsonFlag() cli.Flag { return &cli.BoolFlag{Name: "json", Usage: "print for machines"} }
 
-// noArgs returns an error if a command that takes flags alone has an argument.
+// noArgs returns an error if a command that takes only flags has a positional argument.
 func noArgs(c *cli.Command) error {
 	if c.Args().Len() > 0 {
-		return fmt.Errorf("%s: unknown argument %q; flags expected", c.Name, c.Args().First())
+		return fmt.Errorf("%s: unexpected argument %q", c.Name, c.Args().First())
 	}
 	return nil
 }
--- a/cmd/fernctl/fleet.go
+++ b/cmd/fernctl/fleet.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	maxSeeds     = 10_000
-	defaultSeeds = 20
+	maxSeeds     = 10_000 // upper bound of -seeds
+	defaultSeeds = 20     // seeds of a sweep for each day
 )
 
 // fleetCommand returns the command that simulates days of a fleet.
@@ -27,13 +27,13 @@
 	return &cli.Command{
 		Name: "fleet", Usage: "play days of a whole fleet on a virtual clock",
 		Action: func(context.Context, *cli.Command) error {
-			return errors.New("fleet: one of run, sweep, explain and coldstart expected")
+			return errors.New("fleet: a command is required: one of run, sweep, explain and coldstart")
 		},
 		Commands: []*cli.Command{fleetRunCommand(), fleetSweepCommand(), fleetExplainCommand(), coldStartCommand()},
 	}
 }
 
-// seedFlag returns the flag of a day's seed.
+// seedFlag returns the flag that replaces a day's seed.
 func seedFlag() cli.Flag {
 	return &cli.Uint64Flag{Name: "seed", Usage: "in place of the day's own `SEED`"}
 }
@@ -59,7 +59,7 @@
 	}
 }
 
-// fleetExplainCommand returns the command that draws a replica's day.
+// fleetExplainCommand returns the command that draws the counts of a replica over a day.
 func fleetExplainCommand() *cli.Command {
 	return &cli.Command{
 		Name: "explain", Usage: "draw a copy's counts over a day, with what caused its refusals", ArgsUsage: "FILE...",
@@ -73,10 +73,10 @@
 	}
 }
 
-// readDay reads the files of a day.
+// readDay reads a day from files, of which later ones override earlier ones.
 func readDay(names []string) (*fleetsim.Day, error) {
 	if len(names) == 0 {
-		return nil, errors.New("a day's file expected")
+		return nil, errors.New("missing FILE argument")
 	}
 	var files []fleetsim.File
 	for _, name := range names {
@@ -89,18 +89,19 @@
 	return fleetsim.Read(files...)
 }
 
-// readBounded reads a file, and no more of it than a day may hold and one byte.
+// readBounded reads at most fleetsim.MaxFile+1 bytes of a file. The extra byte lets the decoder
+// reject a file over the limit.
 func readBounded(name string) ([]byte, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // the file was only read
 	return io.ReadAll(io.LimitReader(f, fleetsim.MaxFile+1))
 }
 
-// dayOf returns the day of the command's files, with its seed.
-func dayOf(c *cli.Command) (*fleetsim.Day, error) {
+// readDayWithSeed reads the day of the command's files, and applies -seed.
+func readDayWithSeed(c *cli.Command) (*fleetsim.Day, error) {
 	d, err := readDay(c.Args().Slice())
 	if err != nil {
 		return nil, fmt.Errorf("fleet %s: %w", c.Name, err)
@@ -111,23 +112,23 @@
 	return d, nil
 }
 
-// asJSON writes a value for machines.
-func asJSON(w io.Writer, v any) error {
+// writeJSON writes a value as indented JSON.
+func writeJSON(w io.Writer, v any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
 }
 
-// fleetRun simulates a day and prints what it came to.
+// fleetRun simulates a day and prints the outcome.
 func fleetRun(_ context.Context, c *cli.Command) error {
-	d, err := dayOf(c)
+	d, err := readDayWithSeed(c)
 	if err != nil {
 		return err
 	}
 	out := c.Root().Writer
 	o, r := fleetsim.Evaluate(d)
 	if c.Bool("json") {
-		err = asJSON(out, o)
+		err = writeJSON(out, o)
 	} else {
 		_, err = io.WriteString(out, describeDay(d, o, r))
 	}
@@ -137,7 +138,7 @@
 	return reportViolations(c.Root().ErrWriter, []fleetsim.Outcome{o})
 }
 
-// describeDay returns what a day came to, for people.
+// describeDay returns the outcome of a day as text.
 func describeDay(d *fleetsim.Day, o fleetsim.Outcome, r *fleetsim.Result) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s, seed %d: %.1f requests a second, capacity %.1f\n",
@@ -157,7 +158,8 @@
 	return b.String()
 }
 
-// reportViolations logs the rules that days broke. It returns errFaults if there are any.
+// reportViolations logs the violations of the outcomes. reportViolations returns errFindings if
+// there are any.
 func reportViolations(log io.Writer, outcomes []fleetsim.Outcome) error {
 	found := false
 	for _, o := range outcomes {
@@ -169,19 +171,19 @@
 		}
 	}
 	if found {
-		return errFaults
+		return errFindings
 	}
 	return nil
 }
 
-// fleetSweep simulates days over many seeds and prints quantiles.
+// fleetSweep simulates days over many seeds and prints quantiles of the outcomes.
 func fleetSweep(_ context.Context, c *cli.Command) error {
 	names, seeds := c.Args().Slice(), c.Int("seeds")
 	if seeds < 1 || seeds > maxSeeds {
-		return fmt.Errorf("fleet sweep: -seeds %d, 1 to %d expected", seeds, maxSeeds)
+		return fmt.Errorf("fleet sweep: invalid -seeds %d: must be between 1 and %d", seeds, maxSeeds)
 	}
 	if len(names) == 0 {
-		return errors.New("fleet sweep: a fleet's file expected")
+		return errors.New("fleet sweep: missing FILE argument")
 	}
 	days, err := readDays(names[0], names[1:])
 	if err != nil {
@@ -190,7 +192,7 @@
 	outcomes := fleetsim.Sweep(days, fleetsim.Seeds(c.Uint64("stream"), seeds), inParallel)
 	out := c.Root().Writer
 	if c.Bool("json") {
-		err = asJSON(out, outcomes)
+		err = writeJSON(out, outcomes)
 	} else {
 		err = writeSummaries(out, outcomes)
 	}
@@ -200,7 +202,8 @@
 	return reportViolations(c.Root().ErrWriter, outcomes)
 }
 
-// readDays reads a fleet with each of the faults, or alone if there are none.
+// readDays reads one day for each fault: the fleet with that fault. Without faults, readDays reads
+// the fleet alone.
 func readDays(fleet string, faults []string) ([]*fleetsim.Day, error) {
 	if len(faults) == 0 {
 		d, err := readDay([]string{fleet})
@@ -220,12 +223,13 @@
 	return days, nil
 }
 
-// writeSummaries writes a table with a line for each day, and one for all if there are several.
+// writeSummaries writes a table with a line for each day and, if there are several days, a line for
+// all of them.
 func writeSummaries(out io.Writer, outcomes []fleetsim.Outcome) error {
 	var b strings.Builder
 	b.WriteString("day\tplays\tservice p10\tp50\tcalm p50\trecovery p50 s\tp90\t" +
 		"shadow\tof it gate\toverdriven\tbroken\t\n")
-	line := func(name string, outcomes []fleetsim.Outcome) {
+	writeLine := func(name string, outcomes []fleetsim.Outcome) {
 		s := fleetsim.Summarize(outcomes)
 		fmt.Fprintf(&b, "%s\t%d\t%.3f\t%.3f\t%.3f\t%.1f\t%.1f\t%.3f\t%.3f\t%.3f\t%d\t\n",
 			name, s.Days, s.Service10, s.Service50, s.CalmService50, s.Recovery50, s.Recovery90,
@@ -233,10 +237,10 @@
 	}
 	names, groups := fleetsim.ByDay(outcomes)
 	for _, name := range names {
-		line(name, groups[name])
+		writeLine(name, groups[name])
 	}
 	if len(names) > 1 {
-		line("all", outcomes)
+		writeLine("all", outcomes)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	if _, err := io.WriteString(w, b.String()); err != nil {
@@ -245,9 +249,9 @@
 	return w.Flush()
 }
 
-// fleetExplain draws a replica's day.
+// fleetExplain draws the counts of a replica over a day.
 func fleetExplain(_ context.Context, c *cli.Command) error {
-	d, err := dayOf(c)
+	d, err := readDayWithSeed(c)
 	if err != nil {
 		return err
 	}
--- a/cmd/fernctl/main.go
+++ b/cmd/fernctl/main.go
@@ -13,7 +13,8 @@
 //	fernctl rollout put|status|wait                     write a resource, see where it is in force
 //	fernctl scale run FILE                              measure what proxies cost, by size
 //
-// The exit code is 0, 1 if there are faults or changes, and 2 if the command could not run.
+// The exit code is 0 on success, 1 if the command found violations, faults, failures or changes,
+// and 2 if the command could not run.
 package main
 
 import (
@@ -32,10 +33,10 @@
 	"fernlanding/internal/config"
 )
 
-// Exit codes beside 0.
+// Exit codes other than 0.
 const (
-	exitFaults = 1 // the command has run, and has found faults or changes
-	exitFailed = 2 // the command could not run
+	exitFindings = 1 // the command ran and found violations, faults, failures or changes
+	exitFailed   = 2 // the command could not run
 )
 
 func main() {
@@ -44,9 +45,9 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// errFaults is returned by a command that has run and has found faults or changes, and has printed
-// them.
-var errFaults = errors.New("faults found")
+// errFindings is returned by a command that ran, found violations, faults, failures or changes, and
+// printed them.
+var errFindings = errors.New("the command reported findings")
 
 // run runs a command line and returns the exit code.
 func run(ctx context.Context, args []string, out, log io.Writer) int {
@@ -55,49 +56,51 @@
 	switch {
 	case err == nil:
 		return 0
-	case errors.Is(err, errFaults):
-		return exitFaults
+	case errors.Is(err, errFindings):
+		return exitFindings
 	default:
 		printf(log, "fernctl: %v\n", err)
 		return exitFailed
 	}
 }
 
-// rootCommand returns the command line's root.
+// rootCommand returns the root command.
 func rootCommand(out, log io.Writer) *cli.Command {
 	root := &cli.Command{
 		Name: "fernctl", Usage: "write and check the configurations of sidecars", Version: config.ProgramVersion,
 		Writer: out, ErrWriter: log,
 		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // run returns the exit code
-		OnUsageError:   usage,
+		OnUsageError:   usageError,
 		Commands: []*cli.Command{
 			initCommand(), generateCommand(), checkCommand(), explainCommand(), migrateCommand(), rulesCommand(),
 			pcapCommand(), fleetCommand(), rigCommand(), rolloutCommand(), scaleCommand(),
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() > 0 {
-				return fmt.Errorf("unknown command %q; one of init, generate, check, explain, migrate, rules, pcap, "+
-					"fleet, rig, rollout and scale expected", c.Args().First())
+				return fmt.Errorf("unknown command %q: must be one of init, generate, check, explain, migrate, rules, "+
+					"pcap, fleet, rig, rollout and scale", c.Args().First())
 			}
 			return cli.ShowRootCommandHelp(c)
 		},
 	}
 	for _, c := range root.Commands {
-		c.OnUsageError = usage
+		c.OnUsageError = usageError
 	}
 	return root
 }
 
-// usage returns the error of a wrong flag, which run prints as one line, without the help.
-func usage(_ context.Context, _ *cli.Command, err error, _ bool) error { return err }
+// usageError returns the error of an invalid flag unchanged, so that run prints one line without
+// the help text.
+func usageError(_ context.Context, _ *cli.Command, err error, _ bool) error { return err }
 
-// printf prints a part of a command's output. An error is dropped: the exit code states the result,
-// also if nobody reads the text.
+// printf prints part of a command's output. Write errors are ignored: the exit code reports the
+// result even if the output cannot be written.
 func printf(out io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(out, format, args...)
 }
 
-// inParallel calls f with 0 to n-1 on all cores, and returns when all calls have returned.
+// inParallel calls f(0) to f(n-1) on up to GOMAXPROCS goroutines, and returns when all calls have
+// returned.
 func inParallel(n int, f func(i int)) {
 	var next atomic.Int64
 	var workers sync.WaitGroup
--- a/cmd/fernctl/migrate.go
+++ b/cmd/fernctl/migrate.go
@@ -12,7 +12,7 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// migrateCommand returns the command that migrates a file to the newest format.
+// migrateCommand returns the command that migrates a configuration file to the newest format.
 func migrateCommand() *cli.Command {
 	return &cli.Command{
 		Name: "migrate", Usage: "write an older file in the newest format, and say what changed", ArgsUsage: "FILE",
@@ -23,10 +23,10 @@
 	}
 }
 
-// migrate prints the migrated file, or replaces the file by it.
+// migrate prints the migrated file or, with -write, replaces the original file.
 func migrate(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return fmt.Errorf("migrate: one FILE expected, found %d arguments", c.Args().Len())
+		return fmt.Errorf("migrate: got %d arguments, want one FILE", c.Args().Len())
 	}
 	name, log := c.Args().First(), c.Root().ErrWriter
 	data, err := dir.ReadFile(name)
--- a/cmd/fernctl/pcap.go
+++ b/cmd/fernctl/pcap.go
@@ -32,13 +32,14 @@
 		replayCommand(),
 	}}
 	for _, sub := range command.Commands {
-		sub.OnUsageError = usage
+		sub.OnUsageError = usageError
 	}
 	return command
 }
 
-// pcapFlags returns the flags of all commands that read a capture, and those of one of them.
-func pcapFlags(own ...cli.Flag) []cli.Flag {
+// pcapFlags returns the flags that all commands that read a capture share, followed by the
+// additional flags of one command.
+func pcapFlags(additional ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{
 		jsonFlag(),
 		&cli.IntFlag{Name: "flows", Value: 1 << 16, Usage: "hold at most `N` open connections"},
@@ -46,17 +47,17 @@
 		&cli.IntFlag{
 			Name: "disk-mb", Value: 1024, Usage: "keep at most so many `MB` of large bodies in temporary files",
 		},
-	}, own...)
+	}, additional...)
 }
 
-// openCapture opens the file that a command names, and a store for its large bodies.
+// openCapture opens the file that a command names, and a store for the large bodies of the capture.
 func openCapture(c *cli.Command) (*os.File, *bodies.Dir, error) {
 	if c.Args().Len() != 1 {
-		return nil, nil, fmt.Errorf("pcap %s: found %d arguments, expected one FILE", c.Name, c.Args().Len())
+		return nil, nil, fmt.Errorf("pcap %s: got %d arguments, want one FILE", c.Name, c.Args().Len())
 	}
 	for _, name := range []string{"flows", "body-mb", "disk-mb"} {
 		if n := c.Int(name); n < 1 || n > 1<<20 {
-			return nil, nil, fmt.Errorf("pcap %s: -%s: found %d, expected 1 to %d", c.Name, name, n, 1<<20)
+			return nil, nil, fmt.Errorf("pcap %s: invalid -%s %d: must be between 1 and %d", c.Name, name, n, 1<<20)
 		}
 	}
 	file, err := os.Open(c.Args().First())
@@ -70,7 +71,8 @@
 	return file, store, nil
 }
 
-// readOpenCapture reads a capture into a sink. The collector is the sink, or a part of it.
+// readOpenCapture reads a capture into a sink. The collector is the sink itself or embedded in the
+// sink.
 func readOpenCapture(
 	ctx context.Context, c *cli.Command, file io.Reader, store *bodies.Dir, sink http.Sink, collected *collector,
 ) (*pcap.Summary, error) {
@@ -107,6 +109,6 @@
 	return readOpenCapture(ctx, c, file, store, collected, collected)
 }
 
-// writeReport writes a command's text. As with any tool, a closed standard output is no fault of
-// the capture, and does not change the exit code.
+// writeReport writes text of a command. Write errors are ignored: a closed standard output is not a
+// fault of the capture and does not change the exit code.
 func writeReport(out io.Writer, text string) { _, _ = io.WriteString(out, text) }
--- a/cmd/fernctl/pcap_collector.go
+++ b/cmd/fernctl/pcap_collector.go
@@ -8,7 +8,7 @@
 	"fernlanding/internal/pcap/http"
 )
 
-// collector is an http.Sink that counts what a reading finds.
+// collector is an http.Sink that counts the exchanges, faults and flows of a capture.
 type collector struct {
 	onExchange  func(*http.Exchange) error // may be nil
 	onFault     func(faultLine)
@@ -16,11 +16,11 @@
 	flowEnds    map[flow.EndReason]int64
 	requests    int64
 	responses   int64
-	paired      int64 // exchanges with both
-	err         error // of onExchange, and of the bodies
+	paired      int64 // exchanges with a request and a response
+	err         error // errors of onExchange and of removing bodies
 }
 
-// faultLine is a fault as it is printed.
+// faultLine is a fault of a capture as commands print it.
 type faultLine struct {
 	Flow   int64  `json:"flow,omitempty"`
 	From   string `json:"from,omitempty"`
@@ -32,7 +32,7 @@
 	Packet int64  `json:"packet"`
 }
 
-// String returns the fault's line.
+// String returns the fault as a line of text.
 func (f faultLine) String() string {
 	where := "no flow"
 	if f.Flow > 0 {
@@ -45,7 +45,7 @@
 	return line
 }
 
-// newCollector returns a collector that counts, and ignores the faults' lines.
+// newCollector returns a collector that counts faults and discards their lines.
 func newCollector() *collector {
 	return &collector{
 		faultCounts: map[string]int64{},
@@ -54,7 +54,7 @@
 	}
 }
 
-// reportFault counts a fault and hands on its line. The flow may be nil.
+// reportFault counts a fault and passes its line to onFault. The flow may be nil.
 func (c *collector) reportFault(f *flow.Flow, dir flow.Direction, line faultLine) {
 	if f != nil {
 		line.Flow, line.From, line.To = f.ID, f.Addresses[dir].String(), f.Addresses[1-dir].String()
@@ -63,7 +63,7 @@
 	c.onFault(line)
 }
 
-// Exchange implements http.Sink. It removes the bodies when the exchange has been handed on.
+// Exchange implements http.Sink. Exchange removes the bodies after onExchange has returned.
 func (c *collector) Exchange(e *http.Exchange) {
 	if e.Request != nil {
 		c.requests++
@@ -101,10 +101,10 @@
 // FlowEnded implements http.Sink.
 func (c *collector) FlowEnded(_ *flow.Flow, reason flow.EndReason) { c.flowEnds[reason]++ }
 
-// exitError returns errFaults if the reading has found a fault.
+// exitError returns errFindings if the capture has a fault.
 func (c *collector) exitError() error {
 	if len(c.faultCounts) > 0 {
-		return errFaults
+		return errFindings
 	}
 	return nil
 }
--- a/cmd/fernctl/pcap_info.go
+++ b/cmd/fernctl/pcap_info.go
@@ -51,7 +51,7 @@
 		Summary:     summary,
 	}
 	if c.Bool("json") {
-		if err := asJSON(c.Root().Writer, report); err != nil {
+		if err := writeJSON(c.Root().Writer, report); err != nil {
 			return err
 		}
 	} else {
@@ -60,7 +60,7 @@
 	return collected.exitError()
 }
 
-// print prints the report for people.
+// print prints the report as text.
 func (r *infoReport) print(out io.Writer) {
 	var text strings.Builder
 	s, payload, stream := r.Summary, r.Summary.Payload, r.Summary.Stream
--- a/cmd/fernctl/pcap_requests.go
+++ b/cmd/fernctl/pcap_requests.go
@@ -15,12 +15,12 @@
 	"github.com/urfave/cli/v3"
 )
 
-// requestLine is what pcap requests prints of an exchange.
+// requestLine is what pcap requests prints for an exchange.
 type requestLine struct {
 	Flow           int64   `json:"flow"`
 	Number         int     `json:"number"`
 	Packet         int64   `json:"packet"`
-	Offset         float64 `json:"at_s"` // seconds from the first request that is printed
+	Offset         float64 `json:"at_s"` // seconds since the first printed request
 	From           string  `json:"from"`
 	Method         string  `json:"method"`
 	Target         string  `json:"target"`
@@ -34,8 +34,8 @@
 	ResponseDigest string  `json:"answer_sha256,omitempty"`
 }
 
-// newRequestLine returns the line of an exchange that has a request. The error is that of a body
-// that cannot be read.
+// newRequestLine returns the line of an exchange that has a request. newRequestLine returns an
+// error if a body cannot be read.
 func newRequestLine(e *http.Exchange, firstRequest time.Time) (*requestLine, error) {
 	request := e.Request
 	line := &requestLine{
@@ -63,7 +63,7 @@
 	return line, err
 }
 
-// String returns the line for people.
+// String returns the line as text.
 func (l *requestLine) String() string {
 	response := "no answer"
 	if l.Status > 0 {
@@ -84,14 +84,14 @@
 	return hex.EncodeToString(hash.Sum(nil)), errors.Join(err, r.Close())
 }
 
-// pcapRequests prints a line for each request of a capture, while the capture is read.
+// pcapRequests prints a line for each request of a capture while reading the capture.
 func pcapRequests(ctx context.Context, c *cli.Command) error {
 	collected, out, errOut := newCollector(), c.Root().Writer, c.Root().ErrWriter
 	var firstRequest time.Time
 	encoder := json.NewEncoder(out)
 	collected.onExchange = func(e *http.Exchange) error {
 		if e.Request == nil {
-			return nil // counted and reported
+			return nil // a response without a request is already counted and reported as a fault
 		}
 		if firstRequest.IsZero() {
 			firstRequest = e.Request.Began
--- a/cmd/fernctl/pcap_test.go
+++ b/cmd/fernctl/pcap_test.go
@@ -44,14 +44,14 @@
 			}
 		}
 	}
-	name := filepath.Join(t.TempDir(), "night.pcap")
+	name := filepath.Join(t.TempDir(), "capture.pcap")
 	if err := os.WriteFile(name, buf.Bytes(), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	return name
 }
 
-// capturedConn returns a connection from a port, with what the client and the server send.
+// capturedConn returns a connection from a client port, with the bytes of the request and response.
 func capturedConn(port uint16, request, response string) *synth.Conn {
 	client := netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), port)
 	server := netip.MustParseAddrPort("10.0.0.2:80")
@@ -69,20 +69,20 @@
 	capturedResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 )
 
-// A capture without faults ends with 0, one with faults with 1 and a line for each fault, and a
-// file that is no capture with 2.
+// The exit code is 0 for a capture without faults, 1 with a line for each fault for a capture with
+// faults, and 2 for a file that is not a capture.
 func TestPcapInfoAndRequests(t *testing.T) {
-	sound := writeCapture(t, capturedConn(1000, capturedRequest, capturedResponse))
-	expect(t, 0, "1 requests, 1 answers, 1 pairs", "pcap", "info", sound)
-	expect(t, 0, "POST /usage-rate/7, 3 bytes ba7816bf8f01: 200 in ", "pcap", "requests", sound)
+	valid := writeCapture(t, capturedConn(1000, capturedRequest, capturedResponse))
+	expect(t, 0, "1 requests, 1 answers, 1 pairs", "pcap", "info", valid)
+	expect(t, 0, "POST /usage-rate/7, 3 bytes ba7816bf8f01: 200 in ", "pcap", "requests", valid)
 	var line requestLine
-	err := json.Unmarshal([]byte(expect(t, 0, "", "pcap", "requests", "-json", sound)), &line)
+	err := json.Unmarshal([]byte(expect(t, 0, "", "pcap", "requests", "-json", valid)), &line)
 	if err != nil || line.ID != "r1" || line.Class != "usage-rate" || line.Status != 200 {
 		t.Errorf("%+v, %v", line, err)
 	}
 
 	lost := capturedConn(1001, capturedRequest+capturedRequest, capturedResponse+capturedResponse)
-	lost.Parts = append(lost.Parts[:3:3], lost.Parts[4:]...) // without the requests' segment
+	lost.Parts = append(lost.Parts[:3:3], lost.Parts[4:]...) // without the segment that holds the requests
 	faulty := writeCapture(t, capturedConn(1000, capturedRequest, capturedResponse), lost)
 	expect(t, 1, "faults    2 unasked", "pcap", "info", faulty)
 	expect(t, 1, "and 1 more", "pcap", "info", "-faults", "1", faulty)
@@ -93,49 +93,49 @@
 		t.Errorf("%+v, %v", report, err)
 	}
 
-	data, err := os.ReadFile(sound)
+	data, err := os.ReadFile(valid)
 	if err != nil {
 		t.Fatal(err)
 	}
-	truncated := filepath.Join(t.TempDir(), "cut.pcap")
+	truncated := filepath.Join(t.TempDir(), "truncated.pcap")
 	if err := os.WriteFile(truncated, data[:len(data)-70], 0o644); err != nil {
 		t.Fatal(err)
 	}
 	expect(t, 1, "broken-file: 0 bytes: packet 8, at byte", "pcap", "info", truncated)
-	expect(t, 2, "found 0 arguments, expected one FILE", "pcap", "info")
+	expect(t, 2, "got 0 arguments, want one FILE", "pcap", "info")
 	expect(t, 2, "no such file", "pcap", "info", filepath.Join(t.TempDir(), "none"))
 	expect(t, 2, "expected a pcap or pcapng file", "pcap", "info", filepath.Join("main.go"))
-	expect(t, 2, "-flows: found 0, expected 1 to", "pcap", "info", "-flows", "0", sound)
+	expect(t, 2, "invalid -flows 0: must be between 1 and", "pcap", "info", "-flows", "0", valid)
 }
 
-// A capture is replayed to a server: the report compares the outcomes, a non-idempotent request is
-// skipped, and the capture of the replay has the same requests.
+// A capture is replayed to a server. The report compares the outcomes, a non-idempotent request is
+// skipped, and the capture that -write records holds the requests sent.
 func TestPcapReplay(t *testing.T) {
 	var received atomic.Int32
-	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		received.Add(1)
 		_, _ = io.WriteString(w, "ok")
 	}))
-	defer web.Close()
-	to := web.Listener.Addr().String()
+	defer server.Close()
+	to := server.Listener.Addr().String()
 	nonIdempotent := "POST /charge-post/1 HTTP/1.1\r\nRequest-Id: c1\r\nRequest-Class: charge-post\r\n" +
 		"Content-Length: 1\r\n\r\nx"
 	keyed := strings.Replace(capturedRequest, "Request-Id", "Idempotency-Key: k\r\nRequest-Id", 1)
 	file := writeCapture(t, capturedConn(1000, keyed+nonIdempotent, capturedResponse+capturedResponse))
 	expect(t, 0, "(unsafe): left out: unsafe: its effect would happen again", "pcap", "replay", "-dry-run", file)
 	if received.Load() != 0 {
-		t.Error("a dry run has sent something")
+		t.Error("a dry run sent a request")
 	}
 
 	written, ids := filepath.Join(t.TempDir(), "out.pcapng"), filepath.Join(t.TempDir(), "ids")
 	expect(t, 0, "left out: 1: unsafe", "pcap", "replay", "-to", to, "-speed", "-1", "-id", "Request-Id",
 		"-write", written, "-ids", ids, file)
 	if n := received.Load(); n != 1 {
-		t.Errorf("%d requests were sent, of one", n)
+		t.Errorf("got %d requests sent, want 1", n)
 	}
 	expect(t, 0, "1 requests, 1 answers, 1 pairs", "pcap", "info", written)
 	if table, err := os.ReadFile(ids); err != nil || !strings.HasPrefix(string(table), "r1\t") {
-		t.Errorf("the table of ids: %q, %v", table, err)
+		t.Errorf("got table of IDs %q, %v", table, err)
 	}
 	var report replayReport
 	output := expect(t, 0, "", "pcap", "replay", "-to", to, "-unsafe", "-json", file)
@@ -143,21 +143,21 @@
 	if err != nil || len(report.Classes) != 2 || report.Classes[0].Sent != 1 {
 		t.Errorf("%+v, %v", report, err)
 	}
-	web.Close()
+	server.Close()
 	expect(t, 1, "not sent: dial tcp", "pcap", "replay", "-to", to, file)
 }
 
 func TestPcapReplayRejectsInvalidFlags(t *testing.T) {
-	const to = "127.0.0.1:1" // is not dialed
+	const to = "127.0.0.1:1" // never dialed
 	file := writeCapture(t, capturedConn(1000, capturedRequest, capturedResponse))
 	for message, args := range map[string][]string{
-		"is neither loopback nor allowed": {"-to", "192.0.2.1:80"},
-		"-to: found \"\", expected":       nil,
-		"-set: found \"x\", expected":     {"-to", to, "-set", "x"},
-		"-redact: found \"x\", expected":  {"-to", to, "-redact", "x"},
-		"Length\" cannot be set":          {"-to", to, "-set", "Content-Length=1"},
-		"-conns: found 0, expected 1 to":  {"-to", to, "-conns", "0"},
-		"invalid speed 1e-09: expected":   {"-to", to, "-speed", "1e-9"},
+		"is neither loopback nor allowed":                         {"-to", "192.0.2.1:80"},
+		"invalid -to \"\": must be an IP address and a port":      nil,
+		"invalid -set \"x\": must have the form NAME=VALUE":       {"-to", to, "-set", "x"},
+		"invalid -redact \"x\": must have the form FIELD=PATTERN": {"-to", to, "-redact", "x"},
+		"Length\" cannot be set":                                  {"-to", to, "-set", "Content-Length=1"},
+		"invalid -conns 0: must be between 1 and":                 {"-to", to, "-conns", "0"},
+		"invalid speed 1e-09: expected":                           {"-to", to, "-speed", "1e-9"},
 	} {
 		expect(t, 2, message, append(append([]string{"pcap", "replay"}, args...), file)...)
 	}
--- a/cmd/fernctl/replay.go
+++ b/cmd/fernctl/replay.go
@@ -19,7 +19,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-const maxReplayConnections = 1 << 16 // of a replay
+const maxReplayConnections = 1 << 16 // upper bound of -conns
 
 // replayCommand returns the command that replays a capture.
 func replayCommand() *cli.Command {
@@ -51,37 +51,37 @@
 	}
 }
 
-// parsePairs parses the NAME=VALUE words of a flag.
+// parsePairs parses the NAME=VALUE values of a repeated flag.
 func parsePairs(flag string, words []string) (map[string]string, error) {
 	pairs := map[string]string{}
 	for _, word := range words {
 		name, value, ok := strings.Cut(word, "=")
 		if !ok || name == "" {
-			return nil, fmt.Errorf("pcap replay: -%s: found %q, expected NAME=VALUE", flag, word)
+			return nil, fmt.Errorf("pcap replay: invalid -%s %q: must have the form NAME=VALUE", flag, word)
 		}
 		pairs[name] = value
 	}
 	return pairs, nil
 }
 
-// parseRedactions parses the FIELD=PATTERN words of -redact.
+// parseRedactions parses the FIELD=PATTERN values of -redact.
 func parseRedactions(words []string) ([]replay.Redaction, error) {
 	var redactions []replay.Redaction
 	for _, word := range words {
 		name, text, ok := strings.Cut(word, "=")
 		if !ok || text == "" {
-			return nil, fmt.Errorf("pcap replay: -redact: found %q, expected FIELD=PATTERN", word)
+			return nil, fmt.Errorf("pcap replay: invalid -redact %q: must have the form FIELD=PATTERN", word)
 		}
 		pattern, err := regexp.Compile(text)
 		if err != nil {
-			return nil, fmt.Errorf("pcap replay: -redact: %w", err)
+			return nil, fmt.Errorf("pcap replay: invalid -redact %q: %w", word, err)
 		}
 		redactions = append(redactions, replay.Redaction{Field: name, Pattern: pattern, With: "***"})
 	}
 	return redactions, nil
 }
 
-// replayOptions returns the options of the plan that the flags set.
+// replayOptions returns the plan options that the flags set.
 func replayOptions(c *cli.Command) (opts replay.Options, err error) {
 	opts = replay.Options{
 		Speed:                c.Float("speed"),
@@ -103,24 +103,26 @@
 	return opts, err
 }
 
-// replayAddress returns the address of -to, if a replay may go there.
+// replayAddress returns the address of -to, or an error unless the address is a loopback address or
+// allowed by -allow.
 func replayAddress(c *cli.Command) (netip.AddrPort, error) {
 	to, err := netip.ParseAddrPort(c.String("to"))
 	if err != nil {
-		return to, fmt.Errorf("pcap replay: -to: found %q, expected an address and a port", c.String("to"))
+		return to, fmt.Errorf("pcap replay: invalid -to %q: must be an IP address and a port", c.String("to"))
 	}
 	var allowed []netip.AddrPort
 	for _, word := range c.StringSlice("allow") {
 		address, err := netip.ParseAddrPort(word)
 		if err != nil {
-			return to, fmt.Errorf("pcap replay: -allow: found %q, expected an address and a port", word)
+			return to, fmt.Errorf("pcap replay: invalid -allow %q: must be an IP address and a port", word)
 		}
 		allowed = append(allowed, address)
 	}
 	return to, replay.CheckAddress(to, allowed)
 }
 
-// planCollector makes a plan while a capture is read. The bodies stay until the replay is over.
+// planCollector builds a plan while a capture is read. The bodies are kept until the replay is
+// over.
 type planCollector struct {
 	*collector
 	plan *replay.Plan
@@ -166,7 +168,7 @@
 		Pipeline:       c.Bool("pipeline"),
 	}
 	if n := target.MaxConnections; n < 1 || n > maxReplayConnections {
-		return target, fmt.Errorf("pcap replay: -conns: found %d, expected 1 to %d", n, maxReplayConnections)
+		return target, fmt.Errorf("pcap replay: invalid -conns %d: must be between 1 and %d", n, maxReplayConnections)
 	}
 	if !c.Bool("dry-run") {
 		target.Addr, err = replayAddress(c)
@@ -174,8 +176,8 @@
 	return target, err
 }
 
-// replayCapture reads a capture into a plan, and carries the plan out or prints it. The store of
-// the capture's bodies stays open until then.
+// replayCapture reads a capture into a plan, and runs the plan or, with -dry-run, prints the plan.
+// The store of the capture's bodies stays open until the plan has run.
 func replayCapture(ctx context.Context, c *cli.Command, planned *planCollector, target replay.Target) (err error) {
 	file, store, err := openCapture(c)
 	if err != nil {
@@ -197,7 +199,7 @@
 	return runPlan(ctx, c, planned, target)
 }
 
-// runPlan carries a plan out and prints the comparison. It returns errFaults if an outcome differs
+// runPlan runs a plan and prints the comparison. runPlan returns errFindings if an outcome differs
 // or the capture has a fault.
 func runPlan(ctx context.Context, c *cli.Command, planned *planCollector, target replay.Target) (err error) {
 	closeRecording, err := recordReplay(c.String("write"), &target)
@@ -207,7 +209,7 @@
 	defer func() { err = errors.Join(err, closeRecording()) }()
 	report := compareOutcomes(planned.plan, planned.plan.Run(ctx, target))
 	if c.Bool("json") {
-		err = asJSON(c.Root().Writer, report)
+		err = writeJSON(c.Root().Writer, report)
 	} else {
 		err = report.print(c.Root().Writer)
 	}
@@ -217,13 +219,13 @@
 	case ctx.Err() != nil:
 		return fmt.Errorf("pcap replay: %w", ctx.Err())
 	case !report.allEqual():
-		return errFaults
+		return errFindings
 	}
 	return planned.exitError()
 }
 
-// recordReplay has a target write what is sent and received to a file, if the name is not empty.
-// The function that it returns ends the file.
+// recordReplay makes the target record what is sent and received in a file, unless the name is
+// empty. closeRecording flushes and closes the file.
 func recordReplay(name string, target *replay.Target) (closeRecording func() error, err error) {
 	if name == "" {
 		return func() error { return nil }, nil
@@ -239,7 +241,7 @@
 	return func() error { return errors.Join(target.Capture.Flush(), file.Close()) }, nil
 }
 
-// printPlan prints what would be sent.
+// printPlan prints the requests that the plan would send, and those that it skips.
 func printPlan(out io.Writer, plan *replay.Plan) {
 	for _, step := range plan.Steps {
 		text := fmt.Sprintf("%10.4f conn %d (%s)\n%s",
@@ -252,7 +254,7 @@
 	}
 }
 
-// writeIDs writes a table of captured and new request ids to a file.
+// writeIDs writes a table of captured and new request IDs to a file.
 func writeIDs(name string, steps []*replay.Step) error {
 	var table strings.Builder
 	for _, step := range steps {
--- a/cmd/fernctl/replay_report.go
+++ b/cmd/fernctl/replay_report.go
@@ -13,9 +13,9 @@
 	"fernlanding/internal/pcap/replay"
 )
 
-const maxErrorLines = 20
+const maxErrorLines = 20 // distinct errors that the text report lists
 
-// classComparison compares the captured with the replayed outcomes of a class.
+// classComparison compares the captured and the replayed outcomes of a class.
 type classComparison struct {
 	Class            string         `json:"class"`
 	Requests         int            `json:"requests"`
@@ -40,7 +40,7 @@
 	Errors      map[string]int     `json:"errors"`
 }
 
-// statusText returns a status code, or none for 0.
+// statusText returns a status code as text, or "none" for 0.
 func statusText(code int) string {
 	if code == 0 {
 		return "none"
@@ -48,7 +48,7 @@
 	return strconv.Itoa(code)
 }
 
-// className returns the class of a step, or its method and kind if it names none.
+// className returns the class of a step, or the method and idempotency if the step names no class.
 func className(step *replay.Step) string {
 	if step.Class == "" {
 		return step.Method + " (" + step.Idempotency.String() + ")"
@@ -72,7 +72,7 @@
 			report.SkipReasons[step.SkipReason]++
 		}
 	}
-	for _, result := range results { // each has a step of the plan
+	for _, result := range results { // each result belongs to a step of the plan
 		classes[className(result.Step)].addResult(result)
 		if result.Err != nil {
 			report.Errors[result.Err.Error()]++
@@ -124,7 +124,8 @@
 	c.DelayP99 = percentileMillis(c.delays, 99)
 }
 
-// percentileMillis returns a percentile in milliseconds, 0 of none. It sorts the durations.
+// percentileMillis sorts the durations and returns a percentile in milliseconds. The percentile of
+// no durations is 0.
 func percentileMillis(durations []time.Duration, percent int) float64 {
 	if len(durations) == 0 {
 		return 0
@@ -140,7 +141,7 @@
 	})
 }
 
-// print prints the report for people. The error is that of the output.
+// print prints the report as text. print returns the error of writing to out.
 func (r *replayReport) print(out io.Writer) error {
 	var text strings.Builder
 	text.WriteString("class\trequests\tleft out\tsent\tno answer\tsame status\tsame body\tcaptured\treplayed" +
@@ -168,7 +169,7 @@
 	return table.Flush()
 }
 
-// formatCounts returns counts as words, by key.
+// formatCounts returns counts as KEY:COUNT words, sorted by key.
 func formatCounts(counts map[string]int) string {
 	var words []string
 	for _, key := range slices.Sorted(maps.Keys(counts)) {
--- a/cmd/fernctl/rig.go
+++ b/cmd/fernctl/rig.go
@@ -17,17 +17,17 @@
 	"fernlanding/internal/harness/worker"
 )
 
-// rigWorkerCommand is the hidden command by which the harness starts its workers. The word is part of
-// the program's interface.
+// rigWorkerCommand is the hidden command by which the harness starts its workers. The name is part
+// of the command line interface.
 const rigWorkerCommand = "actor"
 
-// rigCommand returns the command "rig" with its commands.
+// rigCommand returns the command "rig" with its subcommands.
 func rigCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "rig",
 		Usage: "many processes of the program with faults between them",
 		Action: func(_ context.Context, c *cli.Command) error {
-			return errors.New("rig: one of run, list, report, shrink and rollout expected")
+			return errors.New("rig: a command is required: one of run, list, report, shrink and rollout")
 		},
 		Commands: []*cli.Command{
 			rigRunCommand(),
@@ -76,7 +76,7 @@
 	}
 }
 
-// rigSeedFlag returns the flag for another seed than the scenario's.
+// rigSeedFlag returns the flag that replaces the scenario's seed.
 func rigSeedFlag() cli.Flag {
 	return &cli.Uint64Flag{Name: "seed", Usage: "in place of the scenario's own `SEED`"}
 }
@@ -89,17 +89,18 @@
 	}
 }
 
-// runWorker runs this program as a worker. A worker ends when its input ends, and not by an
-// interrupt, which the harness itself handles.
+// runWorker runs this program as a worker. A worker exits when its standard input ends. A worker
+// ignores interrupts, because the harness handles them.
 func runWorker(context.Context, *cli.Command) error {
-	//nolint:contextcheck // a worker ends with its input; see above
+	//nolint:contextcheck // a worker exits when its standard input ends, not on an interrupt
 	return worker.Main(os.Stdin, os.Stdout)
 }
 
-// readScenario reads the scenario that a command names first.
+// readScenario reads the scenario that the first argument of a command names. args is the required
+// number of arguments.
 func readScenario(c *cli.Command, args int) (*scenario.Scenario, error) {
 	if c.Args().Len() != args {
-		return nil, fmt.Errorf("rig %s: %s expected", c.Name, c.ArgsUsage)
+		return nil, fmt.Errorf("rig %s: got %d arguments, want %s", c.Name, c.Args().Len(), c.ArgsUsage)
 	}
 	name := c.Args().First()
 	data, err := readBounded(name)
@@ -116,7 +117,7 @@
 	return spec, nil
 }
 
-// rigRun runs a scenario with one or more seeds.
+// rigRun runs a scenario with one or more seeds and prints the results.
 func rigRun(ctx context.Context, c *cli.Command) error {
 	spec, opts, err := scenarioAndOptions(c)
 	if err != nil {
@@ -124,17 +125,17 @@
 	}
 	seeds := c.Int("seeds")
 	if seeds < 1 || seeds > maxSeeds {
-		return fmt.Errorf("rig run: -seeds %d, 1 to %d expected", seeds, maxSeeds)
+		return fmt.Errorf("rig run: invalid -seeds %d: must be between 1 and %d", seeds, maxSeeds)
 	}
 	hasFailed := false
 	for i := range seeds {
 		seeded := *spec
 		seeded.Seed += uint64(i)
-		keep := c.String("history")
+		historyCopy := c.String("history")
 		if hasFailed {
-			keep = ""
+			historyCopy = ""
 		}
-		result, err := runScenario(ctx, &seeded, opts, keep)
+		result, err := runScenario(ctx, &seeded, opts, historyCopy)
 		if err != nil {
 			return err
 		}
@@ -145,13 +146,13 @@
 			continue
 		}
 		hasFailed = true
-		again := fmt.Sprintf("again: fernctl rig run -seed %d %s\n", seeded.Seed, c.Args().First())
-		if _, err := io.WriteString(c.Root().ErrWriter, again); err != nil {
+		hint := fmt.Sprintf("again: fernctl rig run -seed %d %s\n", seeded.Seed, c.Args().First())
+		if _, err := io.WriteString(c.Root().ErrWriter, hint); err != nil {
 			return err
 		}
 	}
 	if hasFailed {
-		return errFaults
+		return errFindings
 	}
 	return nil
 }
@@ -174,7 +175,7 @@
 	return err
 }
 
-// rigReport judges the history of an earlier run, and draws it.
+// rigReport judges the history of an earlier run and, with -svg, draws the history.
 func rigReport(_ context.Context, c *cli.Command) error {
 	spec, err := readScenario(c, 2)
 	if err != nil {
@@ -194,12 +195,12 @@
 		}
 	}
 	if len(result.Verdicts) > 0 {
-		return errFaults
+		return errFindings
 	}
 	return nil
 }
 
-// drawTimeline draws the history in a file to another file.
+// drawTimeline reads a history from one file and draws the history as SVG to another file.
 func drawTimeline(spec *scenario.Scenario, from, to string) error {
 	events, err := readHistory(from)
 	if err != nil {
@@ -212,8 +213,8 @@
 	return errors.Join(timeline.SVG(out, spec, events), out.Close())
 }
 
-// rigShrink leaves out faults, half of them at a time and then single ones, and prints the schedule
-// that still fails.
+// rigShrink removes faults from a failing schedule, half of the faults at a time and then single
+// faults, and prints the smallest schedule that still fails.
 func rigShrink(ctx context.Context, c *cli.Command) error {
 	spec, opts, err := scenarioAndOptions(c)
 	if err != nil {
@@ -237,7 +238,7 @@
 		return false
 	}
 	start := time.Now()
-	least, found := scenario.Shrink(spec.Schedule(), fails)
+	shrunk, found := scenario.Shrink(spec.Schedule(), fails)
 	if runErr != nil {
 		return runErr
 	}
@@ -248,12 +249,12 @@
 		return err
 	}
 	fmt.Fprintf(&text, "%d of %d faults left after %d plays, %v\n",
-		len(least), len(spec.Schedule()), runs, time.Since(start).Round(time.Second))
+		len(shrunk), len(spec.Schedule()), runs, time.Since(start).Round(time.Second))
 	if _, err := io.WriteString(c.Root().ErrWriter, text.String()); err != nil {
 		return err
 	}
-	if _, err := io.WriteString(c.Root().Writer, scenario.Text(least)); err != nil {
+	if _, err := io.WriteString(c.Root().Writer, scenario.Text(shrunk)); err != nil {
 		return err
 	}
-	return errFaults
+	return errFindings
 }
--- a/cmd/fernctl/rigrollout.go
+++ b/cmd/fernctl/rigrollout.go
@@ -16,8 +16,8 @@
 	"fernlanding/internal/harness/rollout/plan"
 )
 
-// rigRolloutCommand returns the command that runs distribution on the rig: a source, relays,
-// followers and a publisher with faults between them.
+// rigRolloutCommand returns the command that runs distribution in the harness: a source, relays,
+// followers and a publisher, with faults between them.
 func rigRolloutCommand() *cli.Command {
 	return &cli.Command{
 		Name: "rollout", Usage: "play the scenario of distribution in FILE and judge it", ArgsUsage: "FILE",
@@ -58,18 +58,18 @@
 		_, err := io.WriteString(c.Root().Writer, describeSchedule(sc))
 		return err
 	}
-	seeds, together := c.Int("seeds"), c.Int("together")
-	if seeds < 1 || seeds > maxSeeds || together < 1 || together > seeds {
-		return fmt.Errorf("rig rollout: -seeds %d -together %d, 1 to %d seeds and at most as many together expected",
-			seeds, together, maxSeeds)
+	seeds, concurrency := c.Int("seeds"), c.Int("together")
+	if seeds < 1 || seeds > maxSeeds || concurrency < 1 || concurrency > seeds {
+		return fmt.Errorf("rig rollout: invalid -seeds %d -together %d: -seeds must be between 1 and %d, "+
+			"-together between 1 and -seeds", seeds, concurrency, maxSeeds)
 	}
 	dir, err := os.MkdirTemp("", "rollout")
 	if err != nil {
 		return fmt.Errorf("rig rollout: %w", err)
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // a temporary directory, which the system removes too
+	defer func() { _ = os.RemoveAll(dir) }() // a remaining temporary directory does not affect the result
 	runs := make([]chan rolloutRun, seeds)
-	slots := make(chan struct{}, together)
+	slots := make(chan struct{}, concurrency)
 	for i := range runs {
 		runs[i] = make(chan rolloutRun, 1)
 		go func() {
@@ -83,8 +83,8 @@
 	return reportRollouts(c, runs)
 }
 
-// reportRollouts prints the runs in the order of their seeds. It returns errFaults if any of them
-// has a verdict.
+// reportRollouts prints the runs in the order of their seeds. reportRollouts returns errFindings if
+// any run has a verdict.
 func reportRollouts(c *cli.Command, runs []chan rolloutRun) error {
 	failed := false
 	for i := range runs {
@@ -109,22 +109,22 @@
 		}
 	}
 	if failed {
-		return errFaults
+		return errFindings
 	}
 	return nil
 }
 
-// printRollout prints a run, for people or for machines.
+// printRollout prints a run as text or as JSON.
 func printRollout(c *cli.Command, run *rolloutRun) error {
 	if c.Bool("json") {
-		return asJSON(c.Root().Writer, run)
+		return writeJSON(c.Root().Writer, run)
 	}
 	_, err := io.WriteString(c.Root().Writer, describeRollout(run))
 	return err
 }
 
-// keepHistory copies the history of a run to the file that is asked for, unless that has one of a
-// failed run and this run has not failed. It removes the run's own file.
+// keepHistory copies the history of a run to the file that -history names, unless an earlier run
+// has failed and this run has not. keepHistory removes the run's own history file.
 func keepHistory(c *cli.Command, run *rolloutRun, anyFailed bool) error {
 	to := c.String("history")
 	if to != "" && (len(run.Verdicts) > 0 || !anyFailed) {
@@ -135,11 +135,11 @@
 	return os.Remove(run.historyFile)
 }
 
-// prepareRollout reads the scenario, and finds the programs.
+// prepareRollout reads the scenario and finds the programs of the run.
 func prepareRollout(c *cli.Command) (*plan.Scenario, rollout.Options, error) {
 	var opts rollout.Options
 	if c.Args().Len() != 1 {
-		return nil, opts, fmt.Errorf("rig rollout: %s expected", c.ArgsUsage)
+		return nil, opts, fmt.Errorf("rig rollout: got %d arguments, want %s", c.Args().Len(), c.ArgsUsage)
 	}
 	name := c.Args().First()
 	data, err := readBounded(name)
@@ -162,7 +162,7 @@
 		program = filepath.Join(filepath.Dir(self), "fernrelay")
 	}
 	if _, err := os.Stat(program); err != nil && !c.Bool("list") {
-		return nil, opts, fmt.Errorf("rig rollout: the program under test: %w", err)
+		return nil, opts, fmt.Errorf("rig rollout: program under test: %w", err)
 	}
 	opts = rollout.Options{Program: []string{program}, Worker: []string{self, "rig", rigWorkerCommand}}
 	if c.Bool("logs") {
@@ -171,7 +171,7 @@
 	return sc, opts, nil
 }
 
-// runRollout runs a scenario once, with its history in a file.
+// runRollout runs a scenario once, records the history in a file, and checks the history.
 func runRollout(ctx context.Context, sc *plan.Scenario, opts rollout.Options, path string) rolloutRun {
 	run := rolloutRun{historyFile: path}
 	run.err = recordRollout(ctx, sc, opts, path)
@@ -188,7 +188,7 @@
 	return run
 }
 
-// recordRollout runs a scenario once, and writes its history to a file.
+// recordRollout runs a scenario once and writes the history to a file.
 func recordRollout(ctx context.Context, sc *plan.Scenario, opts rollout.Options, path string) (err error) {
 	f, err := os.Create(path)
 	if err != nil {
@@ -199,7 +199,7 @@
 	return rollout.Run(ctx, sc, opts)
 }
 
-// describeRollout returns the result of a run, for people.
+// describeRollout returns the result of a run as text.
 func describeRollout(run *rolloutRun) string {
 	m := &run.Metrics
 	var b strings.Builder
@@ -230,7 +230,7 @@
 	return b.String()
 }
 
-// describeSchedule returns what a scenario starts, and its faults.
+// describeSchedule returns the processes and the faults of a scenario as text.
 func describeSchedule(sc *plan.Scenario) string {
 	var b strings.Builder
 	fmt.Fprintln(&b, sc.Describe())
--- a/cmd/fernctl/rollout.go
+++ b/cmd/fernctl/rollout.go
@@ -18,18 +18,18 @@
 const (
 	// rolloutRequestTimeout bounds a request to the source or a relay.
 	rolloutRequestTimeout = 3 * time.Second
-	// statusInterval is how often a status is polled while a version is waited for.
+	// statusInterval is the interval at which "rollout wait" polls the status.
 	statusInterval = 100 * time.Millisecond
 )
 
-// rolloutCommand returns the commands that write resources, and report where they are in force.
+// rolloutCommand returns the commands that write resources and report where versions are in force.
 func rolloutCommand() *cli.Command {
 	to := &cli.StringFlag{Name: "to", Usage: "the source at `ADDR`, host:port", Required: true}
 	from := &cli.StringFlag{Name: "from", Usage: "ask the source or relay at `ADDR`, host:port", Required: true}
 	return &cli.Command{
 		Name: "rollout", Usage: "write a resource, and see where it is in force",
 		Action: func(context.Context, *cli.Command) error {
-			return errors.New("rollout: one of put, config, status and wait expected")
+			return errors.New("rollout: a command is required: one of put, config, status and wait")
 		},
 		Commands: []*cli.Command{
 			{
@@ -56,10 +56,11 @@
 	}
 }
 
-// rolloutArgs returns a command's arguments, of which the first is the name of a resource.
+// rolloutArgs returns the arguments of a command, after a check of their number and of the first,
+// which is the name of a resource.
 func rolloutArgs(c *cli.Command, count int) ([]string, error) {
 	if c.Args().Len() != count {
-		return nil, fmt.Errorf("rollout %s: %s expected", c.Name, c.ArgsUsage)
+		return nil, fmt.Errorf("rollout %s: got %d arguments, want %s", c.Name, c.Args().Len(), c.ArgsUsage)
 	}
 	args := c.Args().Slice()
 	if err := distribution.ValidateName("resource", args[0]); err != nil {
@@ -68,7 +69,7 @@
 	return args, nil
 }
 
-// rolloutPut writes the items of a file, which is a PutRequest without its resource.
+// rolloutPut writes the items of a file. The file holds a PutRequest, whose resource may be absent.
 func rolloutPut(ctx context.Context, c *cli.Command) error {
 	args, err := rolloutArgs(c, 2)
 	if err != nil {
@@ -81,7 +82,8 @@
 	return writePut(ctx, c, put)
 }
 
-// writePut writes to the source, and prints the version, or why nothing was written.
+// writePut sends a write to the source and prints the new version or, on a conflict, why nothing
+// was written.
 func writePut(ctx context.Context, c *cli.Command, put *distribution.PutRequest) error {
 	client := httpapi.NewClient(nil)
 	defer client.Close()
@@ -93,7 +95,7 @@
 		if _, err := fmt.Fprintf(c.Root().Writer, "not written: %v\n", conflict); err != nil {
 			return err
 		}
-		return errFaults
+		return errFindings
 	}
 	if err != nil {
 		return fmt.Errorf("rollout %s: %w", c.Name, err)
@@ -102,7 +104,7 @@
 	return err
 }
 
-// readPut reads and validates a file of items for a resource.
+// readPut reads and validates a file with a write to a resource.
 func readPut(resource, name string) (*distribution.PutRequest, error) {
 	data, err := readBounded(name)
 	if err != nil {
@@ -113,7 +115,7 @@
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	if put.Resource != "" && put.Resource != resource {
-		return nil, fmt.Errorf("%s: resource: %q found, %q or none expected", name, put.Resource, resource)
+		return nil, fmt.Errorf("%s: invalid resource %q: must be %q or absent", name, put.Resource, resource)
 	}
 	put.Resource = resource
 	if err := put.Validate(); err != nil {
@@ -135,7 +137,7 @@
 		return fmt.Errorf("rollout status: %w", err)
 	}
 	if len(status.Counts) == 0 {
-		return fmt.Errorf("rollout status: %s: no version found, and nobody who follows it", args[0])
+		return fmt.Errorf("rollout status: resource %s: no version found and no followers", args[0])
 	}
 	text := describeStatus(status)
 	if c.Bool("json") {
@@ -150,7 +152,7 @@
 	}
 	progress := status.Progress(status.Counts[0].Version)
 	if !progress.Done() {
-		return errFaults
+		return errFindings
 	}
 	return nil
 }
@@ -164,7 +166,7 @@
 	return client.Status(ctx, address, resource)
 }
 
-// describeStatus returns a status for people, the latest version first.
+// describeStatus returns a status as text, with the latest version first.
 func describeStatus(status *distribution.ResourceStatus) string {
 	latest := status.Counts[0].Version
 	progress := status.Progress(latest)
@@ -178,7 +180,8 @@
 	return b.String()
 }
 
-// describeLaggards returns which proxies lack a version: those that reject it with their reason.
+// describeLaggards returns as text which proxies lack a version. A proxy that has rejected the
+// version is listed with its reason.
 func describeLaggards(rejections []distribution.Rejection, laggards []distribution.Laggard) string {
 	var b strings.Builder
 	rejected := make(map[string]bool)
@@ -198,7 +201,7 @@
 	return b.String()
 }
 
-// rolloutWait waits until a version is in force, and prints how far it is.
+// rolloutWait waits until a version is in force and prints the last progress.
 func rolloutWait(ctx context.Context, c *cli.Command) error {
 	args, err := rolloutArgs(c, 2)
 	if err != nil {
@@ -225,27 +228,28 @@
 		return err
 	}
 	if !done {
-		return errFaults
+		return errFindings
 	}
 	return nil
 }
 
-// versionWait waits until a version of a resource is in force at all proxies, and at minProxies at
-// least.
+// versionWait waits until a version of a resource is in force at all known proxies, and at no fewer
+// than minProxies.
 type versionWait struct {
-	address    string // of the source or a relay
+	address    string // address of the source or of a relay
 	resource   string
 	version    distribution.Version
 	minProxies int
 }
 
-// isDone reports whether the version is in force as it is to be.
+// isDone reports whether the version is in force at all known proxies and at no fewer than
+// minProxies.
 func (w *versionWait) isDone(p *distribution.Progress) bool {
 	return p.Done() && p.Proxies >= w.minProxies
 }
 
-// run polls until the version is in force, a proxy has rejected it, or the context ends, and
-// returns the last progress. An error says that no status could be got at the end.
+// run polls until the version is in force, a proxy has rejected the version, or the context ends,
+// and returns the last progress. run returns an error if no status could be read at the end.
 func (w *versionWait) run(ctx context.Context) (*distribution.Progress, error) {
 	client := httpapi.NewClient(nil)
 	defer client.Close()
--- a/cmd/fernctl/rollout_config.go
+++ b/cmd/fernctl/rollout_config.go
@@ -14,8 +14,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// rolloutConfigCommand returns the command that writes a configuration to the source at the flag
-// to.
+// rolloutConfigCommand returns the command that writes a configuration to the source that the flag
+// "to" names.
 func rolloutConfigCommand(to cli.Flag) *cli.Command {
 	expected := &cli.StringFlag{Name: "expected", Usage: "only where `VERSION` stands; 0.0: where none does"}
 	return &cli.Command{
@@ -24,10 +24,10 @@
 	}
 }
 
-// rolloutConfig writes a configuration as the resource that it names in distribution.configuration.
+// rolloutConfig writes a configuration as the resource that its distribution.configuration names.
 func rolloutConfig(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return fmt.Errorf("rollout config: %s expected", c.ArgsUsage)
+		return fmt.Errorf("rollout config: got %d arguments, want %s", c.Args().Len(), c.ArgsUsage)
 	}
 	name := c.Args().First()
 	data, err := readBounded(name)
@@ -39,7 +39,7 @@
 		if _, err := fmt.Fprintln(c.Root().Writer, err); err != nil {
 			return err
 		}
-		return errFaults
+		return errFindings
 	}
 	put, err := configurationPut(name, app, data)
 	if err != nil {
@@ -55,11 +55,12 @@
 	return writePut(ctx, c, put)
 }
 
-// configurationPut returns the write that replaces a configuration. It is divided into fragments if
-// these mean the same as the file, and is one item else.
+// configurationPut returns the write that replaces a configuration. The configuration is divided
+// into fragments if the joined fragments are equivalent to the file, and is a single item
+// otherwise.
 func configurationPut(name string, app *config.App, data []byte) (*distribution.PutRequest, error) {
 	if app.Distribution.Configuration == "" {
-		return nil, fmt.Errorf("%s: distribution.configuration: the name that sidecars follow expected", name)
+		return nil, fmt.Errorf("%s: missing distribution.configuration: the name that sidecars follow", name)
 	}
 	fragments := config.Fragments(data)
 	joined, err := config.Decode(name, config.Join(fragments))
--- a/cmd/fernctl/rollout_config_test.go
+++ b/cmd/fernctl/rollout_config_test.go
@@ -10,8 +10,8 @@
 	"fernlanding/internal/distribution/httpapi"
 )
 
-// A configuration is written as fragments, so that a change to one service is one item. One that no
-// sidecar would accept is not written.
+// A configuration is written as fragments, so that a change to one service changes one item. A
+// configuration that sidecars would reject is not written.
 func TestRolloutConfig(t *testing.T) {
 	address := startSource(t)
 	example, err := os.ReadFile("../../deploy/sidecar.example.toml")
@@ -33,7 +33,7 @@
 	write(text)
 	version := strings.TrimSpace(expect(t, 0, "1.1", "rollout", "config", "-expected", "0.0", "-to", address, file))
 	expect(t, 1, "not written", "rollout", "config", "-expected", "0.0", "-to", address, file)
-	expect(t, 0, "1.2", "rollout", "config", "-expected", version, "-to", address, replaceIn(t, file, text))
+	expect(t, 0, "1.2", "rollout", "config", "-expected", version, "-to", address, appendComment(t, file, text))
 
 	client := httpapi.NewClient(nil)
 	defer client.Close()
@@ -42,14 +42,15 @@
 		t.Fatal(err)
 	}
 	if len(written.Items) < 3 {
-		t.Errorf("%d fragments, want the file divided", len(written.Items))
+		t.Errorf("got %d fragments, want at least 3", len(written.Items))
 	}
 }
 
-// replaceIn writes a file with one more comment in its last table, and returns its name.
-func replaceIn(t *testing.T, file, text string) string {
+// appendComment writes the text with a comment appended to a file, and returns the name of the
+// file.
+func appendComment(t *testing.T, file, text string) string {
 	t.Helper()
-	if err := os.WriteFile(file, []byte(text+"# of another day\n"), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(text+"# a comment\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return file
--- a/cmd/fernctl/rollout_test.go
+++ b/cmd/fernctl/rollout_test.go
@@ -13,7 +13,7 @@
 	"fernlanding/internal/distribution/node"
 )
 
-// startSource starts a source that has its writes in memory only, and returns its address.
+// startSource starts a source that keeps writes in memory only, and returns the address.
 func startSource(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,7 +35,7 @@
 	return l.Addr().String()
 }
 
-// reportPosition reports the position of a proxy, once.
+// reportPosition reports the position of a proxy once.
 func reportPosition(t *testing.T, address, name string, p distribution.Position) {
 	t.Helper()
 	c := httpapi.NewClient(nil)
@@ -51,7 +51,8 @@
 	}
 }
 
-// A write, the proxies that lack it and why, and the wait for it, with their exit codes.
+// put writes a version, status lists the proxies that lack the version with the reason, and wait
+// waits until the version is in force, each with its exit code.
 func TestRollout(t *testing.T) {
 	address := startSource(t)
 	file := filepath.Join(t.TempDir(), "items.json")
@@ -63,8 +64,8 @@
 	version := strings.TrimSpace(expect(t, 0, "1.1", "rollout", "put", "-to", address, "service-a", file))
 	expect(t, 0, "0 of 0 proxies", "rollout", "status", "-from", address, "service-a")
 
-	// After relays have failed no proxy is counted for a while: that does not mean "in force
-	// everywhere".
+	// After a failure of relays no proxy is known for a while. This must not count as in force
+	// everywhere.
 	expect(t, 1, "0 of 0 proxies", "rollout", "wait", "-timeout", "300ms", "-from", address, "service-a", version)
 	expect(t, 0, "0 of 0 proxies", "rollout", "wait", "-proxies", "0", "-from", address, "service-a", version)
 
@@ -81,7 +82,8 @@
 	expect(t, 1, `"refusals":[{"follower":"p2"`, "rollout", "status", "-json", "-from", address, "service-a")
 }
 
-// An invalid call, and one that gets no answer, ends with 2 and one line.
+// An invalid command line and an unreachable address end with exit code 2. A version conflict ends
+// with exit code 1.
 func TestRolloutFailures(t *testing.T) {
 	address := startSource(t)
 	file := filepath.Join(t.TempDir(), "items.json")
@@ -95,15 +97,16 @@
 	}
 	expect(t, 2, "value of 0 bytes found", "rollout", "put", "-to", address, "service-a", file)
 	expect(t, 2, "whole number", "rollout", "wait", "-from", address, "service-a", "x.1")
-	expect(t, 2, "RESOURCE VERSION expected", "rollout", "wait", "-from", address, "service-a")
+	expect(t, 2, "got 1 arguments, want RESOURCE VERSION", "rollout", "wait", "-from", address, "service-a")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	nobody := l.Addr().String()
+	closedAddress := l.Addr().String()
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	expect(t, 2, "rollout status: "+nobody, "rollout", "status", "-from", nobody, "service-a")
-	expect(t, 2, "rollout wait: "+nobody, "rollout", "wait", "-timeout", "300ms", "-from", nobody, "service-a", "1.1")
+	expect(t, 2, "rollout status: "+closedAddress, "rollout", "status", "-from", closedAddress, "service-a")
+	expect(t, 2, "rollout wait: "+closedAddress,
+		"rollout", "wait", "-timeout", "300ms", "-from", closedAddress, "service-a", "1.1")
 }
--- a/cmd/fernctl/rules.go
+++ b/cmd/fernctl/rules.go
@@ -10,7 +10,7 @@
 	"fernlanding/internal/rules"
 )
 
-// jsonRule is a rule as rules prints it with -json.
+// jsonRule is a rule as rules -json prints it.
 type jsonRule struct {
 	ID       rules.ID `json:"id"`
 	Group    string   `json:"group"`
@@ -22,7 +22,7 @@
 	Page     string   `json:"page"`
 }
 
-// newJSONRule returns a rule with its place on the operators' page.
+// newJSONRule returns a rule together with the link to its section of the operators' page.
 func newJSONRule(r rules.Rule) jsonRule {
 	return jsonRule{
 		ID: r.ID, Group: r.Group, Severity: r.Severity.String(), Since: r.Since,
@@ -41,7 +41,7 @@
 	}
 }
 
-// listRules prints the rules as text, as JSON, or as the operators' page has them.
+// listRules prints the rules as text, as JSON, or as Markdown for the operators' page.
 func listRules(_ context.Context, c *cli.Command) error {
 	out := c.Root().Writer
 	if err := noArgs(c); err != nil {
@@ -56,7 +56,7 @@
 		for _, r := range rules.All() {
 			all = append(all, newJSONRule(r))
 		}
-		return asJSON(out, all)
+		return writeJSON(out, all)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, r := range rules.All() {
--- a/cmd/fernctl/scale.go
+++ b/cmd/fernctl/scale.go
@@ -20,12 +20,13 @@
 // scaleWorkerCommand is the hidden command by which scale run starts its worker processes.
 const scaleWorkerCommand = "worker"
 
+// scaleCommand returns the command "scale" with its subcommands.
 func scaleCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "scale",
 		Usage: "what proxies cost, over sizes",
 		Action: func(context.Context, *cli.Command) error {
-			return errors.New("scale: one of run, fit, predict and latency expected")
+			return errors.New("scale: a command is required: one of run, fit, predict and latency")
 		},
 		Commands: []*cli.Command{
 			scaleRunCommand(),
@@ -36,13 +37,14 @@
 				Name:   scaleWorkerCommand,
 				Hidden: true,
 				Action: func(context.Context, *cli.Command) error {
-					return worker.Run(os.Stdin, os.Stdout) //nolint:contextcheck // it handles signals itself
+					return worker.Run(os.Stdin, os.Stdout) //nolint:contextcheck // Run handles signals
 				},
 			},
 		},
 	}
 }
 
+// scaleRunCommand returns the command that measures a sweep.
 func scaleRunCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "run",
@@ -74,7 +76,7 @@
 	alone, without := c.Bool("held-out"), c.Bool("without-held-out")
 	switch {
 	case alone && without:
-		return sweep.All, errors.New("scale run: one of -held-out and -without-held-out expected")
+		return sweep.All, errors.New("scale run: -held-out and -without-held-out are mutually exclusive")
 	case alone:
 		return sweep.HeldOutOnly, nil
 	case without:
@@ -83,10 +85,10 @@
 	return sweep.All, nil
 }
 
-// scaleRun measures a sweep and writes its result.
+// scaleRun measures a sweep and writes the result.
 func scaleRun(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return fmt.Errorf("scale run: %s expected", c.ArgsUsage)
+		return fmt.Errorf("scale run: got %d arguments, want %s", c.Args().Len(), c.ArgsUsage)
 	}
 	name := c.Args().First()
 	data, err := dir.ReadFile(name)
@@ -106,7 +108,7 @@
 		return err
 	}
 	if c.String("json") == "" {
-		return asJSON(c.Root().Writer, out)
+		return writeJSON(c.Root().Writer, out)
 	}
 	text, err := json.MarshalIndent(out, "", " ")
 	if err != nil {
@@ -118,8 +120,8 @@
 	return nil
 }
 
-// scaleOptions returns the options of a sweep from the flags. Programs that the scenario does not
-// need are not looked for.
+// scaleOptions returns the options of a sweep that the flags set. A program that the scenario does
+// not need may be missing.
 func scaleOptions(c *cli.Command, sc *scenario.Scenario) (sweep.Options, error) {
 	var none sweep.Options
 	self, err := os.Executable()
@@ -132,7 +134,7 @@
 	}
 	gigabytes := c.Float("memory-gb")
 	if gigabytes < 0 {
-		return none, fmt.Errorf("scale run: -memory-gb %g; more than 0 expected", gigabytes)
+		return none, fmt.Errorf("scale run: invalid -memory-gb %g: must not be negative", gigabytes)
 	}
 	options := sweep.Options{
 		Worker:      []string{self, "scale", scaleWorkerCommand},
@@ -141,23 +143,24 @@
 		Log:         c.Root().ErrWriter,
 	}
 	if !sc.Hollow {
-		options.Sidecar, err = besideSelf(self, c.String("sidecar"), "fernlanding")
+		options.Sidecar, err = findProgram(self, c.String("sidecar"), "fernlanding")
 		if err != nil {
-			return none, fmt.Errorf("scale run: the program of real proxies: %w", err)
+			return none, fmt.Errorf("scale run: program of real proxies: %w", err)
 		}
 	}
 	if sc.Source == result.SourceRelay {
-		options.Relay, err = besideSelf(self, c.String("relay"), "fernrelay")
+		options.Relay, err = findProgram(self, c.String("relay"), "fernrelay")
 		if err != nil {
-			return none, fmt.Errorf("scale run: the program of sources and relays: %w", err)
+			return none, fmt.Errorf("scale run: program of sources and relays: %w", err)
 		}
 	}
 	return options, nil
 }
 
-// besideSelf returns the program that a flag names, or else the one of a name in the directory of
-// this program. It returns an error if there is no such file.
-func besideSelf(self, flag, name string) ([]string, error) {
+// findProgram returns the program that a flag names or, if the flag is empty, the program of the
+// given name in the directory of this program. findProgram returns an error if the file does not
+// exist.
+func findProgram(self, flag, name string) ([]string, error) {
 	program := flag
 	if program == "" {
 		program = filepath.Join(filepath.Dir(self), name)
--- a/cmd/fernctl/scale_fit.go
+++ b/cmd/fernctl/scale_fit.go
@@ -20,6 +20,7 @@
 	"fernlanding/internal/scale/result"
 )
 
+// scaleFitCommand returns the command that fits models to the results of sweeps.
 func scaleFitCommand() *cli.Command {
 	return &cli.Command{
 		Name: "fit",
@@ -30,6 +31,7 @@
 	}
 }
 
+// scalePredictCommand returns the command that predicts costs at a target size.
 func scalePredictCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "predict",
@@ -44,7 +46,7 @@
 	}
 }
 
-// readResults reads the result files of sweeps and of latency runs. A missing file is reported to
+// readResults reads the result files of sweeps and of latency runs. A missing file is reported on
 // warnings and skipped.
 func readResults(names []string, warnings io.Writer) (*predict.Evidence, error) {
 	var files []predict.File
@@ -53,7 +55,7 @@
 		data, err := readFileBounded(name, result.MaxFileBytes)
 		if errors.Is(err, fs.ErrNotExist) {
 			_, err := fmt.Fprintf(warnings,
-				"%s: there is no such file; what it would measure counts as not measured\n", name)
+				"%s: no such file; its measurements count as not measured\n", name)
 			if err != nil {
 				return nil, err
 			}
@@ -79,15 +81,15 @@
 	return predict.NewEvidence(files, latencies), nil
 }
 
-// readFileBounded reads a file of at most a number of bytes. Of a longer one it returns one byte
-// more, which the decoder rejects.
-func readFileBounded(name string, most int64) ([]byte, error) {
+// readFileBounded reads at most limit+1 bytes of a file. The extra byte lets the decoder reject a
+// file over the limit.
+func readFileBounded(name string, limit int64) ([]byte, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // only read
-	return io.ReadAll(io.LimitReader(f, most+1))
+	defer func() { _ = f.Close() }() // the file is only read
+	return io.ReadAll(io.LimitReader(f, limit+1))
 }
 
 // isLatency reports whether data is the result of a latency run rather than of a sweep.
@@ -98,9 +100,10 @@
 	return json.Unmarshal(data, &probe) == nil && len(probe.Cases) > 0
 }
 
+// scaleFit prints the lines, the models and the predictions of result files.
 func scaleFit(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() == 0 {
-		return errors.New("scale fit: FILE... expected")
+		return errors.New("scale fit: missing FILE argument")
 	}
 	e, err := readResults(c.Args().Slice(), c.Root().ErrWriter)
 	if err != nil {
@@ -148,7 +151,7 @@
 	return w.Flush()
 }
 
-// newCalculator returns the calculator of a target file and result files.
+// newCalculator returns a calculator for a target file and result files.
 func newCalculator(target string, results []string, warnings io.Writer) (*predict.Calculator, error) {
 	data, err := readBounded(target)
 	if err != nil {
@@ -165,9 +168,10 @@
 	return predict.NewCalculator(t, e), nil
 }
 
+// scalePredict prints the predicted costs at a target size, or writes them to the page of -page.
 func scalePredict(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() == 0 {
-		return errors.New("scale predict: TARGET RESULT... expected")
+		return errors.New("scale predict: missing TARGET argument")
 	}
 	calculator, err := newCalculator(c.Args().First(), c.Args().Tail(), c.Root().ErrWriter)
 	if err != nil {
@@ -194,6 +198,7 @@
 	return nil
 }
 
+// writeTable writes a table of a section as Markdown or in columns.
 func writeTable(out io.Writer, t *predict.Table, s predict.Section, markdown bool) error {
 	if markdown {
 		_, err := fmt.Fprintf(out, "%s\n", t.Markdown())
@@ -203,7 +208,7 @@
 	return printTable(out, t)
 }
 
-// fillPage generates the tables of a page anew, in place.
+// fillPage regenerates the tables of a page in place.
 func fillPage(calculator *predict.Calculator, name string) error {
 	page, err := readFileBounded(name, result.MaxFileBytes)
 	if err != nil {
@@ -225,7 +230,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(f.Name()) }() // fails after the rename
+	defer func() { _ = os.Remove(f.Name()) }() // fails if the file has been renamed
 	if _, err := io.Copy(f, bytes.NewReader(data)); err != nil {
 		return errors.Join(err, f.Close())
 	}
--- a/cmd/fernctl/scale_fit_test.go
+++ b/cmd/fernctl/scale_fit_test.go
@@ -22,8 +22,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var complaints strings.Builder
-	calculator, err := newCalculator(capacityTarget, runs, &complaints)
+	var warnings strings.Builder
+	calculator, err := newCalculator(capacityTarget, runs, &warnings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,11 +37,12 @@
 	}
 	if filled != string(page) {
 		t.Errorf("docs/CAPACITY.md differs from what its target and results give, first in %q; "+
-			"generate it anew with\n\t%s",
+			"regenerate the page with\n\t%s",
 			firstDifference(filled, string(page)), regenerate)
 	}
 }
 
+// firstDifference returns the first line of a that differs from b, or "its end".
 func firstDifference(a, b string) string {
 	lines := strings.Split(b, "\n")
 	for i, line := range strings.Split(a, "\n") {
@@ -52,8 +53,8 @@
 	return "its end"
 }
 
-// writeResult writes a sweep of five sizes with one round each, whose proxies get 100 bytes a
-// second.
+// writeResult writes the result of a sweep of five sizes and a held-out size, with one round each.
+// Each proxy receives 100 bytes a second.
 func writeResult(t *testing.T, name string) {
 	t.Helper()
 	r := &result.Result{
@@ -84,27 +85,28 @@
 	dir := t.TempDir()
 	run := filepath.Join(dir, "run.json")
 	writeResult(t, run)
-	code, out, complaints := ctl("scale", "fit", run)
+	code, out, warnings := runCommand("scale", "fit", run)
 	if code != 0 || !strings.Contains(out, "Prediction against fact") || !strings.Contains(out, "both") {
-		t.Errorf("fit: code %d, %s\n%s", code, complaints, out)
+		t.Errorf("fit: code %d, %s\n%s", code, warnings, out)
 	}
 	page := filepath.Join(dir, "page.md")
 	const empty = "a\n<!-- generated: fernctl scale predict files -->\n<!-- end -->\n"
 	if err := os.WriteFile(page, []byte(empty), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	code, _, complaints = ctl("scale", "predict", "-page", page, capacityTarget, run, filepath.Join(dir, "gone.json"))
+	missing := filepath.Join(dir, "missing.json")
+	code, _, warnings = runCommand("scale", "predict", "-page", page, capacityTarget, run, missing)
 	got, err := os.ReadFile(page)
 	if code != 0 || err != nil || !strings.Contains(string(got), "`run.json`") ||
-		!strings.Contains(complaints, "gone.json: there is no such file") {
-		t.Errorf("predict: code %d, %v, %s\n%s", code, err, complaints, got)
+		!strings.Contains(warnings, "missing.json: no such file; its measurements count as not measured") {
+		t.Errorf("predict: code %d, %v, %s\n%s", code, err, warnings, got)
 	}
-	code, out, _ = ctl("scale", "predict", "-markdown", "-section", "files", capacityTarget, run)
+	code, out, _ = runCommand("scale", "predict", "-markdown", "-section", "files", capacityTarget, run)
 	if code != 0 || !strings.Contains(out, "| `run.json` | consul |") {
 		t.Errorf("predict -section: code %d\n%s", code, out)
 	}
-	code, _, complaints = ctl("scale", "predict", "-section", "file", capacityTarget, run)
-	if code == 0 || !strings.Contains(complaints, "one of sizes") {
-		t.Errorf("an unknown section: code %d, %s", code, complaints)
+	code, _, stderr := runCommand("scale", "predict", "-section", "file", capacityTarget, run)
+	if code == 0 || !strings.Contains(stderr, "one of sizes") {
+		t.Errorf("predict with an unknown section: code %d, %s", code, stderr)
 	}
 }
--- a/cmd/fernctl/scale_latency.go
+++ b/cmd/fernctl/scale_latency.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"errors"
 	"fmt"
 
 	"github.com/urfave/cli/v3"
@@ -12,6 +11,7 @@
 	"fernlanding/internal/scale/latency"
 )
 
+// scaleLatencyCommand returns the command that measures the latency that sidecars add.
 func scaleLatencyCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "latency",
@@ -28,9 +28,10 @@
 	}
 }
 
+// scaleLatency runs a latency plan, prints the result and, with -json, writes the result to a file.
 func scaleLatency(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return errors.New("scale latency: FILE expected")
+		return fmt.Errorf("scale latency: got %d arguments, want %s", c.Args().Len(), c.ArgsUsage)
 	}
 	name := c.Args().First()
 	data, err := readBounded(name)
@@ -58,14 +59,15 @@
 		}
 	}
 	if n := result.Failed(); n > 0 {
-		return fmt.Errorf("scale latency: %d calls without a good answer", n)
+		return fmt.Errorf("scale latency: %d calls failed", n)
 	}
 	return nil
 }
 
+// writeLatencyResult writes the result of a latency run to a file as JSON.
 func writeLatencyResult(name string, r *latency.Result) error {
 	var text bytes.Buffer
-	if err := asJSON(&text, r); err != nil {
+	if err := writeJSON(&text, r); err != nil {
 		return err
 	}
 	return durable.WriteFile(name, text.Bytes(), 0o644, true)
--- a/cmd/fernctl/scale_results.go
+++ b/cmd/fernctl/scale_results.go
@@ -7,7 +7,7 @@
 	"fernlanding/internal/scale/predict"
 )
 
-// readLatency returns the cases of the result of a latency run.
+// readLatency returns the cases in a result file of a latency run. name is the name of the file.
 func readLatency(name string, data []byte) ([]predict.Latency, error) {
 	r, err := latency.ReadResult(name, data)
 	if err != nil {
