--- a/cmd/simhost/events.go
+++ b/cmd/simhost/events.go
@@ -8,8 +8,8 @@
 )
 
 // event is one line of input: an object with a single key, which is the event's name. Exactly one
-// field is set. In the types of the single events, a pointer is a required value unless its comment
-// says otherwise. Times are in microseconds.
+// field is set. In the types of the events, a pointer field is required unless its comment says
+// otherwise. Times are in microseconds.
 type event struct {
 	Mark            *markEvent            `json:"mark"`
 	EndOfBatch      *struct{}             `json:"your_turn"`
@@ -100,7 +100,7 @@
 	Token    *string `json:"nonce"`
 }
 
-// statuses maps the values of "verdict" to the outcomes of attempts.
+// statuses maps the values of "verdict" to the statuses of attempts.
 var statuses = map[int]logic.Status{
 	200: logic.OK,
 	410: logic.NotSent,
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -160,8 +160,8 @@
 		r.inFlight = nil
 	}
 	if result.InvalidRequest && p.balancer.Unverified(attempt.server) {
-		// The address may belong to another service by now, which rejected a request that was not
-		// meant for that service.
+		// The address may belong to another service by now. In that case, the rejection does not
+		// show that the request is invalid.
 		result.InvalidRequest = false
 	}
 	switch {
--- a/internal/distribution/doc.go
+++ b/internal/distribution/doc.go
@@ -46,8 +46,8 @@
 // # Persistence
 //
 // The source keeps its resources and its epoch on disk (package statedir). A relay persists nothing
-// and reads the resources of its followers again after a restart. A follower sends the version that
-// its subscriber has kept as its first position.
+// and reads the resources of its followers again after a restart. The first position that a
+// follower sends for a resource is the version that its subscriber has kept.
 //
 // The design is explained in docs/design/distribution.md.
 package distribution
--- a/internal/distribution/follow/subscription_test.go
+++ b/internal/distribution/follow/subscription_test.go
@@ -92,7 +92,7 @@
 	f.Follower = newFollower(cfg, &scriptedTransport{}, new(httpapi.Traffic))
 	f.Subscribe("r", version(3), f)
 	f.markAllUnsent()
-	f.takeUnsentPositions() // the relay receives version 3 and has sent a delta from it
+	f.takeUnsentPositions() // the relay receives version 3 and sends a delta from it
 	f.Subscribe("r", distribution.Version{}, f)
 	delta := []distribution.Update{{Resource: "r", From: version(3), Version: version(5)}}
 	if err := f.applyUpdates(delta); err != nil {
--- a/internal/distribution/history.go
+++ b/internal/distribution/history.go
@@ -16,7 +16,7 @@
 }
 
 // trimHistory removes the oldest steps of a history that exceeds its bounds, and the deleted items
-// that no later step has. The first version has no step, so its deletions are removed at once.
+// that no later step has. The first version has no step and contains no deleted items.
 func (r *resource) trimHistory() {
 	drop := 0
 	for drop < len(r.history) && r.historyTooLong(len(r.history)-drop) {
--- a/internal/front/http1/drain.go
+++ b/internal/front/http1/drain.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	noNewConnsAfter   = 200 * time.Millisecond // time after SIGTERM in which new connections are certain to arrive
-	acceptWindow      = 550 * time.Millisecond // time after SIGTERM in which new connections may arrive
+	noNewConnsAfter   = 200 * time.Millisecond // until this time after SIGTERM, new connections surely arrive
+	acceptWindow      = 550 * time.Millisecond // until this time after SIGTERM, new connections may arrive
 	drainPollInterval = 20 * time.Millisecond
 )
 
@@ -14,14 +14,15 @@
 // stop arriving, but a client uses its existing connections as long as they stay open. Drain does
 // not know whether a client has connections to other replicas: other replicas may restart shortly
 // after one another, and this one may be the last for seconds. An early end would not make the
-// successor start sooner. From closeIdleAt, connections are closed as they become idle, until none
-// is left or cutoff has passed. Admitted requests have their answers by cutoff, but the responses
-// still have to be written. Drain waits for that until end, and closes no connection with an open
-// response before end.
+// successor start sooner, unless the supervisor starts the successor only after this process has
+// ended. In that case, the successor starts seconds later than it could. Serving until closeIdleAt
+// also covers other replicas that have crashed and a load balancer that is slow to add a new
+// replica.
 //
-// This also covers other replicas that have crashed and a load balancer that is slow to add a new
-// replica. The drawback: a supervisor that starts the successor only after this process has ended
-// starts the successor seconds later.
+// From closeIdleAt, connections are closed as they become idle, until none is left or cutoff has
+// passed. Admitted requests have their answers by cutoff, but the responses still have to be
+// written. Drain waits for that until end, and closes no connection with an open response before
+// end.
 func (f *Front) Drain(closeIdleAt, cutoff, end time.Time) {
 	f.serveUntil(closeIdleAt)
 	f.closing.Store(true)
--- a/internal/membership/catalog/on_demand.go
+++ b/internal/membership/catalog/on_demand.go
@@ -13,9 +13,9 @@
 	// A watch without a change is held for a random time between minOnDemandHold and
 	// maxOnDemandHold. If a connection to the service stops delivering data, the overdue response
 	// is the only symptom, and the platform considers the replica notified of a change 2 s after
-	// the hold. All replicas share one service; random holds spread the time at which watches that
-	// stop responding together are reopened. A change ends all holds at once, so each hold is drawn
-	// independently.
+	// the hold. All replicas share one service. If their watches stop responding together, random
+	// holds spread the times at which the watches are reopened. A change ends all holds at once, so
+	// a new random hold is drawn for each watch.
 	minOnDemandHold = 6 * time.Second
 	maxOnDemandHold = 14 * time.Second
 	// onDemandTimeout is the time for a response in addition to a watch's hold. The service
@@ -35,8 +35,8 @@
 	maxFullOverdue = 6 * time.Second
 
 	maxOnDemandCalls = 8 // open at a time
-	// firstRetryDelay is the delay after the first call fails. The balancer has no list then and
-	// requests no call.
+	// firstRetryDelay is the delay after a failed call if no call has succeeded yet. The balancer
+	// then has no list and requests no call.
 	firstRetryDelay = 500 * time.Millisecond
 )
 
@@ -165,8 +165,9 @@
 }
 
 // handleFailure handles the failure of the newest call. The balancer is notified and requests the
-// next call, except after a rejection. The service still processes calls that it has rejected for
-// their wait, so an early retry would delay the calls that can still be answered in time.
+// next call, except after a rejection. The service still processes calls that it has rejected
+// because they waited too long, so an early retry would delay the calls that can still be answered
+// in time.
 func (d *onDemand) handleFailure(err error) {
 	d.client.log.Warn("discovery call failed", "error", err)
 	d.client.tracker.Failed()
@@ -187,7 +188,7 @@
 	}
 }
 
-// resetRetry restarts the backoffs after rejections at the first.
+// resetRetry resets the backoff after rejections to its initial value.
 func (d *onDemand) resetRetry() {
 	d.retry = newRetryTimer(time.Now(), 0, onDemandBackoff, d.client.random)
 }
--- a/internal/scale/fit/shape.go
+++ b/internal/scale/fit/shape.go
@@ -18,8 +18,8 @@
 
 // The kinds of Shape.
 const (
-	// Flat means that the slope is within its error, or changes the metric by less than a twentieth
-	// over the sweep.
+	// Flat means that the slope is at most three times its standard error, or changes the metric by
+	// at most a twentieth over the sweep.
 	Flat ShapeKind = "flat"
 	// Linear means that the slopes of the lower and the upper half of the sizes agree.
 	Linear      ShapeKind = "linear"
@@ -37,11 +37,11 @@
 
 // Thresholds of the test for linearity.
 const (
-	minSlopeErrors    = 3    // minimum difference of two slopes in standard errors
+	minSlopeErrors    = 3    // minimum slope, or difference of two slopes, in standard errors
 	minSlopeFraction  = 0.15 // minimum difference of two slopes as a fraction of the larger slope
 	flatFraction      = 0.05 // minimum change of a metric over a sweep, as a fraction of the metric
-	departureFraction = 0.1  // deviation of a departing size from the line, as a fraction of the line's value
-	minHalfSizes      = 2    // sizes in each half
+	departureFraction = 0.1  // minimum deviation of a departing size, as a fraction of the line's value
+	minHalfSizes      = 2    // minimum number of sizes in each half
 )
 
 // shapeOf returns the shape of observations. It compares the slopes over the lower and the upper
--- a/internal/scale/latency/verdict.go
+++ b/internal/scale/latency/verdict.go
@@ -4,7 +4,7 @@
 	"math"
 )
 
-// Verdict reports whether the median over the rounds of the added 99th percentile meets a goal.
+// Verdict reports whether the added 99th percentile, as the median over the rounds, meets a target.
 type Verdict string
 
 // The verdicts.
@@ -15,11 +15,12 @@
 )
 
 // maxSendLatenessFraction is the maximum 99th percentile of the send lateness, as a fraction of the
-// goal. The verdict of a run beyond this maximum is Undecided.
+// target. The verdict on a case beyond this maximum is Undecided.
 const maxSendLatenessFraction = 0.1
 
-// Verdict compares a case with a goal in milliseconds. The verdict is Undecided if the distance of
-// the median from the goal does not exceed the noise, or if the client was delayed.
+// Verdict compares a case with a target in milliseconds. The verdict is Undecided if the distance
+// of the median from the target does not exceed the noise, or if the client sent its calls too
+// late.
 func (cr *CaseResult) Verdict(target float64) Verdict {
 	distance := cr.AddedP99.Median - target
 	switch {
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -42,16 +42,17 @@
 	return s.replaceLocked(app)
 }
 
-// reloadPlatformLocked applies the discovery of the platform's file. The rest of the file takes
-// effect at the next start. s.mu must be held.
+// reloadPlatformLocked applies the source of endpoints in a platform file. The rest of the file
+// takes effect at the next start. s.mu must be held.
 func (s *Sidecar) reloadPlatformLocked(app *config.App) {
 	if s.started {
 		s.services[config.PlatformService].setSource(context.Background(), app.Services[0].Source, s.log)
 	}
 }
 
-// reloadRemote applies a configuration from relays. It gives up if followerStopped is closed while
-// it waits for another reload: that reload then waits for the follower, which calls reloadRemote.
+// reloadRemote applies a configuration from relays. The follower calls it. If another reload is in
+// progress and stops the follower, that reload waits for the follower to end. reloadRemote then
+// returns errStopping as soon as followerStopped is closed, since waiting would be a deadlock.
 func (s *Sidecar) reloadRemote(app *config.App, followerStopped <-chan struct{}) error {
 	select {
 	case s.reloadSlot <- struct{}{}:
--- a/internal/upstream/http1/dial.go
+++ b/internal/upstream/http1/dial.go
@@ -12,7 +12,9 @@
 	"fernlanding/internal/core"
 )
 
-const maxAcquireTries = 4 // to get a descriptor by closing an idle connection
+// maxAcquireTries is the maximum number of tries to acquire a descriptor. Each failed try closes an
+// idle connection.
+const maxAcquireTries = 4
 
 // connect returns a connection for an attempt and whether it is a reused one. It takes an idle
 // connection, unless forceNew is set, and otherwise dials a new one. With Config.LimitDials, it
--- a/internal/upstream/http1/dial_limit_test.go
+++ b/internal/upstream/http1/dial_limit_test.go
@@ -70,8 +70,8 @@
 	return testAttempt{core.NewAttempt(request, time.Now().Add(timeout)), u.RoundTripper("a")}.start()
 }
 
-// Twenty requests to a backend without established connections dial two connections. The other
-// requests wait and reuse the connections of the first ones.
+// Twenty requests to a backend without established connections dial two connections at first, and
+// four at a time once one is established. The other requests wait and reuse the established one.
 func TestDialsToUnprovenBackendAreLimited(t *testing.T) {
 	u, dialer, b := newLimitedUpstream(t)
 	const requests, dialing = 20, 4 // two at first, twice as many once a connection is established
--- a/logic/admission.go
+++ b/logic/admission.go
@@ -2,11 +2,11 @@
 
 const (
 	// If clients cannot open more connections, one in spareConnectionsDivisor of their connections
-	// is kept free, and at least minSpareConnections, but at most half. A client that finds no free
-	// connection gets no answer and takes this replica for failed, while a shed request frees its
-	// connection at once. This helps a replica that is shutting down and any replica with a bounded
-	// set of clients. With few requests it has a cost: requests are shed that the last connections
-	// could have served.
+	// is kept free, but no fewer than minSpareConnections or half of them, whichever is less. A
+	// client that finds no free connection gets no answer and considers this replica failed, while
+	// a shed request frees its connection at once. This helps a replica that is shutting down and
+	// any replica with a bounded set of clients. The cost arises with few requests: the spare
+	// connections could have served some of the requests that are shed.
 	spareConnectionsDivisor = 8
 	minSpareConnections     = 3
 
@@ -32,7 +32,7 @@
 	NumShedCauses  = iota
 )
 
-// String returns the name of the cause as the operator documentation has it.
+// String returns the name of the cause that the operator documentation uses.
 func (c ShedCause) String() string {
 	return [NumShedCauses]string{
 		"none", "connections", "tier count", "tenant count", "class count", "time left", "no server",
@@ -40,11 +40,12 @@
 	}[c]
 }
 
-// ShedCause returns the cause of the request being shed. It is valid during a call of Host.Shed.
+// ShedCause returns the cause for which the current request is shed. The result is valid only
+// during a call of Host.Shed.
 func (b *Balancer) ShedCause() ShedCause { return b.shedCause }
 
-// admit checks the rules of FlowSlot in order. It returns the cause for the first rule that the
-// request does not pass, or NoShedCause.
+// admit checks the spare connections and then the rules of FlowSlot in order. It returns the cause
+// for the first check that the request does not pass, or NoShedCause.
 func (b *Balancer) admit(now int64, q *request) ShedCause {
 	if q.IdleClientConnections < spareConnections(q.ClientConnections) {
 		return ByConnections
@@ -67,7 +68,7 @@
 }
 
 // shed ends a request with a random Retry-After, so that clients do not all return at the same
-// time. The Retry-After is short enough for an answer within the latency objective.
+// time. The Retry-After is short enough for the retry to be answered within the latency objective.
 func (b *Balancer) shed(now int64, h Host, q *request, cause ShedCause) {
 	objective := b.settings.Classes[q.Class].LatencyObjective
 	longest := min(b.settings.MaxRetryAfter, int64(maxRetryAfterFraction*float64(objective)))
--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// With a Retry-After of one to two seconds, clients returned with longest of the latency objective
-// gone. In a short run with a slow backend, up to a quarter was answered late though one request in
-// twenty was sent back.
+// With a Retry-After of one to two seconds, clients returned with most of the latency objective
+// gone. In a short run with a slow backend, up to a quarter of the requests was answered late,
+// although one in twenty was shed.
 func TestRetryAfterLeavesTimeForTimelyAnswer(t *testing.T) {
 	s := testSettings()
 	s.MaxRetryAfter = 2 * second
--- a/logic/attempt_test.go
+++ b/logic/attempt_test.go
@@ -25,8 +25,8 @@
 }
 
 // If attempts take a tenth of a millisecond, twelve times that is a brief stall of the host, not a
-// hang. A timeout of that length gave up and retried every attempt up to the last one, and then
-// shed the request.
+// hang. With a timeout of that length, every attempt was given up and retried, and after the last
+// one the request was shed.
 func TestShortAttemptSurvivesBriefStall(t *testing.T) {
 	b, err := New(testSettings(), 1)
 	if err != nil {
--- a/logic/host_test.go
+++ b/logic/host_test.go
@@ -114,9 +114,9 @@
 	b.Request(now, h, Request{ID: id, Class: class, ClientDeadline: now + 1_000_000})
 }
 
-// playOutcomes submits n requests with a distance of gap microseconds. The outcome of each attempt
-// is the result of end after latency microseconds. Shed requests are left out. playOutcomes returns
-// the time when all attempts have ended.
+// playOutcomes submits n requests, one every gap microseconds. Each attempt ends after latency
+// microseconds with the status that the function end returns. Shed requests have no attempt.
+// playOutcomes returns the time when all attempts have ended.
 func playOutcomes(b *Balancer, h *recorder, now int64, n int, gap, latency int64, end func(i int) Status) int64 {
 	type call struct {
 		id string
--- a/logic/idempotency.go
+++ b/logic/idempotency.go
@@ -18,11 +18,11 @@
 	return status == TimedOut || status == Reset || status == Canceled
 }
 
-// retryAllowed reports whether rule 2 allows an attempt at an endpoint. Once an attempt of it may
-// have run, a non-idempotent request is not retried. A request that is idempotent by key is then
-// retried only within the dedup scope and only if the retry is sent before the dedup window ends,
-// even if its sending takes Settings.MaxSendDelay. A non-idempotent request goes to no endpoint
-// whose address may belong to another service by now.
+// retryAllowed reports whether rule 2 allows an attempt at an endpoint. Two kinds of requests are
+// restricted once an attempt may have run. A non-idempotent request is not retried. A request that
+// is idempotent by key is retried only within the dedup scope, and only if the retry is sent before
+// the dedup window ends, even if sending takes Settings.MaxSendDelay. A non-idempotent request goes
+// to no endpoint whose address may belong to another service by now.
 func (b *Balancer) retryAllowed(now int64, q *request, e *endpoint) bool {
 	class := &b.settings.Classes[q.Class]
 	if e.unverified && class.Idempotency == NonIdempotent {
--- a/logic/latency.go
+++ b/logic/latency.go
@@ -27,9 +27,9 @@
 }
 
 // observe records the latency of a successful attempt. It moves the relative latency of the
-// endpoint towards the ratio of this latency to the mean latency of all endpoints. The
-// latency itself is the target of each step. Steps that add up without such a target would end with
-// all attempts at one endpoint, wherever load does not slow that endpoint down.
+// endpoint towards the ratio of this latency to the mean latency of all endpoints. Each step covers
+// a fraction of the distance to that ratio. Steps without such a target would add up until all
+// attempts went to one endpoint, wherever load does not slow that endpoint down.
 func (l *latencyStats) observe(e *endpoint, latency float64) {
 	relative := min(latency/max(l.mean, 1), maxRelativeLatency)
 	e.relativeLatency += (relative - e.relativeLatency) * relativeLatencyGain
--- a/logic/limit.go
+++ b/logic/limit.go
@@ -2,7 +2,7 @@
 
 const (
 	initialLimit  = 1e6 // before the first round: a fresh replica sheds nothing while endpoints answer
-	minLimit      = 0.3 // floor of a limit: some attempts must continue to provide evidence
+	minLimit      = 0.3 // floor of a limit: without any attempts there would be no evidence
 	minLimitInner = 8.0 // the same in an inner tier, where shedding wastes the work done by outer tiers
 
 	limitStep            = 1.0 // added to a limit after a good round
@@ -13,13 +13,14 @@
 	// The constant part allows for random variation at replicas with sparse traffic.
 	headroomFactor   = 1.5
 	headroomAttempts = 2.0
-	// The limit may also be as high as the number of attempts in flight at which the latency would
-	// reach this fraction of its objective, if it grew in proportion to that number. Rounds of such
-	// short attempts are over within microseconds, so that their peak says little about bursts.
+	// Short attempts allow a higher limit: the number of attempts in flight at which the latency
+	// would reach this fraction of its objective if the latency grew in proportion to that number.
+	// Rounds of such attempts are over within microseconds, so that their peak says little about
+	// bursts.
 	shortLatencyFraction = 0.05
 
-	// A cut limit is doubled after this many outcomes without a bad one, or after twice the limit
-	// if that is more.
+	// A cut limit is doubled after this number of outcomes without a bad one. If twice the limit is
+	// a larger number, that many outcomes are needed, but at most roundSize.
 	minCleanTotal = 3.0
 	// After a cut in favor of a class with a higher priority, doubling restores the limit up to
 	// this fraction of the attempts that were in flight.
@@ -37,7 +38,7 @@
 	late       evidenceRound
 	failures   evidenceRound
 	lastCut    LimitCut
-	belowUsage bool    // whether a bad round cut the limit and it is still below what is in use
+	belowUsage bool    // whether a bad round cut the limit, and the limit is still below the headroom
 	restoreTo  float64 // value up to which good rounds double a cut limit
 }
 
@@ -53,10 +54,10 @@
 	}
 }
 
-// canPass reports whether one more attempt may start; u is a random number in [0, 1). The fraction
-// of a fractional limit is the probability that one more attempt is admitted. With whole limits, a
-// replica with sparse traffic and two attempts in flight could shed either nothing or half of its
-// requests.
+// canPass reports whether one more attempt may start; u is a random number in [0, 1). The
+// fractional part of a limit is the probability that one attempt beyond the integer part is
+// admitted. With integer limits, a replica with sparse traffic and two attempts in flight could
+// shed either nothing or half of its requests.
 func (l *concurrencyLimit) canPass(u float64) bool { return float64(l.inFlight)+1 <= l.limit+u }
 
 // enter counts the start of an attempt.
--- a/logic/limit_test.go
+++ b/logic/limit_test.go
@@ -134,7 +134,7 @@
 	if n := shed(); n > 0 {
 		t.Errorf("%d short requests shed, want none", n)
 	}
-	for range 20 { // all attempts are late, and a burst is too much
+	for range 20 { // all attempts are late, so that the limit falls below the size of a burst
 		burst(64, 900_000, OK)
 	}
 	if n := shed(); n == 0 {
--- a/logic/ordering_test.go
+++ b/logic/ordering_test.go
@@ -45,7 +45,7 @@
 	submitKey(start+102_000, "d", "k")
 	b.Timer(start+102_000+second-1000, h, "held d")
 	if h.last() != "shed d" {
-		t.Errorf("last action %q after the time of a queued request, want it shed", h.last())
+		t.Errorf("last action %q after the expiry of a queued request, want it shed", h.last())
 	}
 	b.Outcome(start+102_000, h, Outcome{ID: "c", Status: OK, Latency: 1000, RequestDone: true})
 	if len(b.keys) != 1 || len(b.requests) != 2 { // "other" and its key
--- a/logic/selection.go
+++ b/logic/selection.go
@@ -9,7 +9,7 @@
 
 // selection is the state of the weighted random selection.
 type selection struct {
-	weights    []float64 // scratch space: weights of the first ready endpoints, in the order of the list
+	weights    []float64 // scratch space: weights of the first endpoints in endpointList.ready
 	warmFactor float64   // mean occupancyFactor of the warm endpoints, for the current selection
 	sinceProbe int       // attempts since the last one that went to a failing endpoint
 	isProbe    bool      // whether the last selected endpoint is failing and probed while there are others
@@ -18,7 +18,7 @@
 // candidates is the result of weighing endpoints.
 type candidates struct {
 	totalWeight float64
-	rank        int     // of the endpoints with a weight
+	rank        int     // rank of the endpoints that have a weight above 0
 	capacity    float64 // sum of the slow start factors
 	allCold     bool    // whether all endpoints are in slow start
 }
@@ -45,10 +45,10 @@
 	return e, cause
 }
 
-// weighCandidates weighs the endpoints of the subset. Failing endpoints rank below all others.
-// Endpoints that the request has already tried rank last, however few attempts they hold. The
-// subset is extended if it has too few warm and healthy endpoints, or none that the request may go
-// to.
+// weighCandidates weighs the endpoints of the subset. Failing endpoints rank below healthy ones
+// unless a probe is due. Endpoints that may be draining, or that the request has already tried,
+// rank last, however few attempts they hold. The subset is extended if it has too few warm and
+// healthy endpoints, or none that the request may go to.
 func (b *Balancer) weighCandidates(now int64, q *request) candidates {
 	s := &b.selection
 	s.weights = s.weights[:0]
@@ -109,9 +109,9 @@
 // listed weight, the learned latency and health, slow start, the zone, and the attempts of this
 // replica that the endpoint holds. An endpoint in slow start may hold fewer attempts than others
 // without having free capacity. With Settings.CapSlowStartPreference, such an endpoint is therefore
-// preferred no more than the mean of the warm endpoints. Otherwise, once each warm endpoint holds
-// an attempt of each replica, nearly all further attempts of all replicas would go to endpoints in
-// slow start.
+// preferred no more than the mean of the warm endpoints. Without this cap, once each warm endpoint
+// holds an attempt of each replica, nearly all further attempts of all replicas would go to
+// endpoints in slow start.
 func (b *Balancer) endpointWeight(now int64, e *endpoint, class int) float64 {
 	factor, free := b.slowStartFactor(now, e), occupancyFactor(float64(e.inFlight))
 	if factor < 1 && b.settings.CapSlowStartPreference {
--- a/logic/slow_start_test.go
+++ b/logic/slow_start_test.go
@@ -170,8 +170,8 @@
 			scenario: slowStartScenario{replicas: 100, endpoints: 20, quota: 2000, rate: 2000, tier: 1},
 			seconds:  3, minCold: 0.99, maxCold: 1, maxShed: 0,
 		},
-		// With a third of the endpoints in slow start, 0.11 of the requests load them as much, for
-		// their capacity, as the others.
+		// With a third of the endpoints in slow start, a fraction of 0.11 of the requests loads
+		// them as much as the others, relative to their capacity.
 		{
 			name:     "warm ones hold an attempt of each replica",
 			scenario: slowStartScenario{replicas: 36, endpoints: 24, warm: 16, quota: 2000, rate: 1500, latency: 0.25},
