--- a/cmd/fernlanding/herd_test.go
+++ b/cmd/fernlanding/herd_test.go
@@ -113,7 +113,7 @@
 }
 
 // herd is the replicas and their list service. The list service has an address for each replica, to
-// tell the replicas apart.
+// distinguish the replicas.
 type herd struct {
 	service   *standin.Discovery
 	addresses []string
--- a/cmd/fernlanding/main.go
+++ b/cmd/fernlanding/main.go
@@ -61,8 +61,8 @@
 	// SIGHUP and SIGUSR1 are caught first and until the end: unhandled, either would kill the
 	// process and its requests in flight.
 	//
-	// The buffer holds a SIGHUP that comes during a reload, so that the file is read after the
-	// last.
+	// The buffer holds a SIGHUP that is received during a reload, so that the file is read again
+	// after the last SIGHUP.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
--- a/cmd/fernlanding/relays_test.go
+++ b/cmd/fernlanding/relays_test.go
@@ -8,7 +8,7 @@
 // A sidecar follows two relays, each in a process of its own. Changes arrive as deltas. A drain is
 // in force once the source reports so. When a relay is killed, the sidecar fails over to the other
 // one. Services are added and removed over the same connections. With all relays dead, the sidecar
-// goes on serving and logs the age of its lists.
+// continues to serve and logs the age of its lists.
 func TestSidecarFollowsRelays(t *testing.T) {
 	f := startFleet(t)
 	const requests = 40
--- a/cmd/fernlanding/serve.go
+++ b/cmd/fernlanding/serve.go
@@ -76,8 +76,8 @@
 }
 
 // loadConfig loads the configuration file of an application. Without a path it loads the file of
-// the platform's proxy that LB_CONFIG names. LB_LISTEN and LB_DISCOVERY supply addresses that the
-// latter file lacks.
+// the platform's proxy that LB_CONFIG names. LB_LISTEN and LB_DISCOVERY supply addresses that are
+// missing from the latter file.
 func loadConfig(path string, env func(string) string) (*config.App, error) {
 	if path != "" {
 		data, err := readFile(path)
--- a/cmd/fernrelay/main.go
+++ b/cmd/fernrelay/main.go
@@ -1,7 +1,7 @@
 // Command fernrelay distributes versioned resources, such as endpoint lists, to their followers.
 //
 //	fernrelay source -listen ADDR -state DIR                     accepts writes and persists them
-//	fernrelay relay -listen ADDR -name NAME -upstream ADDR,ADDR  serves what its upstream has
+//	fernrelay relay -listen ADDR -name NAME -upstream ADDR,ADDR  serves the resources of its upstream
 //
 // The exit code is 0 after SIGTERM or SIGINT, and 2 if the program fails. Both commands print
 // "listening ADDR" to standard output when they accept connections, and log to standard error. The
--- a/cmd/simhost/server_test.go
+++ b/cmd/simhost/server_test.go
@@ -93,7 +93,7 @@
 }
 
 // The simulator may reuse the number of a list within a batch. Each instance must get the list that
-// the number referred to when the instance's own update came.
+// the number referred to when the instance's own update arrived.
 func TestListNumberReusedWithinBatch(t *testing.T) {
 	got := mustRun(t, batch(1, instanceLine("proxy_1"), instanceLine("proxy_2"),
 		listLine(3, "backend-one"), `{"membership":{"who":"proxy_1","how":1,"seq_no":1,"roster_id":3}}`,
--- a/internal/conformance/doc.go
+++ b/internal/conformance/doc.go
@@ -4,6 +4,7 @@
 // adds cases of its own only if their meaning differs from that of the table.
 //
 // The table checks the rules on retries as clients and backends see them. A request that may have
-// run is retried only if it is idempotent, or if it is idempotent by key and the retry goes to the
-// same dedup scope. A request that a backend has rejected as overloaded may be retried anywhere.
+// run is retried only if it is idempotent, or if it is idempotent by key and the retry is sent to
+// the same dedup scope. A request that a backend has rejected as overloaded may be retried
+// anywhere.
 package conformance
--- a/internal/conformance/table_test.go
+++ b/internal/conformance/table_test.go
@@ -87,7 +87,7 @@
 			testCase{"invalid request", class, []fault{invalidRequest}, rejected, 1},
 			testCase{"created", class, []fault{created}, served, 1},
 			testCase{"informational", class, []fault{informational}, served, 1},
-			testCase{"bytes behind the response", class, []fault{trailingBytes}, served, 1},
+			testCase{"bytes after the response", class, []fault{trailingBytes}, served, 1},
 		)
 	}
 	all = append(all,
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -42,7 +42,7 @@
 		}
 		line := receive(t, "trace", got)
 		if !strings.Contains(line, "tier=0 of ") || !strings.Contains(line, "shed=time left 1") {
-			t.Errorf("trace line %q lacks the tier or the shed request", line)
+			t.Errorf("got trace line %q, want the tier and the shed request", line)
 		}
 		for p.isTracing() {
 			receive(t, "trace or its end", time.After(traceInterval))
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -71,8 +71,8 @@
 // positions.
 type FollowResponse struct {
 	Session string `json:"session"`
-	// SourceAgeMs is the time since the relay last heard from the source, in milliseconds. It is 0
-	// at the source.
+	// SourceAgeMs is the time since the source last responded, in milliseconds. It is 0 at the
+	// source.
 	SourceAgeMs int64 `json:"source_age_ms"`
 	// Disconnected reports that the relay, or a relay upstream of it, has no upstream that
 	// responds. Another relay may have one.
@@ -86,7 +86,7 @@
 	// Expected is the version that the resource must have. If the resource has another version, the
 	// write is rejected with a ConflictError. Nil means any version.
 	Expected *Version `json:"expected,omitempty"`
-	// Replace marks Items as the complete resource: keys that Items lacks are deleted.
+	// Replace marks Items as the complete resource: keys that are not in Items are deleted.
 	Replace bool   `json:"replace,omitempty"`
 	Items   []Item `json:"items"`
 }
--- a/internal/distribution/node/proxy_test.go
+++ b/internal/distribution/node/proxy_test.go
@@ -61,7 +61,7 @@
 	}
 	for _, item := range u.Items {
 		if p.reject != "" && item.Key == p.reject {
-			return fmt.Errorf("key %s makes no sense", item.Key)
+			return fmt.Errorf("key %s is invalid", item.Key)
 		}
 	}
 	if u.IsSnapshot() {
--- a/internal/distribution/node/update_test.go
+++ b/internal/distribution/node/update_test.go
@@ -128,7 +128,7 @@
 	good := put(t, source.address, item("b1", "1"))
 	p.awaitVersion(good)
 	bad := put(t, source.address, item("bad", "1"))
-	rejection := distribution.Rejection{Follower: "p1", Version: bad, Reason: "key bad makes no sense"}
+	rejection := distribution.Rejection{Follower: "p1", Version: bad, Reason: "key bad is invalid"}
 	eventually(t, "rejection at the source", func() bool {
 		progress := statusOf(source, bad)
 		return slices.Equal(progress.Rejections, []distribution.Rejection{rejection}) &&
--- a/internal/distribution/resource.go
+++ b/internal/distribution/resource.go
@@ -26,7 +26,7 @@
 }
 
 // changedItems returns the items of a write that differ from the current ones. A replacing write
-// deletes the keys that it lacks.
+// deletes the keys that are not among its items.
 func (r *resource) changedItems(put *PutRequest) []Item {
 	var changes []Item
 	for i := range put.Items {
@@ -49,8 +49,8 @@
 	return change.Deleted || e.item.Urgent != change.Urgent || !bytes.Equal(e.item.Value, change.Value)
 }
 
-// deletionsFor returns the deletions of all keys that items lacks, sorted by key. The deletions are
-// urgent, because an endpoint that is missing from a complete list is out of use.
+// deletionsFor returns the deletions of all keys that are not in items, sorted by key. The
+// deletions are urgent, because an endpoint that is missing from a complete list is out of use.
 func (r *resource) deletionsFor(items []Item) []Item {
 	kept := make(map[string]bool, len(items))
 	for i := range items {
--- a/internal/distribution/sessions_test.go
+++ b/internal/distribution/sessions_test.go
@@ -154,8 +154,8 @@
 	}
 }
 
-// A follower that names ever more resources is rejected at the limit. Closing its session removes
-// all of them.
+// A follower that names more and more resources is rejected at the limit. Closing its session
+// removes all of them.
 func TestFollowedResourcesAreBounded(t *testing.T) {
 	s := NewSessions(DefaultSessionLimits())
 	session := open(t, s, "s1", openRequest("p1", KindProxy), testStart)
--- a/internal/distribution/statedir/statedir.go
+++ b/internal/distribution/statedir/statedir.go
@@ -79,7 +79,7 @@
 	if data != nil { // the file exists
 		last, err = strconv.ParseUint(strings.TrimSpace(string(data)), 10, 64)
 		if err != nil {
-			return fmt.Errorf("state: %s: invalid epoch %.20q: not a whole number", name, data)
+			return fmt.Errorf("state: %s: invalid epoch %.20q: not an unsigned integer", name, data)
 		}
 	}
 	d.epoch = max(last+1, uint64(max(clock, 0)))
@@ -93,7 +93,7 @@
 // Epoch returns the epoch of the writes of this process.
 func (d *Dir) Epoch() uint64 { return d.epoch }
 
-// Close lets another process open the directory.
+// Close releases the directory's lock, so that another process can open the directory.
 func (d *Dir) Close() error { return d.lock.Close() }
 
 // Save replaces the file of a resource with a snapshot of the resource.
--- a/internal/distribution/store_test.go
+++ b/internal/distribution/store_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// A replacing write deletes the keys that it lacks and is sent as a delta.
+// A replacing write deletes the keys that are not among its items and is sent as a delta.
 func TestReplacingWrite(t *testing.T) {
 	s := NewStore(testStoreBytes)
 	write(t, s, &PutRequest{Resource: "r", Items: []Item{newItem("a", "1"), newItem("b", "1")}}, at(1, 1))
@@ -46,8 +46,8 @@
 	}
 }
 
-// A follower receives a snapshot if its version is one that the source has lost, or one that the
-// relay has skipped by applying a snapshot.
+// A follower receives a snapshot if the source has lost the follower's version, or if the relay has
+// skipped that version by applying a snapshot.
 func TestUnknownVersionGetsSnapshot(t *testing.T) {
 	s := NewStore(testStoreBytes)
 	write(t, s, &PutRequest{Resource: "r", Items: []Item{newItem("a", "1")}}, at(1, 5))
@@ -121,7 +121,7 @@
 	}
 }
 
-// The history stays within its bounds while ever more keys are written and deleted.
+// The history stays within its bounds while more and more keys are written and deleted.
 func TestHistoryIsBounded(t *testing.T) {
 	s := NewStore(testStoreBytes)
 	for i := range 5 * minHistoryKeys {
--- a/internal/front/http1/conn.go
+++ b/internal/front/http1/conn.go
@@ -14,9 +14,10 @@
 )
 
 const (
-	// maxPipelined is how many bytes that a client sends while its request is in flight are kept
-	// for the next request. Such bytes are always read, so that a disconnect after them is
-	// detected. Bytes beyond the limit are discarded, and the connection closes after its response.
+	// maxPipelined is the limit in bytes of the buffer for data that a client sends while its
+	// request is in flight, which belongs to the next request. Such bytes are always read, so that
+	// a disconnect after them is detected. Bytes beyond the limit are discarded, and the connection
+	// closes after its response.
 	maxPipelined = maxRequestHead
 	// maxPipelinedFlood is how many bytes a client may send after a request in flight. A client
 	// that sends more does not wait for the response: a client that does sends one request at a
@@ -91,7 +92,7 @@
 	case c.requestOpen && len(b) == 1:
 		c.mu.Unlock()
 		return 0, c.watchForDisconnect()
-	case c.pipelineTruncated: // the bytes that follow do not continue those that were kept
+	case c.pipelineTruncated: // the bytes that follow do not continue the buffered bytes
 		c.mu.Unlock()
 		return 0, io.EOF
 	case len(c.pipelined) > 0:
@@ -124,7 +125,7 @@
 	err := c.raw.Read(read)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		// Bytes that arrived before the deadline, but that this process did not read in time, are
-		// part of the client's request all the same.
+		// part of the client's request nevertheless.
 		_ = c.raw.Control(func(fd uintptr) { read(fd) })
 		if n > 0 {
 			return n, nil
--- a/internal/front/http1/pipeline_test.go
+++ b/internal/front/http1/pipeline_test.go
@@ -17,8 +17,8 @@
 		{"nothing", "", ""},
 		{"a byte", "", "x"},
 		{"its next request", "", getRequest("next")},
-		{"more than is kept", "", strings.Repeat("noise ", 10_000)},
-		{"a next request behind a body", "body", getRequest("next")},
+		{"more than the buffer holds", "", strings.Repeat("noise ", 10_000)},
+		{"a next request after a body", "body", getRequest("next")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			pool, l := newGatedPool(), listen(t)
@@ -55,8 +55,8 @@
 	receive(t, "cancel", pool.canceled)
 }
 
-// What a client sends while its request is in flight is its next request. If some of it was not
-// kept, the connection closes after the response.
+// What a client sends while its request is in flight is its next request. If some of it was
+// discarded, the connection closes after the response.
 func TestPipelinedBytesAreTheNextRequest(t *testing.T) {
 	pool, l := newGatedPool(), listen(t)
 	f := serve(t, l, pool)
--- a/internal/harness/rollout/start.go
+++ b/internal/harness/rollout/start.go
@@ -53,7 +53,7 @@
 	case <-r.firstUpdates.complete:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("followers lack %d first updates of resources: %w",
+		return fmt.Errorf("%d first updates of resources not received: %w",
 			r.firstUpdates.missing(), ctx.Err())
 	}
 }
--- a/internal/harness/scenario/decode.go
+++ b/internal/harness/scenario/decode.go
@@ -63,7 +63,7 @@
 	}
 	for i, site := range s.Sites {
 		if site == "" || slices.Contains(s.Sites[:i], site) {
-			table.ReportField(rules.Range, "sites", "%q stands twice or is empty; names that differ expected", site)
+			table.ReportField(rules.Range, "sites", "%q is duplicate or empty; unique names expected", site)
 		}
 	}
 	table.ReportUnknown()
--- a/internal/harness/scenario/scenario_test.go
+++ b/internal/harness/scenario/scenario_test.go
@@ -88,7 +88,7 @@
 		},
 		{
 			"name = \"x\"\n[sidecars]\nsites = [\"a\", \"a\"]\n",
-			`s.toml:3:1: RANGE: sidecars.sites: "a" stands twice or is empty`,
+			`s.toml:3:1: RANGE: sidecars.sites: "a" is duplicate or empty`,
 		},
 		{
 			base + "[clients]\nroam = true\n",
--- a/internal/harness/sidecars.go
+++ b/internal/harness/sidecars.go
@@ -62,7 +62,7 @@
 // Error implements error. It begins with the scenario's key to change.
 func (e *MemoryError) Error() string {
 	need := e.EachBytes * int64(e.Count)
-	return fmt.Sprintf("sidecars.count: %d processes of %d MB take %d MB; %d MB at most expected on this machine",
+	return fmt.Sprintf("sidecars.count: %d processes of %d MB need %d MB, limit on this machine is %d MB",
 		e.Count, e.EachBytes>>20, need>>20, e.AvailableBytes>>20)
 }
 
--- a/internal/harness/spawn/spawn.go
+++ b/internal/harness/spawn/spawn.go
@@ -1,5 +1,5 @@
-// Package spawn starts processes that the kernel kills when their parent process exits, for
-// whatever reason it exits.
+// Package spawn starts processes that the kernel kills when their parent process exits for any
+// reason.
 package spawn
 
 import (
--- a/internal/harness/worker/clients.go
+++ b/internal/harness/worker/clients.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// clientLeeway is the time for which a client waits beyond its deadline, so that it can tell a
-	// late response from a missing one.
+	// clientLeeway is the time for which a client waits beyond its deadline, so that it can
+	// distinguish a late response from a missing one.
 	clientLeeway = 500 * time.Millisecond
 	// loadStream is the stream of the load's random generator, which is seeded with the process's
 	// seed. The streams after it are those of the health checks.
--- a/internal/membership/catalog/pushed_test.go
+++ b/internal/membership/catalog/pushed_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// An agent that rejects a call and then becomes silent is called repeatedly, whatever the results
-// of the earlier calls.
+// An agent that rejects a call and then becomes silent is called repeatedly, regardless of the
+// results of the earlier calls.
 func TestSilentAgentIsCalledAgainAfterARejection(t *testing.T) {
 	t.Parallel()
 	const hanging = 4
--- a/internal/membership/catalog/retry.go
+++ b/internal/membership/catalog/retry.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// silentInterval is the time between calls to an agent that does not respond, whatever the
+	// silentInterval is the time between calls to an agent that does not respond, regardless of the
 	// results of the earlier calls. The agent never answers calls that it received while it was
 	// silent, and the platform considers the replica notified of the agent's list as soon as the
 	// agent responds again.
--- a/internal/membership/catalog/scheduled_test.go
+++ b/internal/membership/catalog/scheduled_test.go
@@ -89,6 +89,6 @@
 	log.waitFor(t, "two calls that are rejected", 1, isRejected)
 	rejected := log.matching(isRejected)
 	if delay := rejected[1].StartTime.Sub(rejected[0].StartTime); delay < retryAfter {
-		t.Errorf("call came %v after a rejection with Retry-After %v", delay, retryAfter)
+		t.Errorf("call received %v after a rejection with Retry-After %v", delay, retryAfter)
 	}
 }
--- a/internal/membership/consul/consul_test.go
+++ b/internal/membership/consul/consul_test.go
@@ -85,8 +85,8 @@
 	return stop
 }
 
-// A decreasing index resets the queries. The next response is the list, so the source does not stay
-// behind.
+// A decreasing index resets the queries. The next response is the list, so the source's list does
+// not remain outdated.
 func TestDecreasingIndexResetsQueries(t *testing.T) {
 	health := newHealth(t)
 	for range 50 {
--- a/internal/membership/file/file.go
+++ b/internal/membership/file/file.go
@@ -83,7 +83,7 @@
 	s.lastErr = ""
 }
 
-// isUnchanged reports whether the file is certainly the one that was read last.
+// isUnchanged reports whether the file has certainly not changed since it was last read.
 func (s *Source) isUnchanged(info os.FileInfo) bool {
 	return s.lastInfo != nil && os.SameFile(info, s.lastInfo) && info.Size() == s.lastInfo.Size() &&
 		info.ModTime().Equal(s.lastInfo.ModTime()) && s.lastRead.Sub(info.ModTime()) > timestampSlack
--- a/internal/membership/reconcile/reconcile.go
+++ b/internal/membership/reconcile/reconcile.go
@@ -38,7 +38,7 @@
 	waiting     map[string]string // name that a key waits for, by key
 	serving     int               // number of serving endpoints
 
-	acceptNext    bool      // accept the next snapshot whatever its revision and cluster
+	acceptNext    bool      // accept the next snapshot regardless of its revision and cluster
 	lowerSince    time.Time // when a lower revision was first seen; zero if none is pending
 	lowerRevision int64     // last lower revision seen
 }
@@ -78,6 +78,6 @@
 	return count
 }
 
-// AcceptNext makes the Reconciler accept the next snapshot whatever its revision and cluster. An
-// operator requests it after verifying the registry.
+// AcceptNext makes the Reconciler accept the next snapshot regardless of its revision and cluster.
+// An operator requests this after verifying the registry.
 func (r *Reconciler) AcceptNext() { r.acceptNext = true }
--- a/internal/membership/relayed/list_test.go
+++ b/internal/membership/relayed/list_test.go
@@ -157,7 +157,7 @@
 		age    time.Duration
 	}{
 		{"fresh", follow.Health{LastResponse: at}, time.Second, 0},
-		{"at rest for an hour", follow.Health{LastResponse: anHour}, time.Hour + time.Second, 0},
+		{"idle for an hour", follow.Health{LastResponse: anHour}, time.Hour + time.Second, 0},
 		{
 			"silent relays",
 			follow.Health{LastResponse: anHour, SilentSince: anHour.Add(time.Second)},
@@ -169,7 +169,7 @@
 			time.Hour, time.Minute,
 		},
 		{"relays that have just lost it", follow.Health{LastResponse: anHour, SourceAge: time.Second}, time.Hour, 0},
-		{"a follower that has heard nothing", follow.Health{}, time.Hour, time.Hour},
+		{"no response received", follow.Health{}, time.Hour, time.Hour},
 	} {
 		follower.setHealth(test.health)
 		source.list.mu.Lock()
--- a/internal/membership/source.go
+++ b/internal/membership/source.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Source follows a registry of endpoints. All sources keep to this contract, which package contract
+// Source follows a registry of endpoints. All sources fulfill this contract, which package contract
 // tests:
 //
 //   - The first list is full. Lists and deltas arrive in the registry's order, one call at a time.
--- a/internal/pcap/capture/capture_test.go
+++ b/internal/pcap/capture/capture_test.go
@@ -143,7 +143,8 @@
 	return n, nil
 }
 
-// A file that is still being written is read to its current end, whatever the sizes of the reads.
+// A file that is still being written is read to its current end, regardless of the sizes of the
+// reads.
 func TestGrowingFile(t *testing.T) {
 	file := string(pcapFile(binary.LittleEndian, false, "hello"))
 	r, err := Open(&growingFile{[]string{file[:10], file[10:30], file[30:], file[24:43]}})
--- a/internal/pcap/flow/assembler.go
+++ b/internal/pcap/flow/assembler.go
@@ -79,7 +79,8 @@
 	key := keyOf(s.Src, s.Dst)
 	f := a.flows[key]
 	if f != nil && s.SYN {
-		// A SYN other than the known one opens a new connection, whatever the state of the old one.
+		// A SYN other than the known one opens a new connection, regardless of the state of the old
+		// one.
 		known := &f.streams[f.directionOf(s)]
 		if known.seen && (!known.synSeen || known.synSeq != s.Seq) {
 			a.endFlow(f, Reused)
--- a/internal/quota/fairness.go
+++ b/internal/quota/fairness.go
@@ -39,7 +39,8 @@
 	return max(0, free) / max(1, n)
 }
 
-// isStarved reports whether a consumer is marked as starved and lacks its floor or its fair share.
+// isStarved reports whether a consumer is marked as starved and is below its floor or its fair
+// share.
 func (a *Allocator) isStarved(now int64, c *consumer) bool {
 	return now < c.starvedUntil && (c.inUse < c.floor || c.borrowed() < a.fairShare(now, c))
 }
@@ -54,7 +55,8 @@
 	return false
 }
 
-// othersLackFloor reports whether a consumer other than c is marked as starved and lacks its floor.
+// othersLackFloor reports whether a consumer other than c is marked as starved and is below its
+// floor.
 func (a *Allocator) othersLackFloor(now int64, c *consumer) bool {
 	for _, other := range a.order {
 		if other != c && now < other.starvedUntil && other.inUse < other.floor {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -18,8 +18,8 @@
 )
 
 // StarvationPeriod is the time for which a consumer that was denied capacity counts as starved, in
-// microseconds. A consumer that still needs capacity asks again with its next request. A consumer
-// that does not ask again has no use for the capacity of others.
+// microseconds. A consumer that still needs capacity tries to acquire it again with its next
+// request. A consumer that does not try again has no use for the capacity of others.
 const StarvationPeriod = 1_000_000
 
 // Allocator tracks the capacity that each consumer has in use. It is not safe for concurrent use.
@@ -160,7 +160,7 @@
 // Borrower is a consumer that has more than its floor in use.
 type Borrower struct {
 	Name          string
-	OverFairShare bool // it has more than its fair share, or the consumer in need lacks its floor
+	OverFairShare bool // the borrower exceeds its fair share, or the consumer in need is below its floor
 }
 
 // Borrowers returns the other consumers that have borrowed capacity, largest amount first, or nil
@@ -188,8 +188,8 @@
 }
 
 // OverFairShare reports whether a consumer has borrowed capacity while another consumer is starved,
-// and either has more than its fair share or another consumer lacks its floor. Such a consumer has
-// to release the resources that it keeps idle.
+// and either has more than its fair share or another consumer is below its floor. Such a consumer
+// has to release the resources that it keeps idle.
 func (a *Allocator) OverFairShare(now int64, name string) bool {
 	c := a.consumers[name]
 	return c != nil && c.borrowed() > 0 && a.othersStarved(now, c) &&
--- a/internal/route/assignments_test.go
+++ b/internal/route/assignments_test.go
@@ -12,7 +12,7 @@
 		t.Errorf("after the renewal: got %q, %v, want \"a\", true", arm, ok)
 	}
 	if _, ok := a.Lookup(20, 1); ok {
-		t.Error("assignment kept after its expiry")
+		t.Error("assignment still present after its expiry")
 	}
 	a.Assign(20, 1, "b", 30)
 	if arm, _ := a.Lookup(21, 1); arm != "b" || !a.Complete(21) {
--- a/internal/scale/latency/client.go
+++ b/internal/scale/latency/client.go
@@ -56,7 +56,7 @@
 
 // writeCallNumber writes the number of a call into a request. All calls of a pool have different
 // Request-Ids, because a sidecar rejects a request with the Request-Id of a call that the sidecar
-// still processes after the client has given up.
+// still processes after the call has timed out at the client.
 func writeCallNumber(request []byte, n int) {
 	for at := len(requestStart) + idDigits - 1; at >= len(requestStart); at-- {
 		request[at] = byte('0' + n%10)
--- a/internal/scale/latency/readresult.go
+++ b/internal/scale/latency/readresult.go
@@ -73,7 +73,7 @@
 			File:    name,
 			Line:    lineAt(data, kind.Offset),
 			Field:   kind.Field,
-			Problem: fmt.Sprintf("%s found, %s expected", kind.Value, kind.Type),
+			Problem: fmt.Sprintf("got %s, want %s", kind.Value, kind.Type),
 		}
 	}
 	if m := unknownField.FindStringSubmatch(err.Error()); m != nil {
--- a/internal/scale/latency/readresult_test.go
+++ b/internal/scale/latency/readresult_test.go
@@ -60,55 +60,55 @@
 // Each problem of a result is reported on one line with the file, the line and the field.
 func TestReadResultErrorsNameLineAndField(t *testing.T) {
 	for _, x := range []struct{ name, from, to, want string }{
-		{"version", `"format": 1`, `"format": 2`, `r.json:2: format: 2 found, 1 expected`},
-		{"no version", `"format": 1,`, ``, `r.json: format: 0 found, 1 expected`},
+		{"version", `"format": 1`, `"format": 2`, `r.json:2: format: got 2, want 1`},
+		{"no version", `"format": 1,`, ``, `r.json: format: got 0, want 1`},
 		{
 			"unknown field", `"cores": 8`, `"cores": 8, "corse": 8`,
 			`r.json:6: corse: unknown field in format 1`,
 		},
 		{"unknown field below", `"hops": 1`, `"hop": 1`, `r.json:16: hop: unknown field`},
-		{"kind", `"cores": 8`, `"cores": "8"`, `r.json:6: cores: string found, int expected`},
+		{"kind", `"cores": 8`, `"cores": "8"`, `r.json:6: cores: got string, want int`},
 		{"syntax", `"cores": 8,`, `"cores": 8`, `r.json:7: invalid character`},
 		{"cut off", `"cores": 8,`, ``, ``},
 		{"date", `"2026-01-02T03:04:05Z"`, `"yesterday"`, `r.json: `},
-		{"spacing", `"poisson"`, `"bursts"`, `r.json:8: spacing: "bursts" found`},
-		{"no cores", `"cores": 8`, `"cores": 0`, `r.json:6: cores: 0 found, at least 1 expected`},
+		{"spacing", `"poisson"`, `"bursts"`, `r.json:8: spacing: got "bursts", want`},
+		{"no cores", `"cores": 8`, `"cores": 0`, `r.json:6: cores: got 0, want at least 1`},
 		{
 			"rate", `"rate_per_second": 271`, `"rate_per_second": -271`,
-			`r.json:15: cases[0].rate_per_second: -271 found`,
+			`r.json:15: cases[0].rate_per_second: got -271, want`,
 		},
-		{"hops", `"hops": 1`, `"hops": 17`, `r.json:16: cases[0].hops: 17 found, 1 to 16 expected`},
+		{"hops", `"hops": 1`, `"hops": 17`, `r.json:16: cases[0].hops: got 17, want 1 to 16`},
 		{
 			"quantiles out of order", `"p50_ms": 0.1,`, `"p50_ms": 0.3,`,
-			`r.json:50: cases[0].all.direct.p90_ms: 0.2 found, 0.3 to 60000 expected`,
+			`r.json:50: cases[0].all.direct.p90_ms: got 0.2, want 0.3 to 60000`,
 		},
 		{
 			"no time at all", `"p50_ms": 0.1,`, `"p50_ms": 0,`,
-			`r.json:49: cases[0].all.direct.p50_ms: 0 found, 1e-06 to 60000 expected`,
+			`r.json:49: cases[0].all.direct.p50_ms: got 0, want 1e-06 to 60000`,
 		},
 		{
 			"difference", `"added_p99_ms": 0.25`, `"added_p99_ms": 0.2`,
-			`cases[0].rounds[0].added_p99_ms: 0.2 found, 0.25 expected from other fields`,
+			`cases[0].rounds[0].added_p99_ms: got 0.2, want 0.25 from other fields`,
 		},
 		{
 			"spread", `"lowest": 0.25`, `"lowest": 0.2`,
-			`cases[0].added_p99_ms.lowest: 0.2 found, 0.25 expected from other fields`,
+			`cases[0].added_p99_ms.lowest: got 0.2, want 0.25 from other fields`,
 		},
 		{
 			"sum", `"direct_calls": 300`, `"direct_calls": 301`,
-			`cases[0].all.direct_calls: 301 found, the sum over the rounds, 300, expected`,
+			`cases[0].all.direct_calls: got 301, want the sum over the rounds, 300`,
 		},
 		{
 			"more rejected than sent", `"refused_calls": 0`, `"refused_calls": 999`,
-			`cases[0].all.refused_calls: 999 found, less than 600 expected`,
+			`cases[0].all.refused_calls: got 999, want less than 600`,
 		},
 		{
 			"more failed than sent", `"failed_calls": 0`, `"failed_calls": 999`,
-			`cases[0].all.failed_calls: 999 found, less than 600 expected`,
+			`cases[0].all.failed_calls: got 999, want less than 600`,
 		},
 		{
 			"lateness", `"send_lateness_p99_ms": 0.002`, `"send_lateness_p99_ms": 0.0001`,
-			`send_lateness_p99_ms: 0.0001 found, 0.001 to`,
+			`send_lateness_p99_ms: got 0.0001, want 0.001 to`,
 		},
 	} {
 		good := string(encode(t, validResult()))
--- a/internal/scale/latency/schedtime.go
+++ b/internal/scale/latency/schedtime.go
@@ -70,7 +70,7 @@
 	var t schedTime
 	var slices int64
 	if _, err := fmt.Sscan(text, &t.running, &t.waiting, &slices); err != nil {
-		return schedTime{}, fmt.Errorf("invalid schedstat %.60q: three integers expected", text)
+		return schedTime{}, fmt.Errorf("invalid schedstat %.60q: want three integers", text)
 	}
 	return t, nil
 }
--- a/internal/scale/latency/validate.go
+++ b/internal/scale/latency/validate.go
@@ -9,19 +9,19 @@
 // validate returns an error for the first field with an invalid value, or nil.
 func (r *Result) validate() *ResultError {
 	c := &validator{}
-	c.require(r.Format == Format, "format", "%d found, %d expected", r.Format, Format)
-	c.require(r.Plan != "", "plan", "the name of the plan expected")
-	c.require(!r.Date.IsZero(), "date", "the time of the run expected")
+	c.require(r.Format == Format, "format", "got %d, want %d", r.Format, Format)
+	c.require(r.Plan != "", "plan", "missing name of the plan")
+	c.require(!r.Date.IsZero(), "date", "missing time of the run")
 	c.require(strings.HasPrefix(r.GoVersion, "go") || strings.HasPrefix(r.GoVersion, "devel"), "go_version",
-		"%q found, a Go version expected", r.GoVersion)
-	c.require(r.Cores >= 1, "cores", "%d found, at least 1 expected", r.Cores)
+		"got %q, want a Go version", r.GoVersion)
+	c.require(r.Cores >= 1, "cores", "got %d, want at least 1", r.Cores)
 	c.require(r.Spacing == Even || r.Spacing == Poisson, "spacing",
-		"%q found, %q or %q expected", r.Spacing, Even, Poisson)
+		"got %q, want %q or %q", r.Spacing, Even, Poisson)
 	c.requireWithin(r.SidecarCores, minPositive, 1024, "sidecar_cores")
 	c.requireWithin(r.SidecarMemoryMB, minPositive, 1<<20, "sidecar_memory_mb")
 	c.requireWithin(r.TargetMS, minPositive, maxMS, "target_added_p99_ms")
 	c.require(len(r.Cases) > 0 && len(r.Cases) <= maxCases, "cases",
-		"%d found, 1 to %d expected", len(r.Cases), maxCases)
+		"got %d, want 1 to %d", len(r.Cases), maxCases)
 	for i := range r.Cases {
 		c.path = fmt.Sprintf("cases[%d].", i)
 		r.Cases[i].validate(c)
@@ -31,18 +31,18 @@
 
 func (cr *CaseResult) validate(c *validator) {
 	path := c.path
-	c.require(cr.Name != "", "name", "the name of the case expected")
+	c.require(cr.Name != "", "name", "missing name of the case")
 	c.requireWithin(cr.RatePerSecond, 1, MaxRate, "rate_per_second")
-	c.require(cr.Hops >= 1 && cr.Hops <= MaxHops, "hops", "%d found, 1 to %d expected", cr.Hops, MaxHops)
+	c.require(cr.Hops >= 1 && cr.Hops <= MaxHops, "hops", "got %d, want 1 to %d", cr.Hops, MaxHops)
 	c.require(cr.Connections >= 1 && cr.Connections <= MaxConnections, "connections",
-		"%d found, 1 to %d expected", cr.Connections, MaxConnections)
+		"got %d, want 1 to %d", cr.Connections, MaxConnections)
 	c.require(cr.Backends >= 1 && cr.Backends <= maxBackends, "backends",
-		"%d found, 1 to %d expected", cr.Backends, maxBackends)
+		"got %d, want 1 to %d", cr.Backends, maxBackends)
 	c.requireWithin(cr.SegmentSeconds, minPositive, MaxSegment.Seconds(), "segment_seconds")
 	c.requireWithin(cr.SidecarCPUPerCallUS, 0, maxUS, "sidecar_cpu_per_call_us")
 	c.requireWithin(cr.SidecarWaitPerCallUS, 0, maxUS, "sidecar_wait_per_call_us")
 	c.require(len(cr.Rounds) >= minRounds && len(cr.Rounds) <= MaxRounds, "rounds",
-		"%d found, %d to %d expected", len(cr.Rounds), minRounds, MaxRounds)
+		"got %d, want %d to %d", len(cr.Rounds), minRounds, MaxRounds)
 	for i := range cr.Rounds {
 		c.path = fmt.Sprintf("%srounds[%d].", path, i)
 		cr.Rounds[i].validate(c)
@@ -66,15 +66,15 @@
 		sum.Waited += cr.Rounds[i].Waited
 	}
 	c.require(cr.All.DirectCalls == sum.DirectCalls, "all.direct_calls",
-		"%d found, the sum over the rounds, %d, expected", cr.All.DirectCalls, sum.DirectCalls)
+		"got %d, want the sum over the rounds, %d", cr.All.DirectCalls, sum.DirectCalls)
 	c.require(cr.All.ThroughCalls == sum.ThroughCalls, "all.through_calls",
-		"%d found, the sum over the rounds, %d, expected", cr.All.ThroughCalls, sum.ThroughCalls)
+		"got %d, want the sum over the rounds, %d", cr.All.ThroughCalls, sum.ThroughCalls)
 	c.require(cr.All.Rejected == sum.Rejected, "all.refused_calls",
-		"%d found, the sum over the rounds, %d, expected", cr.All.Rejected, sum.Rejected)
+		"got %d, want the sum over the rounds, %d", cr.All.Rejected, sum.Rejected)
 	c.require(cr.All.Failed == sum.Failed, "all.failed_calls",
-		"%d found, the sum over the rounds, %d, expected", cr.All.Failed, sum.Failed)
+		"got %d, want the sum over the rounds, %d", cr.All.Failed, sum.Failed)
 	c.require(cr.All.Waited == sum.Waited, "all.waited_calls",
-		"%d found, the sum over the rounds, %d, expected", cr.All.Waited, sum.Waited)
+		"got %d, want the sum over the rounds, %d", cr.All.Waited, sum.Waited)
 	for _, s := range cr.spreads() {
 		want := spreadOf(s.values(cr.Rounds))
 		c.requireNear(s.spread.Median, want.Median, s.field+".median")
@@ -84,15 +84,15 @@
 }
 
 func (f *Stats) validate(c *validator) {
-	c.require(f.DirectCalls >= 1, "direct_calls", "%d found, at least 1 expected", f.DirectCalls)
-	c.require(f.ThroughCalls >= 1, "through_calls", "%d found, at least 1 expected", f.ThroughCalls)
+	c.require(f.DirectCalls >= 1, "direct_calls", "got %d, want at least 1", f.DirectCalls)
+	c.require(f.ThroughCalls >= 1, "through_calls", "got %d, want at least 1", f.ThroughCalls)
 	calls := f.DirectCalls + f.ThroughCalls
 	c.require(f.Rejected >= 0 && f.Rejected < calls, "refused_calls",
-		"%d found, less than %d expected", f.Rejected, calls)
+		"got %d, want less than %d", f.Rejected, calls)
 	c.require(f.Failed >= 0 && f.Failed < calls-f.Rejected, "failed_calls",
-		"%d found, less than %d expected", f.Failed, calls-f.Rejected)
+		"got %d, want less than %d", f.Failed, calls-f.Rejected)
 	c.require(f.Waited >= 0 && f.Waited <= calls, "waited_calls",
-		"%d found, at most %d expected", f.Waited, calls)
+		"got %d, want at most %d", f.Waited, calls)
 	f.Direct.validate(c, "direct")
 	f.Through.validate(c, "through")
 	c.requireNear(f.AddedP50, f.Through.P50-f.Direct.P50, "added_p50_ms")
@@ -133,9 +133,9 @@
 }
 
 func (c *validator) requireWithin(v, lowest, highest float64, field string) {
-	c.require(v >= lowest && v <= highest, field, "%g found, %g to %g expected", v, lowest, highest)
+	c.require(v >= lowest && v <= highest, field, "got %g, want %g to %g", v, lowest, highest)
 }
 
 func (c *validator) requireNear(v, want float64, field string) {
-	c.require(math.Abs(v-want) <= tolerance, field, "%g found, %g expected from other fields", v, want)
+	c.require(math.Abs(v-want) <= tolerance, field, "got %g, want %g from other fields", v, want)
 }
--- a/internal/scale/predict/page.go
+++ b/internal/scale/predict/page.go
@@ -66,7 +66,7 @@
 	case sectionAssumptions:
 		return []Table{c.Assumptions()}, nil
 	default:
-		return nil, fmt.Errorf("unknown section %.40q: one of %s expected", s, sectionNames(Sections()))
+		return nil, fmt.Errorf("unknown section %.40q: want one of %s", s, sectionNames(Sections()))
 	}
 }
 
@@ -159,7 +159,7 @@
 
 func (f *pageFiller) begin(number int, line string, s Section) error {
 	if f.openLine > 0 {
-		return fmt.Errorf("nested marker: end marker of line %d expected", f.openLine)
+		return fmt.Errorf("nested marker: missing end marker for line %d", f.openLine)
 	}
 	if slices.Contains(f.seen, s) {
 		return fmt.Errorf("duplicate section %s", s)
--- a/internal/scale/predict/predict_test.go
+++ b/internal/scale/predict/predict_test.go
@@ -115,10 +115,10 @@
 	atRest := withoutCalls(model.driversAtRest())
 	consul := c.proxyNeeds(result.SourceConsul, atRest)
 	if want := bytesPerEndpoint * readsPerService * endpoints; !approxEqual(consul.in.value, want, 0.02) {
-		t.Errorf("consul at rest: %.0f B/s per proxy, want %.0f", consul.in.value, want)
+		t.Errorf("idle consul: %.0f B/s per proxy, want %.0f", consul.in.value, want)
 	}
 	if got := c.proxyNeeds(result.SourceRelay, atRest).in.value; !approxEqual(got, relayBytesAtRest, 0.02) {
-		t.Errorf("distribution at rest: %.0f B/s per proxy, want %.0f", got, relayBytesAtRest)
+		t.Errorf("idle distribution: %.0f B/s per proxy, want %.0f", got, relayBytesAtRest)
 	}
 	wantMemory := c.target.Assumed(ProcessBytes) + memoryPerEndpoint*endpoints
 	if !approxEqual(consul.memory.value, wantMemory, 0.02) {
@@ -233,7 +233,7 @@
 		{"\n" + markerEnd + "\n", "line 2: end marker without a marker"},
 		{
 			markerBegin + "size" + markerClose + "\n" + markerEnd + "\n",
-			`line 1: unknown section "size": one of sizes, roles`,
+			`line 1: unknown section "size": want one of sizes, roles`,
 		},
 		{strings.Repeat(markerBegin+"sizes"+markerClose+"\n"+markerEnd+"\n", 2), "line 3: duplicate section sizes"},
 		{strings.Repeat(markerBegin+"sizes"+markerClose+"\n", 2), "line 2: nested marker"},
--- a/internal/scale/result/decode.go
+++ b/internal/scale/result/decode.go
@@ -23,9 +23,9 @@
 // file.
 type fieldLines map[string]int
 
-// decode reads a JSON document into v, a pointer to a struct. It returns a *FileError for a field
-// that the struct lacks, a duplicate field, and data after the document. Package encoding/json
-// accepts the latter two.
+// decode reads a JSON document into v, a pointer to a struct. It returns a *FileError for an
+// unknown field, a duplicate field, and data after the document. Package encoding/json accepts the
+// latter two.
 func decode(name string, data []byte, v any) (fieldLines, error) {
 	if len(data) > MaxFileBytes {
 		err := fmt.Errorf("file of %d bytes exceeds the limit of %d", len(data), MaxFileBytes)
@@ -156,7 +156,7 @@
 	}
 	return &FileError{File: name, Line: w.line(mismatch.Offset), Err: &FieldError{
 		Field: printable(mismatch.Field),
-		Err:   fmt.Errorf("%s found, %s expected", mismatch.Value, mismatch.Type.Kind()),
+		Err:   fmt.Errorf("got %s, want %s", mismatch.Value, mismatch.Type.Kind()),
 	}}
 }
 
--- a/internal/scale/result/read_test.go
+++ b/internal/scale/result/read_test.go
@@ -44,24 +44,24 @@
 func TestReadErrorsNameLineAndField(t *testing.T) {
 	good := encode(t, sample())
 	for _, test := range []struct{ old, replacement, want string }{
-		{`"format": 1`, `"format": 2`, `a.json:2: format: 2 found, 1 expected`},
+		{`"format": 1`, `"format": 2`, `a.json:2: format: got 2, want 1`},
 		{`"format": 1`, `"format": 1, "format": 1`, `a.json:2: format: duplicate field`},
-		{`"proxies": 10`, `"proxies": 0`, `a.json:15: points[0].size.proxies: 0 found, 1 to 1e+06 expected`},
+		{`"proxies": 10`, `"proxies": 0`, `a.json:15: points[0].size.proxies: got 0, want 1 to 1e+06`},
 		{`"proxies": 10`, `"proxy": 10`, `a.json:15: points[0].size.proxy: unknown field`},
-		{`"proxies": 10`, `"proxies": "many"`, `a.json:15: points.size.proxies: string found, int expected`},
+		{`"proxies": 10`, `"proxies": "many"`, `a.json:15: points.size.proxies: got string, want int`},
 		{
 			`"services_in_all": 4`, `"services_in_all": 1`,
-			`a.json:17: points[0].size.services_in_all: 1 found, 2 to 1e+06 expected`,
+			`a.json:17: points[0].size.services_in_all: got 1, want 2 to 1e+06`,
 		},
 		{
 			`"cpu_seconds": 0.5`, `"cpu_seconds": -0.5`,
-			`a.json:27: points[0].rounds[0].proxies.cpu_seconds: -0.5 found, 0 to 1e+15 expected`,
+			`a.json:27: points[0].rounds[0].proxies.cpu_seconds: got -0.5, want 0 to 1e+15`,
 		},
 		{
 			`"source": "consul"`, `"source": "eureka"`,
-			`a.json:4: source: "eureka" found, static, consul, catalog or relay expected`,
+			`a.json:4: source: got "eureka", want static, consul, catalog or relay`,
 		},
-		{good, `{"format": 1}`, `a.json:1: scenario: "" found, a name of 1 to 128 bytes expected`},
+		{good, `{"format": 1}`, `a.json:1: scenario: got "", want a name of 1 to 128 bytes`},
 		{good, `{"format": 1`, `a.json:1: unexpected end of document`},
 		{good, strings.Repeat("[", 1<<20), `nesting exceeds 16 levels`},
 		{good, good + "{}", `unexpected data after the document`},
--- a/internal/scale/result/validate.go
+++ b/internal/scale/result/validate.go
@@ -11,20 +11,20 @@
 func (r *Result) validate() error {
 	switch {
 	case r.Format != Format:
-		return fieldErrorf("format", "%d found, %d expected", r.Format, Format)
+		return fieldErrorf("format", "got %d, want %d", r.Format, Format)
 	case r.Scenario == "" || len(r.Scenario) > 128 || oneLine(r.Scenario) != r.Scenario:
-		return fieldErrorf("scenario", "%.40q found, a name of 1 to 128 bytes expected", r.Scenario)
+		return fieldErrorf("scenario", "got %.40q, want a name of 1 to 128 bytes", r.Scenario)
 	case !slices.Contains([]Source{SourceStatic, SourceConsul, SourceCatalog, SourceRelay}, r.Source):
-		return fieldErrorf("source", "%.40q found, static, consul, catalog or relay expected", r.Source)
+		return fieldErrorf("source", "got %.40q, want static, consul, catalog or relay", r.Source)
 	case !slices.Contains([]Dimension{Proxies, Services, Backends, Changes, Calls}, r.Dimension):
-		const want = "proxies, services, backends, changes or calls expected"
-		return fieldErrorf("dimension", "%.40q found, "+want, r.Dimension)
+		const want = "proxies, services, backends, changes or calls"
+		return fieldErrorf("dimension", "got %.40q, want "+want, r.Dimension)
 	case r.Cores < 0 || r.Cores > 4096:
-		return fieldErrorf("cores", "%d found, 0 to 4096 expected", r.Cores)
+		return fieldErrorf("cores", "got %d, want 0 to 4096", r.Cores)
 	case !isWithin(r.LoadBefore, 0, MaxValue):
-		return fieldErrorf("load_before", "%g found, 0 or more expected", r.LoadBefore)
+		return fieldErrorf("load_before", "got %g, want 0 or more", r.LoadBefore)
 	case len(r.Points) == 0 || len(r.Points) > MaxPoints:
-		return fieldErrorf("points", "%d found, 1 to %d expected", len(r.Points), MaxPoints)
+		return fieldErrorf("points", "got %d, want 1 to %d", len(r.Points), MaxPoints)
 	}
 	for i := range r.Points {
 		if err := r.Points[i].validate(); err != nil {
@@ -39,7 +39,7 @@
 		return prefixField("size", err)
 	}
 	if len(p.Rounds) == 0 || len(p.Rounds) > MaxRounds {
-		return fieldErrorf("rounds", "%d found, 1 to %d expected", len(p.Rounds), MaxRounds)
+		return fieldErrorf("rounds", "got %d, want 1 to %d", len(p.Rounds), MaxRounds)
 	}
 	for i := range p.Rounds {
 		if err := p.Rounds[i].validate(); err != nil {
@@ -63,7 +63,7 @@
 
 func (r *Round) validate() error {
 	if !isWithin(r.Seconds, 1e-3, 1e6) {
-		return fieldErrorf("seconds", "%g found, 0.001 to 1e+06 expected", r.Seconds)
+		return fieldErrorf("seconds", "got %g, want 0.001 to 1e+06", r.Seconds)
 	}
 	for _, part := range []struct {
 		field string
@@ -120,7 +120,7 @@
 func firstOutOfBounds(fields []boundedField) error {
 	for _, f := range fields {
 		if !isWithin(f.value, f.min, f.max) {
-			return fieldErrorf(f.name, "%g found, %g to %g expected", f.value, f.min, f.max)
+			return fieldErrorf(f.name, "got %g, want %g to %g", f.value, f.min, f.max)
 		}
 	}
 	return nil
--- a/internal/scale/sweep/processgroup.go
+++ b/internal/scale/sweep/processgroup.go
@@ -104,7 +104,7 @@
 	case line := <-first:
 		address, found := strings.CutPrefix(line, "listening ")
 		if !found {
-			return "", fmt.Errorf("%s: unexpected output %q: \"listening ADDRESS\" expected", name, line)
+			return "", fmt.Errorf("%s: unexpected output %q: want \"listening ADDRESS\"", name, line)
 		}
 		return address, nil
 	case <-exited:
--- a/internal/scale/sweep/sweep_test.go
+++ b/internal/scale/sweep/sweep_test.go
@@ -212,7 +212,7 @@
 		opts := sweep.Options{Worker: []string{program}}
 		_, err := sweep.Run(context.Background(), readScenario(t, smallScenario), opts)
 		if err == nil || !strings.Contains(err.Error(), "lists-1") {
-			t.Errorf("%s: got error %v, want one that names lists-1", program, err)
+			t.Errorf("%s: got error %v, want an error that names lists-1", program, err)
 		}
 	}
 }
--- a/internal/scale/worker/worker.go
+++ b/internal/scale/worker/worker.go
@@ -90,7 +90,7 @@
 	case Publisher:
 		return newPublisher(spec), Reply{}, nil
 	default:
-		return nil, Reply{}, fmt.Errorf("unknown role %q: %s, %s or %s expected",
+		return nil, Reply{}, fmt.Errorf("unknown role %q: want %s, %s or %s",
 			spec.Role, Proxies, ListService, Publisher)
 	}
 }
--- a/internal/sidecar/allocator.go
+++ b/internal/sidecar/allocator.go
@@ -83,8 +83,8 @@
 	}
 	for _, b := range a.quotas.Borrowers(now, consumer) {
 		// The close of a client's idle connection may race with the client's next request, so
-		// clients give up connections only beyond their fair share, or if the acquiring consumer
-		// lacks its floor.
+		// clients release connections only beyond their fair share, or if the acquiring consumer is
+		// below its floor.
 		if reclaim := a.reclaimers[b.Name]; reclaim != nil && (b.OverFairShare || b.Name != config.ClientsConsumer) {
 			reclaimers = append(reclaimers, reclaim)
 		}
--- a/internal/sidecar/class_policy_test.go
+++ b/internal/sidecar/class_policy_test.go
@@ -16,8 +16,8 @@
 	return c.Reply(503, "Not-Started: 1\r\n", nil) == nil
 }
 
-// A request of a class with resend = "never" has one attempt, whatever its idempotency. It is
-// retried only if the first attempt has certainly not run.
+// A request of a class with resend = "never" has one attempt, regardless of its idempotency. The
+// request is retried only if the first attempt has certainly not run.
 func TestResendNeverDisablesRetries(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
--- a/internal/sidecar/configuration_cache.go
+++ b/internal/sidecar/configuration_cache.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// restore returns the initial configuration: the one that an earlier process has cached, if that is
-// compatible with the file that this process is started with, otherwise the configuration of the
-// file.
+// restore returns the initial configuration. This is the configuration that an earlier process has
+// cached, if it is compatible with the file that this process is started with. Otherwise it is the
+// configuration of the file.
 func (c *remoteConfiguration) restore(file *config.App) *config.App {
 	if file.Distribution.Configuration == "" || file.StateDir == "" {
 		return file
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -48,7 +48,7 @@
 	} {
 		d.replies <- invalid
 		if invalid == "" {
-			wantQuery("from=5&hold_ms=2000") // net/http itself may retry, so that the query comes twice
+			wantQuery("from=5&hold_ms=2000") // net/http itself may retry, so that the query is received twice
 		} else {
 			wantQuery("")
 		}
@@ -110,7 +110,7 @@
 
 // After a reload with another discovery, the old watch ends and later responses of the old
 // discovery are not applied. The old list stays active until the snapshot of the new discovery
-// replaces it, whatever the versions of the two lists.
+// replaces it, regardless of the versions of the two lists.
 func TestReloadReplacesDiscovery(t *testing.T) {
 	t.Parallel()
 	a := backendtest.Start(t, backendtest.RespondWith(servedResponse, true))
--- a/internal/sidecar/readiness.go
+++ b/internal/sidecar/readiness.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	notReadyLogInterval = 5 * time.Second       // between log lines that say why the sidecar is not ready
+	notReadyLogInterval = 5 * time.Second       // between log lines with the reason why the sidecar is not ready
 	readyPollInterval   = 50 * time.Millisecond // between readiness checks
 )
 
--- a/internal/sidecar/remote_configuration_test.go
+++ b/internal/sidecar/remote_configuration_test.go
@@ -241,7 +241,7 @@
 	)
 	rejected := publish(t, source, renamed)
 	if reason := waitForConfiguration(t, relay, first, rejected); !strings.Contains(reason, "distribution") {
-		t.Errorf("rejected with reason %q, want one that names distribution", reason)
+		t.Errorf("rejected with reason %q, want a reason that names distribution", reason)
 	}
 	wantStatus(t, p, "/s1", 404)
 	next := publish(t, source, unnamed(remoteConfigurationText(relay.Address, "", a, b)))
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -8,7 +8,7 @@
 
 const (
 	// The drain window is the minimum of the longest deadline and maxDrainWindow, plus drainLeeway.
-	// SIGKILL comes after the drain window.
+	// SIGKILL is sent after the drain window.
 	maxDrainWindow = 3 * time.Second
 	drainLeeway    = 500 * time.Millisecond
 
--- a/internal/sidecar/split_test.go
+++ b/internal/sidecar/split_test.go
@@ -18,8 +18,8 @@
 }
 
 // The weights of a split change between a request that is idempotent by key and the client's retry.
-// Whatever the new weights, the retry is forwarded to the service that has the key in its dedup
-// window. If the route no longer includes that service, the retry is rejected.
+// Regardless of the new weights, the retry is forwarded to the service that has the key in its
+// dedup window. If the route no longer includes that service, the retry is rejected.
 func TestRetryByKeyStaysWithItsSplitArm(t *testing.T) {
 	t.Parallel()
 	a, b := startBackend(t, standin.Echo), startBackend(t, standin.Echo)
--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -22,6 +22,6 @@
 	}
 }
 
-// Until sleeps until the time t and returns at once if t is past. It reports whether t came before
-// the context ended.
+// Until sleeps until the time t and returns at once if t is past. It reports whether t was reached
+// before the context ended.
 func Until(ctx context.Context, t time.Time) bool { return For(ctx, time.Until(t)) }
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -23,7 +23,7 @@
 	Content      []byte          // request body
 	Number       int             // number among the requests of the backend, from 1
 	NumberOnConn int             // number among the requests of the connection, from 1
-	Conn         net.Conn        // connection that the request came on
+	Conn         net.Conn        // connection on which the request was received
 	Done         <-chan struct{} // closed when the backend is closed
 }
 
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -60,7 +60,7 @@
 // DiscoveryCall describes a call of a Discovery that has ended.
 type DiscoveryCall struct {
 	Caller             string // host:port
-	From               int64  // version after which changes are asked for; negative for a snapshot
+	From               int64  // version after which changes are requested; negative for a snapshot
 	StartTime          time.Time
 	Status             int      // status of the response; 0 means that none was written
 	CallerDisconnected bool     // whether the caller disconnected before the response
@@ -80,7 +80,7 @@
 	DiscoveryUnresponsive                       // accepts calls and never responds
 	DiscoveryTruncated                          // closes the connection in the middle of a response
 	DiscoveryEmpty                              // has lost all members
-	DiscoveryRolledBack                         // has lost its latest versions and goes on from a lower one
+	DiscoveryRolledBack                         // has lost its latest versions and continues from a lower one
 )
 
 var discoveryFaultNames = [...]string{"well", "down", "silent", "half-body", "empty", "older"}
@@ -95,7 +95,7 @@
 }
 
 const (
-	maxRollbackVersions = 1000 // versions that DiscoveryRolledBack goes back at most
+	maxRollbackVersions = 1000 // largest number of versions that DiscoveryRolledBack loses
 	firstVersion        = 1    // lowest version after DiscoveryRolledBack
 )
 
--- a/internal/standin/discovery_http.go
+++ b/internal/standin/discovery_http.go
@@ -26,7 +26,7 @@
 		from = -1
 	}
 	call := DiscoveryCall{Caller: r.RemoteAddr, From: from, StartTime: time.Now()}
-	defer func() { // runs also after the panic that breaks off a response
+	defer func() { // runs also after the panic that truncates a response
 		if d.cfg.OnCallEnd != nil {
 			if c, ok := r.Context().Value(connKey{}).(*countingConn); ok {
 				call.BytesWritten = c.bytesWritten.Load()
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -64,7 +64,7 @@
 	s.serving.Wait()
 }
 
-// connKey is the context key of the countingConn that a request came on.
+// connKey is the context key of the countingConn on which a request was received.
 type connKey struct{}
 
 // countingConn is a connection that counts its traffic.
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -20,7 +20,7 @@
 	slowdown  atomic.Int64 // factor of the service time; values below 1 mean 1
 	isHung    atomic.Bool
 	isFailing atomic.Bool
-	rejected  atomic.Int64 // requests that came while the queue was full
+	rejected  atomic.Int64 // requests that were received while the queue was full
 }
 
 // WorkerConfig configures a Worker.
--- a/internal/start/poll.go
+++ b/internal/start/poll.go
@@ -50,7 +50,7 @@
 	holdJitter = 0.2
 
 	// watchBurst is the number of calls in a row that may be answered at once before calls are
-	// spaced by watchInterval. A watch counts as continued if the next call comes within 200 ms.
+	// spaced by watchInterval. A watch counts as continued if the next call is made within 200 ms.
 	watchBurst    = 20
 	watchInterval = 150 * time.Millisecond
 
@@ -146,8 +146,8 @@
 	return s.complete(call, now.Add(call.Delay))
 }
 
-// scheduleVerification schedules a full read after a watch that is made at the time at, whatever
-// the watch returns.
+// scheduleVerification schedules a full read after a watch that is made at the time at, regardless
+// of the response to the watch.
 func (s *PollScheduler) scheduleVerification(at time.Time) {
 	s.fullDue = at.Add(s.drawBetween(fullReadDelay, fullReadDelay+fullReadSpread))
 }
--- a/internal/start/poll_test.go
+++ b/internal/start/poll_test.go
@@ -42,8 +42,8 @@
 	return most
 }
 
-// Whatever the number of replicas that start together, if it is configured, the sum of their first
-// full reads stays near 200 a second.
+// If the number of replicas that start together is configured, the sum of their first full reads
+// stays near 200 a second, regardless of that number.
 func TestFirstFullReadsAreSpreadOverFleet(t *testing.T) {
 	for _, n := range []int{100, 300, 3000} {
 		var delays []time.Duration
--- a/internal/start/record/record.go
+++ b/internal/start/record/record.go
@@ -1,6 +1,7 @@
 // Package record keeps the recent starts of a replica in a directory that outlives the process.
-// From the record, a replica that repeatedly dies right after its start detects that and backs off.
-// A file that can't be read counts as empty, so a record never prevents a replica from starting.
+// From the record, a replica that repeatedly exits right after its start detects this and backs
+// off. A file that can't be read counts as empty, so a record never prevents a replica from
+// starting.
 package record
 
 import (
--- a/internal/upstream/http1/body.go
+++ b/internal/upstream/http1/body.go
@@ -36,7 +36,7 @@
 	case h.chunked:
 		return rt.readChunkedBody(a, c, resp)
 	}
-	return errNoFraming // the end of the body could not be told from a broken connection
+	return errNoFraming // the end of the body cannot be distinguished from a broken connection
 }
 
 // readSmallBody reads a body that is not counted in Memory.
--- a/internal/upstream/http1/dial.go
+++ b/internal/upstream/http1/dial.go
@@ -86,7 +86,7 @@
 	return e.connChange, nil
 }
 
-// endDial tells the dial limiter that a dial has ended with dialErr. A dial whose attempt ended
+// endDial informs the dial limiter that a dial has ended with dialErr. A dial whose attempt ended
 // first, or for which there was no descriptor, is not evidence about the endpoint.
 func (rt *roundTripper) endDial(dialErr error, attemptEnded bool) {
 	u, e := rt.upstream, rt.endpoint
--- a/internal/upstream/http1/helpers_test.go
+++ b/internal/upstream/http1/helpers_test.go
@@ -83,7 +83,8 @@
 // OverFairShare implements DescriptorQuota.
 func (q *fixedQuota) OverFairShare() bool { return false }
 
-// slotMemory is a Memory for as many bodies as the capacity of the channel, whatever their sizes.
+// slotMemory is a Memory for as many bodies as the capacity of the channel, regardless of their
+// sizes.
 type slotMemory chan struct{}
 
 // Reserve implements Memory.
--- a/internal/upstream/http1/request.go
+++ b/internal/upstream/http1/request.go
@@ -15,7 +15,7 @@
 	// caller waits.
 	timeoutHeader = "Request-Timeout-Ms"
 
-	maxReusedBuffer = 16 << 10 // limit in bytes of a request buffer that is kept for the next request
+	maxReusedBuffer = 16 << 10 // limit in bytes of a request buffer that is reused for the next request
 )
 
 // writeRequest writes an encoded request. An error means that the last byte was not written.
@@ -66,7 +66,7 @@
 	}
 }
 
-// encodeRequest encodes the whole request into one buffer, so that the result of one write tells
+// encodeRequest encodes the whole request into one buffer, so that the result of one write shows
 // whether the last byte was sent. The result is valid until the next call.
 func (c *conn) encodeRequest(a *core.Attempt) []byte {
 	r, b := a.Request, c.requestBuf[:0]
--- a/internal/upstream/http1/response.go
+++ b/internal/upstream/http1/response.go
@@ -24,8 +24,8 @@
 // headEnd is the end of a head: the CRLF of the last field line and the empty line.
 var headEnd = []byte("\r\n\r\n")
 
-// readResponse reads a complete response; a response that breaks off counts as none. reusable
-// reports whether the connection can carry another request.
+// readResponse reads a complete response; a truncated response counts as none. reusable reports
+// whether the connection can carry another request.
 func (rt *roundTripper) readResponse(a *core.Attempt, c *conn) (res core.AttemptResult, reusable bool, err error) {
 	c.responded = false
 	if _, err := c.reader.Peek(1); err != nil {
@@ -108,9 +108,9 @@
 	if !passAll {
 		return core.AttemptResult{Status: logic.Error} // the request may have run
 	}
-	// A client takes 429 and 503 for a rejection, after which a retry is harmless, and takes 408
-	// much the same way. Only this proxy can state that a retry is harmless, because it knows of
-	// all attempts. These statuses of a backend are therefore replaced.
+	// A client interprets 429 and 503 as a rejection, after which a retry is harmless, and treats
+	// 408 similarly. Only this proxy can state that a retry is harmless, because it knows of all
+	// attempts. These statuses of a backend are therefore replaced.
 	switch resp.StatusCode {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		resp.StatusCode = http.StatusBadGateway
--- a/internal/upstream/http1/roundtrip_test.go
+++ b/internal/upstream/http1/roundtrip_test.go
@@ -76,7 +76,7 @@
 			logic.OK,
 		},
 		{"malformed Server-Load", "HTTP/1.1 200 OK\r\nServer-Load: =,=\r\nContent-Length: 2\r\n\r\nok", logic.OK},
-		{"noise behind the body", served + "\xfai\x19\xce", logic.OK},
+		{"noise after the body", served + "\xfai\x19\xce", logic.OK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := backendtest.Start(t, backendtest.RespondWith(c.text, false))
--- a/logic/attempt.go
+++ b/logic/attempt.go
@@ -1,8 +1,8 @@
 package logic
 
 const (
-	hangLatencyFactor = 12.0 // mean latencies after which an attempt that may be retried is given up
-	// minHangFraction is the lower bound of the time after which an attempt is given up, as a
+	hangLatencyFactor = 12.0 // mean latencies after which an attempt that may be retried times out
+	// minHangFraction is the lower bound of the time after which an attempt times out, as a
 	// fraction of the latency objective. Even a brief stall lasts many times a millisecond.
 	minHangFraction = 0.2
 )
@@ -45,10 +45,10 @@
 	return NoShedCause
 }
 
-// timeout returns the time after which an attempt is given up, in microseconds. The attempt ends at
-// the latest when an answer has no value any more. It ends earlier if a retry may follow, so that a
-// hung endpoint frees its slot. A probe leaves half of the remaining time for the retry, unless the
-// mean latency is longer than that half.
+// timeout returns the time after which an attempt times out, in microseconds. The attempt ends at
+// the latest when a response no longer has any value. The attempt ends earlier if a retry may
+// follow, so that a hung endpoint frees its slot. A probe leaves half of the remaining time for the
+// retry, unless the mean latency is longer than that half.
 func (b *Balancer) timeout(now int64, q *request) int64 {
 	class := &b.settings.Classes[q.Class]
 	left, mean := b.deadline(q)-now, b.classes[q.Class].latency.mean
--- a/logic/balancer_test.go
+++ b/logic/balancer_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// A long run has ever new request IDs, keys and endpoints. The balancer must not keep state of
-// finished requests.
+// A long run constantly has new request IDs, keys and endpoints. The balancer must not keep state
+// of finished requests.
 func TestFinishedRequestsLeaveNoState(t *testing.T) {
 	s := testSettings()
 	s.OrderingDelay = 1000
--- a/logic/endpoint_list.go
+++ b/logic/endpoint_list.go
@@ -75,8 +75,8 @@
 	return e != nil && e.unverified
 }
 
-// update applies an update to the list. Rule 3 is kept without using the drain grace: an endpoint
-// gets no new attempts as soon as the list states that it is draining or removed.
+// update applies an update to the list. Rule 3 is satisfied without using the drain grace: an
+// endpoint gets no new attempts as soon as the list states that it is draining or removed.
 func (l *endpointList) update(kind UpdateKind, entries []Endpoint) {
 	for _, e := range l.byID {
 		e.unverified = false // the source of any update knows more than a RestoredSnapshot
--- a/logic/evidence.go
+++ b/logic/evidence.go
@@ -47,7 +47,7 @@
 	kind       Evidence
 	maxBad     float64 // largest fraction of bad outcomes in a good round
 	window     int64   // time in microseconds after which a round with few outcomes may complete
-	cleanTotal float64 // number of outcomes without a bad one that completes a good round; 0 disables this
+	cleanTotal float64 // number of outcomes, none of them bad, that completes a good round; 0 disables this
 
 	startedAt          int64
 	total, bad         int
--- a/logic/latency.go
+++ b/logic/latency.go
@@ -39,7 +39,7 @@
 
 // updateBase moves the base latency towards the mean. The base latency follows as fast as the mean
 // itself if the mean is lower or the attempt was sent under light load. Otherwise it follows with
-// baseTimeConstant, so that lasting congestion is not taken for the base latency.
+// baseTimeConstant, so that lasting congestion is not mistaken for the base latency.
 func (l *latencyStats) updateBase(now int64, lightLoad bool) {
 	gain := min(1, float64(now-l.baseUpdatedAt)/float64(baseTimeConstant))
 	l.baseUpdatedAt = now
--- a/logic/quota_test.go
+++ b/logic/quota_test.go
@@ -41,7 +41,7 @@
 }
 
 // Each replica with sparse traffic admitted one request of each tenant per window, however low its
-// quota. Hundreds of replicas kept sending to overloaded endpoints, which never recovered.
+// quota. Hundreds of replicas continued to send to overloaded endpoints, which never recovered.
 func TestSmallQuotaIsEnforcedAtSparseReplicas(t *testing.T) {
 	admitted := 0
 	rnd := rand.New(rand.NewPCG(5, 5))
--- a/logic/slow_start.go
+++ b/logic/slow_start.go
@@ -31,7 +31,7 @@
 		return 1 // the load that the endpoints are made for is unknown
 	}
 	life := float64(min(now-b.firstRequestAt, decayTimeConstant)) / float64(second)
-	before := max(0, b.arrivals.at(now)-1) // the current request says nothing about the rate
+	before := max(0, b.arrivals.at(now)-1) // the current request is no evidence about the rate
 	return capacity / slowStartMargin * fairRate * (life + slowStartPriorSeconds) /
 		(before + fairRate*slowStartPriorSeconds)
 }
--- a/logic/subset_test.go
+++ b/logic/subset_test.go
@@ -35,7 +35,7 @@
 }
 
 // Replicas with a few requests per second used each of twelve endpoints only once in many seconds,
-// and kept overloading endpoints that had become slow.
+// and continued to overload endpoints that had become slow.
 func TestSparseReplicaUsesFewEndpoints(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), 60)
 	met := map[string]int{}
