--- a/cmd/fernctl/coldstart.go
+++ b/cmd/fernctl/coldstart.go
@@ -81,7 +81,7 @@
 	d := coldstart.Day{
 		Replicas:          replicas,
 		KnowsReplicas:     !c.Bool("untold"),
-		HasList:           c.Bool("known"),
+		StartsWithList:    c.Bool("known"),
 		Services:          c.Int("services"),
 		FullPollRate:      scale * c.Float64("rate"),
 		QueueLength:       int(scale * float64(c.Int("queue"))),
@@ -108,7 +108,7 @@
 		r := &rows[i]
 		fmt.Fprintf(&b, "%d\t%.0f\t%.0f\t%.0f\t%.2f\t%d of %d\t%d\t%.1f\t%.1f\t%.0f\t%.1f\t%.1f\t\n",
 			r.Replicas, r.PeakFullPolls, r.PeakCalls, r.SteadyCalls, r.PeakCalls/max(r.SteadyCalls, 1e-9),
-			r.GivenUp, r.FullPolls, r.Rejected, r.Ready95, r.ReadyAll,
+			r.TimedOut, r.FullPolls, r.Rejected, r.Ready95, r.ReadyAll,
 			r.PeakCallsAfterOutage, r.Recovered95, r.RecoveredAll)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
--- a/cmd/fernctl/fleet.go
+++ b/cmd/fernctl/fleet.go
@@ -89,7 +89,7 @@
 	return fleetsim.Read(files...)
 }
 
-// readBounded reads at most fleetsim.MaxFile+1 bytes of a file. The extra byte lets the decoder
+// readBounded reads at most fleetsim.MaxFileBytes+1 bytes of a file. The extra byte lets the decoder
 // reject a file over the limit.
 func readBounded(name string) ([]byte, error) {
 	f, err := os.Open(name)
@@ -97,7 +97,7 @@
 		return nil, err
 	}
 	defer func() { _ = f.Close() }() // the file was only read
-	return io.ReadAll(io.LimitReader(f, fleetsim.MaxFile+1))
+	return io.ReadAll(io.LimitReader(f, fleetsim.MaxFileBytes+1))
 }
 
 // readDayWithSeed reads the day of the command's files, and applies -seed.
@@ -143,7 +143,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s, seed %d: %.1f requests a second, capacity %.1f\n",
 		d.Name, d.Seed, d.RequestRate(), d.Capacity())
-	fmt.Fprintf(&b, "service %.3f, without its troubles %.3f\n", o.Service, o.CalmService)
+	fmt.Fprintf(&b, "service %.3f, without its troubles %.3f\n", o.Service, o.FaultFreeService)
 	fmt.Fprintf(&b, "asked %d: served %d (late %d), refused %d, failed %d; %.2f attempts a request\n",
 		r.Requests, r.Served, r.Late, r.Shed, r.Failed, float64(r.Attempts)/float64(max(1, r.Requests)))
 	fmt.Fprintf(&b, "refused while capacity was free %.3f, of it by other rules than shares %.3f; "+
@@ -232,7 +232,7 @@
 	writeLine := func(name string, outcomes []fleetsim.Outcome) {
 		s := fleetsim.Summarize(outcomes)
 		fmt.Fprintf(&b, "%s\t%d\t%.3f\t%.3f\t%.3f\t%.1f\t%.1f\t%.3f\t%.3f\t%.3f\t%d\t\n",
-			name, s.Days, s.Service10, s.Service50, s.CalmService50, s.Recovery50, s.Recovery90,
+			name, s.Days, s.Service10, s.Service50, s.FaultFreeService50, s.Recovery50, s.Recovery90,
 			s.ExcessShedding, s.ExcessByLimits, s.OverloadedTime, s.DaysWithViolations)
 	}
 	names, groups := fleetsim.ByDay(outcomes)
--- a/internal/fleetsim/call.go
+++ b/internal/fleetsim/call.go
@@ -6,7 +6,7 @@
 	"fernlanding/logic"
 )
 
-// drawCalls draws how many calls a job of a tier makes to the next tier.
+// drawCalls draws the number of calls that a job of a tier makes to the next tier.
 func (s *simulation) drawCalls(tier int) int {
 	next := tier + 1
 	if next >= len(s.day.Tiers) {
@@ -21,16 +21,16 @@
 
 // callNext makes a job's next call to the next tier.
 func (b *backend) callNext(j *job) {
-	j.calls--
-	if j.attempt.ended { // nobody waits: no more calls
+	j.callsLeft--
+	if j.attempt.ended { // no caller waits for the result
 		b.releaseSlot(j)
 		return
 	}
-	b.call(j, func(ok bool) {
-		if j.place != notRunning || !j.hasSlot { // its backend has died
+	b.sendCall(j, func(ok bool) {
+		if j.heapIndex != notRunning || !j.hasSlot { // the job's backend has terminated
 			return
 		}
-		b.settle()
+		b.advanceWorkClock()
 		if ok {
 			b.proceed(j)
 		} else {
@@ -38,12 +38,12 @@
 			j.attempt.end(logic.Error)
 		}
 		b.admit()
-		b.plan()
+		b.scheduleCompletion()
 	})
 }
 
-// call sends a request to the next tier, through the replica beside the backend.
-func (b *backend) call(j *job, onEnd func(ok bool)) {
+// sendCall sends a request of a job to the next tier through the backend's local replica.
+func (b *backend) sendCall(j *job, onEnd func(ok bool)) {
 	s, parent := b.sim, j.attempt.request
 	if b.replica == nil || b.replica.dead {
 		onEnd(false)
@@ -51,7 +51,7 @@
 	}
 	id := s.newID("c")
 	q := &request{
-		id: id, client: parent.client, effect: id, giveUpAt: parent.giveUpAt,
+		id: id, client: parent.client, executionID: id, giveUpAt: parent.giveUpAt,
 		onAnswer: func(a answer) { onEnd(a.status == served) },
 	}
 	if parent.key != "" {
@@ -61,5 +61,5 @@
 		onEnd(false)
 		return
 	}
-	b.replica.take(q)
+	b.replica.receive(q)
 }
--- a/internal/fleetsim/capacity.go
+++ b/internal/fleetsim/capacity.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// classIndex returns the index of the class with the name, or -1.
+// classIndex returns the index of the class with the given name, or -1.
 func (d *Day) classIndex(name string) int {
 	return slices.IndexFunc(d.Classes, func(c Class) bool { return c.Name == name })
 }
 
-// tenantIndex returns the index of the tenant with the name, or -1.
+// tenantIndex returns the index of the tenant with the given name, or -1.
 func (d *Day) tenantIndex(name string) int {
 	return slices.IndexFunc(d.Tenants, func(t Tenant) bool { return t.Name == name })
 }
 
-// backendCount returns the number of a tier's backends.
+// backendCount returns the number of backends in a tier.
 func (d *Day) backendCount(tier int) int {
 	n := 0
 	for _, g := range d.Tiers[tier].Groups {
@@ -21,7 +21,7 @@
 	return n
 }
 
-// meanWork returns the mean work of a request over its classes, in seconds of a core of speed 1.
+// meanWork returns the mean work of a request over all classes, in seconds of a core of speed 1.
 func (d *Day) meanWork() float64 {
 	sum, share := 0.0, 0.0
 	for _, c := range d.Classes {
@@ -31,10 +31,10 @@
 	return sum / share
 }
 
-// Capacity returns how many requests per second the narrowest tier can serve, all backends warm and
-// healthy.
+// Capacity returns the requests per second that the tier with the lowest capacity can serve when
+// all backends are warm and healthy.
 func (d *Day) Capacity() float64 {
-	least, calls := 0.0, 1.0
+	lowest, calls := 0.0, 1.0
 	for i, t := range d.Tiers {
 		if i > 0 {
 			calls *= t.Calls
@@ -42,19 +42,19 @@
 		if calls == 0 {
 			break
 		}
-		cores := 0.0 // of speed 1
+		cores := 0.0 // equivalent cores of speed 1
 		for _, g := range t.Groups {
 			cores += float64(g.Count*g.Cores) * g.Speed
 		}
 		capacity := cores / (d.meanWork() * t.Work * calls)
-		if least == 0 || capacity < least {
-			least = capacity
+		if lowest == 0 || capacity < lowest {
+			lowest = capacity
 		}
 	}
-	return least
+	return lowest
 }
 
-// RequestRate returns the mean rate of client requests per second, before any fault.
+// RequestRate returns the mean rate of client requests per second without bursts.
 func (d *Day) RequestRate() float64 {
 	if d.Rate > 0 {
 		return d.Rate
@@ -62,7 +62,8 @@
 	return d.Load * d.Capacity()
 }
 
-// callsPerRequest returns how many calls a request makes to all tiers, itself included.
+// callsPerRequest returns the mean number of calls that a client request causes in all tiers,
+// including the request itself.
 func (d *Day) callsPerRequest() float64 {
 	sum, calls := 1.0, 1.0
 	for _, t := range d.Tiers[1:] {
@@ -72,18 +73,19 @@
 	return sum
 }
 
-// maxBurst returns how many times the usual rate the faults may bring.
-func (d *Day) maxBurst() float64 {
-	most := 1.0
+// maxBurstFactor returns an upper bound of the request rate with all bursts, as a multiple of
+// RequestRate.
+func (d *Day) maxBurstFactor() float64 {
+	factor := 1.0
 	for _, f := range d.Faults {
 		if f.Kind == FaultBurst {
-			most += max(0, f.Factor-1)
+			factor += max(0, f.Factor-1)
 		}
 	}
-	return most
+	return factor
 }
 
-// tenantFraction returns the fraction of all requests that is a tenant's.
+// tenantFraction returns a tenant's fraction of all requests.
 func (d *Day) tenantFraction(tenant int) float64 {
 	sum := 0.0
 	for _, t := range d.Tenants {
@@ -92,7 +94,7 @@
 	return d.Tenants[tenant].Share * d.Tenants[tenant].Usage / sum
 }
 
-// tenantShares returns the sum of all tenants' shares.
+// tenantShares returns the sum of the shares of all tenants.
 func (d *Day) tenantShares() float64 {
 	total := 0.0
 	for _, t := range d.Tenants {
--- a/internal/fleetsim/client.go
+++ b/internal/fleetsim/client.go
@@ -10,22 +10,22 @@
 		s.metrics.requestArrived(r, s.warmup)
 	}
 	deadline := class.Deadline.micros()
-	giveUpAt := min(r.arrivedAt+deadline, s.now+int64(d.Clients.AttemptFraction*float64(deadline)))
+	giveUpAt := min(r.arrivedAt+deadline, s.now+int64(d.Clients.AttemptTimeoutFraction*float64(deadline)))
 	q := &request{
-		id: s.newID("r"), client: r, effect: r.name, key: r.key, giveUpAt: giveUpAt,
+		id: s.newID("r"), client: r, executionID: r.name, key: r.key, giveUpAt: giveUpAt,
 		onAnswer: func(a answer) { s.answerAttempt(r, a) },
 	}
 	to := s.pickReplica()
-	s.after(s.hop(), func() {
-		if to.dead || s.now >= giveUpAt { // nobody has taken it
+	s.after(s.networkDelay(), func() {
+		if to.dead || s.now >= giveUpAt { // no replica receives the attempt
 			q.onAnswer(answer{status: failed})
 			return
 		}
-		to.take(q)
+		to.receive(q)
 	})
 }
 
-// pickReplica returns the replica that the front assigns to an attempt.
+// pickReplica draws the replica before the first tier that receives an attempt.
 func (s *simulation) pickReplica() *replica {
 	if s.hotShare > 0 && s.clientRand.Float64() < s.hotShare || len(s.front) == 1 {
 		return s.front[0]
@@ -36,8 +36,8 @@
 	return s.front[s.clientRand.IntN(len(s.front))]
 }
 
-// answerAttempt hands a client the answer to its present attempt. It retries after shedding, and
-// after a failure where that is harmless.
+// answerAttempt delivers the answer to a client's current attempt. The client retries a shed
+// attempt, and a failed attempt if the class is idempotent.
 func (s *simulation) answerAttempt(r *clientRequest, a answer) {
 	class, clients := &s.day.Classes[r.class], &s.day.Clients
 	left := r.arrivedAt + class.Deadline.micros() - s.now
@@ -51,5 +51,5 @@
 		s.after(wait, func() { s.sendAttempt(r) })
 		return
 	}
-	s.finalAnswer(r, a.status)
+	s.recordFinalAnswer(r, a.status)
 }
--- a/internal/fleetsim/coldstart/coldstart.go
+++ b/internal/fleetsim/coldstart/coldstart.go
@@ -1,8 +1,8 @@
-// Package coldstart simulates the start of a complete fleet before its list services on a virtual
-// clock: any number of replicas, each with the real start.PollScheduler. It is pure. What a list
-// service does is a model: full polls are served in turn at a rate, one that is given up is served
-// all the same, and those beyond the queue's length are rejected; watches cost it nothing but are
-// counted.
+// Package coldstart simulates on a virtual clock how all replicas of a fleet start at once and poll
+// their list services. Each replica uses the real start.PollScheduler. A run has no side effects.
+// The list services are modeled: a service serves full polls in order of arrival at a fixed rate,
+// also those whose replica has timed out, and rejects polls when its queue is full. Watches take no
+// service time but are counted as calls.
 package coldstart
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Bounds of a day.
+// Limits on the fields of a [Day].
 const (
 	MaxReplicas = 100_000
 	MaxLength   = time.Hour
@@ -21,40 +21,40 @@
 	maxQueue    = 1e6
 )
 
-// Day describes one start. [Run] simulates it.
+// Day describes the start of one fleet, which [Run] simulates.
 type Day struct {
 	Replicas          int
-	KnowsReplicas     bool          // the replicas know how many they are
-	HasList           bool          // they begin with a list
-	ListAge           time.Duration // of that
-	Services          int
+	KnowsReplicas     bool          // whether each replica knows the number of replicas
+	StartsWithList    bool          // whether the replicas start with a cached endpoint list
+	ListAge           time.Duration // age of the cached list
+	Services          int           // number of list services
 	FullPollRate      float64       // full polls per second that each service serves
-	QueueLength       int           // full polls that wait at it
-	RetryAfter        time.Duration // of a rejection; 0: none
-	ReplyLatency      time.Duration // mean time that an answer takes on its way
-	OutageAt          time.Duration // when the services go down; 0: never
+	QueueLength       int           // full polls that may wait at each service
+	RetryAfter        time.Duration // Retry-After of a rejection; 0 means none
+	ReplyLatency      time.Duration // mean network delay of a reply
+	OutageAt          time.Duration // when all services go down; 0 means never
 	OutageDuration    time.Duration
-	RestartedFraction float64 // of the replicas, which restart a second after that as they began
+	RestartedFraction float64 // of the replicas, restarted in their initial state 1 s after OutageAt
 	Length            time.Duration
 	Seed              uint64
 }
 
-// FieldError reports a field of a [Day] that is out of its range.
+// FieldError reports a field of a [Day] whose value is out of range.
 type FieldError struct {
 	Field    string
 	Found    any
 	Expected string
 }
 
-// Error returns the field, its value and what was expected.
+// Error returns the field, its value and the allowed range.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("coldstart: %s: %v found, %s expected", e.Field, e.Found, e.Expected)
 }
 
-// errNegativeTime reports a negative time of the services.
+// errNegativeTime reports a negative RetryAfter or ReplyLatency.
 var errNegativeTime = errors.New("coldstart: retry_after and reply: times of 0 or more expected")
 
-// Validate returns an error for the first field that is out of its range.
+// Validate returns an error for the first field whose value is out of range.
 func (d *Day) Validate() error {
 	for _, bound := range []struct {
 		ok       bool
@@ -83,25 +83,29 @@
 	return nil
 }
 
-// outageEnd returns when the services are up again.
+// outageEnd returns the time at which the services are up again.
 func (d *Day) outageEnd() time.Duration { return d.OutageAt + d.OutageDuration }
 
-// isDown reports whether the services are down at a time.
+// isDown reports whether the services are down at the given time.
 func (d *Day) isDown(at time.Duration) bool {
 	return d.OutageAt > 0 && at >= d.OutageAt && at < d.outageEnd()
 }
 
-// Result is what a start came to. Calls are counted over all services, times are seconds.
+// Result summarizes a simulated start. Calls are counted over all services. Times are in seconds,
+// and infinite if the day ends first.
 type Result struct {
-	PeakFullPolls        float64 `json:"PeakReads"` // in the worst second
-	PeakCalls            float64 `json:"PeakCalls"` // of all kinds in the worst second
-	SteadyCalls          float64 `json:"Steady"`    // of all kinds per second, in the mean of the last quarter
-	PeakCallsAfterOutage float64 `json:"PeakBack"`  // of all kinds in the worst second from the outage's end on
-	FullPolls            int     `json:"Reads"`
-	GivenUp              int     `json:"GivenUp"`
-	Rejected             int     `json:"Refused"`
-	Ready95              float64 `json:"Ready95"`  // from the start until 95% have a list; infinite: not in this day
-	ReadyAll             float64 `json:"ReadyAll"` // and until all have
-	Recovered95          float64 `json:"Back95"`   // from the outage's end until 95% of those without a list have one
-	RecoveredAll         float64 `json:"BackAll"`  // and until all of those have
+	PeakFullPolls        float64 `json:"PeakReads"` // most full polls in one second
+	PeakCalls            float64 `json:"PeakCalls"` // most calls of any kind in one second
+	SteadyCalls          float64 `json:"Steady"`    // mean calls per second over the last quarter of the day
+	PeakCallsAfterOutage float64 `json:"PeakBack"`  // most calls in one second after the outage
+	FullPolls            int     `json:"Reads"`     // full polls sent
+	TimedOut             int     `json:"GivenUp"`   // full polls that timed out at the replica
+	Rejected             int     `json:"Refused"`   // calls that a service rejected on arrival
+	Ready95              float64 `json:"Ready95"`   // time from the start until 95% of the replicas have a list
+	ReadyAll             float64 `json:"ReadyAll"`  // time from the start until all replicas have a list
+
+	// Recovered95 and RecoveredAll are the times from the outage's end until 95% or all of the
+	// replicas that had no list by then have one.
+	Recovered95  float64 `json:"Back95"`
+	RecoveredAll float64 `json:"BackAll"`
 }
--- a/internal/fleetsim/coldstart/event_queue.go
+++ b/internal/fleetsim/coldstart/event_queue.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// noReplica is the replica of an event that does not depend on a replica's call.
+// noReplica is the replica index of an event that does not depend on a replica's call.
 const noReplica = -1
 
-// event is something that happens at a time.
+// event is an action scheduled at a time.
 type event struct {
 	at          time.Duration
-	replica     int // index, or noReplica
-	incarnation int // of the replica
-	call        int // of the replica in that incarnation
+	replica     int // index of the replica, or noReplica
+	incarnation int // incarnation of the replica
+	callNumber  int // number of the replica's call in that incarnation
 	run         func(now time.Duration)
 }
 
-// eventQueue is a heap of events, by their times.
+// eventQueue is a heap of events ordered by time.
 type eventQueue []event
 
-// add adds an event to a heap.
+// add adds an event to the heap.
 func (q *eventQueue) add(e event) { heap.Push(q, e) }
 
-// removeFirst removes and returns the first event of a heap.
+// removeFirst removes and returns the earliest event of the heap.
 func (q *eventQueue) removeFirst() event {
 	first := (*q)[0]
 	heap.Pop(q)
--- a/internal/fleetsim/coldstart/service.go
+++ b/internal/fleetsim/coldstart/service.go
@@ -6,12 +6,12 @@
 	"fernlanding/internal/start"
 )
 
-// call is a replica's call as it reaches its service.
-func (s *simulation) call(i int, now time.Duration, call start.Call) {
+// receiveCall handles a call of replica i that reaches its service.
+func (s *simulation) receiveCall(i int, now time.Duration, call start.Call) {
 	second := int(now / time.Second)
 	s.calls[second]++
 	if call.Full {
-		s.polls[second]++
+		s.fullPolls[second]++
 		s.result.FullPolls++
 	}
 	switch {
@@ -19,16 +19,16 @@
 		s.result.Rejected++
 		s.reject(i, now)
 	case call.Full:
-		s.fullPoll(i, now, call)
+		s.queueFullPoll(i, now, call)
 	default:
-		s.watch(i, now, call)
+		s.holdWatch(i, now, call)
 	}
 }
 
-// reply answers a replica's call; the answer takes its time.
+// reply answers a replica's call after a random network delay.
 func (s *simulation) reply(i int, at time.Duration, outcome start.Outcome, retryAfter time.Duration) {
 	at += time.Duration(s.rnd.ExpFloat64() * float64(s.day.ReplyLatency))
-	s.at(at, i, func(now time.Duration) { s.endCall(i, now, outcome, retryAfter) })
+	s.schedule(at, i, func(now time.Duration) { s.endCall(i, now, outcome, retryAfter) })
 }
 
 // reject rejects a replica's call.
@@ -36,8 +36,8 @@
 	s.reply(i, at, start.Rejected, s.day.RetryAfter)
 }
 
-// watch holds a watch until its time is up or the service goes down.
-func (s *simulation) watch(i int, now time.Duration, call start.Call) {
+// holdWatch answers a watch when its hold time is over, or rejects it when the service goes down.
+func (s *simulation) holdWatch(i int, now time.Duration, call start.Call) {
 	outage, end := s.day.OutageAt, now+call.Hold
 	if outage > 0 && now < outage && end >= outage {
 		s.reject(i, outage)
@@ -46,8 +46,9 @@
 	s.reply(i, end, start.Answered, 0)
 }
 
-// fullPoll queues a full poll at the replica's service, or rejects it.
-func (s *simulation) fullPoll(i int, now time.Duration, call start.Call) {
+// queueFullPoll queues a full poll at the replica's service, or rejects the poll if the queue is
+// full.
+func (s *simulation) queueFullPoll(i int, now time.Duration, call start.Call) {
 	service := i % s.day.Services
 	serviceTime := time.Duration(float64(time.Second) / s.day.FullPollRate)
 	s.idleAt[service] = max(s.idleAt[service], now)
@@ -65,8 +66,8 @@
 	case done <= deadline:
 		s.reply(i, done, start.Answered, 0)
 	default:
-		s.at(deadline, i, func(now time.Duration) {
-			s.result.GivenUp++
+		s.schedule(deadline, i, func(now time.Duration) {
+			s.result.TimedOut++
 			s.endCall(i, now, start.TimedOut, 0)
 		})
 	}
--- a/internal/fleetsim/coldstart/simulation.go
+++ b/internal/fleetsim/coldstart/simulation.go
@@ -10,37 +10,37 @@
 
 // replica is one replica of the fleet.
 type replica struct {
-	polls       *start.PollScheduler
-	incarnation int
-	call        int // the one that is awaited
-	hasList     bool
-	readyAt     time.Duration // when it had its first list in this incarnation; negative: not yet
-	wasLost     bool          // it had none at the outage's end
+	scheduler              *start.PollScheduler
+	incarnation            int
+	callNumber             int // number of the call in progress
+	hasList                bool
+	readyAt                time.Duration // time of the incarnation's first list; negative means no list yet
+	withoutListAtOutageEnd bool
 }
 
-// simulation is one day as it is simulated.
+// simulation is the state of one simulated day.
 type simulation struct {
-	day      Day
-	rnd      *rand.Rand
-	events   eventQueue
-	replicas []*replica
-	idleAt   []time.Duration // by service: when its queue will have been served
-	polls    map[int]int     // full ones, by second
-	calls    map[int]int     // by second
-	result   Result
+	day       Day
+	rnd       *rand.Rand
+	events    eventQueue
+	replicas  []*replica
+	idleAt    []time.Duration // by service: when all queued polls are served
+	fullPolls map[int]int     // full polls by second
+	calls     map[int]int     // calls of any kind by second
+	result    Result
 }
 
-// epoch is the zero of the virtual clock.
+// epoch returns the zero time of the virtual clock.
 func epoch() time.Time { return time.Unix(0, 0) }
 
-// Run simulates a day. The same day gives the same result.
+// Run simulates a day. The result is deterministic: equal days give equal results.
 func Run(d Day) (Result, error) {
 	if err := d.Validate(); err != nil {
 		return Result{}, err
 	}
 	s := &simulation{
 		day: d, rnd: rand.New(rand.NewPCG(d.Seed, 1)), idleAt: make([]time.Duration, d.Services),
-		polls: map[int]int{}, calls: map[int]int{},
+		fullPolls: map[int]int{}, calls: map[int]int{},
 	}
 	for i := range d.Replicas {
 		s.replicas = append(s.replicas, &replica{})
@@ -59,8 +59,8 @@
 	return s.summarize(), nil
 }
 
-// scheduleOutage schedules what an outage does beyond the services. The events are not in heap
-// order yet.
+// scheduleOutage schedules the effects of an outage on the replicas. It appends the events without
+// heap order, so the caller must initialize the heap afterwards.
 func (s *simulation) scheduleOutage() {
 	d := &s.day
 	if d.RestartedFraction > 0 {
@@ -74,28 +74,28 @@
 	}
 	s.events = append(s.events, event{at: d.outageEnd(), replica: noReplica, run: func(time.Duration) {
 		for _, r := range s.replicas {
-			r.wasLost = r.readyAt < 0
+			r.withoutListAtOutageEnd = r.readyAt < 0
 		}
 	}})
 }
 
-// isStale reports whether an event is of an earlier incarnation, or of a call that has ended
-// otherwise.
+// isStale reports whether an event belongs to an earlier incarnation of its replica or to a call
+// that has already ended.
 func (s *simulation) isStale(e event) bool {
 	if e.replica == noReplica {
 		return false
 	}
 	r := s.replicas[e.replica]
-	return r.incarnation != e.incarnation || r.call != e.call
+	return r.incarnation != e.incarnation || r.callNumber != e.callNumber
 }
 
-// at schedules an event of a replica's present call.
-func (s *simulation) at(when time.Duration, i int, run func(now time.Duration)) {
+// schedule schedules an event that belongs to a replica's current call.
+func (s *simulation) schedule(when time.Duration, i int, run func(now time.Duration)) {
 	r := s.replicas[i]
-	s.events.add(event{at: when, replica: i, incarnation: r.incarnation, call: r.call, run: run})
+	s.events.add(event{at: when, replica: i, incarnation: r.incarnation, callNumber: r.callNumber, run: run})
 }
 
-// start starts a replica.
+// start starts a replica, or restarts it as a new incarnation.
 func (s *simulation) start(i int, now time.Duration) {
 	r, d := s.replicas[i], &s.day
 	known := 0
@@ -104,26 +104,26 @@
 	}
 	rnd := rand.New(rand.NewPCG(d.Seed, uint64(i+2)<<8+uint64(r.incarnation)))
 	*r = replica{
-		incarnation: r.incarnation + 1, hasList: d.HasList, readyAt: -1,
-		polls: start.NewPollScheduler(start.PollConfig{Replicas: known}, rnd),
+		incarnation: r.incarnation + 1, hasList: d.StartsWithList, readyAt: -1,
+		scheduler: start.NewPollScheduler(start.PollConfig{Replicas: known}, rnd),
 	}
-	if d.HasList {
+	if d.StartsWithList {
 		r.readyAt = now
 	}
-	s.scheduleCall(i, now, r.polls.First(epoch().Add(now), d.HasList, d.ListAge))
+	s.scheduleCall(i, now, r.scheduler.First(epoch().Add(now), d.StartsWithList, d.ListAge))
 }
 
 // scheduleCall schedules a replica's next call.
 func (s *simulation) scheduleCall(i int, now time.Duration, call start.Call) {
-	s.at(now+call.Delay, i, func(now time.Duration) { s.call(i, now, call) })
+	s.schedule(now+call.Delay, i, func(now time.Duration) { s.receiveCall(i, now, call) })
 }
 
-// endCall takes a call's end.
+// endCall handles the end of a replica's call and schedules the next call.
 func (s *simulation) endCall(i int, now time.Duration, outcome start.Outcome, retryAfter time.Duration) {
 	r := s.replicas[i]
-	r.call++
+	r.callNumber++
 	if outcome == start.Answered && !r.hasList {
 		r.hasList, r.readyAt = true, now
 	}
-	s.scheduleCall(i, now, r.polls.Next(epoch().Add(now), outcome, !r.hasList, retryAfter))
+	s.scheduleCall(i, now, r.scheduler.Next(epoch().Add(now), outcome, !r.hasList, retryAfter))
 }
--- a/internal/fleetsim/coldstart/summary.go
+++ b/internal/fleetsim/coldstart/summary.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// summarize returns the result of a day that has been simulated.
+// summarize returns the result of the simulated day.
 func (s *simulation) summarize() Result {
 	r := s.result
 	s.summarizeCalls(&r)
-	for _, n := range s.polls {
+	for _, n := range s.fullPolls {
 		r.PeakFullPolls = max(r.PeakFullPolls, float64(n))
 	}
 	var ready, recovered []float64
-	for _, c := range s.replicas {
+	for _, replica := range s.replicas {
 		readyAt := math.Inf(1)
-		if c.readyAt >= 0 {
-			readyAt = c.readyAt.Seconds()
+		if replica.readyAt >= 0 {
+			readyAt = replica.readyAt.Seconds()
 		}
 		ready = append(ready, readyAt)
-		if c.wasLost {
+		if replica.withoutListAtOutageEnd {
 			recovered = append(recovered, readyAt-s.day.outageEnd().Seconds())
 		}
 	}
@@ -29,7 +29,7 @@
 	return r
 }
 
-// summarizeCalls sets the calls of all kinds.
+// summarizeCalls sets the peak and steady rates of calls.
 func (s *simulation) summarizeCalls(r *Result) {
 	end := int(s.day.Length / time.Second)
 	recovery := end
@@ -49,7 +49,7 @@
 	r.SteadyCalls = float64(steady) / float64(quarter)
 }
 
-// quantile95 returns the value that 95% of the values do not exceed, 0 if there are none.
+// quantile95 returns the value that 95% of the values do not exceed, or 0 if there are no values.
 func quantile95(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -58,7 +58,7 @@
 	return sorted[min(len(sorted)-1, int(0.95*float64(len(sorted))))]
 }
 
-// largest returns the largest value, 0 if there are none.
+// largest returns the largest value, or 0 if there are no values.
 func largest(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/internal/fleetsim/defaults.go
+++ b/internal/fleetsim/defaults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// setDefault sets a value that is zero.
+// setDefault sets *v to value if *v is zero.
 func setDefault[T comparable](v *T, value T) {
 	var zero T
 	if *v == zero {
@@ -13,14 +13,14 @@
 	}
 }
 
-// setDefaults sets all fields that are zero and have a default.
+// setDefaults replaces the zero values of all fields that have a default.
 func (d *Day) setDefaults() {
 	setDefault(&d.Name, "day")
 	setDefault(&d.Length, seconds(40))
 	setDefault(&d.Warmup, seconds(3))
 	setDefault(&d.OverQuotaWeight, 0.05)
 	setDefault(&d.Quota, 0.6)
-	setDefault(&d.Clients.AttemptFraction, 1)
+	setDefault(&d.Clients.AttemptTimeoutFraction, 1)
 	setDefault(&d.Network.Latency, Duration(200*time.Microsecond))
 	setDefault(&d.Network.UpdateDelay, seconds(1.5))
 	for i := range d.Tenants {
@@ -38,7 +38,7 @@
 	}
 }
 
-// setDefaults sets a tier's fields but for its name.
+// setDefaults replaces the zero values of a tier's fields except its name.
 func (t *Tier) setDefaults() {
 	setDefault(&t.Replicas, 2)
 	setDefault(&t.Calls, 1)
@@ -58,7 +58,7 @@
 	}
 }
 
-// setDefaults sets a fault's fields.
+// setDefaults replaces the zero values of a fault's fields.
 func (f *Fault) setDefaults() {
 	setDefault(&f.Fraction, 0.1)
 	setDefault(&f.Factor, 4)
--- a/internal/fleetsim/event_queue.go
+++ b/internal/fleetsim/event_queue.go
@@ -1,6 +1,6 @@
 package fleetsim
 
-// event is something that happens at a time; events of one time happen in the order in which they
+// event is an action scheduled at a time. Events at the same time run in the order in which they
 // were scheduled.
 type event struct {
 	at  int64 // microseconds
@@ -8,24 +8,24 @@
 	run func()
 }
 
-// eventQueue is a binary heap of events with the virtual clock. container/heap boxes each event it
-// is handed, which was a third of a day's time.
+// eventQueue is a binary heap of events together with the virtual clock. It does not use
+// container/heap, which boxes each event; the boxing took a third of the time of a simulation.
 type eventQueue struct {
 	heap []event
 	seq  uint64
 	now  int64 // microseconds
 }
 
-// less reports whether the event at index i comes before that at j.
+// less reports whether the event at index i comes before the event at index j.
 func (q *eventQueue) less(i, j int) bool {
 	a, b := &q.heap[i], &q.heap[j]
 	return a.at < b.at || a.at == b.at && a.seq < b.seq
 }
 
-// after schedules run after a delay.
+// after schedules run after a delay in microseconds. A negative delay counts as 0.
 func (q *eventQueue) after(delay int64, run func()) { q.at(q.now+max(delay, 0), run) }
 
-// at schedules run at a time, or now if that is over.
+// at schedules run at a time, or at the current time if the given time has passed.
 func (q *eventQueue) at(at int64, run func()) {
 	q.seq++
 	q.heap = append(q.heap, event{at: max(at, q.now), seq: q.seq, run: run})
@@ -39,7 +39,8 @@
 	}
 }
 
-// runNext runs the next event. It returns false if there is none.
+// runNext advances the clock to the next event and runs the event. It returns false if the queue is
+// empty.
 func (q *eventQueue) runNext() bool {
 	if len(q.heap) == 0 {
 		return false
@@ -53,7 +54,7 @@
 	return true
 }
 
-// siftDown moves the first event to its place.
+// siftDown restores the heap order after the first element was replaced.
 func (q *eventQueue) siftDown() {
 	i := 0
 	for {
--- a/internal/fleetsim/fault.go
+++ b/internal/fleetsim/fault.go
@@ -1,23 +1,23 @@
 package fleetsim
 
-// FaultKind is a kind of fault.
+// FaultKind identifies a kind of fault.
 type FaultKind string
 
 // The kinds of fault.
 const (
 	FaultSlow       FaultKind = "slow"    // backends take Factor times as long
-	FaultHang       FaultKind = "hang"    // they take requests and answer none
-	FaultFail       FaultKind = "fail"    // they answer an error at once, unserved
-	FaultCorrupt    FaultKind = "spoil"   // a Share of what they have served comes back as an error
-	FaultKill       FaultKind = "kill"    // their processes die, unannounced; new ones start at the end
-	FaultBurst      FaultKind = "burst"   // Factor times as many requests, of all or of one tenant
-	FaultHotReplica FaultKind = "hot"     // one replica gets a Share of all traffic
-	FaultRelease    FaultKind = "release" // all backends are replaced, one after another
-	FaultShrink     FaultKind = "shrink"  // a Fraction of the backends is drained, and stays away
-	FaultRestart    FaultKind = "restart" // the replicas before the first tier are replaced, one after another
+	FaultHang       FaultKind = "hang"    // backends accept requests and answer none
+	FaultFail       FaultKind = "fail"    // backends answer a Share of requests with an immediate error
+	FaultCorrupt    FaultKind = "spoil"   // backends answer a Share of served requests with an error
+	FaultKill       FaultKind = "kill"    // backends exit without draining, and restart at the end
+	FaultBurst      FaultKind = "burst"   // Factor times as many requests, of all tenants or of one
+	FaultHotReplica FaultKind = "hot"     // one replica receives a Share of all traffic
+	FaultRelease    FaultKind = "release" // backends are replaced one after another
+	FaultShrink     FaultKind = "shrink"  // a Fraction of the backends is drained and not replaced
+	FaultRestart    FaultKind = "restart" // the replicas before the first tier are replaced one after another
 )
 
-// FaultKinds returns the kinds of fault.
+// FaultKinds returns all kinds of fault.
 func FaultKinds() []FaultKind {
 	return []FaultKind{
 		FaultSlow, FaultHang, FaultFail, FaultCorrupt, FaultKill, FaultBurst, FaultHotReplica, FaultRelease,
@@ -25,19 +25,19 @@
 	}
 }
 
-// Fault is something that goes wrong for a time.
+// Fault describes one fault of a day.
 type Fault struct {
 	Kind     FaultKind `toml:"kind"`
 	At       Duration  `toml:"at"`
 	Duration Duration  `toml:"for"`
 	Tier     int       `toml:"tier"`
-	Fraction float64   `toml:"part"`   // of the tier's backends, or of the replicas; one at least
-	First    int       `toml:"first"`  // of the backends concerned
-	Factor   float64   `toml:"times"`  // how many times slower, or as many requests
-	Share    float64   `toml:"share"`  // of answers corrupted or failed (1), or of all traffic for hot (0.25)
-	Class    string    `toml:"class"`  // of fail: this class alone
-	Tenant   string    `toml:"tenant"` // of burst: this one alone
+	Fraction float64   `toml:"part"`   // fraction of the tier's backends affected, at least one backend; 0.1
+	First    int       `toml:"first"`  // index of the first backend affected
+	Factor   float64   `toml:"times"`  // factor of the service time (slow) or of the rate (burst); 4
+	Share    float64   `toml:"share"`  // for hot, fraction of all traffic (0.25); else of answers that fail (1)
+	Class    string    `toml:"class"`  // the only class that fails (fail); empty means all
+	Tenant   string    `toml:"tenant"` // the only tenant of a burst; empty means all
 }
 
-// end returns when the fault ends, in microseconds.
+// end returns the time at which the fault ends, in microseconds.
 func (f *Fault) end() int64 { return f.At.micros() + f.Duration.micros() }
--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleet_test.go
@@ -22,12 +22,12 @@
 	return File{Name: name, Data: data}
 }
 
-// hardDays returns the hard days of a fleet.
-func hardDays(t *testing.T, base string) []*Day {
+// faultDays returns the days of testdata/hard, each applied to the fleet of the base file.
+func faultDays(t *testing.T, base string) []*Day {
 	t.Helper()
 	names, err := filepath.Glob("testdata/hard/*.toml")
 	if err != nil || len(names) < 10 {
-		t.Fatalf("%d hard days, %v", len(names), err)
+		t.Fatalf("got %d files in testdata/hard, error %v; want at least 10", len(names), err)
 	}
 	var days []*Day
 	for _, name := range names {
@@ -40,90 +40,90 @@
 	return days
 }
 
-// forEach calls f with 0 to n-1 on all cores.
-func forEach(n int, f func(int)) {
-	var all sync.WaitGroup
+// parallelFor calls f with 0 to n-1, concurrently on all cores.
+func parallelFor(n int, f func(int)) {
+	var workers sync.WaitGroup
 	cores := runtime.GOMAXPROCS(0)
 	for c := range cores {
-		all.Go(func() {
+		workers.Go(func() {
 			for i := c; i < n; i += cores {
 				f(i)
 			}
 		})
 	}
-	all.Wait()
+	workers.Wait()
 }
 
-// No rule is broken on any hard day, and admission control stays what it has become: bounds are the
-// figures in the operators' page with a little room. Seeds are of a stream that nothing was tuned
-// on.
-func TestHardDaysKeepTheRules(t *testing.T) {
-	seeds := 8 // with their calm twins some 430 runs
+// No day may violate an audit rule. The results must stay within bounds, which are the figures of
+// the operators' page with a small margin. The seeds come from a stream that nothing was tuned on.
+func TestFaultDaysHaveNoViolations(t *testing.T) {
+	seeds := 8 // about 430 runs, with the fault-free runs
 	if raceEnabled {
 		seeds = 1
 	}
 	for _, c := range []struct {
 		base     string
-		service  float64 // median, at least
-		recovery float64 // median seconds, at most
-		excess   float64 // mean excess shedding but for quotas, at most
+		service  float64 // minimum of the median service
+		recovery float64 // maximum of the median recovery, seconds
+		excess   float64 // maximum of the mean excess shedding by limits
 	}{{"base.toml", 0.77, 3, 0.12}, {"small.toml", 0.66, 3, 0.16}} {
-		days := hardDays(t, c.base)
+		days := faultDays(t, c.base)
 		if raceEnabled && c.base != "small.toml" {
 			continue
 		}
-		outcomes := Sweep(days, Seeds(2, seeds), forEach)
+		outcomes := Sweep(days, Seeds(2, seeds), parallelFor)
 		for _, o := range outcomes {
 			if len(o.Violations) > 0 {
-				t.Errorf("%s, %s, seed %d: %v", c.base, o.Day, o.Seed, o.Violations)
+				t.Errorf("%s, %s, seed %d: got violations %v, want none", c.base, o.Day, o.Seed, o.Violations)
 			}
 		}
 		s := Summarize(outcomes)
 		withinBounds := s.Service50 >= c.service && s.Recovery50 <= c.recovery && s.ExcessByLimits <= c.excess
 		if !raceEnabled && !withinBounds {
-			t.Errorf("%s: %+v", c.base, s)
+			t.Errorf("%s: got %+v, want results within %+v", c.base, s, c)
 		}
 	}
 }
 
-// The same day has the same result, whatever runs beside it; another seed has another.
-func TestDayIsAFunctionOfItsSeed(t *testing.T) {
-	for _, d := range hardDays(t, "small.toml") {
+// Equal days must give equal results, also when they run concurrently. Another seed must change the
+// result.
+func TestRunIsDeterministic(t *testing.T) {
+	for _, d := range faultDays(t, "small.toml") {
 		if raceEnabled && d.Name != "reload" {
 			continue
 		}
 		runs := make([]*Result, 3)
-		forEach(len(runs), func(i int) {
+		parallelFor(len(runs), func(i int) {
 			day := *d
 			day.Seed = uint64(1 + i/2)
 			runs[i] = Run(&day, Options{Trace: true})
 			runs[i].Day = nil
 		})
 		if !reflect.DeepEqual(runs[0], runs[1]) {
-			t.Errorf("%s: two runs differ", d.Name)
+			t.Errorf("%s: two runs with the same seed differ", d.Name)
 		}
 		if reflect.DeepEqual(runs[0].Metrics, runs[2].Metrics) {
-			t.Errorf("%s: two seeds do not differ", d.Name)
+			t.Errorf("%s: runs with different seeds have the same metrics", d.Name)
 		}
 	}
 }
 
-// What clients request, and its weight, depend on the seed alone: the calm twin has the same
-// requests.
-func TestTwinsHaveTheSameRequests(t *testing.T) {
-	for _, d := range hardDays(t, "base.toml") {
-		if d.Name == "overdriven" { // a burst brings more
+// Client requests and their weights must depend on the seed alone, so that a day and the same day
+// without faults have the same requests.
+func TestFaultsDoNotChangeRequests(t *testing.T) {
+	for _, d := range faultDays(t, "base.toml") {
+		if d.Name == "overdriven" { // its burst adds requests
 			continue
 		}
 		d.Seed = 3
-		x, y := newSimulation(d, Options{}).workload(), newSimulation(d.Calm(), Options{}).workload()
+		x, y := newSimulation(d, Options{}).workload(), newSimulation(d.WithoutFaults(), Options{}).workload()
 		if len(x) == 0 || !reflect.DeepEqual(x, y) {
-			t.Errorf("%s: %d and %d requests", d.Name, len(x), len(y))
+			t.Errorf("%s: got %d requests, want the %d of the fault-free day", d.Name, len(x), len(y))
 		}
 	}
 }
 
-// The audit reports each rule that is broken.
+// The audit must report each kind of violation.
 func TestAuditReportsViolations(t *testing.T) {
 	d, err := Read(readFile(t, "base.toml"))
 	if err != nil {
@@ -135,22 +135,22 @@
 		violate func(s *simulation, job func(class int) *job)
 	}{
 		{"an unsafe request ran twice", func(s *simulation, job func(int) *job) {
-			s.audit.ran(s.backends[0][0], job(nonIdempotent))
-			s.audit.ran(s.backends[0][0], job(nonIdempotent))
+			s.audit.recordRun(s.backends[0][0], job(nonIdempotent))
+			s.audit.recordRun(s.backends[0][0], job(nonIdempotent))
 		}},
 		{"ran in two cells", func(s *simulation, job func(int) *job) {
 			s.backends[0][0].cell, s.backends[0][1].cell = 0, 1
-			s.audit.ran(s.backends[0][0], job(byKey))
-			s.audit.ran(s.backends[0][1], job(byKey))
+			s.audit.recordRun(s.backends[0][0], job(byKey))
+			s.audit.recordRun(s.backends[0][1], job(byKey))
 		}},
 		{"after its window", func(s *simulation, job func(int) *job) {
-			s.audit.ran(s.backends[0][0], job(byKey))
+			s.audit.recordRun(s.backends[0][0], job(byKey))
 			s.now += 8_000_000
-			s.audit.ran(s.backends[0][0], job(byKey))
+			s.audit.recordRun(s.backends[0][0], job(byKey))
 		}},
 		{"a refusal of what has run", func(s *simulation, job func(int) *job) {
-			s.audit.ran(s.backends[0][0], job(nonIdempotent))
-			s.audit.wasShed(job(nonIdempotent).attempt.request)
+			s.audit.recordRun(s.backends[0][0], job(nonIdempotent))
+			s.audit.recordShed(job(nonIdempotent).attempt.request)
 		}},
 		{"after its drain was told", func(s *simulation, job func(int) *job) {
 			r, b := s.front[0], s.backends[0][0]
@@ -182,26 +182,26 @@
 	} {
 		s := newSimulation(d, Options{})
 		c.violate(s, func(class int) *job {
-			return &job{attempt: &attempt{request: &request{client: &clientRequest{class: class}, effect: "it"}}}
+			return &job{attempt: &attempt{request: &request{client: &clientRequest{class: class}, executionID: "it"}}}
 		})
 		if got := strings.Join(s.audit.violations, "; "); !strings.Contains(got, c.want) {
-			t.Errorf("got %q, %q expected", got, c.want)
+			t.Errorf("got violations %q, want %q", got, c.want)
 		}
 	}
 }
 
-// The calm day has no fault to recover from; a day that serves nothing after its fault never does.
-func TestRecoveryIsMeasuredAgainstTheCalmDay(t *testing.T) {
+// The recovery time of a day that does not recover must be the rest of the day.
+func TestRecoveryIsMeasuredAgainstFaultFreeDay(t *testing.T) {
 	d := &Day{Length: seconds(20)}
 	day := func(service func(slot int) float64) *Result {
 		r := &Result{Day: d}
 		for i := range 41 {
-			r.weight = append(r.weight, 1)
-			r.weightServed = append(r.weightServed, service(i))
+			r.requestedBySlot = append(r.requestedBySlot, 1)
+			r.servedBySlot = append(r.servedBySlot, service(i))
 		}
 		return r
 	}
-	calm := day(func(int) float64 { return 0.8 })
+	faultFree := day(func(int) float64 { return 0.8 })
 	fault := Fault{At: seconds(4), Duration: seconds(2)}
 	for _, c := range []struct {
 		recovered int // slot
@@ -213,16 +213,16 @@
 			}
 			return 0.8
 		})
-		if got, ok := r.Recovery(calm, fault); !ok || got != c.want {
-			t.Errorf("recovered at slot %d: %.1f s, %.1f expected", c.recovered, got, c.want)
+		if got, ok := r.Recovery(faultFree, fault); !ok || got != c.want {
+			t.Errorf("recovered at slot %d: got %.1f s, %v; want %.1f s", c.recovered, got, ok, c.want)
 		}
 	}
-	if _, ok := calm.Recovery(calm, Fault{At: seconds(19), Duration: seconds(5)}); ok {
-		t.Error("the recovery from a fault that ends after the day was measured")
+	if _, ok := faultFree.Recovery(faultFree, Fault{At: seconds(19), Duration: seconds(5)}); ok {
+		t.Error("Recovery returned true for a fault that ends after the day")
 	}
 }
 
-// An error is one line with the place or the field, what was found and what was expected.
+// An error must be one line with the position or the field, the value and the allowed values.
 func TestReadReportsErrors(t *testing.T) {
 	base := string(readFile(t, "base.toml").Data)
 	for _, c := range []struct{ old, replacement, want string }{
@@ -249,16 +249,16 @@
 			`length = "36s"`, "length = \"10m\"\nrate = 90000.0",
 			`day.toml: rate: found 54000000 requests a day, at most 1000000 expected`,
 		},
-		{`name = "base"`, strings.Repeat("#", MaxFile), `day.toml: `},
+		{`name = "base"`, strings.Repeat("#", MaxFileBytes), `day.toml: `},
 	} {
 		_, err := Read(File{Name: "day.toml", Data: []byte(strings.Replace(base, c.old, c.replacement, 1))})
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: got %v, %q expected", c.replacement, err, c.want)
+			t.Errorf("%q: got error %v, want one line starting with %q", c.replacement, err, c.want)
 		}
 	}
 }
 
-// Whatever the text, it is an error in one line or a day that can be simulated.
+// Any input must give an error of one line or a day that can be simulated.
 func FuzzRead(f *testing.F) {
 	f.Add(readFile(f, "base.toml").Data)
 	f.Add(readFile(f, "hard/reload.toml").Data)
@@ -269,7 +269,7 @@
 		d, err := Read(File{"day.toml", data})
 		if err != nil {
 			if strings.Contains(err.Error(), "\n") {
-				t.Errorf("more than one line: %q", err)
+				t.Errorf("got an error of more than one line: %q", err)
 			}
 			return
 		}
@@ -277,17 +277,17 @@
 		for i := range d.Tiers {
 			backends += d.backendCount(i)
 		}
-		calls := d.RequestRate() * d.Length.Seconds() * d.maxBurst() * d.callsPerRequest()
+		calls := d.RequestRate() * d.Length.Seconds() * d.maxBurstFactor() * d.callsPerRequest()
 		if calls > 500 || float64(backends)*d.Length.Seconds() > 1000 {
-			return // long to simulate
+			return // takes too long to simulate
 		}
 		if r := Run(d, Options{Trace: true}); len(r.Violations) > 0 && d.Network.Latency.micros() < 1000 {
-			t.Logf("broken: %v", r.Violations)
+			t.Logf("violations: %v", r.Violations)
 		}
 	})
 }
 
-// BenchmarkDay simulates one day of the small fleet with its hardest fault.
+// BenchmarkDay simulates one day of the small fleet with its hardest faults.
 func BenchmarkDay(b *testing.B) {
 	d, err := Read(readFile(b, "small.toml"), readFile(b, "hard/reload.toml"))
 	if err != nil {
--- a/internal/fleetsim/host.go
+++ b/internal/fleetsim/host.go
@@ -2,7 +2,7 @@
 
 import "fernlanding/logic"
 
-// host is a replica as its Balancer sees it.
+// host implements logic.Host for a replica.
 type host replica
 
 // host returns the replica as a logic.Host.
@@ -16,22 +16,22 @@
 		s.audit.violation("a Send that cannot be: " + id + " to " + endpoint)
 		return
 	}
-	if at, left := r.leftAt[endpoint]; left && s.now-at > drainGrace {
+	if at, left := r.drainNotifiedAt[endpoint]; left && s.now-at > drainGrace {
 		s.audit.violation("something new for " + endpoint + " after its drain was told")
 	}
-	a := &attempt{request: q, backend: b, number: q.sends, sentAt: s.now}
-	q.sends++
+	a := &attempt{request: q, backend: b, number: q.attempts, sentAt: s.now}
+	q.attempts++
 	q.inFlight = a
 	s.metrics.Attempts++
 	s.inFlight[a] = s.attempts
 	s.attempts++
-	s.after(s.hop(), func() { b.take(a) })
+	s.after(s.networkDelay(), func() { b.receive(a) })
 	until := q.giveUpAt
 	if timeout > 0 {
 		until = min(until, s.now+timeout)
 	}
 	if until == q.giveUpAt {
-		until-- // the module answers before its client has given up
+		until-- // the replica answers before the client gives up
 	}
 	s.at(until, func() { a.giveUp(logic.TimedOut) })
 }
@@ -43,7 +43,7 @@
 	if q == nil {
 		return
 	}
-	r.sim.audit.wasShed(q)
+	r.sim.audit.recordShed(q)
 	r.sim.recordShed(r, q)
 	r.end(q, answer{status: shed, retryAfter: retryAfter})
 }
@@ -65,7 +65,7 @@
 	})
 }
 
-// WatchEndpoints implements logic.Host. Updates are pushed here.
+// WatchEndpoints implements logic.Host. It does nothing, since the simulation pushes updates.
 func (h *host) WatchEndpoints() {}
 
 // Log implements logic.Host.
--- a/internal/fleetsim/job.go
+++ b/internal/fleetsim/job.go
@@ -2,22 +2,22 @@
 
 import "container/heap"
 
-// job is one attempt at a backend.
+// job is an attempt as a backend holds it.
 type job struct {
-	attempt    *attempt
-	work       float64 // left of the present part, in microseconds of a core of speed 1
-	secondPart float64 // of the part after the calls
-	calls      int     // left to make
-	finishAt   float64 // on the backend's work clock
-	place      int     // in the run queue, or notRunning
-	hasSlot    bool
-	abandoned  bool // nobody waits for it, and it need not start
+	attempt        *attempt
+	work           float64 // work of the current part, in microseconds of a core of speed 1
+	workAfterCalls float64 // work of the part after the calls
+	callsLeft      int     // calls to the next tier still to make
+	finishAt       float64 // time on the backend's work clock at which the current part is done
+	heapIndex      int     // index in the run queue, or notRunning
+	hasSlot        bool
+	abandoned      bool // whether the caller has stopped waiting before the job began
 }
 
-// notRunning is the place of a job that is not in the run queue.
+// notRunning is the heapIndex of a job that is not in the run queue.
 const notRunning = -1
 
-// runQueue is a heap of the jobs that share the cores, by when they finish.
+// runQueue is a heap of the jobs that share the cores, ordered by finishAt.
 type runQueue []*job
 
 // add adds a job.
@@ -39,13 +39,13 @@
 // Swap implements heap.Interface.
 func (q runQueue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
-	q[i].place, q[j].place = i, j
+	q[i].heapIndex, q[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
 func (q *runQueue) Push(x any) {
 	j := x.(*job) //nolint:forcetypeassert // add pushes jobs only
-	j.place = len(*q)
+	j.heapIndex = len(*q)
 	*q = append(*q, j)
 }
 
@@ -53,7 +53,7 @@
 func (q *runQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
-	last.place = notRunning
+	last.heapIndex = notRunning
 	*q = old[:len(old)-1]
 	return last
 }
--- a/internal/fleetsim/metrics.go
+++ b/internal/fleetsim/metrics.go
@@ -3,48 +3,50 @@
 import "fernlanding/logic"
 
 const (
-	slotLength      = 500_000 // microseconds; service is kept by slots of arrival
-	minFreeOfExcess = 0.2     // shedding while this fraction of every tier is free is excess
+	slotLength      = 500_000 // microseconds; service is recorded by time slot of the arrival
+	minFreeOfExcess = 0.2     // shedding is excess if at least this fraction of every tier is free
 )
 
-// Metrics counts a day from its warm-up on. Requests are those of clients, with all their attempts.
+// Metrics holds the counters of a day after its warm-up. Requests are client requests, each counted
+// once with all its attempts.
 type Metrics struct {
 	Requests, Served, Late, Shed, Failed int
 
-	Weight       float64 // sum of priority weights requested
-	WeightServed float64 // and of those earned
+	RequestedWeight float64 // sum of the priority weights of all requests
+	ServedWeight    float64 // sum of the priority weights earned by answers
 
-	Attempts     int
-	Work         float64 // begun, microseconds of a core of speed 1
-	ShedAttempts int     // by any replica, of any attempt
+	Attempts     int     // attempts at backends, including those during the warm-up
+	Work         float64 // work started, including the warm-up, in microseconds of a core of speed 1
+	ShedAttempts int     // requests shed by replicas of any tier
 	ShedCauses   [logic.NumShedCauses]int
 
-	ExcessSheds        int     // by the first tier, while capacity was free in all tiers
-	ExcessWeight       float64 // priority weight of these
-	ExcessLimitsWeight float64 // the same without those that a tenant's quota shed
+	ExcessSheds        int     // requests shed in the first tier while all tiers had free capacity
+	ExcessWeight       float64 // priority weight of the excess sheds
+	ExcessLimitsWeight float64 // priority weight of the excess sheds that no tenant quota caused
 	ExcessCauses       [logic.NumShedCauses]int
 
-	overloadedSamples, samples int       // of backends
-	weight, weightServed       []float64 // by slots of arrival
+	overloadedSamples, samples    int       // samples of backends
+	requestedBySlot, servedBySlot []float64 // priority weight by time slot of the arrival
 }
 
-// newMetrics returns the metrics of a day that has not begun.
+// newMetrics returns empty metrics for a day.
 func newMetrics(d *Day) Metrics {
 	slots := int(d.Length.micros()/slotLength) + 1
-	return Metrics{weight: make([]float64, slots), weightServed: make([]float64, slots)}
+	return Metrics{requestedBySlot: make([]float64, slots), servedBySlot: make([]float64, slots)}
 }
 
-// requestArrived counts a client's request; nothing before warmup is counted but for the slots.
+// requestArrived counts a client request. A request that arrives before the end of the warm-up
+// counts only in its time slot.
 func (m *Metrics) requestArrived(r *clientRequest, warmup int64) {
-	m.weight[r.arrivedAt/slotLength] += r.weight
+	m.requestedBySlot[r.arrivedAt/slotLength] += r.weight
 	if r.arrivedAt >= warmup {
 		m.Requests++
-		m.Weight += r.weight
+		m.RequestedWeight += r.weight
 	}
 }
 
-// finalAnswer counts the final answer to a client.
-func (s *simulation) finalAnswer(r *clientRequest, status answerStatus) {
+// recordFinalAnswer counts the final answer to a client request.
+func (s *simulation) recordFinalAnswer(r *clientRequest, status answerStatus) {
 	if r.answered {
 		s.audit.violation("a client was answered twice")
 		return
@@ -53,13 +55,13 @@
 	m, latency := &s.metrics, s.now-r.arrivedAt
 	fraction := 0.0
 	if status == served {
-		fraction = s.day.Classes[r.class].earned(latency)
+		fraction = s.day.Classes[r.class].earnedFraction(latency)
 	}
-	m.weightServed[r.arrivedAt/slotLength] += fraction * r.weight
+	m.servedBySlot[r.arrivedAt/slotLength] += fraction * r.weight
 	if r.arrivedAt < s.warmup {
 		return
 	}
-	m.WeightServed += fraction * r.weight
+	m.ServedWeight += fraction * r.weight
 	switch status {
 	case shed:
 		m.Shed++
@@ -76,8 +78,9 @@
 	}
 }
 
-// earned returns the fraction of its priority weight that an answer after the latency earns.
-func (c *Class) earned(latency int64) float64 {
+// earnedFraction returns the fraction of the priority weight that an answer with the given latency
+// in microseconds earns.
+func (c *Class) earnedFraction(latency int64) float64 {
 	switch {
 	case latency <= c.LatencyObjective.micros():
 		return 1
@@ -88,7 +91,7 @@
 	}
 }
 
-// recordShed counts a request that a replica is shedding.
+// recordShed counts a request that a replica sheds.
 func (s *simulation) recordShed(r *replica, q *request) {
 	if s.now < s.warmup {
 		return
--- a/internal/fleetsim/overload.go
+++ b/internal/fleetsim/overload.go
@@ -3,48 +3,50 @@
 import "math"
 
 const (
-	tipMultiple = 3.0       // a backend that warms up falls over at this multiple of its present capacity
-	tipWindow   = 3_000_000 // in the mean of so many microseconds
+	// coldOverloadMultiple is the multiple of its current capacity above which the work of a
+	// backend in slow start is a violation.
+	coldOverloadMultiple = 3.0
+	coldOverloadWindow   = 3_000_000 // microseconds over which the work is averaged
 )
 
-// overloadState is whether a backend that holds too many requests is slowed.
+// overloadState describes whether a backend with too many requests is slowed.
 type overloadState struct {
 	overloaded      bool
-	overloadedUntil int64   // when it recovers at the latest
-	idleSince       int64   // since when few cores are busy; 0: they are not
-	load            float64 // moving average of requests that run or are queued
+	overloadedUntil int64   // latest time of recovery, microseconds
+	idleSince       int64   // time since which few cores are busy, microseconds; 0 means many are busy
+	load            float64 // moving average of running and queued requests
 }
 
-// workEntry is work that has begun at a time.
+// workEntry records work that a backend has started.
 type workEntry struct {
-	at   int64
-	work float64
+	at   int64   // microseconds
+	work float64 // microseconds of a core of speed 1
 }
 
-// sample updates the backend's overload and its speed.
+// sample updates the backend's overload state and its speed, which changes during slow start.
 func (b *backend) sample() {
 	if b.dead {
 		return
 	}
-	b.settle()
-	counts := b.sim.now > b.sim.warmup
+	b.advanceWorkClock()
+	measured := b.sim.now > b.sim.warmup
 	b.updateLoad()
 	if b.overloaded {
-		if counts {
+		if measured {
 			b.sim.metrics.overloadedSamples++
 		}
 		b.recover()
 	}
-	if counts {
+	if measured {
 		b.sim.metrics.samples++
 	}
-	if b.overloaded || b.startedAt != longAgo {
-		b.plan()
+	if b.overloaded || b.startedAt != startedBeforeDay {
+		b.scheduleCompletion()
 	}
 }
 
-// updateLoad updates the load, by which the backend may become overloaded, and since when it is
-// idle.
+// updateLoad updates the average load and idleSince, and marks the backend as overloaded if the
+// load exceeds its bound.
 func (b *backend) updateLoad() {
 	t, now := &b.sim.day.Tiers[b.tier], b.sim.now
 	held := float64(len(b.running) + len(b.queue))
@@ -71,7 +73,8 @@
 	}
 }
 
-// recover ends the overload if its time is up or the backend has been idle for long enough.
+// recover ends the overload if its maximum duration is over or the backend has been idle long
+// enough.
 func (b *backend) recover() {
 	now := b.sim.now
 	idleFor := b.sim.day.Tiers[b.tier].RecoverFor.micros()
@@ -80,23 +83,24 @@
 	}
 }
 
-// recordColdWork counts the work that begins at a backend that warms up: over tipWindow it must
-// stay under a multiple of what the backend can do then.
+// recordColdWork records work that a backend starts during slow start. It reports a violation if
+// the work within coldOverloadWindow exceeds coldOverloadMultiple times the backend's current
+// capacity.
 func (b *backend) recordColdWork(work float64) {
 	if b.warmth() >= 1 {
 		return
 	}
 	now := b.sim.now
 	b.coldWork = append(b.coldWork, workEntry{at: now, work: work})
-	for b.coldWork[0].at < now-tipWindow {
+	for b.coldWork[0].at < now-coldOverloadWindow {
 		b.coldWork = b.coldWork[1:]
 	}
 	sum := 0.0
 	for _, e := range b.coldWork {
 		sum += e.work
 	}
-	capacity := b.group.Speed * b.warmth() * float64(b.group.Cores) * tipWindow
-	if sum > tipMultiple*capacity {
+	capacity := b.group.Speed * b.warmth() * float64(b.group.Cores) * coldOverloadWindow
+	if sum > coldOverloadMultiple*capacity {
 		b.sim.audit.violation("a cold backend was pushed over: " + b.id)
 		b.coldWork = nil
 	}
--- a/internal/fleetsim/plot/plot_test.go
+++ b/internal/fleetsim/plot/plot_test.go
@@ -12,8 +12,8 @@
 	"fernlanding/internal/fleetsim"
 )
 
-// A day in which a deeper tier fails: the plot names the evidence that cut the limit, and a replica
-// that is not there is an error.
+// On a day on which a deeper tier fails, the plot must name the evidence that cut the limit. A
+// replica that the trace does not contain must be an error.
 func TestPlotNamesReasons(t *testing.T) {
 	var files []fleetsim.File
 	for _, n := range []string{"../testdata/base.toml", "../testdata/hard/fail-deep.toml"} {
@@ -36,7 +36,7 @@
 	lines := strings.Split(strings.TrimSpace(text.String()), "\n")
 	if len(lines) != 38 || !strings.Contains(text.String(), "by failed calls") ||
 		!strings.Contains(text.String(), "tenant count of large, at") {
-		t.Errorf("%d lines:\n%s", len(lines), text.String())
+		t.Errorf("got %d lines, want 38 lines with the reasons of the sheds:\n%s", len(lines), text.String())
 	}
 	if err := SVG(&svg, r, 1, 0); err != nil {
 		t.Fatal(err)
@@ -49,6 +49,6 @@
 		}
 	}
 	if err := Text(io.Discard, r, 0, 99); err == nil || err.Error() != "no copy 99 of tier 0 in this day" {
-		t.Errorf("got %v", err)
+		t.Errorf("Text for an unknown replica: got error %v", err)
 	}
 }
--- a/internal/fleetsim/plot/rows.go
+++ b/internal/fleetsim/plot/rows.go
@@ -9,17 +9,17 @@
 
 const (
 	second     = 1_000_000 // microseconds
-	maxLearned = 1e4       // a higher limit has not been learned yet
+	maxLearned = 1e4       // a limit above this value has not been learned yet
 )
 
-// row is one second of a replica.
+// row holds the data of one second of a replica.
 type row struct {
 	fleetsim.Sample
-	sheds, excess int
-	reason        string // of most sheds
+	sheds, excessSheds int
+	reason             string // most frequent reason for shedding
 }
 
-// limit returns the tier's limit as far as it has been learned.
+// limit returns the tier's limit, or 0 if the limit has not been learned yet.
 func (r *row) limit() float64 {
 	if !r.limitLearned() {
 		return 0
@@ -30,8 +30,9 @@
 // limitLearned reports whether the tier's limit has been learned.
 func (r *row) limitLearned() bool { return r.Stats.Tier.Limit <= maxLearned }
 
-// rowsOf returns the seconds of a replica, or an error if the day has no such replica.
-func rowsOf(result *fleetsim.Result, tier, replica int) ([]row, error) {
+// replicaRows returns one row for each second of a replica, or an error if the trace has no samples
+// of that replica.
+func replicaRows(result *fleetsim.Result, tier, replica int) ([]row, error) {
 	var rows []row
 	for _, s := range result.Trace.Samples {
 		if s.Tier == tier && s.Replica == replica && s.At%second == 0 {
@@ -49,7 +50,7 @@
 		}
 		rows[i].sheds++
 		if shed.IsExcess {
-			rows[i].excess++
+			rows[i].excessSheds++
 		}
 		if reasons[i] == nil {
 			reasons[i] = map[string]int{}
@@ -62,19 +63,19 @@
 	return rows, nil
 }
 
-// mostFrequent returns the key with the highest count, the least one of several; empty if there is
-// none.
+// mostFrequent returns the key with the highest count. Among equal counts it returns the first key
+// in lexical order. It returns an empty string if counts is empty.
 func mostFrequent(counts map[string]int) string {
-	most := ""
+	best := ""
 	for key, n := range counts {
-		if best := counts[most]; n > best || n == best && key < most {
-			most = key
+		if highest := counts[best]; n > highest || n == highest && key < best {
+			best = key
 		}
 	}
-	return most
+	return best
 }
 
-// Reason names the rule that shed a request, and what cut its limit last.
+// Reason names the rule that shed a request and the last cut of the rule's limit.
 func Reason(d *fleetsim.Day, shed fleetsim.Shed) string {
 	reason := shed.Cause.String()
 	if shed.Cause == logic.ByTenantQuota && shed.Tenant >= 0 {
--- a/internal/fleetsim/plot/text.go
+++ b/internal/fleetsim/plot/text.go
@@ -1,6 +1,6 @@
-// Package plot draws what a traced day shows of one replica: its limit and quota multiple against
-// what its tier could do, and for shed requests the rule that shed them and what had cut that
-// rule's limit.
+// Package plot draws the trace of one replica over a simulated day. The plot compares the replica's
+// concurrency limit and quota multiple with the free capacity of its tier. For shed requests it
+// names the rule that shed them and the evidence that last cut the limit of that rule.
 package plot
 
 import (
@@ -14,17 +14,18 @@
 
 const barWidth = 40 // columns
 
-// Text writes a line for each second of a replica: the tier's limit and attempts in flight, the
-// quota multiple, what capacity was free, and why most requests were shed. In the bar, # is what is
-// in flight, : what the limit admits beyond that.
+// Text writes one line for each second of a replica. A line shows the tier's limit, the attempts in
+// flight, the quota multiple, the error rate, the free capacity, the number of overloaded backends,
+// the numbers of shed requests and of excess sheds, and the most frequent reason for shedding. In
+// the bar, # stands for attempts in flight and : for further attempts that the limit admits.
 func Text(w io.Writer, result *fleetsim.Result, tier, replica int) error {
-	rows, err := rowsOf(result, tier, replica)
+	rows, err := replicaRows(result, tier, replica)
 	if err != nil {
 		return err
 	}
-	top := 1.0
+	maxValue := 1.0
 	for i := range rows {
-		top = max(top, float64(rows[i].Stats.Tier.InFlight), rows[i].limit())
+		maxValue = max(maxValue, float64(rows[i].Stats.Tier.InFlight), rows[i].limit())
 	}
 	var b strings.Builder
 	b.WriteString("s\tcount\tout\tshare\tfail\tfree\tover\trefused\tshadow\t out # and room :\n")
@@ -35,8 +36,8 @@
 			limit = fmt.Sprintf("%.1f", r.Stats.Tier.Limit)
 		}
 		fmt.Fprintf(&b, "%d\t%s\t%d\t%.2f\t%.0f%%\t%.0f%%\t%d\t%d\t%d\t %-*s %s\n",
-			r.At/second, limit, r.Stats.Tier.InFlight, r.Stats.QuotaMultiple, 100*r.Stats.ErrorRate, 100*r.Free,
-			r.Overloaded, r.sheds, r.excess, barWidth, r.bar(top), r.reason)
+			r.At/second, limit, r.Stats.Tier.InFlight, r.Stats.QuotaMultiple, 100*r.Stats.ErrorRate, 100*r.FreeFraction,
+			r.OverloadedBackends, r.sheds, r.excessSheds, barWidth, r.bar(maxValue), r.reason)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	if _, err := io.WriteString(t, b.String()); err != nil {
@@ -45,12 +46,12 @@
 	return t.Flush()
 }
 
-// bar returns the row's bar, whose full width stands for top.
-func (r *row) bar(top float64) string {
-	inFlight := int(float64(r.Stats.Tier.InFlight) / top * barWidth)
+// bar returns the row's bar, whose full width stands for maxValue.
+func (r *row) bar(maxValue float64) string {
+	inFlight := int(float64(r.Stats.Tier.InFlight) / maxValue * barWidth)
 	free := barWidth - inFlight
 	if r.limitLearned() {
-		free = int(r.limit()/top*barWidth) - inFlight
+		free = int(r.limit()/maxValue*barWidth) - inFlight
 	}
 	return strings.Repeat("#", max(0, inFlight)) + strings.Repeat(":", max(0, free))
 }
--- a/internal/fleetsim/race_on_test.go
+++ b/internal/fleetsim/race_on_test.go
@@ -2,4 +2,4 @@
 
 package fleetsim
 
-const raceEnabled = true // days take ten times as long
+const raceEnabled = true // simulations take ten times as long
--- a/internal/fleetsim/read.go
+++ b/internal/fleetsim/read.go
@@ -8,31 +8,32 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// MaxFile is the most bytes that a file of a day's description may have.
-const MaxFile = 1 << 20
+// MaxFileBytes is the maximum size of a description file in bytes.
+const MaxFileBytes = 1 << 20
 
-// File is a text and its name.
+// File is a description file. Its name appears in errors.
 type File struct {
 	Name string
 	Data []byte
 }
 
-// Read reads a day's description. Files after the first replace what they name, tables of one name
-// as a whole: one holds the fleet and another a fault. An error is one line: the file, the place or
-// the field, and what was expected.
+// Read reads the description of a day from one or more files. Values in later files replace those
+// of earlier files, and lists of tables are replaced as a whole. One file can thus describe the
+// fleet and another a fault. An error is one line that names the file, the position or the field,
+// and the allowed values.
 func Read(files ...File) (*Day, error) {
 	d := &Day{}
 	name := ""
 	for _, f := range files {
 		name = f.Name
-		if len(f.Data) > MaxFile {
-			return nil, fmt.Errorf("%s: %d bytes, at most %d expected", name, len(f.Data), MaxFile)
+		if len(f.Data) > MaxFileBytes {
+			return nil, fmt.Errorf("%s: %d bytes, at most %d expected", name, len(f.Data), MaxFileBytes)
 		}
-		overlaid := *d
-		if err := toml.NewDecoder(bytes.NewReader(f.Data)).DisallowUnknownFields().Decode(&overlaid); err != nil {
+		merged := *d
+		if err := toml.NewDecoder(bytes.NewReader(f.Data)).DisallowUnknownFields().Decode(&merged); err != nil {
 			return nil, decodeError(name, err)
 		}
-		*d = overlaid
+		*d = merged
 	}
 	if err := d.Complete(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
@@ -40,14 +41,14 @@
 	return d, nil
 }
 
-// Complete sets defaults, and returns a [*FieldError] for the first field that is out of its range.
-// Only a day that is complete can be simulated.
+// Complete sets the defaults and validates the day. It returns a [*FieldError] for the first field
+// whose value is out of range. Only a complete day can be simulated.
 func (d *Day) Complete() error {
 	d.setDefaults()
 	return d.validate()
 }
 
-// decodeError returns a decoder's error as one line with its place.
+// decodeError returns an error of the TOML decoder as one line with its position.
 func decodeError(file string, err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
--- a/internal/fleetsim/replica.go
+++ b/internal/fleetsim/replica.go
@@ -8,62 +8,64 @@
 	"fernlanding/logic"
 )
 
-const drainGrace = 250_000 // microseconds
+// drainGrace is the time after the notification of a drain within which a replica may still send
+// new attempts to the endpoint, in microseconds.
+const drainGrace = 250_000
 
-// replica is one replica of the decision module before a tier.
+// replica is one replica of the decision module in front of a tier.
 type replica struct {
-	sim         *simulation
-	tier        int
-	index       int
-	balancer    *logic.Balancer
-	requests    map[string]*request
-	dead        bool
-	updateDelay int64            // until it is notified of a change, microseconds
-	leftAt      map[string]int64 // when it was notified that a backend takes nothing new
+	sim             *simulation
+	tier            int
+	index           int
+	balancer        *logic.Balancer
+	requests        map[string]*request
+	dead            bool
+	updateDelay     int64            // delay of endpoint updates, microseconds
+	drainNotifiedAt map[string]int64 // by endpoint ID: when the replica learned that it is not ready
 }
 
-// request is what a replica has been handed: an attempt of a client, or a call of a backend.
+// request is a request that a replica has received: an attempt of a client or a call of a backend.
 type request struct {
-	id        string
-	client    *clientRequest
-	effect    string // names what may happen only once: a client's request, or one call of one job
-	key       string // idempotency key
-	replica   *replica
-	arrivedAt int64
-	giveUpAt  int64
-	sends     int
-	inFlight  *attempt
-	done      bool
-	onAnswer  func(answer)
+	id          string
+	client      *clientRequest
+	executionID string // identifies what must not run twice: a client request, or one call of a job
+	key         string // idempotency key
+	replica     *replica
+	arrivedAt   int64 // microseconds
+	giveUpAt    int64 // time at which the sender stops waiting, microseconds
+	attempts    int   // number of attempts sent
+	inFlight    *attempt
+	done        bool
+	onAnswer    func(answer)
 }
 
 // answer is the final answer to a request.
 type answer struct {
 	status     answerStatus
-	retryAfter int64 // of a shed request, microseconds
+	retryAfter int64 // Retry-After of a shed request, microseconds
 }
 
-// answerStatus is how a request ended.
+// answerStatus states how a request ended.
 type answerStatus int
 
-// The ends of a request.
+// The values of answerStatus.
 const (
 	served answerStatus = iota
 	shed
 	failed
 )
 
-// attempt is one attempt of a replica at a backend.
+// attempt is one forwarding of a request to a backend.
 type attempt struct {
 	request *request
 	backend *backend
-	number  int
-	sentAt  int64
+	number  int   // number of the attempt within its request, from 0
+	sentAt  int64 // microseconds
 	job     *job
 	ended   bool
 }
 
-// end ends an attempt at its backend; the replica learns of it one way later.
+// end ends an attempt at its backend. The replica learns the outcome after the network delay.
 func (a *attempt) end(status logic.Status) {
 	if a.ended {
 		return
@@ -71,19 +73,19 @@
 	a.ended = true
 	s := a.request.replica.sim
 	delete(s.inFlight, a)
-	s.after(s.hop(), func() { a.request.replica.outcome(a, status) })
+	s.after(s.networkDelay(), func() { a.request.replica.handleOutcome(a, status) })
 }
 
-// giveUp ends an attempt that the replica stops waiting for.
+// giveUp ends an attempt for which the replica stops waiting.
 func (a *attempt) giveUp(status logic.Status) {
 	if a.ended {
 		return
 	}
 	a.abandon()
-	a.request.replica.outcome(a, status)
+	a.request.replica.handleOutcome(a, status)
 }
 
-// abandon ends an attempt of which the replica does not learn any more.
+// abandon ends an attempt without reporting an outcome to the replica.
 func (a *attempt) abandon() {
 	a.ended = true
 	delete(a.request.replica.sim.inFlight, a)
@@ -92,22 +94,22 @@
 	}
 }
 
-// newReplica returns a replica that knows no endpoint.
+// newReplica returns a replica without endpoints.
 func (s *simulation) newReplica(tier, index, replicas int) *replica {
 	s.replicaCount++
 	balancer, err := logic.New(s.settings(tier, index, replicas), s.day.Seed*1_000_003+uint64(s.replicaCount))
 	if err != nil {
-		panic("fleetsim: a complete day has invalid settings: " + err.Error())
+		panic("fleetsim: invalid settings for a validated day: " + err.Error())
 	}
 	r := &replica{
 		sim: s, tier: tier, index: index, balancer: balancer,
-		requests: map[string]*request{}, leftAt: map[string]int64{},
+		requests: map[string]*request{}, drainNotifiedAt: map[string]int64{},
 	}
 	s.replicas = append(s.replicas, r)
 	return r
 }
 
-// settings returns what a replica before a tier is configured with.
+// settings returns the settings of a replica in front of a tier.
 func (s *simulation) settings(tier, index, replicas int) logic.Settings {
 	d, t := s.day, &s.day.Tiers[tier]
 	settings := logic.Settings{
@@ -127,7 +129,7 @@
 	return settings
 }
 
-// settings returns the class as a replica is configured with it.
+// settings returns the settings of the class for a replica.
 func (c *Class) settings() logic.Class {
 	kinds := map[string]logic.Idempotency{
 		idempotent: logic.Idempotent, idempotentByKey: logic.IdempotentByKey, nonIdempotent: logic.NonIdempotent,
@@ -139,8 +141,8 @@
 	}
 }
 
-// take hands a request to the replica.
-func (r *replica) take(q *request) {
+// receive handles a request that arrives at the replica.
+func (r *replica) receive(q *request) {
 	s := r.sim
 	q.replica, q.arrivedAt = r, s.now
 	r.requests[q.id] = q
@@ -150,7 +152,7 @@
 	})
 }
 
-// cancel ends a request that nobody waits for any more.
+// cancel ends a request whose sender no longer waits.
 func (r *replica) cancel(q *request) {
 	if q.done || r.dead {
 		return
@@ -164,7 +166,7 @@
 	}
 }
 
-// end gives a request its one final answer.
+// end sends the final answer to a request. A second final answer is a violation.
 func (r *replica) end(q *request, a answer) {
 	s := r.sim
 	if q.done {
@@ -176,18 +178,18 @@
 	if s.now > q.giveUpAt {
 		s.audit.violation("a final answer after its client gave up")
 	}
-	s.after(s.hop(), func() { q.onAnswer(a) })
+	s.after(s.networkDelay(), func() { q.onAnswer(a) })
 }
 
-// forget drops a request that has its answer and no attempt in flight.
+// forget removes a request that has been answered and has no attempt in flight.
 func (r *replica) forget(q *request) {
 	if q.done && q.inFlight == nil {
 		delete(r.requests, q.id)
 	}
 }
 
-// outcome takes the end of an attempt.
-func (r *replica) outcome(a *attempt, status logic.Status) {
+// handleOutcome processes the end of an attempt.
+func (r *replica) handleOutcome(a *attempt, status logic.Status) {
 	q, now := a.request, r.sim.now
 	if q.inFlight == a {
 		q.inFlight = nil
@@ -204,7 +206,7 @@
 	r.forget(q)
 }
 
-// kill ends the replica with its process; its callers get no answer before their time runs out.
+// kill ends the replica's process. Each open request fails at its sender after the network delay.
 func (r *replica) kill() {
 	r.dead = true
 	for _, q := range r.sortedRequests() {
@@ -213,13 +215,13 @@
 		}
 		if !q.done {
 			q.done = true
-			r.sim.after(r.sim.hop(), func() { q.onAnswer(answer{status: failed}) })
+			r.sim.after(r.sim.networkDelay(), func() { q.onAnswer(answer{status: failed}) })
 		}
 	}
 	r.requests = map[string]*request{}
 }
 
-// sortedRequests returns the replica's requests in the order of their arrival.
+// sortedRequests returns the replica's requests in order of arrival, then of ID.
 func (r *replica) sortedRequests() []*request {
 	all := make([]*request, 0, len(r.requests))
 	for _, q := range r.requests {
@@ -231,16 +233,16 @@
 	return all
 }
 
-// updateEndpoints notifies the replica of backends.
+// updateEndpoints delivers an endpoint update to the replica.
 func (r *replica) updateEndpoints(kind logic.UpdateKind, entries []logic.Endpoint) {
 	if r.dead {
 		return
 	}
 	for _, e := range entries {
 		if e.State == logic.Ready {
-			delete(r.leftAt, e.ID)
-		} else if _, known := r.leftAt[e.ID]; !known {
-			r.leftAt[e.ID] = r.sim.now
+			delete(r.drainNotifiedAt, e.ID)
+		} else if _, known := r.drainNotifiedAt[e.ID]; !known {
+			r.drainNotifiedAt[e.ID] = r.sim.now
 		}
 	}
 	r.balancer.UpdateEndpoints(r.sim.now, r.host(), kind, entries)
--- a/internal/fleetsim/sockets_test.go
+++ b/internal/fleetsim/sockets_test.go
@@ -12,8 +12,9 @@
 	"fernlanding/internal/standin"
 )
 
-// The same day on sockets: a sidecar before stand-in workers, and the fleet's own backends of the
-// same cores, speeds and queues, with one that becomes slow. Service must lie within five points.
+// The same load runs on sockets, through a sidecar to stand-in workers, and in the simulation, with
+// backends of the same cores, speeds and queues. In the second case one backend becomes slow. The
+// served fractions must differ by at most 0.05.
 func TestDayOnSocketsIsServedAlike(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs some seconds of load")
@@ -60,22 +61,23 @@
 			simulated += fleetsim.Run(d, fleetsim.Options{}).Service() / runs
 		}
 		if math.Abs(onSockets-simulated) > 0.05 {
-			t.Errorf("slow %v: served %.3f on sockets, %.3f in the fleet", slow, onSockets, simulated)
+			t.Errorf("slow %v: got served fractions of %.3f on sockets and %.3f simulated; want them within 0.05",
+				slow, onSockets, simulated)
 		}
 	}
 }
 
-// socketsDay is a day on sockets.
+// socketsDay describes a load on sockets.
 type socketsDay struct {
-	speeds []float64 // of the workers
+	speeds []float64 // core speeds of the workers
 	work   time.Duration
 	class  standin.Class
 	rate   float64 // requests per second
 	length time.Duration
-	slow   bool // one worker becomes slow
+	slow   bool // whether one worker becomes slow
 }
 
-// serviceOnSockets returns the fraction of the load that was answered in time.
+// serviceOnSockets returns the fraction of the requests that were served within their objective.
 func serviceOnSockets(t *testing.T, day socketsDay) float64 {
 	t.Helper()
 	d, err := standin.NewDiscovery()
@@ -117,7 +119,8 @@
 		defer fault.Stop()
 	}
 	load := standin.Load{
-		Addr: s.Addr(), Classes: []standin.Class{day.class}, Rate: day.rate, Duration: day.length, Seed: 1, IDPrefix: "day",
+		Addr: s.Addr(), Classes: []standin.Class{day.class}, Rate: day.rate, Duration: day.length, Seed: 1,
+		IDPrefix: "day",
 	}
 	r := load.Run(context.Background())[0]
 	return float64(r.Served-r.Late) / float64(r.Sent)
--- a/internal/fleetsim/topology.go
+++ b/internal/fleetsim/topology.go
@@ -8,27 +8,27 @@
 	"fernlanding/logic"
 )
 
-// longAgo is the start of a backend that was warm before the day began.
-const longAgo = 0
+// startedBeforeDay is the startedAt of a backend that is warm when the day begins.
+const startedBeforeDay = 0
 
-// newID returns an ID that no other process or request has.
+// newID returns an ID that is unique among processes and requests.
 func (s *simulation) newID(prefix string) string {
 	s.ids++
 	return prefix + strconv.Itoa(s.ids)
 }
 
-// startAll starts all processes, the last tier first, since the replica beside each backend needs a
-// list.
+// startAll starts all processes. The last tier starts first, since the replica beside each backend
+// needs the endpoint list of the next tier.
 func (s *simulation) startAll() {
 	for tier := len(s.day.Tiers) - 1; tier >= 0; tier-- {
 		index := 0
 		for _, g := range s.day.Tiers[tier].Groups {
 			for range g.Count {
-				s.startBackend(tier, index, g, longAgo)
+				s.startBackend(tier, index, g, startedBeforeDay)
 				index++
 			}
 		}
-		// Speeds are mixed over indices, since faults concern the first ones.
+		// The backends are shuffled to mix their speeds, since faults affect consecutive indexes.
 		backends := s.backends[tier]
 		rand.New(rand.NewPCG(s.day.Seed, 100+uint64(tier))).Shuffle(len(backends), func(i, j int) {
 			backends[i], backends[j] = backends[j], backends[i]
@@ -40,7 +40,7 @@
 	}
 }
 
-// startReplica starts a replica, which knows the present endpoint list.
+// startReplica starts a replica with the current endpoint list.
 func (s *simulation) startReplica(tier, index, replicas int) *replica {
 	r := s.newReplica(tier, index, replicas)
 	r.updateDelay = int64(float64(s.day.Network.UpdateDelay.micros()) * (0.5 + s.networkRand.Float64()))
@@ -54,7 +54,7 @@
 	return r
 }
 
-// startBackend starts a backend's process; startedAt is in microseconds, or longAgo.
+// startBackend starts a backend's process; startedAt is in microseconds, or startedBeforeDay.
 func (s *simulation) startBackend(tier, index int, g BackendGroup, startedAt int64) *backend {
 	b := &backend{
 		sim: s, id: s.newID(s.day.Tiers[tier].Name + "-"), tier: tier, index: index,
@@ -67,17 +67,20 @@
 	return b
 }
 
-// startReplicaBeside starts the replica by which a backend calls the next tier, if there is one.
+// startReplicaBeside starts the replica through which a backend calls the next tier, if there is a
+// next tier.
 func (s *simulation) startReplicaBeside(b *backend) {
 	if b.tier+1 < len(s.day.Tiers) {
 		b.replica = s.startReplica(b.tier+1, b.index, s.day.backendCount(b.tier))
 	}
 }
 
-// notify notifies every replica before a backend's tier of its state, each after its delay.
+// notify sends a backend's state to every replica of its tier. Each replica receives the update
+// after its own delay.
 func (s *simulation) notify(b *backend) { s.notifyState(b, b.state) }
 
-// notifyState notifies them of a state that the backend itself need not know.
+// notifyState sends the replicas of a backend's tier a state that may differ from the backend's
+// own.
 func (s *simulation) notifyState(b *backend, state logic.State) {
 	entry := b.entry()
 	entry.State = state
@@ -88,12 +91,13 @@
 	}
 }
 
-// drain has a backend reject new requests; its process ends once it is empty.
+// drain makes a backend reject new requests. Its process ends when the backend holds no requests
+// any more, or after drainTimeout.
 func (s *simulation) drain(b *backend) {
 	if b.dead || b.state != logic.Ready {
 		return
 	}
-	b.settle()
+	b.advanceWorkClock()
 	b.state = logic.Draining
 	s.notify(b)
 	until := s.now + drainTimeout
@@ -105,28 +109,28 @@
 		}
 		b.state = logic.Removed
 		s.notify(b)
-		s.after(drainTimeout, func() { s.remove(b) }) // attempts may be on their way
+		s.after(drainTimeout, func() { s.remove(b) }) // attempts may still be in transit
 	}
-	// Until the replicas are notified, requests go on coming: the backend rejects them.
+	// Requests arrive until all replicas are notified. The backend rejects them.
 	s.after(int64(1.6*float64(s.day.Network.UpdateDelay.micros())), check)
 }
 
-// remove ends a backend's process for good.
+// remove ends a backend's process permanently.
 func (s *simulation) remove(b *backend) {
-	b.die()
+	b.terminate()
 	i := slices.Index(s.backends[b.tier], b)
 	if i >= 0 {
 		s.backends[b.tier] = slices.Concat(s.backends[b.tier][:i], s.backends[b.tier][i+1:])
 	}
 }
 
-// kill ends a backend's process; the list service notices.
+// kill ends a backend's process without draining. The list service reports the backend as removed.
 func (s *simulation) kill(b *backend) {
-	b.die()
+	b.terminate()
 	s.notifyState(b, logic.Removed)
 }
 
-// revive starts the process of a backend that was killed anew.
+// revive restarts the process of a backend that was killed, unless the backend was drained before.
 func (s *simulation) revive(b *backend) {
 	if b.state != logic.Ready {
 		return
--- a/internal/fleetsim/trace.go
+++ b/internal/fleetsim/trace.go
@@ -4,42 +4,42 @@
 
 const (
 	traceInterval  = 500_000 // microseconds between samples of the replicas
-	maxTracedSheds = 200_000
+	maxTracedSheds = 200_000 // maximum number of shed requests recorded
 )
 
-// Trace is what a day shows of its replicas. It is bounded by the day's length and by
-// maxTracedSheds.
+// Trace records the states of the replicas and the shed requests of a day. Its size is bounded by
+// the day's length and by maxTracedSheds.
 type Trace struct {
-	Samples []Sample
-	Sheds   []Shed
-	Dropped int // shed requests that were too many to keep
+	Samples      []Sample
+	Sheds        []Shed
+	DroppedSheds int // number of shed requests beyond maxTracedSheds
 }
 
-// Sample is one replica at one time.
+// Sample is the state of one replica at one time.
 type Sample struct {
-	At         int64 // microseconds
-	Tier       int
-	Replica    int // its index in the tier
-	Stats      logic.Stats
-	Free       float64 // fraction of its tier's capacity that is free
-	Overloaded int     // backends of its tier that are slowed by overload
-	FreeCores  float64 // cores of its tier that are free
+	At                 int64 // microseconds
+	Tier               int
+	Replica            int // index of the replica in its tier
+	Stats              logic.Stats
+	FreeFraction       float64 // free fraction of the tier's capacity
+	OverloadedBackends int     // overloaded backends of the tier
+	FreeCores          float64 // free cores of the tier
 }
 
-// Shed is one shed request with its cause.
+// Shed is a shed request with its cause.
 type Shed struct {
-	At       int64 // microseconds
-	Tier     int
-	Replica  int
-	Class    int
-	Tenant   int
-	Cause    logic.ShedCause
-	Limit    logic.LimitStats // of the rule that shed it, if it has a limit; of a quota the multiple
-	Free     float64          // fraction of every tier's capacity that was free
-	IsExcess bool             // by the first tier, while capacity was free in all tiers
+	At              int64 // microseconds
+	Tier            int
+	Replica         int
+	Class           int
+	Tenant          int
+	Cause           logic.ShedCause
+	Limit           logic.LimitStats // limit of the rule that shed the request, if any; for a quota, its multiple
+	MinFreeFraction float64          // lowest free fraction of capacity among all tiers
+	IsExcess        bool             // whether the first tier shed the request while all tiers had free capacity
 }
 
-// traceReplicas samples the replicas that serve.
+// traceReplicas records a sample of each replica that receives requests.
 func (s *simulation) traceReplicas() {
 	overloaded := make([]int, len(s.backends))
 	freeCores := make([]float64, len(s.backends))
@@ -59,20 +59,20 @@
 		}
 		s.trace.Samples = append(s.trace.Samples, Sample{
 			At: s.now, Tier: r.tier, Replica: r.index, Stats: r.balancer.Stats(),
-			Free: s.free[r.tier], Overloaded: overloaded[r.tier], FreeCores: freeCores[r.tier],
+			FreeFraction: s.freeFractions[r.tier], OverloadedBackends: overloaded[r.tier], FreeCores: freeCores[r.tier],
 		})
 	}
 }
 
-// traceShed keeps a shed request.
+// traceShed records a shed request.
 func (s *simulation) traceShed(r *replica, q *request, cause logic.ShedCause, isExcess bool) {
 	if len(s.trace.Sheds) >= maxTracedSheds {
-		s.trace.Dropped++
+		s.trace.DroppedSheds++
 		return
 	}
 	entry := Shed{
 		At: s.now, Tier: r.tier, Replica: r.index, Class: q.client.class, Tenant: q.client.tenant, Cause: cause,
-		Free: s.minFree(), IsExcess: isExcess,
+		MinFreeFraction: s.minFree(), IsExcess: isExcess,
 	}
 	stats := r.balancer.Stats()
 	switch cause {
