--- a/cmd/fernlanding/main.go
+++ b/cmd/fernlanding/main.go
@@ -88,7 +88,8 @@
 	case "standin":
 		return runStandins(ctx, args[1:], out, log)
 	case "version":
-		printf(out, "fernlanding %s, reads versions 1 to %d of an application's file\n", config.ProgramVersion, config.FormatVersion)
+		printf(out, "fernlanding %s, reads versions 1 to %d of an application's file\n",
+			config.ProgramVersion, config.FormatVersion)
 		return nil
 	default:
 		return serve(ctx, args, env, received, log)
--- a/cmd/fernlanding/main_test.go
+++ b/cmd/fernlanding/main_test.go
@@ -111,7 +111,8 @@
 	var out bytes.Buffer
 	code := run([]string{"version"}, noEnv, &out, io.Discard)
 	if code != 0 || !strings.Contains(out.String(), config.ProgramVersion) {
-		t.Errorf("version: got exit code %d and output %q, want 0 and version %s", code, out.String(), config.ProgramVersion)
+		t.Errorf("version: got exit code %d and output %q, want 0 and version %s",
+			code, out.String(), config.ProgramVersion)
 	}
 }
 
