--- a/internal/catalogue/catalogue_test.go
+++ b/internal/catalogue/catalogue_test.go
@@ -11,8 +11,8 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// The same catalogue gives the same bytes, however its text is divided into files and in whatever
-// order these come; only the digest of the sources tells them apart.
+// The generated files do not depend on how the text of a catalogue is divided into files, or on the
+// order of the files. Only the digest of the sources differs.
 func TestOutputIsIndependentOfFileLayout(t *testing.T) {
 	start := StarterFiles()
 	joined := File{Name: "all.toml"}
@@ -23,7 +23,7 @@
 		}
 		joined.Data = append(joined.Data, text...)
 	}
-	// The same tables in reverse order.
+	// The same tables in the reverse order.
 	tables := strings.Split(string(joined.Data[len("catalogue = 1\n"):]), "\n[applications.")
 	for i := range tables[1:] {
 		tables[i+1] = "[applications." + tables[i+1]
@@ -31,16 +31,16 @@
 	reversed := slices.Clone(tables)
 	slices.Reverse(reversed)
 	var want []Output
-	reversedFile := File{Name: "turned.toml", Data: []byte("catalogue = 1\n" + strings.Join(reversed, "\n"))}
+	reversedFile := File{Name: "reversed.toml", Data: []byte("catalogue = 1\n" + strings.Join(reversed, "\n"))}
 	for i, files := range [][]File{start, {start[2], start[0], start[1]}, {joined}, {reversedFile}} {
 		for range 3 {
-			c, faults := Read(files)
-			if len(faults) > 0 {
-				t.Fatal(faults)
+			c, diagnostics := Read(files)
+			if len(diagnostics) > 0 {
+				t.Fatal(diagnostics)
 			}
-			p, faults := c.Generate("staging")
-			if len(faults) > 0 || len(p.Outputs) != 2 {
-				t.Fatal(faults)
+			p, diagnostics := c.Generate("staging")
+			if len(diagnostics) > 0 || len(p.Outputs) != 2 {
+				t.Fatal(diagnostics)
 			}
 			if want == nil {
 				want = p.Outputs
@@ -49,17 +49,18 @@
 				got := bytes.ReplaceAll(o.Data, []byte(c.Digest), []byte("D"))
 				first, _ := Read(start)
 				if w := bytes.ReplaceAll(want[n].Data, []byte(first.Digest), []byte("D")); !bytes.Equal(got, w) {
-					t.Errorf("%d: got\n%s\nwant\n%s", i, got, w)
+					t.Errorf("layout %d: got\n%s\nwant\n%s", i, got, w)
 				}
 				if len(o.Origin) != bytes.Count(o.Data, []byte("\n")) {
-					t.Errorf("%d places for %d lines", len(o.Origin), bytes.Count(o.Data, []byte("\n")))
+					t.Errorf("got %d origins, want one for each of %d lines", len(o.Origin),
+						bytes.Count(o.Data, []byte("\n")))
 				}
 			}
 		}
 	}
 }
 
-// changeTexts returns the texts of changes.
+// changeTexts returns the text of each change.
 func changeTexts(changes []config.Change) []string {
 	var texts []string
 	for _, change := range changes {
@@ -68,7 +69,7 @@
 	return texts
 }
 
-// An environment's values reach the files; others do not change.
+// The generated files have the values that an environment overrides, and no other value changes.
 func TestEnvironmentOverridesValues(t *testing.T) {
 	c, _ := Read(StarterFiles())
 	local, _ := c.Generate("local")
@@ -89,12 +90,13 @@
 		"- services.tariff.endpoints[tariff-2].cell = 1",
 	}
 	if !slices.Equal(got, want) || !headsDiffer {
-		t.Errorf("heads differ %v, got\n%s", headsDiffer, strings.Join(got, "\n"))
+		t.Errorf("headers differ: got %v, want true; got changes\n%s", headsDiffer, strings.Join(got, "\n"))
 	}
 }
 
-// A renamed class is one change, not a removed class and an added one.
-func TestRenamedClassIsOneChange(t *testing.T) {
+// A class that is renamed with its former name is reported as a rename, not as a removal and an
+// addition.
+func TestDiffReportsRenamedClassAsOneChange(t *testing.T) {
 	files := StarterFiles()
 	old, _ := Read(files)
 	files[0].Data = bytes.ReplaceAll(files[0].Data, []byte("[services.billing.classes.usage-rate]\n"),
@@ -102,9 +104,9 @@
 	files[1].Data = bytes.ReplaceAll(files[1].Data, []byte("classes.usage-rate"), []byte("classes.rate"))
 	renamed, _ := Read(files)
 	before, _ := old.Generate("local")
-	after, faults := renamed.Generate("local")
-	if len(faults) > 0 {
-		t.Fatal(faults)
+	after, diagnostics := renamed.Generate("local")
+	if len(diagnostics) > 0 {
+		t.Fatal(diagnostics)
 	}
 	changes, _ := config.Diff(config.Read("a", before.Outputs[0].Data), config.Read("a", after.Outputs[0].Data))
 	got := changeTexts(changes)
@@ -123,19 +125,19 @@
 		`- routes[billing.usage-rate].class = "usage-rate"`,
 	}
 	if !slices.Equal(got, want) {
-		t.Errorf("got\n%s", strings.Join(got, "\n"))
+		t.Errorf("got changes\n%s", strings.Join(got, "\n"))
 	}
 }
 
-// A file whose endpoint lists come from relays names the relays, and requires a program that
-// supports them; other files require what they did before.
+// A file with endpoint lists from relays has the addresses of the relays and requires a program
+// version that supports them. Files without relays require an older version.
 func TestRelaysRequireNewerProgram(t *testing.T) {
 	files := StarterFiles()
 	plain, _ := Read(files)
 	before, _ := plain.Generate("local")
 	for _, o := range before.Outputs {
 		if !bytes.Contains(o.Data, []byte("requires = \"0.3\"\n")) || bytes.Contains(o.Data, []byte("distribution")) {
-			t.Errorf("without relays:\n%s", o.Data)
+			t.Errorf("without relays: got\n%s", o.Data)
 		}
 	}
 	name := before.Outputs[0].Application
@@ -143,20 +145,20 @@
 [environments.local.applications.%s.distribution]
 relays = ["127.0.0.1:7401"]
 `, name)})
-	relayed, faults := Read(files)
-	if len(faults) > 0 {
-		t.Fatal(faults)
+	relayed, diagnostics := Read(files)
+	if len(diagnostics) > 0 {
+		t.Fatal(diagnostics)
 	}
 	after, _ := relayed.Generate("local")
 	doc := config.Read("f", after.Outputs[0].Data)
-	if doc.App == nil || doc.App.Provenance.Requires != minProgramRelay ||
+	if doc.App == nil || doc.App.Provenance.Requires != minProgramVersionRelay ||
 		!slices.Equal(doc.App.Distribution.Relays, []string{"127.0.0.1:7401"}) {
-		t.Errorf("with relays:\n%s\n%v", after.Outputs[0].Data, doc.Diagnostics)
+		t.Errorf("with relays: got\n%s\ndiagnostics %v", after.Outputs[0].Data, doc.Diagnostics)
 	}
 }
 
-// Any text gives a plan or faults that name a place, and what is generated reads as TOML whatever
-// stands in strings.
+// Any input gives a plan or diagnostics with a place. The generated files are valid TOML whatever
+// the strings of the catalogue contain.
 func FuzzCatalogue(f *testing.F) {
 	for _, s := range StarterFiles() {
 		f.Add(s.Data, "staging")
@@ -168,31 +170,31 @@
 		"classes={c=5,d={routes=[7,{prefix=3}]}}\n[applications.a]\nlisteners=[1]\nprocess=5\n"+
 		"calls={s={split=[{service='s'},9],classes={d={mirror={service='s'}}}}}\n"), "")
 	f.Fuzz(func(t *testing.T, data []byte, env string) {
-		c, faults := Read([]File{{Name: "f.toml", Data: data}, StarterFiles()[2]})
+		c, diagnostics := Read([]File{{Name: "f.toml", Data: data}, StarterFiles()[2]})
 		if c == nil {
-			if len(faults) == 0 {
-				t.Fatal("nothing, and no fault")
+			if len(diagnostics) == 0 {
+				t.Fatal("got neither a catalogue nor a diagnostic")
 			}
 			return
 		}
 		p, more := c.Generate(env)
-		for _, f := range append(faults, more...) {
+		for _, f := range append(diagnostics, more...) {
 			if strings.ContainsAny(f.Report(), "\n\r") || f.File == "" && f.Rule != "" && f.Line > 0 {
-				t.Fatalf("%q", f.Report())
+				t.Fatalf("invalid report: %q", f.Report())
 			}
 		}
 		if p == nil {
 			return
 		}
 		for _, o := range append(p.Outputs, p.Uncalled...) {
-			root, faults := tomldoc.Parse(o.Name, o.Data)
-			for _, f := range faults {
+			root, diagnostics := tomldoc.Parse(o.Name, o.Data)
+			for _, f := range diagnostics {
 				if root == nil && f.Rule != "FILE-SIZE" && f.Rule != "FILE-DEPTH" && f.Rule != "DOUBLE-FIELD" {
-					t.Fatalf("%v\n%s", faults, o.Data)
+					t.Fatalf("generated file is not valid TOML: %v\n%s", diagnostics, o.Data)
 				}
 			}
 			if n := bytes.Count(o.Data, []byte("\n")); n != len(o.Origin) {
-				t.Fatalf("%d lines, %d places", n, len(o.Origin))
+				t.Fatalf("got %d origins, want one for each of %d lines", len(o.Origin), n)
 			}
 			_ = fmt.Sprint(config.Read(o.Name, o.Data).Diagnostics)
 		}
--- a/internal/catalogue/compare.go
+++ b/internal/catalogue/compare.go
@@ -9,19 +9,19 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// checkBounds reports what a caller states beyond the bounds of the service's owner.
-func checkBounds(scope tomldoc.Scope, s *service) {
+// checkLimits reports values of a caller that exceed the limits of the service's owner.
+func checkLimits(scope tomldoc.Scope, s *service) {
 	if attempts := scope.Int("attempts", 1, 1, 16); attempts > s.maxAttempts {
 		scope.ReportField(rules.Range, "attempts",
-			"%d at most expected, as the owner states, team %s", s.maxAttempts, s.team)
+			"exceeds the limit of %d set by the owner, team %s", s.maxAttempts, s.team)
 	}
 	if multiple := scope.Float("cold_multiple", 1, 0, 100); multiple > s.maxSlowStartMultiple {
-		scope.ReportField(rules.ColdMultiple, "cold_multiple", "%g at most expected, as the owner states, team %s",
+		scope.ReportField(rules.ColdMultiple, "cold_multiple", "exceeds the limit of %g set by the owner, team %s",
 			s.maxSlowStartMultiple, s.team)
 	}
 }
 
-// compareClass reports where a caller's statements of a class contradict the owner's.
+// compareClass reports the fields of a class with which a caller contradicts the service's owner.
 func (m *model) compareClass(scope tomldoc.Scope, s *service, name string, owners *class) {
 	for _, field := range repeatableFields {
 		m.compareField(scope, s, name, owners, field)
@@ -29,22 +29,23 @@
 	m.compareRetryTargets(scope, s, name, owners)
 }
 
-// compareField reports a field of a class that means something else than the owner's.
+// compareField reports a field of a class if the caller's value is not equivalent to the owner's.
 func (m *model) compareField(scope tomldoc.Scope, s *service, name string, owners *class, field string) {
 	callers, own := scope.Value.Fields[field], owners.table.Fields[field]
-	if callers == nil || own != nil && canonical(field, callers) == canonical(field, own) {
+	if callers == nil || own != nil && canonicalText(field, callers) == canonicalText(field, own) {
 		return
 	}
-	see, says := owners.table.Place, "says nothing"
+	see, stated := owners.table.Place, "does not set it"
 	switch {
 	case own != nil:
-		see, says = own.Place, "says "+own.Describe()
+		see, stated = own.Place, "sets "+own.Describe()
 	case field == "dedup_scope" && callers.Text == "cell" && isKeyed(owners):
 		return // the owner's default
 	}
 	m.report(tomldoc.Diagnostic{
 		Place: callers.Place, Rule: rules.ClassDisagrees, Field: scope.FieldPath(field), Found: callers.Describe(),
-		Expect: fmt.Sprintf("team %s, which owns %s, %s of class %s", s.team, s.name, says, name), See: see,
+		Expect: fmt.Sprintf("contradicts the owner of %s: team %s %s for class %s", s.name, s.team, stated, name),
+		See:    see,
 	})
 }
 
@@ -54,7 +55,7 @@
 	return idempotency != nil && idempotency.Text == "keyed"
 }
 
-// compareRetryTargets reports a caller that would retry on more backends than the owner allows.
+// compareRetryTargets reports a caller that allows retries on more backends than the owner does.
 func (m *model) compareRetryTargets(scope tomldoc.Scope, s *service, name string, owners *class) {
 	callers, own := scope.Value.Fields["resend"], owners.table.Fields["resend"]
 	breadth := map[string]int{"never": 0, "scope": 1, "any": 2}
@@ -63,13 +64,14 @@
 	}
 	m.report(tomldoc.Diagnostic{
 		Place: callers.Place, Rule: rules.ClassDisagrees, Field: scope.FieldPath("resend"), Found: callers.Describe(),
-		Expect: fmt.Sprintf("team %s, which owns %s, allows %s of class %s", s.team, s.name, own.Describe(), name),
-		See:    own.Place,
+		Expect: fmt.Sprintf("exceeds what the owner of %s, team %s, allows for class %s: %s",
+			s.name, s.team, name, own.Describe()),
+		See: own.Place,
 	})
 }
 
-// canonical returns the text of a field's value in one form, however it is written.
-func canonical(field string, value *tomldoc.Value) string {
+// canonicalText returns the canonical text of a field's value: equivalent values have equal texts.
+func canonicalText(field string, value *tomldoc.Value) string {
 	switch field {
 	case "dedup_window":
 		if window, err := time.ParseDuration(value.Text); err == nil {
--- a/internal/catalogue/dir/deployed.go
+++ b/internal/catalogue/dir/deployed.go
@@ -14,8 +14,8 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// ReadDeployed decodes the files of a directory that Write has written; none if there is no such
-// directory.
+// ReadDeployed decodes the files of a directory that Write has written. It returns no documents if
+// the directory does not exist.
 func ReadDeployed(directory string) ([]*config.Document, error) {
 	entries, err := os.ReadDir(directory)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -38,22 +38,22 @@
 	return docs, nil
 }
 
-// ReadFile reads a file. Of a file beyond the size of the largest document it returns one byte more
-// than that, so that the decoder reports the size.
+// ReadFile reads a file up to one byte beyond tomldoc.MaxFile, so that the decoder can report a file
+// that is too large.
 func ReadFile(name string) ([]byte, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // it was only read from
+	defer func() { _ = f.Close() }() // the file is only read
 	if info, err := f.Stat(); err == nil && info.IsDir() {
 		return nil, &fs.PathError{Op: "read", Path: name, Err: errors.New("is a directory")}
 	}
 	return io.ReadAll(io.LimitReader(f, tomldoc.MaxFile+1))
 }
 
-// ReplaceFile replaces the content of a file atomically and keeps its mode. Of a link it replaces the
-// target.
+// ReplaceFile replaces the content of a file atomically and keeps its mode. If the file is a
+// symbolic link, the target of the link is replaced.
 func ReplaceFile(name string, data []byte) error {
 	info, err := os.Stat(name)
 	if err != nil {
--- a/internal/catalogue/dir/exchange_other.go
+++ b/internal/catalogue/dir/exchange_other.go
@@ -8,8 +8,8 @@
 	"os"
 )
 
-// exchange puts the staged directory in the place of another and removes that. Here this takes two
-// renames; if the second fails, the first is undone.
+// exchange replaces a directory by the staged one and removes the replaced directory. The
+// replacement is not atomic: it takes two renames. If the second fails, the first is undone.
 func exchange(staged, directory string) error {
 	old := staged + ".old"
 	err := os.Rename(directory, old)
--- a/internal/catalogue/dir/load.go
+++ b/internal/catalogue/dir/load.go
@@ -1,5 +1,5 @@
-// Package dir reads catalogues from a disk and writes what is generated from them, completely or
-// not at all.
+// Package dir reads catalogues from the disk and writes the generated files. A set of generated
+// files is written completely or not at all.
 package dir
 
 import (
@@ -17,22 +17,26 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// maxReads bounds how often a catalogue is read while it changes.
+// maxReads is the limit of reads of a catalogue that is edited during each read.
 const maxReads = 3
 
 // ErrChanged is returned by Load for a catalogue that was edited during each read.
-var ErrChanged = errors.New("changed while it was read")
+var ErrChanged = errors.New("catalogue changed while being read")
 
-// Load reads a catalogue: one file, or all files of a directory that end with .toml, and what they
-// include. It reads nothing outside of the directory, not through links either. If a file was
-// edited while others were read, all are read again, so that the returned files were on the disk at
-// one time; ErrChanged if each read found an edit. The diagnostics are those of the includes, not
-// of the files' content.
+// outsideText is the diagnostic text for an include that leads out of the catalogue's directory.
+const outsideText = "file is outside of the catalogue's directory"
+
+// Load reads a catalogue and the files that it includes. The catalogue is a file, or all files of a
+// directory whose names end with .toml. Load reads no file outside of the directory, even through
+// symbolic links. If the catalogue is edited during the read, Load reads all files again, so that
+// the returned files existed on the disk at the same time. It returns ErrChanged if the catalogue is
+// edited during each read. The diagnostics are those of the includes, not of the files' content.
 func Load(name string) ([]catalogue.File, tomldoc.Diagnostics, error) {
 	return load(name, func() {})
 }
 
-// load is Load; it calls afterRead when all files have been read, before it looks for edits.
+// load implements Load. It calls afterRead when all files have been read, before it checks for
+// edits.
 func load(name string, afterRead func()) ([]catalogue.File, tomldoc.Diagnostics, error) {
 	for range maxReads {
 		l, err := readAll(name)
@@ -46,25 +50,25 @@
 			return nil, nil, err
 		}
 		if same {
-			return l.files, l.faults, nil
+			return l.files, l.diagnostics, nil
 		}
 	}
-	return nil, nil, fmt.Errorf("%s: %w %d times", name, ErrChanged, maxReads)
+	return nil, nil, fmt.Errorf("%s: %w in each of %d attempts", name, ErrChanged, maxReads)
 }
 
-// loader is one read of a catalogue.
+// loader is the state of one read of a catalogue.
 type loader struct {
 	root        *os.Root
 	isDirectory bool
-	names       []string // the files to begin with: those that the directory lists, or the one file
+	names       []string // root files: the listed files of the directory, or the single file
 	files       []catalogue.File
-	versions    map[string]version // of all files that were opened
-	size        int                // of all files, in bytes
-	faults      tomldoc.Diagnostics
-	including   []string // the files whose includes are being read, outermost first
+	versions    map[string]version // versions of all opened files, keyed by name
+	size        int                // total size of all files in bytes
+	diagnostics tomldoc.Diagnostics
+	including   []string // files whose includes are being read, outermost first
 }
 
-// readAll reads a catalogue once. The loader has to be closed unless there is an error.
+// readAll reads a catalogue once. The caller must close the returned loader.
 func readAll(name string) (*loader, error) {
 	info, err := os.Stat(name)
 	if err != nil {
@@ -89,10 +93,10 @@
 
 // close closes the directory.
 func (l *loader) close() {
-	_ = l.root.Close() // it was only read from
+	_ = l.root.Close() // the directory is only read
 }
 
-// readNames reads the files to begin with and what they include.
+// readNames reads the root files and the files that they include.
 func (l *loader) readNames() error {
 	if l.isDirectory {
 		names, err := l.list()
@@ -109,7 +113,7 @@
 	return nil
 }
 
-// list returns the catalogue's files in the directory, in order.
+// list returns the sorted names of the catalogue's files in the directory.
 func (l *loader) list() ([]string, error) {
 	entries, err := fs.ReadDir(l.root.FS(), ".")
 	if err != nil {
@@ -126,18 +130,19 @@
 	return names, nil
 }
 
-// reportInclude adds a diagnostic of an include.
+// reportInclude adds a diagnostic for an include.
 func (l *loader) reportInclude(rule rules.ID, at tomldoc.Place, name, expect string) {
-	l.faults = append(l.faults, tomldoc.Diagnostic{
+	l.diagnostics = append(l.diagnostics, tomldoc.Diagnostic{
 		Place: at, Rule: rule, Field: "include", Found: fmt.Sprintf("%q", tomldoc.Truncate(name)), Expect: expect,
 	})
 }
 
-// read reads a file and what it includes, unless it has been read already. at is where it is
-// included; its Line is 0 for a file to begin with.
+// read reads a file and the files that it includes, unless the file has been read before. at is the
+// place of the include; its Line is 0 for a root file.
 func (l *loader) read(name string, at tomldoc.Place) error {
 	if slices.Contains(l.including, name) {
-		l.reportInclude(rules.IncludeLoop, at, name, "a circle: "+strings.Join(append(l.including, name), " -> "))
+		l.reportInclude(rules.IncludeLoop, at, name,
+			"include cycle: "+strings.Join(append(l.including, name), " -> "))
 		return nil
 	}
 	if _, isRead := l.versions[name]; isRead {
@@ -145,11 +150,11 @@
 	}
 	if len(l.including) > catalogue.MaxIncludeDepth {
 		l.reportInclude(rules.IncludeLoop, at, name,
-			fmt.Sprintf("%d files below each other at most", catalogue.MaxIncludeDepth))
+			fmt.Sprintf("include depth exceeds the limit of %d", catalogue.MaxIncludeDepth))
 		return nil
 	}
 	if len(l.files) >= catalogue.MaxFiles {
-		return fmt.Errorf("catalogue: over %d files", catalogue.MaxFiles)
+		return fmt.Errorf("catalogue: number of files exceeds the limit of %d", catalogue.MaxFiles)
 	}
 	data, err := l.readFile(name)
 	if err != nil {
@@ -157,22 +162,21 @@
 	}
 	l.size += len(data)
 	if l.size > catalogue.MaxBytes {
-		return fmt.Errorf("catalogue: over %d bytes", catalogue.MaxBytes)
+		return fmt.Errorf("catalogue: size of %d bytes exceeds the limit of %d", l.size, catalogue.MaxBytes)
 	}
 	file := catalogue.File{Name: name, Data: data}
 	l.files = append(l.files, file)
 	return l.readIncludes(file)
 }
 
-// reportUnreadable reports an include that cannot be read; for a file to begin with it returns the
-// error.
+// reportUnreadable reports an include that cannot be read. For a root file it returns the error.
 func (l *loader) reportUnreadable(name string, at tomldoc.Place, err error) error {
 	switch {
 	case escapesRoot(err):
-		l.reportInclude(rules.IncludeOutside, at, name, "a file in the catalogue's directory expected")
+		l.reportInclude(rules.IncludeOutside, at, name, outsideText)
 		return nil
 	case at.Line > 0:
-		l.reportInclude(rules.IncludeMissing, at, name, cause(err))
+		l.reportInclude(rules.IncludeMissing, at, name, errorReason(err))
 		return nil
 	default:
 		return fmt.Errorf("catalogue: %w", err)
@@ -188,7 +192,7 @@
 		joined := path.Join(path.Dir(file.Name), name)
 		isOutside := joined == ".." || strings.HasPrefix(joined, "../")
 		if path.IsAbs(name) || strings.Contains(name, `\`) || isOutside {
-			l.reportInclude(rules.IncludeOutside, places[i], name, "a file in the catalogue's directory expected")
+			l.reportInclude(rules.IncludeOutside, places[i], name, outsideText)
 			continue
 		}
 		if err := l.read(joined, places[i]); err != nil {
@@ -198,14 +202,14 @@
 	return nil
 }
 
-// escapesRoot reports whether a file could not be opened since its name, or a link on its path,
-// leads out of the root. Package os has no error value for this.
+// escapesRoot reports whether a file could not be opened because its name, or a symbolic link on its
+// path, leads out of the root. Package os has no error value for this case.
 func escapesRoot(err error) bool {
 	return err != nil && strings.Contains(err.Error(), "path escapes from parent")
 }
 
-// cause returns the text of a file system's error without the operation and the path.
-func cause(err error) string {
+// errorReason returns the text of a file system error without the operation and the path.
+func errorReason(err error) string {
 	var pathError *fs.PathError
 	if errors.As(err, &pathError) {
 		return pathError.Err.Error()
--- a/internal/catalogue/dir/load_test.go
+++ b/internal/catalogue/dir/load_test.go
@@ -13,7 +13,7 @@
 	"fernlanding/internal/rules"
 )
 
-// writeTestFile writes a file and the directories above it.
+// writeTestFile writes a file and creates its parent directories.
 func writeTestFile(t *testing.T, name, text string) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(name), 0o755); err != nil {
@@ -24,8 +24,8 @@
 	}
 }
 
-// names returns the names of files.
-func names(files []catalogue.File) []string {
+// fileNames returns the names of files.
+func fileNames(files []catalogue.File) []string {
 	var names []string
 	for _, f := range files {
 		names = append(names, f.Name)
@@ -33,8 +33,9 @@
 	return names
 }
 
-// Load reads a directory's own .toml files and what they include; not hidden files, other files and
-// those of subdirectories. Of one file it reads that and what it includes.
+// For a directory, Load reads the .toml files in it and the files that they include. It does not
+// read hidden files, other files, or files of subdirectories that are not included. For a single
+// file, it reads that file and the files that it includes.
 func TestLoadReadsDirectoryAndIncludes(t *testing.T) {
 	d := t.TempDir()
 	writeTestFile(t, d+"/b.toml", "catalogue = 1\ninclude = [\"sub/c.toml\", \"./sub/../a.toml\"]\n")
@@ -44,23 +45,23 @@
 	writeTestFile(t, d+"/sub/e.toml", "catalogue = 1\n")
 	writeTestFile(t, d+"/.f.toml", "?")
 	writeTestFile(t, d+"/g.txt", "?")
-	files, faults, err := Load(d)
+	files, diagnostics, err := Load(d)
 	want := []string{"a.toml", "b.toml", "sub/c.toml", "sub/d.toml"}
-	if got := names(files); err != nil || len(faults) > 0 || !slices.Equal(got, want) {
-		t.Errorf("got %v, %v, %v", got, faults, err)
+	if got := fileNames(files); err != nil || len(diagnostics) > 0 || !slices.Equal(got, want) {
+		t.Errorf("directory: got %v, diagnostics %v, error %v; want %v", got, diagnostics, err, want)
 	}
 	files, _, err = Load(d + "/b.toml")
 	want = []string{"b.toml", "sub/c.toml", "sub/d.toml", "a.toml"}
-	if got := names(files); err != nil || !slices.Equal(got, want) {
-		t.Errorf("got %v, %v", got, err)
+	if got := fileNames(files); err != nil || !slices.Equal(got, want) {
+		t.Errorf("single file: got %v, error %v; want %v", got, err, want)
 	}
 	if _, _, err := Load(d + "/none"); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("got %v", err)
+		t.Errorf("missing catalogue: got %v, want os.ErrNotExist", err)
 	}
 }
 
-// Links that lead out of the directory are not followed, whether a file is listed, included or
-// below a linked directory; those that stay inside are.
+// Load does not follow symbolic links that lead out of the catalogue's directory, whether the file
+// is listed, included or in a linked directory. It follows links that stay inside.
 func TestLoadDoesNotFollowLinksOutside(t *testing.T) {
 	base := t.TempDir()
 	d := base + "/in"
@@ -74,39 +75,39 @@
 			t.Skip(err)
 		}
 	}
-	files, faults, err := Load(d + "/a.toml")
+	files, diagnostics, err := Load(d + "/a.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := names(files); !slices.Equal(got, []string{"a.toml", "fine.toml"}) {
-		t.Errorf("read %v", got)
+	if got := fileNames(files); !slices.Equal(got, []string{"a.toml", "fine.toml"}) {
+		t.Errorf("got files %v", got)
 	}
-	if len(faults) != 2 || faults[0].Rule != rules.IncludeOutside || faults[1].Rule != rules.IncludeOutside ||
-		faults[0].Line != 2 {
-		t.Errorf("got %v", faults)
+	if len(diagnostics) != 2 || diagnostics[0].Rule != rules.IncludeOutside ||
+		diagnostics[1].Rule != rules.IncludeOutside || diagnostics[0].Line != 2 {
+		t.Errorf("got diagnostics %v", diagnostics)
 	}
-	if _, _, err := Load(d); err == nil { // round.toml is listed
-		t.Error("a link to itself was read")
+	if _, _, err := Load(d); err == nil { // the directory lists round.toml
+		t.Error("a link to itself was read without an error")
 	}
 }
 
-// Nested includes have a bound.
-func TestLoadBoundsIncludeDepth(t *testing.T) {
+// Load reports includes that are nested more deeply than MaxIncludeDepth.
+func TestLoadLimitsIncludeDepth(t *testing.T) {
 	d := t.TempDir()
 	for i := range 2 * catalogue.MaxIncludeDepth {
 		writeTestFile(t, fmt.Sprintf("%s/%d.toml", d, i), fmt.Sprintf("catalogue = 1\ninclude = [\"%d.toml\"]\n", i+1))
 	}
-	_, faults, err := Load(d + "/0.toml")
-	if err != nil || len(faults) != 1 || faults[0].Rule != rules.IncludeLoop {
-		t.Errorf("got %v, %v", faults, err)
+	_, diagnostics, err := Load(d + "/0.toml")
+	if err != nil || len(diagnostics) != 1 || diagnostics[0].Rule != rules.IncludeLoop {
+		t.Errorf("got diagnostics %v, error %v; want one diagnostic of %s", diagnostics, err, rules.IncludeLoop)
 	}
 }
 
-// A catalogue that is edited while it is read is read again, so that the returned files were on the
-// disk at one time; one that is edited during each read is an error.
+// Load reads a catalogue again that is edited during the read, so that the returned files existed on
+// the disk at the same time. It returns ErrChanged if the catalogue is edited during each read.
 func TestLoadDetectsConcurrentEdits(t *testing.T) {
 	for _, edit := range []struct {
-		what string
+		name string
 		do   func(d string, n int)
 	}{
 		{"a file is written", func(d string, n int) {
@@ -138,11 +139,11 @@
 			n++
 		})
 		if err != nil || n != 2 {
-			t.Errorf("%s: %d readings, %v", edit.what, n, err)
+			t.Errorf("%s: got %d reads, error %v; want 2 reads", edit.name, n, err)
 		}
 		for _, f := range files {
 			if now, err := os.ReadFile(filepath.Join(d, f.Name)); err != nil || string(now) != string(f.Data) {
-				t.Errorf("%s: %s is not what stands there", edit.what, f.Name)
+				t.Errorf("%s: data of %s differs from the file on the disk", edit.name, f.Name)
 			}
 		}
 		n = 0
@@ -151,7 +152,7 @@
 			edit.do(d, n)
 		})
 		if !errors.Is(err, ErrChanged) {
-			t.Errorf("%s each time: got %v", edit.what, err)
+			t.Errorf("%s during each read: got %v, want ErrChanged", edit.name, err)
 		}
 	}
 }
--- a/internal/catalogue/dir/version.go
+++ b/internal/catalogue/dir/version.go
@@ -13,30 +13,29 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// version is what an edit of a file changes. The zero version is that of a file which was edited
-// while it was read; it equals none.
+// version is the metadata of a file that an edit changes. The zero version, which matches no file,
+// stands for a file that was edited while being read.
 type version struct {
 	size     int64
 	modified time.Time
-	info     fs.FileInfo // its identity on the disk
+	info     fs.FileInfo // identity of the file, for os.SameFile
 }
 
-// isOf reports whether the version is that of a file on the disk.
-func (v version) isOf(info fs.FileInfo) bool {
+// matches reports whether a file on the disk has the version.
+func (v version) matches(info fs.FileInfo) bool {
 	if v.info == nil {
 		return false
 	}
 	return info.Size() == v.size && info.ModTime().Equal(v.modified) && os.SameFile(info, v.info)
 }
 
-// readFile reads a file and notes its version. Of a file beyond the size of the largest document it
-// returns one byte more than that.
+// readFile reads a file up to one byte beyond tomldoc.MaxFile, and records its version.
 func (l *loader) readFile(name string) ([]byte, error) {
 	f, err := l.root.Open(filepath.FromSlash(name))
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // it was only read from
+	defer func() { _ = f.Close() }() // the file is only read
 	info, err := f.Stat()
 	if err != nil {
 		return nil, err
@@ -47,13 +46,13 @@
 	l.versions[name] = version{size: info.Size(), modified: info.ModTime(), info: info}
 	data, err := io.ReadAll(io.LimitReader(f, tomldoc.MaxFile+1))
 	if err == nil && int64(len(data)) != info.Size() && len(data) <= tomldoc.MaxFile {
-		l.versions[name] = version{} // was edited while it was read
+		l.versions[name] = version{} // edited while being read
 	}
 	return data, err
 }
 
-// unchanged reports whether the directory lists the same files, and all files are still of the
-// version that was read.
+// unchanged reports whether the directory still lists the same files and all files still have the
+// versions that were read.
 func (l *loader) unchanged() (bool, error) {
 	if l.isDirectory {
 		names, err := l.list()
@@ -69,7 +68,7 @@
 		if err != nil {
 			return false, fmt.Errorf("catalogue: %w", err)
 		}
-		if !v.isOf(info) {
+		if !v.matches(info) {
 			return false, nil
 		}
 	}
--- a/internal/catalogue/dir/write.go
+++ b/internal/catalogue/dir/write.go
@@ -12,33 +12,33 @@
 	"fernlanding/internal/catalogue"
 )
 
-// Marker is the name of the file by which Write recognizes a directory that it has written.
+// Marker is the name of the marker file, by which Write recognizes a directory that it has written.
 const Marker = ".fernctl"
 
-// markerText is the content of the marker.
+// markerText is the content of the marker file.
 const markerText = "Written by fernctl as a whole. Change the catalogue, not these files.\n"
 
-// Write puts files into a directory of their own: all of them, and nothing else. They are written
-// to a directory beside it first, and the two directories are exchanged in one step; if anything
-// fails before that, such as a full or a read-only disk, the old set stays complete. Write returns
-// an error for a directory that holds anything which it has not written.
+// Write replaces the content of a dedicated directory with a set of files. It writes the files to a
+// staged directory in the same parent and exchanges the two directories. If a step before the
+// exchange fails, for example because the disk is full or read-only, the old set stays complete.
+// Write returns an error for a directory that contains files which Write has not written.
 func Write(directory string, files []catalogue.Output) error {
 	return write(directory, files, createFile)
 }
 
-// writableFile is what write needs of a file.
-type writableFile interface {
+// syncWriteCloser is the part of *os.File that write uses.
+type syncWriteCloser interface {
 	io.WriteCloser
 	Sync() error
 }
 
-// createFile creates a file that does not exist.
-func createFile(name string) (writableFile, error) {
+// createFile creates a file. It returns an error if the file exists.
+func createFile(name string) (syncWriteCloser, error) {
 	return os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 }
 
-// write is Write; create creates each file.
-func write(directory string, files []catalogue.Output, create func(string) (writableFile, error)) error {
+// write implements Write. It calls create to create each file.
+func write(directory string, files []catalogue.Output, create func(string) (syncWriteCloser, error)) error {
 	directory = filepath.Clean(directory)
 	if target, err := filepath.EvalSymlinks(directory); err == nil {
 		directory = target // the link stays, and its target is replaced
@@ -55,16 +55,17 @@
 		return fmt.Errorf("write: %w", err)
 	}
 	err = writeSet(staged, directory, files, create)
-	// After the exchange the staged directory has the old files.
+	// After the exchange the staged directory contains the old files.
 	if removeErr := os.RemoveAll(staged); err == nil && removeErr != nil {
-		return fmt.Errorf("the new files hold, the old ones in %s could not be removed: %w", staged, removeErr)
+		return fmt.Errorf("write: new files are in place, but removing the old files in %s failed: %w",
+			staged, removeErr)
 	}
 	return err
 }
 
-// writeSet writes the files and the marker to the staged directory and exchanges it for the other.
+// writeSet writes the files and the marker to the staged directory and exchanges the directories.
 func writeSet(
-	staged, directory string, files []catalogue.Output, create func(string) (writableFile, error),
+	staged, directory string, files []catalogue.Output, create func(string) (syncWriteCloser, error),
 ) error {
 	if err := os.Chmod(staged, 0o755); err != nil {
 		return fmt.Errorf("write: %w", err)
@@ -86,8 +87,8 @@
 	return syncDirectory(filepath.Dir(directory))
 }
 
-// checkReplaceable returns an error unless a directory is one that Write has written, or empty, or
-// does not exist.
+// checkReplaceable returns an error unless a directory does not exist, is empty or was written by
+// Write.
 func checkReplaceable(directory string) error {
 	entries, err := os.ReadDir(directory)
 	if errors.Is(err, fs.ErrNotExist) || err == nil && len(entries) == 0 {
@@ -101,19 +102,19 @@
 		if e.Name() == Marker {
 			hasMarker = true
 		} else if !strings.HasSuffix(e.Name(), ".toml") || e.IsDir() {
-			return fmt.Errorf("write: %s holds %s, which fernctl has not written: a directory of its own expected",
-				directory, e.Name())
+			return fmt.Errorf("write: directory %s contains %s, which fernctl has not written: "+
+				"a dedicated directory is required", directory, e.Name())
 		}
 	}
 	if !hasMarker {
-		return fmt.Errorf("write: %s holds files that fernctl has not written: a directory of its own expected",
-			directory)
+		return fmt.Errorf("write: directory %s contains files that fernctl has not written: "+
+			"a dedicated directory is required", directory)
 	}
 	return nil
 }
 
-// writeFile creates a file, writes its content and syncs it to the disk.
-func writeFile(name string, data []byte, create func(string) (writableFile, error)) error {
+// writeFile creates a file, writes its content and syncs the file to the disk.
+func writeFile(name string, data []byte, create func(string) (syncWriteCloser, error)) error {
 	f, err := create(name)
 	if err != nil {
 		return err
@@ -128,12 +129,12 @@
 	return err
 }
 
-// syncDirectory syncs a directory's entries to the disk.
+// syncDirectory syncs the entries of a directory to the disk.
 func syncDirectory(name string) error {
 	d, err := os.Open(name)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = d.Close() }() // nothing is written through it
+	defer func() { _ = d.Close() }() // the directory is only synced
 	return d.Sync()
 }
--- a/internal/catalogue/dir/write_test.go
+++ b/internal/catalogue/dir/write_test.go
@@ -12,7 +12,7 @@
 	"fernlanding/internal/catalogue"
 )
 
-// outputs returns n files of one text.
+// outputs returns n files with the same text.
 func outputs(text string, n int) []catalogue.Output {
 	var files []catalogue.Output
 	for i := range n {
@@ -21,7 +21,8 @@
 	return files
 }
 
-// checkSet fails the test unless a directory holds exactly the files of one set.
+// checkSet reports an error unless a directory contains exactly n files with a text, apart from the
+// marker.
 func checkSet(t *testing.T, d, text string, n int) {
 	t.Helper()
 	entries, err := os.ReadDir(d)
@@ -35,16 +36,17 @@
 		}
 		data, err := os.ReadFile(filepath.Join(d, e.Name()))
 		if err != nil || string(data) != text {
-			t.Errorf("%s: %q, %v; want %q", e.Name(), data, err, text)
+			t.Errorf("%s: got %q, error %v; want %q", e.Name(), data, err, text)
 		}
 		count++
 	}
 	if count != n {
-		t.Errorf("%d files, want %d", count, n)
+		t.Errorf("got %d files, want %d", count, n)
 	}
 }
 
-// A new set replaces the old one completely, through a link too, and leaves nothing beside it.
+// Write replaces the old set of files completely, also through a symbolic link, and leaves no other
+// files in the parent directory.
 func TestWriteReplacesCompleteSet(t *testing.T) {
 	base := t.TempDir()
 	out := base + "/deep/out"
@@ -56,9 +58,9 @@
 	}
 	left, err := os.ReadDir(base + "/deep")
 	if err != nil || len(left) != 1 {
-		t.Errorf("left beside it: %v, %v", left, err)
+		t.Errorf("entries of the parent directory: got %v, error %v; want one", left, err)
 	}
-	// Through a link: what it leads to changes.
+	// Through a symbolic link, Write replaces the target.
 	if err := os.Symlink("deep/out", base+"/link"); err != nil {
 		t.Skip(err)
 	}
@@ -68,26 +70,26 @@
 	checkSet(t, out, "linked", 2)
 }
 
-// failingFile is a file on a disk that fails after some bytes, at a write or at a sync.
+// failingFile is a file that fails at a write or at a sync.
 type failingFile struct {
-	writableFile
-	left *int
-	at   string
+	syncWriteCloser
+	left *int   // bytes or syncs until the failure, shared by all files
+	at   string // failing operation: "write" or "sync"
 }
 
-// Write fails in the middle where the disk is full.
+// Write writes half of p and fails when the bytes left are used up, as on a full disk.
 func (f failingFile) Write(p []byte) (int, error) {
 	if f.at == "write" {
 		*f.left -= len(p)
 		if *f.left < 0 {
-			n, _ := f.writableFile.Write(p[:len(p)/2])
+			n, _ := f.syncWriteCloser.Write(p[:len(p)/2])
 			return n, syscall.ENOSPC
 		}
 	}
-	return f.writableFile.Write(p)
+	return f.syncWriteCloser.Write(p)
 }
 
-// Sync fails after some syncs.
+// Sync fails when the syncs left are used up.
 func (f failingFile) Sync() error {
 	if f.at == "sync" {
 		*f.left--
@@ -95,10 +97,11 @@
 			return syscall.EIO
 		}
 	}
-	return f.writableFile.Sync()
+	return f.syncWriteCloser.Sync()
 }
 
-// A full disk, a failing one and a read-only one leave the old set complete and nothing beside it.
+// If the disk is full, fails or is read-only, Write keeps the old set complete and leaves no other
+// files in the parent directory.
 func TestFailedWriteKeepsOldSet(t *testing.T) {
 	for _, at := range []string{"create", "write", "sync"} {
 		for left := range 4 {
@@ -108,7 +111,7 @@
 				t.Fatal(err)
 			}
 			n := left
-			err := write(out, outputs("n", 6), func(name string) (writableFile, error) {
+			err := write(out, outputs("n", 6), func(name string) (syncWriteCloser, error) {
 				if at == "create" {
 					n--
 					if n < 0 {
@@ -116,19 +119,19 @@
 					}
 				}
 				file, err := createFile(name)
-				return failingFile{writableFile: file, left: &n, at: at}, err
+				return failingFile{syncWriteCloser: file, left: &n, at: at}, err
 			})
 			if !errors.Is(err, syscall.ENOSPC) && !errors.Is(err, syscall.EROFS) && !errors.Is(err, syscall.EIO) {
-				t.Errorf("%s after %d: got %v", at, left, err)
+				t.Errorf("%s fails after %d: got error %v", at, left, err)
 			}
 			checkSet(t, out, "old", 4)
 			if all, _ := os.ReadDir(base); len(all) != 1 {
-				t.Errorf("%s after %d: left %v", at, left, all)
+				t.Errorf("%s fails after %d: entries of the parent directory: got %v, want one", at, left, all)
 			}
 		}
 	}
 	if os.Geteuid() == 0 {
-		return // may write everywhere
+		return // root may write to a read-only directory
 	}
 	base := t.TempDir()
 	if err := Write(base+"/out", outputs("old", 2)); err != nil {
@@ -137,14 +140,14 @@
 	if err := os.Chmod(base, 0o555); err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = os.Chmod(base, 0o755) }() // else the test's directory can't be removed
+	defer func() { _ = os.Chmod(base, 0o755) }() // allows the removal of the test's directory
 	if err := Write(base+"/out", outputs("new", 2)); err == nil {
-		t.Error("a read-only directory was written")
+		t.Error("write to a read-only directory: got no error")
 	}
 	checkSet(t, base+"/out", "old", 2)
 }
 
-// Write replaces nothing that it has not written.
+// Write does not replace a directory with files that Write has not written.
 func TestWriteRejectsForeignFiles(t *testing.T) {
 	for _, prepare := range []func(d string){
 		func(d string) { writeTestFile(t, d+"/mine.toml", "x") },
@@ -161,20 +164,20 @@
 		prepare(d)
 		before, _ := os.ReadDir(d)
 		err := Write(d, outputs("new", 1))
-		if err == nil || !strings.Contains(err.Error(), "a directory of its own expected") {
-			t.Errorf("got %v", err)
+		if err == nil || !strings.Contains(err.Error(), "a dedicated directory is required") {
+			t.Errorf("got error %v", err)
 		}
 		if after, _ := os.ReadDir(d); len(after) != len(before) {
-			t.Errorf("got %v", after)
+			t.Errorf("entries after the write: got %v, want %v", after, before)
 		}
 	}
 	if err := Write(t.TempDir(), outputs("new", 1)); err != nil {
-		t.Errorf("an empty directory: %v", err)
+		t.Errorf("empty directory: %v", err)
 	}
 }
 
-// Replace keeps the file's mode and leaves nothing beside it.
-func TestReplaceKeepsModeAndCleansUp(t *testing.T) {
+// ReplaceFile keeps the mode of the file and leaves no other files in the directory.
+func TestReplaceFileKeepsModeAndCleansUp(t *testing.T) {
 	d := t.TempDir()
 	writeTestFile(t, d+"/a.toml", "old")
 	if err := os.Chmod(d+"/a.toml", 0o600); err != nil {
@@ -185,9 +188,9 @@
 	}
 	info, err := os.Stat(d + "/a.toml")
 	if all, _ := os.ReadDir(d); err != nil || info.Mode().Perm() != 0o600 || len(all) != 1 {
-		t.Errorf("got %v, %v, %v", info.Mode(), err, all)
+		t.Errorf("got mode %v, error %v, entries %v", info.Mode(), err, all)
 	}
 	if err := ReplaceFile(d+"/none.toml", nil); err == nil {
-		t.Error("a file that is not there was replaced")
+		t.Error("replacing a missing file: got no error")
 	}
 }
--- a/internal/catalogue/emit_route.go
+++ b/internal/catalogue/emit_route.go
@@ -9,17 +9,17 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// generatedRoute is one route with what its position in the file depends on.
+// generatedRoute is a route of the generated file with the values that determine its position there.
 type generatedRoute struct {
 	name  string
-	match *tomldoc.Value // nil: all paths
+	match *tomldoc.Value // nil matches all paths
 	call  *call
 	class *calledClass
 }
 
-// routes writes the routes of all calls, the more specific ones first, since the first match
-// decides.
-func (e *emitter) routes() {
+// writeRoutes writes the routes of all calls. More specific routes come first, since the first
+// matching route is used.
+func (e *emitter) writeRoutes() {
 	var all []generatedRoute
 	for _, c := range e.app.calls {
 		for _, called := range c.classes {
@@ -30,12 +30,12 @@
 		return cmp.Or(slices.Compare(a.specificity(), b.specificity()), strings.Compare(a.name, b.name))
 	})
 	for _, r := range all {
-		e.route(r)
+		e.writeRoute(r)
 	}
 }
 
-// classRoutes returns the routes to a class: those of the call, else those of the owner, else one
-// by default.
+// classRoutes returns the routes to a class. The matches are those of the call. If the call has
+// none, the matches are those of the owner. If neither has any, there is one default match.
 func (e *emitter) classRoutes(c *call, called *calledClass) []generatedRoute {
 	matches := called.class.routes
 	if own := called.field("routes"); own != nil {
@@ -55,8 +55,9 @@
 	return routes
 }
 
-// defaultMatch returns the match of a class for which neither side states a route: all paths where
-// the application calls only this class, else a prefix of the service's and the class's name.
+// defaultMatch returns the match of a class for which neither the call nor the owner states a route.
+// It matches all paths if the class is the only one that the application calls, and otherwise the
+// prefix /SERVICE/CLASS.
 func (e *emitter) defaultMatch(c *call, called *calledClass) *tomldoc.Value {
 	if len(e.app.calls) == 1 && len(c.classes) == 1 && !e.isUncalled {
 		return nil
@@ -68,8 +69,9 @@
 	return match
 }
 
-// specificity returns what routes are ordered by: exact paths, templates, then prefixes, long ones
-// first; those with hosts, headers and methods before those without.
+// specificity returns the sort key of a route. Exact paths come first, then templates, then
+// prefixes. Within a kind, longer paths come first, and routes with hosts, headers and methods come
+// before routes without them.
 func (r *generatedRoute) specificity() []int {
 	rank := []int{2, 0, 1, 1, 1}
 	if r.match == nil || r.match.Kind != tomldoc.Table {
@@ -92,7 +94,7 @@
 	return rank
 }
 
-// place returns the place in the catalogue that a route comes from.
+// place returns the place in the catalogue from which a route is generated.
 func (r *generatedRoute) place() tomldoc.Place {
 	switch {
 	case r.match != nil:
@@ -104,58 +106,59 @@
 	}
 }
 
-// field returns a field that the call states for the class or, where it does not, for all classes;
-// nil if for neither.
+// field returns a field that the call states for the class. If there is none, it returns the field
+// that the call states for all classes, or nil.
 func (r *generatedRoute) field(name string) *tomldoc.Value {
 	return cmp.Or(r.class.field(name), r.call.table.Fields[name])
 }
 
-// route writes one route.
-func (e *emitter) route(r generatedRoute) {
+// writeRoute writes a route.
+func (e *emitter) writeRoute(r generatedRoute) {
 	at := r.place()
-	e.line(at, "")
-	e.line(at, "[[routes]]")
-	e.line(at, "name = %s", quote(r.name))
+	e.writeLine(at, "")
+	e.writeLine(at, "[[routes]]")
+	e.writeLine(at, "name = %s", quote(r.name))
 	if r.match != nil && r.match.Kind == tomldoc.Table {
-		e.fields(r.match, matchFields...)
+		e.writeFields(r.match, matchFields...)
 	}
 	if causes := r.field("for"); causes != nil {
-		e.field("for", causes)
+		e.writeField("for", causes)
 	}
 	if split := r.call.table.Fields["split"]; split != nil && split.Kind == tomldoc.Array {
-		e.split(r, split)
+		e.writeSplit(r, split)
 	} else {
-		e.line(r.call.table.Place, "service = %s", quote(r.call.service.name))
-		e.line(r.call.table.Place, "class = %s", quote(r.class.name))
+		e.writeLine(r.call.table.Place, "service = %s", quote(r.call.service.name))
+		e.writeLine(r.call.table.Place, "class = %s", quote(r.class.name))
 	}
 	if timeout := r.field("time_limit"); timeout != nil {
-		e.field("timeout", timeout)
+		e.writeField("timeout", timeout)
 	}
 	if mirror := r.class.field("mirror"); mirror != nil {
-		e.field("mirror", mirror)
+		e.writeField("mirror", mirror)
 	}
 }
 
-// split writes the arms of a route's split.
-func (e *emitter) split(r generatedRoute, split *tomldoc.Value) {
-	e.line(split.Place, "split = [")
+// writeSplit writes the arms of the split of a route.
+func (e *emitter) writeSplit(r generatedRoute, split *tomldoc.Value) {
+	e.writeLine(split.Place, "split = [")
 	for _, arm := range splitArms(r.call) {
 		weight := ""
 		if value := arm.table.Fields["weight"]; value != nil {
 			weight = ", weight = " + valueText(value)
 		}
-		e.line(arm.table.Place, "  { service = %s, class = %s%s },", quote(arm.service), quote(r.class.name), weight)
+		e.writeLine(arm.table.Place, "  { service = %s, class = %s%s },",
+			quote(arm.service), quote(r.class.name), weight)
 	}
-	e.line(split.Place, "]")
+	e.writeLine(split.Place, "]")
 }
 
-// splitArm is one arm of a call's split.
+// splitArm is an arm of a call's split.
 type splitArm struct {
 	service string
 	table   *tomldoc.Value
 }
 
-// splitArms returns the arms of a call's split; none if it has no split.
+// splitArms returns the arms of a call's split, or nil if the call has no split.
 func splitArms(c *call) []splitArm {
 	split := c.table.Fields["split"]
 	if split == nil || split.Kind != tomldoc.Array {
--- a/internal/catalogue/emit_service.go
+++ b/internal/catalogue/emit_service.go
@@ -7,85 +7,85 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// service writes a service as the application uses it: the owner's table with what the call
-// narrows.
-func (e *emitter) service(s *service) {
+// writeService writes a service as the application uses it: the owner's table with the values that
+// the call overrides.
+func (e *emitter) writeService(s *service) {
 	c := e.app.callOf(s)
 	path := "services." + keyText(s.name)
-	e.line(s.table.Place, "")
-	e.line(s.table.Place, "[%s]", path)
-	e.fields(s.table, "membership")
-	e.fields(s.table, sourceFields...)
+	e.writeLine(s.table.Place, "")
+	e.writeLine(s.table.Place, "[%s]", path)
+	e.writeFields(s.table, "membership")
+	e.writeFields(s.table, sourceFields...)
 	if s.team != "" {
-		e.line(s.table.Fields["team"].Place, "owner = %s", quote(s.team))
+		e.writeLine(s.table.Fields["team"].Place, "owner = %s", quote(s.team))
 	}
-	e.zone(s, c)
+	e.writeZones(s, c)
 	if c != nil {
-		e.fields(c.table, "share")
-		e.line(c.table.Place, "siblings = %d", max(1, s.callerInstances))
-		e.line(c.table.Place, "ordinal = %d", c.replicaIndex)
+		e.writeFields(c.table, "share")
+		e.writeLine(c.table.Place, "siblings = %d", max(1, s.callerInstances))
+		e.writeLine(c.table.Place, "ordinal = %d", c.replicaIndex)
 	}
 	for _, name := range serviceFields {
-		isCallers := slices.Contains(callFields, name)
-		if value := narrowed(s.table, c, name, isCallers); value != nil {
-			e.field(name, value)
+		callerMayOverride := slices.Contains(callFields, name)
+		if value := effectiveValue(s.table, c, name, callerMayOverride); value != nil {
+			e.writeField(name, value)
 		}
 	}
-	e.endpoints(s)
+	e.writeEndpoints(s)
 	for _, name := range serviceTables {
-		if value := narrowed(s.table, c, name, true); value != nil {
-			e.table(path+"."+name, value)
+		if value := effectiveValue(s.table, c, name, true); value != nil {
+			e.writeTable(path+"."+name, value)
 		}
 	}
 	for _, name := range s.classNames {
 		if e.usedClasses[s.name][name] {
-			e.class(path, s, c, name)
+			e.writeClass(path, s, c, name)
 		}
 	}
-	e.tenants(path, s, c)
+	e.writeTenants(path, s, c)
 }
 
-// narrowed returns a field of a service: the call's own value where the caller may state one and
-// does, else the owner's. It returns nil if neither has it.
-func narrowed(owner *tomldoc.Value, c *call, name string, isCallers bool) *tomldoc.Value {
-	if isCallers && c != nil && c.table.Fields[name] != nil {
+// effectiveValue returns the value of a service's field. It is the call's value if the caller may
+// override the field and does, and otherwise the owner's. It returns nil if neither is set.
+func effectiveValue(owner *tomldoc.Value, c *call, name string, callerMayOverride bool) *tomldoc.Value {
+	if callerMayOverride && c != nil && c.table.Fields[name] != nil {
 		return c.table.Fields[name]
 	}
 	return owner.Fields[name]
 }
 
-// zone writes the zones of a service and the application's local zone.
-func (e *emitter) zone(s *service, c *call) {
+// writeZones writes the zones of a service and the local zone of the application.
+func (e *emitter) writeZones(s *service, c *call) {
 	if len(s.zones) == 0 {
 		return
 	}
-	e.field("zones", s.table.Fields["zones"])
-	local := narrowed(e.app.table, c, "zone", true)
+	e.writeField("zones", s.table.Fields["zones"])
+	local := effectiveValue(e.app.table, c, "zone", true)
 	if local != nil {
-		e.field("zone", local)
+		e.writeField("zone", local)
 	} else {
-		e.line(s.table.Fields["zones"].Place, "zone = %s", quote(s.zones[0]))
+		e.writeLine(s.table.Fields["zones"].Place, "zone = %s", quote(s.zones[0]))
 	}
 }
 
-// endpoints writes the static endpoints of a service, each with the cell and zone of its pod.
-func (e *emitter) endpoints(s *service) {
+// writeEndpoints writes the static endpoints of a service with the cell and the zone of their pods.
+func (e *emitter) writeEndpoints(s *service) {
 	if len(s.pods) == 0 {
 		return
 	}
-	e.line(s.table.Place, "endpoints = [")
+	e.writeLine(s.table.Place, "endpoints = [")
 	for _, p := range s.pods {
 		for _, endpoint := range p.endpoints {
-			e.line(endpoint.Place, "  {%s },", endpointText(p, endpoint))
+			e.writeLine(endpoint.Place, "  {%s },", endpointText(p, endpoint))
 		}
 	}
-	e.line(s.table.Place, "]")
+	e.writeLine(s.table.Place, "]")
 }
 
-// endpointText returns the fields of an endpoint in the order of the file's format.
+// endpointText returns the fields of an endpoint as TOML, in the order of the file format.
 func endpointText(p pod, endpoint *tomldoc.Value) string {
 	if endpoint.Kind != tomldoc.Table {
-		return "" // reported where the generated file is decoded
+		return "" // decoding the generated file reports it
 	}
 	var b strings.Builder
 	separator := " "
@@ -110,11 +110,11 @@
 	return b.String()
 }
 
-// class writes a class of a service with what the call narrows.
-func (e *emitter) class(path string, s *service, c *call, name string) {
+// writeClass writes a class of a service with the values that the call narrows.
+func (e *emitter) writeClass(path string, s *service, c *call, name string) {
 	class := s.classes[name]
-	e.line(class.table.Place, "")
-	e.line(class.table.Place, "[%s.classes.%s]", path, keyText(name))
+	e.writeLine(class.table.Place, "")
+	e.writeLine(class.table.Place, "[%s.classes.%s]", path, keyText(name))
 	called := &calledClass{}
 	if c != nil {
 		if own := c.class(name); own != nil {
@@ -127,51 +127,51 @@
 			value = own
 		}
 		if value != nil {
-			e.field(field, value)
+			e.writeField(field, value)
 		}
 	}
 }
 
-// tenants writes the tenants that the application calls for, each with the application's part of
-// the tenant's quota.
-func (e *emitter) tenants(path string, s *service, c *call) {
+// writeTenants writes the tenants for which the application calls, with the application's fraction
+// of each tenant's quota.
+func (e *emitter) writeTenants(path string, s *service, c *call) {
 	fraction := capacityFraction(c)
 	for _, name := range sortedKeys(s.tenants) {
 		if c != nil && len(c.tenants) > 0 && !slices.Contains(c.tenants, name) {
 			continue
 		}
 		tenant := s.tenants[name]
-		e.line(tenant.Place, "")
-		e.line(tenant.Place, "[%s.tenants.%s]", path, keyText(name))
-		e.fields(tenant, "portion")
-		e.quota(tenant.Fields["quota"], fraction)
+		e.writeLine(tenant.Place, "")
+		e.writeLine(tenant.Place, "[%s.tenants.%s]", path, keyText(name))
+		e.writeFields(tenant, "portion")
+		e.writeQuota(tenant.Fields["quota"], fraction)
 	}
 }
 
-// quota writes a tenant's quota times the application's fraction of it. What is no number is
-// written as it stands, so that it is reported where the generated file is decoded.
-func (e *emitter) quota(quota *tomldoc.Value, fraction float64) {
+// writeQuota writes a tenant's quota multiplied by the application's fraction of it. A value that is
+// not a number is written unchanged, so that decoding the generated file reports it.
+func (e *emitter) writeQuota(quota *tomldoc.Value, fraction float64) {
 	if quota == nil {
 		return
 	}
 	isNumber := quota.Kind == tomldoc.Integer || quota.Kind == tomldoc.Float
 	number, err := parseFloat(quota.Text)
 	if !isNumber || err != nil {
-		e.field("quota", quota)
+		e.writeField("quota", quota)
 		return
 	}
-	e.line(quota.Place, "quota = %s", floatText(number*fraction))
+	e.writeLine(quota.Place, "quota = %s", floatText(number*fraction))
 }
 
-// capacityFraction returns the fraction of a service's capacity that a call may use; 1 where the
-// call does not say.
+// capacityFraction returns the fraction of a service's capacity that a call may use. The default
+// is 1.
 func capacityFraction(c *call) float64 {
 	if c == nil || c.table.Fields["share"] == nil {
 		return 1
 	}
 	fraction, err := parseFloat(c.table.Fields["share"].Text)
 	if err != nil {
-		return 1 // reported where the generated file is decoded
+		return 1 // decoding the generated file reports it
 	}
 	return fraction
 }
--- a/internal/catalogue/join.go
+++ b/internal/catalogue/join.go
@@ -9,31 +9,32 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// joiner merges the trees of a catalogue's files into one.
+// joiner merges the trees of a catalogue's files into one tree.
 type joiner struct {
 	*tomldoc.Collector
 	root *tomldoc.Value
 }
 
-// newJoiner returns a joiner of an empty catalogue that begins at a place.
+// newJoiner returns a joiner with an empty tree at a place.
 func newJoiner(reader *tomldoc.Collector, at tomldoc.Place) *joiner {
 	j := &joiner{Collector: reader, root: tomldoc.NewTable(at)}
-	for _, section := range sections {
+	for _, section := range sectionNames {
 		j.root.Set(section, tomldoc.NewTable(tomldoc.Place{}))
 	}
 	return j
 }
 
-// join adds the tree of a file.
+// join adds the tree of a file to the joined tree.
 func (j *joiner) join(root *tomldoc.Value) {
 	scope := tomldoc.NewScope(j.Collector, root)
 	version := scope.Value.Fields["catalogue"]
 	if version == nil {
-		scope.ReportField(rules.Version, "catalogue", "catalogue = %d expected", FormatVersion)
+		scope.ReportField(rules.Version, "catalogue", "missing field %q: must be catalogue = %d",
+			"catalogue", FormatVersion)
 	} else if version.Kind != tomldoc.Integer || version.Text != strconv.Itoa(FormatVersion) {
-		scope.ReportField(rules.Version, "catalogue", "this program (%s) reads catalogues of version %d",
-			config.ProgramVersion, FormatVersion)
-		return // the other fields may mean something else in that version
+		scope.ReportField(rules.Version, "catalogue",
+			"must be %d, the version that this program (%s) supports", FormatVersion, config.ProgramVersion)
+		return // the other fields may have another meaning in that version
 	}
 	scope.MarkKnown("catalogue")
 	scope.Strings("include")
@@ -44,14 +45,14 @@
 			j.root.Set("fleet", fleet)
 		}
 	}
-	for _, section := range sections {
+	for _, section := range sectionNames {
 		j.joinSection(scope.Table(section), section)
 	}
 	scope.ReportUnknown()
 }
 
-// joinSection adds the tables of one section of a file. Only an environment may be described in
-// several files.
+// joinSection adds the tables of a section of a file. Only an environment may be declared in several
+// files.
 func (j *joiner) joinSection(scope tomldoc.Scope, section string) {
 	into := j.root.Fields[section]
 	for _, name := range scope.Value.Keys {
@@ -71,18 +72,18 @@
 	}
 }
 
-// reportDuplicate reports a value that another file has at the same path.
+// reportDuplicate reports a value at a path that another file has already set to the value old.
 func (j *joiner) reportDuplicate(rule rules.ID, value *tomldoc.Value, path string, old *tomldoc.Value) {
 	owner := ""
 	if team := old.Fields["team"]; rule == rules.OwnerTwice && team != nil {
-		owner = fmt.Sprintf("; team %s owns it there", team.Describe())
+		owner = fmt.Sprintf("; the other definition is owned by team %s", team.Describe())
 	}
 	j.Diagnostics = append(j.Diagnostics, tomldoc.Diagnostic{
-		Place: value.Place, Rule: rule, Field: path, Expect: "stands elsewhere too" + owner, See: old.Place,
+		Place: value.Place, Rule: rule, Field: path, Expect: "duplicate definition" + owner, See: old.Place,
 	})
 }
 
-// merge adds the fields of an environment's table to those that other files have at the same path.
+// merge adds the fields of an environment's table to the fields of other files at the same path.
 func (j *joiner) merge(into, from *tomldoc.Value, path string) {
 	for _, key := range from.Keys {
 		old, value := into.Fields[key], from.Fields[key]
--- a/internal/catalogue/model.go
+++ b/internal/catalogue/model.go
@@ -8,12 +8,12 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// DefaultMaxAmplification is the bound of the product of all tiers' retry budgets where the catalogue
-// does not state one.
+// DefaultMaxAmplification is the default limit of retry amplification over all tiers: the product of
+// the tiers' factors, each of which is the most attempts per request that a retry budget allows.
 const DefaultMaxAmplification = 1.2
 
-// The fields that are copied to the applications' files. Their values are checked there, once, by
-// the sidecar's own decoder.
+// Names of the fields that are copied to the applications' files. The values are checked only when
+// the generated files are decoded, by the decoder that the sidecar uses.
 var (
 	serviceFields = []string{
 		"trusted", "connections", "max_body", "max_answer", "attempts", "retry_after", "dial_timeout", "idle_close",
@@ -29,25 +29,25 @@
 		"repeat", "dedup_scope", "dedup_window", "key", "resend", "early_data", "hedge", "objective", "deadline",
 		"worth", "late_worth", "in_order", "formerly",
 	}
-	// A caller may state a narrower value of these.
+	// narrowableFields are fields of a class for which a caller may state a narrower value.
 	narrowableFields = []string{"resend", "early_data", "hedge"}
-	// A caller may repeat these, with the owner's value.
+	// repeatableFields are fields of a class that a caller may state with the owner's value.
 	repeatableFields = []string{"repeat", "dedup_scope", "dedup_window", "key"}
 	matchFields      = []string{
 		"hosts", "prefix", "exact", "template", "methods", "headers", "rewrite_prefix", "listeners", "sticky_header",
 	}
 )
 
-// model is a catalogue with one environment's overlay.
+// model is a decoded catalogue with the overlay of one environment.
 type model struct {
-	reader       *tomldoc.Collector
-	services     map[string]*service
-	serviceNames []string // sorted
-	applications []*application
-	retryFactor  float64
+	reader           *tomldoc.Collector
+	services         map[string]*service
+	serviceNames     []string // sorted
+	applications     []*application
+	maxAmplification float64
 }
 
-// service is a service as its owner describes it.
+// service is a service as its owner declares it.
 type service struct {
 	name            string
 	table           *tomldoc.Value
@@ -55,53 +55,53 @@
 	zones           []string
 	classes         map[string]*class
 	classNames      []string // sorted
-	pods            []pod    // by name
+	pods            []pod    // sorted by name
 	tenants         map[string]*tomldoc.Value
-	callerInstances int // of all applications that call it
+	callerInstances int // instances of all applications that call the service
 
-	// Bounds of its callers' values.
+	// Limits of the callers' values.
 	maxAttempts          int64
 	maxSlowStartMultiple float64
 }
 
-// class is a class of a service.
+// class is a class of a service as its owner declares it.
 type class struct {
 	table  *tomldoc.Value
 	routes []*tomldoc.Value
 }
 
-// pod is a group of a service's backends that share one record of idempotency keys.
+// pod is a group of a service's backends that share a record of idempotency keys.
 type pod struct {
 	name      string
 	table     *tomldoc.Value
 	endpoints []*tomldoc.Value
 }
 
-// application is an application with the services that it calls.
+// application is an application and its calls.
 type application struct {
 	name      string
 	table     *tomldoc.Value
 	instances int
-	calls     []*call // by service
+	calls     []*call // sorted by service
 }
 
-// call is an application's use of a service.
+// call is the use of a service by an application.
 type call struct {
 	service      *service
 	table        *tomldoc.Value
 	tenants      []string
-	classes      []*calledClass // by name
-	replicaIndex int            // of the application's first instance among all callers' instances
+	classes      []*calledClass // sorted by name
+	replicaIndex int            // index of the first instance among those of all callers
 }
 
 // calledClass is a class of a service that an application calls.
 type calledClass struct {
 	name  string
 	class *class
-	table *tomldoc.Value // the call's own table of the class; may be nil
+	table *tomldoc.Value // the call's table of the class; nil if the call has none
 }
 
-// field returns a field of the call's own table, or nil.
+// field returns a field of the call's table of the class, or nil.
 func (c *calledClass) field(name string) *tomldoc.Value {
 	if c.table == nil {
 		return nil
@@ -109,7 +109,7 @@
 	return c.table.Fields[name]
 }
 
-// class returns the called class of a name, or nil.
+// class returns the called class with a name, or nil.
 func (c *call) class(name string) *calledClass {
 	for _, called := range c.classes {
 		if called.name == name {
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// callOf returns the application's call of a service; nil where only a split arm or a mirror leads
-// there.
+// callOf returns the application's call of a service. It returns nil if the application reaches the
+// service only by a split arm or a mirror.
 func (a *application) callOf(s *service) *call {
 	for _, c := range a.calls {
 		if c.service == s {
@@ -130,12 +130,12 @@
 	return nil
 }
 
-// readModel decodes a catalogue's tree.
+// readModel decodes the tree of a catalogue.
 func readModel(reader *tomldoc.Collector, root *tomldoc.Value) *model {
 	m := &model{reader: reader, services: map[string]*service{}}
 	scope := tomldoc.NewScope(reader, root)
 	fleet := scope.Table("fleet")
-	m.retryFactor = fleet.Float("retry_factor", DefaultMaxAmplification, 1, 100)
+	m.maxAmplification = fleet.Float("retry_factor", DefaultMaxAmplification, 1, 100)
 	fleet.ReportUnknown()
 	names, scopes := scope.Tables("services")
 	for i, table := range scopes {
@@ -147,13 +147,13 @@
 		m.applications = append(m.applications, m.readApplication(table, names[i]))
 	}
 	slices.SortFunc(m.applications, func(a, b *application) int { return strings.Compare(a.name, b.name) })
-	m.numberReplicas()
+	m.assignReplicaIndexes()
 	return m
 }
 
-// numberReplicas gives each call the index of its application's first instance among all instances
-// that call the service.
-func (m *model) numberReplicas() {
+// assignReplicaIndexes sets the replica index of each call: the index of the first instance of its
+// application among all instances that call the service.
+func (m *model) assignReplicaIndexes() {
 	for _, a := range m.applications {
 		for _, c := range a.calls {
 			c.replicaIndex = c.service.callerInstances
@@ -167,7 +167,7 @@
 	m.reader.Diagnostics = append(m.reader.Diagnostics, d)
 }
 
-// sortedKeys returns the keys of a map in order.
+// sortedKeys returns the sorted keys of a map.
 func sortedKeys[V any](m map[string]V) []string {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/internal/catalogue/overlay.go
+++ b/internal/catalogue/overlay.go
@@ -9,17 +9,17 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// retrySafetyFields decide which requests may run twice. No environment changes them: the tested
-// rules are to be those that run in production.
+// retrySafetyFields are the fields of a class that determine which requests may run twice. An
+// environment cannot override them, so that the rules in production are those that were tested.
 var retrySafetyFields = []string{
 	"repeat", "dedup_scope", "dedup_window", "key", "resend", "early_data", "hedge", "formerly", "in_order",
 }
 
-// declaredTables are the tables to which an environment cannot add entries.
+// declaredTables are the names of the tables to which an environment cannot add entries.
 var declaredTables = []string{"services", "applications", "classes", "calls"}
 
-// overlay returns the catalogue's tree with the values of an environment; the empty name stands for
-// none. It reports false if there is no such environment.
+// overlay returns a copy of the catalogue's tree with the values of an environment. The empty name
+// means no environment. It returns false after it has reported an unknown environment.
 func (c *Catalogue) overlay(name string, reader *tomldoc.Collector) (*tomldoc.Value, bool) {
 	root := c.root.Clone()
 	if name == "" {
@@ -43,17 +43,18 @@
 			o.merge(root.Fields[section], table, []string{section})
 		default:
 			reader.ReportAt(table, rules.UnknownField, "environments."+name+"."+section, "",
-				"unknown field; known here: applications, fleet, services")
+				fmt.Sprintf("unknown field %q; known fields: applications, fleet, services", tomldoc.Truncate(section)))
 		}
 	}
 	return root, true
 }
 
-// unknownEnvironment returns the diagnostic of an environment that the catalogue does not declare.
+// unknownEnvironment returns the diagnostic for an environment that the catalogue does not declare.
 func (c *Catalogue) unknownEnvironment(name string) tomldoc.Diagnostic {
-	expect := "one of the environments expected: " + strings.Join(c.Environments(), ", ")
-	if near := tomldoc.Nearest(name, c.Environments()); near != "" {
-		expect = near + " meant?"
+	const unknown = "unknown environment"
+	expect := tomldoc.WithSuggestion(unknown, name, c.Environments())
+	if expect == unknown {
+		expect += "; known environments: " + strings.Join(c.Environments(), ", ")
 	}
 	return tomldoc.Diagnostic{
 		Place: tomldoc.Place{File: c.root.Place.File}, Rule: rules.UnknownEnv, Field: "environments",
@@ -61,19 +62,19 @@
 	}
 }
 
-// overlayer merges an environment's tables into the catalogue's.
+// overlayer merges the tables of an environment into those of the catalogue.
 type overlayer struct {
 	*tomldoc.Collector
 	environment string
 }
 
-// merge puts the values of an environment's table into the table at a path of the catalogue. Tables
+// merge adds the values of an environment's table to the table at a path of the catalogue. Tables
 // are merged; arrays and scalars are replaced.
 func (o *overlayer) merge(into, from *tomldoc.Value, path []string) {
 	for _, key := range from.Keys {
 		value, old := from.Fields[key], into.Fields[key]
 		keyPath := append(path[:len(path):len(path)], key)
-		if !o.mayOverlay(into, value, keyPath) {
+		if !o.checkOverride(into, value, keyPath) {
 			continue
 		}
 		if value.Kind != tomldoc.Table || old != nil && old.Kind != tomldoc.Table {
@@ -81,7 +82,8 @@
 			continue
 		}
 		if old == nil {
-			// An optional table is merged and not cloned, since it may hold a forbidden field.
+			// An optional table is merged instead of cloned, since it may contain a field that the
+			// environment cannot override.
 			old = tomldoc.NewTable(value.Place)
 			into.Set(key, old)
 		}
@@ -89,20 +91,18 @@
 	}
 }
 
-// mayOverlay reports whether an environment may state a value at a path whose last element is a key
-// of the table into; if not, it adds a diagnostic.
-func (o *overlayer) mayOverlay(into, value *tomldoc.Value, path []string) bool {
+// checkOverride reports whether an environment may set a value at a path, whose last element is a
+// key of the table into. If not, it adds a diagnostic.
+func (o *overlayer) checkOverride(into, value *tomldoc.Value, path []string) bool {
 	parents, key := path[:len(path)-1], path[len(path)-1]
 	field := "environments." + o.environment + "." + strings.Join(path, ".")
 	if slices.Contains(parents, "classes") && slices.Contains(retrySafetyFields, key) {
-		o.ReportAt(value, rules.OverlayRepeat, field, "", "the catalogue's own expected")
+		o.ReportAt(value, rules.OverlayRepeat, field, "", "an environment cannot override "+key+" of a class")
 		return false
 	}
 	if into.Fields[key] == nil && slices.Contains(declaredTables, parents[len(parents)-1]) {
-		expect := "nothing of that name is declared"
-		if near := tomldoc.Nearest(key, sortedKeys(into.Fields)); near != "" {
-			expect += "; " + near + " meant?"
-		}
+		expect := fmt.Sprintf("unknown name %q, which the catalogue does not declare", tomldoc.Truncate(key))
+		expect = tomldoc.WithSuggestion(expect, key, sortedKeys(into.Fields))
 		o.ReportAt(value, rules.OverlayNothing, field, "", expect)
 		return false
 	}
--- a/internal/catalogue/plan.go
+++ b/internal/catalogue/plan.go
@@ -5,28 +5,28 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// Output is one generated application file.
+// Output is a generated application file.
 type Output struct {
-	Application string // empty in Plan.Uncalled
-	Name        string // of the file
+	Application string // application name; empty in Plan.Uncalled
+	Name        string // file name
 	Data        []byte
-	Origin      []tomldoc.Place // of each line, in the catalogue
+	Origin      []tomldoc.Place // place in the catalogue from which each line is generated
 }
 
-// Plan is what a catalogue generates for one environment.
+// Plan is the set of files that a catalogue generates for one environment.
 type Plan struct {
 	Environment string
-	Outputs     []Output // by name
-	// Uncalled has a file for each service that no application calls: it is checked, and never
-	// written to the disk.
+	Outputs     []Output // sorted by name
+	// Uncalled has a file for each service that no application calls. The file is only checked; it is
+	// never written to the disk.
 	Uncalled         []Output
-	MaxAmplification float64 // bound of the product of all tiers' retry budgets
+	MaxAmplification float64 // limit of retry amplification over all tiers
 }
 
-// Generate generates each application's file with the overlay of an environment; the empty name
-// stands for none. The same catalogue gives the same bytes, however its text is divided into files.
-// The diagnostics are those of the catalogue; what an application's file must not say is found by
-// decoding the generated file.
+// Generate generates the file of each application with the overlay of an environment. The empty name
+// means no environment. The output is deterministic, and does not depend on how the text of the
+// catalogue is divided into files. The diagnostics are those of the catalogue. Violations in an
+// application's file are found by decoding the generated file.
 func (c *Catalogue) Generate(environment string) (*Plan, tomldoc.Diagnostics) {
 	reader := &tomldoc.Collector{}
 	root, ok := c.overlay(environment, reader)
@@ -34,14 +34,14 @@
 		return nil, reader.Diagnostics
 	}
 	m := readModel(reader, root)
-	plan := &Plan{Environment: environment, MaxAmplification: m.retryFactor}
+	plan := &Plan{Environment: environment, MaxAmplification: m.maxAmplification}
 	usedServices := map[string]bool{}
 	for _, a := range m.applications {
 		if len(a.calls) == 0 {
-			continue // already reported by readApplication
+			continue // reported by readApplication
 		}
 		e := newEmitter(m, a)
-		e.file(c.Digest, environment)
+		e.writeFile(c.Digest, environment)
 		plan.Outputs = append(plan.Outputs, Output{
 			Application: a.name, Name: a.name + ".toml", Data: e.out, Origin: e.origin,
 		})
@@ -54,14 +54,14 @@
 			continue
 		}
 		s := m.services[name]
-		reader.ReportAt(s.table, rules.Unused, "services."+name, "", "an application that calls it expected")
+		reader.ReportAt(s.table, rules.Unused, "services."+name, "", "no application calls the service")
 		plan.Uncalled = append(plan.Uncalled, m.uncalledOutput(s, c.Digest, environment))
 	}
 	return plan, reader.Diagnostics
 }
 
-// uncalledOutput returns a file in which a service that no application calls can be checked. Its
-// application exists in this file alone.
+// uncalledOutput returns a file for checking a service that no application calls. The application of
+// the file is a placeholder that is not in the catalogue.
 func (m *model) uncalledOutput(s *service, digest, environment string) Output {
 	c := &call{service: s, table: tomldoc.NewTable(s.table.Place)}
 	for _, name := range s.classNames {
@@ -70,6 +70,6 @@
 	a := &application{name: "probe", table: tomldoc.NewTable(s.table.Place), instances: 1, calls: []*call{c}}
 	e := newEmitter(m, a)
 	e.isUncalled = true
-	e.file(digest, environment)
+	e.writeFile(digest, environment)
 	return Output{Name: s.name + ".probe", Data: e.out, Origin: e.origin}
 }
--- a/internal/catalogue/read_application.go
+++ b/internal/catalogue/read_application.go
@@ -1,6 +1,7 @@
 package catalogue
 
 import (
+	"fmt"
 	"slices"
 	"strings"
 
@@ -30,23 +31,24 @@
 	}
 	slices.SortFunc(a.calls, func(a, b *call) int { return strings.Compare(a.service.name, b.service.name) })
 	if len(names) == 0 {
-		scope.ReportField(rules.Missing, "calls", "one service that it calls at least expected")
+		scope.ReportField(rules.Missing, "calls", "must contain at least one service")
 	}
 	scope.ReportUnknown()
 	return a
 }
 
-// findService returns the service of a name, or nil after it has reported the field that names it.
+// findService returns the service with a name. If there is none, it reports the field that refers to
+// the service and returns nil.
 func (m *model) findService(scope tomldoc.Scope, field, name string) *service {
 	s := m.services[name]
 	if s == nil {
-		expect := tomldoc.WithSuggestion("one of the services of the catalogue expected", name, m.serviceNames)
-		scope.ReportField(rules.UnknownService, field, "%s, found %q", expect, tomldoc.Truncate(name))
+		expect := fmt.Sprintf("unknown service %q", tomldoc.Truncate(name))
+		scope.ReportField(rules.UnknownService, field, "%s", tomldoc.WithSuggestion(expect, name, m.serviceNames))
 	}
 	return s
 }
 
-// readCall decodes an application's call of a service; nil if there is no such service.
+// readCall decodes an application's call of a service. It returns nil if the service is unknown.
 func (m *model) readCall(scope tomldoc.Scope, name string) *call {
 	s := m.findService(scope, "", name)
 	c := &call{service: s, table: scope.Value, tenants: scope.Strings("tenants")}
@@ -72,16 +74,17 @@
 	slices.SortFunc(c.classes, func(a, b *calledClass) int { return strings.Compare(a.name, b.name) })
 	for _, tenant := range c.tenants {
 		if s.tenants[tenant] == nil {
-			expect := tomldoc.WithSuggestion("no tenant of "+name+" is named so", tenant, sortedKeys(s.tenants))
-			scope.ReportField(rules.UnknownTenant, "tenants", "%s, found %q", expect, tomldoc.Truncate(tenant))
+			expect := fmt.Sprintf("unknown tenant %q of service %s", tomldoc.Truncate(tenant), name)
+			scope.ReportField(rules.UnknownTenant, "tenants", "%s",
+				tomldoc.WithSuggestion(expect, tenant, sortedKeys(s.tenants)))
 		}
 	}
-	checkBounds(scope, s)
+	checkLimits(scope, s)
 	return c
 }
 
-// readCalledClass decodes a call's own table of a class; nil if the service, which may itself be
-// nil, has no such class.
+// readCalledClass decodes a call's table of a class. It returns nil if the service has no such class
+// or s is nil.
 func (m *model) readCalledClass(scope tomldoc.Scope, s *service, name string) *calledClass {
 	scope.MarkKnown(narrowableFields...)
 	scope.MarkKnown(repeatableFields...)
@@ -100,19 +103,19 @@
 	return &calledClass{name: name, class: class, table: scope.Value}
 }
 
-// reportUnknownClass reports a class that the service does not have, with its new name if it has
-// been renamed.
+// reportUnknownClass reports a class that the service does not have. If the class has been renamed,
+// the diagnostic has its current name.
 func (m *model) reportUnknownClass(scope tomldoc.Scope, s *service, name string) {
 	for _, current := range s.classNames {
 		former := s.classes[current].table.Fields["formerly"]
 		if former != nil && slices.ContainsFunc(former.Items, func(v *tomldoc.Value) bool { return v.Text == name }) {
 			m.report(tomldoc.Diagnostic{
 				Place: scope.Value.Place, Rule: rules.ClassRenamed, Field: scope.Path,
-				Expect: current + " expected: that is its name now", See: former.Place,
+				Expect: "must be " + current + ", the new name of the class", See: former.Place,
 			})
 			return
 		}
 	}
-	expect := tomldoc.WithSuggestion("one of the classes of "+s.name+" expected", name, s.classNames)
-	scope.ReportAt(scope.Value, rules.UnknownClass, scope.Path, "", expect)
+	expect := fmt.Sprintf("unknown class %q of service %s", tomldoc.Truncate(name), s.name)
+	scope.ReportAt(scope.Value, rules.UnknownClass, scope.Path, "", tomldoc.WithSuggestion(expect, name, s.classNames))
 }
--- a/internal/catalogue/read_service.go
+++ b/internal/catalogue/read_service.go
@@ -17,15 +17,15 @@
 	}
 	s.team = scope.Text("team", "")
 	if s.team == "" {
-		scope.ReportField(rules.Missing, "team", "the team that owns the service expected")
+		scope.ReportField(rules.Missing, "team", "must be the team that owns the service")
 	}
 	s.zones = scope.Strings("zones")
 	scope.MarkKnown(serviceFields...)
-	// The diagnostics of these two are dropped: they are reported where the generated file is
-	// decoded.
-	bounds := tomldoc.Scope{Collector: &tomldoc.Collector{}, Value: scope.Value}
-	s.maxAttempts = bounds.Int("attempts", 3, 1, 16)
-	s.maxSlowStartMultiple = bounds.Float("cold_multiple", 3, 0, 100)
+	// The diagnostics of these two fields are discarded here: decoding the generated file reports
+	// them.
+	limits := tomldoc.Scope{Collector: &tomldoc.Collector{}, Value: scope.Value}
+	s.maxAttempts = limits.Int("attempts", 3, 1, 16)
+	s.maxSlowStartMultiple = limits.Float("cold_multiple", 3, 0, 100)
 	for _, table := range serviceTables {
 		scope.Get(table, tomldoc.Table)
 	}
@@ -36,25 +36,25 @@
 	return s
 }
 
-// readMembership decodes where a service's endpoint list comes from.
+// readMembership decodes the source of a service's endpoint list.
 func (m *model) readMembership(scope tomldoc.Scope, s *service) {
 	switch scope.OneOf("membership", "static", "static", "catalog", "file", "consul", "relay") {
 	case "catalog", "file", "consul", "relay":
 		scope.MarkKnown(sourceFields...)
 		if scope.Has("pods") {
-			scope.ReportField(rules.Exclusive, "pods", `stand in the catalogue where membership is "static"`)
+			scope.ReportField(rules.Exclusive, "pods", `requires membership = "static"`)
 			scope.MarkKnown("pods")
 		}
 	default:
 		if scope.Has("discovery") {
-			scope.ReportField(rules.Exclusive, "discovery", `goes with membership = "catalog"`)
+			scope.ReportField(rules.Exclusive, "discovery", `requires membership = "catalog"`)
 			scope.MarkKnown("discovery")
 		}
 		m.readPods(scope, s)
 	}
 }
 
-// readClasses decodes a service's classes.
+// readClasses decodes the classes of a service.
 func readClasses(scope tomldoc.Scope, s *service) {
 	names, scopes := scope.Tables("classes")
 	for i, table := range scopes {
@@ -66,11 +66,11 @@
 	}
 	s.classNames = slices.Sorted(slices.Values(names))
 	if len(names) == 0 {
-		scope.ReportField(rules.Missing, "classes", "one class at least expected")
+		scope.ReportField(rules.Missing, "classes", "must contain at least one class")
 	}
 }
 
-// readTenants decodes a service's tenants.
+// readTenants decodes the tenants of a service.
 func readTenants(scope tomldoc.Scope, s *service) {
 	names, scopes := scope.Tables("tenants")
 	for i, table := range scopes {
@@ -91,19 +91,21 @@
 	return matches
 }
 
-// podReader decodes the pods of one service, and reports what two of them have in common.
+// podReader decodes the pods of one service. It reports cell numbers and addresses that several pods
+// have.
 type podReader struct {
 	*model
-	cells     map[string]*tomldoc.Value // the last field that has a cell's number
-	addresses map[string]*tomldoc.Value // the last pod that has an address
+	cells     map[string]*tomldoc.Value // last cell field, keyed by its number
+	addresses map[string]*tomldoc.Value // table of the last pod, keyed by the address of an endpoint
 }
 
-// readPods decodes a service's static endpoints. The endpoints of a pod share one record of
+// readPods decodes the static endpoints of a service. The endpoints of a pod share a record of
 // idempotency keys.
 func (m *model) readPods(scope tomldoc.Scope, s *service) {
 	names, scopes := scope.Tables("pods")
 	if len(names) == 0 {
-		scope.ReportField(rules.Missing, "pods", `one at least expected where membership is "static"`)
+		// The reason is that of missing endpoints in package config, so that check reports one of both.
+		scope.ReportField(rules.Missing, "pods", `must contain at least one endpoint with membership = "static"`)
 	}
 	r := &podReader{model: m, cells: map[string]*tomldoc.Value{}, addresses: map[string]*tomldoc.Value{}}
 	for i, table := range scopes {
@@ -112,7 +114,7 @@
 	slices.SortFunc(s.pods, func(a, b pod) int { return strings.Compare(a.name, b.name) })
 }
 
-// readPod decodes one pod.
+// readPod decodes a pod.
 func (r *podReader) readPod(scope tomldoc.Scope, name string) pod {
 	config.CheckName(scope, "", name)
 	scope.MarkKnown("zone")
@@ -125,17 +127,17 @@
 		r.checkAddress(endpoint, scope.Value)
 	}
 	if len(p.endpoints) == 0 {
-		scope.ReportField(rules.Missing, "endpoints", "one at least expected")
+		scope.ReportField(rules.Missing, "endpoints", "must contain at least one endpoint")
 	}
 	scope.ReportUnknown()
 	return p
 }
 
-// readCell decodes a pod's number, which no other pod of the service may have.
+// readCell decodes a pod's cell number, which is unique among the pods of the service.
 func (r *podReader) readCell(scope tomldoc.Scope) {
 	if !scope.Has("cell") {
 		scope.ReportField(rules.Missing, "cell",
-			"the number of the pod expected: its members drop each other's repeats")
+			"must be the number of the pod, whose endpoints drop each other's duplicates")
 		return
 	}
 	cell := scope.Get("cell", tomldoc.Integer)
@@ -145,13 +147,13 @@
 	if other := r.cells[cell.Text]; other != nil {
 		r.report(tomldoc.Diagnostic{
 			Place: cell.Place, Rule: rules.DoubleName, Field: scope.FieldPath("cell"), Found: cell.Describe(),
-			Expect: "another pod has this number", See: other.Place,
+			Expect: "already the cell of another pod of the service", See: other.Place,
 		})
 	}
 	r.cells[cell.Text] = cell
 }
 
-// checkAddress reports an endpoint whose address is in another pod too.
+// checkAddress reports an endpoint whose address is also in another pod.
 func (r *podReader) checkAddress(endpoint tomldoc.Scope, podTable *tomldoc.Value) {
 	address := endpoint.Value.Fields["address"]
 	if address == nil {
@@ -161,7 +163,7 @@
 		r.report(tomldoc.Diagnostic{
 			Place: address.Place, Rule: rules.PodDisagrees,
 			Field: endpoint.FieldPath("address"), Found: address.Describe(),
-			Expect: "this address is in another pod too", See: other.Place,
+			Expect: "another pod has an endpoint with this address", See: other.Place,
 		})
 	}
 	r.addresses[address.Text] = podTable
--- a/internal/catalogue/starter.go
+++ b/internal/catalogue/starter.go
@@ -1,7 +1,7 @@
 package catalogue
 
 import (
-	_ "embed" // for the files of the starter catalogue
+	_ "embed" // embeds the files of the starter catalogue
 	"slices"
 )
 
@@ -15,8 +15,8 @@
 	starterEnvironments []byte
 )
 
-// StarterFiles returns a small catalogue to begin with: two services, two applications and two
-// environments. It is accepted by all rules as it stands. The caller may change the files' data.
+// StarterFiles returns the files of a small initial catalogue with two services, two applications
+// and two environments. The catalogue violates no rule. The caller may modify the data of the files.
 func StarterFiles() []File {
 	return []File{
 		{Name: "services.toml", Data: slices.Clone(starterServices)},
--- a/internal/catalogue/tomltext.go
+++ b/internal/catalogue/tomltext.go
@@ -8,7 +8,7 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// keyText returns a name as a TOML key: bare where TOML allows it, else quoted.
+// keyText returns a name as a TOML key, which is quoted unless TOML allows a bare key.
 func keyText(name string) string {
 	isBare := name != ""
 	for _, c := range name {
@@ -20,7 +20,7 @@
 	return quote(name)
 }
 
-// isBareKeyRune reports whether a character may stand in a key without quotes.
+// isBareKeyRune reports whether a bare key may contain a character.
 func isBareKeyRune(c rune) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_'
 }
@@ -44,7 +44,7 @@
 	return b.String()
 }
 
-// valueText returns a value as TOML on one line.
+// valueText returns a value as TOML on a single line.
 func valueText(value *tomldoc.Value) string {
 	switch value.Kind {
 	case tomldoc.String:
@@ -65,11 +65,11 @@
 		}
 		return "{ " + strings.Join(fields, ", ") + " }"
 	default:
-		return value.Text // a number, a boolean or a date, as it is written in the catalogue
+		return value.Text // a number, a boolean or a date, as written in the catalogue
 	}
 }
 
-// floatText returns a number so that TOML reads it as a float.
+// floatText returns a number as a TOML float.
 func floatText(number float64) string {
 	text := strconv.FormatFloat(number, 'f', -1, 64)
 	if !strings.ContainsAny(text, ".") && !strings.ContainsAny(text, "Nn") {
@@ -78,7 +78,7 @@
 	return text
 }
 
-// parseFloat parses the text of a TOML number, which may have underscores between digits.
+// parseFloat parses a TOML number, which may have underscores between digits.
 func parseFloat(text string) (float64, error) {
 	return strconv.ParseFloat(strings.ReplaceAll(text, "_", ""), 64)
 }
--- a/internal/check/bench_test.go
+++ b/internal/check/bench_test.go
@@ -12,9 +12,9 @@
 	"fernlanding/internal/check"
 )
 
-// largeCatalogue returns a catalogue of some applications and three tenths as many services, in a
-// chain of three tiers. Each application calls five services of the next tier, each of which has
-// three classes in two pods of two backends.
+// largeCatalogue returns a catalogue with a number of applications and 0.3 times as many services in
+// three tiers. Each application calls five services of the next tier. Each service has three
+// classes, and two pods of two backends.
 func largeCatalogue(applications int) []catalogue.File {
 	services := max(6, applications*3/10)
 	tier := services / 3
@@ -22,7 +22,7 @@
 	s.WriteString("catalogue = 1\n")
 	a.WriteString("catalogue = 1\n")
 	for i := range 3 * tier {
-		deadline := 9 - 2*(i/tier) // seconds: inner tiers have less
+		deadline := 9 - 2*(i/tier) // in seconds, shorter for inner tiers
 		fmt.Fprintf(&s, `
 [services.s%d]
 team = "team-%d"
@@ -58,7 +58,7 @@
 			i, i, deadline, i)
 	}
 	for i := range applications {
-		position := i % 4 // 0 and 1: outermost
+		position := i % 4 // 0 and 1 are outermost applications
 		fmt.Fprintf(&a, `
 [applications.a%d]
 team = "team-%d"
@@ -92,7 +92,7 @@
 	}
 }
 
-// inParallel calls f with 0 to n-1 on all cores, as the tool does.
+// inParallel calls f with each number from 0 to n-1 on all cores, as fernctl does.
 func inParallel(n int, f func(int)) {
 	var next atomic.Int64
 	var workers sync.WaitGroup
@@ -106,22 +106,22 @@
 	workers.Wait()
 }
 
-// BenchmarkCatalogue reads, generates and checks a catalogue; run it with -cpu 2. MB is the largest
-// heap that the garbage collector has seen live.
+// BenchmarkCatalogue reads a catalogue, generates its files and checks them. Run it with -cpu 2. MB
+// is the largest HeapInuse after an iteration.
 func BenchmarkCatalogue(b *testing.B) {
 	for _, n := range []int{100, 300, 1000} {
 		b.Run(fmt.Sprintf("applications=%d", n), func(b *testing.B) {
 			files := largeCatalogue(n)
 			var largestHeap uint64
 			for b.Loop() {
-				c, faults := catalogue.Read(files)
-				if len(faults) > 0 {
-					b.Fatal(faults[0])
+				c, diagnostics := catalogue.Read(files)
+				if len(diagnostics) > 0 {
+					b.Fatal(diagnostics[0])
 				}
-				plan, docs, faults := check.Catalogue(c, "", check.Options{ForEach: inParallel})
-				if len(faults) > 0 || len(plan.Outputs) != n {
-					b.Fatalf("%d files, %d faults, first %v", len(plan.Outputs), len(faults),
-						faults[:min(1, len(faults))])
+				plan, docs, diagnostics := check.Catalogue(c, "", check.Options{ForEach: inParallel})
+				if len(diagnostics) > 0 || len(plan.Outputs) != n {
+					b.Fatalf("got %d files, want %d; %d diagnostics, first %v", len(plan.Outputs), n, len(diagnostics),
+						diagnostics[:min(1, len(diagnostics))])
 				}
 				var stats runtime.MemStats
 				runtime.ReadMemStats(&stats)
@@ -134,14 +134,14 @@
 	}
 }
 
-// A large catalogue, as the benchmark has it, is accepted without a diagnostic.
+// The catalogue of the benchmark is accepted without a diagnostic.
 func TestLargeCatalogueIsAccepted(t *testing.T) {
-	c, faults := catalogue.Read(largeCatalogue(120))
-	if len(faults) > 0 {
-		t.Fatal(faults)
+	c, diagnostics := catalogue.Read(largeCatalogue(120))
+	if len(diagnostics) > 0 {
+		t.Fatal(diagnostics)
 	}
-	plan, _, faults := check.Catalogue(c, "", check.Options{ForEach: inParallel})
-	if len(faults) > 0 || len(plan.Outputs) != 120 {
-		t.Fatalf("%d files\n%.2000v", len(plan.Outputs), faults)
+	plan, _, diagnostics := check.Catalogue(c, "", check.Options{ForEach: inParallel})
+	if len(diagnostics) > 0 || len(plan.Outputs) != 120 {
+		t.Fatalf("got %d files, want 120; diagnostics\n%.2000v", len(plan.Outputs), diagnostics)
 	}
 }
--- a/internal/check/call_paths_test.go
+++ b/internal/check/call_paths_test.go
@@ -10,12 +10,12 @@
 // classRequest is a request that is routed to a class.
 type classRequest struct {
 	class, method, path, host string
-	keyHeader                 string // the header of its idempotency key
-	causes                    []string
+	keyHeader                 string   // header field of the idempotency key
+	causes                    []string // names of the form service/class
 }
 
-// routableRequests returns a request for each route of an application that it can reach, with the
-// service/class names that cause it.
+// routableRequests returns a request for each route of an application that a request can reach, with
+// its causes.
 func routableRequests(app *config.App) []classRequest {
 	var requests []classRequest
 	for i := range app.Routes {
@@ -26,7 +26,7 @@
 		}
 		matched, err := table.Match(route.Request{Method: r.method, Host: r.host, Path: r.path})
 		if err != nil || matched < 0 || numbers[matched] != i {
-			continue // an earlier route matches the path, and its request is of that one's class
+			continue // an earlier route matches the request, which is then of another class
 		}
 		r.causes = app.Routes[i].CausedBy
 		if len(r.causes) == 0 {
@@ -39,7 +39,7 @@
 	return requests
 }
 
-// requestFor returns a request that the route at an index matches.
+// requestFor returns a request that matches the route at an index.
 func requestFor(app *config.App, index int) classRequest {
 	r := &app.Routes[index]
 	request := classRequest{class: r.Targets[0].Class, method: "POST", path: r.Match.Path}
@@ -66,21 +66,21 @@
 	return request
 }
 
-// callPaths is how requests go through applications: in at the entries, and on by the sidecar of
-// the application that serves each service.
+// callPaths is the set of paths of requests through applications. A request enters at an entry; the
+// requests that it causes go through the sidecar of the application that serves its service.
 type callPaths struct {
 	entries  []entry
-	sidecars map[string]string         // address, by served service
-	caused   map[string][]classRequest // by service/class
+	sidecars map[string]string         // addresses, keyed by the service that the application serves
+	caused   map[string][]classRequest // caused requests, keyed by service/class
 }
 
-// entry is the sidecar of an application that serves no service, and the requests to send to it.
+// entry is the sidecar of an application that serves no service, with the requests to send to it.
 type entry struct {
 	addr     string
 	requests []classRequest
 }
 
-// add adds an application whose sidecar listens at an address.
+// add adds an application whose sidecar listens on an address.
 func (c *callPaths) add(root table, app *config.App, addr string) {
 	requests := routableRequests(app)
 	if len(app.Serves) == 0 {
@@ -88,7 +88,7 @@
 	}
 	for _, service := range app.Serves {
 		if c.sidecars[service] != "" {
-			continue // another application's backends
+			continue // served by an application that was added before
 		}
 		c.sidecars[service] = addr
 		for _, r := range requests {
@@ -99,7 +99,8 @@
 	}
 }
 
-// addCause adds that a class of a service, or * for all of them, causes a request.
+// addCause adds a request as caused by a class of a service. The class * means all classes of the
+// service.
 func (c *callPaths) addCause(root table, service, cause string, r classRequest) {
 	causingService, class, _ := strings.Cut(cause, "/")
 	if causingService != service {
--- a/internal/check/chain.go
+++ b/internal/check/chain.go
@@ -11,28 +11,27 @@
 	"fernlanding/logic"
 )
 
-// chainChecker checks the chains of a graph without cycles. The maps cache what is derived of a
-// node.
+// chainChecker checks the call chains of an acyclic graph. The maps cache derived values by node.
 type chainChecker struct {
 	*fleet
-	graph          *graph
-	duplicateSpans map[node]duplicateSpan
-	amplifications map[node]amplification
-	retriers       map[node]*edge
+	graph            *graph
+	duplicateSpans   map[node]duplicateSpan
+	amplifications   map[node]amplification
+	duplicatingCalls map[node]*edge
 }
 
-// checkChains checks what several tiers do together.
+// checkChains checks the call chains of the fleet: the rules that concern several tiers.
 func (f *fleet) checkChains() {
 	g := f.newGraph()
 	if f.findCycles(g) {
-		return // the other checks walk the graph up to its end, and a cycle has none
+		return // the other checks recurse along the chains, which would not end in a cycle
 	}
 	c := chainChecker{
-		fleet:          f,
-		graph:          g,
-		duplicateSpans: map[node]duplicateSpan{},
-		amplifications: map[node]amplification{},
-		retriers:       map[node]*edge{},
+		fleet:            f,
+		graph:            g,
+		duplicateSpans:   map[node]duplicateSpan{},
+		amplifications:   map[node]amplification{},
+		duplicatingCalls: map[node]*edge{},
 	}
 	for _, n := range g.nodes {
 		for _, e := range g.incoming[n] {
@@ -44,7 +43,7 @@
 	}
 }
 
-// checkTimeout reports a call with a longer timeout than one that causes it.
+// checkTimeout reports a call whose timeout exceeds that of a call that causes it.
 func (c *chainChecker) checkTimeout(e *edge) {
 	var shortest *edge
 	for _, cause := range e.causes {
@@ -58,19 +57,19 @@
 		return
 	}
 	see, _ := shortest.doc.Place(shortest.timeoutPath()...)
-	expect := fmt.Sprintf("%s allows %v for %s, which causes the call",
-		shortest.doc.App.Name, shortest.timeout, shortest.to)
+	expect := fmt.Sprintf("exceeds the timeout of %v that %s allows for %s, which causes the call",
+		shortest.timeout, shortest.doc.App.Name, shortest.to)
 	c.report(e.doc, rules.LimitGrows, e.timeoutPath(), e.timeout.String(), expect, see)
 }
 
-// duplicateSpan is how long after a request's first attempt a duplicate of it may come to a node,
-// and the call that allows it.
+// duplicateSpan is the time after the first attempt of a request during which a duplicate of the
+// request may arrive at a node.
 type duplicateSpan struct {
 	duration time.Duration
-	by       *edge
+	by       *edge // call that may send the duplicate
 }
 
-// duplicateSpan returns the longest span of all calls to a node.
+// duplicateSpan returns the longest duplicate span of all calls to a node.
 func (c *chainChecker) duplicateSpan(n node) duplicateSpan {
 	if span, isKnown := c.duplicateSpans[n]; isKnown {
 		return span
@@ -88,7 +87,7 @@
 	return longest
 }
 
-// outerDuplicateSpan returns the longest span that the outer tiers allow a call.
+// outerDuplicateSpan returns the longest duplicate span of the nodes that cause a call.
 func (c *chainChecker) outerDuplicateSpan(e *edge) duplicateSpan {
 	var longest duplicateSpan
 	for _, cause := range e.causes {
@@ -99,7 +98,7 @@
 	return longest
 }
 
-// checkDedupWindow reports a call that outer tiers may make again when its key is no longer cached.
+// checkDedupWindow reports a call that outer tiers may repeat after the dedup window of its key.
 func (c *chainChecker) checkDedupWindow(e *edge) {
 	if e.policy.Idempotency != logic.IdempotentByKey {
 		return
@@ -108,69 +107,73 @@
 	if outer.duration <= e.policy.DedupWindow {
 		return
 	}
-	expect := fmt.Sprintf("%s may send %s, which causes it, again for %v",
-		outer.by.doc.App.Name, outer.by.to, outer.duration)
-	c.report(e.doc, rules.WindowChain, e.path(), e.to.String()+" recalled for "+e.policy.DedupWindow.String(),
-		expect, outer.by.place())
+	expect := fmt.Sprintf("call to %s has a dedup window of %v, shorter than the %v for which %s may send "+
+		"duplicates of %s, which causes the call",
+		e.to, e.policy.DedupWindow, outer.duration, outer.by.doc.App.Name, outer.by.to)
+	found := fmt.Sprintf("%s recalled for %v", e.to, e.policy.DedupWindow)
+	c.report(e.doc, rules.WindowChain, e.path(), found, expect, outer.by.place())
 }
 
-// retrier returns a call by which requests of a class run more than once: an idempotent request is
-// retried, or its caller runs again. A class that is idempotent by key runs once, whatever is sent.
-// It returns nil if no request of the class runs again.
-func (c *chainChecker) retrier(n node) *edge {
-	if e, isKnown := c.retriers[n]; isKnown {
+// duplicatingCall returns a call because of which requests of a class may run more than once: a call
+// that may send duplicates of the idempotent requests of the class, or of requests that cause them.
+// A request that is idempotent by key runs once, however often it is sent. duplicatingCall returns
+// nil if no request of the class runs more than once.
+func (c *chainChecker) duplicatingCall(n node) *edge {
+	if e, isKnown := c.duplicatingCalls[n]; isKnown {
 		return e
 	}
-	c.retriers[n] = nil
+	c.duplicatingCalls[n] = nil
 	for _, e := range c.graph.incoming[n] {
 		if e.policy.Idempotency == logic.IdempotentByKey {
 			continue
 		}
 		if e.policy.Idempotency == logic.Idempotent && e.mayDuplicate {
-			c.retriers[n] = e
+			c.duplicatingCalls[n] = e
 			break
 		}
 		for _, cause := range e.causes {
-			if outer := c.retrier(cause); outer != nil && c.retriers[n] == nil {
-				c.retriers[n] = outer
+			if outer := c.duplicatingCall(cause); outer != nil && c.duplicatingCalls[n] == nil {
+				c.duplicatingCalls[n] = outer
 			}
 		}
 	}
-	return c.retriers[n]
+	return c.duplicatingCalls[n]
 }
 
-// checkRepeatedRuns reports a call that must not run twice and is made by each run of its cause.
+// checkRepeatedRuns reports a call that must not run twice but is repeated with each run of a
+// request that causes it.
 func (c *chainChecker) checkRepeatedRuns(e *edge) {
 	for _, cause := range e.causes {
-		by := c.retrier(cause)
+		by := c.duplicatingCall(cause)
 		if by == nil {
 			continue
 		}
-		expect := fmt.Sprintf("%s may send %s, which causes it, again", by.doc.App.Name, by.to)
+		expect := fmt.Sprintf("%s may send duplicates of %s, which causes the call", by.doc.App.Name, by.to)
 		switch {
 		case e.policy.Idempotency == logic.NonIdempotent:
 			c.report(e.doc, rules.RepeatChain, e.path(), e.to.String(), expect, by.place())
 			return
 		case mayMissDuplicate(e):
-			found := e.to.String() + " of scope " + config.DedupScopeName(e.policy.DedupScope)
-			c.report(e.doc, rules.ScopeChain, e.path(), found, expect, by.place())
+			scope := config.DedupScopeName(e.policy.DedupScope)
+			expect = fmt.Sprintf("call to %s has dedup scope %s, but %s", e.to, scope, expect)
+			c.report(e.doc, rules.ScopeChain, e.path(), e.to.String()+" of scope "+scope, expect, by.place())
 			return
 		}
 	}
 }
 
-// mayMissDuplicate reports whether a duplicate of a call that is idempotent by key may come to a
+// mayMissDuplicate reports whether a duplicate of a call that is idempotent by key may arrive at a
 // backend that has no record of the key.
 func mayMissDuplicate(e *edge) bool {
 	return e.policy.Idempotency == logic.IdempotentByKey && e.policy.DedupScope != logic.DedupTier &&
 		hasSeveralDedupGroups(e.service(), e.policy.DedupScope)
 }
 
-// amplification is the most attempts at a node per outermost request that the retry budgets allow
-// over time, and the calls that multiply them, outermost first.
+// amplification is the retry amplification of a node: the most attempts per outermost request that
+// the retry budgets allow over time.
 type amplification struct {
 	factor float64
-	calls  []*edge
+	calls  []*edge // calls whose factors are multiplied, outermost first
 }
 
 // amplification returns the largest amplification of all calls to a node.
@@ -188,7 +191,7 @@
 	return largest
 }
 
-// callAmplification returns the amplification of a chain up to and including a call.
+// callAmplification returns the largest amplification of the chains that end with a call.
 func (c *chainChecker) callAmplification(e *edge) amplification {
 	outer := amplification{factor: 1}
 	for _, cause := range e.causes {
@@ -200,12 +203,13 @@
 	return amplification{factor: outer.factor * e.retryFactor, calls: calls}
 }
 
-// checkAmplification reports the call with which retries multiply beyond the fleet's bound.
+// checkAmplification reports the call with which the retry amplification of a chain exceeds the
+// limit of the fleet.
 func (c *chainChecker) checkAmplification(e *edge) {
 	a := c.callAmplification(e)
-	bound := c.retryFactor + rounding
-	if a.factor <= bound || a.factor/e.retryFactor > bound {
-		return // within the bound, or beyond it by an outer call already
+	limit := c.maxAmplification + roundingTolerance
+	if a.factor <= limit || a.factor/e.retryFactor > limit {
+		return // within the limit, or beyond it because of an outer call
 	}
 	var factors []string
 	for _, call := range a.calls {
@@ -213,5 +217,5 @@
 			fmt.Sprintf("%s to %s %s", call.doc.App.Name, call.to, formatNumber(call.retryFactor)))
 	}
 	c.report(e.doc, rules.RetryFactor, e.path(), formatNumber(a.factor)+" = "+strings.Join(factors, " x "),
-		formatNumber(c.retryFactor)+" at most", tomldoc.Place{})
+		"exceeds the limit of "+formatNumber(c.maxAmplification), tomldoc.Place{})
 }
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -1,11 +1,12 @@
-// Package check checks configurations: each application's file by itself, and all files of a fleet
-// together. It is pure.
+// Package check checks configurations: the file of each application, and the files of a fleet
+// against each other. It performs no I/O.
 //
-// Files checks files that exist; Catalogue checks what is generated from a catalogue; Fleet, which
-// both use, checks what files say of each other.
+// Files checks existing files. Catalogue checks the files that are generated from a catalogue. Both
+// use Fleet, which checks files against each other.
 package check
 
 import (
+	"fmt"
 	"strings"
 
 	"fernlanding/internal/catalogue"
@@ -14,20 +15,21 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// Options are what a check compares the files with.
+// Options are the options of a check.
 type Options struct {
-	// MaxAmplification is the bound of the product of all tiers' retry budgets;
-	// 0: catalogue.DefaultRetryFactor.
+	// MaxAmplification is the limit of retry amplification over all tiers. 0 means
+	// catalogue.DefaultMaxAmplification.
 	MaxAmplification float64
-	// Deployed has the files that run now: what must not change in one step is compared with them.
+	// Deployed has the files that are in use. The files under check are compared with them to find
+	// changes that are unsafe in one step.
 	Deployed []*config.Document
-	// ForEach calls f with 0 to n-1, in any order or concurrently, and returns when all calls have
-	// returned; nil: one call after the other.
+	// ForEach calls f with each number from 0 to n-1, in any order or concurrently, and returns when
+	// all calls have returned. nil means sequential calls.
 	ForEach func(n int, f func(i int))
 }
 
-// each calls Each or, where it is nil, calls f in order.
-func (o *Options) each(n int, f func(i int)) {
+// forEach calls f with each number from 0 to n-1, by ForEach if it is set.
+func (o *Options) forEach(n int, f func(i int)) {
 	if o.ForEach != nil {
 		o.ForEach(n, f)
 		return
@@ -37,17 +39,17 @@
 	}
 }
 
-// File is an application's file that has not been decoded.
+// File is the encoded file of an application.
 type File struct {
 	Name string
 	Data []byte
 }
 
-// Files checks applications' files, each by itself and all together. It returns them decoded, with
-// the diagnostics in order.
+// Files checks the files of applications, each by itself and all together. It returns the decoded
+// files and the sorted diagnostics.
 func Files(files []File, o Options) ([]*config.Document, tomldoc.Diagnostics) {
 	docs := make([]*config.Document, len(files))
-	o.each(len(files), func(i int) { docs[i] = config.Read(files[i].Name, files[i].Data) })
+	o.forEach(len(files), func(i int) { docs[i] = config.Read(files[i].Name, files[i].Data) })
 	var diagnostics tomldoc.Diagnostics
 	for _, doc := range docs {
 		diagnostics = append(diagnostics, doc.Diagnostics...)
@@ -55,9 +57,9 @@
 	return docs, append(diagnostics, Fleet(docs, o)...).Sorted()
 }
 
-// Catalogue checks a catalogue with one environment: its own statements, each file that is
-// generated from it, and all of them together. It returns the plan with its outputs decoded; the
-// plan is nil if nothing could be generated. The diagnostics have their places in the catalogue.
+// Catalogue checks a catalogue with one environment: the catalogue itself, each generated file, and
+// all generated files together. It returns the plan, its decoded outputs and the diagnostics with
+// their places in the catalogue. The plan is nil if nothing could be generated.
 func Catalogue(
 	c *catalogue.Catalogue, environment string, o Options,
 ) (*catalogue.Plan, []*config.Document, tomldoc.Diagnostics) {
@@ -70,7 +72,7 @@
 	}
 	outputs := append(plan.Outputs[:len(plan.Outputs):len(plan.Outputs)], plan.Uncalled...)
 	docs := make([]*config.Document, len(outputs))
-	o.each(len(outputs), func(i int) {
+	o.forEach(len(outputs), func(i int) {
 		docs[i] = config.Read(outputs[i].Name, outputs[i].Data)
 		docs[i].Origin = outputs[i].Origin
 	})
@@ -79,7 +81,7 @@
 		isUncalled := i >= len(generated)
 		for _, d := range doc.Diagnostics {
 			if isUncalled && (d.Warning() || !strings.HasPrefix(d.Field, "services.")) {
-				continue // of the application that exists in the uncalled service's file alone
+				continue // concerns the placeholder application in the file of an uncalled service
 			}
 			diagnostics = append(diagnostics, atSource(doc, d, outputs[i].Application))
 		}
@@ -88,7 +90,7 @@
 	return plan, generated, withoutDuplicates(diagnostics)
 }
 
-// atSource returns a diagnostic of a generated file with its place in the catalogue.
+// atSource returns the diagnostic of a generated file with its place and its field in the catalogue.
 func atSource(doc *config.Document, d tomldoc.Diagnostic, application string) tomldoc.Diagnostic {
 	d.Place = doc.SourcePlace(d.Place)
 	if d.See.File != "" {
@@ -105,8 +107,9 @@
 	return d
 }
 
-// withoutDuplicates returns one of the diagnostics that differ only in the application: a violation
-// by a service's owner is found in the file of every caller.
+// withoutDuplicates removes diagnostics that differ from an earlier one only in the application: a
+// violation by the owner of a service is found in the file of every caller. A service without pods
+// is missing both pods in the catalogue and endpoints in the generated files; one of them remains.
 func withoutDuplicates(diagnostics tomldoc.Diagnostics) tomldoc.Diagnostics {
 	type identity struct {
 		place  tomldoc.Place
@@ -117,7 +120,7 @@
 	var unique tomldoc.Diagnostics
 	seen := map[identity]bool{}
 	for _, d := range diagnostics {
-		id := identity{place: d.Place, rule: d.Rule, found: d.Found, expect: d.Expect}
+		id := identity{place: d.Place, rule: d.Rule, found: d.Found, expect: reason(d)}
 		if d.Line > 0 && seen[id] {
 			continue
 		}
@@ -126,3 +129,12 @@
 	}
 	return unique
 }
+
+// reason returns Expect without the name of a missing field, which tomldoc.Scope.ReportField adds.
+func reason(d tomldoc.Diagnostic) string {
+	if d.Rule != rules.Missing {
+		return d.Expect
+	}
+	name := d.Field[strings.LastIndexByte(d.Field, '.')+1:]
+	return strings.TrimPrefix(d.Expect, fmt.Sprintf("missing field %q: ", name))
+}
--- a/internal/check/cycle.go
+++ b/internal/check/cycle.go
@@ -9,7 +9,7 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// visitState is the state of a node in a depth-first search.
+// visitState is the state of a node in the depth-first search.
 type visitState int
 
 const (
@@ -18,17 +18,17 @@
 	visited
 )
 
-// cycleFinder is a depth-first search for cycles, against the direction of the calls.
+// cycleFinder finds cycles by a depth-first search against the direction of the calls.
 type cycleFinder struct {
 	*fleet
 	graph  *graph
 	states map[node]visitState
-	path   []*edge // from the node that the search began at to the causes
+	path   []*edge // edges from the start node of the search to the current node
 	found  bool
 }
 
-// findCycles reports services that call each other in a cycle, one path for each cycle. It reports
-// whether there are any.
+// findCycles adds a diagnostic for each cycle of services that call each other. It reports whether
+// there are any cycles.
 func (f *fleet) findCycles(g *graph) bool {
 	c := &cycleFinder{fleet: f, graph: g, states: map[node]visitState{}}
 	for _, n := range g.nodes {
@@ -39,7 +39,7 @@
 	return c.found
 }
 
-// visit searches from a node.
+// visit searches for cycles from a node.
 func (c *cycleFinder) visit(n node) {
 	c.states[n] = onPath
 	for _, e := range c.graph.incoming[n] {
@@ -52,20 +52,20 @@
 			case onPath:
 				c.found = true
 				c.reportCycle(append(c.path[:len(c.path):len(c.path)], e), cause)
-			case visited: // no cycle leads through it that has not been found
+			case visited: // all cycles through the node have been found
 			}
 		}
 	}
 	c.states[n] = visited
 }
 
-// reportCycle reports a cycle. The path leads backwards; its last edge is caused by the node start,
-// which one of its edges leads to.
+// reportCycle reports a cycle. The edges of the path backwards are in the reverse order of the
+// calls. The node start causes the last edge and is the target of one of the edges.
 func (f *fleet) reportCycle(backwards []*edge, start node) {
 	begin := slices.IndexFunc(backwards, func(e *edge) bool { return e.to == start })
 	cycle := slices.Clone(backwards[max(begin, 0):])
 	slices.Reverse(cycle)
-	// Begin with the smallest place, so that a cycle has one text wherever the search met it.
+	// The text begins with the smallest place, so that it does not depend on the start of the search.
 	first := slices.MinFunc(cycle, func(a, b *edge) int { return a.place().Compare(b.place()) })
 	for cycle[0] != first {
 		cycle = append(cycle[1:], cycle[0])
@@ -79,8 +79,9 @@
 	slices.Sort(calls)
 	identity := strings.Join(calls, ", ")
 	if f.reportedCycles[identity] {
-		return // by other classes of the same services
+		return // reported for other classes of the same services
 	}
 	f.reportedCycles[identity] = true
-	f.report(first.doc, rules.ServiceCycle, first.path(), "", strings.Join(steps, " -> "), tomldoc.Place{})
+	f.report(first.doc, rules.ServiceCycle, first.path(), "", "call cycle: "+strings.Join(steps, " -> "),
+		tomldoc.Place{})
 }
--- a/internal/check/effect_backends_test.go
+++ b/internal/check/effect_backends_test.go
@@ -16,22 +16,22 @@
 	"fernlanding/internal/standin"
 )
 
-// effectBackends is the backends of all services. They count the effects of requests as the owners
-// of the current catalogue state them.
+// effectBackends are the backends of all services. They count the effects of requests according to
+// the classes that the owners declare in the current catalogue.
 type effectBackends struct {
 	backends []*standin.Backend
 	client   *http.Client
 
 	mu       sync.Mutex
 	rnd      *rand.Rand
-	root     table                     // the current catalogue
-	sidecars map[string]string         // address of the sidecar of the application that serves a service
-	caused   map[string][]classRequest // what a backend calls, by service/class
-	seenKeys map[string]time.Time      // by service, class, dedup group and key
-	effects  map[string]int            // by service, class and subject
+	root     table                     // current catalogue
+	sidecars map[string]string         // sidecar addresses, keyed by the service that the application serves
+	caused   map[string][]classRequest // requests that a backend sends, keyed by service/class
+	seenKeys map[string]time.Time      // keyed by service, class, dedup group and idempotency key
+	effects  map[string]int            // counts, keyed by service, class and subject
 }
 
-// newEffectBackends starts the backends; they stop when the test ends.
+// newEffectBackends starts the backends. They are closed at the end of the test.
 func newEffectBackends(t *testing.T) *effectBackends {
 	t.Helper()
 	e := &effectBackends{client: &http.Client{
@@ -59,7 +59,7 @@
 	return text
 }
 
-// reset begins to count anew for another catalogue and its calls.
+// reset clears the counts and sets another catalogue and its call paths.
 func (e *effectBackends) reset(seed uint64, root table, calls *callPaths) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -68,28 +68,28 @@
 	e.seenKeys, e.effects = map[string]time.Time{}, map[string]int{}
 }
 
-// repeatedEffects returns the effects that happened more than once.
+// repeatedEffects returns the effects that occurred more than once.
 func (e *effectBackends) repeatedEffects() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var repeated []string
 	for _, effect := range slices.Sorted(maps.Keys(e.effects)) {
 		if e.effects[effect] > 1 {
-			repeated = append(repeated, fmt.Sprintf("%s: %d times", effect, e.effects[effect]))
+			repeated = append(repeated, fmt.Sprintf("%s: %d effects", effect, e.effects[effect]))
 		}
 	}
 	return repeated
 }
 
-// backendClass is a class as the owner of a backend's service states it.
+// backendClass is a class as the owner of a backend's service declares it.
 type backendClass struct {
 	service    string
 	name       string
 	dedupGroup string
-	policy     any // the class's table; nil: the backend is in no service with this class
+	policy     any // table of the class; nil if the backend is in no service with the class
 }
 
-// findClass returns the class of the service that an address belongs to.
+// findClass returns a class of the service whose backend has an address.
 func (e *effectBackends) findClass(addr, class string) backendClass {
 	services, _ := lookUp(e.root, "services").(table)
 	for _, service := range slices.Sorted(maps.Keys(services)) {
@@ -112,7 +112,7 @@
 	return backendClass{name: class}
 }
 
-// hasEndpoint reports whether an address is that of a pod's endpoint.
+// hasEndpoint reports whether a pod has an endpoint with an address.
 func hasEndpoint(pod any, addr string) bool {
 	endpoints, _ := lookUp(pod, "endpoints").([]any)
 	return slices.ContainsFunc(endpoints, func(endpoint any) bool {
@@ -120,8 +120,8 @@
 	})
 }
 
-// isDuplicate reports whether a request's key is within the dedup window of its class; if not, it
-// notes the key. e.mu is held.
+// isDuplicate reports whether the key of a request has been seen within the dedup window of its
+// class. If not, it records the key. The caller holds e.mu.
 func (e *effectBackends) isDuplicate(class backendClass, header http.Header) bool {
 	if stringOr(lookUp(class.policy, "repeat"), "") != "keyed" {
 		return false
@@ -136,9 +136,9 @@
 	return false
 }
 
-// handler returns the handler of the backend at an address. It has each effect as its service's
-// owner states and calls what its requests cause. Then it mostly responds; else it breaks off, or
-// reports a failure, after the complete request has come and run.
+// handler returns the handler of the backend at an address. The handler counts the effect of a
+// request and sends the requests that it causes. After that it responds with 200, responds with 500
+// or closes the connection without a response.
 func (e *effectBackends) handler(addr string) standin.Handler {
 	return func(c *standin.Call) bool {
 		className, subject := c.Header.Get("Class"), c.Header.Get("Subject")
@@ -174,11 +174,11 @@
 	}
 }
 
-// send sends one request and drops its response.
+// send sends a request and discards the response.
 func (e *effectBackends) send(addr string, r classRequest, subject string) {
 	req, err := http.NewRequest(r.method, "http://"+addr+r.path, nil)
 	if err != nil {
-		return // a mutated path that no client can send
+		return // no client can send the mutated path
 	}
 	if r.host != "" {
 		req.Host = r.host
@@ -190,7 +190,7 @@
 	}
 	resp, err := e.client.Do(req)
 	if err != nil {
-		return // effects are counted, not responses
+		return // only effects are counted, not responses
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
 	_ = resp.Body.Close()
--- a/internal/check/endpoint.go
+++ b/internal/check/endpoint.go
@@ -11,21 +11,22 @@
 	"fernlanding/logic"
 )
 
-// endpoint is where a file puts an endpoint.
+// endpoint is the placement of an endpoint by a file.
 type endpoint struct {
 	doc   *config.Document
-	index int // in the service's list
+	index int // index in the service's endpoint list
 	cell  int
 	zone  string
 }
 
-// newEndpoint returns the endpoint at an index of a service's list.
+// newEndpoint returns the endpoint at an index of a service's endpoint list.
 func newEndpoint(doc *config.Document, s *config.Service, index int) endpoint {
 	e := s.Source.Endpoints[index]
 	return endpoint{doc: doc, index: index, cell: e.Cell, zone: e.Zone}
 }
 
-// endpointKeys returns what a service's endpoint is looked up by: its name and its address.
+// endpointKeys returns the keys by which an endpoint of a service is looked up: one for its name and
+// one for its address.
 func endpointKeys(s *config.Service, e membership.Endpoint) [2]string {
 	return [2]string{s.Name + "\x00" + e.Name, s.Name + "\x00" + e.Address}
 }
@@ -35,7 +36,7 @@
 	return itemPath(index, "services", s.Name, "endpoints")
 }
 
-// checkEndpoints reports endpoints that another file puts into another pod.
+// checkEndpoints reports endpoints that another file places in another pod.
 func (f *fleet) checkEndpoints(doc *config.Document, s *config.Service) {
 	for i, e := range s.Source.Endpoints {
 		for _, key := range endpointKeys(s, e) {
@@ -50,13 +51,13 @@
 			}
 			see, _ := other.doc.Place(endpointPath(s, other.index)...)
 			f.report(doc, rules.PodDisagrees, endpointPath(s, i), e.Name+" in "+podName(e.Cell, e.Zone),
-				podName(other.cell, other.zone)+" by another file", see)
+				"another file places the endpoint in "+podName(other.cell, other.zone), see)
 			break
 		}
 	}
 }
 
-// podName returns a pod as diagnostics have it.
+// podName returns the name of a pod in diagnostics.
 func podName(cell int, zone string) string {
 	if zone == "" {
 		return fmt.Sprintf("cell %d", cell)
@@ -65,7 +66,7 @@
 }
 
 // checkMoves reports endpoints that change their pod while they serve: the new pod has no record of
-// the idempotency keys that the old one has seen.
+// the idempotency keys that the old pod has received.
 func (f *fleet) checkMoves(deployed []*config.Document) {
 	running := deployedEndpoints(deployed)
 	for _, doc := range f.docs {
@@ -77,7 +78,7 @@
 	}
 }
 
-// deployedEndpoints returns the endpoints of the files that run now, by endpointKeys.
+// deployedEndpoints returns the endpoints of the deployed files, keyed by endpointKeys.
 func deployedEndpoints(deployed []*config.Document) map[string]endpoint {
 	running := map[string]endpoint{}
 	for _, doc := range deployed {
@@ -95,7 +96,7 @@
 	return running
 }
 
-// checkMove reports an endpoint that serves and has left a pod which remembers its keys.
+// checkMove reports a serving endpoint that leaves a pod with a record of its idempotency keys.
 func (f *fleet) checkMove(doc *config.Document, s *config.Service, index int, running map[string]endpoint) {
 	e := s.Source.Endpoints[index]
 	if e.Status != membership.Serving {
@@ -111,7 +112,7 @@
 			continue
 		}
 		see, _ := old.doc.Place(endpointPath(s, old.index)...)
-		expect := fmt.Sprintf("it serves in %s now, where keys are recalled for %v",
+		expect := fmt.Sprintf("the deployed endpoint serves in %s, which records idempotency keys for %v",
 			podName(old.cell, old.zone), window)
 		f.report(doc, rules.PodMoves, endpointPath(s, index), e.Name+" in "+podName(e.Cell, e.Zone), expect, see)
 		return
@@ -119,7 +120,7 @@
 }
 
 // leftDedupWindow returns the longest dedup window of the classes whose dedup group an endpoint
-// leaves; 0 if it leaves none.
+// leaves. 0 means that the endpoint leaves no dedup group.
 func leftDedupWindow(s *config.Service, old endpoint, e membership.Endpoint) time.Duration {
 	var longest time.Duration
 	for _, policy := range s.ClassPolicies {
@@ -134,8 +135,8 @@
 	return longest
 }
 
-// dedupGroup names the group of backends with one record of idempotency keys that an endpoint is
-// in.
+// dedupGroup returns the name of an endpoint's dedup group: the backends that share a record of
+// idempotency keys.
 func dedupGroup(cell int, zone string, scope logic.DedupScope) string {
 	switch scope {
 	case logic.DedupZone:
@@ -147,7 +148,8 @@
 	}
 }
 
-// hasSeveralDedupGroups reports whether a service has, or may have, more than one dedup group.
+// hasSeveralDedupGroups reports whether a service has or may have more than one dedup group. The
+// groups of a service without static endpoints are unknown.
 func hasSeveralDedupGroups(s *config.Service, scope logic.DedupScope) bool {
 	if s.Source.Kind != config.Static {
 		return true
--- a/internal/check/fleet.go
+++ b/internal/check/fleet.go
@@ -12,17 +12,17 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// Fleet checks what files say of each other. Files that a sidecar would reject are left out.
+// Fleet checks the files of a fleet against each other. It skips files that a sidecar would reject.
 func Fleet(docs []*config.Document, o Options) tomldoc.Diagnostics {
 	f := fleet{
-		retryFactor:    o.MaxAmplification,
-		statements:     map[string]*serviceStatement{},
-		endpoints:      map[string]*endpoint{},
-		capacity:       map[string]float64{},
-		reportedCycles: map[string]bool{},
+		maxAmplification: o.MaxAmplification,
+		references:       map[string]*serviceReference{},
+		endpoints:        map[string]*endpoint{},
+		capacity:         map[string]float64{},
+		reportedCycles:   map[string]bool{},
 	}
-	if f.retryFactor == 0 {
-		f.retryFactor = catalogue.DefaultMaxAmplification
+	if f.maxAmplification == 0 {
+		f.maxAmplification = catalogue.DefaultMaxAmplification
 	}
 	for _, doc := range docs {
 		if doc != nil && doc.App != nil && doc.App.Kind == config.Application {
@@ -38,15 +38,15 @@
 	return f.diagnostics
 }
 
-// fleet is all files that are checked together.
+// fleet is the set of files that are checked together.
 type fleet struct {
-	docs           []*config.Document // by file
-	retryFactor    float64
-	diagnostics    tomldoc.Diagnostics
-	statements     map[string]*serviceStatement // by service
-	endpoints      map[string]*endpoint         // by endpointKeys
-	capacity       map[string]float64           // sum of the capacity fractions, by service
-	reportedCycles map[string]bool
+	docs             []*config.Document // sorted by file
+	maxAmplification float64
+	diagnostics      tomldoc.Diagnostics
+	references       map[string]*serviceReference // keyed by service
+	endpoints        map[string]*endpoint         // keyed by endpointKeys
+	capacity         map[string]float64           // sums of the capacity fractions, keyed by service
+	reportedCycles   map[string]bool
 }
 
 // report adds a diagnostic at a path of a file.
@@ -66,7 +66,8 @@
 	})
 }
 
-// fieldName returns a path as diagnostics have it: names with dots, indexes in brackets.
+// fieldName returns the text of a path in diagnostics: names separated by dots, and indexes in
+// brackets.
 func fieldName(path []string) string {
 	field := ""
 	for i, element := range path {
@@ -84,25 +85,27 @@
 	return field
 }
 
-// path returns the elements of a path.
+// path returns the path with the given elements.
 func path(elements ...string) []string { return elements }
 
-// itemPath returns the path of an item of an array; index counts from 0, a path from 1.
+// itemPath returns the path of an item of an array. The index counts from 0, the element of the path
+// from 1.
 func itemPath(index int, array ...string) []string {
 	return append(array, strconv.Itoa(index+1))
 }
 
-// formatNumber returns a number as diagnostics have it.
+// formatNumber returns the text of a number in diagnostics.
 func formatNumber(number float64) string { return fmt.Sprintf("%.4g", number) }
 
-// checkNames reports two files of one application.
+// checkNames reports files with the application name of an earlier file.
 func (f *fleet) checkNames() {
 	first := map[string]*config.Document{}
 	for _, doc := range f.docs {
 		name := doc.App.Name
 		if other := first[name]; other != nil && name != "" {
 			see, _ := other.Place("name")
-			f.report(doc, rules.AppTwice, path("name"), strconv.Quote(name), "another file is of this application", see)
+			f.report(doc, rules.AppTwice, path("name"), strconv.Quote(name),
+				"already the name of the application of another file", see)
 			continue
 		}
 		first[name] = doc
@@ -121,9 +124,9 @@
 	return append(itemPath(l.index, "listeners"), "address")
 }
 
-// checkHosts reports listeners of two applications on one host that cannot both be open.
+// checkHosts reports listeners of different applications on the same host that cannot both be open.
 func (f *fleet) checkHosts() {
-	byPort := map[string][]listener{} // by host and port
+	byPort := map[string][]listener{} // keyed by host and port
 	for _, doc := range f.docs {
 		if doc.App.Host == "" {
 			continue
@@ -137,14 +140,15 @@
 	}
 }
 
-// checkPort reports a listener whose address another application has too.
+// checkPort reports a listener whose address conflicts with that of another application.
 func (f *fleet) checkPort(l listener, others []listener) {
 	for _, other := range others {
 		if other.doc == l.doc || !config.AddressesConflict(other.address, l.address) {
 			continue
 		}
 		see, _ := other.doc.Place(other.addressPath()...)
-		expect := fmt.Sprintf("application %s has it on host %s", other.doc.App.Name, l.doc.App.Host)
+		expect := fmt.Sprintf("overlaps with a listener of application %s on host %s",
+			other.doc.App.Name, l.doc.App.Host)
 		f.report(l.doc, rules.HostClash, l.addressPath(), strconv.Quote(l.address), expect, see)
 		return
 	}
--- a/internal/check/graph.go
+++ b/internal/check/graph.go
@@ -12,20 +12,20 @@
 // node is a class of a service.
 type node struct{ service, class string }
 
-// String returns service/class.
+// String returns the node as service/class.
 func (n node) String() string { return n.service + "/" + n.class }
 
-// edge is a call: a route of an application that leads to a node, with the nodes that cause it.
+// edge is a call: a route of an application to a node, with the nodes whose requests cause the call.
 type edge struct {
 	doc         *config.Document
-	route       int // index in the document
+	route       int // index of the route in the document
 	to          node
 	timeout     time.Duration
-	retryFactor float64 // the most attempts per request that the retry budget allows over time
-	// mayDuplicate says that a request which may have run can be sent again, or mirrored.
+	retryFactor float64 // most attempts per request that the retry budget allows over time
+	// mayDuplicate is whether a request that may have run can be retried or mirrored.
 	mayDuplicate bool
 	policy       config.ClassPolicy
-	causes       []node // none: the calls come from outside of the fleet
+	causes       []node // empty if the calls come from outside of the fleet
 }
 
 // place returns the place of the edge's route.
@@ -40,14 +40,14 @@
 // timeoutPath returns the path of the edge's timeout.
 func (e *edge) timeoutPath() []string { return append(e.path(), "timeout") }
 
-// service returns the service that the edge leads to.
+// service returns the service to which the edge leads.
 func (e *edge) service() *config.Service { return e.doc.App.Service(e.to.service) }
 
-// graph is all calls of a fleet. A chain is made of calls: an application that is a backend of one
-// service calls a class of another.
+// graph is the call graph of a fleet. Calls form a chain where an application that is a backend of a
+// service calls a class of another service.
 type graph struct {
 	incoming map[node][]*edge
-	nodes    []node // in order
+	nodes    []node // sorted
 }
 
 // newGraph builds the graph from the routes of all files.
@@ -55,7 +55,7 @@
 	g := &graph{incoming: map[node][]*edge{}}
 	classes := f.classNames()
 	for _, doc := range f.docs {
-		var served []node // all that the application is a backend of
+		var served []node // classes of the services of which the application is a backend
 		for _, service := range doc.App.Serves {
 			for _, class := range classes[service] {
 				served = append(served, node{service: service, class: class})
@@ -69,7 +69,7 @@
 	return g
 }
 
-// classNames returns the classes of each service that any file names.
+// classNames returns the classes of each service in all files.
 func (f *fleet) classNames() map[string][]string {
 	classes := map[string][]string{}
 	for _, doc := range f.docs {
@@ -84,8 +84,8 @@
 	return classes
 }
 
-// addRoute adds an edge for each target of a route. The nodes that the application serves are the
-// causes where the route does not state them.
+// addRoute adds an edge for each target of a route and for its mirror. If the route does not state
+// the causes of its calls, they are the nodes that the application serves.
 func (g *graph) addRoute(doc *config.Document, route int, served []node) {
 	r := &doc.App.Routes[route]
 	causes := served
@@ -133,7 +133,7 @@
 	return e
 }
 
-// add adds an edge and the node that it leads to.
+// add adds an edge and its target node.
 func (g *graph) add(e *edge) {
 	if g.incoming[e.to] == nil {
 		g.nodes = append(g.nodes, e.to)
--- a/internal/check/mutate_test.go
+++ b/internal/check/mutate_test.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// table is a part of a catalogue as a map.
+// table is a decoded TOML table of a catalogue.
 type table = map[string]any
 
-// fieldValues has the fields that a mutation may add, with the values that it may give them.
+// fieldValues are the fields that a mutation may add or change, with the values that it may set.
 var fieldValues = map[string][]any{
 	"answers":       {table{"failed": 503}, table{"failed": 500, "refused": 429}},
 	"attempts":      {1, 2, 16},
@@ -61,14 +61,14 @@
 	"zone":           {"a", "b"},
 }
 
-// mutate changes a catalogue in one to three places.
+// mutate applies one to three mutations to a catalogue.
 func mutate(rnd *rand.Rand, root table) {
 	for range 1 + rnd.IntN(3) {
 		mutateOnce(rnd, root)
 	}
 }
 
-// mutateOnce changes a catalogue in one place.
+// mutateOnce applies one mutation to a catalogue.
 func mutateOnce(rnd *rand.Rand, root table) {
 	places := tables(root)
 	t := places[rnd.IntN(len(places))]
@@ -76,37 +76,37 @@
 	randomValue := func(values []any) any { return values[rnd.IntN(len(values))] }
 	randomKey := func() string { return keys[rnd.IntN(len(keys))] }
 	switch operation := rnd.IntN(10); {
-	case operation < 3: // a field takes another value that it may have
+	case operation < 3: // set a field to another of its values
 		isUnknown := func(key string) bool { return fieldValues[key] == nil }
 		if known := slices.DeleteFunc(slices.Clone(keys), isUnknown); len(known) > 0 {
 			key := known[rnd.IntN(len(known))]
 			t[key] = randomValue(fieldValues[key])
 		}
-	case operation < 6: // a field is added
+	case operation < 6: // add a field
 		all := slices.Sorted(maps.Keys(fieldValues))
 		key := all[rnd.IntN(len(all))]
 		t[key] = randomValue(fieldValues[key])
 	case len(keys) == 0:
-	case operation == 6: // a field is removed
+	case operation == 6: // remove a field
 		delete(t, randomKey())
-	case operation == 7: // two fields change places
+	case operation == 7: // swap the values of two fields
 		a, b := randomKey(), randomKey()
 		t[a], t[b] = t[b], t[a]
-	case operation == 8: // a table is merged into another
+	case operation == 8: // merge a table into another
 		from := places[rnd.IntN(len(places))]
 		for _, key := range slices.Sorted(maps.Keys(from)) {
 			if _, isTable := from[key].(table); !isTable || rnd.IntN(2) == 0 {
 				t[key] = clone(from[key])
 			}
 		}
-	default: // a field is misspelt
+	default: // misspell the name of a field
 		key := randomKey()
 		t[key+"x"] = t[key]
 		delete(t, key)
 	}
 }
 
-// tables returns all tables of a value, always in the same order.
+// tables returns all tables of a value in a deterministic order.
 func tables(value any) []table {
 	var all []table
 	switch v := value.(type) {
@@ -143,7 +143,7 @@
 	}
 }
 
-// lookUp returns the value at a path of tables, or nil.
+// lookUp returns the value at a path of table keys, or nil.
 func lookUp(value any, path ...string) any {
 	for _, key := range path {
 		t, _ := value.(table)
@@ -152,10 +152,10 @@
 	return value
 }
 
-// stringOr returns a value that is a string, or otherwise.
-func stringOr(value any, otherwise string) string {
+// stringOr returns a value if it is a string, or else the fallback.
+func stringOr(value any, fallback string) string {
 	if s, ok := value.(string); ok {
 		return s
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/check/random_catalogue_test.go
+++ b/internal/check/random_catalogue_test.go
@@ -19,30 +19,31 @@
 )
 
 var (
-	mutantCount = flag.Int("mutants", 400, "changed catalogues to check")
-	servedCount = flag.Int("runs", 48, "accepted ones to serve requests with")
-	firstSeed   = flag.Uint64("first", 0, "the first seed; 0 is the catalogue itself")
+	mutantCount = flag.Int("mutants", 400, "number of mutated catalogues to check")
+	servedCount = flag.Int("runs", 48, "number of accepted catalogues to serve requests with")
+	firstSeed   = flag.Uint64("first", 0, "first seed; seed 0 is the unchanged catalogue")
 )
 
 const (
-	backendsPerService = 4 // in two pods
+	backendsPerService = 4 // two pods of two backends
 	requestsPerRoute   = 5
 	shards             = 16
 )
 
-// mutantStats is what became of the mutants.
+// mutantStats counts the results of all mutants.
 type mutantStats struct {
 	mu       sync.Mutex
 	accepted int
 	served   int
 	requests int
-	rejected map[string]int // by rule
+	rejected map[string]int // diagnostics, keyed by rule
 }
 
-// A catalogue that is accepted is changed at random. Whatever the check still accepts, a sidecar
-// must load; and served with, before backends that break off after the last byte of a request, no
-// effect may happen twice. What an effect is and which pod drops a duplicate is read from the
-// changed catalogue by a reader of the test's own, not by the tool's.
+// A valid catalogue is mutated at random. A sidecar must load the files of every mutant that the
+// check accepts. When it serves requests with them, and backends close connections after they have
+// received a complete request, no effect may occur twice. The test determines effects and dedup
+// groups from the mutated catalogue with a decoder of its own, so that a fault in the decoder of the
+// product cannot hide a violation.
 func TestAcceptedCataloguesAreSafe(t *testing.T) {
 	stats := mutantStats{rejected: map[string]int{}}
 	t.Run("shards", func(t *testing.T) {
@@ -50,55 +51,55 @@
 			t.Run(strconv.Itoa(shard), func(t *testing.T) {
 				t.Parallel()
 				backends := newEffectBackends(t)
-				left := (*servedCount + shards - 1) / shards
+				remaining := (*servedCount + shards - 1) / shards
 				end := *firstSeed + uint64(*mutantCount)
 				for seed := *firstSeed + uint64(shard); seed < end; seed += shards {
-					testMutant(t, backends, seed, &left, &stats)
+					testMutant(t, backends, seed, &remaining, &stats)
 				}
 			})
 		}
 	})
-	t.Logf("%d mutants, %d accepted, %d of them served with %d requests; rejected by %v",
+	t.Logf("%d mutants, %d accepted, %d of them served with %d requests; diagnostics by rule: %v",
 		*mutantCount, stats.accepted, stats.served, stats.requests, stats.rejected)
 	if stats.accepted < *mutantCount/20 || stats.served == 0 ||
 		len(stats.rejected) < 10 && *mutantCount >= 400 {
-		t.Errorf("%d of %d accepted, %d served, rejected by %d rules: the changes prove little",
+		t.Errorf("%d of %d mutants accepted, %d served, rejected by %d rules: coverage is too low",
 			stats.accepted, *mutantCount, stats.served, len(stats.rejected))
 	}
 }
 
-// testMutant checks one changed catalogue; seed 0 is the catalogue itself. left is how many
-// accepted catalogues may still be served with.
-func testMutant(t *testing.T, backends *effectBackends, seed uint64, left *int, stats *mutantStats) {
+// testMutant checks one mutant. Seed 0 is the unchanged catalogue. remaining is the number of
+// accepted mutants that may still be served with.
+func testMutant(t *testing.T, backends *effectBackends, seed uint64, remaining *int, stats *mutantStats) {
 	t.Helper()
 	root, text := mutantOf(t, backends.catalogueText(), seed)
-	cat, found := catalogue.Read([]catalogue.File{{Name: "c.toml", Data: text}})
-	if cat == nil || len(found.Errors()) > 0 {
+	cat, diagnostics := catalogue.Read([]catalogue.File{{Name: "c.toml", Data: text}})
+	if cat == nil || len(diagnostics.Errors()) > 0 {
 		return
 	}
-	plan, docs, found := check.Catalogue(cat, "", check.Options{})
+	plan, docs, diagnostics := check.Catalogue(cat, "", check.Options{})
 	stats.mu.Lock()
-	for _, d := range found.Errors() {
+	for _, d := range diagnostics.Errors() {
 		stats.rejected[string(d.Rule)]++
 	}
 	stats.mu.Unlock()
-	if seed == 0 && len(found) > 0 {
-		t.Fatalf("the catalogue itself: %v", found)
+	if seed == 0 && len(diagnostics) > 0 {
+		t.Fatalf("unchanged catalogue: got diagnostics %v", diagnostics)
 	}
-	if plan == nil || len(found.Errors()) > 0 || len(docs) == 0 {
+	if plan == nil || len(diagnostics.Errors()) > 0 || len(docs) == 0 {
 		return
 	}
 	var repeated []string
 	requests, served := 0, 0
-	if *left > 0 {
-		*left--
+	if *remaining > 0 {
+		*remaining--
 		served = 1
 		repeated, requests = serveMutant(t, backends, seed, root, docs)
 	} else {
 		loadSidecars(t, seed, docs)
 	}
 	if len(repeated) > 0 {
-		t.Errorf("mutant %d: accepted, and effects happened twice: %v\n%s", seed, repeated, text)
+		t.Errorf("mutant %d: accepted, but effects occurred more than once: %v\n%s", seed, repeated, text)
 	}
 	stats.mu.Lock()
 	defer stats.mu.Unlock()
@@ -107,7 +108,7 @@
 	stats.requests += requests
 }
 
-// mutantOf returns a changed catalogue as a table and as text.
+// mutantOf returns the mutant of a seed as a table and as text.
 func mutantOf(t *testing.T, seedText string, seed uint64) (table, []byte) {
 	t.Helper()
 	var root table
@@ -124,8 +125,8 @@
 	return root, text
 }
 
-// serveMutant serves requests with the generated files; it returns the effects that happened more
-// than once, and the number of requests.
+// serveMutant serves requests with the generated files. It returns the effects that occurred more
+// than once and the number of requests.
 func serveMutant(
 	t *testing.T, backends *effectBackends, seed uint64, root table, docs []*config.Document,
 ) (repeated []string, requests int) {
@@ -138,9 +139,9 @@
 	for _, doc := range docs {
 		s, err := newSidecar(doc)
 		if err != nil {
-			t.Fatalf("mutant %d: accepted, and not loaded: %s: %v", seed, doc.File, err)
+			t.Fatalf("mutant %d: accepted, but not loaded: %s: %v", seed, doc.File, err)
 		}
-		sidecars.Go(func() { _ = s.Run(ctx) }) // its error is that of the stop
+		sidecars.Go(func() { _ = s.Run(ctx) }) // the error is that of the cancelled context
 		calls.add(root, doc.App, s.Addr())
 	}
 	backends.reset(seed, root, calls)
@@ -148,8 +149,8 @@
 	return backends.repeatedEffects(), requests
 }
 
-// sendAll sends the requests of all entries concurrently, and returns their number when all have
-// ended.
+// sendAll sends the requests of all entries concurrently. When all have ended, it returns their
+// number.
 func sendAll(backends *effectBackends, seed uint64, entries []entry) int {
 	sent := 0
 	var clients sync.WaitGroup
@@ -165,7 +166,7 @@
 	return sent
 }
 
-// newSidecar returns a sidecar of a file, with its listeners at any free ports.
+// newSidecar returns a sidecar for a file, with listeners on free ports.
 func newSidecar(doc *config.Document) (*sidecar.Sidecar, error) {
 	for i := range doc.App.Listeners {
 		doc.App.Listeners[i].Address = "127.0.0.1:0"
@@ -173,13 +174,13 @@
 	return sidecar.New(doc.App, slog.New(slog.DiscardHandler))
 }
 
-// loadSidecars has a sidecar load each file, without running it.
+// loadSidecars loads each file into a sidecar, which does not run.
 func loadSidecars(t *testing.T, seed uint64, docs []*config.Document) {
 	t.Helper()
 	for _, doc := range docs {
 		s, err := newSidecar(doc)
 		if err != nil {
-			t.Errorf("mutant %d: accepted, and not loaded: %s: %v", seed, doc.File, err)
+			t.Errorf("mutant %d: accepted, but not loaded: %s: %v", seed, doc.File, err)
 			continue
 		}
 		s.Close()
--- a/internal/check/seed_catalogue_test.go
+++ b/internal/check/seed_catalogue_test.go
@@ -1,7 +1,7 @@
 package check_test
 
-// seedCatalogue is a chain of two tiers with every kind of class. @0, @1 and so on stand for the
-// addresses of its backends, in order.
+// seedCatalogue is the catalogue that is mutated: a chain of two tiers with classes of every kind.
+// @0, @1 and so on are placeholders for the addresses of its backends.
 const seedCatalogue = `catalogue = 1
 
 [services.roaming]
--- a/internal/check/service.go
+++ b/internal/check/service.go
@@ -9,161 +9,165 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// rounding is what sums and products of configured numbers may be off by.
-const rounding = 1e-9
+// roundingTolerance is the tolerated rounding error of sums and products of configured numbers.
+const roundingTolerance = 1e-9
 
-// serviceStatement is what other files that name a service are compared with.
-type serviceStatement struct {
-	doc     *config.Document // of the owner's team if it has one, else the first by name
+// serviceReference is the definition of a service with which the definitions in other files are
+// compared.
+type serviceReference struct {
+	doc     *config.Document // file of the owner's team, or else the first file by name
 	service *config.Service
-	classes map[string]classStatement // by every current and former name
+	classes map[string]classReference // keyed by all current and former names
 }
 
-// classStatement is what other files that name a class are compared with.
-type classStatement struct {
+// classReference is the definition of a class with which the definitions in other files are
+// compared.
+type classReference struct {
 	doc     *config.Document
 	service *config.Service
-	name    string // of the class in that file
+	name    string // name of the class in the file
 	policy  config.ClassPolicy
 }
 
-// checkServices compares what files say of one service.
+// checkServices compares the definitions of each service in all files.
 func (f *fleet) checkServices() {
-	// The owner is right about a service, where an application of its team calls it.
-	f.findStatements(true)
-	f.findStatements(false)
-	for _, st := range f.statements {
-		st.addClasses(st.doc, st.service)
+	// A definition in a file of the owner's team takes precedence.
+	f.findReferences(true)
+	f.findReferences(false)
+	for _, ref := range f.references {
+		ref.addClasses(ref.doc, ref.service)
 	}
 	for _, doc := range f.docs {
 		for _, s := range doc.App.Services {
-			st := f.statements[s.Name]
-			f.checkOwner(doc, s, st)
+			ref := f.references[s.Name]
+			f.checkOwner(doc, s, ref)
 			for i, name := range s.Classes {
-				f.checkClass(doc, s, name, s.ClassPolicies[i], st)
+				f.checkClass(doc, s, name, s.ClassPolicies[i], ref)
 			}
-			st.addClasses(doc, s)
+			ref.addClasses(doc, s)
 			f.checkEndpoints(doc, s)
 			f.checkCapacity(doc, s)
 		}
 	}
 }
 
-// findStatements sets the statement of each service that has none yet, by the owners' files alone
-// or by any.
-func (f *fleet) findStatements(ownersOnly bool) {
+// findReferences sets the reference of each service that has none to its first definition in the
+// files of its owner's team, or in any file if ownersOnly is false.
+func (f *fleet) findReferences(ownersOnly bool) {
 	for _, doc := range f.docs {
 		for _, s := range doc.App.Services {
 			isOwners := s.Owner != "" && s.Owner == doc.App.Team
-			if f.statements[s.Name] == nil && (isOwners || !ownersOnly) {
-				f.statements[s.Name] = &serviceStatement{
-					doc: doc, service: s, classes: map[string]classStatement{},
+			if f.references[s.Name] == nil && (isOwners || !ownersOnly) {
+				f.references[s.Name] = &serviceReference{
+					doc: doc, service: s, classes: map[string]classReference{},
 				}
 			}
 		}
 	}
 }
 
-// addClasses adds the classes that no file has stated before.
-func (st *serviceStatement) addClasses(doc *config.Document, s *config.Service) {
+// addClasses adds the classes of a definition that have no reference yet.
+func (ref *serviceReference) addClasses(doc *config.Document, s *config.Service) {
 	for i, name := range s.Classes {
 		policy := s.ClassPolicies[i]
 		for _, known := range append([]string{name}, policy.FormerNames...) {
-			if _, isStated := st.classes[known]; !isStated {
-				st.classes[known] = classStatement{doc: doc, service: s, name: name, policy: policy}
+			if _, isKnown := ref.classes[known]; !isKnown {
+				ref.classes[known] = classReference{doc: doc, service: s, name: name, policy: policy}
 			}
 		}
 	}
 }
 
-// find returns the statement of a class by its name, else by a former one.
-func (st *serviceStatement) find(name string, policy config.ClassPolicy) (classStatement, bool) {
-	stated, ok := st.classes[name]
+// find returns the reference of a class by its name, or else by a former name.
+func (ref *serviceReference) find(name string, policy config.ClassPolicy) (classReference, bool) {
+	class, ok := ref.classes[name]
 	for _, former := range policy.FormerNames {
 		if !ok {
-			stated, ok = st.classes[former]
+			class, ok = ref.classes[former]
 		}
 	}
-	return stated, ok
+	return class, ok
 }
 
-// checkOwner compares a service's owner and the bounds that the owner states.
-func (f *fleet) checkOwner(doc *config.Document, s *config.Service, st *serviceStatement) {
-	stated := st.service
-	if s.Owner != stated.Owner && s.Owner != "" && stated.Owner != "" {
-		see, _ := st.doc.Place("services", s.Name, "owner")
+// checkOwner compares the owner of a service and the limits set by the owner with the reference.
+func (f *fleet) checkOwner(doc *config.Document, s *config.Service, ref *serviceReference) {
+	refService := ref.service
+	if s.Owner != refService.Owner && s.Owner != "" && refService.Owner != "" {
+		see, _ := ref.doc.Place("services", s.Name, "owner")
 		f.report(doc, rules.OwnerTwice, path("services", s.Name, "owner"), strconv.Quote(s.Owner),
-			stated.Owner+" by another file", see)
+			fmt.Sprintf("another file states the owner %q", refService.Owner), see)
 	}
-	hasBound := stated.Owner != "" || st.doc.Version > 1
-	if s.SlowStartMultiple > stated.SlowStartMultiple && st.doc != doc && hasBound {
-		see, _ := st.doc.Place("services", s.Name, "cold_multiple")
+	hasLimit := refService.Owner != "" || ref.doc.Version > 1
+	if s.SlowStartMultiple > refService.SlowStartMultiple && ref.doc != doc && hasLimit {
+		see, _ := ref.doc.Place("services", s.Name, "cold_multiple")
 		f.report(doc, rules.ColdMultiple, path("services", s.Name, "cold_multiple"),
-			formatNumber(s.SlowStartMultiple), formatNumber(stated.SlowStartMultiple)+" at most by another file", see)
+			formatNumber(s.SlowStartMultiple),
+			fmt.Sprintf("exceeds the limit of %s set by another file", formatNumber(refService.SlowStartMultiple)), see)
 	}
 }
 
-// checkClass compares a class's policy with its statement.
+// checkClass compares the policy of a class with the reference.
 func (f *fleet) checkClass(
-	doc *config.Document, s *config.Service, name string, policy config.ClassPolicy, st *serviceStatement,
+	doc *config.Document, s *config.Service, name string, policy config.ClassPolicy, ref *serviceReference,
 ) {
-	stated, ok := st.find(name, policy)
-	if !ok || stated.doc == doc {
+	reference, ok := ref.find(name, policy)
+	if !ok || reference.doc == doc {
 		return
 	}
-	if stated.name != name {
-		see, _ := stated.doc.Place("services", s.Name, "classes", stated.name)
+	if reference.name != name {
+		see, _ := reference.doc.Place("services", s.Name, "classes", reference.name)
 		f.report(doc, rules.ClassFormer, path("services", s.Name, "classes", name), "",
-			stated.name+" in another file", see)
+			fmt.Sprintf("another file uses the class name %s", reference.name), see)
 	}
-	owner := "another file"
-	if stated.service.Owner != "" {
-		owner = fmt.Sprintf("team %s, which owns %s,", stated.service.Owner, s.Name)
+	source := "another file, which"
+	if reference.service.Owner != "" {
+		source = fmt.Sprintf("the owner of %s: team %s", s.Name, reference.service.Owner)
 	}
-	for _, field := range comparedFields(policy, stated.policy) {
-		if field.value == field.stated {
+	for _, field := range comparedFields(policy, reference.policy) {
+		if field.value == field.reference {
 			continue
 		}
-		see, _ := stated.doc.Place("services", s.Name, "classes", stated.name, field.name)
+		see, _ := reference.doc.Place("services", s.Name, "classes", reference.name, field.name)
 		f.report(doc, rules.ClassDisagrees, path("services", s.Name, "classes", name, field.name),
-			strconv.Quote(field.value), fmt.Sprintf("%s says %q", owner, field.stated), see)
+			strconv.Quote(field.value), fmt.Sprintf("contradicts %s sets %q", source, field.reference), see)
 		if field.name == "repeat" {
-			return // the other fields follow from the idempotency
+			return // the other fields depend on the idempotency
 		}
 	}
 }
 
-// comparedField is a field of a class in two files.
+// comparedField is a field of a class in a file and in the reference.
 type comparedField struct {
-	name          string
-	value, stated string
+	name             string
+	value, reference string
 }
 
-// comparedFields returns the fields in which all files that name a class have to agree.
-func comparedFields(policy, stated config.ClassPolicy) []comparedField {
+// comparedFields returns the fields of a class that must be equal in all files.
+func comparedFields(policy, reference config.ClassPolicy) []comparedField {
 	return []comparedField{
 		{
-			name:   "repeat",
-			value:  config.IdempotencyName(policy.Idempotency),
-			stated: config.IdempotencyName(stated.Idempotency),
+			name:      "repeat",
+			value:     config.IdempotencyName(policy.Idempotency),
+			reference: config.IdempotencyName(reference.Idempotency),
 		},
 		{
-			name:   "dedup_scope",
-			value:  config.DedupScopeName(policy.DedupScope),
-			stated: config.DedupScopeName(stated.DedupScope),
+			name:      "dedup_scope",
+			value:     config.DedupScopeName(policy.DedupScope),
+			reference: config.DedupScopeName(reference.DedupScope),
 		},
-		{name: "dedup_window", value: policy.DedupWindow.String(), stated: stated.DedupWindow.String()},
-		{name: "key", value: policy.Key, stated: stated.Key},
+		{name: "dedup_window", value: policy.DedupWindow.String(), reference: reference.DedupWindow.String()},
+		{name: "key", value: policy.Key, reference: reference.Key},
 	}
 }
 
-// checkCapacity reports the file with which the capacity fractions of a service's callers exceed 1.
+// checkCapacity reports the file with which the sum of the capacity fractions of a service's callers
+// exceeds 1.
 func (f *fleet) checkCapacity(doc *config.Document, s *config.Service) {
 	before := f.capacity[s.Name]
 	sum := before + s.CapacityFraction
 	f.capacity[s.Name] = sum
-	if before <= 1+rounding && sum > 1+rounding {
+	if before <= 1+roundingTolerance && sum > 1+roundingTolerance {
 		f.report(doc, rules.ShareSum, path("services", s.Name, "share"), formatNumber(s.CapacityFraction),
-			"1 at most with those of other applications, "+formatNumber(before), tomldoc.Place{})
+			"exceeds the limit of 1 together with "+formatNumber(before)+" of other applications", tomldoc.Place{})
 	}
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -7,7 +7,7 @@
 	"fernlanding/internal/config"
 )
 
-// configuration is the file of which the requests are explained.
+// configuration is the file of the sidecar whose handling of requests is explained.
 const configuration = `version = 2
 name = "gateway"
 
@@ -75,16 +75,16 @@
 class = "post"
 `
 
-// partText returns the place and the text of a part of an explanation, or "" if it has no such
-// part.
+// partText returns the location and the text of a part of an explanation, or the empty string if the
+// part is missing.
 func partText(explanation Explanation, part string) string {
 	for _, l := range explanation.Lines {
 		if l.Part == part {
-			where := l.Location
+			location := l.Location
 			if l.IsDefault {
-				where = "default of " + where
+				location = "default of " + location
 			}
-			return strings.TrimSpace(where + " " + l.Text)
+			return strings.TrimSpace(location + " " + l.Text)
 		}
 	}
 	return ""
@@ -100,7 +100,7 @@
 	return doc
 }
 
-// Each part of an explanation names the line of the file that it comes from.
+// Each part of an explanation has the line of the file that determines it.
 func TestExplainNamesSourceLines(t *testing.T) {
 	doc := readConfiguration(t, configuration)
 	for _, c := range []struct {
@@ -144,7 +144,7 @@
 		}
 		explanation, err := Explain(doc, c.listener, r)
 		if err != nil || explanation.Status != c.status {
-			t.Errorf("%s %s: %d, %v; want %d", c.method, c.url, explanation.Status, err, c.status)
+			t.Errorf("%s %s: got status %d, error %v; want %d", c.method, c.url, explanation.Status, err, c.status)
 		}
 		for part, want := range c.want {
 			if got := partText(explanation, part); got != want {
@@ -153,14 +153,14 @@
 		}
 	}
 	if _, err := Explain(doc, "outside", Request{Path: "/"}); err == nil {
-		t.Error("a missing listener was accepted")
+		t.Error("unknown listener: got no error")
 	}
 	if _, err := Explain(config.Read("f", nil), "", Request{}); err == nil {
-		t.Error("a file that a sidecar rejects was accepted")
+		t.Error("file that a sidecar rejects: got no error")
 	}
 }
 
-// The part of a pool whose endpoint list comes from relays names them.
+// If a service's endpoint list comes from relays, the part of its pool has their addresses.
 func TestExplainNamesRelays(t *testing.T) {
 	text := strings.Replace(configuration, "discovery = \"127.0.0.1:8500\"\n", "as = \"tariff.live\"\n", 1)
 	text = strings.Replace(text, "membership = \"catalog\"", "membership = \"relay\"", 1)
@@ -174,11 +174,11 @@
 	explanation, err := Explain(doc, "", r)
 	const want = "as the relays 127.0.0.1:7401, 127.0.0.1:7402 say of the list tariff.live"
 	if got := partText(explanation, "pool"); err != nil || !strings.HasSuffix(got, want) {
-		t.Errorf("got %q, %v", got, err)
+		t.Errorf("got %q, error %v; want suffix %q", got, err, want)
 	}
 }
 
-// A method, a URL or a field that no client can send is an error.
+// ParseRequest returns an error for a method, a URL or a header field that no client can send.
 func TestParseRequestRejectsMalformedRequests(t *testing.T) {
 	for _, c := range []struct{ method, url, field string }{
 		{"G T", "/", ""},
@@ -193,12 +193,12 @@
 			fields = []string{c.field}
 		}
 		if r, err := ParseRequest(c.method, c.url, fields); err == nil {
-			t.Errorf("%+v: got %+v", c, r)
+			t.Errorf("%+v: got %+v, want an error", c, r)
 		}
 	}
 }
 
-// Any request that ParseRequest accepts has an explanation.
+// Explain explains any request that ParseRequest accepts.
 func FuzzExplain(f *testing.F) {
 	doc := config.Read("f", []byte(configuration))
 	f.Add("GET", "http://x.example.org/v1/tariffs/%2e%2e/7", "Record-Id: 7")
@@ -210,7 +210,7 @@
 			return
 		}
 		if explanation, err := Explain(doc, "", r); err != nil || len(explanation.Lines) == 0 {
-			t.Fatalf("%v, %v", explanation, err)
+			t.Fatalf("got explanation %v, error %v", explanation, err)
 		}
 	})
 }
--- a/internal/explain/path.go
+++ b/internal/explain/path.go
@@ -5,11 +5,11 @@
 	"strconv"
 )
 
-// path returns the path of a field in the file.
+// path returns the path of a field in the file with the given elements.
 func path(elements ...string) []string { return elements }
 
-// subpath returns the path of a field below another.
+// subpath returns the path of a field below a parent field.
 func subpath(parent []string, elements ...string) []string { return slices.Concat(parent, elements) }
 
-// position returns an index as an element of a path, which counts from 1.
-func position(index int) string { return strconv.Itoa(index + 1) }
+// pathIndex returns the path element for an index that counts from 0. Path elements count from 1.
+func pathIndex(index int) string { return strconv.Itoa(index + 1) }
--- a/internal/explain/sidecar_test.go
+++ b/internal/explain/sidecar_test.go
@@ -18,9 +18,9 @@
 	"fernlanding/internal/standin"
 )
 
-// A sidecar does with a request what Explain says by the same file: the same status where the
-// request is not forwarded, else the same service and path. The two share the table of routes and
-// nothing else.
+// A sidecar handles a request as Explain explains it for the same file: with the same status if the
+// request is not forwarded, and otherwise with the same service and path. The two implementations
+// share only the route table.
 func TestExplainAgreesWithSidecar(t *testing.T) {
 	c := startComparison(t)
 	paths := []string{
@@ -39,20 +39,20 @@
 		}
 	}
 	if c.forwarded < 20 {
-		t.Errorf("%d requests were forwarded: the comparison proves little", c.forwarded)
+		t.Errorf("got %d forwarded requests, want at least 20: coverage is too low", c.forwarded)
 	}
 }
 
-// comparison is a sidecar before echoing backends, and the file that it runs with.
+// comparison is a running sidecar in front of echoing backends, with its file.
 type comparison struct {
 	backends  []*standin.Backend
 	doc       *config.Document
-	services  map[string]string // by address of a backend
+	services  map[string]string // service names, keyed by backend address
 	sidecar   *sidecar.Sidecar
-	forwarded int // requests that came to a backend
+	forwarded int // requests that reached a backend
 }
 
-// startComparison starts a sidecar with the configuration, with the addresses of running backends.
+// startComparison starts backends, and a sidecar with their addresses in the configuration.
 func startComparison(t *testing.T) *comparison {
 	t.Helper()
 	c := &comparison{services: map[string]string{}}
@@ -64,7 +64,7 @@
 		t.Cleanup(b.Close)
 		c.backends = append(c.backends, b)
 	}
-	c.doc = readConfiguration(t, relocated(t, c.backends))
+	c.doc = readConfiguration(t, withAddresses(t, c.backends))
 	for _, s := range c.doc.App.Services {
 		for _, e := range s.Source.Endpoints {
 			c.services[e.Address] = s.Name
@@ -88,8 +88,9 @@
 	return c
 }
 
-// relocated returns the configuration with the addresses of running backends and free ports.
-func relocated(t *testing.T, backends []*standin.Backend) string {
+// withAddresses returns the configuration with the addresses of running backends, and with listeners
+// on free ports.
+func withAddresses(t *testing.T, backends []*standin.Backend) string {
 	t.Helper()
 	text := configuration
 	staticEndpoint := func(b *standin.Backend) string { return fmt.Sprintf("endpoints = [{ address = %q }]", b.Addr()) }
@@ -102,14 +103,14 @@
 		`"127.0.0.1:8081"`: `"127.0.0.1:0"`,
 	} {
 		if !strings.Contains(text, old) {
-			t.Fatalf("the configuration has no %q", old)
+			t.Fatalf("configuration does not contain %q", old)
 		}
 		text = strings.Replace(text, old, replacement, 1)
 	}
 	return text
 }
 
-// compare sends a request to a listener, and compares its outcome with the explanation.
+// compare sends a request to a listener and compares the outcome with the explanation.
 func (c *comparison) compare(t *testing.T, listener int, method, host, path, field string) {
 	t.Helper()
 	fields := []string{"Host: " + host}
@@ -131,29 +132,29 @@
 		isRewriteRejected := explanation.Status == 0 && got.status == http.StatusBadRequest &&
 			strings.Contains(partText(explanation, "path"), "answered 400")
 		if explanation.Status != got.status && !isRewriteRejected {
-			t.Errorf("%s: %d, and explained as %d", request, got.status, explanation.Status)
+			t.Errorf("%s: got status %d, explained as %d", request, got.status, explanation.Status)
 		}
 		return
 	}
 	c.forwarded++
 	service := c.services[got.backend]
 	if text := partText(explanation, "service"); !strings.Contains(text, " "+service) {
-		t.Errorf("%s: forwarded to %s, and explained as %q", request, service, text)
+		t.Errorf("%s: forwarded to %s, explained as %q", request, service, text)
 	}
 	forwardedPath := strings.TrimSpace(strings.TrimPrefix(got.echoed, method))
 	if text := partText(explanation, "path"); text != "" && !strings.HasSuffix(text, "goes on as "+forwardedPath) {
-		t.Errorf("%s: forwarded as %q, and explained as %q", request, got.echoed, text)
+		t.Errorf("%s: forwarded as %q, explained as %q", request, got.echoed, text)
 	}
 }
 
-// outcome is what a sidecar did with a request.
+// outcome is the result of a request to a sidecar.
 type outcome struct {
 	status  int
-	echoed  string // first line of the body, which a backend echoes
+	echoed  string // first line of the body: the request line that a backend echoes
 	backend string // address of the backend that has received the request
 }
 
-// send writes a request to a sidecar as it is given, and reads the response.
+// send writes a request to a sidecar without changes and reads the response.
 func (c *comparison) send(t *testing.T, addr, method, path, host, field string) outcome {
 	t.Helper()
 	before := make([]int, len(c.backends))
@@ -168,7 +169,7 @@
 	if field != "" {
 		field += "\r\n"
 	}
-	// A failed write shows as a missing response.
+	// After a failed write, reading the response fails.
 	_, _ = fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: %s\r\n%sContent-Length: 0\r\n\r\n", method, path, host, field)
 	_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
