--- a/cmd/fernlanding/serve.go
+++ b/cmd/fernlanding/serve.go
@@ -104,8 +104,8 @@
 // configError returns the error for a configuration that cannot be read.
 func configError(err error) error { return fmt.Errorf("fernlanding: configuration: %w", err) }
 
-// readFile reads a file up to one byte more than the limit of a configuration. By the additional
-// byte, package config detects a file that is too long.
+// readFile reads a file up to one byte more than the limit of a configuration. The additional
+// byte lets package config detect a file that is too long.
 func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/cmd/fernlanding/try.go
+++ b/cmd/fernlanding/try.go
@@ -18,7 +18,7 @@
 	maxLoadDuration   = 10 * time.Minute
 	maxFaultyBackends = 10 // number of all backends of the fleet
 
-	// faultDelayFraction is the divisor of a load's duration after which faults are injected.
+	// Faults are injected after 1/faultDelayFraction of a load's duration.
 	faultDelayFraction = 5
 
 	readyTimeout = 10 * time.Second // for the sidecar to become ready
--- a/internal/catalogue/dir/deployed.go
+++ b/internal/catalogue/dir/deployed.go
@@ -38,8 +38,8 @@
 	return docs, nil
 }
 
-// ReadFile reads a file up to one byte beyond tomldoc.MaxFile, so that the decoder can report a file
-// that is too large.
+// ReadFile reads a file up to one byte beyond tomldoc.MaxFile, so that the decoder can report a
+// file that is too large.
 func ReadFile(name string) ([]byte, error) {
 	f, err := os.Open(name)
 	if err != nil {
--- a/internal/catalogue/dir/load.go
+++ b/internal/catalogue/dir/load.go
@@ -29,8 +29,8 @@
 // Load reads a catalogue and the files that it includes. The catalogue is a file, or all files of a
 // directory whose names end with .toml. Load reads no file outside of the directory, even through
 // symbolic links. If the catalogue is edited during the read, Load reads all files again, so that
-// the returned files existed on the disk at the same time. It returns ErrChanged if the catalogue is
-// edited during each read. The diagnostics are those of the includes, not of the files' content.
+// the returned files existed on the disk at the same time. It returns ErrChanged if the catalogue
+// is edited during each read. The diagnostics are those of the includes, not of the files' content.
 func Load(name string) ([]catalogue.File, tomldoc.Diagnostics, error) {
 	return load(name, func() {})
 }
@@ -202,8 +202,8 @@
 	return nil
 }
 
-// escapesRoot reports whether a file could not be opened because its name, or a symbolic link on its
-// path, leads out of the root. Package os has no error value for this case.
+// escapesRoot reports whether a file could not be opened because its name, or a symbolic link on
+// its path, leads out of the root. Package os has no error value for this case.
 func escapesRoot(err error) bool {
 	return err != nil && strings.Contains(err.Error(), "path escapes from parent")
 }
--- a/internal/catalogue/emit_route.go
+++ b/internal/catalogue/emit_route.go
@@ -9,7 +9,8 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// generatedRoute is a route of the generated file with the values that determine its position there.
+// generatedRoute is a route of the generated file with the values that determine its position
+// there.
 type generatedRoute struct {
 	name  string
 	match *tomldoc.Value // nil matches all paths
@@ -55,9 +56,9 @@
 	return routes
 }
 
-// defaultMatch returns the match of a class for which neither the call nor the owner states a route.
-// It matches all paths if the class is the only one that the application calls, and otherwise the
-// prefix /SERVICE/CLASS.
+// defaultMatch returns the match of a class for which neither the call nor the owner states a
+// route. It matches all paths if the class is the only one that the application calls, and
+// otherwise the prefix /SERVICE/CLASS.
 func (e *emitter) defaultMatch(c *call, called *calledClass) *tomldoc.Value {
 	if len(e.app.calls) == 1 && len(c.classes) == 1 && !e.isUncalled {
 		return nil
--- a/internal/catalogue/emit_service.go
+++ b/internal/catalogue/emit_service.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// writeQuota writes a tenant's quota multiplied by the application's fraction of it. A value that is
-// not a number is written unchanged, so that decoding the generated file reports it.
+// writeQuota writes a tenant's quota multiplied by the application's fraction of it. A value that
+// is not a number is written unchanged, so that decoding the generated file reports it.
 func (e *emitter) writeQuota(quota *tomldoc.Value, fraction float64) {
 	if quota == nil {
 		return
--- a/internal/catalogue/join.go
+++ b/internal/catalogue/join.go
@@ -51,8 +51,8 @@
 	scope.ReportUnknown()
 }
 
-// joinSection adds the tables of a section of a file. Only an environment may be declared in several
-// files.
+// joinSection adds the tables of a section of a file. Only an environment may be declared in
+// several files.
 func (j *joiner) joinSection(scope tomldoc.Scope, section string) {
 	into := j.root.Fields[section]
 	for _, name := range scope.Value.Keys {
--- a/internal/catalogue/model.go
+++ b/internal/catalogue/model.go
@@ -8,8 +8,8 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// DefaultMaxAmplification is the default limit of retry amplification over all tiers: the product of
-// the tiers' factors, each of which is the most attempts per request that a retry budget allows.
+// DefaultMaxAmplification is the default limit of retry amplification over all tiers: the product
+// of the tiers' factors, each of which is the most attempts per request that a retry budget allows.
 const DefaultMaxAmplification = 1.2
 
 // Names of the fields that are copied to the applications' files. The values are checked only when
--- a/internal/catalogue/plan.go
+++ b/internal/catalogue/plan.go
@@ -17,15 +17,15 @@
 type Plan struct {
 	Environment string
 	Outputs     []Output // sorted by name
-	// Uncalled has a file for each service that no application calls. The file is only checked; it is
-	// never written to the disk.
+	// Uncalled has a file for each service that no application calls. The file is only checked; it
+	// is never written to the disk.
 	Uncalled         []Output
 	MaxAmplification float64 // limit of retry amplification over all tiers
 }
 
-// Generate generates the file of each application with the overlay of an environment. The empty name
-// means no environment. The output is deterministic, and does not depend on how the text of the
-// catalogue is divided into files. The diagnostics are those of the catalogue. Violations in an
+// Generate generates the file of each application with the overlay of an environment. The empty
+// name means no environment. The output is deterministic, and does not depend on how the text of
+// the catalogue is divided into files. The diagnostics are those of the catalogue. Violations in an
 // application's file are found by decoding the generated file.
 func (c *Catalogue) Generate(environment string) (*Plan, tomldoc.Diagnostics) {
 	reader := &tomldoc.Collector{}
@@ -60,8 +60,8 @@
 	return plan, reader.Diagnostics
 }
 
-// uncalledOutput returns a file for checking a service that no application calls. The application of
-// the file is a placeholder that is not in the catalogue.
+// uncalledOutput returns a file for checking a service that no application calls. The application
+// of the file is a placeholder that is not in the catalogue.
 func (m *model) uncalledOutput(s *service, digest, environment string) Output {
 	c := &call{service: s, table: tomldoc.NewTable(s.table.Place)}
 	for _, name := range s.classNames {
--- a/internal/catalogue/read_application.go
+++ b/internal/catalogue/read_application.go
@@ -37,8 +37,8 @@
 	return a
 }
 
-// findService returns the service with a name. If there is none, it reports the field that refers to
-// the service and returns nil.
+// findService returns the service with a name. If there is none, it reports the field that refers
+// to the service and returns nil.
 func (m *model) findService(scope tomldoc.Scope, field, name string) *service {
 	s := m.services[name]
 	if s == nil {
@@ -83,8 +83,8 @@
 	return c
 }
 
-// readCalledClass decodes a call's table of a class. It returns nil if the service has no such class
-// or s is nil.
+// readCalledClass decodes a call's table of a class. It returns nil if the service has no such
+// class or s is nil.
 func (m *model) readCalledClass(scope tomldoc.Scope, s *service, name string) *calledClass {
 	scope.MarkKnown(narrowableFields...)
 	scope.MarkKnown(repeatableFields...)
--- a/internal/catalogue/read_service.go
+++ b/internal/catalogue/read_service.go
@@ -91,8 +91,8 @@
 	return matches
 }
 
-// podReader decodes the pods of one service. It reports cell numbers and addresses that several pods
-// have.
+// podReader decodes the pods of one service. It reports cell numbers and addresses that several
+// pods have.
 type podReader struct {
 	*model
 	cells     map[string]*tomldoc.Value // last cell field, keyed by its number
@@ -104,7 +104,8 @@
 func (m *model) readPods(scope tomldoc.Scope, s *service) {
 	names, scopes := scope.Tables("pods")
 	if len(names) == 0 {
-		// The reason is that of missing endpoints in package config, so that check reports one of both.
+		// The reason is that of missing endpoints in package config, so that check reports one of
+		// both.
 		scope.ReportField(rules.Missing, "pods", `must contain at least one endpoint with membership = "static"`)
 	}
 	r := &podReader{model: m, cells: map[string]*tomldoc.Value{}, addresses: map[string]*tomldoc.Value{}}
--- a/internal/catalogue/starter.go
+++ b/internal/catalogue/starter.go
@@ -16,7 +16,8 @@
 )
 
 // StarterFiles returns the files of a small initial catalogue with two services, two applications
-// and two environments. The catalogue violates no rule. The caller may modify the data of the files.
+// and two environments. The catalogue violates no rule. The caller may modify the data of the
+// files.
 func StarterFiles() []File {
 	return []File{
 		{Name: "services.toml", Data: slices.Clone(starterServices)},
--- a/internal/check/chain.go
+++ b/internal/check/chain.go
@@ -114,10 +114,10 @@
 	c.report(e.doc, rules.WindowChain, e.path(), found, expect, outer.by.place())
 }
 
-// duplicatingCall returns a call because of which requests of a class may run more than once: a call
-// that may send duplicates of the idempotent requests of the class, or of requests that cause them.
-// A request that is idempotent by key runs once, however often it is sent. duplicatingCall returns
-// nil if no request of the class runs more than once.
+// duplicatingCall returns a call because of which requests of a class may run more than once: a
+// call that may send duplicates of the idempotent requests of the class, or of requests that cause
+// them. A request that is idempotent by key runs once, however often it is sent. duplicatingCall
+// returns nil if no request of the class runs more than once.
 func (c *chainChecker) duplicatingCall(n node) *edge {
 	if e, isKnown := c.duplicatingCalls[n]; isKnown {
 		return e
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -23,8 +23,8 @@
 	// Deployed has the files that are in use. The files under check are compared with them to find
 	// changes that are unsafe in one step.
 	Deployed []*config.Document
-	// ForEach calls f with each number from 0 to n-1, in any order or concurrently, and returns when
-	// all calls have returned. nil means sequential calls.
+	// ForEach calls f with each number from 0 to n-1, in any order or concurrently, and returns
+	// when all calls have returned. nil means sequential calls.
 	ForEach func(n int, f func(i int))
 }
 
@@ -90,7 +90,8 @@
 	return plan, generated, withoutDuplicates(diagnostics)
 }
 
-// atSource returns the diagnostic of a generated file with its place and its field in the catalogue.
+// atSource returns the diagnostic of a generated file with its place and its field in the
+// catalogue.
 func atSource(doc *config.Document, d tomldoc.Diagnostic, application string) tomldoc.Diagnostic {
 	d.Place = doc.SourcePlace(d.Place)
 	if d.See.File != "" {
--- a/internal/check/cycle.go
+++ b/internal/check/cycle.go
@@ -65,7 +65,8 @@
 	begin := slices.IndexFunc(backwards, func(e *edge) bool { return e.to == start })
 	cycle := slices.Clone(backwards[max(begin, 0):])
 	slices.Reverse(cycle)
-	// The text begins with the smallest place, so that it does not depend on the start of the search.
+	// The text begins with the smallest place, so that it does not depend on the start of the
+	// search.
 	first := slices.MinFunc(cycle, func(a, b *edge) int { return a.place().Compare(b.place()) })
 	for cycle[0] != first {
 		cycle = append(cycle[1:], cycle[0])
--- a/internal/check/endpoint.go
+++ b/internal/check/endpoint.go
@@ -25,8 +25,8 @@
 	return endpoint{doc: doc, index: index, cell: e.Cell, zone: e.Zone}
 }
 
-// endpointKeys returns the keys by which an endpoint of a service is looked up: one for its name and
-// one for its address.
+// endpointKeys returns the keys by which an endpoint of a service is looked up: one for its name
+// and one for its address.
 func endpointKeys(s *config.Service, e membership.Endpoint) [2]string {
 	return [2]string{s.Name + "\x00" + e.Name, s.Name + "\x00" + e.Address}
 }
--- a/internal/check/fleet.go
+++ b/internal/check/fleet.go
@@ -88,8 +88,8 @@
 // path returns the path with the given elements.
 func path(elements ...string) []string { return elements }
 
-// itemPath returns the path of an item of an array. The index counts from 0, the element of the path
-// from 1.
+// itemPath returns the path of an item of an array. The index counts from 0, the element of the
+// path from 1.
 func itemPath(index int, array ...string) []string {
 	return append(array, strconv.Itoa(index+1))
 }
--- a/internal/check/graph.go
+++ b/internal/check/graph.go
@@ -15,7 +15,8 @@
 // String returns the node as service/class.
 func (n node) String() string { return n.service + "/" + n.class }
 
-// edge is a call: a route of an application to a node, with the nodes whose requests cause the call.
+// edge is a call: a route of an application to a node, with the nodes whose requests cause the
+// call.
 type edge struct {
 	doc         *config.Document
 	route       int // index of the route in the document
@@ -43,8 +44,8 @@
 // service returns the service to which the edge leads.
 func (e *edge) service() *config.Service { return e.doc.App.Service(e.to.service) }
 
-// graph is the call graph of a fleet. Calls form a chain where an application that is a backend of a
-// service calls a class of another service.
+// graph is the call graph of a fleet. Calls form a chain where an application that is a backend of
+// a service calls a class of another service.
 type graph struct {
 	incoming map[node][]*edge
 	nodes    []node // sorted
--- a/internal/check/service.go
+++ b/internal/check/service.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// checkCapacity reports the file with which the sum of the capacity fractions of a service's callers
-// exceeds 1.
+// checkCapacity reports the file with which the sum of the capacity fractions of a service's
+// callers exceeds 1.
 func (f *fleet) checkCapacity(doc *config.Document, s *config.Service) {
 	before := f.capacity[s.Name]
 	sum := before + s.CapacityFraction
--- a/internal/config/decode_listener.go
+++ b/internal/config/decode_listener.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// AddressesConflict reports whether two listeners on one machine can't both open: they have the same
-// port other than 0, and either the same host or a host that means all IP addresses.
+// AddressesConflict reports whether two listeners on one machine can't both open: they have the
+// same port other than 0, and either the same host or a host that means all IP addresses.
 func AddressesConflict(a, b string) bool {
 	hostA, portA, errA := net.SplitHostPort(a)
 	hostB, portB, errB := net.SplitHostPort(b)
--- a/internal/config/decode_source.go
+++ b/internal/config/decode_source.go
@@ -11,7 +11,7 @@
 	"fernlanding/internal/tomldoc"
 )
 
-// pollInterval is the longest time between two watches or polls of the catalog.
+// pollInterval is the longest time that a sidecar goes without a watch or a poll of the catalog.
 const pollInterval = 10 * time.Second
 
 // The words for the kinds of sources. Version 1 of the format has only some of them.
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -11,7 +11,7 @@
 func (p *Pool) Do(r *Request) Answer {
 	p.mu.Lock()
 	p.waitForEarlierLocked(r)
-	if r.answered { // canceled before the call of Do
+	if r.answered { // canceled before the pool accepted it
 		p.mu.Unlock()
 		return r.answer
 	}
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -52,7 +52,7 @@
 	duplicateIDWait time.Duration // Config.DuplicateIDWait
 	maxSendDelay    int64         // Settings.MaxSendDelay, in microseconds
 	classes         []logic.Class // Settings.Classes
-	watchRequested  chan struct{} // holds a value while a watch requested by the balancer has not been opened
+	watchRequested  chan struct{} // holds a value until the balancer's request for a watch is received
 	ready           chan struct{} // closed once there is an endpoint list; see applyEndpoints
 	traceStarted    chan struct{} // holds a value when Run has to start a trace
 	wakeup          *time.Timer   // wakes Run for the earliest timer
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -21,7 +21,7 @@
 
 	answered     bool      // whether answer is final
 	answer       Answer    // set by Pool.answerLocked
-	lastResponse *Response // response of the last failed attempt; nil if it had none
+	lastResponse *Response // latest response of a failed attempt; nil if there was none
 	attempts     int       // number of attempts that the balancer has decided on
 	inFlight     *Attempt  // the attempt that has not ended; may be nil
 	pending      *Attempt  // the next attempt that the goroutine in Pool.Do executes; may be nil
@@ -54,9 +54,9 @@
 const (
 	Served      Verdict = iota // served by a backend; Response is the backend's response, unchanged
 	Shed                       // shed by the balancer; a retry by the client is safe
-	Failed                     // a retry may be unsafe; Response is that of the last attempt, if there is one
-	Expired                    // as Failed, because the request's deadline has passed
-	Rejected                   // invalid for every backend; a nil Response means a bad request
+	Failed                     // a retry may be unsafe; Response is the latest of a failed attempt, if there was one
+	Expired                    // the request's deadline has passed; a retry may be unsafe; Response is nil
+	Rejected                   // invalid for every backend, or its ID is in use; a nil Response means a bad request
 	Canceled                   // the client has gone or the pool has stopped; no answer is needed
 	NotAdmitted                // the pool is closed and has done nothing; another pool may take the request
 )
--- a/internal/distribution/coalesce.go
+++ b/internal/distribution/coalesce.go
@@ -86,8 +86,8 @@
 	return ready
 }
 
-// ReleaseCoalesced returns the sessions whose coalescing delay has ended, and the time of the next
-// call. The zero time means that no updates are delayed.
+// ReleaseCoalesced returns the sessions whose coalescing delay has ended, and the time at which to
+// call ReleaseCoalesced again. The zero time means that no updates are delayed.
 func (s *Sessions) ReleaseCoalesced(now time.Time) (ready []*Session, next time.Time) {
 	released := 0
 	for ; released < len(s.coalescing); released++ {
--- a/internal/distribution/doc.go
+++ b/internal/distribution/doc.go
@@ -11,8 +11,8 @@
 // followers behind it.
 //
 // Each write gives the resource a new [Version], which is a pair of an epoch and a revision. The
-// source increments the epoch at each start and the revision at each write, so that versions remain
-// ordered even if a restart has lost writes.
+// source raises the epoch at each start and increments the revision at each write, so that versions
+// remain ordered even if a restart has lost writes.
 //
 // # Reads, sessions and resume
 //
@@ -49,5 +49,5 @@
 // and reads the resources of its followers again after a restart. The first position that a
 // follower sends for a resource is the version that its subscriber has kept.
 //
-// The design is explained in docs/design/distribution.md.
+// The reasons for this design are in docs/design/distribution.md.
 package distribution
--- a/internal/distribution/follow/apply.go
+++ b/internal/distribution/follow/apply.go
@@ -23,7 +23,7 @@
 	f.mu.Lock()
 	sub := f.subscriptions[u.Resource]
 	if sub == nil {
-		f.unsentUnfollowed[u.Resource] = true // sent again, because a read may have arrived after it
+		f.unsentUnfollowed[u.Resource] = true // sent again, because an older read may have arrived after the unfollow
 		f.mu.Unlock()
 		return nil
 	}
--- a/internal/distribution/follow/reader.go
+++ b/internal/distribution/follow/reader.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// responseTimeout is the time after the hold of a read after which the read has failed.
+	// responseTimeout is the timeout of a read, counted from the end of its hold. A read that opens
+	// a session has no hold.
 	responseTimeout = time.Second
 	// requestTimeout is the timeout of a request that does not wait for an update.
 	requestTimeout = time.Second
@@ -22,7 +23,7 @@
 	// failureNoticeDelay is the time without a response, in addition to the hold, after which
 	// UpdateFailed is called.
 	failureNoticeDelay = 2 * time.Second
-	// logInterval is the minimum time between two log lines that no relay answers.
+	// logInterval is the minimum time between two log lines which report that no relay answers.
 	logInterval = 5 * time.Second
 )
 
@@ -40,7 +41,7 @@
 
 	startedAt      time.Time
 	lastNoticeAt   time.Time // time of the last UpdateFailed; zero means none since the last response
-	lastLogAt      time.Time // time of the last log line that no relay answers; zero like lastNoticeAt
+	lastLogAt      time.Time // time of the last "no relay answers" log line; zero means none since the last response
 	backgroundJobs sync.WaitGroup
 }
 
--- a/internal/distribution/follow/report.go
+++ b/internal/distribution/follow/report.go
@@ -87,7 +87,7 @@
 		return len(f.unsentStatuses) > 0, nil
 	}
 	if f.sessionID != req.Session {
-		return false, err // the first read of the next session sends everything
+		return false, err // everything is marked as unsent for the next session
 	}
 	f.markUnsent(req)
 	return !errors.Is(err, distribution.ErrUnknownSession), err
--- a/internal/distribution/followed.go
+++ b/internal/distribution/followed.go
@@ -56,7 +56,7 @@
 	}
 	_, found := session.find(f)
 	if !found {
-		return // a relay reports only followed resources; this report was sent before the unfollow arrived
+		return // a relay reports only followed resources; the unfollow has overtaken this report
 	}
 	if f.reports == nil {
 		f.reports = make(map[*Session]ResourceStatus)
--- a/internal/distribution/node/follow.go
+++ b/internal/distribution/node/follow.go
@@ -152,10 +152,11 @@
 }
 
 // holdUntil returns the time at which a read without an update is answered, at the latest the end
-// of its hold. The time is a multiple of a tick, because responses that are sent together cost a
-// fraction of the same responses sent one by one. An update is sent to many followers at once, so
-// the hold of the next read of each of them is shortened at random. Otherwise all these followers
-// would read at the same time from then on. The caller holds n.mu.
+// of its hold. For a hold of at least minHoldTicks ticks, the time is a multiple of holdTick,
+// because responses that are sent together cost a fraction of the same responses sent one by one.
+// An update is sent to many followers at once, so the hold of the next read of each of them is
+// shortened at random. Otherwise all these followers would read at the same time from then on. The
+// caller holds n.mu.
 func (n *Node) holdUntil(session *distribution.Session, now time.Time, hold time.Duration) time.Time {
 	if w := n.waiters[session]; w != nil && w.lastHadUpdates {
 		w.lastHadUpdates = false
--- a/internal/distribution/node/waiter.go
+++ b/internal/distribution/node/waiter.go
@@ -65,8 +65,8 @@
 }
 
 // waitForWake waits, with the lock released, until an update may be pending or the timer fires. It
-// returns an error if the context ends or the node is closed, because the response is no longer
-// needed. The caller holds n.mu.
+// returns the context's error if the context ends, because the response is no longer needed, and an
+// *httpapi.OverloadedError if the node is closed. The caller holds n.mu.
 func (n *Node) waitForWake(ctx context.Context, w *waiter, timer *time.Timer) error {
 	n.waitingReads++
 	n.mu.Unlock()
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,6 @@
 // Package explain explains how a sidecar would handle a request, and which line of its file
-// determines each part of the explanation. The package performs no I/O and sends no request. It marks
-// the parts that depend on the state of the fleet.
+// determines each part of the explanation. The package performs no I/O and sends no request. It
+// marks the parts that depend on the state of the fleet.
 package explain
 
 import (
@@ -30,8 +30,8 @@
 
 // Explanation describes how a sidecar would handle a request.
 type Explanation struct {
-	// Status is the status code of the sidecar's own response, which it sends without an attempt at a
-	// backend. 0 means that the request is forwarded.
+	// Status is the status code of the sidecar's own response, which it sends without an attempt at
+	// a backend. 0 means that the request is forwarded.
 	Status int    `json:"status,omitempty"`
 	Lines  []Line `json:"lines"`
 }
@@ -81,8 +81,8 @@
 	explanation Explanation
 }
 
-// addLine adds a part to the explanation. path is the path of the field that determines the part; nil
-// means that no field of the file does.
+// addLine adds a part to the explanation. path is the path of the field that determines the part;
+// nil means that no field of the file does.
 func (e *explainer) addLine(part string, path []string, format string, args ...any) {
 	line := Line{Part: part, Text: fmt.Sprintf(format, args...)}
 	if path != nil {
@@ -149,8 +149,8 @@
 	}
 }
 
-// explainTarget explains and returns the target of a route. For a split, it is the target of the arm
-// to which the request's key is assigned, or the first target if the arm is drawn at random.
+// explainTarget explains and returns the target of a route. For a split, it is the target of the
+// arm to which the request's key is assigned, or the first target if the arm is drawn at random.
 func (e *explainer) explainTarget(r matchedRoute) config.Target {
 	if len(r.Targets) == 1 {
 		e.addLine("service", subpath(r.path, "service"), "%s", r.Targets[0].Service)
--- a/internal/explain/request.go
+++ b/internal/explain/request.go
@@ -42,8 +42,8 @@
 	return r, nil
 }
 
-// parseTarget sets the host and the path from a URL or a path. It does not use url.Parse, which would
-// decode the path: routes match the encoded path.
+// parseTarget sets the host and the path from a URL or a path. It does not use url.Parse, which
+// would decode the path: routes match the encoded path.
 func (r *Request) parseTarget(target string) error {
 	rest := target
 	if scheme, after, ok := strings.Cut(target, "://"); ok {
--- a/internal/explain/service.go
+++ b/internal/explain/service.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// explainRejection reports whether the sidecar rejects the request because of the class's policy. If
-// so, it explains the rejection.
+// explainRejection reports whether the sidecar rejects the request because of the class's policy.
+// If so, it explains the rejection.
 func (e *explainer) explainRejection(c *serviceClass) bool {
 	if c.policy.Idempotency == logic.IdempotentByKey && e.headerValue(c.policy.Key) == "" {
 		e.addLine("key", c.classField("key"), "%s", c.policy.Key)
--- a/internal/fleetsim/day.go
+++ b/internal/fleetsim/day.go
@@ -40,7 +40,7 @@
 type Day struct {
 	Name   string   `toml:"name"`
 	Seed   uint64   `toml:"seed"`
-	Length Duration `toml:"length"` // 40s
+	Length Duration `toml:"length"` // time in which requests arrive; 40s
 	Warmup Duration `toml:"warmup"` // initial time without measurement; 3s
 	// Rate is the number of client requests per second. If Rate is 0, Load states the rate as a
 	// fraction of the capacity of the tier with the lowest capacity.
--- a/internal/fleetsim/overload.go
+++ b/internal/fleetsim/overload.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// coldOverloadMultiple is the multiple of its current capacity above which the work of a
-	// backend in slow start is a violation.
+	// coldOverloadMultiple is the multiple of its current capacity at which a backend in slow start
+	// would collapse. More work is a violation.
 	coldOverloadMultiple = 3.0
 	coldOverloadWindow   = 3_000_000 // microseconds over which the work is averaged
 )
--- a/internal/fleetsim/topology.go
+++ b/internal/fleetsim/topology.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// drain makes a backend reject new requests. Its process ends when the backend holds no requests
-// any more, or after drainTimeout.
+// drain makes a backend reject new requests. The backend becomes Removed when it holds no requests
+// any more, or drainTimeout after the start of the drain. Its process ends drainTimeout later.
 func (s *simulation) drain(b *backend) {
 	if b.dead || b.state != logic.Ready {
 		return
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -11,7 +11,7 @@
 
 // Pool forwards requests to backends; *core.Pool is one. A Pool is safe for concurrent use.
 type Pool interface {
-	// Do forwards a request and returns its only answer.
+	// Do forwards a request and returns its final answer, of which there is exactly one.
 	Do(*core.Request) core.Answer
 	// Cancel ends a request whose client has disconnected. It may be called at any time, also
 	// before Do.
--- a/internal/front/http1/conn.go
+++ b/internal/front/http1/conn.go
@@ -15,12 +15,12 @@
 
 const (
 	// maxPipelined is the limit in bytes of the buffer for data that a client sends while its
-	// request is in flight, which belongs to the next request. Such bytes are always read, so that
-	// a disconnect after them is detected. Bytes beyond the limit are discarded, and the connection
-	// closes after its response.
+	// request is in flight, which belongs to the next request. Such bytes are read until the
+	// response begins, so that a disconnect after them is detected. Bytes beyond the limit are
+	// discarded, and the connection closes after its response.
 	maxPipelined = maxRequestHead
 	// maxPipelinedFlood is how many bytes a client may send after a request in flight. A client
-	// that sends more does not wait for the response: a client that does sends one request at a
+	// that sends more does not wait for its response: a client that waits sends one request at a
 	// time, of at most 64 KiB.
 	maxPipelinedFlood = 1 << 20
 
--- a/internal/front/http1/drain.go
+++ b/internal/front/http1/drain.go
@@ -20,9 +20,9 @@
 // replica.
 //
 // From closeIdleAt, connections are closed as they become idle, until none is left or cutoff has
-// passed. Admitted requests have their answers by cutoff, but the responses still have to be
-// written. Drain waits for that until end, and closes no connection with an open response before
-// end.
+// passed. Admitted requests have their answers by cutoff, but the responses may still have to be
+// written. Drain waits for that until end. Before end, it closes no connection on which a response
+// is being written.
 func (f *Front) Drain(closeIdleAt, cutoff, end time.Time) {
 	f.serveUntil(closeIdleAt)
 	f.closing.Store(true)
--- a/internal/front/http1/front.go
+++ b/internal/front/http1/front.go
@@ -35,8 +35,8 @@
 const (
 	maxRequestHead = 16 << 10 // bytes of a request head
 
-	// A client that connects gets a response or a close within 3 s. It has headTimeout to send a
-	// head, and firstRequestTimeout from the time it connects to the end of the body of its first
+	// A client that connects must get a response or a close within 3 s. It has headTimeout to send
+	// a head, and firstRequestTimeout from the time it connects to the end of the body of its first
 	// request. The body of a later request has headTimeout.
 	headTimeout         = 2200 * time.Millisecond
 	firstRequestTimeout = 2800 * time.Millisecond
--- a/internal/front/http1/tracker.go
+++ b/internal/front/http1/tracker.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// moveTo moves a connection that carries no request to the end of a list. If the list is nil, the
-// connection is only taken out of its present list. The caller holds mu.
+// moveTo moves a connection to the end of a list of connections without a request. If the list is
+// nil, the connection is only taken out of its present list. The caller holds mu.
 func (t *connTracker) moveTo(c *clientConn, in *list.List) {
 	if c.list != nil {
 		c.list.Remove(c.element)
--- a/internal/harness/check/check.go
+++ b/internal/harness/check/check.go
@@ -27,7 +27,7 @@
 const (
 	OneResponse = "one-answer" // an accepted request gets one complete response of its own before its deadline
 	Effects     = "effects"    // no request takes effect twice
-	Drains      = "drains"     // no request is sent to a backend more than 250 ms after the sidecar could read its end
+	Drains      = "drains"     // no request is sent to a backend over 250 ms after its drain or deletion could be read
 	Warmup      = "cold"       // no cold backend is overloaded
 	Misrouted   = "strays"     // no non-idempotent request is sent to an address that another service has taken
 	Processes   = "processes"  // no process exits by itself, and no process is left
--- a/internal/harness/check/drains.go
+++ b/internal/harness/check/drains.go
@@ -9,8 +9,9 @@
 	"fernlanding/internal/harness/scenario"
 )
 
-// checkDrains checks that no sidecar sends requests to a backend later than drainGrace after the
-// sidecar could read that the backend is draining or deleted.
+// checkDrains checks that no sidecar sends requests to a backend later than drainGrace plus
+// drainSlack after the sidecar could read that the backend is draining or deleted. The time for
+// which the sidecar was paused since then does not count.
 func checkDrains(spec *scenario.Scenario, h *indexedHistory) []Verdict {
 	var verdicts []Verdict
 	traffic := collectTraffic(h.events)
@@ -72,7 +73,8 @@
 	return traffic
 }
 
-// listChange is a change of a backend's state as known to a sidecar.
+// listChange is a change of a backend's state as a sidecar could read it, or a start of the
+// sidecar.
 type listChange struct {
 	at    int64
 	name  string // name of the backend; empty means that the sidecar has started and knows no backends
@@ -129,7 +131,7 @@
 // that the sidecar could read. sends and changes are sorted by time.
 func (h *indexedHistory) checkSentAfterDrain(sidecar string, sends []history.Event, changes []listChange) []Verdict {
 	var verdicts []Verdict
-	outSince := map[string]int64{} // by backend that is out, the first time at which the sidecar could read it
+	outSince := map[string]int64{} // by backend that is out, the time at which the sidecar could read that
 	for _, send := range sends {
 		for len(changes) > 0 && changes[0].at <= send.At {
 			changes[0].apply(outSince)
--- a/internal/harness/check/history_index.go
+++ b/internal/harness/check/history_index.go
@@ -67,7 +67,7 @@
 }
 
 // isExcused reports whether a fault affected a sidecar or its link to clients while a request was
-// in flight.
+// in flight, or within faultAftermath before.
 func (h *indexedHistory) isExcused(sidecar string, from, to int64) bool {
 	inFlight := interval{from: from - faultAftermath, to: to}
 	return h.unavailable.overlap(sidecar, inFlight) || h.paused.overlap(sidecar, inFlight) ||
--- a/internal/harness/check/losses.go
+++ b/internal/harness/check/losses.go
@@ -183,9 +183,9 @@
 	return served / requests
 }
 
-// recoveryTime returns the time in seconds from the beginning of a period until the first second in
-// which recoveryGoal of the requests that the capacity allows were served, or -1 if there is no
-// such second.
+// recoveryTime returns the time in seconds from the beginning of a period to the beginning of the
+// first second in which recoveryGoal of the servable requests were served, or -1 if there is no
+// such second. Servable are all requests of the second, at most as many as the capacity allows.
 func (h *indexedHistory) recoveryTime(from, to int64, capacity float64) float64 {
 	steps := int((to - from) / recoveryStep)
 	if steps < 2 {
--- a/internal/harness/rollout/check/delivery.go
+++ b/internal/harness/rollout/check/delivery.go
@@ -34,7 +34,7 @@
 	following
 	version distribution.Version
 	since   int64 // time from which the version is expected
-	from    int64 // earliest time of a state of the follower that meets the expectation
+	from    int64 // time from which on a state of the follower can meet the expectation
 	urgent  bool
 }
 
--- a/internal/harness/rollout/check/metrics.go
+++ b/internal/harness/rollout/check/metrics.go
@@ -56,8 +56,8 @@
 	MaxStoreBytes      float64 `json:"store_bytes"`
 }
 
-// concurrentPutMicroseconds is the largest distance between the beginnings of two puts to one
-// resource that count as concurrent, exclusive.
+// concurrentPutMicroseconds is the distance between the beginnings of two puts to one resource
+// below which the puts count as concurrent.
 const concurrentPutMicroseconds = 1000
 
 // Measure returns the metrics of a history, which must be sorted by time.
--- a/internal/harness/rollout/check/record.go
+++ b/internal/harness/rollout/check/record.go
@@ -50,10 +50,10 @@
 	writes      map[string][]history.Event    // answered puts by resource, sorted by version
 	reports     map[string][]history.Event    // in-force reports by resource
 	sourceReads []history.Event               // all reads of the source
-	atSource    map[string]history.Event      // last read of the source by resource
+	atSource    map[string]history.Event      // last read of the source, keyed by resource
 	usage       map[string][]history.Event    // Usage events by process
 	cpuWaits    map[string][]history.Event    // CPUWaited events by process
-	lags        []span                        // lags that no fault caused
+	lags        []span                        // spans in which a process ran late and no fault had stopped it
 	// digests has, for each version, the digests of its items with the first follower that had
 	// them.
 	digests map[resourceVersion]map[string]firstSeen
--- a/internal/membership/cache/recorder.go
+++ b/internal/membership/cache/recorder.go
@@ -11,10 +11,11 @@
 )
 
 const (
-	// writeDelay is the delay between a list and its write. It combines the changes of a burst.
+	// writeDelay is the delay between a list and its write if there is no file, because the list
+	// may remove endpoints. It combines the changes of a burst.
 	writeDelay = 250 * time.Millisecond
-	// confirmInterval is the time between two writes of an unchanged list, which update the time of
-	// its confirmation.
+	// confirmInterval is the delay between a list and its write if the list removes no endpoint
+	// from the file. Such a write updates the time of confirmation and adds new endpoints.
 	confirmInterval = 10 * time.Second
 )
 
@@ -109,8 +110,9 @@
 	}
 }
 
-// wait waits until the next write is due. It returns false if the context ends before that. The
-// wait is longer if the file only needs a newer time of confirmation.
+// wait waits until the next write is due. It returns false if the context ends before that. A write
+// that replaces a file without removed endpoints can wait for confirmInterval; a missing file is
+// written after writeDelay.
 func (r *Recorder) wait(ctx context.Context, timer *time.Timer) bool {
 	delay := writeDelay
 	if r.hasFile() {
@@ -132,7 +134,7 @@
 	}
 }
 
-// hasFile reports whether the store may have a file, whose endpoints have not been removed since.
+// hasFile reports whether the store may have a file: none has been removed since the last write.
 func (r *Recorder) hasFile() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/membership/catalog/catalog.go
+++ b/internal/membership/catalog/catalog.go
@@ -59,8 +59,8 @@
 	WatchRequested <-chan struct{}
 	// Rand draws holds and backoffs. Only Run uses it. If Rand is nil, the Client creates its own.
 	Rand *rand.Rand
-	// Scheduler, if not nil, schedules the calls to a discovery that many replicas share. Not used
-	// with OnDemand.
+	// Scheduler, if not nil, schedules the calls to a discovery that many replicas share. It must
+	// be nil with OnDemand.
 	Scheduler *start.PollScheduler
 	// KnownVersion is the version of the list with which the replica starts. A negative value means
 	// that there is no list or that its version is uncertain. Used with Scheduler, or with OnDemand
--- a/internal/membership/catalog/on_demand.go
+++ b/internal/membership/catalog/on_demand.go
@@ -29,8 +29,8 @@
 	// change 2 s after the hold; the rest of the 2 s is for the response to the next watch, which
 	// may be queued too.
 	watchOverdue = 500 * time.Millisecond
-	// fullOverdue is the time after which the first call for the full list is overdue. It doubles
-	// with each overdue call.
+	// fullOverdue is the time after which the first call for the full list is overdue. The time
+	// doubles with each further call for the full list, up to maxFullOverdue, until one succeeds.
 	fullOverdue    = 1500 * time.Millisecond
 	maxFullOverdue = 6 * time.Second
 
@@ -91,7 +91,7 @@
 	for {
 		select {
 		case <-c.cfg.WatchRequested:
-			if d.awaitsRequest { // otherwise a call is open
+			if d.awaitsRequest { // otherwise a call is open, or due after a rejection
 				d.call(ctx)
 			}
 		case <-d.timer.C:
@@ -105,7 +105,7 @@
 }
 
 // call opens a watch from the version of the list in use, or reads the full list if there is no
-// version.
+// version. While maxOnDemandCalls calls are open, it only restarts the timer.
 func (d *onDemand) call(ctx context.Context) {
 	d.awaitsRequest = false
 	d.retry.recordCall(time.Now())
@@ -152,9 +152,8 @@
 		return
 	}
 	d.resetRetry()
-	// A delta up to a version that is already applied is not an update, nor is a full list whose
-	// call is older than the call of the list in use. Any other full list is an update: a service
-	// that restarts counts its versions from the start.
+	// A list with a lower version than the list in use is not an update, unless it is a full list
+	// from a newer call than that list: a service that restarts counts its versions from the start.
 	if result.list.Version >= d.version || result.list.Full && result.number > d.lastApplied {
 		d.deliver(result)
 	}
--- a/internal/membership/contract/contract.go
+++ b/internal/membership/contract/contract.go
@@ -39,7 +39,7 @@
 	t.Run("end", func(t *testing.T) { testEnd(t, newSource) })
 }
 
-// run starts a source. Stop ends the source and waits until it has returned.
+// run starts a source. The returned function stop ends the source and waits until Run has returned.
 func run(t *testing.T, source membership.Source, sink *recordingSink) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/membership/file/file.go
+++ b/internal/membership/file/file.go
@@ -148,8 +148,8 @@
 }
 
 // parseEntry returns the entry of the endpoint at the given index of a file. The entry's key is its
-// name, or its address if it has no name. If it has neither, or another entry has the key, the key
-// is the position in the file.
+// name, or its address if it has no name. If it has neither, or an earlier entry has the key, the
+// key is the position in the file.
 func parseEntry(text json.RawMessage, index int, seen map[string]bool) reconcile.Entry {
 	var named struct {
 		Name    string `json:"name"`
--- a/internal/membership/reconcile/key.go
+++ b/internal/membership/reconcile/key.go
@@ -23,7 +23,7 @@
 
 // setKey sets a key whose previous state, if any, has been removed. An invalid entry is left out
 // or, if the key was valid before, keeps its last valid state as draining. setKey returns the entry
-// when it becomes invalid, not each time it is read.
+// when it becomes invalid or its error changes, not each time it is read.
 func (r *Reconciler) setKey(e Entry, previous *keyState) *InvalidEntry {
 	endpoint, err := r.cfg.decode(e)
 	if err == nil {
--- a/internal/membership/reconcile/update.go
+++ b/internal/membership/reconcile/update.go
@@ -64,7 +64,7 @@
 	// RemovedServing is the number of serving endpoints that this update stopped from serving.
 	// ServingBefore is the number of serving endpoints before it.
 	RemovedServing, ServingBefore int
-	// Invalid has the entries that have become invalid. Each is reported once.
+	// Invalid has the entries that have become invalid. Each is reported once per error.
 	Invalid []InvalidEntry
 }
 
--- a/internal/membership/source.go
+++ b/internal/membership/source.go
@@ -24,9 +24,9 @@
 // Health is the state of a source.
 type Health struct {
 	Version     int64     // version of the list in use; 0 before the first list
-	SilentSince time.Time // time of the last valid answer; zero while the source is not silent
+	SilentSince time.Time // time since which there is no valid answer; zero while the source is not silent
 	Invalid     int       // invalid entries of the list at present
-	Rejected    int64     // answers so far that were not a valid update
+	Rejected    int64     // answers so far that were missing or not a valid update
 }
 
 // Age returns how long a source has been silent at the given time, 0 while it is not silent.
--- a/internal/quota/fairness.go
+++ b/internal/quota/fairness.go
@@ -27,7 +27,8 @@
 }
 
 // fairShare returns a consumer's fair share of the capacity that can be borrowed. That capacity is
-// divided evenly among the consumer and all others that have borrowed something or are starved.
+// divided evenly among the consumer and all others that have borrowed something or are marked as
+// starved.
 func (a *Allocator) fairShare(now int64, c *consumer) int64 {
 	free, n := a.total, int64(0)
 	for _, other := range a.order {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -60,8 +60,9 @@
 	maxSuffixLabels int              // number of labels of the longest suffix
 }
 
-// New compiles rules; earlier rules take precedence. The error joins a *RuleError for each invalid
-// rule. Even if there are errors, New returns a table with the valid rules.
+// New compiles rules; earlier rules take precedence. The error joins a *RuleError for each rule
+// that is invalid or that no request can reach. Even if there are errors, New returns a table with
+// the valid rules.
 func New(rules []Match) (*Table, error) {
 	t := &Table{exactHosts: map[string]*node{}, suffixHosts: map[string]*node{}, anyHost: &node{}}
 	var errs []error
--- a/internal/sidecar/endpoint_source.go
+++ b/internal/sidecar/endpoint_source.go
@@ -23,7 +23,7 @@
 
 const (
 	maxTokenBytes      = 4 << 10 // limit of a registry's token
-	unreachableDivisor = 8       // a newer list is urgent if 1/8 of the backends can't be reached
+	unreachableDivisor = 8       // a newer list is urgent if at least 1/8 of the backends can't be reached
 )
 
 // setSource replaces the service's source. The new source starts only after the old source has
--- a/internal/sidecar/process.go
+++ b/internal/sidecar/process.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	memoryLimitFraction = 0.6 // soft limit of the runtime, from which it collects garbage more often, per process limit
+	memoryLimitFraction = 0.6 // part of the process limit near which the runtime collects garbage more often
 	relaxedGCMinMB      = 64  // memory limit from which an application's sidecar collects garbage less often
 	relaxedGCPercent    = 400 // heap growth before the next collection, in percent of the live heap
 )
--- a/internal/sidecar/relay_follower.go
+++ b/internal/sidecar/relay_follower.go
@@ -16,7 +16,8 @@
 // relayFollower is the single follower of the relays that the sidecar's configuration names. It
 // follows all endpoint lists from relays, and the remote configuration. It persists across
 // configurations: services subscribe to lists and unsubscribe, and after a change of the relays a
-// new follower resumes from the applied versions. Without relays it does nothing.
+// new follower resumes each list from its applied version and reads the remote configuration from
+// the beginning. Without relays it does nothing.
 type relayFollower struct {
 	lists  *relayed.Lists
 	remote *remoteConfiguration // subscribes to the remote configuration, if one is configured
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -12,7 +12,7 @@
 
 var (
 	errImmutable           = errors.New("can't change while the process runs")
-	errStopping            = errors.New("the sidecar is shutting down")
+	errStopping            = errors.New("the sidecar or its relay follower is being stopped")
 	errRemoteConfiguration = errors.New("the configuration comes from relays: " +
 		"a file replaces it only if distribution.configuration or the relays differ")
 )
--- a/internal/start/poll.go
+++ b/internal/start/poll.go
@@ -54,8 +54,8 @@
 	watchBurst    = 20
 	watchInterval = 150 * time.Millisecond
 
-	// After a failure, a replica that has resumed its watch does a full read after fullReadDelay to
-	// fullReadDelay+fullReadSpread.
+	// A replica that resumes its watch after a failure, or that starts with a cached list, does a
+	// full read after fullReadDelay to fullReadDelay+fullReadSpread.
 	fullReadDelay  = 30 * time.Second
 	fullReadSpread = 60 * time.Second
 
@@ -175,9 +175,9 @@
 	return min(max(time.Duration(s.cfg.Replicas)*backoffPerReplica, minBackoffLimit), maxBackoffLimit)
 }
 
-// ScheduleFull schedules a full read within a short time, while the replica continues to watch. It
-// is called before Next if the list is empty. Discovery may have lost its members and may find them
-// again under the same version, which a watch does not detect.
+// ScheduleFull schedules a full read within the backoff limit, while the replica continues to
+// watch. It is called before Next if the list is empty. Discovery may have lost its members and may
+// find them again under the same version, which a watch does not detect.
 func (s *PollScheduler) ScheduleFull(now time.Time) {
 	s.fullDue = now.Add(s.drawBetween(minBackoff, s.backoffLimit()))
 }
@@ -189,7 +189,7 @@
 // afterAnswer returns the call after an answer. It follows at once, unless many calls in a row were
 // answered at once.
 func (s *PollScheduler) afterAnswer(now time.Time) Call {
-	// The answer shows how long discovery takes now, so timeouts shrink again step by step.
+	// Discovery answered within the present timeout, so timeouts shrink again step by step.
 	s.fullTimeout = max(s.cfg.FullTimeout, s.fullTimeout/timeoutGrowth)
 	s.watchTimeout = max(s.cfg.WatchTimeout, s.watchTimeout/timeoutGrowth)
 	s.hasList, s.backoff = true, 0
--- a/internal/start/record/record.go
+++ b/internal/start/record/record.go
@@ -1,7 +1,6 @@
 // Package record keeps the recent starts of a replica in a directory that outlives the process.
-// From the record, a replica that repeatedly exits right after its start detects this and backs
-// off. A file that can't be read counts as empty, so a record never prevents a replica from
-// starting.
+// With it, a replica that repeatedly exits right after its start can detect this and back off. A
+// file that can't be read counts as empty, so a record never prevents a replica from starting.
 package record
 
 import (
--- a/internal/start/start.go
+++ b/internal/start/start.go
@@ -3,7 +3,8 @@
 // and how long it waits for the answer. [DialLimiter] decides how many connections it dials to a
 // backend that is not established. The package has no I/O and no clock: times and the source of
 // randomness are passed as arguments. Each replica decides alone, but the load of the whole fleet
-// matters, so all limits apply to the sum over the replicas if their number is known.
+// matters, so all limits are chosen for the sum over the replicas, according to their number if it
+// is known.
 package start
 
 import "time"
--- a/internal/upstream/http1/upstream.go
+++ b/internal/upstream/http1/upstream.go
@@ -29,8 +29,8 @@
 const (
 	// UntrustedReuseDelay is the ReuseDelay for backends that may be faulty. A faulty backend may
 	// send a second response or noise after a response. Such bytes have been seen to arrive within
-	// 2 ms. A connection that is reused before they arrive takes them for the response to its next
-	// request.
+	// 2 ms. If a connection is reused before they arrive, they may be taken for the response to its
+	// next request.
 	UntrustedReuseDelay = 20 * time.Millisecond
 
 	// newConnWindow is how long non-idempotent requests use new connections after a reused
--- a/logic/decaying_counter.go
+++ b/logic/decaying_counter.go
@@ -4,7 +4,7 @@
 
 const decayTimeConstant = 30 * second // time constant of a decayingCounter
 
-// decayingCounter counts events with exponential decay by decayTimeConstant.
+// decayingCounter counts events, with exponential decay over decayTimeConstant.
 type decayingCounter struct {
 	count float64
 	last  int64
--- a/logic/doc.go
+++ b/logic/doc.go
@@ -32,7 +32,7 @@
 //
 //  1. Every request gets exactly one final answer in time: timeouts in attempt.go,
 //     [Balancer.Outcome] in outcome.go.
-//  2. No request that must not run twice is run twice: retryAllowed and mayShed in idempotency.go.
+//  2. The effect of a request does not occur twice: retryAllowed and mayShed in idempotency.go.
 //  3. A draining endpoint gets no new attempts: endpoint_list.go, and draining.go while an update
 //     of the endpoint list is overdue.
 //  4. An endpoint in slow start is not overloaded: slow_start.go.
--- a/logic/draining.go
+++ b/logic/draining.go
@@ -1,8 +1,8 @@
 package logic
 
 const (
-	// While an update is overdue, an endpoint that has rejected an attempt may be draining if it
-	// has served none for drainSuspicionDelay since that rejection. It becomes eligible again
+	// While an update is overdue, an endpoint that has rejected an attempt may be draining if no
+	// attempt sent later has ended otherwise for drainSuspicionDelay. It becomes eligible again
 	// drainSuspicionExpiry after its latest rejection.
 	drainSuspicionDelay  = second
 	drainSuspicionExpiry = 5 * second
--- a/logic/endpoint.go
+++ b/logic/endpoint.go
@@ -13,7 +13,7 @@
 	unverified      bool           // from a RestoredSnapshot, with no update and no attempt served since
 
 	lastServedSentAt int64 // when the latest attempt that it served was sent
-	rejecting        bool  // whether it rejected an attempt and has accepted none sent since
+	rejecting        bool  // whether it rejected an attempt and none sent since has ended otherwise
 	// rejectingSince and lastRejectedAt are when the first and the latest of the rejected attempts
 	// ended, since rejecting was set.
 	rejectingSince, lastRejectedAt int64
--- a/logic/evidence.go
+++ b/logic/evidence.go
@@ -9,7 +9,7 @@
 
 	maxBadFraction      = 0.4 // largest fraction of late or failed outcomes in a good round of a limit
 	maxBadFractionInner = 0.7 // the same in an inner tier
-	maxSlowFraction     = 0.3 // the same of slow outcomes, for the quotas and the local zone
+	maxSlowFraction     = 0.3 // largest fraction of slow outcomes in a good round of quotas, local zone or priority
 )
 
 // Evidence is the kind of evidence that led to a cut of a concurrency limit.
--- a/logic/outcome.go
+++ b/logic/outcome.go
@@ -65,8 +65,8 @@
 		class.latency.updateBase(now, a.lightLoad)
 	}
 	elapsed := float64(now - a.sentAt)
-	// A quick failure is no evidence about load. It counts as a failure only, not as evidence for
-	// the quotas and the spillover.
+	// A quick failure is no evidence of load. It counts as a failure against the limits, but not as
+	// slow against the quotas and the local zone.
 	late := o.Status == Overloaded || o.Status == TimedOut || !failed && elapsed > b.lateThreshold(q.Class)
 	slow := late || elapsed > b.slowThreshold(q.Class)
 	// The failure of an outlier is evidence about one endpoint only, and would count as an attempt
--- a/logic/outlier.go
+++ b/logic/outlier.go
@@ -8,7 +8,7 @@
 	minHealth                 = 0.05 // floor of the health, so that a failing endpoint gets probes
 	failingHealth             = 0.25 // an endpoint below this health gets only probes if there are others
 
-	outlierRatio = 2.0 // an outlier fails more than this many times as often as all endpoints
+	outlierRatio = 2.0 // an outlier fails more than this many times as often as its peers
 	minPeers     = 2   // minimum for a median of peers; with fewer, the rate over all attempts is used
 	maxPeers     = 32  // maximum for a median of peers
 
@@ -45,7 +45,7 @@
 // deeper tier and counts against the limits. A refused connection always counts as a failure of the
 // endpoint: when a zone is lost, all peers refuse connections alike, and no endpoint would be an
 // outlier. An error response concerns only its class, so that endpoints that fail one class remain
-// available to the others. A failure without a response concerns the whole endpoint.
+// available to the others. Any other failure concerns the whole endpoint.
 func (b *Balancer) updateOutlierState(e *endpoint, class int, status Status) bool {
 	c, failure := &b.classes[class], indicator(status != OK)
 	b.errorRate += (failure - b.errorRate) * ewmaGain
--- a/logic/pressure.go
+++ b/logic/pressure.go
@@ -11,8 +11,8 @@
 	lateCongestionFactor  = 1.8 // times the base latency: slower outcomes count against the limits too
 	slowCongestionFactor  = 1.6 // times the base latency: slower outcomes lower the quotas too
 	minCongestionFraction = 0.1 // of the latency objective: faster outcomes met no congestion
-	// Below this quota multiple, the base latency does not make an attempt slow, since load is then
-	// not the cause of the latency.
+	// At or below this quota multiple, the base latency does not make an attempt slow, since load
+	// is then not the cause of the latency.
 	minCongestedMultiple = 0.8
 
 	yieldPriorityRatio = 1.5 // a class yields to one with more than this times its priority per unit of work
@@ -31,9 +31,9 @@
 }
 
 // slowThreshold returns the latency in microseconds above which an attempt is slow. The threshold
-// is well below the latency objective. At the front tier, the threshold is slowCongestionFactor
-// times the base latency if that is less, since endpoints that hold too many attempts stay slow for
-// a long time.
+// is well below the latency objective. At the front tier and above minCongestedMultiple, the
+// threshold is slowCongestionFactor times the base latency if that is less, since endpoints that
+// hold too many attempts stay slow for a long time.
 func (b *Balancer) slowThreshold(class int) float64 {
 	threshold := slowFraction * float64(b.settings.Classes[class].LatencyObjective)
 	if b.settings.Tier > 0 || b.quotas.multiple <= minCongestedMultiple {
--- a/logic/quota.go
+++ b/logic/quota.go
@@ -14,7 +14,7 @@
 	// attempts, and the front tier has already shed requests.
 	innerTierMultiple = 20.0
 
-	poissonDeviations  = 2.0  // standard deviations of a Poisson count attributed to random variation
+	poissonDeviations  = 2.0  // standard deviations above the mean of a Poisson count that random variation explains
 	minWindowAdmission = 24.0 // a QPS window is extended until it admits this many requests
 )
 
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -28,7 +28,7 @@
 	// LatencyObjective is the response time in microseconds within which an answer earns the full
 	// priority weight.
 	LatencyObjective int64
-	// Deadline is the time in microseconds that a client waits for an answer, over all attempts.
+	// Deadline is the longest time in microseconds that a client waits, over all attempts.
 	Deadline       int64
 	PriorityWeight float64 // value of one request answered within its latency objective
 	// LatePriorityFactor is the fraction of PriorityWeight that an answer earns between
--- a/logic/slow_start.go
+++ b/logic/slow_start.go
@@ -2,7 +2,7 @@
 
 const (
 	slowStartMargin       = 0.6  // fraction of its least capacity that an endpoint in slow start receives
-	slowStartPriorSeconds = 0.25 // weight of the fair rate in the estimate of a replica's own rate
+	slowStartPriorSeconds = 0.25 // seconds at the fair rate that the estimate of a replica's own rate begins with
 )
 
 // slowStartFactor keeps rule 4: it protects an endpoint that is warming up from overload. It
--- a/logic/spillover.go
+++ b/logic/spillover.go
@@ -2,7 +2,7 @@
 
 const (
 	minSpilloverWeight     = 0.02 // weight of endpoints in other zones while the local zone is not slow
-	initialSpilloverWeight = 0.3  // initial weight at the front tier, while the local zone is unknown
+	initialSpilloverWeight = 0.3  // initial weight at the front tier, before any evidence about the local zone
 	spilloverStep          = 0.15 // added after a round in which the local zone was slow
 	spilloverDecay         = 0.9  // factor after a good round
 )
--- a/logic/subset.go
+++ b/logic/subset.go
@@ -9,7 +9,7 @@
 // values.
 const (
 	minSubset          = 4.0      // minimum number of endpoints that a replica uses
-	subsetRateFactor   = 3.0      // and this times the root of its attempts per second, to use each often
+	subsetRateFactor   = 3.0      // endpoints per root of the attempts per second, so that each is used often enough
 	goldenRatioInverse = 0.618034 // steps of this fraction of a ring spread any number of points evenly
 )
 
